--- a/benchmarks/background.py
+++ b/benchmarks/background.py
@@ -34,15 +34,15 @@
 
 import anyio
 
-from cresstray.kept.files import Folder, moment
-from cresstray.kept.record import Engine as Kept
-from cresstray.kept.record import Record
-from cresstray.standins.account import PROMISES, Account, Asked, Run
-from cresstray.standins.clients import Client, Kind, draw
-from cresstray.standins.coordinator import ZONES, Coordinator, Listed
-from cresstray.standins.engine import Engine, Marks
-from cresstray.standins.sockets import listen
-from cresstray.standins.world import Gateway, settings
+from cresstray.emulators.account import PROMISES, Account, Asked, Run
+from cresstray.emulators.clients import Client, Kind, draw
+from cresstray.emulators.coordinator import ZONES, Coordinator, Listed
+from cresstray.emulators.engine import Engine, Marks
+from cresstray.emulators.sockets import listen
+from cresstray.emulators.world import Gateway, settings
+from cresstray.membership.snapshot import Engine as Kept
+from cresstray.membership.snapshot import Record
+from cresstray.membership.snapshot_files import Folder, moment
 
 # Over at once, so that what an answer takes is the gateway's time and the network's.
 _KIND = Kind("lookup", 1.0, 0.001, 1, 0.5, 2.0, 1.0, "idempotent")
@@ -70,7 +70,7 @@
 _TIMED = """
 import asyncio, atexit, json, os, sys, time
 import anyio
-from cresstray import start
+from cresstray.gateway import startup as start
 
 turns, run = [], anyio.run
 
--- a/benchmarks/bound.py
+++ b/benchmarks/bound.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from cresstray.standins.clients import Drawn
+from cresstray.emulators.clients import Drawn
 
 _BUCKET = 0.05
 
--- a/benchmarks/builds.py
+++ b/benchmarks/builds.py
@@ -19,8 +19,8 @@
 
 import anyio
 
-from cresstray.standins.clients import draw
-from cresstray.standins.world import KINDS, World
+from cresstray.emulators.clients import draw
+from cresstray.emulators.world import KINDS, World
 
 _RATE = 200.0  # half of what four engines do: nothing is held for long, and work is the same for both
 _WARM = 1.0
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -24,15 +24,15 @@
 import msgspec
 
 from benchmarks.bound import bound
-from cresstray.kept import record
-from cresstray.kept.files import Folder
-from cresstray.kept.reconcile import Tomb
-from cresstray.lab.cold import to_ninety
-from cresstray.standins.account import PROMISES, Account, Run
-from cresstray.standins.clients import Drawn, draw
-from cresstray.standins.cold import Plan, Register
-from cresstray.standins.coordinator import Listed
-from cresstray.standins.world import KINDS, Gateway, Hall, World, _free_port, running, settings
+from cresstray.emulators.account import PROMISES, Account, Run
+from cresstray.emulators.clients import Drawn, draw
+from cresstray.emulators.cold import Plan, Register
+from cresstray.emulators.coordinator import Listed
+from cresstray.emulators.world import KINDS, Gateway, Hall, World, _free_port, running, settings
+from cresstray.membership import snapshot as record
+from cresstray.membership.reconciliation import Tomb
+from cresstray.membership.snapshot_files import Folder
+from cresstray.simulation.cold import to_ninety
 
 GATEWAYS, ENGINES, CORES = 4, 24, 4
 # What is asked for, as a share of all cores. A cold engine is planned for at three quarters of its cores, of
@@ -56,7 +56,7 @@
 
     def __init__(self, plan: Plan) -> None:
         self._process = subprocess.Popen(
-            [sys.executable, "-O", "-m", "cresstray.standins.cold", msgspec.json.encode(plan).decode()],
+            [sys.executable, "-O", "-m", "cresstray.emulators.cold", msgspec.json.encode(plan).decode()],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
--- a/benchmarks/cold_virtual.py
+++ b/benchmarks/cold_virtual.py
@@ -14,7 +14,7 @@
 
 import click
 
-from cresstray.lab.cold import BEARS, FALLS, PIECE, SECOND, Cold, Told
+from cresstray.simulation.cold import BEARS, FALLS, PIECE, SECOND, Cold, Told
 
 # By age in seconds, the share of a list that is not as it was, in four ways as cold_start.py has: a tenth
 # of the engines replaced a day for a week, and guesses up to a day.
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,22 +20,12 @@
 import anyio
 import click
 
-from cresstray.keeper.codec import Ask
-from cresstray.rules.documents import (
-    EMPTY,
-    Documents,
-    EngineRule,
-    Placement,
-    Shard,
-    TariffRule,
-    TenantRule,
-    delta,
-)
-from cresstray.standins.account import PROMISES
-from cresstray.standins.clients import draw
-from cresstray.standins.fleet.accounts import contradictions, spread, without_commit
-from cresstray.standins.fleet.history import History
-from cresstray.standins.fleet.operators import (
+from cresstray.control_plane.codec import Ask
+from cresstray.emulators.account import PROMISES
+from cresstray.emulators.clients import draw
+from cresstray.emulators.fleet.accounts import contradictions, spread, without_commit
+from cresstray.emulators.fleet.history import History
+from cresstray.emulators.fleet.operators import (
     SHARD,
     Changed,
     Operator,
@@ -45,7 +35,7 @@
     edited,
     listed,
 )
-from cresstray.standins.fleet.processes import (
+from cresstray.emulators.fleet.processes import (
     CANARY,
     FLEET_KINDS,
     HALL,
@@ -54,8 +44,8 @@
     Fleet,
     tenant,
 )
-from cresstray.standins.fleet.schedule import PROCESS, Fault, drawn
-from cresstray.standins.fleet.shards import (
+from cresstray.emulators.fleet.schedule import PROCESS, Fault, drawn
+from cresstray.emulators.fleet.shards import (
     ShardFleet,
     carried,
     copies_lost,
@@ -63,7 +53,17 @@
     judged,
     planned,
 )
-from cresstray.standins.world import KINDS
+from cresstray.emulators.world import KINDS
+from cresstray.fleet_config.documents import (
+    EMPTY,
+    Documents,
+    EngineRule,
+    Placement,
+    Shard,
+    TariffRule,
+    TenantRule,
+    delta,
+)
 
 _RATE = 120.0  # a second: a quarter of what the engines can do, so that payoff is not decided by one barred
 _REST = 2.0  # longer than the longest hard stop of kinds that are short, as in the other benchmarks
--- a/benchmarks/fleet_virtual.py
+++ b/benchmarks/fleet_virtual.py
@@ -1,7 +1,7 @@
 """The fleet's own work, on a virtual clock: bytes of gateways, changes, leaders, and all coming back at once.
 
 python -m benchmarks.fleet_virtual [--seed N] [--gateways N] [--json]; its exit code is 1 where a property
-broke or an aim was missed. A minute of CPU, no socket. The machines are those of cresstray/lab/fleet.py.
+broke or an aim was missed. A minute of CPU, no socket. The machines are those of cresstray/simulation/fleet.py.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import sys
 from typing import Any
 
-from cresstray.lab.fleet import ALL_FAULTS, MS, SECOND, Plan, World, all_named, played
+from cresstray.simulation.fleet import ALL_FAULTS, MS, SECOND, Plan, World, all_named, played
 
 REST, CHANGES, KILLS, AWAY, STORMS = 10, 20, 10, 5, 4
 
--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -18,9 +18,9 @@
 import click
 
 from benchmarks.bound import bound
-from cresstray.standins.account import PROMISES
-from cresstray.standins.clients import Drawn, Kind, draw
-from cresstray.standins.world import KINDS, World
+from cresstray.emulators.account import PROMISES
+from cresstray.emulators.clients import Drawn, Kind, draw
+from cresstray.emulators.world import KINDS, World
 
 _HALLS = ("hall-a", "hall-b")
 # A second: a hall's usual load is half of what its cores do; all of it is some 330 a second for both.
--- a/benchmarks/replicas.py
+++ b/benchmarks/replicas.py
@@ -18,12 +18,12 @@
 
 import msgspec
 
-from cresstray.replicas.choose import candidates
-from cresstray.replicas.hint import Hint
+from cresstray.fleet_config.documents import Shard
+from cresstray.replicas.hints import Hint
 from cresstray.replicas.positions import Board
 from cresstray.replicas.read import _PART, _TIGHT, _TOLD
+from cresstray.replicas.replica_selection import candidates
 from cresstray.replicas.spread import Exchange, Peer, Word
-from cresstray.rules.documents import Shard
 
 _ENGINES, _KEEPERS, _ZONES = 80, 3, 2
 _WITHINS = (500_000, 2_000_000, 10_000_000)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -14,14 +14,14 @@
 from collections.abc import Callable
 
 from cresstray.clock import Clock, Timers
-from cresstray.coordinator.frames import Frames
-from cresstray.coordinator.known import Event
-from cresstray.counters import Counters
-from cresstray.engines.links import Pool, Quota
-from cresstray.interface import Ending, Relay, Submission
-from cresstray.log import Log
-from cresstray.logic import Gateway
-from cresstray.passage.route import Route
+from cresstray.discovery.codec import Frames
+from cresstray.discovery.endpoint_list import Event
+from cresstray.engines.connection import Pool, Quota
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.pipeline.routing import Route
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Ending, Relay, Submission
 
 SIZES, ZONES, GATEWAYS = (10, 100, 1024), 8, 1024
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -21,11 +21,11 @@
 import anyio
 import click
 
-from cresstray.standins.account import PROMISES
-from cresstray.standins.clients import draw
-from cresstray.standins.fleet.processes import HALL
-from cresstray.standins.marks import MARKED, MarkedFleet, Shared, draw_again, payoff, ran_again
-from cresstray.standins.world import KINDS
+from cresstray.emulators.account import PROMISES
+from cresstray.emulators.clients import draw
+from cresstray.emulators.fleet.processes import HALL
+from cresstray.emulators.marks import MARKED, MarkedFleet, Shared, draw_again, payoff, ran_again
+from cresstray.emulators.world import KINDS
 
 # A second: a third of what the engines can do, as repeats add three relays to each marked submission.
 _RATE, _REPEATS = 30.0, 3
--- a/cresstray/__main__.py
+++ b/cresstray/__main__.py
@@ -4,13 +4,13 @@
 
 import sys
 
-from cresstray.start import run
+from cresstray.gateway.startup import run
 
 
 def main(words: list[str] | None = None) -> int:
     """Exit code of a command line; without words, of one gateway."""
     if words:
-        from cresstray.commands import cli
+        from cresstray.cli import cli
 
         return cli(words)
     return run()
--- a/cresstray/background/worker.py
+++ b/cresstray/background/worker.py
@@ -8,8 +8,8 @@
 
 from cresstray.background.schedule import Job, Outcome, Priority, Schedule
 from cresstray.clock import Clock, Due, Timers
-from cresstray.counters import Counters
-from cresstray.log import Log
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
 
 # A twentieth of the loop, in pieces that no answer notices: a quarter of a millisecond in five.
 TICK, BUDGET = 5_000, 250
--- a/cresstray/commands/__init__.py
+++ b/cresstray/cli/__init__.py
@@ -16,11 +16,11 @@
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         if cmd_name == "placement":
-            from cresstray.commands import placement
+            from cresstray.cli import placement
 
             return placement.placement
         if cmd_name == "kept":
-            from cresstray.commands import kept
+            from cresstray.cli import membership as kept
 
             return kept.kept
         return super().get_command(ctx, cmd_name)
@@ -48,7 +48,7 @@
 )
 def run(config: str | None, operator: str | None) -> None:
     """Start one gateway and stay in the foreground."""
-    from cresstray import start
+    from cresstray.gateway import startup as start
 
     if config:
         os.environ["GW_CONFIG"] = config
@@ -63,18 +63,18 @@
     """Read an operator's file; tell what it sets, or all that is wrong with it (exit code 2)."""
     import msgspec
 
-    from cresstray.conf import operator
-    from cresstray.conf.lines import UnusableError
+    from cresstray.config import operator
+    from cresstray.config.lines import UnusableError
 
     try:
         given = operator.read(file)
         for part in (given.halls, given.fleet):
             if part is not None and part.tls is not None:
-                from cresstray.halls.tls import Contexts
+                from cresstray.sites.tls import Contexts
 
                 Contexts(part.tls)
         if given.store is not None:
-            from cresstray.store import client
+            from cresstray.idempotency import client
 
             client.check(given.store)
     except (UnusableError, OSError) as trouble:
@@ -93,7 +93,7 @@
 @click.option("--days", default=365, show_default=True, help="How long the halls' certificates are good for.")
 def keys(folder: str, halls: tuple[str, ...], days: int) -> None:
     """Make a private authority in FOLDER, unless there is one, and a key and certificate for each hall."""
-    from cresstray.commands import authority
+    from cresstray.cli import authority
 
     try:
         for path in authority.make(folder, halls, days):
@@ -107,7 +107,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, as the gateway tells it.")
 def links(socket: str, as_json: bool) -> None:
     """Tell the state of a running gateway's links and ledgers, by its control SOCKET."""
-    from cresstray.halls import status
+    from cresstray.sites import status
 
     try:
         told = status.ask(socket)
@@ -124,7 +124,7 @@
 @click.option("--dump", is_flag=True, help="Only tell the documents in its file, as JSON; it must not run.")
 def keeper(file: str, name: str, found: bool, dump: bool) -> None:
     """Run one keeper of the fleet in the foreground, by an operator's FILE."""
-    from cresstray.commands import fleet
+    from cresstray.cli import fleet
 
     sys.exit(fleet.keep(file, name, found, dump))
 
@@ -157,7 +157,7 @@
 @_SECONDS
 def show(file: str, document: str | None, version: int, history: bool, as_json: bool, seconds: float) -> None:
     """Tell the documents, by the operator's FILE."""
-    from cresstray.commands import fleet
+    from cresstray.cli import fleet
 
     sys.exit(fleet.show(file, document, version, history, as_json, seconds))
 
@@ -189,7 +189,7 @@
 
     Exit code 1: refused. 2: wrong, or no answer. With "versions" it is taken only if they are the latest.
     """
-    from cresstray.commands import fleet
+    from cresstray.cli import fleet
 
     sys.exit(
         fleet.change(
@@ -214,7 +214,7 @@
 @_SECONDS
 def members(file: str, replace: str, as_json: bool, seconds: float) -> None:
     """Tell the keepers' members and leader, or replace one that has lost its file."""
-    from cresstray.commands import fleet
+    from cresstray.cli import fleet
 
     sys.exit(fleet.members(file, replace, as_json, seconds))
 
@@ -225,7 +225,7 @@
 @_SECONDS
 def where(file: str, as_json: bool, seconds: float) -> None:
     """Tell each gateway's turn, what is left of its lease, and when it was heard."""
-    from cresstray.commands import fleet
+    from cresstray.cli import fleet
 
     sys.exit(fleet.where(file, as_json, seconds))
 
@@ -241,7 +241,7 @@
 
     Make sure of it: if it runs yet, engines get more than their share.
     """
-    from cresstray.commands import fleet
+    from cresstray.cli import fleet
 
     sys.exit(fleet.forget(file, gateway, why, as_json, seconds))
 
@@ -251,7 +251,7 @@
 @click.option("--seed", default=1, show_default=True)
 def try_(seconds: int, seed: int) -> None:
     """Show two halls on built-in stand-ins: engines, a load, a cut of the link, and what became of it all."""
-    from cresstray.standins import show
+    from cresstray.emulators import show
 
     sys.exit(show.main(seconds, seed))
 
@@ -270,6 +270,6 @@
 
 def main() -> None:
     """The console's entry; without a command, the gateway as the platform starts it."""
-    from cresstray.start import run as start
+    from cresstray.gateway.startup import run as start
 
     sys.exit(cli(sys.argv[1:]) if sys.argv[1:] else start())
--- a/cresstray/commands/authority.py
+++ b/cresstray/cli/authority.py
@@ -12,7 +12,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from cresstray.conf import lines
+from cresstray.config import lines
 
 # An authority outlives many rotations of the halls' keys.
 _AUTHORITY_DAYS = 3650
--- a/cresstray/commands/fleet.py
+++ b/cresstray/cli/fleet.py
@@ -13,16 +13,16 @@
 import click
 import msgspec
 
-from cresstray.conf import operator
-from cresstray.conf.fleet import Fleet, Keeper
-from cresstray.conf.lines import UnusableError
+from cresstray.config import operator
+from cresstray.config.fleet import Fleet, Keeper
+from cresstray.config.lines import UnusableError
 from cresstray.consensus.storage import UnusableError as UnusableFileError
-from cresstray.counters import Counters
-from cresstray.frames import BrokenError, Frame
-from cresstray.keeper.codec import Ask, Gather, requests
-from cresstray.peers import Ends, Link, greeted, hello
-from cresstray.rules import documents
-from cresstray.rules.codec import PARTS, Greet, Reply
+from cresstray.control_plane.codec import Ask, Gather, requests
+from cresstray.fleet_config import documents
+from cresstray.fleet_config.codec import PARTS, Greet, Reply
+from cresstray.observability.counters import Counters
+from cresstray.transport.framing import BrokenError, Frame
+from cresstray.transport.peers import Ends, Link, greeted, hello
 
 # One answer takes a read, or an entry, of the log; a leader that is gone takes an election first.
 _ANSWER, _ALL = 3.0, 15.0
@@ -68,7 +68,7 @@
         self._given, self.who = given, own_name(given)
         contexts = None
         if given.tls is not None:
-            from cresstray.halls.tls import Contexts
+            from cresstray.sites.tls import Contexts
 
             contexts = Contexts(given.tls)
         self._ends = Ends((Greet, Reply), contexts, random.random, _Quiet(), Counters())
@@ -315,7 +315,7 @@
 
 def keep(path: str, name: str, founds: bool, dumps: bool) -> int:
     def act() -> int:
-        from cresstray.keeper import process
+        from cresstray.control_plane import node as process
 
         given = read(path)
         if given.keeper(name) is None:
--- a/cresstray/commands/kept.py
+++ b/cresstray/cli/membership.py
@@ -9,9 +9,9 @@
 import click
 import msgspec
 
-from cresstray.kept import operate
-from cresstray.kept.files import Folder, moment, short
-from cresstray.kept.record import UnusableError
+from cresstray.membership import inspection as operate
+from cresstray.membership.snapshot import UnusableError
+from cresstray.membership.snapshot_files import Folder, moment, short
 
 
 @click.group()
--- a/cresstray/commands/placement.py
+++ b/cresstray/cli/placement.py
@@ -10,12 +10,12 @@
 import click
 import msgspec
 
-from cresstray.commands import fleet
-from cresstray.conf.lines import UnusableError
+from cresstray.cli import fleet
+from cresstray.config.lines import UnusableError
+from cresstray.fleet_config import documents
 from cresstray.placement import fleetmap, model, moves
-from cresstray.placement.carrier import Disk
 from cresstray.placement.model import Limits, Plan
-from cresstray.rules import documents
+from cresstray.placement.move_executor import Disk
 
 # How often an operator is told; a plan takes minutes to hours.
 _TELL = 1.0
--- a/cresstray/clients/connections.py
+++ b/cresstray/clients/listener.py
@@ -8,10 +8,10 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.clients.talk import Front, House, Next, Talk
-from cresstray.counters import Counters
-from cresstray.log import Log
-from cresstray.streams import ENDED, Line, contained
+from cresstray.clients.session import Front, House, Next, Talk
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.transport.streams import ENDED, Line, contained
 
 _SWEEP = 0.2
 # Some ten milliseconds of accepting: what a busy loop takes for a turn anyway.
--- a/cresstray/clients/talk.py
+++ b/cresstray/clients/session.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from cresstray.clients import codec
-from cresstray.counters import Counters
+from cresstray.observability.counters import Counters
 
 # A statement is some kilobytes, and a line that is longer by far than any has no end that can be found.
 _LONGEST_LINE = 256 * 1024
--- a/cresstray/conf/fleet.py
+++ b/cresstray/config/fleet.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from cresstray.conf import lines
-from cresstray.conf.lines import Section, Sheet, one_of
+from cresstray.config import lines
+from cresstray.config.lines import Section, Sheet, one_of
 
 if TYPE_CHECKING:
-    from cresstray.conf.operator import Tls
+    from cresstray.config.operator import Tls
 
 # A majority of two is both: an even number of keepers outlives no more than one less would.
 COUNTS = (1, 3, 5, 7)
--- a/cresstray/conf/store.py
+++ b/cresstray/config/idempotency.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from cresstray.conf import lines
-from cresstray.conf.lines import Section, Sheet, one_of
+from cresstray.config import lines
+from cresstray.config.lines import Section, Sheet, one_of
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/cresstray/conf/kept.py
+++ b/cresstray/config/membership.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cresstray.conf.lines import Section, Sheet
+from cresstray.config.lines import Section, Sheet
 
 KNOWN: dict = {"kept": {}}
 
--- a/cresstray/conf/operator.py
+++ b/cresstray/config/operator.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from cresstray.conf import fleet as fleets
-from cresstray.conf import kept as kepts
-from cresstray.conf import lines
-from cresstray.conf import store as stores
-from cresstray.conf.fleet import Engine, Fleet, Keeper
-from cresstray.conf.kept import Kept
-from cresstray.conf.lines import Section, Sheet, UnusableError, one_of
-from cresstray.conf.store import Store
+from cresstray.config import fleet as fleets
+from cresstray.config import idempotency as stores
+from cresstray.config import lines
+from cresstray.config import membership as kepts
+from cresstray.config.fleet import Engine, Fleet, Keeper
+from cresstray.config.idempotency import Store
+from cresstray.config.lines import Section, Sheet, UnusableError, one_of
+from cresstray.config.membership import Kept
 
 
 class Link(msgspec.Struct, frozen=True):
--- a/cresstray/consensus/codec.py
+++ b/cresstray/consensus/codec.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cresstray.consensus.entries import MOST_DATA, MOST_SNAPSHOT, Entry, Members, Number
-from cresstray.frames import Frame
+from cresstray.transport.framing import Frame
 
 # Entries of one frame; small ones cost some ten bytes each beside their data.
 MOST_ENTRIES = 1_024
--- a/cresstray/consensus/entries.py
+++ b/cresstray/consensus/entries.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cresstray.frames import Frame
+from cresstray.transport.framing import Frame
 
 # Bytes of one entry, of the entries of one frame, and of one part of a snapshot: half a frame.
 MOST_DATA = 128 * 1024
--- a/cresstray/consensus/raft.py
+++ b/cresstray/consensus/raft.py
@@ -36,7 +36,7 @@
 )
 from cresstray.consensus.log import Log
 from cresstray.consensus.peers import Peer, Way
-from cresstray.frames import BrokenError, Frame, encode
+from cresstray.transport.framing import BrokenError, Frame, encode
 
 # Rounds of one leader begin no closer than this: an older one only makes the lease shorter.
 _ROUND = 1_000
--- a/cresstray/keeper/codec.py
+++ b/cresstray/control_plane/codec.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from cresstray.consensus import codec as log
-from cresstray.frames import BrokenError, Frame, Frames, encode
-from cresstray.rules import codec as rules
-from cresstray.rules.codec import PART, PARTS, Greet, Heard, Reply, Request
+from cresstray.fleet_config import codec as rules
+from cresstray.fleet_config.codec import PART, PARTS, Greet, Heard, Reply, Request
+from cresstray.transport.framing import BrokenError, Frame, Frames, encode
 
 _Text = Annotated[str, msgspec.Meta(max_length=128)]
 # Danger: a question without end would be kept without end. A change of documents fits into one entry.
--- a/cresstray/keeper/process.py
+++ b/cresstray/control_plane/node.py
@@ -18,34 +18,34 @@
 import anyio
 import msgspec
 
-from cresstray import peers
-from cresstray.conf import operator
-from cresstray.conf.fleet import Fleet
-from cresstray.conf.lines import UnusableError
+from cresstray.config import operator
+from cresstray.config.fleet import Fleet
+from cresstray.config.lines import UnusableError
 from cresstray.consensus.entries import Keep, Kind, Members
 from cresstray.consensus.raft import Node, Role, Times
 from cresstray.consensus.storage import Storage
 from cresstray.consensus.storage import UnusableError as UnusableFileError
-from cresstray.counters import Counters
-from cresstray.frames import BrokenError, Frame
-from cresstray.keeper import codec
-from cresstray.keeper.codec import Alive
-from cresstray.keeper.core import Core, Guest
-from cresstray.keeper.joined import Moving, Positions
-from cresstray.peers import Ends, Link
-from cresstray.placement.carrier import Disk
+from cresstray.control_plane import codec
+from cresstray.control_plane.codec import Alive
+from cresstray.control_plane.node_controller import Core, Guest
+from cresstray.control_plane.replica_positions import Moving, Positions
+from cresstray.fleet_config import documents
+from cresstray.fleet_config.codec import Heard
+from cresstray.fleet_config.documents import World
+from cresstray.fleet_config.leases import Leases
+from cresstray.fleet_config.state import State
+from cresstray.observability.counters import Counters
+from cresstray.observability.event_log import Said
+from cresstray.placement.move_executor import Disk
 from cresstray.placement.moves import Moves
-from cresstray.rules import documents
-from cresstray.rules.codec import Heard
-from cresstray.rules.documents import World
-from cresstray.rules.leases import Leases
-from cresstray.rules.state import State
-from cresstray.said import Said
+from cresstray.transport import peers
+from cresstray.transport.framing import BrokenError, Frame
+from cresstray.transport.peers import Ends, Link
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-    from cresstray.halls.tls import Contexts
+    from cresstray.sites.tls import Contexts
 
 # Between words on a link that we made, and how long none may come back: some elections, well under a lease.
 _ALIVE, _SILENT = 0.4, 1.5
@@ -350,7 +350,7 @@
 def _contexts(given: Fleet) -> Contexts | None:
     if given.tls is None:
         return None
-    from cresstray.halls.tls import Contexts
+    from cresstray.sites.tls import Contexts
 
     return Contexts(given.tls)
 
--- a/cresstray/keeper/core.py
+++ b/cresstray/control_plane/node_controller.py
@@ -12,19 +12,19 @@
 
 import msgspec
 
-from cresstray.conf.fleet import Fleet
+from cresstray.config.fleet import Fleet
 from cresstray.consensus.entries import Keep, Kind, Snapshot
 from cresstray.consensus.raft import Node, Role
-from cresstray.counters import Counters
-from cresstray.frames import BrokenError, Frame, encode
-from cresstray.keeper import codec
-from cresstray.keeper.answers import Answers
-from cresstray.keeper.codec import Alive, Gather
-from cresstray.rules import codec as rules
-from cresstray.rules import state as commands
-from cresstray.rules.codec import Heard
-from cresstray.rules.leases import Leases
-from cresstray.rules.state import Since, State
+from cresstray.control_plane import codec
+from cresstray.control_plane.codec import Alive, Gather
+from cresstray.control_plane.request_handlers import Answers
+from cresstray.fleet_config import codec as rules
+from cresstray.fleet_config import state as commands
+from cresstray.fleet_config.codec import Heard
+from cresstray.fleet_config.leases import Leases
+from cresstray.fleet_config.state import Since, State
+from cresstray.observability.counters import Counters
+from cresstray.transport.framing import BrokenError, Frame, encode
 
 # The log is cut once so much of it has been applied since: a restart reads it in well under a second.
 _MOST_ENTRIES, _MOST_BYTES = 4096, 4 * 1024 * 1024
--- a/cresstray/keeper/joined.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -8,14 +8,14 @@
 import msgspec
 
 from cresstray.consensus.raft import Role
-from cresstray.counters import Counters
-from cresstray.keeper.core import Core, Far
-from cresstray.placement.carrier import Carrier, Disk, Entry
-from cresstray.placement.carry import Hands
+from cresstray.control_plane.node_controller import Core, Far
+from cresstray.fleet_config.codec import Heard
+from cresstray.observability.counters import Counters
+from cresstray.placement.data_transfer import Hands
+from cresstray.placement.move_executor import Carrier, Disk, Entry
 from cresstray.placement.moves import Moves
 from cresstray.replicas.positions import Board
 from cresstray.replicas.spread import MOST_WANTED, Exchange, Peer, Talk, encoded
-from cresstray.rules.codec import Heard
 
 # Shards in one word to another keeper: 5,000 take some twenty seconds, those that change go first.
 _MOST_SHARDS = 64
--- a/cresstray/keeper/answers.py
+++ b/cresstray/control_plane/request_handlers.py
@@ -9,12 +9,13 @@
 import msgspec
 
 from cresstray.consensus.entries import Members
-from cresstray.keeper.codec import Ask
-from cresstray.rules import checks, documents
-from cresstray.rules import state as commands
+from cresstray.control_plane.codec import Ask
+from cresstray.fleet_config import documents
+from cresstray.fleet_config import state as commands
+from cresstray.fleet_config import validation as checks
 
 if TYPE_CHECKING:
-    from cresstray.keeper.core import Core
+    from cresstray.control_plane.node_controller import Core
 
 _LOST = {
     "error": "the leader has changed; whether it was taken is not known: ask again by the same request",
--- a/cresstray/coordinator/frames.py
+++ b/cresstray/discovery/codec.py
@@ -5,8 +5,8 @@
 import struct
 from ipaddress import IPv4Address
 
-from cresstray.coordinator.known import Event, MalformedError, Member
-from cresstray.interface import Standing
+from cresstray.discovery.endpoint_list import Event, MalformedError, Member
+from cresstray.policy.types import Standing
 
 _LENGTH, _HEAD, _RECORD = struct.Struct(">I"), struct.Struct(">QB"), struct.Struct(">IIHBBBHIQ")
 _STANDINGS = {0: Standing.READY, 1: Standing.DRAINING, 2: Standing.GONE}
--- a/cresstray/coordinator/known.py
+++ b/cresstray/discovery/endpoint_list.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cresstray.interface import Standing
+from cresstray.policy.types import Standing
 
 
 class MalformedError(Exception):
--- a/cresstray/coordinator/addresses.py
+++ b/cresstray/discovery/resolver.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable, Mapping
 
-from cresstray.coordinator.known import Event, Member
-from cresstray.interface import Standing
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.policy.types import Standing
 
 # An address, and the start of the engine that was told to be there.
 Place = tuple[tuple[str, int], int]
--- a/cresstray/coordinator/feed.py
+++ b/cresstray/discovery/watch.py
@@ -7,11 +7,11 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.coordinator.frames import Frames, hello
-from cresstray.coordinator.known import Event, MalformedError, address_of, foreseen
-from cresstray.counters import Counters
-from cresstray.log import Log
-from cresstray.streams import ENDED, Line, connect, contained
+from cresstray.discovery.codec import Frames, hello
+from cresstray.discovery.endpoint_list import Event, MalformedError, address_of, foreseen
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.transport.streams import ENDED, Line, connect, contained
 
 # Events count as told two seconds after a break and four after a silence, whether they came or not. An empty
 # frame comes each second: after one and a half the link is taken for dead, with time for two more tries.
--- a/cresstray/standins/clients.py
+++ b/cresstray/emulators/clients.py
@@ -11,9 +11,9 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.standins.account import Account, Asked
-from cresstray.standins.sockets import Peer
-from cresstray.streams import ENDED, connect
+from cresstray.emulators.account import Account, Asked
+from cresstray.emulators.sockets import Peer
+from cresstray.transport.streams import ENDED, connect
 
 
 @dataclass(frozen=True)
--- a/cresstray/standins/cold.py
+++ b/cresstray/emulators/cold.py
@@ -1,6 +1,6 @@
 """Engines that fall over when they are pushed cold, strangers at their addresses, a register that is wrong.
 
-`python -m cresstray.standins.cold PLAN` is a process of engines; PLAN is a JSON object of Plan's fields. Its
+`python -m cresstray.emulators.cold PLAN` is a process of engines; PLAN is a JSON object of Plan's fields. Its
 first line tells the ports. On standard input: `tell` brings what ran and fell as one line of JSON, `warm`
 ends all coldness, `bar N AT` counts what engine N gets after AT as sent to one that is gone. The end of
 standard input ends the process.
@@ -20,10 +20,10 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from cresstray.standins.account import Account
-from cresstray.standins.coordinator import Coordinator, Listed
-from cresstray.standins.engine import Engine, Marks
-from cresstray.standins.sockets import Peer, listen, serve
+from cresstray.emulators.account import Account
+from cresstray.emulators.coordinator import Coordinator, Listed
+from cresstray.emulators.engine import Engine, Marks
+from cresstray.emulators.sockets import Peer, listen, serve
 
 # An engine that fell is up again after so long, cold.
 _DOWN = 2.0
--- a/cresstray/standins/coordinator.py
+++ b/cresstray/emulators/coordinator.py
@@ -10,7 +10,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.standins.sockets import Peer, listen, serve
+from cresstray.emulators.sockets import Peer, listen, serve
 
 ZONES = ("here", "there")
 _STATES = {"in_service": 0, "terminating": 1, "terminated": 2}
--- a/cresstray/standins/engine.py
+++ b/cresstray/emulators/engine.py
@@ -15,8 +15,8 @@
 import hiredis
 from anyio.abc import TaskGroup
 
-from cresstray.standins.account import Account, Run
-from cresstray.standins.sockets import Peer, listen, serve
+from cresstray.emulators.account import Account, Run
+from cresstray.emulators.sockets import Peer, listen, serve
 
 
 class Marks:
--- a/cresstray/standins/fleet/accounts.py
+++ b/cresstray/emulators/fleet/accounts.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from cresstray.standins.account import Asked, Run
+from cresstray.emulators.account import Asked, Run
 
 # A relay sent before may come so much later: loopback and two late loops, as in standins/account.py.
 SLACK = 0.05
--- a/cresstray/standins/fleet/crowd.py
+++ b/cresstray/emulators/fleet/crowd.py
@@ -1,4 +1,4 @@
-"""Many gateways' followers in one process: `python -m cresstray.standins.fleet.crowd FILE COUNT`.
+"""Many gateways' followers in one process: `python -m cresstray.emulators.fleet.crowd FILE COUNT`.
 
 FILE is an operator's. Each has links, a lease and documents of its own, as a gateway has them, and nothing
 behind these.
@@ -13,9 +13,9 @@
 import anyio
 
 from cresstray.clock import Clock
-from cresstray.conf import operator
-from cresstray.rules.follower import Follower
-from cresstray.rules.use import Use
+from cresstray.config import operator
+from cresstray.fleet_config.active_config import Use
+from cresstray.fleet_config.follower import Follower
 
 
 def names(count: int) -> list[str]:
--- a/cresstray/standins/fleet/engines.py
+++ b/cresstray/emulators/fleet/engines.py
@@ -1,4 +1,4 @@
-"""Engines in a process of their own: `python -m cresstray.standins.fleet.engines COUNT CORES MEMORY`.
+"""Engines in a process of their own: `python -m cresstray.emulators.fleet.engines COUNT CORES MEMORY`.
 
 Its first line tells their ports; `tell` on standard input brings all relays so far as one line of JSON,
 `die N` or `start N` ends an engine or starts it again, and the end of standard input ends the process.
@@ -11,8 +11,8 @@
 
 import anyio
 
-from cresstray.standins.account import Account
-from cresstray.standins.engine import Engine, Marks
+from cresstray.emulators.account import Account
+from cresstray.emulators.engine import Engine, Marks
 
 
 async def _hear(engines: list[Engine], account: Account) -> None:
--- a/cresstray/standins/fleet/network.py
+++ b/cresstray/emulators/fleet/network.py
@@ -9,8 +9,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.standins.network import Network
-from cresstray.standins.sockets import Peer
+from cresstray.emulators.network import Network
+from cresstray.emulators.sockets import Peer
 
 
 class Way(Network):
--- a/cresstray/standins/fleet/operators.py
+++ b/cresstray/emulators/fleet/operators.py
@@ -13,16 +13,16 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from cresstray.conf.operator import Tls
-from cresstray.frames import BrokenError, Frame, Frames, encode
-from cresstray.halls.tls import Contexts, Sealed
-from cresstray.keeper.codec import Ask, Gather, requests
-from cresstray.peers import hello
-from cresstray.rules.codec import Content, Get, Greet, Reply
-from cresstray.rules.documents import Documents, Gateway, Gateways, Shard, delta, parsed
-from cresstray.standins.fleet.accounts import Ban
-from cresstray.standins.fleet.history import History, Operation
-from cresstray.streams import ENDED, Line, connect
+from cresstray.config.operator import Tls
+from cresstray.control_plane.codec import Ask, Gather, requests
+from cresstray.emulators.fleet.accounts import Ban
+from cresstray.emulators.fleet.history import History, Operation
+from cresstray.fleet_config.codec import Content, Get, Greet, Reply
+from cresstray.fleet_config.documents import Documents, Gateway, Gateways, Shard, delta, parsed
+from cresstray.sites.tls import Contexts, Sealed
+from cresstray.transport.framing import BrokenError, Frame, Frames, encode
+from cresstray.transport.peers import hello
+from cresstray.transport.streams import ENDED, Line, connect
 
 _numbers = itertools.count(1)
 _BACK = (Greet, Reply, Content)  # positions are told to those only that tell some
--- a/cresstray/standins/fleet/processes.py
+++ b/cresstray/emulators/fleet/processes.py
@@ -18,16 +18,16 @@
 
 import anyio
 
-from cresstray.standins.account import Account, Asked, Run
-from cresstray.standins.clients import Client, Kind
-from cresstray.standins.coordinator import Coordinator, Listed
-from cresstray.standins.fleet import stepped
-from cresstray.standins.fleet.accounts import Spells
-from cresstray.standins.fleet.network import Mesh
-from cresstray.standins.fleet.operators import Keys
-from cresstray.standins.fleet.schedule import PROCESS, Fault
-from cresstray.standins.world import KINDS, Gateway, Hall, World, settings
-from cresstray.streams import connect
+from cresstray.emulators.account import Account, Asked, Run
+from cresstray.emulators.clients import Client, Kind
+from cresstray.emulators.coordinator import Coordinator, Listed
+from cresstray.emulators.fleet import stepped
+from cresstray.emulators.fleet.accounts import Spells
+from cresstray.emulators.fleet.network import Mesh
+from cresstray.emulators.fleet.operators import Keys
+from cresstray.emulators.fleet.schedule import PROCESS, Fault
+from cresstray.emulators.world import KINDS, Gateway, Hall, World, settings
+from cresstray.transport.streams import connect
 
 # Two kinds that rules forbid and allow all the time: small, and of no payoff, so that a load's payoff is the
 # same with and without rules. Submissions of the second are another tenant's.
@@ -80,7 +80,7 @@
         if self.steps is not None:
             if not self.wall.exists():
                 stepped.begin(self.wall)
-            program = ["cresstray.standins.fleet.stepped", *self.steps, str(self.wall)]
+            program = ["cresstray.emulators.fleet.stepped", *self.steps, str(self.wall)]
         self.process = subprocess.Popen(
             [sys.executable, "-O", "-m", *program, *self.words],
             env=os.environ | self.env,
@@ -178,7 +178,7 @@
                 "crowd",
                 folder,
                 words=[str(folder / "crowd.conf"), str(crowd)],
-                module="cresstray.standins.fleet.crowd",
+                module="cresstray.emulators.fleet.crowd",
             )
             if crowd
             else None
@@ -276,7 +276,7 @@
                 sys.executable,
                 "-O",
                 "-m",
-                "cresstray.standins.fleet.engines",
+                "cresstray.emulators.fleet.engines",
                 str(len(self.engines)),
                 str(self.cores),
                 str(self._memory),
--- a/cresstray/standins/fleet/shards.py
+++ b/cresstray/emulators/fleet/shards.py
@@ -23,17 +23,17 @@
 import hiredis
 import msgspec
 
-from cresstray.keeper.codec import Ask
-from cresstray.placement import carry
+from cresstray.control_plane.codec import Ask
+from cresstray.emulators.account import Run
+from cresstray.emulators.clients import Client, Drawn
+from cresstray.emulators.coordinator import Listed
+from cresstray.emulators.fleet.operators import Operator, Watch
+from cresstray.emulators.fleet.processes import HALL, Fleet
+from cresstray.emulators.world import KINDS, _free_port
+from cresstray.fleet_config import documents
+from cresstray.placement import data_transfer as carry
 from cresstray.replicas.fallback import SHARE, WINDOW
 from cresstray.replicas.sessions import parsed
-from cresstray.rules import documents
-from cresstray.standins.account import Run
-from cresstray.standins.clients import Client, Drawn
-from cresstray.standins.coordinator import Listed
-from cresstray.standins.fleet.operators import Operator, Watch
-from cresstray.standins.fleet.processes import HALL, Fleet
-from cresstray.standins.world import KINDS, _free_port
 
 _READ, _WRITE = KINDS[0], KINDS[3]  # an idempotent tariff and one that runs at most once
 # What two processes' looks at one clock, and a read's way to its client, may add to a stated age.
@@ -168,7 +168,7 @@
                 sys.executable,
                 "-O",
                 "-m",
-                "cresstray.standins.shards",
+                "cresstray.emulators.shards",
                 "--engine",
                 engine,
                 "--zone",
--- a/cresstray/standins/marks.py
+++ b/cresstray/emulators/marks.py
@@ -14,12 +14,12 @@
 
 import anyio.to_thread
 
-from cresstray.standins.account import Account
-from cresstray.standins.clients import Client, Drawn, Kind, draw
-from cresstray.standins.coordinator import Listed
-from cresstray.standins.fleet.processes import HALL, Fleet
-from cresstray.standins.store import StoreProcess
-from cresstray.store import codec
+from cresstray.emulators.account import Account
+from cresstray.emulators.clients import Client, Drawn, Kind, draw
+from cresstray.emulators.coordinator import Listed
+from cresstray.emulators.fleet.processes import HALL, Fleet
+from cresstray.emulators.store import StoreProcess
+from cresstray.idempotency import codec
 
 MARKED = "manifest-load"
 # Of the repeats so many come within a tenth of the end of the engines' memory, where the guard is tried most.
--- a/cresstray/standins/network.py
+++ b/cresstray/emulators/network.py
@@ -8,8 +8,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.standins.sockets import Peer, listen, serve
-from cresstray.streams import connect
+from cresstray.emulators.sockets import Peer, listen, serve
+from cresstray.transport.streams import connect
 
 
 class Network:
--- a/cresstray/standins/shards.py
+++ b/cresstray/emulators/shards.py
@@ -1,4 +1,4 @@
-"""A stand-in engine with a disk: `python -m cresstray.standins.shards`. It keeps an account of its own.
+"""A stand-in engine with a disk: `python -m cresstray.emulators.shards`. It keeps an account of its own.
 
 `Shelf` is its disk, without sockets and clock; `ShardEngine` puts it behind the engine's port. What is copied
 are runs of bytes told by their length: counted and paced, not sent. A statement that names tables of a schema
@@ -20,10 +20,11 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from cresstray import streams, tables
-from cresstray.standins.account import Account
-from cresstray.standins.engine import Engine, Marks, _Job
-from cresstray.standins.sockets import Peer, listen
+from cresstray import tables
+from cresstray.emulators.account import Account
+from cresstray.emulators.engine import Engine, Marks, _Job
+from cresstray.emulators.sockets import Peer, listen
+from cresstray.transport import streams
 
 # Fetched at once: a twentieth of a second of its rate, fine enough for short tests.
 _BEAT = 50_000
--- a/cresstray/standins/show.py
+++ b/cresstray/emulators/show.py
@@ -12,10 +12,10 @@
 from rich.live import Live
 from rich.table import Table
 
-from cresstray.halls import status
-from cresstray.standins.account import Asked
-from cresstray.standins.clients import draw
-from cresstray.standins.world import KINDS, World
+from cresstray.emulators.account import Asked
+from cresstray.emulators.clients import draw
+from cresstray.emulators.world import KINDS, World
+from cresstray.sites import status
 
 # Half of what a hall's engines do: the other half is what the halls have to spare for each other.
 _RATE, _ENGINES = 150.0, 4
--- a/cresstray/standins/sockets.py
+++ b/cresstray/emulators/sockets.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.streams import ENDED, Line
+from cresstray.transport.streams import ENDED, Line
 
 
 def listen(port: int = 0) -> socket.socket:
--- a/cresstray/standins/store.py
+++ b/cresstray/emulators/store.py
@@ -1,6 +1,6 @@
 """A small store that speaks RESP2 and RESP3 on loopback: strings with expiry, the script of marks, roles.
 
-A process: `python -m cresstray.standins.store` prints its two ports as one JSON object, and ends with its
+A process: `python -m cresstray.emulators.store` prints its two ports as one JSON object, and ends with its
 standard input. On the second port each line is a fault or a question, answered with a line of JSON; FAULTS
 has them all.
 """
@@ -24,9 +24,9 @@
 import hiredis
 from anyio.abc import TaskGroup
 
-from cresstray.standins.sockets import Peer, listen, serve
-from cresstray.store import codec
-from cresstray.streams import ENDED, Line, connect
+from cresstray.emulators.sockets import Peer, listen, serve
+from cresstray.idempotency import codec
+from cresstray.transport.streams import ENDED, Line, connect
 
 FAULTS = """\
 slow fixed MS | uniform MS MS | log MEDIAN_MS SIGMA     each command runs and is answered so much later
@@ -190,7 +190,7 @@
             with peer.scope, peer.line:
                 channel: Any = peer.line
                 if self._tls is not None:
-                    from cresstray.halls.tls import Sealed
+                    from cresstray.sites.tls import Sealed
 
                     channel = Sealed(peer.line, self._tls, True)
                     await channel.shake_hands()
@@ -671,7 +671,7 @@
         at = ["--port", str(self.port)] if self.port else []
         closed = ["--closed"] if copy is not None else []
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "cresstray.standins.store", *at, *closed, *self._words],
+            [sys.executable, "-m", "cresstray.emulators.store", *at, *closed, *self._words],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
@@ -716,8 +716,8 @@
 async def _main(given: Any) -> None:
     contexts = None
     if given.tls:
-        from cresstray.conf.operator import Tls
-        from cresstray.halls.tls import Contexts
+        from cresstray.config.operator import Tls
+        from cresstray.sites.tls import Contexts
 
         contexts = Contexts(Tls(*given.tls))
     store = Store(given.port, given.password, given.old, given.closed, given.seed, contexts)
@@ -732,7 +732,7 @@
     import argparse
 
     words = argparse.ArgumentParser(
-        prog="python -m cresstray.standins.store",
+        prog="python -m cresstray.emulators.store",
         description=FAULTS,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
--- a/cresstray/standins/world.py
+++ b/cresstray/emulators/world.py
@@ -19,13 +19,13 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.standins.account import Account
-from cresstray.standins.clients import Client, Drawn, Kind
-from cresstray.standins.coordinator import ZONES, Coordinator, Listed
-from cresstray.standins.engine import Engine, Marks
-from cresstray.standins.network import Network
-from cresstray.standins.sockets import listen
-from cresstray.streams import connect
+from cresstray.emulators.account import Account
+from cresstray.emulators.clients import Client, Drawn, Kind
+from cresstray.emulators.coordinator import ZONES, Coordinator, Listed
+from cresstray.emulators.engine import Engine, Marks
+from cresstray.emulators.network import Network
+from cresstray.emulators.sockets import listen
+from cresstray.transport.streams import connect
 
 # As the users' tariffs are, with all times shorter by some fifteen so that a scene takes seconds.
 KINDS = [
--- a/cresstray/engines/links.py
+++ b/cresstray/engines/connection.py
@@ -10,11 +10,11 @@
 from anyio.abc import TaskGroup
 
 from cresstray.clock import Timers
-from cresstray.counters import Counters
 from cresstray.engines import codec
-from cresstray.engines.pool import AnyLink, AnyPool, Quota
-from cresstray.log import Log
-from cresstray.streams import ENDED, Line, connect, contained, tell_fault
+from cresstray.engines.connection_pool import AnyLink, AnyPool, Quota
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.transport.streams import ENDED, Line, connect, contained, tell_fault
 
 __all__ = ["Link", "Pool", "Quota"]
 
--- a/cresstray/engines/pool.py
+++ b/cresstray/engines/connection_pool.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import TYPE_CHECKING, Protocol, TypeVar
 
-from cresstray.counters import Counters
 from cresstray.engines import codec
-from cresstray.engines.exchanges import Exchange, Exchanges, Fate
+from cresstray.engines.in_flight import Exchange, Exchanges, Fate
+from cresstray.observability.counters import Counters
 
 if TYPE_CHECKING:
     from cresstray.clock import Timers
--- a/cresstray/rules/use.py
+++ b/cresstray/fleet_config/active_config.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from cresstray.rules.codec import Behind, BrokenError, Content, Frame, Get, Granted, Refused, Renew
-from cresstray.rules.documents import EMPTY, Documents, patched
-from cresstray.rules.leases import NOT_NAMED
-from cresstray.rules.state import Since
-from cresstray.rules.strictest import divisor
+from cresstray.fleet_config.codec import Behind, BrokenError, Content, Frame, Get, Granted, Refused, Renew
+from cresstray.fleet_config.documents import EMPTY, Documents, patched
+from cresstray.fleet_config.leases import NOT_NAMED
+from cresstray.fleet_config.state import Since
+from cresstray.fleet_config.strictest import divisor
 
 # A lease is renewed three times while it lasts: two answers may be lost.
 _TIMES = 3
--- a/cresstray/rules/admission.py
+++ b/cresstray/fleet_config/admission.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
-from cresstray.counters import Counters
-from cresstray.interface import Engine, Submission
-from cresstray.ring import Ring
-from cresstray.rules.documents import Documents, EngineRule, Shard, TariffRule, TenantRule
-from cresstray.rules.use import InUse, Mode, Use
+from cresstray.fleet_config.active_config import InUse, Mode, Use
+from cresstray.fleet_config.documents import Documents, EngineRule, Shard, TariffRule, TenantRule
+from cresstray.observability.counters import Counters
+from cresstray.policy.sliding_window import Ring
+from cresstray.policy.types import Engine, Submission
 
 # A tenant's share is of the work accepted over five seconds, as long as a burst lasts that is no trend.
 _SPAN, _PARTS = 5_000_000, 20
--- a/cresstray/rules/codec.py
+++ b/cresstray/fleet_config/codec.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cresstray.frames import LONGEST, BrokenError, Frame, Frames, encode
+from cresstray.transport.framing import LONGEST, BrokenError, Frame, Frames, encode
 
 __all__ = ["LONGEST", "BrokenError", "Frame", "Frames", "encode"]
 
--- a/cresstray/rules/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -11,13 +11,13 @@
 
 import anyio
 
-from cresstray.conf.fleet import Fleet, Keeper
-from cresstray.counters import Counters
-from cresstray.frames import BrokenError, Frame
-from cresstray.peers import Ends, Link, Talk, agreed, greeted, hello
-from cresstray.rules.codec import Behind, Content, Granted, Greet, Heard, Refused
-from cresstray.rules.use import Mode, Use
-from cresstray.said import Said
+from cresstray.config.fleet import Fleet, Keeper
+from cresstray.fleet_config.active_config import Mode, Use
+from cresstray.fleet_config.codec import Behind, Content, Granted, Greet, Heard, Refused
+from cresstray.observability.counters import Counters
+from cresstray.observability.event_log import Said
+from cresstray.transport.framing import BrokenError, Frame
+from cresstray.transport.peers import Ends, Link, Talk, agreed, greeted, hello
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
@@ -67,7 +67,7 @@
         self._said = Said(now, gateway=name)
         contexts = None
         if given.tls is not None:
-            from cresstray.halls.tls import Contexts
+            from cresstray.sites.tls import Contexts
 
             contexts = Contexts(given.tls)
         # Danger: a keeper that is silent holds up the way to the next one; a lease is to outlive two of them.
--- a/cresstray/rules/leases.py
+++ b/cresstray/fleet_config/leases.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from cresstray.rules.codec import Behind, Frame, Granted, Refused
-from cresstray.rules.state import State
+from cresstray.fleet_config.codec import Behind, Frame, Granted, Refused
+from cresstray.fleet_config.state import State
 
 # How a refusal says that the gateway must stop.
 NOT_NAMED = "not named"
--- a/cresstray/rules/state.py
+++ b/cresstray/fleet_config/state.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from cresstray.rules import checks
-from cresstray.rules.documents import EMPTY, NAMES, Documents, World, delta, patched, touched
-from cresstray.rules.strictest import divisor, strictest, unlisted
+from cresstray.fleet_config import validation as checks
+from cresstray.fleet_config.documents import EMPTY, NAMES, Documents, World, delta, patched, touched
+from cresstray.fleet_config.strictest import divisor, strictest, unlisted
 
 # Requests that are known again: 1,024 clients ask again within seconds, each with a few under way.
 _REQUESTS, _REQUEST_BYTES = 4_096, 4 * 1024 * 1024
--- a/cresstray/rules/strictest.py
+++ b/cresstray/fleet_config/strictest.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cresstray.rules.documents import (
+from cresstray.fleet_config.documents import (
     NAMES,
     Documents,
     EngineRule,
--- a/cresstray/rules/checks.py
+++ b/cresstray/fleet_config/validation.py
@@ -5,8 +5,8 @@
 import re
 from collections import Counter
 
-from cresstray.rules.documents import Documents, World
-from cresstray.rules.strictest import divisor
+from cresstray.fleet_config.documents import Documents, World
+from cresstray.fleet_config.strictest import divisor
 
 _NAME = re.compile(r"[0-9A-Za-z_.:@-]{1,64}")
 # What a keeper sends to a gateway that knows nothing is so long at most: half of what fits into its parts.
--- a/cresstray/fleet.py
+++ b/cresstray/gateway/fleet_member.py
@@ -15,21 +15,21 @@
 from cresstray.background.schedule import Priority
 from cresstray.background.worker import Worker
 from cresstray.clock import Clock, Timers
-from cresstray.conf.fleet import Fleet as Given
-from cresstray.counters import Counters
-from cresstray.interface import Engine, Submission
-from cresstray.log import Log
-from cresstray.logic import Gateway
-from cresstray.passage.pinned import Directory, Pinned
-from cresstray.passage.relay import Back
-from cresstray.passage.route import Route
-from cresstray.passage.take_in import TakeIn
+from cresstray.config.fleet import Fleet as Given
+from cresstray.fleet_config.active_config import Use
+from cresstray.fleet_config.admission import Admission
+from cresstray.fleet_config.follower import Follower
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.replica_reads import Directory, Pinned
+from cresstray.pipeline.response import Back
+from cresstray.pipeline.routing import Route
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Engine, Submission
 from cresstray.replicas.positions import Board
 from cresstray.replicas.read import Reads
 from cresstray.replicas.spread import Talk
-from cresstray.rules.admission import Admission
-from cresstray.rules.follower import Follower
-from cresstray.rules.use import Use
 
 # Shards in a word to a keeper, told and asked for: four times a second some kilobyte, as docs/replicas.md has
 # measured.
--- a/cresstray/service.py
+++ b/cresstray/gateway/service.py
@@ -12,33 +12,33 @@
 import anyio
 from anyio.abc import TaskGroup, TaskStatus
 
-from cresstray.clients.connections import Door
+from cresstray.clients.listener import Door
 from cresstray.clock import Clock, Timers
-from cresstray.coordinator import known
-from cresstray.coordinator.feed import Feed
-from cresstray.counters import Counters
-from cresstray.engines.links import Pool, Quota
-from cresstray.log import Log
-from cresstray.logic import Gateway
-from cresstray.passage.admit import Admit
-from cresstray.passage.book import Book
-from cresstray.passage.port import SocketPort
-from cresstray.passage.relay import Back
-from cresstray.passage.route import Route
-from cresstray.passage.send import Send
-from cresstray.passage.take_in import TakeIn
-from cresstray.streams import tell_fault
+from cresstray.discovery import endpoint_list as known
+from cresstray.discovery.watch import Feed
+from cresstray.engines.connection import Pool, Quota
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.admission import Admit
+from cresstray.pipeline.dispatch import Send
+from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.response import Back
+from cresstray.pipeline.routing import Route
+from cresstray.policy.controller import Gateway
+from cresstray.transport.streams import tell_fault
 
 if TYPE_CHECKING:
     from cresstray.background.schedule import Outcome
     from cresstray.background.worker import Worker
-    from cresstray.conf.fleet import Fleet
-    from cresstray.conf.operator import Halls, Operator
-    from cresstray.conf.store import Store
-    from cresstray.fleet import Member
-    from cresstray.halls.connections import Hub
-    from cresstray.kept.keep import Keep
-    from cresstray.marked import Marked
+    from cresstray.config.fleet import Fleet
+    from cresstray.config.idempotency import Store
+    from cresstray.config.operator import Halls, Operator
+    from cresstray.gateway.fleet_member import Member
+    from cresstray.membership.recovery import Keep
+    from cresstray.pipeline.idempotency_checks import Marked
+    from cresstray.sites.links import Hub
 
 # What is heard of from outside the sockets.
 CAUGHT = (signal.SIGTERM, signal.SIGUSR1, signal.SIGHUP)
@@ -137,7 +137,7 @@
         self._send = send = Send(self._clock, self._timers, self.counters, self._back)
         self._route = Route(self._make_pool, send)
         if operator and operator.halls:
-            from cresstray.halls.decide import AHEAD
+            from cresstray.sites.routing import AHEAD
 
             settings = {**settings, "CrossingAhead": AHEAD / 1000}
         port = SocketPort(self._route, send, self._book, self._timers, self.counters, self._log)
@@ -196,8 +196,8 @@
     def _make_hub(self, halls: Halls, seed: int) -> Hub:
         # Danger: the platform may give 32 MB; what links to other halls need is loaded only where there are
         # any.
-        from cresstray.halls.connections import Hub
-        from cresstray.passage.across import Across
+        from cresstray.pipeline.forwarding import Across
+        from cresstray.sites.links import Hub
 
         across = self._route.across = Across(self._clock, self._timers, self.counters, self._back, self._send)
         # Seeds are new with each start; the clock parts two starts that an operator gave the same one.
@@ -219,7 +219,7 @@
         return hub
 
     def _make_member(self, given: Fleet, settings: Mapping[str, Any], seed: int) -> Member:
-        from cresstray.fleet import Member
+        from cresstray.gateway.fleet_member import Member
 
         return Member(
             given,
@@ -238,9 +238,9 @@
 
     def _make_keep(self, name: str, folder: str, settings: Mapping[str, Any], seed: int) -> Keep:
         """After the fleet's rules, which it asks as well."""
-        from cresstray.kept.files import Folder, Writer, moment
-        from cresstray.kept.guard import Guard
-        from cresstray.kept.keep import Keep
+        from cresstray.membership.guard import Guard
+        from cresstray.membership.recovery import Keep
+        from cresstray.membership.snapshot_files import Folder, Writer, moment
 
         now, kept = self._clock.now(), Folder(folder, name)
         # Danger: until the first write an operator's `forget` would find it free, and change it beneath us. A
@@ -266,7 +266,7 @@
 
     def _make_marked(self, name: str, given: Store, settings: Mapping[str, Any], seed: int) -> Marked:
         """After the other rules, which it asks as well."""
-        from cresstray.marked import Marked
+        from cresstray.pipeline.idempotency_checks import Marked
 
         marked = Marked(
             given,
@@ -318,7 +318,7 @@
     def _tend(self, keep: Keep, worker: Worker) -> None:
         """What is kept, behind submissions: what came of trials, trials, and writes with a last one."""
         from cresstray.background.schedule import Outcome, Priority
-        from cresstray.kept.keep import KNOCK, LISTED_AT_ONCE
+        from cresstray.membership.recovery import KNOCK, LISTED_AT_ONCE
 
         def lists(now: int) -> Outcome:
             event = keep.look(now, LISTED_AT_ONCE)
@@ -403,7 +403,7 @@
         self._tasks.start_soon(self._door.run, listener)
 
     async def _start_hub(self, hub: Hub) -> None:
-        from cresstray.halls.connections import serve_status
+        from cresstray.sites.links import serve_status
 
         await hub.run(self._tasks)
         path = self._operator.halls.control
--- a/cresstray/start.py
+++ b/cresstray/gateway/startup.py
@@ -11,11 +11,11 @@
 import anyio
 import msgspec
 
-from cresstray.coordinator import known
-from cresstray.service import CAUGHT, AddressError, Service
+from cresstray.discovery import endpoint_list as known
+from cresstray.gateway.service import CAUGHT, AddressError, Service
 
 if TYPE_CHECKING:
-    from cresstray.conf.operator import Operator
+    from cresstray.config.operator import Operator
 
 
 class Limits(msgspec.Struct, frozen=True):
@@ -146,7 +146,7 @@
     if not path:
         return None
     # Danger: the platform may give 32 MB; without an operator's file nothing of it is loaded.
-    from cresstray.conf import operator
+    from cresstray.config import operator
 
     return operator.read(path)
 
--- a/cresstray/store/client.py
+++ b/cresstray/idempotency/client.py
@@ -18,15 +18,15 @@
 from anyio.abc import TaskGroup
 
 from cresstray.clock import Clock, Timers
-from cresstray.counters import Counters
-from cresstray.log import Log
-from cresstray.store import codec
-from cresstray.store.codec import BrokenError, Command, Greeted, GreetError, Kind, Refused, Reply
-from cresstray.store.exchanges import Asked, Flight, Pause, Places, Replies
-from cresstray.streams import ENDED, Line, connect, contained
+from cresstray.idempotency import codec
+from cresstray.idempotency.codec import BrokenError, Command, Greeted, GreetError, Kind, Refused, Reply
+from cresstray.idempotency.in_flight import Asked, Flight, Pause, Places, Replies
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.transport.streams import ENDED, Line, connect, contained
 
 if TYPE_CHECKING:
-    from cresstray.conf.store import Store, StoreTls
+    from cresstray.config.idempotency import Store, StoreTls
 
 # One that is cut or waits for a lost packet leaves the other; a gateway's marks fit on one.
 _CONNECTIONS = 2
@@ -284,7 +284,7 @@
     async def _greet(self, at: int, line: Line) -> tuple[_Channel, codec.Reader, Greeted]:
         channel: _Channel = line
         if self._names[at] is not None:
-            from cresstray.halls.tls import Sealed
+            from cresstray.sites.tls import Sealed
 
             channel = Sealed(line, self._names[at], False)
             await channel.shake_hands()
--- a/cresstray/store/joined.py
+++ b/cresstray/idempotency/coordinator.py
@@ -9,12 +9,10 @@
 
 import msgspec
 
-from cresstray.counters import Counters
-from cresstray.interface import Ending, Submission
-from cresstray.store import codec, marks
-from cresstray.store.behind import Behind, Item
-from cresstray.store.codec import Command, Refused, Reply
-from cresstray.store.guard import (
+from cresstray.idempotency import codec
+from cresstray.idempotency import records as marks
+from cresstray.idempotency.codec import Command, Refused, Reply
+from cresstray.idempotency.execution_guard import (
     Claim,
     Decision,
     Deny,
@@ -29,8 +27,11 @@
     Wait,
     guarded,
 )
-from cresstray.store.health import Health, StoreClock
-from cresstray.store.marks import Event, Kind, Mark, State
+from cresstray.idempotency.health import Health, StoreClock
+from cresstray.idempotency.records import Event, Kind, Mark, State
+from cresstray.idempotency.write_behind import Behind, Item
+from cresstray.observability.counters import Counters
+from cresstray.policy.types import Ending, Submission
 
 # Endings that prove a relay never ran, as the module has them.
 _UNRUN = (Ending.FULL, Ending.UNREACHABLE, Ending.MOOT)
--- a/cresstray/store/guard.py
+++ b/cresstray/idempotency/execution_guard.py
@@ -11,9 +11,9 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from cresstray.interface import Tariff
-from cresstray.ring import Ring
-from cresstray.store.marks import Event, Kind, Mark, State, kept_result
+from cresstray.idempotency.records import Event, Kind, Mark, State, kept_result
+from cresstray.policy.sliding_window import Ring
+from cresstray.policy.types import Tariff
 
 # Danger: an engine gets a relay later than it was sent, and clocks run at different speeds. A repeat is sent
 # no later than this before the memory of the first is over: a hundredth of it is more than any two clocks
--- a/cresstray/store/health.py
+++ b/cresstray/idempotency/health.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from cresstray.ring import Ring
+from cresstray.policy.sliding_window import Ring
 
 _SPAN, _PARTS = 2_000_000, 10
 # Of a submission's slack at most a quarter goes to the store, whatever it asks there.
--- a/cresstray/store/exchanges.py
+++ b/cresstray/idempotency/in_flight.py
@@ -5,8 +5,8 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from cresstray.store import codec
-from cresstray.store.codec import BrokenError, Command, Kind, Refused, Reply
+from cresstray.idempotency import codec
+from cresstray.idempotency.codec import BrokenError, Command, Kind, Refused, Reply
 
 Replies = list[Reply]
 # What refuses a PING as well.
--- a/cresstray/store/journal.py
+++ b/cresstray/idempotency/journal.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from cresstray.store.marks import Event, Kind
+from cresstray.idempotency.records import Event, Kind
 
 # Kind, number, digest, fence, tenant; a check sum behind it. 20 bytes are a digest's, marks.py has why.
 _BODY = struct.Struct(">BQ20sQI")
--- a/cresstray/store/behind.py
+++ b/cresstray/idempotency/write_behind.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cresstray.store.marks import Event, Kind
+from cresstray.idempotency.records import Event, Kind
 
 # Some 300 bytes each: 5 MB in all, and what ten minutes of a store's absence bring at ten outcomes a second.
 MOST, MOST_OF_TENANT = 10_000, 2_500
--- a/cresstray/kept/behind.py
+++ b/cresstray/membership/background_writer.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from cresstray.kept.fade import SECOND
+from cresstray.membership.confidence import SECOND
 
 # News wait so long, so that a rollout of hundreds of engines is one write; what is learnt may wait longer.
 _NEWS, _LEARNT = 2 * SECOND, 30 * SECOND
--- a/cresstray/kept/knock.py
+++ b/cresstray/membership/connection_probe.py
@@ -4,8 +4,8 @@
 
 import anyio
 
-from cresstray.kept.belief import How
-from cresstray.streams import connect
+from cresstray.membership.estimate import How
+from cresstray.transport.streams import connect
 
 
 async def knock(host: str, port: int, patience: int) -> How:
--- a/cresstray/kept/belief.py
+++ b/cresstray/membership/estimate.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from cresstray.coordinator.known import Event, Member
-from cresstray.interface import Standing
-from cresstray.kept import trials
-from cresstray.kept.fade import HANDED, LIST, OLDEST, SECOND, weight
-from cresstray.kept.reconcile import Numbers, Tomb, Tombs
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.membership import probe_budget as trials
+from cresstray.membership.confidence import HANDED, LIST, OLDEST, SECOND, weight
+from cresstray.membership.reconciliation import Numbers, Tomb, Tombs
+from cresstray.policy.types import Standing
 
 # A trial that nobody has answered: connecting is given up far sooner.
 _LOST = 5 * SECOND
--- a/cresstray/kept/guard.py
+++ b/cresstray/membership/guard.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from cresstray.interface import Beside, Engine, Submission
-from cresstray.kept.keep import Keep
-from cresstray.logic import Gateway
+from cresstray.membership.recovery import Keep
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Beside, Engine, Submission
 
 
 class Guard(Beside):
--- a/cresstray/kept/operate.py
+++ b/cresstray/membership/inspection.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from cresstray.kept import fade
-from cresstray.kept.fade import Moment
-from cresstray.kept.files import Folder, short
-from cresstray.kept.reconcile import Tomb
-from cresstray.kept.record import Record
+from cresstray.membership import confidence as fade
+from cresstray.membership.confidence import Moment
+from cresstray.membership.reconciliation import Tomb
+from cresstray.membership.snapshot import Record
+from cresstray.membership.snapshot_files import Folder, short
 
 
 def shown(record: Record, now: Moment) -> dict[str, Any]:
--- a/cresstray/kept/learnt.py
+++ b/cresstray/membership/learned_state.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from cresstray.interface import Engine
-from cresstray.kept.belief import Belief
-from cresstray.kept.fade import LIMIT, PACE, TIMES, faded, faded_ratio, weight
-from cresstray.kept.record import Limit, Tariff
-from cresstray.logic import Gateway, Limiter
+from cresstray.membership.confidence import LIMIT, PACE, TIMES, faded, faded_ratio, weight
+from cresstray.membership.estimate import Belief
+from cresstray.membership.snapshot import Limit, Tariff
+from cresstray.policy.controller import Gateway, Limiter
+from cresstray.policy.types import Engine
 
 # Danger: a tariff with fewer than five known answers weighs its soft limit on a cold engine. With many
 # gateways that alone may be over our part: nothing at all would be sent until engines must be warm. Of an old
--- a/cresstray/kept/trials.py
+++ b/cresstray/membership/probe_budget.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from cresstray.kept.fade import SECOND
+from cresstray.membership.confidence import SECOND
 
 # A connection costs an engine some ten microseconds: of 200 gateways at once two milliseconds, once.
 # Even where all of 500 are gone each is asked within seven seconds, ten rounds a second.
--- a/cresstray/kept/reconcile.py
+++ b/cresstray/membership/reconciliation.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cresstray.kept.fade import SECOND
+from cresstray.membership.confidence import SECOND
 
 # An id that is gone comes back under a new start, so a tombstone only has to outlive lists that still name
 # it: those on disks that come back from repair, and a register's backup. A week, counted while gateways run.
--- a/cresstray/kept/keep.py
+++ b/cresstray/membership/recovery.py
@@ -9,16 +9,17 @@
 
 from anyio.abc import TaskGroup
 
-from cresstray.coordinator.known import Event, Member
-from cresstray.counters import Counters
-from cresstray.interface import Ending, Engine, Relay, Standing, Submission
-from cresstray.kept import learnt, record
-from cresstray.kept.behind import Behind
-from cresstray.kept.belief import Beliefs, How, Source, State
-from cresstray.kept.fade import HANDED, OLDEST, Moment, age
-from cresstray.kept.files import Found, Outcome, Writer
-from cresstray.kept.knock import knock
-from cresstray.logic import Gateway, Limiter, micros
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.membership import learned_state as learnt
+from cresstray.membership import snapshot as record
+from cresstray.membership.background_writer import Behind
+from cresstray.membership.confidence import HANDED, OLDEST, Moment, age
+from cresstray.membership.connection_probe import knock
+from cresstray.membership.estimate import Beliefs, How, Source, State
+from cresstray.membership.snapshot_files import Found, Outcome, Writer
+from cresstray.observability.counters import Counters
+from cresstray.policy.controller import Gateway, Limiter, micros
+from cresstray.policy.types import Ending, Engine, Relay, Standing, Submission
 
 # What a relay's end says of a remembered engine. Faults of work say nothing: it runs work, so it is one. An
 # answer that can't be read may be another service's, which may be for a moment only.
--- a/cresstray/kept/record.py
+++ b/cresstray/membership/snapshot.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from cresstray.coordinator.known import Member
-from cresstray.interface import Standing
-from cresstray.kept.fade import Moment
-from cresstray.kept.reconcile import MOST as MOST_TOMBS
-from cresstray.kept.reconcile import Tomb
+from cresstray.discovery.endpoint_list import Member
+from cresstray.membership.confidence import Moment
+from cresstray.membership.reconciliation import MOST as MOST_TOMBS
+from cresstray.membership.reconciliation import Tomb
+from cresstray.policy.types import Standing
 
 MAGIC = b"cray\x00kpt"
 FORMAT = 2
--- a/cresstray/kept/files.py
+++ b/cresstray/membership/snapshot_files.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from cresstray.kept.fade import Moment
-from cresstray.kept.record import MOST_BYTES, ForeignError, Record, UnusableError, decoded, encoded
+from cresstray.membership.confidence import Moment
+from cresstray.membership.snapshot import MOST_BYTES, ForeignError, Record, UnusableError, decoded, encoded
 
 NAMES = ("engines.a", "engines.b")
 _FRESH, _LOCK = "engines.new", "lock"
--- a/cresstray/check/__main__.py
+++ b/cresstray/model_checking/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m cresstray.check NAME | all`: a tool of developers. The last line with `--json` is one object."""
+"""`python -m cresstray.model_checking NAME | all`: a tool of developers.
+
+The last line with `--json` is one object.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +12,12 @@
 
 import click
 
-from cresstray.check.configurations import CONFIGURATIONS
-from cresstray.check.explore import Result, Trace, explore, replay, to_stderr, walk
-from cresstray.check.mutants import MUTANTS, SCHEDULES
-from cresstray.check.patching import Mutant
-from cresstray.check.properties import PROPERTIES
-from cresstray.check.world import Bounds
+from cresstray.model_checking.configurations import CONFIGURATIONS
+from cresstray.model_checking.explore import Result, Trace, explore, replay, to_stderr, walk
+from cresstray.model_checking.mutants import MUTANTS, SCHEDULES
+from cresstray.model_checking.patching import Mutant
+from cresstray.model_checking.properties import PROPERTIES
+from cresstray.model_checking.world import Bounds
 
 # Walks go through more than an exhaustive search bears: three engines, five submissions, faults all along.
 _LARGE = Bounds(depth=400, engines=3, submissions=5, faults=6, leaves=2, words=5, reduced=False)
--- a/cresstray/check/beliefs.py
+++ b/cresstray/model_checking/beliefs.py
@@ -12,8 +12,17 @@
 from typing import Any, NamedTuple
 from unittest import mock
 
-from cresstray.check.patching import Mutant, lines
-from cresstray.check.world import (
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.membership import recovery as keeping
+from cresstray.membership import snapshot as record
+from cresstray.membership.confidence import HANDED, Moment
+from cresstray.membership.estimate import Beliefs, How
+from cresstray.membership.guard import Guard
+from cresstray.membership.reconciliation import Numbers
+from cresstray.membership.recovery import Keep
+from cresstray.membership.snapshot_files import Found
+from cresstray.model_checking.patching import Mutant, lines
+from cresstray.model_checking.world import (
     Bounds,
     Copied,
     Uncounted,
@@ -22,18 +31,9 @@
     fixed,
     untold,
 )
-from cresstray.coordinator.known import Event, Member
-from cresstray.interface import Ending, Relay, Standing, Submission
-from cresstray.kept import keep as keeping
-from cresstray.kept import record
-from cresstray.kept.belief import Beliefs, How
-from cresstray.kept.fade import HANDED, Moment
-from cresstray.kept.files import Found
-from cresstray.kept.guard import Guard
-from cresstray.kept.keep import Keep
-from cresstray.kept.reconcile import Numbers
-from cresstray.logic import Gateway
-from cresstray.passage.route import Route
+from cresstray.pipeline.routing import Route
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Ending, Relay, Standing, Submission
 
 START = 1_000_000_000_000
 MILLI = 1_000
--- a/cresstray/check/configurations.py
+++ b/cresstray/model_checking/configurations.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cresstray.check import beliefs, crossing, gateway, lines, marked
-from cresstray.check.explore import Make
+from cresstray.model_checking import beliefs, crossing, gateway, lines, marked
+from cresstray.model_checking.explore import Make
 
 FILES = (gateway, lines, crossing, beliefs, marked)
 CONFIGURATIONS: dict[str, Make] = {name: make for file in FILES for name, make in file.CONFIGURATIONS.items()}
--- a/cresstray/check/crossing.py
+++ b/cresstray/model_checking/crossing.py
@@ -14,28 +14,36 @@
 from sys import intern
 from typing import Any, NamedTuple
 
-from cresstray.check.patching import Mutant, lines
-from cresstray.check.world import Bounds, Copied, NoLog, Uncounted, VirtualClock, VirtualTimers, fixed
 from cresstray.engines.codec import Answer
-from cresstray.engines.exchanges import Exchange
-from cresstray.halls import codec, ledger
-from cresstray.halls.codec import BrokenError
-from cresstray.halls.credit import Credit, Share
-from cresstray.halls.decide import AHEAD, Way
-from cresstray.halls.ends import Place
-from cresstray.halls.health import Health
-from cresstray.halls.inward import Inward
-from cresstray.halls.outward import Outward
-from cresstray.interface import Engine, Standing
-from cresstray.logic import Gateway
-from cresstray.passage.across import Across
-from cresstray.passage.admit import Admit
-from cresstray.passage.book import Book
-from cresstray.passage.port import SocketPort
-from cresstray.passage.relay import Back
-from cresstray.passage.route import Route
-from cresstray.passage.send import Send
-from cresstray.passage.take_in import TakeIn
+from cresstray.engines.in_flight import Exchange
+from cresstray.model_checking.patching import Mutant, lines
+from cresstray.model_checking.world import (
+    Bounds,
+    Copied,
+    NoLog,
+    Uncounted,
+    VirtualClock,
+    VirtualTimers,
+    fixed,
+)
+from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.admission import Admit
+from cresstray.pipeline.dispatch import Send
+from cresstray.pipeline.forwarding import Across
+from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.response import Back
+from cresstray.pipeline.routing import Route
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Engine, Standing
+from cresstray.sites import codec, ledger
+from cresstray.sites.codec import BrokenError
+from cresstray.sites.ends import Place
+from cresstray.sites.flow_control import Credit, Share
+from cresstray.sites.health import Health
+from cresstray.sites.inbound import Inward
+from cresstray.sites.outbound import Outward
+from cresstray.sites.routing import AHEAD, Way
 
 # Clocks of two halls are never compared: the far one is four minutes ahead.
 START, AHEAD_BY = 1_000_000_000_000, 240_000_000
--- a/cresstray/check/explore.py
+++ b/cresstray/model_checking/explore.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
 
-from cresstray.check.world import Bounds, World, digest, thaw
+from cresstray.model_checking.world import Bounds, World, digest, thaw
 
 Make = Callable[[Bounds], World]
 # States that a worker takes at once: some 30 ms of work, so that layers of some hundred use all of them.
--- a/cresstray/check/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -14,21 +14,29 @@
 from sys import intern
 from typing import Any, NamedTuple
 
-from cresstray.check.patching import Mutant, lines
-from cresstray.check.world import Bounds, Copied, NoLog, Uncounted, VirtualClock, VirtualTimers, fixed
-from cresstray.coordinator.known import Event, Member
+from cresstray.discovery.endpoint_list import Event, Member
 from cresstray.engines.codec import Answer
-from cresstray.engines.exchanges import Exchange
-from cresstray.interface import Standing
-from cresstray.logic import Gateway, Usual
-from cresstray.passage.admit import Admit
-from cresstray.passage.book import Book
-from cresstray.passage.errand import Errand
-from cresstray.passage.port import SocketPort
-from cresstray.passage.relay import Back
-from cresstray.passage.route import Route
-from cresstray.passage.send import Send
-from cresstray.passage.take_in import TakeIn
+from cresstray.engines.in_flight import Exchange
+from cresstray.model_checking.patching import Mutant, lines
+from cresstray.model_checking.world import (
+    Bounds,
+    Copied,
+    NoLog,
+    Uncounted,
+    VirtualClock,
+    VirtualTimers,
+    fixed,
+)
+from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.admission import Admit
+from cresstray.pipeline.dispatch import Send
+from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.request_context import Errand
+from cresstray.pipeline.response import Back
+from cresstray.pipeline.routing import Route
+from cresstray.policy.controller import Gateway, Usual
+from cresstray.policy.types import Standing
 
 # The first moment: a multiple of all widths of rings, so that their buckets turn with the ticks.
 START = 1_000_000_000_000
--- a/cresstray/check/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -18,22 +18,22 @@
 
 import hiredis
 
-from cresstray import logic
-from cresstray.check.patching import Mutant, lines
-from cresstray.check.world import Bounds, Copied, NoLog, Uncounted, VirtualClock, VirtualTimers
-from cresstray.clients.talk import House, Next, Talk
+from cresstray.clients.session import House, Next, Talk
 from cresstray.engines.codec import BrokenError
-from cresstray.engines.exchanges import Exchanges
-from cresstray.engines.pool import AnyLink, AnyPool, Quota
-from cresstray.interface import Ending, Engine, Relay, Standing, Submission, Tariff
-from cresstray.logic import UNRUN
-from cresstray.passage.admit import Admit
-from cresstray.passage.book import Book
-from cresstray.passage.port import SocketPort
-from cresstray.passage.relay import Back
-from cresstray.passage.route import Route
-from cresstray.passage.send import Send
-from cresstray.passage.take_in import TakeIn
+from cresstray.engines.connection_pool import AnyLink, AnyPool, Quota
+from cresstray.engines.in_flight import Exchanges
+from cresstray.model_checking.patching import Mutant, lines
+from cresstray.model_checking.world import Bounds, Copied, NoLog, Uncounted, VirtualClock, VirtualTimers
+from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.admission import Admit
+from cresstray.pipeline.dispatch import Send
+from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.response import Back
+from cresstray.pipeline.routing import Route
+from cresstray.policy import controller as logic
+from cresstray.policy.controller import UNRUN
+from cresstray.policy.types import Ending, Engine, Relay, Standing, Submission, Tariff
 
 START = 1_000_000_000_000
 MILLI = 1_000
--- a/cresstray/check/marked.py
+++ b/cresstray/model_checking/marked.py
@@ -13,8 +13,14 @@
 from sys import intern
 from typing import Any, NamedTuple
 
-from cresstray.check.patching import Mutant, lines
-from cresstray.check.world import (
+from cresstray.idempotency import codec
+from cresstray.idempotency import execution_guard as guard
+from cresstray.idempotency import records as marks
+from cresstray.idempotency.codec import Command
+from cresstray.idempotency.coordinator import Marks
+from cresstray.idempotency.execution_guard import Answer, Decision, Deny, Go, Guard, Unguarded
+from cresstray.model_checking.patching import Mutant, lines
+from cresstray.model_checking.world import (
     Bounds,
     Copied,
     Uncounted,
@@ -24,11 +30,7 @@
     fixed,
     untold,
 )
-from cresstray.interface import Ending, Submission, Tariff
-from cresstray.store import codec, guard, marks
-from cresstray.store.codec import Command
-from cresstray.store.guard import Answer, Decision, Deny, Go, Guard, Unguarded
-from cresstray.store.joined import Marks
+from cresstray.policy.types import Ending, Submission, Tariff
 
 # The first moment: a multiple of all widths of rings, so that their buckets turn with the ticks.
 START = 1_000_000_000_000
--- a/cresstray/check/mutants.py
+++ b/cresstray/model_checking/mutants.py
@@ -5,8 +5,8 @@
 import tomllib
 from pathlib import Path
 
-from cresstray.check.configurations import FILES
-from cresstray.check.patching import Mutant
+from cresstray.model_checking.configurations import FILES
+from cresstray.model_checking.patching import Mutant
 
 MUTANTS: tuple[Mutant, ...] = tuple(mutant for file in FILES for mutant in file.MUTANTS)
 # By a variant's name, choices that show it, where a search takes long to come to them.
--- a/cresstray/check/world.py
+++ b/cresstray/model_checking/world.py
@@ -15,7 +15,7 @@
 from types import CellType, CodeType, FunctionType
 from typing import Any, NamedTuple, Protocol
 
-from cresstray.counters import Counters
+from cresstray.observability.counters import Counters
 
 
 class Bounds(NamedTuple):
--- /dev/null
+++ b/cresstray/observability/__init__.py
@@ -0,0 +1,1 @@
+"""Structured log lines and counters."""
--- a/cresstray/passage/book.py
+++ b/cresstray/pipeline/accounting.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from cresstray import logic
-from cresstray.counters import Counters
-from cresstray.interface import Ending, Submission
-from cresstray.passage.errand import Errand
+from cresstray.observability.counters import Counters
+from cresstray.pipeline.request_context import Errand
+from cresstray.policy import controller as logic
+from cresstray.policy.types import Ending, Submission
 
 if TYPE_CHECKING:
-    from cresstray.marked import Marked
+    from cresstray.pipeline.idempotency_checks import Marked
 
 
 class Book:
--- a/cresstray/passage/admit.py
+++ b/cresstray/pipeline/admission.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from cresstray.logic import Gateway
-from cresstray.passage.book import Book
-from cresstray.passage.errand import Errand
+from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.request_context import Errand
+from cresstray.policy.controller import Gateway
 
 if TYPE_CHECKING:
-    from cresstray.halls.credit import Share
-    from cresstray.kept.keep import Keep
-    from cresstray.marked import Marked
+    from cresstray.membership.recovery import Keep
+    from cresstray.pipeline.idempotency_checks import Marked
+    from cresstray.sites.flow_control import Share
 
 
 class Admit:
--- a/cresstray/passage/send.py
+++ b/cresstray/pipeline/dispatch.py
@@ -5,17 +5,17 @@
 from typing import TYPE_CHECKING
 
 from cresstray.clock import Clock, Timers
-from cresstray.counters import Counters
 from cresstray.engines import codec
-from cresstray.engines.exchanges import Exchange
-from cresstray.engines.links import Pool
-from cresstray.interface import Ending, Relay
-from cresstray.logic import REPEAT_MARGIN, UNRUN
-from cresstray.passage.errand import Errand
-from cresstray.passage.relay import Back
+from cresstray.engines.connection import Pool
+from cresstray.engines.in_flight import Exchange
+from cresstray.observability.counters import Counters
+from cresstray.pipeline.request_context import Errand
+from cresstray.pipeline.response import Back
+from cresstray.policy.controller import REPEAT_MARGIN, UNRUN
+from cresstray.policy.types import Ending, Relay
 
 if TYPE_CHECKING:
-    from cresstray.marked import Marked
+    from cresstray.pipeline.idempotency_checks import Marked
 
 
 class Send:
--- a/cresstray/passage/across.py
+++ b/cresstray/pipeline/forwarding.py
@@ -5,16 +5,16 @@
 from typing import TYPE_CHECKING
 
 from cresstray.clock import Clock, Timers
-from cresstray.counters import Counters
-from cresstray.halls.ledger import Crossing, Outcome
-from cresstray.halls.outward import Outward
-from cresstray.interface import Ending, Engine, Relay, Standing
-from cresstray.passage.errand import Errand
-from cresstray.passage.relay import Back
-from cresstray.passage.send import Send
+from cresstray.observability.counters import Counters
+from cresstray.pipeline.dispatch import Send
+from cresstray.pipeline.request_context import Errand
+from cresstray.pipeline.response import Back
+from cresstray.policy.types import Ending, Engine, Relay, Standing
+from cresstray.sites.ledger import Crossing, Outcome
+from cresstray.sites.outbound import Outward
 
 if TYPE_CHECKING:
-    from cresstray.marked import Marked
+    from cresstray.pipeline.idempotency_checks import Marked
 
 
 class Across:
--- a/cresstray/marked.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -17,17 +17,17 @@
 from cresstray.background.schedule import Outcome, Priority
 from cresstray.background.worker import Worker
 from cresstray.clock import Clock, Timers
-from cresstray.conf.store import Store
-from cresstray.counters import Counters
-from cresstray.interface import Beside, Ending, Engine, Relay, Submission
-from cresstray.log import Log
-from cresstray.logic import Gateway
-from cresstray.passage.book import Book
-from cresstray.passage.errand import Errand
-from cresstray.store.client import Client
-from cresstray.store.guard import Abandon, Answer, Decision, Deny
-from cresstray.store.joined import Marks
-from cresstray.store.journal import BusyError, Journal, Scribe, UnusableError
+from cresstray.config.idempotency import Store
+from cresstray.idempotency.client import Client
+from cresstray.idempotency.coordinator import Marks
+from cresstray.idempotency.execution_guard import Abandon, Answer, Decision, Deny
+from cresstray.idempotency.journal import BusyError, Journal, Scribe, UnusableError
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.request_context import Errand
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Beside, Ending, Engine, Relay, Submission
 
 # Microseconds: while outcomes wait to be written, and while there is nothing but the store to be looked at.
 _BUSY, _QUIET = 20_000, 500_000
--- a/cresstray/passage/take_in.py
+++ b/cresstray/pipeline/ingress.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING, Protocol
 
 from cresstray.clock import Clock
-from cresstray.interface import Submission, Tariff
-from cresstray.passage.admit import Admit
-from cresstray.passage.errand import Asker, Errand, Query
+from cresstray.pipeline.admission import Admit
+from cresstray.pipeline.request_context import Asker, Errand, Query
+from cresstray.policy.types import Submission, Tariff
 from cresstray.tables import group_of
 
 if TYPE_CHECKING:
-    from cresstray.passage.pinned import Pinned
+    from cresstray.pipeline.replica_reads import Pinned
 
 # Names are new with every request: one that comes again within some ten seconds is a mistake or worse.
 _MEMORY, _MOST_NAMES = 10_000_000, 20_000
--- a/cresstray/passage/port.py
+++ b/cresstray/pipeline/policy_port.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from cresstray.clock import Timers
-from cresstray.counters import Counters
-from cresstray.interface import Engine, Relay, Submission
-from cresstray.log import Log
-from cresstray.passage.book import Book
-from cresstray.passage.route import Route
-from cresstray.passage.send import Send
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.dispatch import Send
+from cresstray.pipeline.routing import Route
+from cresstray.policy.types import Engine, Relay, Submission
 
 
 class SocketPort:
--- a/cresstray/passage/pinned.py
+++ b/cresstray/pipeline/replica_reads.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Mapping, Sequence
 
-from cresstray.coordinator.known import Event
-from cresstray.interface import Engine, Relay, Submission, Tariff
-from cresstray.passage.errand import Query
+from cresstray.discovery.endpoint_list import Event
+from cresstray.pipeline.request_context import Query
+from cresstray.policy.types import Engine, Relay, Submission, Tariff
 from cresstray.replicas.read import Read, Reads
 
 # Danger: engines come under new ids for days. Pins follow some that are gone: the zones of the last thousand.
--- a/cresstray/passage/errand.py
+++ b/cresstray/pipeline/request_context.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from cresstray.interface import Ending, Submission
+from cresstray.policy.types import Ending, Submission
 
 
 class Query(Protocol):
--- a/cresstray/passage/relay.py
+++ b/cresstray/pipeline/response.py
@@ -5,18 +5,18 @@
 from typing import TYPE_CHECKING
 
 from cresstray.clock import Clock
-from cresstray.counters import Counters
 from cresstray.engines import codec
-from cresstray.engines.exchanges import Exchange
-from cresstray.engines.pages import Pages
-from cresstray.interface import Ending, Relay, Standing, Submission
-from cresstray.logic import Gateway
-from cresstray.passage.book import Book
+from cresstray.engines.in_flight import Exchange
+from cresstray.engines.result_pages import Pages
+from cresstray.observability.counters import Counters
+from cresstray.pipeline.accounting import Book
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Ending, Relay, Standing, Submission
 
 if TYPE_CHECKING:
-    from cresstray.kept.keep import Keep
-    from cresstray.marked import Marked
-    from cresstray.passage.pinned import Pinned
+    from cresstray.membership.recovery import Keep
+    from cresstray.pipeline.idempotency_checks import Marked
+    from cresstray.pipeline.replica_reads import Pinned
 
 # A client is asked again whether it is there for what came longer ago; what is sent at once costs no call.
 _FRESH = 20_000
--- a/cresstray/passage/route.py
+++ b/cresstray/pipeline/routing.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import TYPE_CHECKING
 
-from cresstray.coordinator.addresses import Addresses, Place
-from cresstray.coordinator.known import Event, Member
-from cresstray.engines.links import Pool
-from cresstray.interface import Engine, Relay, Standing
-from cresstray.passage.send import Send
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.discovery.resolver import Addresses, Place
+from cresstray.engines.connection import Pool
+from cresstray.pipeline.dispatch import Send
+from cresstray.policy.types import Engine, Relay, Standing
 
 if TYPE_CHECKING:  # a gateway without links loads none of it
-    from cresstray.passage.across import Across
-    from cresstray.passage.pinned import Pinned
+    from cresstray.pipeline.forwarding import Across
+    from cresstray.pipeline.replica_reads import Pinned
 
 
 class Route:
--- a/cresstray/placement/carry.py
+++ b/cresstray/placement/data_transfer.py
@@ -14,10 +14,10 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from cresstray import streams
-from cresstray.counters import Counters
-from cresstray.frames import BrokenError
-from cresstray.placement.carrier import Command, Copy, Disk, Entry
+from cresstray.observability.counters import Counters
+from cresstray.placement.move_executor import Command, Copy, Disk, Entry
+from cresstray.transport import streams
+from cresstray.transport.framing import BrokenError
 
 # Disks are asked so often, in microseconds: a switch waits for what they say. An engine at rest costs a few
 # hundred bytes for each.
--- a/cresstray/placement/greedy.py
+++ b/cresstray/placement/greedy.py
@@ -5,9 +5,9 @@
 import hashlib
 import math
 
-from cresstray.placement.draft import Draft, Task
 from cresstray.placement.model import Fleet, Move
 from cresstray.placement.order import paired
+from cresstray.placement.plan_builder import Draft, Task
 
 
 def fullest(fleet: Fleet) -> tuple[list[Move], bool]:
--- a/cresstray/placement/carrier.py
+++ b/cresstray/placement/move_executor.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
+from cresstray.fleet_config import documents
+from cresstray.fleet_config import state as rules
 from cresstray.placement import moves as log
 from cresstray.placement.model import Limits
 from cresstray.placement.moves import At, Event, Moves, Moving, Under
-from cresstray.placement.pace import Flow, Pace, between
-from cresstray.rules import documents
-from cresstray.rules import state as rules
+from cresstray.placement.pacing import Flow, Pace, between
 
 # A shard's reservation is a sixteenth more than it has, where there is room: what it grows by meanwhile.
 _SPARE = 16
--- a/cresstray/placement/moves.py
+++ b/cresstray/placement/moves.py
@@ -18,8 +18,8 @@
 from cresstray.placement import model
 
 if TYPE_CHECKING:
-    from cresstray.rules import documents
-    from cresstray.rules.state import State
+    from cresstray.fleet_config import documents
+    from cresstray.fleet_config.state import State
 
 NAME = "moves"  # of the section in the log
 # Moves in one entry of the log: about 80 bytes each, well below the longest frame.
--- a/cresstray/placement/pace.py
+++ b/cresstray/placement/pacing.py
@@ -8,7 +8,7 @@
 from cresstray.placement.model import Limits
 
 if TYPE_CHECKING:
-    from cresstray.placement.carrier import Disk
+    from cresstray.placement.move_executor import Disk
 
 # The signs by which the module holds work back from an engine: cores three quarters busy, two threads a core.
 _BUSY, _CROWD = 0.75, 2.0
--- a/cresstray/placement/solve.py
+++ b/cresstray/placement/planner.py
@@ -16,7 +16,6 @@
 from scipy.optimize import Bounds, LinearConstraint, milp
 from scipy.sparse import csr_array
 
-from cresstray.placement.draft import Draft, Task
 from cresstray.placement.model import (
     DeadEndError,
     Fleet,
@@ -28,6 +27,7 @@
     zones_in,
 )
 from cresstray.placement.order import Order, Spot, lined, ordered, searched
+from cresstray.placement.plan_builder import Draft, Task
 
 # Shards times engines up to which the whole problem is one milp: it proves its best within a second or so.
 _WHOLE = 600
--- a/cresstray/placement/worker.py
+++ b/cresstray/placement/worker.py
@@ -125,7 +125,7 @@
 
 
 def main() -> None:
-    from cresstray.placement.solve import solve  # loads scipy, which only this process needs
+    from cresstray.placement.planner import solve  # loads scipy, which only this process needs
 
     sink = sys.stdout.buffer
     sys.stdout = sys.stderr  # what a library prints must not fall between the frames
--- a/cresstray/logic.py
+++ b/cresstray/policy/controller.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from cresstray.interface import Ending, Engine, Port, Relay, Rules, Standing, Submission, Tariff, Topic
-from cresstray.ring import Ring
+from cresstray.policy.sliding_window import Ring
+from cresstray.policy.types import Ending, Engine, Port, Relay, Rules, Standing, Submission, Tariff, Topic
 
 # Endings that prove a relay never ran; after any other it may have run.
 UNRUN = {Ending.FULL, Ending.UNREACHABLE, Ending.MOOT}
--- a/cresstray/replicas/read.py
+++ b/cresstray/replicas/read.py
@@ -5,20 +5,20 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from cresstray.counters import Counters
-from cresstray.interface import Submission, Tariff
-from cresstray.replicas.choose import Choice, candidates, primary_has
+from cresstray.fleet_config.active_config import InUse, Mode
+from cresstray.observability.counters import Counters
+from cresstray.policy.types import Submission, Tariff
 from cresstray.replicas.fallback import Share
-from cresstray.replicas.hint import Else, Hint, HintError, read_hint
+from cresstray.replicas.hints import Else, Hint, HintError, read_hint
 from cresstray.replicas.pins import matching, narrowed
 from cresstray.replicas.positions import MOST_POSITION, Board, Shard
+from cresstray.replicas.replica_selection import Choice, candidates, primary_has
 from cresstray.replicas.sessions import Token, token
 from cresstray.replicas.spread import MOST_WANTED
-from cresstray.rules.use import InUse, Mode
 from cresstray.tables import group_of
 
 if TYPE_CHECKING:
-    from cresstray.rules.use import Use
+    from cresstray.fleet_config.active_config import Use
 
 # Positions of a shard are asked of keepers for so long after its last hinted read here.
 _OF_LATE = 60_000_000
--- a/cresstray/replicas/choose.py
+++ b/cresstray/replicas/replica_selection.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from cresstray.replicas.hint import Else, Hint
+from cresstray.replicas.hints import Else, Hint
 from cresstray.replicas.positions import Board, Shard
 from cresstray.replicas.sessions import Token, rendezvous
 
--- a/cresstray/replicas/spread.py
+++ b/cresstray/replicas/spread.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from cresstray.frames import BrokenError
-from cresstray.replicas.asking import Asking
+from cresstray.replicas.position_polling import Asking
 from cresstray.replicas.positions import Board, Cursor, Item, Shard
+from cresstray.transport.framing import BrokenError
 
 # Shards that a gateway asks for: those of its hinted reads of late.
 MOST_WANTED = 32
--- a/cresstray/lab/cold.py
+++ b/cresstray/simulation/cold.py
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from cresstray.coordinator.known import Event, Member
-from cresstray.interface import Ending, Engine, Relay, Standing, Submission
-from cresstray.kept import learnt
-from cresstray.kept.belief import Beliefs, How, Source, State
-from cresstray.kept.guard import Guard
-from cresstray.kept.reconcile import Tomb
-from cresstray.kept.record import Tariff
-from cresstray.logic import Gateway, micros
-from cresstray.passage.route import Route
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.membership import learned_state as learnt
+from cresstray.membership.estimate import Beliefs, How, Source, State
+from cresstray.membership.guard import Guard
+from cresstray.membership.reconciliation import Tomb
+from cresstray.membership.snapshot import Tariff
+from cresstray.pipeline.routing import Route
+from cresstray.policy.controller import Gateway, micros
+from cresstray.policy.types import Ending, Engine, Relay, Standing, Submission
 
 MS, SECOND = 1_000, 1_000_000
 # As a process has it: a running time, of which the start is long ago.
--- a/cresstray/lab/fleet.py
+++ b/cresstray/simulation/fleet.py
@@ -16,20 +16,20 @@
 
 import msgspec
 
-from cresstray.conf.fleet import Fleet
-from cresstray.conf.fleet import Keeper as Named
+from cresstray.config.fleet import Fleet
+from cresstray.config.fleet import Keeper as Named
 from cresstray.consensus.codec import Appended, Voted
 from cresstray.consensus.entries import Durable, Entry, Keep, Kind, Members, Ready, Snapshot, members_of
 from cresstray.consensus.raft import Node, Role, Times
-from cresstray.counters import Counters
-from cresstray.frames import BrokenError, Frame, Frames, encode
-from cresstray.keeper import codec
-from cresstray.keeper.core import Core, Guest
-from cresstray.rules import codec as rules
-from cresstray.rules import documents
-from cresstray.rules.leases import Leases
-from cresstray.rules.state import State
-from cresstray.rules.use import Mode, Use
+from cresstray.control_plane import codec
+from cresstray.control_plane.node_controller import Core, Guest
+from cresstray.fleet_config import codec as rules
+from cresstray.fleet_config import documents
+from cresstray.fleet_config.active_config import Mode, Use
+from cresstray.fleet_config.leases import Leases
+from cresstray.fleet_config.state import State
+from cresstray.observability.counters import Counters
+from cresstray.transport.framing import BrokenError, Frame, Frames, encode
 
 MS, SECOND = 1_000, 1_000_000
 REGISTER = "999999"  # of no group of tables
--- a/cresstray/lab/joined.py
+++ b/cresstray/simulation/joined.py
@@ -1,6 +1,6 @@
 """Rules, moves and pinned reads joined on one virtual clock: true times outside, own clocks inside.
 
-`python -m cresstray.lab.joined FIRST COUNT` plays so many seeds and tells what broke.
+`python -m cresstray.simulation.joined FIRST COUNT` plays so many seeds and tells what broke.
 """
 
 from __future__ import annotations
@@ -13,22 +13,23 @@
 
 import msgspec
 
-from cresstray.counters import Counters
-from cresstray.interface import Engine, Standing, Submission, Tariff
-from cresstray.placement import carrier, model, moves
-from cresstray.placement.carrier import Carrier, Command, Copy, Disk, Entry
+from cresstray.emulators.shards import Held, RefusedError, Shelf, passed_on
+from cresstray.fleet_config import documents
+from cresstray.fleet_config import state as rules
+from cresstray.fleet_config.active_config import Mode, Use
+from cresstray.fleet_config.admission import Admission
+from cresstray.fleet_config.codec import contents
+from cresstray.fleet_config.leases import Leases
+from cresstray.observability.counters import Counters
+from cresstray.placement import model, moves
+from cresstray.placement import move_executor as carrier
+from cresstray.placement.move_executor import Carrier, Command, Copy, Disk, Entry
 from cresstray.placement.moves import Moves
+from cresstray.policy.types import Engine, Standing, Submission, Tariff
 from cresstray.replicas import fallback, pins
 from cresstray.replicas.positions import Board
 from cresstray.replicas.read import Reads
 from cresstray.replicas.spread import Exchange, Peer, Word
-from cresstray.rules import documents
-from cresstray.rules import state as rules
-from cresstray.rules.admission import Admission
-from cresstray.rules.codec import contents
-from cresstray.rules.leases import Leases
-from cresstray.rules.use import Mode, Use
-from cresstray.standins.shards import Held, RefusedError, Shelf, passed_on
 
 MS, SECOND = 1_000, 1_000_000
 LEASE, FLOOR, DRIFT = 2 * SECOND, 6 * SECOND, 0.01
--- /dev/null
+++ b/cresstray/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Adapter between the policy and the wire of the simulator."""
--- a/cresstray/wirehost.py
+++ b/cresstray/simulator/host.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import BinaryIO
 
-from cresstray import wire
-from cresstray.interface import Ending, Engine, Relay, Standing, Submission, Topic
-from cresstray.logic import Gateway
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Ending, Engine, Relay, Standing, Submission, Topic
+from cresstray.simulator import wire
 
 _ENDINGS = {
     200: Ending.FULFILLED,
--- a/cresstray/halls/codec.py
+++ b/cresstray/sites/codec.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from cresstray.frames import LONGEST, BrokenError, Frame, encode
-from cresstray.frames import Frames as AnyFrames
+from cresstray.transport.framing import LONGEST, BrokenError, Frame, encode
+from cresstray.transport.framing import Frames as AnyFrames
 
 __all__ = ["LONGEST", "BrokenError", "Frame", "encode"]
 
--- a/cresstray/halls/ends.py
+++ b/cresstray/sites/ends.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-from cresstray.halls import codec
-from cresstray.halls.codec import BrokenError
-from cresstray.halls.health import Health
+from cresstray.sites import codec
+from cresstray.sites.codec import BrokenError
+from cresstray.sites.health import Health
 
 # The far side writes so many pages of a result ahead; half of them read, it is told so.
 WINDOW = 4
--- a/cresstray/halls/credit.py
+++ b/cresstray/sites/flow_control.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cresstray.ring import Ring
+from cresstray.policy.sliding_window import Ring
 
 
 class Credit:
--- a/cresstray/halls/health.py
+++ b/cresstray/sites/health.py
@@ -11,7 +11,7 @@
 from collections import deque
 from enum import Enum
 
-from cresstray.ring import Ring
+from cresstray.policy.sliding_window import Ring
 
 
 class State(Enum):
--- a/cresstray/halls/inward.py
+++ b/cresstray/sites/inbound.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from cresstray.counters import Counters
-from cresstray.halls import codec
-from cresstray.halls.codec import BrokenError
-from cresstray.halls.ends import WINDOW, End, Place
-from cresstray.halls.health import Health
-from cresstray.halls.ledger import Entry, Incoming, State
-from cresstray.interface import Ending
-from cresstray.logic import UNRUN
+from cresstray.observability.counters import Counters
+from cresstray.policy.controller import UNRUN
+from cresstray.policy.types import Ending
+from cresstray.sites import codec
+from cresstray.sites.codec import BrokenError
+from cresstray.sites.ends import WINDOW, End, Place
+from cresstray.sites.health import Health
+from cresstray.sites.ledger import Entry, Incoming, State
 
 # After its end an entry is kept for the near side until that has it, or has surely given up.
 _KEPT = 30_000_000
--- a/cresstray/halls/connections.py
+++ b/cresstray/sites/links.py
@@ -14,21 +14,21 @@
 from cresstray.background.schedule import Job, Priority
 from cresstray.background.worker import Worker
 from cresstray.clock import Clock, Due, Timers
-from cresstray.conf import operator
-from cresstray.counters import Counters
-from cresstray.halls import codec
-from cresstray.halls.codec import BrokenError
-from cresstray.halls.credit import Credit, Share
-from cresstray.halls.decide import Way
-from cresstray.halls.ends import Place
-from cresstray.halls.health import IDLE, Health, State
-from cresstray.halls.inward import Front, Inward
-from cresstray.halls.outward import Keeper, Outward
-from cresstray.log import Log
-from cresstray.streams import ENDED, Line, connect, contained
+from cresstray.config import operator
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.sites import codec
+from cresstray.sites.codec import BrokenError
+from cresstray.sites.ends import Place
+from cresstray.sites.flow_control import Credit, Share
+from cresstray.sites.health import IDLE, Health, State
+from cresstray.sites.inbound import Front, Inward
+from cresstray.sites.outbound import Keeper, Outward
+from cresstray.sites.routing import Way
+from cresstray.transport.streams import ENDED, Line, connect, contained
 
 if TYPE_CHECKING:
-    from cresstray.halls.tls import Contexts
+    from cresstray.sites.tls import Contexts
 
 # Room for both handshakes at the longest round trip that a link is of any use with.
 _HANDSHAKE = 3.0
@@ -149,7 +149,7 @@
     def load_keys(self, given: operator.Halls) -> None:
         """The keys of new connections; OSError (which ssl's errors are) where they can't be used."""
         if given.tls is not None:
-            from cresstray.halls.tls import Contexts
+            from cresstray.sites.tls import Contexts
 
             self._contexts = Contexts(given.tls)
 
@@ -279,7 +279,7 @@
         """What to speak on, and the halls that the other side may be; BrokenError where that is none."""
         if self._contexts is None:
             return line, halls
-        from cresstray.halls.tls import Sealed
+        from cresstray.sites.tls import Sealed
 
         sealed = Sealed(line, self._contexts, server)
         named = await sealed.shake_hands()
--- a/cresstray/halls/outward.py
+++ b/cresstray/sites/outbound.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from cresstray.counters import Counters
-from cresstray.halls import codec
-from cresstray.halls.codec import BrokenError
-from cresstray.halls.decide import Way
-from cresstray.halls.ends import WINDOW, End, Place
-from cresstray.halls.ledger import Crossing, Outcome, Outgoing, State
-from cresstray.interface import Relay
+from cresstray.observability.counters import Counters
+from cresstray.policy.types import Relay
+from cresstray.sites import codec
+from cresstray.sites.codec import BrokenError
+from cresstray.sites.ends import WINDOW, End, Place
+from cresstray.sites.ledger import Crossing, Outcome, Outgoing, State
+from cresstray.sites.routing import Way
 
 # A result holds 48,000 bytes at most where clients speak JSON-RPC; what claims far more is no result.
 _MOST_PAGES = 512
--- a/cresstray/halls/decide.py
+++ b/cresstray/sites/routing.py
@@ -9,10 +9,10 @@
 
 from collections.abc import Callable
 
-from cresstray.halls.credit import Credit, Ramp, Share
-from cresstray.halls.health import Health, State
-from cresstray.interface import Submission
-from cresstray.logic import UNRUN
+from cresstray.policy.controller import UNRUN
+from cresstray.policy.types import Submission
+from cresstray.sites.flow_control import Credit, Ramp, Share
+from cresstray.sites.health import Health, State
 
 # What a far answer needs beyond its work and the round trip: two loops that may be late.
 _MARGIN = 50_000
--- a/cresstray/halls/tls.py
+++ b/cresstray/sites/tls.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from cresstray.conf.operator import Tls
-from cresstray.streams import Line
+from cresstray.config.operator import Tls
+from cresstray.transport.streams import Line
 
 
 class Contexts:
--- /dev/null
+++ b/cresstray/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Framing, stream I/O and authenticated links between processes."""
--- a/cresstray/peers.py
+++ b/cresstray/transport/peers.py
@@ -16,15 +16,15 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from cresstray.counters import Counters
-from cresstray.frames import BrokenError, Frame, Frames, encode
-from cresstray.rules.codec import MAGIC, ROLES, VERSION, Greet
-from cresstray.streams import ENDED, Line, connect
+from cresstray.fleet_config.codec import MAGIC, ROLES, VERSION, Greet
+from cresstray.observability.counters import Counters
+from cresstray.transport.framing import BrokenError, Frame, Frames, encode
+from cresstray.transport.streams import ENDED, Line, connect
 
 if TYPE_CHECKING:
-    from cresstray.conf.fleet import Fleet
-    from cresstray.halls.tls import Contexts
-    from cresstray.said import Said
+    from cresstray.config.fleet import Fleet
+    from cresstray.observability.event_log import Said
+    from cresstray.sites.tls import Contexts
 
 # Room for both handshakes at the longest round trip that a lease of two seconds can stand.
 _HANDSHAKE = 2.0
@@ -306,7 +306,7 @@
         try:
             with anyio.fail_after(self._handshake):
                 if self.contexts is not None:
-                    from cresstray.halls.tls import Sealed
+                    from cresstray.sites.tls import Sealed
 
                     channel = Sealed(line, self.contexts, server)
                     names = await channel.shake_hands()
--- a/cresstray/streams.py
+++ b/cresstray/transport/streams.py
@@ -12,8 +12,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.counters import Counters
-from cresstray.log import Log
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
 
 # What the kernel says of a connection whose other side has closed its own: the first byte of TCP_INFO.
 _CLOSE_WAIT = b"\x08"
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -17,8 +17,8 @@
 import anyio.abc
 import hiredis
 
-from cresstray.interface import Ending, Engine, Relay, Standing, Submission
-from cresstray.logic import Gateway
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Ending, Engine, Relay, Standing, Submission
 
 TRACES = Path(__file__).parent / "traces"
 SETTINGS = {
--- a/tests/halls.py
+++ b/tests/halls.py
@@ -3,24 +3,24 @@
 from collections import deque
 
 from cresstray.clock import Timers
-from cresstray.counters import Counters
 from cresstray.engines import codec as resp
-from cresstray.halls.credit import Credit, Share
-from cresstray.halls.decide import AHEAD, Way
-from cresstray.halls.ends import Place
-from cresstray.halls.health import Health
-from cresstray.halls.inward import Inward
-from cresstray.halls.outward import Outward
-from cresstray.interface import Engine, Standing
-from cresstray.logic import Gateway
-from cresstray.passage.across import Across
-from cresstray.passage.admit import Admit
-from cresstray.passage.book import Book
-from cresstray.passage.port import SocketPort
-from cresstray.passage.relay import Back
-from cresstray.passage.route import Route
-from cresstray.passage.send import Send
-from cresstray.passage.take_in import TakeIn
+from cresstray.observability.counters import Counters
+from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.admission import Admit
+from cresstray.pipeline.dispatch import Send
+from cresstray.pipeline.forwarding import Across
+from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.response import Back
+from cresstray.pipeline.routing import Route
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Engine, Standing
+from cresstray.sites.ends import Place
+from cresstray.sites.flow_control import Credit, Share
+from cresstray.sites.health import Health
+from cresstray.sites.inbound import Inward
+from cresstray.sites.outbound import Outward
+from cresstray.sites.routing import AHEAD, Way
 
 BEAT, SLOW, LEASE, HEAL = 100_000, 250_000, 1_500_000, 1_000_000
 TARIFFS = {"lookup": "idempotent", "load": "deduplicated", "post": "at_most_once"}
@@ -249,7 +249,7 @@
     # The link.
 
     def connect(self) -> None:
-        from cresstray.halls import codec
+        from cresstray.sites import codec
 
         self.there.clear()
         self.back.clear()
@@ -270,7 +270,7 @@
             queue.append((self.clocks[0].at + self.delay, data))
 
     def _deliver(self) -> None:
-        from cresstray.halls.codec import BrokenError
+        from cresstray.sites.codec import BrokenError
 
         at = self.clocks[0].at
         try:
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -21,11 +21,11 @@
 import anyio
 import hiredis
 
-from cresstray.clients.connections import Door
-from cresstray.clients.talk import Talk
+from cresstray.clients.listener import Door
+from cresstray.clients.session import Talk
 from cresstray.clock import Clock
-from cresstray.counters import Counters
-from cresstray.log import Log
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
 from tests.desk import settings
 
 # For what is waited for by bytes: far longer than any of it takes.
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -1,6 +1,6 @@
 """The module's one hook: what the fleet has agreed on, asked at the moment of acting."""
 
-from cresstray.interface import Ending, Engine, Submission
+from cresstray.policy.types import Ending, Engine, Submission
 from tests.desk import Desk, TraceCase, settings
 
 SAFETY = {"BudgetWindow": 10_000.0, "ResendRatio": 0.5, "FreeResends": 2}
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -17,20 +17,20 @@
 import anyio
 import hiredis
 
-from cresstray.check.world import VirtualClock
-from cresstray.coordinator.known import Event, Member
-from cresstray.counters import Counters
-from cresstray.engines import links
-from cresstray.interface import Ending, Standing
-from cresstray.logic import Gateway
-from cresstray.passage.admit import Admit
-from cresstray.passage.book import Book
-from cresstray.passage.port import SocketPort
-from cresstray.passage.relay import Back
-from cresstray.passage.route import Route
-from cresstray.passage.send import Send
-from cresstray.passage.take_in import TakeIn
-from cresstray.streams import connect
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.engines import connection as links
+from cresstray.model_checking.world import VirtualClock
+from cresstray.observability.counters import Counters
+from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.admission import Admit
+from cresstray.pipeline.dispatch import Send
+from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.response import Back
+from cresstray.pipeline.routing import Route
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Ending, Standing
+from cresstray.transport.streams import connect
 from tests import desk
 from tests.desk import ClientStandIn, settings
 from tests.test_links import FakeLink, FakePool
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -10,8 +10,8 @@
 from cresstray.background.schedule import AGE, LEAST, Job, Outcome, Priority, Schedule
 from cresstray.background.worker import Worker
 from cresstray.clock import Timers
-from cresstray.counters import Counters
-from cresstray.log import Log
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
 
 TICK, BUDGET, MS, SECOND = 10_000, 500, 1000, 1_000_000
 START = 1_000 * SECOND + 1
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -9,13 +9,13 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from cresstray.check.configurations import CONFIGURATIONS
-from cresstray.check.explore import Trace, explore, replay, walk
-from cresstray.check.gateway import MUTANTS, Passage
-from cresstray.check.patching import lines
-from cresstray.check.properties import PROPERTIES
-from cresstray.check.world import Bounds, thaw
-from cresstray.passage.book import Book
+from cresstray.model_checking.configurations import CONFIGURATIONS
+from cresstray.model_checking.explore import Trace, explore, replay, walk
+from cresstray.model_checking.gateway import MUTANTS, Passage
+from cresstray.model_checking.patching import lines
+from cresstray.model_checking.properties import PROPERTIES
+from cresstray.model_checking.world import Bounds, thaw
+from cresstray.pipeline.accounting import Book
 
 KEPT = tomllib.loads((Path(__file__).parent / "check_kept.toml").read_text())
 
--- a/tests/test_check_lines.py
+++ b/tests/test_check_lines.py
@@ -4,10 +4,10 @@
 import unittest
 from pathlib import Path
 
-from cresstray.check import crossing, lines
-from cresstray.check.explore import Trace, explore, replay, walk
-from cresstray.check.mutants import SCHEDULES
-from cresstray.check.world import Bounds, freeze, thaw
+from cresstray.model_checking import crossing, lines
+from cresstray.model_checking.explore import Trace, explore, replay, walk
+from cresstray.model_checking.mutants import SCHEDULES
+from cresstray.model_checking.world import Bounds, freeze, thaw
 
 KEPT = tomllib.loads((Path(__file__).parent / "check_lines.toml").read_text())
 CONFIGURATIONS = lines.CONFIGURATIONS | crossing.CONFIGURATIONS
--- a/tests/test_check_worlds.py
+++ b/tests/test_check_worlds.py
@@ -5,9 +5,9 @@
 import random
 import unittest
 
-from cresstray.check import beliefs, marked
-from cresstray.check.explore import explore, replay, walk
-from cresstray.check.world import Bounds, freeze, thaw
+from cresstray.model_checking import beliefs, marked
+from cresstray.model_checking.explore import explore, replay, walk
+from cresstray.model_checking.world import Bounds, freeze, thaw
 
 CONFIGURATIONS = beliefs.CONFIGURATIONS | marked.CONFIGURATIONS
 MUTANTS = {one.name: one for one in beliefs.MUTANTS + marked.MUTANTS}
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -8,7 +8,7 @@
 import anyio
 import anyio.to_thread
 
-from cresstray.clients import connections
+from cresstray.clients import listener as connections
 from tests.scripted import Stage, all_of, hear, on_stage, request, reset, status, turns, until, withdrawal
 
 BIG = b"x" * 4_000_000
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -12,20 +12,21 @@
 from hypothesis import strategies as some
 
 from cresstray.clients import codec as rpc
-from cresstray.clients.talk import House, Next, Talk
-from cresstray.conf import lines as conf_lines
-from cresstray.conf import operator
+from cresstray.clients.session import House, Next, Talk
+from cresstray.config import lines as conf_lines
+from cresstray.config import operator
 from cresstray.consensus import codec as consensus
-from cresstray.coordinator import frames, known
-from cresstray.counters import Counters
+from cresstray.control_plane import codec as keeper
+from cresstray.discovery import codec as frames
+from cresstray.discovery import endpoint_list as known
 from cresstray.engines import codec as resp
-from cresstray.engines.pages import Pages
-from cresstray.frames import LONGEST, BrokenError, Frames, encode
-from cresstray.halls import codec as halls
-from cresstray.keeper import codec as keeper
-from cresstray.kept import record
-from cresstray.rules import codec as rules
+from cresstray.engines.result_pages import Pages
+from cresstray.fleet_config import codec as rules
+from cresstray.membership import snapshot as record
+from cresstray.observability.counters import Counters
+from cresstray.sites import codec as halls
 from cresstray.tables import group_of
+from cresstray.transport.framing import LONGEST, BrokenError, Frames, encode
 from tests.desk import TraceCase
 
 PARAMS = {
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from itertools import count
 
-from cresstray.interface import Ending, Engine, Relay, Standing, Submission
-from cresstray.logic import Gateway
+from cresstray.policy.controller import Gateway
+from cresstray.policy.types import Ending, Engine, Relay, Standing, Submission
 
 SECOND = 1_000_000
 # One kind of engine and class, as a deployment states them.
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -12,15 +12,15 @@
 import anyio
 
 from benchmarks import cold_start
-from cresstray.kept import record
-from cresstray.kept.record import Tariff
-from cresstray.lab.cold import SECOND, Cold, to_ninety
-from cresstray.standins import world
-from cresstray.standins.account import PROMISES
-from cresstray.standins.clients import draw
-from cresstray.standins.cold import Fragile, Plan, Register
-from cresstray.standins.coordinator import ZONES
-from cresstray.standins.world import KINDS, Gateway, Hall, World
+from cresstray.emulators import world
+from cresstray.emulators.account import PROMISES
+from cresstray.emulators.clients import draw
+from cresstray.emulators.cold import Fragile, Plan, Register
+from cresstray.emulators.coordinator import ZONES
+from cresstray.emulators.world import KINDS, Gateway, Hall, World
+from cresstray.membership import snapshot as record
+from cresstray.membership.snapshot import Tariff
+from cresstray.simulation.cold import SECOND, Cold, to_ninety
 from tests import test_kept_join as join
 
 DAY = 86_400
@@ -50,7 +50,7 @@
 
     def start(self) -> None:
         code = (
-            "import errno, os, runpy\nfrom cresstray.kept import files\n"
+            "import errno, os, runpy\nfrom cresstray.membership import files\n"
             + LAUNCH[self.how]
             + "runpy.run_module('cresstray', run_name='__main__', alter_sys=True)\n"
         )
@@ -217,11 +217,13 @@
         told = Cold(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4)
         self.assertEqual((0, 0), (told.fallen, told.known_gone))
         self.assertGreater(told.peak, 0)
-        with mock.patch("cresstray.kept.belief.Beliefs._started", lambda self, member, *_: member.started):
+        with mock.patch(
+            "cresstray.membership.estimate.Beliefs._started", lambda self, member, *_: member.started
+        ):
             self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4).fallen, 0)
 
     def test_engines_fall_where_nobody_minds_that_they_are_cold(self) -> None:
-        with mock.patch("cresstray.logic.Gateway._cold_room", lambda *_: True):
+        with mock.patch("cresstray.policy.controller.Gateway._cold_room", lambda *_: True):
             self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 4.0, load=2.0).run(3).fallen, 0)
 
     def test_seconds_to_nine_tenths(self) -> None:
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -11,8 +11,8 @@
 from typing import Any
 from unittest.mock import Mock, patch
 
-from cresstray.interface import Ending, Standing, Submission
-from cresstray.logic import PASSED_OVER, Gateway, Limiter, Signs
+from cresstray.policy.controller import PASSED_OVER, Gateway, Limiter, Signs
+from cresstray.policy.types import Ending, Standing, Submission
 from tests.desk import START, Desk, settings
 
 FAR = START * 100
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -16,11 +16,11 @@
 from unittest import mock
 from zlib import crc32
 
-from cresstray import frames
 from cresstray.consensus import codec, log, raft
 from cresstray.consensus.entries import Durable, Entry, Keep, Kind, Members, Snapshot
 from cresstray.consensus.raft import Node, Role, Times
 from cresstray.consensus.storage import Storage, UnusableError
+from cresstray.transport import framing as frames
 
 TIMES = Times()
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -4,9 +4,10 @@
 import io
 import struct
 
-from cresstray import wire, wirehost
-from cresstray.interface import Ending, Topic
-from cresstray.logic import WINDOW, Limiter, Signs
+from cresstray.policy.controller import WINDOW, Limiter, Signs
+from cresstray.policy.types import Ending, Topic
+from cresstray.simulator import host as wirehost
+from cresstray.simulator import wire
 from tests.desk import Desk, TraceCase, settings
 from tests.test_rules import fill
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,14 +7,14 @@
 import msgspec
 
 from cresstray.clock import Clock, Timers
-from cresstray.coordinator import known
-from cresstray.counters import Counters
-from cresstray.engines.exchanges import Exchange
-from cresstray.engines.links import Link, Pool, Quota
-from cresstray.interface import Ending
-from cresstray.log import Log
-from cresstray.service import Service
-from cresstray.standins.coordinator import Coordinator, Listed
+from cresstray.discovery import endpoint_list as known
+from cresstray.emulators.coordinator import Coordinator, Listed
+from cresstray.engines.connection import Link, Pool, Quota
+from cresstray.engines.in_flight import Exchange
+from cresstray.gateway.service import Service
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.policy.types import Ending
 from tests.desk import ClientStandIn, Desk, EngineStandIn, TraceCase, settings
 
 BUSY = {"concurrent": 50.0, "load_share": 1.0}
--- a/tests/test_fleet_attack.py
+++ b/tests/test_fleet_attack.py
@@ -9,14 +9,14 @@
 import anyio
 import msgspec
 
-from cresstray.keeper.codec import Ask
+from cresstray.control_plane.codec import Ask
+from cresstray.emulators.fleet import crowd, stepped
+from cresstray.emulators.fleet.operators import Caller, admitted
+from cresstray.emulators.fleet.processes import NAME
+from cresstray.fleet_config.documents import Gateway, Gateways
 from cresstray.placement import moves
-from cresstray.placement.carrier import Carrier
+from cresstray.placement.move_executor import Carrier
 from cresstray.placement.moves import Event
-from cresstray.rules.documents import Gateway, Gateways
-from cresstray.standins.fleet import crowd, stepped
-from cresstray.standins.fleet.operators import Caller, admitted
-from cresstray.standins.fleet.processes import NAME
 from tests import test_placement_moves
 from tests.test_conformance import broken
 from tests.test_fleet_processes import Case, Played
--- a/tests/test_fleet_joined.py
+++ b/tests/test_fleet_joined.py
@@ -8,17 +8,18 @@
 
 import msgspec
 
-from cresstray.lab.joined import CORES, EXPECTED, MS, SECOND, Disked, StoppedError, World
-from cresstray.placement import carrier, moves
-from cresstray.placement.carrier import Carrier
+from cresstray.emulators.shards import RefusedError
+from cresstray.fleet_config import documents
+from cresstray.fleet_config import state as rules
+from cresstray.fleet_config.active_config import Mode, Use
+from cresstray.placement import move_executor as carrier
+from cresstray.placement import moves
+from cresstray.placement.move_executor import Carrier
 from cresstray.placement.moves import At, Event
 from cresstray.replicas import fallback, read
 from cresstray.replicas.positions import Board
 from cresstray.replicas.read import Read
-from cresstray.rules import documents
-from cresstray.rules import state as rules
-from cresstray.rules.use import Mode, Use
-from cresstray.standins.shards import RefusedError
+from cresstray.simulation.joined import CORES, EXPECTED, MS, SECOND, Disked, StoppedError, World
 
 PIN = "a strict pin is broken"
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -10,18 +10,18 @@
 import anyio
 from anyio.from_thread import start_blocking_portal
 
-from cresstray.keeper.codec import Ask, requests
-from cresstray.rules.documents import EngineRule, TariffRule, delta
-from cresstray.standins.account import Asked, Run
-from cresstray.standins.clients import draw
-from cresstray.standins.fleet import schedule
-from cresstray.standins.fleet.accounts import Ban, Spells, contradictions, without_commit
-from cresstray.standins.fleet.history import History, Operation
-from cresstray.standins.fleet.network import Mesh, Way
-from cresstray.standins.fleet.operators import Changed, Operator, Watch, admitted, client, edited, listed
-from cresstray.standins.fleet.processes import CANARY, FLEET_KINDS, HALL, NAME, Faults, Fleet, tenant
-from cresstray.standins.sockets import Peer, listen, serve
-from cresstray.streams import connect
+from cresstray.control_plane.codec import Ask, requests
+from cresstray.emulators.account import Asked, Run
+from cresstray.emulators.clients import draw
+from cresstray.emulators.fleet import schedule
+from cresstray.emulators.fleet.accounts import Ban, Spells, contradictions, without_commit
+from cresstray.emulators.fleet.history import History, Operation
+from cresstray.emulators.fleet.network import Mesh, Way
+from cresstray.emulators.fleet.operators import Changed, Operator, Watch, admitted, client, edited, listed
+from cresstray.emulators.fleet.processes import CANARY, FLEET_KINDS, HALL, NAME, Faults, Fleet, tenant
+from cresstray.emulators.sockets import Peer, listen, serve
+from cresstray.fleet_config.documents import EngineRule, TariffRule, delta
+from cresstray.transport.streams import connect
 
 
 def _history(*operations: tuple) -> History:
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -15,19 +15,30 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as some
 
-from cresstray.counters import Counters
-from cresstray.interface import Engine, Submission, Tariff
-from cresstray.logic import Limiter, Signs
-from cresstray.rules import codec, use
-from cresstray.rules import state as state_of
-from cresstray.rules.admission import Admission
-from cresstray.rules.checks import checked
-from cresstray.rules.codec import Behind, BrokenError, Content, Granted, Refused, Renew
-from cresstray.rules.documents import EMPTY, NAMES, Documents, World, delta, parsed, patched, plain, tidy
-from cresstray.rules.leases import NOT_NAMED, Leases
-from cresstray.rules.state import State, advance, gone, outcome, propose, section
-from cresstray.rules.strictest import divisor, strictest
-from cresstray.rules.use import Mode, Use
+from cresstray.fleet_config import active_config as use
+from cresstray.fleet_config import codec
+from cresstray.fleet_config import state as state_of
+from cresstray.fleet_config.active_config import Mode, Use
+from cresstray.fleet_config.admission import Admission
+from cresstray.fleet_config.codec import Behind, BrokenError, Content, Granted, Refused, Renew
+from cresstray.fleet_config.documents import (
+    EMPTY,
+    NAMES,
+    Documents,
+    World,
+    delta,
+    parsed,
+    patched,
+    plain,
+    tidy,
+)
+from cresstray.fleet_config.leases import NOT_NAMED, Leases
+from cresstray.fleet_config.state import State, advance, gone, outcome, propose, section
+from cresstray.fleet_config.strictest import divisor, strictest
+from cresstray.fleet_config.validation import checked
+from cresstray.observability.counters import Counters
+from cresstray.policy.controller import Limiter, Signs
+from cresstray.policy.types import Engine, Submission, Tariff
 
 LEASE, FLOOR_LEASE, DRIFT, MOST = 2_000_000, 8_000_000, 0.01, 20
 WORLD = World(
--- a/tests/test_fleet_shards.py
+++ b/tests/test_fleet_shards.py
@@ -10,10 +10,9 @@
 
 import anyio
 
-from cresstray.rules import documents
-from cresstray.standins.fleet.operators import Operator, Watch, edited, listed
-from cresstray.standins.fleet.processes import NAME
-from cresstray.standins.fleet.shards import (
+from cresstray.emulators.fleet.operators import Operator, Watch, edited, listed
+from cresstray.emulators.fleet.processes import NAME
+from cresstray.emulators.fleet.shards import (
     Plan,
     Seen,
     ShardFleet,
@@ -26,6 +25,7 @@
     judged,
     planned,
 )
+from cresstray.fleet_config import documents
 
 # Of each shard, the numbers of its copies, the primary first.
 PLACED = {"17": (2, 1), "18": (0, 3), "19": (1, 2)}
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -12,13 +12,23 @@
 
 from cresstray.consensus.log import Log
 from cresstray.consensus.raft import Node, Role
-from cresstray.lab.fleet import ALL_FAULTS, FAULTS, SECOND, Disk, Plan, World, all_named, half_and_all, played
-from cresstray.rules import strictest
-from cresstray.rules.codec import Behind, Frame, Granted
-from cresstray.rules.leases import Leases
-from cresstray.rules.state import State
-from cresstray.rules.use import Mode, Use
-from cresstray.standins.fleet.history import History, Operation
+from cresstray.emulators.fleet.history import History, Operation
+from cresstray.fleet_config import strictest
+from cresstray.fleet_config.active_config import Mode, Use
+from cresstray.fleet_config.codec import Behind, Frame, Granted
+from cresstray.fleet_config.leases import Leases
+from cresstray.fleet_config.state import State
+from cresstray.simulation.fleet import (
+    ALL_FAULTS,
+    FAULTS,
+    SECOND,
+    Disk,
+    Plan,
+    World,
+    all_named,
+    half_and_all,
+    played,
+)
 from tests.test_conformance import broken
 
 SMALL = {"gateways": 6, "engines": 12, "pause": SECOND // 10, "every": SECOND // 5, "delay": (500, 12_000)}
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -2,11 +2,11 @@
 
 import random
 
-from cresstray.halls import codec
-from cresstray.halls.credit import Credit, Ramp, Share
-from cresstray.halls.health import Health
-from cresstray.halls.ledger import State
-from cresstray.interface import Standing
+from cresstray.policy.types import Standing
+from cresstray.sites import codec
+from cresstray.sites.flow_control import Credit, Ramp, Share
+from cresstray.sites.health import Health
+from cresstray.sites.ledger import State
 from tests.desk import TraceCase
 from tests.halls import BEAT, HEAL, LEASE, SLOW, TARIFFS, TwoHalls
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -19,16 +19,16 @@
 import anyio
 import msgspec
 
-from cresstray import peers
-from cresstray.commands import authority, cli
-from cresstray.commands import fleet as commands
-from cresstray.conf import operator
-from cresstray.conf.lines import UnusableError
-from cresstray.frames import LONGEST, encode
-from cresstray.keeper.codec import Alive, Ask, requests
-from cresstray.rules.codec import Carried, Get, Renew, Request
-from cresstray.rules.follower import Follower, order
-from cresstray.rules.use import Mode, Use
+from cresstray.cli import authority, cli
+from cresstray.cli import fleet as commands
+from cresstray.config import operator
+from cresstray.config.lines import UnusableError
+from cresstray.control_plane.codec import Alive, Ask, requests
+from cresstray.fleet_config.active_config import Mode, Use
+from cresstray.fleet_config.codec import Carried, Get, Renew, Request
+from cresstray.fleet_config.follower import Follower, order
+from cresstray.transport import peers
+from cresstray.transport.framing import LONGEST, encode
 
 
 def free_ports(count: int) -> list[int]:
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -17,20 +17,25 @@
 import anyio
 import msgspec
 
-from cresstray.coordinator.known import Event, Member
-from cresstray.counters import Counters
-from cresstray.interface import Ending, Standing
-from cresstray.kept import fade, files, learnt, operate, record, trials
-from cresstray.kept.behind import Behind
-from cresstray.kept.belief import Beliefs, How, Source, State
-from cresstray.kept.fade import OLDEST, Moment
-from cresstray.kept.files import Folder, System, Writer
-from cresstray.kept.guard import Guard
-from cresstray.kept.keep import Keep
-from cresstray.kept.knock import knock
-from cresstray.kept.reconcile import INSISTS, LIFE, Tomb
-from cresstray.lab.cold import Unlinked
-from cresstray.passage.route import Route
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.membership import confidence as fade
+from cresstray.membership import inspection as operate
+from cresstray.membership import learned_state as learnt
+from cresstray.membership import probe_budget as trials
+from cresstray.membership import snapshot as record
+from cresstray.membership import snapshot_files as files
+from cresstray.membership.background_writer import Behind
+from cresstray.membership.confidence import OLDEST, Moment
+from cresstray.membership.connection_probe import knock
+from cresstray.membership.estimate import Beliefs, How, Source, State
+from cresstray.membership.guard import Guard
+from cresstray.membership.reconciliation import INSISTS, LIFE, Tomb
+from cresstray.membership.recovery import Keep
+from cresstray.membership.snapshot_files import Folder, System, Writer
+from cresstray.observability.counters import Counters
+from cresstray.pipeline.routing import Route
+from cresstray.policy.types import Ending, Standing
+from cresstray.simulation.cold import Unlinked
 from tests.desk import Desk, settings
 
 SECOND, START = 1_000_000, 1_800_000_000_000_000
@@ -623,7 +628,8 @@
     def test_two_processes_on_one_folder(self) -> None:
         with tempfile.TemporaryDirectory() as path:
             program = (
-                "from cresstray.kept.files import Folder; import sys; f = Folder(sys.argv[1], 'g1'); "
+                "import sys; from cresstray.membership.snapshot_files import Folder; "
+                "f = Folder(sys.argv[1], 'g1'); "
                 "print(f.lock(), flush=True); sys.stdin.read()"
             )
             with subprocess.Popen(
--- a/tests/test_kept_join.py
+++ b/tests/test_kept_join.py
@@ -16,20 +16,20 @@
 import anyio
 from anyio.abc import TaskGroup
 
+from cresstray.cli import cli
 from cresstray.clock import Clock
-from cresstray.commands import cli
-from cresstray.conf import operator
-from cresstray.coordinator.feed import Feed
-from cresstray.coordinator.known import Event
-from cresstray.counters import Counters
-from cresstray.kept.belief import How
-from cresstray.kept.files import NAMES, Folder
-from cresstray.kept.keep import AT_ONCE
-from cresstray.log import Log
-from cresstray.standins.account import Account
-from cresstray.standins.coordinator import Coordinator, Listed
-from cresstray.standins.engine import Engine, Marks
-from cresstray.standins.world import KINDS, Gateway, settings
+from cresstray.config import operator
+from cresstray.discovery.endpoint_list import Event
+from cresstray.discovery.watch import Feed
+from cresstray.emulators.account import Account
+from cresstray.emulators.coordinator import Coordinator, Listed
+from cresstray.emulators.engine import Engine, Marks
+from cresstray.emulators.world import KINDS, Gateway, settings
+from cresstray.membership.estimate import How
+from cresstray.membership.recovery import AT_ONCE
+from cresstray.membership.snapshot_files import NAMES, Folder
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
 from tests.desk import ClientStandIn
 from tests.test_kept import Fleet, member
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -4,13 +4,13 @@
 
 import hiredis
 
-from cresstray.check.world import VirtualClock
 from cresstray.clock import Timers
-from cresstray.counters import Counters
 from cresstray.engines import codec
 from cresstray.engines.codec import BrokenError
-from cresstray.engines.exchanges import Exchange
-from cresstray.engines.pool import _MOST_BEHIND, AnyLink, AnyPool, Quota
+from cresstray.engines.connection_pool import _MOST_BEHIND, AnyLink, AnyPool, Quota
+from cresstray.engines.in_flight import Exchange
+from cresstray.model_checking.world import VirtualClock
+from cresstray.observability.counters import Counters
 
 
 class FakeWire:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -17,16 +17,16 @@
 import anyio
 
 from cresstray.background import schedule, worker
+from cresstray.cli import authority, cli
 from cresstray.clock import Clock, Timers
-from cresstray.commands import authority, cli
-from cresstray.conf import operator
-from cresstray.conf.lines import UnusableError
-from cresstray.counters import Counters
-from cresstray.halls import codec, status
-from cresstray.halls.connections import Hub
-from cresstray.log import Log
-from cresstray.standins.clients import draw
-from cresstray.standins.world import KINDS, World, settings
+from cresstray.config import operator
+from cresstray.config.lines import UnusableError
+from cresstray.emulators.clients import draw
+from cresstray.emulators.world import KINDS, World, settings
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.sites import codec, status
+from cresstray.sites.links import Hub
 from tests.desk import TraceCase
 
 _GOOD = """# two halls
@@ -400,7 +400,7 @@
         """By a gateway that has served and ended. What asyncio loads by itself, ssl among it, is not ours."""
         script = (
             "import atexit, sys; atexit.register(lambda: print(*sys.modules)); "
-            "from cresstray.start import run; sys.exit(run())"
+            "from cresstray.gateway.startup import run; sys.exit(run())"
         )
         with tempfile.TemporaryDirectory() as folder:
             path = f"{folder}/config.json"
@@ -428,26 +428,26 @@
             "structlog",
             "sqlite3",
             "scipy",
-            "cresstray.halls",
-            "cresstray.conf",
-            "cresstray.commands",
-            "cresstray.standins",
-            "cresstray.passage.across",
-            "cresstray.passage.pinned",
-            "cresstray.fleet",
-            "cresstray.frames",
-            "cresstray.peers",
-            "cresstray.said",
+            "cresstray.sites",
+            "cresstray.config",
+            "cresstray.cli",
+            "cresstray.emulators",
+            "cresstray.pipeline.forwarding",
+            "cresstray.pipeline.replica_reads",
+            "cresstray.gateway.fleet_member",
+            "cresstray.transport.framing",
+            "cresstray.transport.peers",
+            "cresstray.observability.event_log",
             "cresstray.consensus",
-            "cresstray.rules",
-            "cresstray.keeper",
+            "cresstray.fleet_config",
+            "cresstray.control_plane",
             "cresstray.placement",
             "cresstray.replicas",
-            "cresstray.kept",
-            "cresstray.store",
-            "cresstray.marked",
+            "cresstray.membership",
+            "cresstray.idempotency",
+            "cresstray.pipeline.idempotency_checks",
             "cresstray.background",
             "redis",
         )
-        self.assertIn("cresstray.service", said)
+        self.assertIn("cresstray.gateway.service", said)
         self.assertEqual([], [name for name in said if name.startswith(unwanted)])
--- a/tests/test_placement_moves.py
+++ b/tests/test_placement_moves.py
@@ -18,15 +18,18 @@
 import hiredis
 import msgspec
 
-from cresstray.commands import placement as typed
-from cresstray.counters import Counters
+from cresstray.cli import placement as typed
+from cresstray.emulators.shards import Held, RefusedError, Shelf, passed_on
 from cresstray.engines.codec import Answer, Answers, ask
-from cresstray.placement import carrier, carry, model, moves, pace
-from cresstray.placement.carrier import Carrier, Command, Copy, Disk, Entry
+from cresstray.fleet_config import documents
+from cresstray.fleet_config import state as rules
+from cresstray.observability.counters import Counters
+from cresstray.placement import data_transfer as carry
+from cresstray.placement import model, moves
+from cresstray.placement import move_executor as carrier
+from cresstray.placement import pacing as pace
+from cresstray.placement.move_executor import Carrier, Command, Copy, Disk, Entry
 from cresstray.placement.moves import At, Event, Moves
-from cresstray.rules import documents
-from cresstray.rules import state as rules
-from cresstray.standins.shards import Held, RefusedError, Shelf, passed_on
 
 SECOND = 1_000_000
 TIMES = carrier.Times(gone=12 * SECOND, stuck=6 * SECOND, room=10 * SECOND, fenced=8 * SECOND)
@@ -607,7 +610,7 @@
         [
             sys.executable,
             "-m",
-            "cresstray.standins.shards",
+            "cresstray.emulators.shards",
             "--engine",
             engine,
             "--zone",
--- a/tests/test_placement_plan.py
+++ b/tests/test_placement_plan.py
@@ -18,7 +18,7 @@
 from cresstray.placement.fleetmap import Disk, Grown, UnknownError, after, fits, mapped
 from cresstray.placement.model import DeadEndError, Fleet, ImpossibleError, Limits, Move, Place, Shard, ladder
 from cresstray.placement.order import ordered
-from cresstray.placement.solve import solve
+from cresstray.placement.planner import solve
 from cresstray.placement.worker import Told, WorkerError, _answer, plan_in_worker
 
 _QUIET = dict(
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -13,23 +13,25 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from cresstray.coordinator.known import Event, Member
-from cresstray.counters import Counters
-from cresstray.interface import Engine, Standing, Submission, Tariff
-from cresstray.keeper import joined
-from cresstray.passage.pinned import Directory
-from cresstray.placement.carrier import Copy, Disk
-from cresstray.placement.carry import Hands
-from cresstray.replicas import asking, choose, fallback, read
-from cresstray.replicas.asking import Asking
-from cresstray.replicas.hint import HintError, read_hint
+from cresstray.control_plane import replica_positions as joined
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.fleet_config.active_config import InUse, Mode
+from cresstray.fleet_config.documents import Documents, Pin, Placement, Replicas, Shard
+from cresstray.observability.counters import Counters
+from cresstray.pipeline.replica_reads import Directory
+from cresstray.placement.data_transfer import Hands
+from cresstray.placement.move_executor import Copy, Disk
+from cresstray.policy.types import Engine, Standing, Submission, Tariff
+from cresstray.replicas import fallback, read
+from cresstray.replicas import position_polling as asking
+from cresstray.replicas import replica_selection as choose
+from cresstray.replicas.hints import HintError, read_hint
 from cresstray.replicas.pins import matching, narrowed, overload
+from cresstray.replicas.position_polling import Asking
 from cresstray.replicas.positions import Board, Cursor
 from cresstray.replicas.read import Reads
 from cresstray.replicas.sessions import Token, parsed, rendezvous, token
 from cresstray.replicas.spread import Peer, Talk, Word
-from cresstray.rules.documents import Documents, Pin, Placement, Replicas, Shard
-from cresstray.rules.use import InUse, Mode
 
 MS = 1000
 TABLE = tomllib.loads((Path(__file__).parent / "conformance" / "replicas.toml").read_text())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,6 @@
 """Each of the seven rules, with the case that tempts the module to break it."""
 
-from cresstray.interface import Ending, Standing
+from cresstray.policy.types import Ending, Standing
 from tests.desk import START, Desk, TraceCase, settings
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,16 +19,16 @@
 import anyio.lowlevel
 
 from cresstray import __main__ as program
-from cresstray.clients.connections import Door
+from cresstray.clients.listener import Door
 from cresstray.clock import Clock, Timers
-from cresstray.coordinator.known import Event, Member
-from cresstray.counters import Counters
-from cresstray.engines.exchanges import Exchange, Exchanges
-from cresstray.engines.links import Link, Pool, Quota
-from cresstray.interface import Standing
-from cresstray.log import Log
-from cresstray.passage.route import Route
-from cresstray.service import Service
+from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.engines.connection import Link, Pool, Quota
+from cresstray.engines.in_flight import Exchange, Exchanges
+from cresstray.gateway.service import Service
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.pipeline.routing import Route
+from cresstray.policy.types import Standing
 from tests.desk import ClientStandIn, EngineStandIn, TraceCase, settings
 from tests.test_codecs import frame
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,8 +15,8 @@
 from unittest import mock
 
 from cresstray import __main__ as program
-from cresstray import service
-from cresstray.service import Service
+from cresstray.gateway import service
+from cresstray.gateway.service import Service
 from tests.scripted import Engine, Gateway, listed, request, status, usual, withdrawal
 
 DEEP = b'{"settings":{"a":' + b"[" * 100_000
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,11 +20,11 @@
 
 import msgspec
 
-from cresstray.counters import Counters
-from cresstray.interface import Ending, Submission, Tariff
-from cresstray.store import codec, joined, journal, marks
-from cresstray.store.behind import Behind
-from cresstray.store.guard import (
+from cresstray.idempotency import codec, journal
+from cresstray.idempotency import coordinator as joined
+from cresstray.idempotency import records as marks
+from cresstray.idempotency.coordinator import Marks
+from cresstray.idempotency.execution_guard import (
     Abandon,
     Answer,
     Claim,
@@ -40,10 +40,12 @@
     Wait,
     guarded,
 )
-from cresstray.store.health import Health, StoreClock
-from cresstray.store.joined import Marks
-from cresstray.store.journal import BusyError, Entry, Journal, Scribe, System, UnusableError, What
-from cresstray.store.marks import Event, Kind, Mark, State, step
+from cresstray.idempotency.health import Health, StoreClock
+from cresstray.idempotency.journal import BusyError, Entry, Journal, Scribe, System, UnusableError, What
+from cresstray.idempotency.records import Event, Kind, Mark, State, step
+from cresstray.idempotency.write_behind import Behind
+from cresstray.observability.counters import Counters
+from cresstray.policy.types import Ending, Submission, Tariff
 
 SECOND, START = 1_000_000, 1_800_000_000_000_000
 MEMORY = 20 * SECOND
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -15,16 +15,16 @@
 import anyio
 import redis
 
+from cresstray.cli import authority
 from cresstray.clock import Clock, Timers
-from cresstray.commands import authority
-from cresstray.conf.store import Store, StoreTls
-from cresstray.counters import Counters
-from cresstray.log import Log
-from cresstray.standins.store import StoreProcess, encode
-from cresstray.store import codec
-from cresstray.store.client import Client, _Link
-from cresstray.store.codec import BrokenError, GreetError, Kind, Refused
-from cresstray.store.exchanges import Asked, Flight, Pause, Places
+from cresstray.config.idempotency import Store, StoreTls
+from cresstray.emulators.store import StoreProcess, encode
+from cresstray.idempotency import codec
+from cresstray.idempotency.client import Client, _Link
+from cresstray.idempotency.codec import BrokenError, GreetError, Kind, Refused
+from cresstray.idempotency.in_flight import Asked, Flight, Pause, Places
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
 
 # A call may be so much later than this process's loop was at its latest, in us.
 _LATE = 20_000
--- a/tests/test_store_processes.py
+++ b/tests/test_store_processes.py
@@ -13,11 +13,11 @@
 
 import anyio
 
-from cresstray.standins import world
-from cresstray.standins.account import Account, Asked
-from cresstray.standins.clients import Drawn, Kind, draw
-from cresstray.standins.fleet.processes import HALL
-from cresstray.standins.marks import (
+from cresstray.emulators import world
+from cresstray.emulators.account import Account, Asked
+from cresstray.emulators.clients import Drawn, Kind, draw
+from cresstray.emulators.fleet.processes import HALL
+from cresstray.emulators.marks import (
     MARKED,
     MarkClient,
     MarkedFleet,
@@ -26,8 +26,8 @@
     payoff,
     ran_again,
 )
-from cresstray.store import marks
-from cresstray.store.marks import Mark, State
+from cresstray.idempotency import records as marks
+from cresstray.idempotency.records import Mark, State
 
 MEMORY = 2.0
 LOOKUP, LOAD = replace(world.KINDS[0], work=0.01), replace(world.KINDS[2], work=0.05)
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -3,12 +3,12 @@
 import json
 from base64 import b64encode
 
-from cresstray.clients.talk import House, Next, Talk
-from cresstray.counters import Counters
+from cresstray.clients.session import House, Next, Talk
 from cresstray.engines import codec
 from cresstray.engines.codec import BrokenError
-from cresstray.engines.exchanges import Exchange
-from cresstray.engines.pool import AnyLink, AnyPool, Quota
+from cresstray.engines.connection_pool import AnyLink, AnyPool, Quota
+from cresstray.engines.in_flight import Exchange
+from cresstray.observability.counters import Counters
 from tests.desk import TraceCase
 
 
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -17,19 +17,19 @@
 import anyio.abc
 
 from cresstray import __main__ as program
-from cresstray import service as services
 from cresstray.clock import Clock
-from cresstray.coordinator import feed as feeds
-from cresstray.coordinator import known
-from cresstray.coordinator.feed import Feed
-from cresstray.coordinator.frames import Frames
-from cresstray.coordinator.known import Event, MalformedError, Member, foreseen
-from cresstray.counters import Counters
-from cresstray.interface import Standing
-from cresstray.log import Log
-from cresstray.passage.route import Route
-from cresstray.service import Service
-from cresstray.streams import connect
+from cresstray.discovery import endpoint_list as known
+from cresstray.discovery import watch as feeds
+from cresstray.discovery.codec import Frames
+from cresstray.discovery.endpoint_list import Event, MalformedError, Member, foreseen
+from cresstray.discovery.watch import Feed
+from cresstray.gateway import service as services
+from cresstray.gateway.service import Service
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.pipeline.routing import Route
+from cresstray.policy.types import Standing
+from cresstray.transport.streams import connect
 from tests.desk import ClientStandIn
 from tests.scripted import LONG, turns, until
 from tests.test_codecs import frame
@@ -781,7 +781,7 @@
                 os.environ["GW_CONFIG"] = str(path)
                 with (
                     contextlib.redirect_stderr(io.StringIO()) as said,
-                    mock.patch("cresstray.start.anyio.run"),
+                    mock.patch("cresstray.gateway.startup.anyio.run"),
                 ):
                     self.assertEqual(2, program.main())
                 self.assertEqual(1, said.getvalue().count("\n"), said.getvalue())
