--- a/benchmarks/fleet_virtual.py
+++ b/benchmarks/fleet_virtual.py
@@ -1,7 +1,7 @@
 """The fleet's own work, on a virtual clock: bytes of gateways, changes, leaders, and all coming back at once.
 
 python -m benchmarks.fleet_virtual [--seed N] [--gateways N] [--json]; its exit code is 1 where a property
-broke or an aim was missed. A minute of CPU, no socket. The machines are those of cresstray/simulation/fleet.py.
+broke or an aim was missed. A minute of CPU, no socket. See cresstray/simulation/fleet.py.
 """
 
 from __future__ import annotations
--- a/cresstray/background/schedule.py
+++ b/cresstray/background/schedule.py
@@ -37,7 +37,7 @@
     TIDY = 3  # expiry
 
 
-class Outcome(Enum):
+class JobResult(Enum):
     DONE = "done"  # over for now
     MORE = "more"  # wants another turn
     FAILED = "failed"  # tried again later, with spread
@@ -147,7 +147,7 @@
             return job
         return None
 
-    def ended(self, job: Job, outcome: Outcome, took: int, now: int) -> None:
+    def ended(self, job: Job, outcome: JobResult, took: int, now: int) -> None:
         """`took`: microseconds of the loop."""
         assert job.running, "a turn ended that was not begun"
         job.running = False
@@ -156,7 +156,7 @@
         if self._left <= 0:
             self._free_at = (self._at + 1 + -self._left // self._budget) * self._tick
         asked, job._next = job._next, None
-        if outcome is Outcome.FAILED:
+        if outcome is JobResult.FAILED:
             job.failed += 1
             first = max(_PAUSE, 2 * job.every)
             pause = min(max(job.longest_pause, first), first << min(job.failed - 1, 20))
@@ -164,7 +164,7 @@
             return
         job.failed = 0
         job.due = None
-        if outcome is Outcome.MORE:
+        if outcome is JobResult.MORE:
             self._put(job, now)
         elif job.every or asked is not None:
             # From now on, not from when it was due: a process that was stopped for a minute misses those
--- a/cresstray/background/worker.py
+++ b/cresstray/background/worker.py
@@ -6,8 +6,8 @@
 import traceback
 from collections.abc import Callable
 
-from cresstray.background.schedule import Job, Outcome, Priority, Schedule
-from cresstray.clock import Clock, Due, Timers
+from cresstray.background.schedule import Job, JobResult, Priority, Schedule
+from cresstray.clock import Clock, TimerHandle, Timers
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 
@@ -16,7 +16,7 @@
 # Last turns wait for threads and disks, and look so often whether these are done.
 _LAST_TURNS = 5_000
 
-Call = Callable[[int], Outcome | None]
+Call = Callable[[int], JobResult | None]
 
 
 def _spent() -> int:
@@ -48,7 +48,7 @@
         self._calls: dict[Job, Call] = {}
         self._last: dict[Job, Call] = {}  # of last turns
         self._started = self._turns = False
-        self._due, self._due_at = Due(0, self._turn), -1  # the next turn
+        self._due, self._due_at = TimerHandle(0, self._turn), -1  # the next turn
         self._begun = 0  # microseconds that what this turn has begun takes
         self._ending: list[Job] = []
         self._until = self._job_until = 0
@@ -107,10 +107,10 @@
             return
         now = self._clock.now()
         at = self._schedule.due(now)
-        if self._due.call is None or at != self._due_at:
+        if self._due.callback is None or at != self._due_at:
             self._due.cancel()
             if at is not None:
-                self._due, self._due_at = self._timers.after(at - now, self._turn), at
+                self._due, self._due_at = self._timers.call_after(at - now, self._turn), at
 
     def _turn(self, _now: int) -> None:
         self._due.cancel()
@@ -125,25 +125,25 @@
         self._counters.counts["background: put off"] = self._schedule.put_off
         self._arm()
 
-    def _run(self, job: Job, call: Call) -> tuple[Outcome, int, int]:
+    def _run(self, job: Job, call: Call) -> tuple[JobResult, int, int]:
         """What came of it, the microseconds that it took, and the time since."""
         before, self._begun = self._spent(), 0
-        outcome = Outcome.FAILED
+        outcome = JobResult.FAILED
         try:
-            outcome = call(self._clock.now()) or Outcome.DONE
+            outcome = call(self._clock.now()) or JobResult.DONE
         except Exception as trouble:
             self._counters.add("faults")
             # Danger: a job that fails for hours would fill the log with the same lines.
             if not job.failed:
                 told = "".join(traceback.format_exception(trouble))
-                self._log.say("fault", f"background work, {job.name}: {told}")
+                self._log.log("fault", f"background work, {job.name}: {told}")
         return outcome, self._spent() - before, self._clock.now()
 
-    def _count(self, job: Job, outcome: Outcome, took: int) -> None:
+    def _count(self, job: Job, outcome: JobResult, took: int) -> None:
         counts, name = self._counters.counts, f"background: {job.name}"
         counts[f"{name} turns"] += 1
         counts[f"{name} us"] += took
-        if outcome is Outcome.FAILED:
+        if outcome is JobResult.FAILED:
             counts[f"{name} failures"] += 1
         counts[f"{name} longest us"] = max(took, counts[f"{name} longest us"])
         counts[f"{name} latest us"] = max(job.late, counts[f"{name} latest us"])
@@ -159,10 +159,10 @@
             job = self._ending[0]
             outcome, took, now = self._run(job, self._last[job])
             self._count(job, outcome, took)
-            if outcome is Outcome.MORE and now < self._job_until:
-                self._timers.after(min(_LAST_TURNS, self._job_until - now), self._end)
+            if outcome is JobResult.MORE and now < self._job_until:
+                self._timers.call_after(min(_LAST_TURNS, self._job_until - now), self._end)
                 return
-            if outcome is Outcome.MORE:
+            if outcome is JobResult.MORE:
                 self._counters.add(f"background: {job.name} not ended")
             del self._ending[0]
             self._share(now)
--- a/cresstray/clients/codec.py
+++ b/cresstray/clients/codec.py
@@ -7,7 +7,7 @@
 import msgspec
 
 PARSE_ERROR, INVALID_REQUEST, UNKNOWN_METHOD, INVALID_PARAMS = -32700, -32600, -32601, -32602
-DENIED, ABANDONED = -32000, -32001
+REJECTED, FAILED = -32000, -32001
 
 
 class MalformedError(Exception):
@@ -22,33 +22,33 @@
     msgspec.Struct,
     rename={
         "name": "req",
-        "patience": "timeout",
+        "timeout_ms": "timeout",
         "tenant": "owner",
-        "mark": "opkey",
-        "estimate": "ms",
-        "megabytes": "est_mb",
+        "idempotency_key": "opkey",
+        "estimated_work_ms": "ms",
+        "memory_mb": "est_mb",
         "statement": "data",
     },
 ):
     """What a client asks for; times in milliseconds. `tariff` is the method, `mark` tells repeats apart."""
 
     name: Annotated[str, msgspec.Meta(pattern=r"\A[0-9a-f]{16}\Z")]
-    patience: Annotated[float, msgspec.Meta(gt=0, lt=1e9)]
+    timeout_ms: Annotated[float, msgspec.Meta(gt=0, lt=1e9)]
     statement: Annotated[bytes, msgspec.Meta(min_length=1)]
     tenant: str = ""
     # Danger: `$` matches before a last line feed as well, and it would go on to the engine; so do `req`'s.
     # Danger: a mark goes into a list of fields; a comma in it would make another field of the rest.
-    mark: Annotated[str, msgspec.Meta(pattern=r"\A[0-9A-Za-z_.:-]{0,128}\Z")] = ""
-    estimate: Annotated[float, msgspec.Meta(ge=0, lt=1e9)] = 0.0
-    megabytes: Annotated[float, msgspec.Meta(ge=0, lt=1e9)] = 0.0
-    tariff: str = ""
+    idempotency_key: Annotated[str, msgspec.Meta(pattern=r"\A[0-9A-Za-z_.:-]{0,128}\Z")] = ""
+    estimated_work_ms: Annotated[float, msgspec.Meta(ge=0, lt=1e9)] = 0.0
+    memory_mb: Annotated[float, msgspec.Meta(ge=0, lt=1e9)] = 0.0
+    class_name: str = ""
 
 
-class Withdrawal(msgspec.Struct):
+class Cancellation(msgspec.Struct, rename={"name": "req"}):
     """The client no longer waits, for the request of this id on its connection or of this name."""
 
     id: int | None = None
-    req: str | None = None
+    name: str | None = None
 
 
 class Status(msgspec.Struct):
@@ -67,11 +67,11 @@
 
 
 _envelope, _id = msgspec.json.Decoder(_Envelope), msgspec.json.Decoder(_Id)
-_withdrawal, _query = msgspec.json.Decoder(Withdrawal), msgspec.json.Decoder(Query)
+_withdrawal, _query = msgspec.json.Decoder(Cancellation), msgspec.json.Decoder(Query)
 _encode = msgspec.json.Encoder().encode
 
 
-def decode(line: bytes, tariffs: frozenset[str]) -> tuple[int | None, Query | Withdrawal | Status]:
+def decode(line: bytes, request_classes: frozenset[str]) -> tuple[int | None, Query | Cancellation | Status]:
     """One line as its id and a typed value, or MalformedError with the standard code."""
     try:
         envelope = _envelope.decode(line)
@@ -83,11 +83,11 @@
     if envelope.jsonrpc != "2.0":
         raise MalformedError(INVALID_REQUEST, "the version must be 2.0", number)
     try:
-        if method in tariffs:
+        if method in request_classes:
             if number is None:
                 raise MalformedError(INVALID_REQUEST, "a request needs an id")
             query = _query.decode(envelope.params)
-            query.tariff = method
+            query.class_name = method
             return number, query
         if method == "withdraw":
             return number, _withdrawal.decode(envelope.params)
@@ -106,23 +106,23 @@
     return number if type(number) is int and number >= 1 else None
 
 
-def fulfilled(number: int, result: bytes, at: str | None = None) -> bytes:
+def encode_success(number: int, result: bytes, at: str | None = None) -> bytes:
     """`at`: how far a hinted read has seen, for the client to hand back."""
     told = {"data": result} if at is None else {"data": result, "at": at}
     return _encode({"jsonrpc": "2.0", "id": number, "result": told}) + b"\n"
 
 
-def healthy(number: int) -> bytes:
+def encode_status(number: int) -> bytes:
     return _encode({"jsonrpc": "2.0", "id": number, "result": {"pass": True}}) + b"\n"
 
 
-def denied(number: int, come_back: int) -> bytes:
+def encode_rejection(number: int, come_back: int) -> bytes:
     """`come_back` in milliseconds; 0 tells nothing of it."""
-    error: dict = {"code": DENIED, "message": "refused"}
+    error: dict = {"code": REJECTED, "message": "refused"}
     if come_back:
         error["data"] = {"holdoff": come_back}
     return _encode({"jsonrpc": "2.0", "id": number, "error": error}) + b"\n"
 
 
-def failed(number: int | None, code: int, text: str) -> bytes:
+def encode_error(number: int | None, code: int, text: str) -> bytes:
     return _encode({"jsonrpc": "2.0", "id": number, "error": {"code": code, "message": text}}) + b"\n"
--- a/cresstray/clock.py
+++ b/cresstray/clock.py
@@ -27,17 +27,17 @@
 _with_sleep = partial(time.clock_gettime_ns, time.CLOCK_BOOTTIME)
 
 
-class Due:
+class TimerHandle:
     """One call that is to come; `cancel` keeps it from being made."""
 
-    __slots__ = ("at", "call")
+    __slots__ = ("due_us", "callback")
 
     def __init__(self, at: int, call: Callable[[int], None]) -> None:
-        self.at = at
-        self.call: Callable[[int], None] | None = call
+        self.due_us = at
+        self.callback: Callable[[int], None] | None = call
 
     def cancel(self) -> None:
-        self.call = None
+        self.callback = None
 
 
 class Timers:
@@ -48,14 +48,14 @@
 
     def __init__(self, clock: Clock, fault: Callable[[Exception], None] | None = None) -> None:
         self._clock, self._fault = clock, fault
-        self._heap: list[tuple[int, int, Due]] = []
+        self._heap: list[tuple[int, int, TimerHandle]] = []
         self._order = count()
         self._changed = asyncio.Event()
-        self.latest = 0  # by how much a call was late at the most, in microseconds
+        self.max_lateness_us = 0  # by how much a call was late at the most, in microseconds
 
-    def after(self, delay: int, call: Callable[[int], None]) -> Due:
-        due = Due(self._clock.now() + max(0, delay), call)
-        heapq.heappush(self._heap, (due.at, next(self._order), due))
+    def call_after(self, delay: int, call: Callable[[int], None]) -> TimerHandle:
+        due = TimerHandle(self._clock.now() + max(0, delay), call)
+        heapq.heappush(self._heap, (due.due_us, next(self._order), due))
         if self._heap[0][2] is due:
             self._changed.set()
         return due
@@ -65,12 +65,12 @@
         while self._heap:
             now = self._clock.now()
             at, _, due = self._heap[0]
-            if due.call is not None and at > now:
+            if due.callback is not None and at > now:
                 return at - now
             heapq.heappop(self._heap)
-            if due.call is not None:
-                self.latest = max(self.latest, now - at)
-                self._make(due.call, now)
+            if due.callback is not None:
+                self.max_lateness_us = max(self.max_lateness_us, now - at)
+                self._make(due.callback, now)
         return None
 
     def _make(self, call: Callable[[int], None], now: int) -> None:
--- a/cresstray/discovery/codec.py
+++ b/cresstray/discovery/codec.py
@@ -5,11 +5,11 @@
 import struct
 from ipaddress import IPv4Address
 
-from cresstray.discovery.endpoint_list import Event, MalformedError, Member
-from cresstray.policy.types import Standing
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent, MalformedError
+from cresstray.policy.types import EndpointState
 
 _LENGTH, _HEAD, _RECORD = struct.Struct(">I"), struct.Struct(">QB"), struct.Struct(">IIHBBBHIQ")
-_STANDINGS = {0: Standing.READY, 1: Standing.DRAINING, 2: Standing.GONE}
+_STANDINGS = {0: EndpointState.READY, 1: EndpointState.DRAINING, 2: EndpointState.REMOVED}
 _NOTHING, _WHOLE, _CHANGES = 0, 1, 2
 # Some hundred thousand engines, far over any fleet; what says to be longer is no frame.
 _LONGEST = 4_000_000
@@ -20,7 +20,7 @@
     return struct.pack(">Q", last)
 
 
-class Frames:
+class EventDecoder:
     """The events in what is received, however it is cut. Frames that tell nothing new yield None.
 
     What can't be a frame raises MalformedError, in the next call where others came before it.
@@ -29,9 +29,9 @@
     def __init__(self) -> None:
         self._buffer = bytearray()
 
-    def feed(self, data: bytes) -> list[Event | None]:
+    def feed(self, data: bytes) -> list[EndpointEvent | None]:
         self._buffer += data
-        found: list[Event | None] = []
+        found: list[EndpointEvent | None] = []
         try:
             while (length := self._length()) is not None:
                 found.append(self._event(bytes(self._buffer[4 : 4 + length])))
@@ -51,14 +51,16 @@
             raise MalformedError(f"a frame of {length} bytes")
         return length if len(self._buffer) >= _LENGTH.size + length else None
 
-    def _event(self, frame: bytes) -> Event | None:
+    def _event(self, frame: bytes) -> EndpointEvent | None:
         number, kind = _HEAD.unpack_from(frame)
         if kind == _NOTHING:
             return None
         records = frame[_HEAD.size :]
         if kind not in (_WHOLE, _CHANGES) or len(records) % _RECORD.size:
             raise MalformedError(f"a frame of kind {kind} with {len(records)} bytes")
-        return Event(number, kind == _WHOLE, [self._member(*one) for one in _RECORD.iter_unpack(records)])
+        return EndpointEvent(
+            number, kind == _WHOLE, [self._member(*one) for one in _RECORD.iter_unpack(records)]
+        )
 
     def _member(
         self,
@@ -71,11 +73,11 @@
         cell: int,
         _weight: int,
         started: int,
-    ) -> Member:
+    ) -> Endpoint:
         # Danger: a fleet grows into zones and kinds that this gateway's settings do not name yet; refused,
         # they would take the whole list with them, and for good. They are zones and kinds like any other.
         if state not in _STANDINGS:
             raise MalformedError(f"a record of state {state}")
-        return Member(
+        return Endpoint(
             number, str(IPv4Address(address)), port, _STANDINGS[state], zone, machine, cell, started * 1000
         )
--- a/cresstray/discovery/endpoint_list.py
+++ b/cresstray/discovery/endpoint_list.py
@@ -8,30 +8,30 @@
 
 import msgspec
 
-from cresstray.policy.types import Standing
+from cresstray.policy.types import EndpointState
 
 
 class MalformedError(Exception):
     """An event that does not follow the coordinator's page."""
 
 
-class Member(msgspec.Struct):
+class Endpoint(msgspec.Struct):
     """One engine of an event."""
 
     id: int
     host: str
     port: int
-    standing: Standing
+    state: EndpointState
     zone: int
-    machine: int
+    instance_type: int
     cell: int
-    started: int  # microseconds; 0: long ago
+    started_us: int  # microseconds; 0: long ago
 
 
-class Event(msgspec.Struct):
-    number: int
-    complete: bool
-    members: list[Member]
+class EndpointEvent(msgspec.Struct):
+    index: int
+    is_complete: bool
+    endpoints: list[Endpoint]
 
 
 class _Member(msgspec.Struct):
@@ -54,14 +54,18 @@
     endpoints: _Endpoints
 
 
-class Known(msgspec.Struct):
+class InitialList(msgspec.Struct):
     """What the configuration holds under `known`."""
 
     index: int = 0
     updates: list[_Update] = []
 
 
-_STANDINGS = {"in_service": Standing.READY, "terminating": Standing.DRAINING, "terminated": Standing.GONE}
+_STANDINGS = {
+    "in_service": EndpointState.READY,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.REMOVED,
+}
 _ID = re.compile("s-[0-9a-fA-F]{1,8}")
 _NUMBERS = 2**64  # what a frame holds of an event's number, and of a start
 
@@ -81,7 +85,7 @@
     return host, number
 
 
-def events(known: Known, settings: Mapping) -> list[Event]:
+def initial_events(known: InitialList, settings: Mapping) -> list[EndpointEvent]:
     """The events of the start; MalformedError where one follows no page."""
     zones, machines = _Places(settings.get("Localities", [])), _Places(settings.get("Flavors", []))
     for update in known.updates:
@@ -89,7 +93,7 @@
         if not 0 <= update.index < _NUMBERS:
             raise MalformedError(f"an event of the number {update.index}")
     return [
-        Event(
+        EndpointEvent(
             update.index,
             update.endpoints.complete,
             [_member(member, zones, machines) for member in update.endpoints.members],
@@ -114,13 +118,13 @@
         return place
 
 
-def _member(given: _Member, zones: _Places, machines: _Places) -> Member:
+def _member(given: _Member, zones: _Places, machines: _Places) -> Endpoint:
     try:
         if not _ID.fullmatch(given.id):
             raise ValueError(f"an id {given.id!r}")
         if not 0 <= given.up_since_ms < _NUMBERS:
             raise ValueError(f"a start at {given.up_since_ms}")
-        return Member(
+        return Endpoint(
             int(given.id[2:], 16),
             *address_of(given.host_port),
             _STANDINGS[given.phase],
@@ -133,20 +137,20 @@
         raise MalformedError(f"engine {given.id}: {trouble}") from None
 
 
-def foreseen(events: Sequence[Event]) -> list[Event]:
+def apply_final_states(events: Sequence[EndpointEvent]) -> list[EndpointEvent]:
     """Events that have come together, each with the last word of all on engines that drain or go."""
     if len(events) < 2:
         return list(events)
     # What a whole list has behind it says nothing more.
-    whole = max((at for at, event in enumerate(events) if event.complete), default=0)
-    last = {member.id: member for event in events[whole:] for member in event.members}
+    whole = max((at for at, event in enumerate(events) if event.is_complete), default=0)
+    last = {member.id: member for event in events[whole:] for member in event.endpoints}
     # Danger: the module sends between two events, and must not send to what the next one drains.
-    ending = {number: member for number, member in last.items() if member.standing is not Standing.READY}
+    ending = {number: member for number, member in last.items() if member.state is not EndpointState.READY}
     return [
-        Event(
-            event.number,
-            event.complete,
-            [member for member in event.members if member.id not in ending] + list(ending.values()),
+        EndpointEvent(
+            event.index,
+            event.is_complete,
+            [member for member in event.endpoints if member.id not in ending] + list(ending.values()),
         )
         for event in events[whole:]
     ]
--- a/cresstray/discovery/watch.py
+++ b/cresstray/discovery/watch.py
@@ -7,11 +7,11 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.discovery.codec import Frames, hello
-from cresstray.discovery.endpoint_list import Event, MalformedError, address_of, foreseen
+from cresstray.discovery.codec import EventDecoder, hello
+from cresstray.discovery.endpoint_list import EndpointEvent, MalformedError, address_of, apply_final_states
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.transport.streams import ENDED, Line, connect, contained
+from cresstray.transport.streams import ENDED, SocketStream, connect, contained
 
 # Events count as told two seconds after a break and four after a silence, whether they came or not. An empty
 # frame comes each second: after one and a half the link is taken for dead, with time for two more tries.
@@ -33,7 +33,7 @@
 _MOST_TRIES = 3
 
 
-class Feed:
+class EndpointWatch:
     """`address` as host:port, ValueError where it is none; without one the list stays as it is.
 
     `chance`, from 0 to 1, spreads the pauses before a link is made again, by a half to either side.
@@ -43,7 +43,7 @@
         self,
         address: str | None,
         last: int,
-        told: Callable[[Event], None],
+        told: Callable[[EndpointEvent], None],
         counters: Counters,
         log: Log,
         chance: Callable[[], float] = lambda: 0.5,
@@ -51,15 +51,17 @@
         whole_frame: float = _WHOLE_FRAME,
         connecting: float = _CONNECT,
     ) -> None:
-        self._address, self.last = _parts(address), last
+        self._address, self.last_index = _parts(address), last
         self._told, self._counters, self._log, self._chance = told, counters, log, chance
         self._silence, self._whole_frame, self._connecting = silence, whole_frame, connecting
         self._scope: anyio.CancelScope | None = None  # of the coordinator that is followed
-        self._line: Line | None = None  # the link, once it is up
+        self._line: SocketStream | None = None  # the link, once it is up
         self._heard = 0.0  # when it came up, or said something
         self._at_rest = False  # the last that it said was that there is nothing new
         self._tries = 0  # of telling the event behind the last
-        self.takes_older = False  # whoever is told can tell an old list from a new one, see docs/kept.md
+        self.accepts_older_list = (
+            False  # whoever is told can tell an old list from a new one, see docs/kept.md
+        )
 
     def move(self, address: str | None) -> None:
         """Leaves the link to the coordinator for one to this address, at once; the numbers carry on."""
@@ -69,11 +71,11 @@
         # Danger: after a reload the link may be told nothing more, also where the address is the same, and
         # what there is to tell counts as told four seconds later.
         self._address = parts
-        self._log.say("coordinator", f"now follows {address}")
+        self._log.log("coordinator", f"now follows {address}")
         if self._scope is not None:
             self._scope.cancel()
 
-    async def caught_up(self, within: float) -> None:
+    async def wait_until_current(self, within: float) -> None:
         """Until what the coordinator had to tell at the start has been told, or for `within` seconds."""
         if self._address is None:
             return
@@ -97,9 +99,9 @@
             await anyio.sleep_forever()
         pause = _FIRST_PAUSE
         while True:
-            last, began = self.last, anyio.current_time()
+            last, began = self.last_index, anyio.current_time()
             await self._one_link(tasks, *self._address)
-            worked = self.last != last or anyio.current_time() - began >= _WORKED
+            worked = self.last_index != last or anyio.current_time() - began >= _WORKED
             pause = _FIRST_PAUSE if worked else min(_LONGEST_PAUSE, 2 * pause)
             # Danger: all gateways find the coordinator gone at once, and would come back at once.
             await anyio.sleep(pause * (0.5 + self._chance()))
@@ -111,22 +113,22 @@
                 await self._follow(tasks, host, port)
             except (*ENDED, MalformedError, TimeoutError) as trouble:
                 self._counters.add("coordinator links ended")
-                self._log.say("coordinator", f"link ended, made again: {trouble!r}")
+                self._log.log("coordinator", f"link ended, made again: {trouble!r}")
 
     async def _follow(self, tasks: TaskGroup, host: str, port: int) -> None:
         with anyio.fail_after(self._connecting):
             made = await connect(host, port)
         # What breaks it while it is written to is heard of in the reading.
-        with Line(made, tasks, lambda: None) as line:
-            line.put(hello(self.last))
+        with SocketStream(made, tasks, lambda: None) as line:
+            line.write(hello(self.last_index))
             self._line, self._heard, self._at_rest = line, anyio.current_time(), False
             try:
                 await self._listen(line)
             finally:
                 self._line = None
 
-    async def _listen(self, line: Line) -> None:
-        frames, older = Frames(), self.takes_older
+    async def _listen(self, line: SocketStream) -> None:
+        frames, older = EventDecoder(), self.accepts_older_list
         due = anyio.current_time() + self._whole_frame
         while True:
             # Danger: bytes that never make a frame are no sign of life.
@@ -137,31 +139,31 @@
                 due = anyio.current_time() + self._whole_frame
                 self._counters.add("coordinator frames", len(found))
                 events = [event for event in found if event is not None]
-                for event in foreseen(self._news(events, older)):
+                for event in apply_final_states(self._news(events, older)):
                     self._tell(event)
                 older = older and not events
                 self._at_rest = found[-1] is None
 
-    def _news(self, events: Iterable[Event], older: bool) -> list[Event]:
+    def _news(self, events: Iterable[EndpointEvent], older: bool) -> list[EndpointEvent]:
         """Those that are new; `older`: the first may be a whole list of a smaller number."""
-        news, last = [], self.last
+        news, last = [], self.last_index
         for event in events:
             # Danger: an event told twice is nothing new, and no reason to leave the link. A coordinator that
             # was founded anew, or is behind, begins with its whole list.
-            if event.number > last or older and event.complete and event.number < last:
+            if event.index > last or older and event.is_complete and event.index < last:
                 news.append(event)
-                last = event.number
+                last = event.index
             older = False
         return news
 
-    def _tell(self, event: Event) -> None:
+    def _tell(self, event: EndpointEvent) -> None:
         """The number is taken once the event is told: one whose telling fails half way comes again."""
         self._tries += 1
         if self._tries == _MOST_TRIES:
             # Danger: one that can't be told at all would keep all behind it away, drains too.
-            self.last, self._tries = event.number, 0
+            self.last_index, self._tries = event.index, 0
         self._told(event)
-        self.last, self._tries = event.number, 0
+        self.last_index, self._tries = event.index, 0
         self._counters.add("coordinator events")
 
 
--- a/cresstray/emulators/clients.py
+++ b/cresstray/emulators/clients.py
@@ -121,7 +121,7 @@
 
     def say(self, message: dict) -> None:
         if self._peer is not None:
-            self._peer.line.put(json.dumps(message).encode() + b"\n")
+            self._peer.line.write(json.dumps(message).encode() + b"\n")
 
     def close(self) -> None:
         if self._peer is not None:
--- a/cresstray/emulators/cold.py
+++ b/cresstray/emulators/cold.py
@@ -103,7 +103,7 @@
             while (message := reader.gets()) is not False:
                 if message[0] == b"ASK":
                     self.got[message[2].split(b",")[0].decode().removeprefix("c=")] += 1
-            peer.line.put(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+            peer.line.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 
         await peer.run(take)
 
@@ -138,7 +138,7 @@
 
     def _catch_up(self, peer: Peer) -> None:
         for _, event in self._told[self._following[peer] :]:
-            peer.line.put(event)
+            peer.line.write(event)
         self._following[peer] = len(self._told)
 
     async def run(self) -> None:
@@ -153,7 +153,7 @@
         while True:
             await anyio.sleep(1)
             for peer in self._following:
-                peer.line.put(struct.pack(">IQB", 9, self._told[-1][0], 0))
+                peer.line.write(struct.pack(">IQB", 9, self._told[-1][0], 0))
 
     async def _serve(self, made: socket.socket, tasks: TaskGroup) -> None:
         peer, said = Peer(made, tasks), bytearray()
--- a/cresstray/emulators/coordinator.py
+++ b/cresstray/emulators/coordinator.py
@@ -77,7 +77,7 @@
 
     def _catch_up(self, peer: Peer) -> None:
         for event in self._events[self._following[peer] :]:
-            peer.line.put(event)
+            peer.line.write(event)
         self._following[peer] = len(self._events)
 
     async def run(self) -> None:
@@ -86,7 +86,7 @@
             while True:
                 await anyio.sleep(1)
                 for peer in self._following:
-                    peer.line.put(struct.pack(">IQB", 9, len(self._events), 0))
+                    peer.line.write(struct.pack(">IQB", 9, len(self._events), 0))
 
     async def _serve(self, made: socket.socket, tasks: TaskGroup) -> None:
         peer, said = Peer(made, tasks), bytearray()
--- a/cresstray/emulators/engine.py
+++ b/cresstray/emulators/engine.py
@@ -210,4 +210,4 @@
 
     def _say(self, peer: Peer, *parts: bytes | str) -> None:
         if not self.silent:
-            peer.line.put(hiredis.pack_command(parts))
+            peer.line.write(hiredis.pack_command(parts))
--- a/cresstray/emulators/fleet/network.py
+++ b/cresstray/emulators/fleet/network.py
@@ -67,7 +67,7 @@
                 await anyio.sleep(max(0.0, due[0][0] - anyio.current_time()))
                 await self._passable(sink, way)
                 data = due.popleft()[1]
-                sink.line.put(data)
+                sink.line.write(data)
                 if self.rate:
                     await anyio.sleep(len(data) / self.rate)
 
--- a/cresstray/emulators/fleet/operators.py
+++ b/cresstray/emulators/fleet/operators.py
@@ -22,7 +22,7 @@
 from cresstray.sites.tls import Contexts, Sealed
 from cresstray.transport.framing import BrokenError, Frame, Frames, encode
 from cresstray.transport.peers import hello
-from cresstray.transport.streams import ENDED, Line, connect
+from cresstray.transport.streams import ENDED, SocketStream, connect
 
 _numbers = itertools.count(1)
 _BACK = (Greet, Reply, Content)  # positions are told to those only that tell some
@@ -61,20 +61,20 @@
         name = "operator" if role == "operator" and keys else name
         self._greeting, self._port, self._tasks = hello(role, fleet, name, f"{next(_numbers):x}"), port, tasks
         self._contexts = keys.contexts(name) if keys else None
-        self._line: Line | None = None
-        self._channel: Line | Sealed | None = None
+        self._line: SocketStream | None = None
+        self._channel: SocketStream | Sealed | None = None
         self._frames = Frames(_BACK)
 
     async def put(self, frames: Iterable[Frame]) -> None:
         if self._line is None:
             made = await connect("127.0.0.1", self._port)
-            self._channel = self._line = Line(made, self._tasks, lambda: None)
+            self._channel = self._line = SocketStream(made, self._tasks, lambda: None)
             self._frames = Frames(_BACK)
             if self._contexts is not None:
                 self._channel = Sealed(self._line, self._contexts, False)
                 await self._channel.shake_hands()
-            self._channel.put(encode(self._greeting))
-        self._channel.put(b"".join(map(encode, frames)))
+            self._channel.write(encode(self._greeting))
+        self._channel.write(b"".join(map(encode, frames)))
 
     async def frames(self) -> list[Frame]:
         return self._frames.feed(await self._channel.receive())
--- a/cresstray/emulators/network.py
+++ b/cresstray/emulators/network.py
@@ -80,7 +80,7 @@
                     while way in self.silent:
                         # Open and silent: what does not come through comes later, if the connection lives on.
                         await anyio.sleep(0.02)
-                    sink.line.put(data)
+                    sink.line.write(data)
                     if self.rate:
                         await anyio.sleep(len(data) / self.rate)
 
--- a/cresstray/emulators/shards.py
+++ b/cresstray/emulators/shards.py
@@ -396,7 +396,7 @@
             self._save()  # before it is told
         if not self.silent:
             body = msgspec.json.encode(told)
-            peer.line.put(b"$%d\r\n%s\r\n" % (len(body), body))
+            peer.line.write(b"$%d\r\n%s\r\n" % (len(body), body))
 
     def _tell(self) -> dict:
         self._advance()
@@ -551,7 +551,7 @@
     def __init__(self, engine: ShardEngine, feed: str) -> None:
         self.feed, self._engine = feed, engine
         self._asked: deque[tuple[str, str, int]] = deque()
-        self._line: streams.Line | None = None
+        self._line: streams.SocketStream | None = None
 
     def fetch(self, shard: str, offset: int, most: int) -> None:
         self._put("GIVE", shard, offset, most)
@@ -563,7 +563,7 @@
         if self._line is not None and not any(one[:2] == (what, shard) for one in self._asked):
             self._asked.append((what, shard, offset))
             words = [what, shard, *([str(offset)] if more else []), *map(str, more)]
-            self._line.put(hiredis.pack_command(tuple(words)))
+            self._line.write(hiredis.pack_command(tuple(words)))
 
     async def run(self) -> None:
         host, _, port = self.feed.rpartition(":")
@@ -571,7 +571,7 @@
             with anyio.fail_after(1.0):
                 made = await streams.connect(host, int(port))
             async with anyio.create_task_group() as tasks:
-                with streams.Line(made, tasks, tasks.cancel_scope.cancel) as self._line:
+                with streams.SocketStream(made, tasks, tasks.cancel_scope.cancel) as self._line:
                     reader = hiredis.Reader()
                     while True:
                         reader.feed(await self._line.receive(5.0))
--- a/cresstray/emulators/sockets.py
+++ b/cresstray/emulators/sockets.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.transport.streams import ENDED, Line
+from cresstray.transport.streams import ENDED, SocketStream
 
 
 def listen(port: int = 0) -> socket.socket:
@@ -22,7 +22,7 @@
 
     def __init__(self, made: socket.socket, tasks: TaskGroup) -> None:
         self.scope = anyio.CancelScope()
-        self.line = Line(made, tasks, self.scope.cancel)
+        self.line = SocketStream(made, tasks, self.scope.cancel)
 
     def reset(self) -> None:
         """Ends it as a process that dies does."""
--- a/cresstray/emulators/store.py
+++ b/cresstray/emulators/store.py
@@ -26,7 +26,7 @@
 
 from cresstray.emulators.sockets import Peer, listen, serve
 from cresstray.idempotency import codec
-from cresstray.transport.streams import ENDED, Line, connect
+from cresstray.transport.streams import ENDED, SocketStream, connect
 
 FAULTS = """\
 slow fixed MS | uniform MS MS | log MEDIAN_MS SIGMA     each command runs and is answered so much later
@@ -127,7 +127,7 @@
     def __init__(self, peer: Peer, number: int, known: bool) -> None:
         self.peer, self.number, self.known = peer, number, known
         self.protocol, self.due, self.name = 2, 0.0, b""
-        self.put: Callable[[bytes], object] = peer.line.put
+        self.put: Callable[[bytes], object] = peer.line.write
 
 
 class Store:
@@ -162,7 +162,7 @@
         self._primary: tuple[str, int] | None = None  # of which this is a copy
         self._lag = 0
         self._coming: deque[tuple[int, dict]] = deque()  # from the primary, not here yet
-        self._followers: set[Line] = set()
+        self._followers: set[SocketStream] = set()
         self._following = anyio.CancelScope()
         self._account: deque[tuple[int, int, str, str, str]] = deque(maxlen=_MOST_ACCOUNT)
         self._counts: Counter[str] = Counter()
@@ -194,7 +194,7 @@
 
                     channel = Sealed(peer.line, self._tls, True)
                     await channel.shake_hands()
-                guest.put = channel.put
+                guest.put = channel.write
                 while True:
                     if self._frozen is not None:
                         await self._frozen.wait()
@@ -271,7 +271,7 @@
         if self._cut:
             self._cut -= 1
             guest.put(message[: max(1, len(message) // 2)])
-            guest.peer.line.finish()
+            guest.peer.line.write_eof_when_drained()
             self._guests.discard(guest)
             return
         if self._junk:
@@ -457,7 +457,7 @@
 
     def _write_told(self, at: int, key: bytes, entry: tuple[bytes | list, int | None] | None) -> None:
         for line in self._followers:
-            line.put(_line(_shown(at, key, entry)))
+            line.write(_line(_shown(at, key, entry)))
 
     async def _follow(self, host: str, port: int) -> None:
         """Copies the primary, for as long as it lives."""
@@ -465,8 +465,8 @@
         buffer = b""
         with anyio.CancelScope() as self._following:
             try:
-                with Line(await connect(host, port), self._tasks, self._following.cancel) as line:
-                    line.put(b"followed\n")
+                with SocketStream(await connect(host, port), self._tasks, self._following.cancel) as line:
+                    line.write(b"followed\n")
                     while True:
                         buffer += await line.receive()
                         *whole, buffer = buffer.split(b"\n")
@@ -499,7 +499,7 @@
                 word, *more = one.decode().split(" ", 1)
                 if word == "followed":
                     self._followers.add(peer.line)
-                    peer.line.put(
+                    peer.line.write(
                         _line({"all": True})
                         + b"".join(
                             _line(_shown(self.now(), key, entry)) for key, entry in self.data.held.items()
@@ -510,7 +510,7 @@
                     told = getattr(self, f"_be_{word}")(*more)
                 except (AttributeError, TypeError, ValueError, IndexError, KeyError) as trouble:
                     told = {"error": repr(trouble)}
-                peer.line.put(_line(told if told is not None else {"done": word}))
+                peer.line.write(_line(told if told is not None else {"done": word}))
 
         try:
             await peer.run(take)
--- a/cresstray/engines/codec.py
+++ b/cresstray/engines/codec.py
@@ -32,14 +32,14 @@
     """One answer; `pages` with the first page, `page` with a further one."""
 
     name: bytes
-    word: bytes
+    kind: bytes
     pages: int
     page: int
     report: dict[str, float]
     body: bytes
 
 
-class Answers:
+class AnswerDecoder:
     """The answers in what is received, however it is cut.
 
     What can't be an answer raises BrokenError, in the next call where good ones came before it.
@@ -52,7 +52,7 @@
         self._buffer = bytearray()
         self._broken: BrokenError | None = None
 
-    def begun(self) -> bool:
+    def has_partial_answer(self) -> bool:
         """Whether part of an answer has come, and the rest has not."""
         return bool(self._buffer)
 
@@ -130,9 +130,9 @@
     return report
 
 
-def ask(name: bytes, tariff: str, patience: int, mark: str, statement: bytes) -> bytes:
+def ask(name: bytes, request_class: str, patience: int, mark: str, statement: bytes) -> bytes:
     """`patience` in whole milliseconds."""
-    fields = f"c={tariff},w={patience}" + (f",i={mark}" if mark else "")
+    fields = f"c={request_class},w={patience}" + (f",i={mark}" if mark else "")
     return hiredis.pack_command((b"ASK", name, fields.encode(), statement))
 
 
--- a/cresstray/engines/connection_pool.py
+++ b/cresstray/engines/connection_pool.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Protocol, TypeVar
 
 from cresstray.engines import codec
-from cresstray.engines.in_flight import Exchange, Exchanges, Fate
+from cresstray.engines.in_flight import Disposition, InFlightRequest, InFlightRequests
 from cresstray.observability.counters import Counters
 
 if TYPE_CHECKING:
@@ -25,75 +25,75 @@
 _MOST_BEHIND = 64 * 1024
 
 
-class Wire(Protocol):
+class Transport(Protocol):
     """What a link is written to; streams.Line is one. `put` takes all, now or by and by."""
 
-    waiting: bytearray  # put, and not yet taken by the other side
+    unsent: bytearray  # put, and not yet taken by the other side
 
-    def put(self, message: bytes) -> bool: ...
+    def write(self, message: bytes) -> bool: ...
     def has_ended(self) -> bool: ...
 
 
-class AnyLink:
+class EngineConnection:
     """One connection to an engine. Whoever has its socket gives it `hang_up`."""
 
-    def __init__(self, pool: AnyPool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
-        self.life = Exchanges(pool.streams)
-        self.spoilt = False
-        self.lacking = False  # there was no descriptor for it: that says nothing of its engine
-        self.outdated = False  # its engine has another address by now, or has started anew
+        self.in_flight = InFlightRequests(pool.max_streams)
+        self.is_corrupt = False
+        self.is_out_of_descriptors = False  # there was no descriptor for it: that says nothing of its engine
+        self.is_outdated = False  # its engine has another address by now, or has started anew
         self.idle_since = 0
-        self.line: Wire | None = None  # once it is up
-        self._answers, self._due = codec.Answers(), 0
-        self._leaving: Exchange | None = None  # the last one written, if part of it had to wait
+        self.line: Transport | None = None  # once it is up
+        self._answers, self._due = codec.AnswerDecoder(), 0
+        self._leaving: InFlightRequest | None = None  # the last one written, if part of it had to wait
         self._behind = 0  # bytes put behind what waits
 
-    def hang_up(self) -> None:
+    def abort(self) -> None:
         """The connection is to end, or not to be made; `gone` follows."""
         raise NotImplementedError
 
-    def takes(self, name: bytes) -> bool:
+    def has_room_for(self, name: bytes) -> bool:
         # Danger: behind what its engine does not read, a request would leave when nothing is as it was.
-        return self.life.room_for(name) and not (self.line is not None and self.line.waiting)
+        return self.in_flight.has_room_for(name) and not (self.line is not None and self.line.unsent)
 
-    def start(self, exchange: Exchange) -> bool:
+    def start(self, exchange: InFlightRequest) -> bool:
         """False where the link proves dead, or its engine reads nothing: nothing of the exchange has left."""
         # Danger: what is written to a link that the other side has closed is lost, and may have run.
-        if self.line is not None and not self.life.open and self.line.has_ended():
+        if self.line is not None and not self.in_flight.open and self.line.has_ended():
             self.close()
             return False
-        exchange.link = self
+        exchange.connection = self
         self.pool.quota.idle.pop(self, None)
-        self.life.begin(exchange)
+        self.in_flight.begin(exchange)
         return self.line is None or self._write(exchange)
 
-    def _write(self, exchange: Exchange) -> bool:
+    def _write(self, exchange: InFlightRequest) -> bool:
         """False where nothing of it has left, since the engine reads nothing: the link takes no more."""
         line = self.line
-        if not line.waiting:
-            left = line.put(exchange.message)
-            if not line.waiting or len(line.waiting) < len(exchange.message):
-                self.life.wrote(exchange, left)
-                self._leaving, self._behind = exchange if line.waiting else None, 0
+        if not line.unsent:
+            left = line.write(exchange.message)
+            if not line.unsent or len(line.unsent) < len(exchange.message):
+                self.in_flight.on_written(exchange, left)
+                self._leaving, self._behind = exchange if line.unsent else None, 0
                 if left:
-                    exchange.keeper.leaves(exchange)
+                    exchange.listener.on_sent(exchange)
                 return True
-            line.waiting.clear()
-        self.life.finish(exchange)
+            line.unsent.clear()
+        self.in_flight.finish(exchange)
         self.retire()
         return False
 
-    def _is_leaving(self, exchange: Exchange) -> bool:
+    def _is_leaving(self, exchange: InFlightRequest) -> bool:
         """Whether part of its message still waits to be written."""
-        return exchange is self._leaving and len(self.line.waiting) > self._behind
+        return exchange is self._leaving and len(self.line.unsent) > self._behind
 
     def send(self, message: bytes) -> None:
-        if self.life.ended:
+        if self.in_flight.is_closed:
             # Danger: behind a request that was cut short it would be read as the rest of that. That the link
             # closes tells the engine.
             return
-        if not self.line.waiting:
+        if not self.line.unsent:
             self._leaving, self._behind = None, 0
         else:
             self._behind += len(message)
@@ -101,18 +101,18 @@
                 self.pool.counters.add("links never read")
                 self.close()
                 return
-        self.line.put(message)
+        self.line.write(message)
 
-    def finish(self, exchange: Exchange) -> None:
+    def finish(self, exchange: InFlightRequest) -> None:
         """All that was to come has come."""
-        self.life.finish(exchange)
+        self.in_flight.finish(exchange)
         self._forget(exchange)
 
-    def give_up(self, exchange: Exchange) -> bool:
+    def abandon(self, exchange: InFlightRequest) -> bool:
         """What comes under this name from now on is dropped. True: the engine hears of it before the next."""
         leaving = self._is_leaving(exchange)
-        told = self.life.give_up(exchange)
-        if leaving and not self.life.ended:
+        told = self.in_flight.abandon(exchange)
+        if leaving and not self.in_flight.is_closed:
             # Danger: its rest would leave once the engine reads again, and be run for nobody.
             self.close()
         elif told is not None:
@@ -120,71 +120,71 @@
         self._forget(exchange)
         return True
 
-    def _forget(self, exchange: Exchange) -> None:
+    def _forget(self, exchange: InFlightRequest) -> None:
         if self._leaving is exchange:
             self._leaving = None
         self._mind_idle()
 
-    def recall_unwritten(self) -> None:
+    def cancel_unwritten(self) -> None:
         """What has not been written yet ends as never sent."""
-        self.pool.for_each(self.life.unwritten(), self._recall)
+        self.pool.for_each(self.in_flight.unwritten(), self._recall)
 
-    def _recall(self, exchange: Exchange) -> None:
+    def _recall(self, exchange: InFlightRequest) -> None:
         # Danger: what the end of another set off may have ended this one.
-        if self.life.holds(exchange):
+        if self.in_flight.holds(exchange):
             self._end_unsent(exchange)
 
-    def _end_unsent(self, exchange: Exchange) -> None:
+    def _end_unsent(self, exchange: InFlightRequest) -> None:
         self.finish(exchange)
-        exchange.keeper.unsent(exchange)
+        exchange.listener.on_unsent(exchange)
 
     def _mind_idle(self) -> None:
-        if not self.life.open:
+        if not self.in_flight.open:
             self.idle_since = self.pool.now()
-            if self.life.retired:
+            if self.in_flight.is_retired:
                 self.close()
-            elif not self.life.ended:
+            elif not self.in_flight.is_closed:
                 self.pool.quota.idle[self] = None
 
     def retire(self) -> None:
         """Takes no new exchange; closed once the last one has ended."""
-        self.life.retired = True
+        self.in_flight.is_retired = True
         self._mind_idle()
 
     def close(self) -> None:
-        self.life.ended = True
+        self.in_flight.is_closed = True
         self.pool.quota.idle.pop(self, None)
         if self.line is not None:
-            self.line.waiting.clear()  # none of it leaves before the connection has ended
-        self.hang_up()
+            self.line.unsent.clear()  # none of it leaves before the connection has ended
+        self.abort()
 
     # What its connection says.
 
-    def up(self, line: Wire) -> None:
+    def on_connected(self, line: Transport) -> None:
         self.line = line
-        self.pool.for_each(self.life.unwritten(), self._write_late)
+        self.pool.for_each(self.in_flight.unwritten(), self._write_late)
 
-    def _write_late(self, exchange: Exchange) -> None:
-        if not self.life.holds(exchange):
+    def _write_late(self, exchange: InFlightRequest) -> None:
+        if not self.in_flight.holds(exchange):
             return
         if not self._may_leave(exchange):
             self._end_unsent(exchange)
         elif not self._write(exchange):
             self.pool.start(exchange)
 
-    def _may_leave(self, exchange: Exchange) -> bool:
+    def _may_leave(self, exchange: InFlightRequest) -> bool:
         # Danger: a connection takes a while to come up, and a process may be stopped meanwhile. By then the
         # engine may drain, the client be gone, or the window for a repeat be over.
-        return not self.outdated and exchange.keeper.may_leave(exchange)
+        return not self.is_outdated and exchange.listener.may_send(exchange)
 
-    def left(self) -> float | None:
+    def seconds_left(self) -> float | None:
         """Seconds in which the rest of an answer is to come; None where none has begun."""
-        return max(0.0, (self._due - self.pool.now()) / 1e6) if self._answers.begun() else None
+        return max(0.0, (self._due - self.pool.now()) / 1e6) if self._answers.has_partial_answer() else None
 
-    def received(self, data: bytes) -> None:
+    def on_received(self, data: bytes) -> None:
         """Hands on the answers in it; BrokenError where it can't be one."""
-        self.life.heard += 1
-        if not self._answers.begun():
+        self.in_flight.received_count += 1
+        if not self._answers.has_partial_answer():
             self._due = self.pool.now() + _HALF_WAY
         while answers := self._answers.feed(data):
             data, self._due = b"", self.pool.now() + _HALF_WAY
@@ -192,64 +192,64 @@
                 self._answered(answer)
 
     def _answered(self, answer: codec.Answer) -> None:
-        exchange = self.life.open.get(answer.name)
+        exchange = self.in_flight.open.get(answer.name)
         if exchange is not None and self._is_leaving(exchange):
             # Danger: taken for a refusal, it would be sent again, and its rest here be run as well.
             raise codec.BrokenError("an answer to what has not been asked whole")
-        if exchange is not None and not exchange.written:
+        if exchange is not None and not exchange.is_written:
             exchange = None
-        if exchange is not None and answer.word not in _OF_RESULTS:
-            self.life.refuse(exchange)
-        if exchange is None or not exchange.keeper.answered(exchange, answer):
+        if exchange is not None and answer.kind not in _OF_RESULTS:
+            self.in_flight.on_refused(exchange)
+        if exchange is None or not exchange.listener.on_answer(exchange, answer):
             # A second copy, or an answer that comes after its time: no fault of what else is open.
             self.pool.counters.add("answers not awaited")
 
-    def stopped(self) -> None:
+    def on_stalled(self) -> None:
         """The rest has not come in time."""
         raise codec.BrokenError("it stopped within an answer")
 
-    def cut_short(self) -> None:
+    def on_end_of_stream(self) -> None:
         """The connection has ended; BrokenError where part of an answer had come."""
-        if self._answers.begun():
+        if self._answers.has_partial_answer():
             raise codec.BrokenError("it ended within an answer")
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         """Nothing more comes of it."""
-        self.life.ended = True
+        self.in_flight.is_closed = True
         self.pool.quota.idle.pop(self, None)
-        self.pool.removed(self)
-        if self.lacking:
+        self.pool.on_removed(self)
+        if self.is_out_of_descriptors:
             self.pool.quota.close_idle()
-        self.pool.for_each(self.life.end(self.line is not None), self._end)
+        self.pool.for_each(self.in_flight.on_connection_closed(self.line is not None), self._end)
 
-    def _end(self, ended: tuple[Exchange, Fate]) -> None:
+    def _end(self, ended: tuple[InFlightRequest, Disposition]) -> None:
         exchange, fate = ended
-        if fate is Fate.CUT:
-            exchange.keeper.cut(exchange, self.spoilt)
-        elif self.outdated or self.lacking:
-            exchange.keeper.unsent(exchange)
-        elif fate is Fate.UNREACHED:
-            exchange.keeper.unreached(exchange)
+        if fate is Disposition.CONNECTION_LOST:
+            exchange.listener.on_connection_lost(exchange, self.is_corrupt)
+        elif self.is_outdated or self.is_out_of_descriptors:
+            exchange.listener.on_unsent(exchange)
+        elif fate is Disposition.UNREACHABLE:
+            exchange.listener.on_unreachable(exchange)
         elif self._may_leave(exchange):
             self.pool.start(exchange)
         else:
-            exchange.keeper.unsent(exchange)
+            exchange.listener.on_unsent(exchange)
 
 
-class Quota:
+class DescriptorQuota:
     """The links to all engines together.
 
     From `share` on exchanges share those of their engine; from `most` on an idle one makes room for another.
     """
 
     def __init__(self, share: int, most: int) -> None:
-        self.share, self.most, self.used = share, most, 0
-        self.idle: dict[AnyLink, None] = {}  # idle for longest first
+        self.per_engine, self.total, self.used = share, most, 0
+        self.idle: dict[EngineConnection, None] = {}  # idle for longest first
 
     def make_room(self) -> None:
         # Danger: with hundreds of engines links that idle would take the clients' descriptors. Where none is
         # idle, all are at work: one more, and the door takes in one client less.
-        if self.used >= self.most:
+        if self.used >= self.total:
             self.close_idle()
 
     def close_idle(self) -> None:
@@ -257,82 +257,82 @@
             next(iter(self.idle)).close()
 
 
-class AnyPool:
+class ConnectionPool:
     """All links to one engine. Whoever has the sockets gives it `dial`."""
 
     def __init__(
         self,
         address: tuple[str, int],
         settings: Mapping,
-        quota: Quota,
+        quota: DescriptorQuota,
         timers: Timers,
         now: Callable[[], int],
         counters: Counters,
     ) -> None:
         limits = settings.get("Limits", {})
         self.address, self.now, self.counters = address, now, counters
-        self.streams = max(1, limits.get("StreamsPerConn", 32))
+        self.max_streams = max(1, limits.get("StreamsPerConn", 32))
         # Danger: a request may cross the engine's own close of an idle link, so ours comes well before.
         self._idle = int(limits.get("ConnIdle", 15000) * 1000) * 2 // 3
-        self.links: list[AnyLink] = []
+        self.connections: list[EngineConnection] = []
         self.quota, self._timers = quota, timers
         self._swept = False
 
-    def dial(self) -> AnyLink:
+    def connect(self) -> EngineConnection:
         """A new link, whose connection is made from now on; `up` or `gone` tells how that went."""
         raise NotImplementedError
 
-    def start(self, exchange: Exchange) -> None:
+    def start(self, exchange: InFlightRequest) -> None:
         while not self._pick(exchange.name).start(exchange):
             pass
         if not self._swept:
             self._swept = True
-            self._timers.after(self._idle, self._sweep)
+            self._timers.call_after(self._idle, self._sweep)
 
-    def _pick(self, name: bytes) -> AnyLink:
+    def _pick(self, name: bytes) -> EngineConnection:
         """An idle link or a new one; where that would be too many, the one with the least on it."""
         # Danger: one spoilt answer ends all that is out on its link.
         least = None
-        for link in self.links:
-            life = link.life
-            if link.takes(name):
+        for link in self.connections:
+            life = link.in_flight
+            if link.has_room_for(name):
                 if not life.open:
                     return link
-                if least is None or len(life.open) < len(least.life.open):
+                if least is None or len(life.open) < len(least.in_flight.open):
                     least = link
-        if least is not None and self.quota.used >= self.quota.share:
+        if least is not None and self.quota.used >= self.quota.per_engine:
             return least
         self.quota.make_room()
-        link = self.dial()
-        self.links.append(link)
+        link = self.connect()
+        self.connections.append(link)
         self.quota.used += 1
         return link
 
-    def removed(self, link: AnyLink) -> None:
-        self.links.remove(link)
+    def on_removed(self, link: EngineConnection) -> None:
+        self.connections.remove(link)
         self.quota.used -= 1
 
     def move(self, address: tuple[str, int]) -> None:
         """The engine has started anew, maybe elsewhere: what runs may end, new work takes new links."""
         self.address = address
-        outdated = list(self.links)
+        outdated = list(self.connections)
         for link in outdated:
             # Danger: another may have its old address by now.
-            link.outdated = True
+            link.is_outdated = True
             link.retire()
         # The module hears of it once it has been told of the list.
-        self._timers.after(0, lambda _: self._recall(outdated))
+        self._timers.call_after(0, lambda _: self._recall(outdated))
 
-    def recall_unwritten(self) -> None:
+    def cancel_unwritten(self) -> None:
         """What has not been written on any link ends as never sent: the engine drains or is gone.
 
         To be called once the module has been told, which may send it elsewhere at once.
         """
-        self._recall(list(self.links))
+        self._recall(list(self.connections))
 
-    def _recall(self, links: list[AnyLink]) -> None:
+    def _recall(self, links: list[EngineConnection]) -> None:
         for link in links:
-            link.recall_unwritten()
+            link.cancel_unwritten()
 
     def for_each(self, things: Iterable[_Thing], do: Callable[[_Thing], None]) -> None:
         # Danger: a fault of ours with one exchange would leave the others without an end.
@@ -340,20 +340,20 @@
             try:
                 do(thing)
             except Exception as trouble:
-                self.fault(trouble)
+                self.on_fault(trouble)
 
-    def fault(self, trouble: Exception) -> None:
+    def on_fault(self, trouble: Exception) -> None:
         """Something of ours failed with one exchange; the others go on."""
         self.counters.add("faults")
 
     def retire(self) -> None:
-        for link in list(self.links):
+        for link in list(self.connections):
             link.retire()
 
     def _sweep(self, now: int) -> None:
-        for link in list(self.links):
-            if not link.life.open and now - link.idle_since >= self._idle:
+        for link in list(self.connections):
+            if not link.in_flight.open and now - link.idle_since >= self._idle:
                 link.close()
-        self._swept = bool(self.links)
+        self._swept = bool(self.connections)
         if self._swept:
-            self._timers.after(self._idle // 4, self._sweep)
+            self._timers.call_after(self._idle // 4, self._sweep)
--- a/cresstray/engines/in_flight.py
+++ b/cresstray/engines/in_flight.py
@@ -18,128 +18,132 @@
 _MOST_REFUSED = 200
 
 
-class Keeper(Protocol):
+class InFlightListener(Protocol):
     """Who is told of an exchange. After `unreached`, `cut` and `unsent` nothing more comes of it."""
 
-    def may_leave(self, exchange: Exchange) -> bool:
+    def may_send(self, exchange: InFlightRequest) -> bool:
         """Asked when its first bytes are about to leave later than it was handed over."""
 
-    def leaves(self, exchange: Exchange) -> None:
+    def on_sent(self, exchange: InFlightRequest) -> None:
         """Its first bytes have left, at once or later."""
 
-    def answered(self, exchange: Exchange, answer: codec.Answer) -> bool: ...
-    def unreached(self, exchange: Exchange) -> None: ...
-    def cut(self, exchange: Exchange, spoilt: bool) -> None: ...
-    def unsent(self, exchange: Exchange) -> None: ...
+    def on_answer(self, exchange: InFlightRequest, answer: codec.Answer) -> bool: ...
+    def on_unreachable(self, exchange: InFlightRequest) -> None: ...
+    def on_connection_lost(self, exchange: InFlightRequest, spoilt: bool) -> None: ...
+    def on_unsent(self, exchange: InFlightRequest) -> None: ...
 
 
-class Exchange:
+class InFlightRequest:
     """One request on one link, from its first byte to its end or until it is given up."""
 
     __slots__ = (
         "name",
         "message",
-        "keeper",
-        "link",
-        "written",
-        "heard",
-        "moves",
+        "listener",
+        "connection",
+        "is_written",
+        "received_before",
+        "reconnects",
         "pages",
-        "relay",
-        "due",
-        "until",
+        "attempt",
+        "timeout",
+        "latest_send_us",
     )
 
-    def __init__(self, name: bytes, message: bytes, keeper: Keeper, relay: object) -> None:
-        self.name, self.message, self.keeper, self.relay = name, message, keeper, relay
-        self.link: object = None
-        self.written = False
-        self.heard = 0  # how often its link had received something when it was written
-        self.moves = 0  # links that it found dead
+    def __init__(self, name: bytes, message: bytes, keeper: InFlightListener, attempt: object) -> None:
+        self.name, self.message, self.listener, self.attempt = name, message, keeper, attempt
+        self.connection: object = None
+        self.is_written = False
+        self.received_before = 0  # how often its link had received something when it was written
+        self.reconnects = 0  # links that it found dead
         self.pages = None  # of its result, once the first has come
-        self.due = None  # the call at its time limit
-        self.until: int | None = None  # nothing of it may leave from then on
+        self.timeout = None  # the call at its time limit
+        self.latest_send_us: int | None = None  # nothing of it may leave from then on
 
 
-class Fate(Enum):
+class Disposition(Enum):
     """What the end of its link means for an exchange that was open on it."""
 
-    CUT = "cut"  # part of it may have left: it may have run
-    UNREACHED = "unreached"  # nothing of it has left, and no further link is tried
-    MOVES = "moves"  # nothing of it has left: another link
+    CONNECTION_LOST = "cut"  # part of it may have left: it may have run
+    UNREACHABLE = "unreached"  # nothing of it has left, and no further link is tried
+    RETRY_ELSEWHERE = "moves"  # nothing of it has left: another link
 
 
-class Exchanges:
+class InFlightRequests:
     """All that is open on one link, by name."""
 
     def __init__(self, streams: int) -> None:
         self._streams = streams
-        self.open: dict[bytes, Exchange] = {}
+        self.open: dict[bytes, InFlightRequest] = {}
         # Danger: an answer that crosses its QUIT would be taken for that of a second relay of the same name.
         # A name once given up is not used again on this link, and what still comes under it is dropped.
-        self.given_up: set[bytes] = set()
+        self.abandoned: set[bytes] = set()
         # Danger: a second copy of a refusal would be taken for the answer to the next relay of that name,
         # which runs, and may be denied or sent again for it. That one takes another link.
         self.refused: dict[bytes, None] = {}
-        self.ended = self.retired = False
-        self.heard = 0  # how often something was received
+        self.is_closed = self.is_retired = False
+        self.received_count = 0  # how often something was received
 
-    def room_for(self, name: bytes) -> bool:
+    def has_room_for(self, name: bytes) -> bool:
         return not (
-            self.ended
-            or self.retired
+            self.is_closed
+            or self.is_retired
             or len(self.open) >= self._streams
             or name in self.open
-            or name in self.given_up
+            or name in self.abandoned
             or name in self.refused
         )
 
-    def begin(self, exchange: Exchange) -> None:
+    def begin(self, exchange: InFlightRequest) -> None:
         self.open[exchange.name] = exchange
 
-    def holds(self, exchange: Exchange) -> bool:
+    def holds(self, exchange: InFlightRequest) -> bool:
         return self.open.get(exchange.name) is exchange
 
-    def unwritten(self) -> list[Exchange]:
-        return [exchange for exchange in self.open.values() if not exchange.written]
+    def unwritten(self) -> list[InFlightRequest]:
+        return [exchange for exchange in self.open.values() if not exchange.is_written]
 
-    def wrote(self, exchange: Exchange, left: bool) -> None:
+    def on_written(self, exchange: InFlightRequest, left: bool) -> None:
         """`left`: whether any of it may have gone out."""
-        exchange.written, exchange.heard = left, self.heard
+        exchange.is_written, exchange.received_before = left, self.received_count
 
-    def finish(self, exchange: Exchange) -> None:
+    def finish(self, exchange: InFlightRequest) -> None:
         """All that was to come has come, or nothing has left."""
         del self.open[exchange.name]
 
-    def refuse(self, exchange: Exchange) -> None:
+    def on_refused(self, exchange: InFlightRequest) -> None:
         """The engine's answer is no result; its keeper is still to be told."""
         self.refused[exchange.name] = None
         if len(self.refused) > _MOST_REFUSED:
             del self.refused[next(iter(self.refused))]
 
-    def give_up(self, exchange: Exchange) -> bytes | None:
+    def abandon(self, exchange: InFlightRequest) -> bytes | None:
         """What tells the engine; None where it has never heard of it. What still comes is dropped."""
         if not self.holds(exchange):
             return None
         del self.open[exchange.name]
-        if not exchange.written:
+        if not exchange.is_written:
             return None
         # Danger: a link that stays open may be dead, and would swallow the next. Nothing has come on this one
         # since the exchange was written: it gets no other.
-        self.given_up.add(exchange.name)
-        self.retired = self.retired or self.heard == exchange.heard or len(self.given_up) >= _MOST_GIVEN_UP
+        self.abandoned.add(exchange.name)
+        self.is_retired = (
+            self.is_retired
+            or self.received_count == exchange.received_before
+            or len(self.abandoned) >= _MOST_GIVEN_UP
+        )
         return codec.quit_(exchange.name) if exchange.pages is None else codec.free(exchange.name)
 
-    def end(self, came_up: bool) -> list[tuple[Exchange, Fate]]:
+    def on_connection_closed(self, came_up: bool) -> list[tuple[InFlightRequest, Disposition]]:
         """The link has ended; what that means for each that was open. `came_up`: whether it ever was up."""
-        self.ended = True
+        self.is_closed = True
         left, self.open = list(self.open.values()), {}
         return [(exchange, self._fate(exchange, came_up)) for exchange in left]
 
-    def _fate(self, exchange: Exchange, came_up: bool) -> Fate:
-        if exchange.written:
-            return Fate.CUT
-        if not came_up or exchange.moves >= _MOST_MOVES:
-            return Fate.UNREACHED
-        exchange.moves += 1
-        return Fate.MOVES
+    def _fate(self, exchange: InFlightRequest, came_up: bool) -> Disposition:
+        if exchange.is_written:
+            return Disposition.CONNECTION_LOST
+        if not came_up or exchange.reconnects >= _MOST_MOVES:
+            return Disposition.UNREACHABLE
+        exchange.reconnects += 1
+        return Disposition.RETRY_ELSEWHERE
--- a/cresstray/engines/result_pages.py
+++ b/cresstray/engines/result_pages.py
@@ -11,7 +11,7 @@
 _TEXT = bytes(set(range(256)) - set(_ROW))
 
 
-class Pages:
+class ResultPages:
     """Takes the pages in any order; whole once the last one is there. What is no page ends the link."""
 
     __slots__ = ("_pages", "_missing", "_size")
@@ -36,7 +36,7 @@
         self._missing -= 1
         return True
 
-    def whole(self) -> bytes | None:
+    def assemble(self) -> bytes | None:
         return None if self._missing else b"".join(self._pages)
 
 
--- a/cresstray/fleet_config/state.py
+++ b/cresstray/fleet_config/state.py
@@ -34,7 +34,7 @@
     def restore(self, data: bytes) -> None: ...
 
 
-class Outcome(msgspec.Struct, array_like=True, frozen=True):
+class CommandResult(msgspec.Struct, array_like=True, frozen=True):
     """What became of a proposal: the version that it will be in force as, or every reason against it."""
 
     accepted: bool
@@ -105,7 +105,7 @@
 _commands = msgspec.msgpack.Decoder(Propose | Advance | Gone | ForSection).decode
 _BROKEN = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
-outcome = msgspec.msgpack.Decoder(Outcome).decode
+outcome = msgspec.msgpack.Decoder(CommandResult).decode
 
 
 def propose(
@@ -193,7 +193,7 @@
         try:
             command = _commands(data)
         except _BROKEN as trouble:
-            return _encode(Outcome(False, self.version, [f"entry {index} can't be read: {trouble}"]))
+            return _encode(CommandResult(False, self.version, [f"entry {index} can't be read: {trouble}"]))
         if isinstance(command, Propose):
             return self._once(
                 command.request and f"= {command.request}", lambda: _encode(self._propose(command))
@@ -217,7 +217,7 @@
                 self._request_bytes -= len(oldest) + len(self._requests.pop(oldest))
         return told
 
-    def _propose(self, asked: Propose) -> Outcome:
+    def _propose(self, asked: Propose) -> CommandResult:
         latest, refused = self._latest(), []
         if not asked.request:
             refused.append("a proposal needs the name of its request")
@@ -227,14 +227,14 @@
             given = patched(latest.documents, asked.change)
             names = touched(asked.change)
         except ValueError as trouble:
-            return Outcome(False, latest.version, [*refused, str(trouble)])
+            return CommandResult(False, latest.version, [*refused, str(trouble)])
         for name in names:
             base, version = asked.bases.get(name, 0), latest.documents.version(name)
             if base != version:
                 refused.append(f"{name}: the change is of version {base}, and the latest is {version}")
         changed = tuple(name for name in NAMES if getattr(given, name) != getattr(latest.documents, name))
         if not changed:
-            return Outcome(not refused, latest.version, refused)
+            return CommandResult(not refused, latest.version, refused)
         version = latest.version + 1
         versions = dict(latest.documents.versions) | dict.fromkeys(changed, version)
         new = msgspec.structs.replace(given, versions=dict(sorted(versions.items())))
@@ -245,22 +245,22 @@
         if not refused and len(delta(EMPTY, new)) > checks.LONGEST:
             refused.append(f"all documents together are more than {checks.LONGEST} bytes")
         if refused:
-            return Outcome(False, latest.version, refused)
+            return CommandResult(False, latest.version, refused)
         # Before the first list any gateway may run, each by the file's most.
         least = world.most if unlisted(latest.documents) else 0
         self._accept(Content(version, new, ghosts, least), asked.request, asked.who, asked.why, changed)
-        return Outcome(True, version)
+        return CommandResult(True, version)
 
-    def _gone(self, given: Gone) -> Outcome:
+    def _gone(self, given: Gone) -> CommandResult:
         latest = self._latest()
         # Danger: while a list that is acted on names it, it may act; and a later one may name it again.
         if given.gateway not in self.ghosts & latest.ghosts - self._named:
-            return Outcome(False, latest.version, [f"{given.gateway} is not waited for"])
+            return CommandResult(False, latest.version, [f"{given.gateway} is not waited for"])
         if len(self._waiting) >= _WAITING:
-            return Outcome(False, latest.version, [f"{len(self._waiting)} changes wait already"])
+            return CommandResult(False, latest.version, [f"{len(self._waiting)} changes wait already"])
         content = Content(latest.version + 1, latest.documents, latest.ghosts - {given.gateway})
         self._accept(content, "", "", given.why or f"{given.gateway} is out", ())
-        return Outcome(True, content.version)
+        return CommandResult(True, content.version)
 
     def _accept(self, content: Content, request: str, who: str, why: str, names: tuple[str, ...]) -> None:
         before = self._latest().documents
@@ -276,7 +276,7 @@
     def _for_section(self, command: ForSection) -> bytes:
         known = self.sections.get(command.name)
         if known is None:
-            return _encode(Outcome(False, self.version, [f"there is no section {command.name!r}"]))
+            return _encode(CommandResult(False, self.version, [f"there is no section {command.name!r}"]))
         return self._once(
             command.request and f"{command.name} {command.request}", lambda: known.apply(self, command.data)
         )
@@ -287,10 +287,10 @@
         """The turn that waits to be committed, if any; the leader commits it when Leases.may_turn."""
         return self.turn + 1 if self._waiting else None
 
-    def _advance(self, turn: int) -> Outcome:
+    def _advance(self, turn: int) -> CommandResult:
         # Danger: a turn committed twice, or by one who led before, would skip one that not all have taken.
         if turn != self.turn + 1 or not self._waiting:
-            return Outcome(False, self.version, [f"turn {turn} is not wanted after {self.turn}"])
+            return CommandResult(False, self.version, [f"turn {turn} is not wanted after {self.turn}"])
         if self.joint:
             self._force = self._waiting.popleft()
             acting = self._force.acting()
@@ -303,7 +303,7 @@
             self._turn_bytes -= len(self._deltas.popleft())
         self.turn, self.acting = turn, acting
         self._count()
-        return Outcome(True, self.version)
+        return CommandResult(True, self.version)
 
     def _count(self) -> None:
         # Once a turn: asked for each renewal, it would make the leader's work grow by the square.
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -21,12 +21,12 @@
 from cresstray.fleet_config.follower import Follower
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.pipeline.ingress import TakeIn
-from cresstray.pipeline.replica_reads import Directory, Pinned
-from cresstray.pipeline.response import Back
-from cresstray.pipeline.routing import Route
-from cresstray.policy.controller import Gateway
-from cresstray.policy.types import Engine, Submission
+from cresstray.pipeline.ingress import Ingress
+from cresstray.pipeline.replica_reads import EngineDirectory, ReplicaReads
+from cresstray.pipeline.response import ResponseHandler
+from cresstray.pipeline.routing import Router
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.types import Engine, Request
 from cresstray.replicas.positions import Board
 from cresstray.replicas.read import Reads
 from cresstray.replicas.spread import Talk
@@ -40,7 +40,7 @@
 _SOON = 5_000
 
 
-class Agreed:
+class FleetAdmissionRules:
     """interface.Rules at the moment of acting, by this process's clock and not by when an event was read."""
 
     def __init__(
@@ -49,24 +49,24 @@
         self._admission, self._reads, self._now, self._ask = admission, reads, now, ask
         self._moment = 0  # of the send or the offer that is being decided
 
-    def gateways(self, now: int) -> int:
+    def gateway_count(self, now: int) -> int:
         # Danger: a process that was frozen in the middle of a turn still holds the time from before.
         self._moment = self._now()
-        return self._admission.gateways(self._moment)
+        return self._admission.gateway_count(self._moment)
 
-    def admits(self, submission: Submission, now: int) -> bool:
+    def admits(self, request: Request, now: int) -> bool:
         self._moment = self._now()
-        return self._admission.admits(submission, self._moment)
+        return self._admission.admits(request, self._moment)
 
-    def takes(self, submission: Submission, engine: Engine, now: int) -> bool:
-        takes = self._admission.takes(submission, engine, self._moment)
+    def allows(self, request: Request, engine: Engine, now: int) -> bool:
+        takes = self._admission.allows(request, engine, self._moment)
         if self._reads.urgent:
             self._reads.urgent = False
             self._ask()
         return takes
 
-    def further(self, submission: Submission, now: int) -> float:
-        return self._admission.further(submission, self._now())
+    def retry_budget_scale(self, request: Request, now: int) -> float:
+        return self._admission.retry_budget_scale(request, self._now())
 
 
 class _Heard(Talk):
@@ -87,7 +87,7 @@
             self._look()
 
 
-class Member:
+class FleetMember:
     """One gateway's part in its fleet."""
 
     def __init__(
@@ -96,10 +96,10 @@
         settings: Mapping[str, Any],
         seed: int,
         clock: Clock,
-        gateway: Gateway,
-        route: Route,
-        back: Back,
-        take_in: TakeIn,
+        gateway: PolicyController,
+        route: Router,
+        back: ResponseHandler,
+        take_in: Ingress,
         timers: Timers,
         worker: Worker,
         counters: Counters,
@@ -112,10 +112,10 @@
         self.use = use = Use(
             given.member, given.lease, given.floor_lease, given.drift, given.most, waits=True, life=life
         )
-        self.directory = directory = Directory(settings.get("Localities", []))
-        board = Board(lambda text: log.say("replicas", text), given.drift)
+        self.directory = directory = EngineDirectory(settings.get("Localities", []))
+        board = Board(lambda text: log.log("replicas", text), given.drift)
         reads = Reads(
-            board, use, counters, chance, directory.cores, directory.zone_of, directory.full, time.time
+            board, use, counters, chance, directory.cores, directory.zone_of, directory.is_full, time.time
         )
         self._reads, self._asks_again = reads, False
         admission = Admission(
@@ -132,24 +132,24 @@
             chance,
             clock.now,
             counters,
-            lambda: _Heard(board, reads, lambda: timers.after(0, self._look)),
+            lambda: _Heard(board, reads, lambda: timers.call_after(0, self._look)),
             lambda up: setattr(reads, "patience", _PATIENCE if up else 0),
         )
-        gateway.agreed = Agreed(admission, reads, clock.now, self._ask)
-        route.pinned = back.pinned = take_in.pinned = Pinned(reads, directory)
+        gateway.admission_rules = FleetAdmissionRules(admission, reads, clock.now, self._ask)
+        route.replica_reads = back.replica_reads = take_in.replica_reads = ReplicaReads(reads, directory)
 
     def _ask(self) -> None:
         """Keepers are asked for positions at once, for a read that waits for no more than their answer."""
         self._ask_now()
         # What waits is looked at then, and not with the next sweep only.
-        self._timers.after(_PATIENCE + 1000, self._look)
+        self._timers.call_after(_PATIENCE + 1000, self._look)
 
     def _ask_now(self) -> None:
         self.follower.asks_at_once()
         # Too soon behind another word: tried again, unless no keeper is there to hear it.
         if self._reads.untold() and self._reads.patience and not self._asks_again:
             self._asks_again = True
-            self._timers.after(_SOON, self._ask_again)
+            self._timers.call_after(_SOON, self._ask_again)
 
     def _ask_again(self, now: int) -> None:
         self._asks_again = False
@@ -157,7 +157,7 @@
             self._ask_now()
 
     def _look(self, now: int) -> None:
-        self._gateway.listed((), False, now)
+        self._gateway.on_endpoints_updated((), False, now)
 
     def start(self, tasks: TaskGroup) -> None:
         # Danger: one that no list names would relay beside all that are named. Keepers within reach say so in
--- a/cresstray/gateway/service.py
+++ b/cresstray/gateway/service.py
@@ -12,32 +12,32 @@
 import anyio
 from anyio.abc import TaskGroup, TaskStatus
 
-from cresstray.clients.listener import Door
+from cresstray.clients.listener import Listener
 from cresstray.clock import Clock, Timers
 from cresstray.discovery import endpoint_list as known
-from cresstray.discovery.watch import Feed
-from cresstray.engines.connection import Pool, Quota
+from cresstray.discovery.watch import EndpointWatch
+from cresstray.engines.connection import DescriptorQuota, SocketConnectionPool
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.pipeline.accounting import Book
-from cresstray.pipeline.admission import Admit
-from cresstray.pipeline.dispatch import Send
-from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.accounting import RequestAccounting
+from cresstray.pipeline.admission import Admission
+from cresstray.pipeline.dispatch import Dispatcher
+from cresstray.pipeline.ingress import Ingress
 from cresstray.pipeline.policy_port import SocketPort
-from cresstray.pipeline.response import Back
-from cresstray.pipeline.routing import Route
-from cresstray.policy.controller import Gateway
+from cresstray.pipeline.response import ResponseHandler
+from cresstray.pipeline.routing import Router
+from cresstray.policy.controller import PolicyController
 from cresstray.transport.streams import tell_fault
 
 if TYPE_CHECKING:
-    from cresstray.background.schedule import Outcome
+    from cresstray.background.schedule import JobResult
     from cresstray.background.worker import Worker
     from cresstray.config.fleet import Fleet
     from cresstray.config.idempotency import Store
     from cresstray.config.operator import Halls, Operator
-    from cresstray.gateway.fleet_member import Member
+    from cresstray.gateway.fleet_member import FleetMember
     from cresstray.membership.recovery import Keep
-    from cresstray.pipeline.idempotency_checks import Marked
+    from cresstray.pipeline.idempotency_checks import IdempotencyChecks
     from cresstray.sites.links import Hub
 
 # What is heard of from outside the sockets.
@@ -118,7 +118,7 @@
         listen: tuple[str, int],
         seed: int,
         settings: Mapping[str, Any],
-        events: list[known.Event],
+        events: list[known.EndpointEvent],
         coordinator: str | None,
         coordinator_now: Callable[[], str | None] | None = None,
         descriptors: int = 1024,
@@ -132,29 +132,29 @@
         self._clock, self.counters = Clock(sleeps=member is not None or store is not None), Counters()
         self._log = Log(name, self._clock)
         self._timers = Timers(self._clock, self._fault)
-        self._book = Book(self.counters)
-        self._back = Back(self._clock, self.counters, self._book)
-        self._send = send = Send(self._clock, self._timers, self.counters, self._back)
-        self._route = Route(self._make_pool, send)
+        self._book = RequestAccounting(self.counters)
+        self._back = ResponseHandler(self._clock, self.counters, self._book)
+        self._send = send = Dispatcher(self._clock, self._timers, self.counters, self._back)
+        self._route = Router(self._make_pool, send)
         if operator and operator.halls:
             from cresstray.sites.routing import AHEAD
 
             settings = {**settings, "CrossingAhead": AHEAD / 1000}
         port = SocketPort(self._route, send, self._book, self._timers, self.counters, self._log)
-        self._gateway = Gateway(port, settings, seed, self._clock.now())
-        admit = self._admit = Admit(self._book)
-        self._back.gateway = admit.gateway = self._gateway
-        self._take_in = take_in = TakeIn(settings, self._gateway.tariffs, self._clock, admit)
-        tariffs = frozenset(service["Name"] for service in settings.get("Services", []))
+        self._gateway = PolicyController(port, settings, seed, self._clock.now())
+        admit = self._admit = Admission(self._book)
+        self._back.controller = admit.controller = self._gateway
+        self._take_in = take_in = Ingress(settings, self._gateway.request_classes, self._clock, admit)
+        request_classes = frozenset(service["Name"] for service in settings.get("Services", []))
         # In overload more than 64 links cost half as much CPU again (calm day, seed 3: 13.5 s > 20.4 s); on
         # other days no more are needed. An eighth, or 64, is for all else.
         share, rest = min(descriptors // 4, 64), min(descriptors // 8, 64)
         rest = max(rest, min(descriptors // 4, _FEWEST_OTHERS))
         # Usual clients hold a third of the descriptors at most: a half is theirs, and what links leave.
         # A link to each of hundreds of engines finds room in the other half.
-        self._quota = quota = Quota(share, max(share, descriptors // 2 - rest))
-        self._door = Door(
-            tariffs,
+        self._quota = quota = DescriptorQuota(share, max(share, descriptors // 2 - rest))
+        self._door = Listener(
+            request_classes,
             take_in,
             lambda: descriptors - rest - max(share, quota.used),
             descriptors // 4,
@@ -163,14 +163,16 @@
             self._log,
         )
         self._events = events
-        last = events[-1].number if events else 0
+        last = events[-1].index if events else 0
         self._operator, self._operator_now = operator, operator_now
         self._worker: Worker | None = None
         if operator and (operator.halls or member or operator.kept or store):
             self._worker = self._make_worker(seed)
         self._hub = self._make_hub(operator.halls, seed) if operator and operator.halls else None
         self._member = self._make_member(member, settings, seed) if member else None
-        self._feed = Feed(coordinator, last, self._told, self.counters, self._log, self._gateway.random)
+        self._feed = EndpointWatch(
+            coordinator, last, self._told, self.counters, self._log, self._gateway.random
+        )
         self._keep: Keep | None = None
         if operator and operator.kept:
             self._keep = self._make_keep(name, operator.kept.folder, settings, seed)
@@ -196,10 +198,12 @@
     def _make_hub(self, halls: Halls, seed: int) -> Hub:
         # Danger: the platform may give 32 MB; what links to other halls need is loaded only where there are
         # any.
-        from cresstray.pipeline.forwarding import Across
+        from cresstray.pipeline.forwarding import Forwarder
         from cresstray.sites.links import Hub
 
-        across = self._route.across = Across(self._clock, self._timers, self.counters, self._back, self._send)
+        across = self._route.forwarder = Forwarder(
+            self._clock, self._timers, self.counters, self._back, self._send
+        )
         # Seeds are new with each start; the clock parts two starts that an operator gave the same one.
         incarnation = f"{seed & 0xFFFFFFFF:08x}{self._clock.now():014x}"
         hub = Hub(
@@ -208,20 +212,20 @@
             seed,
             self._take_in,
             across,
-            lambda: self._gateway.room(self._clock.now()),
+            lambda: self._gateway.spare_capacity(self._clock.now()),
             self._clock,
             self._timers,
             self.counters,
             self._log,
             self._worker,
         )
-        self._admit.share = hub.share
+        self._admit.forwarding_quota = hub.share
         return hub
 
-    def _make_member(self, given: Fleet, settings: Mapping[str, Any], seed: int) -> Member:
-        from cresstray.gateway.fleet_member import Member
+    def _make_member(self, given: Fleet, settings: Mapping[str, Any], seed: int) -> FleetMember:
+        from cresstray.gateway.fleet_member import FleetMember
 
-        return Member(
+        return FleetMember(
             given,
             settings,
             seed,
@@ -255,20 +259,22 @@
             self._gateway,
             chance,
             self.counters,
-            lambda text: self._log.say("kept", text),
+            lambda text: self._log.log("kept", text),
             moment,
             now,
         )
-        self._gateway.agreed = Guard(keep, self._gateway)
-        self._admit.keep = self._back.keep = keep
-        self._feed.takes_older = True
+        self._gateway.admission_rules = Guard(keep, self._gateway)
+        self._admit.membership = self._back.membership = keep
+        self._feed.accepts_older_list = True
         return keep
 
-    def _make_marked(self, name: str, given: Store, settings: Mapping[str, Any], seed: int) -> Marked:
+    def _make_marked(
+        self, name: str, given: Store, settings: Mapping[str, Any], seed: int
+    ) -> IdempotencyChecks:
         """After the other rules, which it asks as well."""
-        from cresstray.pipeline.idempotency_checks import Marked
+        from cresstray.pipeline.idempotency_checks import IdempotencyChecks
 
-        marked = Marked(
+        marked = IdempotencyChecks(
             given,
             settings,
             name,
@@ -281,13 +287,15 @@
             self._book,
             self._worker,
         )
-        self._admit.marked = self._book.marked = self._back.marked = self._send.marked = marked
-        if self._route.across is not None:
-            self._route.across.marked = marked
+        self._admit.idempotency = self._book.idempotency = self._back.idempotency = self._send.idempotency = (
+            marked
+        )
+        if self._route.forwarder is not None:
+            self._route.forwarder.idempotency = marked
         return marked
 
-    def _make_pool(self, label: str, address: tuple[str, int]) -> Pool:
-        return Pool(
+    def _make_pool(self, label: str, address: tuple[str, int]) -> SocketConnectionPool:
+        return SocketConnectionPool(
             label,
             address,
             self._settings,
@@ -299,52 +307,52 @@
             self._log,
         )
 
-    def _told(self, event: known.Event) -> None:
+    def _told(self, event: known.EndpointEvent) -> None:
         now = self._clock.now()
         if self._keep is None:
             self._list(event, now)
         else:
             self._give(self._keep.told(event, now), now)
 
-    def _give(self, event: known.Event, now: int) -> None:
+    def _give(self, event: known.EndpointEvent, now: int) -> None:
         """What is kept has seen it: to route and module."""
         self._list(event, now)
         self._keep.listed(event, self._route.engines, now)
 
-    def _list(self, event: known.Event, now: int) -> None:
-        self._gateway.listed(self._route.listed(event), event.complete, now)
-        self._route.recall(event)
+    def _list(self, event: known.EndpointEvent, now: int) -> None:
+        self._gateway.on_endpoints_updated(self._route.apply_event(event), event.is_complete, now)
+        self._route.cancel_unsent(event)
 
     def _tend(self, keep: Keep, worker: Worker) -> None:
         """What is kept, behind submissions: what came of trials, trials, and writes with a last one."""
-        from cresstray.background.schedule import Outcome, Priority
+        from cresstray.background.schedule import JobResult, Priority
         from cresstray.membership.recovery import KNOCK, LISTED_AT_ONCE
 
-        def lists(now: int) -> Outcome:
+        def lists(now: int) -> JobResult:
             event = keep.look(now, LISTED_AT_ONCE)
             if event is not None:
                 self._give(event, now)
-            return Outcome.MORE if keep.more else Outcome.DONE
+            return JobResult.MORE if keep.more else JobResult.DONE
 
         def asks(now: int) -> None:
             if keep.asks(now):
                 worker.wake(knocking)
 
-        def knocks(now: int) -> Outcome:
+        def knocks(now: int) -> JobResult:
             begun = keep.knocks(self._tasks, self._clock.now)
             worker.begun(KNOCK * begun)
-            return Outcome.MORE if begun else Outcome.DONE
+            return JobResult.MORE if begun else JobResult.DONE
 
         def writes(now: int) -> None:
             keep.write(now)
             self._know(keep)
 
-        def hands_over(now: int) -> Outcome:
+        def hands_over(now: int) -> JobResult:
             if keep.handing:
                 keep.write(now)
             else:
-                keep.hand_over(self._take_in.recent(), now)
-            return Outcome.DONE if keep.done else Outcome.MORE
+                keep.hand_over(self._take_in.recent_names(), now)
+            return JobResult.DONE if keep.done else JobResult.MORE
 
         self._know(keep)
         worker.does("listing", Priority.SAFETY, _TEND, lists, _TRIALS_AGAIN)
@@ -355,7 +363,7 @@
     def _know(self, keep: Keep) -> None:
         """Names that were in use: the one before may hand them over after this one has begun."""
         if keep.marks:
-            self._take_in.used(keep.marks)
+            self._take_in.remember_names(keep.marks)
             keep.marks = []
 
     async def run(self, *, task_status: TaskStatus = anyio.TASK_STATUS_IGNORED) -> None:
@@ -366,7 +374,7 @@
                 try:
                     await self._start(listener)
                     host, port = listener.getsockname()
-                    self._log.say("service", f"serves on {host}:{port}")
+                    self._log.log("service", f"serves on {host}:{port}")
                     task_status.started((host, port))
                     await self._heed(signals)
                 except AddressError as found:
@@ -393,7 +401,7 @@
         # Danger: an engine may drain since the configuration was written, and the grace be over before this
         # process is up: clients, and other halls, are taken in once that has been told. Until then they are
         # refused, as by a process that is not up yet: in a listener's queue their time would run.
-        await self._feed.caught_up(_FIRST_WORD)
+        await self._feed.wait_until_current(_FIRST_WORD)
         if self._hub is not None:
             await self._start_hub(self._hub)
         if self._member is not None:
@@ -423,11 +431,11 @@
 
     async def _end(self) -> None:
         """All that is owed is answered, then all connections end in order, before SIGKILL may come."""
-        self._log.say("service", f"ends; {self._book.owed()} submissions are owed an answer")
+        self._log.log("service", f"ends; {self._book.unanswered_count()} submissions are owed an answer")
         last_stop = self._last_stop()
         await anyio.sleep(min(_STILL_COMING, self._until(last_stop + _LATE)))
         with anyio.move_on_after(self._until(last_stop + _LATE)):
-            while self._book.owed():
+            while self._book.unanswered_count():
                 await anyio.sleep(0.01)
         # Danger: what came with a connection from here on would be sent on, and lost with the process. All
         # that is read is denied now.
@@ -464,20 +472,22 @@
             if halls is not None:
                 self._hub.reload(halls)
         except (ValueError, OSError) as trouble:
-            self._log.tell("service", f"the new configuration can't be used, the old one stays: {trouble}")
+            self._log.log_always(
+                "service", f"the new configuration can't be used, the old one stays: {trouble}"
+            )
 
     def _last_stop(self) -> int:
         """All that is open, and what still comes, is to be answered by then."""
         limits = [int(service.get("GiveUp", 0) * 1000) for service in self._settings.get("Services", [])]
         left = min(_LONGEST_LIMIT, max(limits, default=0)) + _AFTER_LIMIT
-        last_stop = self._take_in.last_stop = self._clock.now() + left
+        last_stop = self._take_in.shutdown_deadline_us = self._clock.now() + left
         if self._hub is not None:
             self._hub.goodbye()
-        self._book.close(last_stop)
-        self._timers.after(left, self._send.give_up_all)
+        self._book.limit_deadlines(last_stop)
+        self._timers.call_after(left, self._send.abandon_all)
         return last_stop
 
     def report(self) -> None:
-        self.counters.counts["loop latest us"] = self._timers.latest
+        self.counters.counts["loop latest us"] = self._timers.max_lateness_us
         for line in self.counters.lines():
-            self._log.tell("counter", line)
+            self._log.log_always("counter", line)
--- a/cresstray/gateway/startup.py
+++ b/cresstray/gateway/startup.py
@@ -29,7 +29,7 @@
     listen: str
     seed: str
     settings: dict[str, Any]
-    known: known.Known = msgspec.field(default_factory=known.Known)
+    known: known.InitialList = msgspec.field(default_factory=known.InitialList)
     coordinator: str | None = None
     limits: Limits = Limits()
 
@@ -192,7 +192,7 @@
             listen,
             seed,
             given.settings,
-            known.events(given.known, given.settings),
+            known.initial_events(given.known, given.settings),
             given.coordinator,
             lambda: configuration(path).coordinator,
             given.limits.sockets,
--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -23,7 +23,7 @@
 from cresstray.idempotency.in_flight import Asked, Flight, Pause, Places, Replies
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.transport.streams import ENDED, Line, connect, contained
+from cresstray.transport.streams import ENDED, SocketStream, connect, contained
 
 if TYPE_CHECKING:
     from cresstray.config.idempotency import Store, StoreTls
@@ -48,7 +48,7 @@
 
 
 class _Channel(Protocol):
-    def put(self, message: bytes) -> object: ...
+    def write(self, message: bytes) -> object: ...
     async def receive(self) -> bytes: ...
 
 
@@ -77,14 +77,16 @@
 class _Link:
     """One greeted connection to the primary."""
 
-    def __init__(self, at: int, line: Line, channel: _Channel, scope: anyio.CancelScope, now: int) -> None:
+    def __init__(
+        self, at: int, line: SocketStream, channel: _Channel, scope: anyio.CancelScope, now: int
+    ) -> None:
         self.at, self.line, self.channel, self._scope, self.since = at, line, channel, scope, now
         self.flight = Flight(_MOST_OUT)
         self.open = self.counted = True
         self.why = ""
 
     def room(self) -> bool:
-        return self.open and self.flight.room() and len(self.line.waiting) < _MOST_UNWRITTEN
+        return self.open and self.flight.room() and len(self.line.unsent) < _MOST_UNWRITTEN
 
     def write(self, message: bytes, fresh: Sequence[Asked] = ()) -> None:
         """What was begun, in one piece. Where none of it has left, the link ends."""
@@ -93,7 +95,7 @@
             self.end("closed by the store")
             return
         try:
-            left = self.channel.put(message) is not False
+            left = self.channel.write(message) is not False
         except OSError:  # of TLS: some of it may have left
             left = True
             self.end("broken")
@@ -165,7 +167,7 @@
             self._counters.add("store: refused, too much waits" if full else "store: refused at the end")
             asyncio.get_running_loop().call_soon(self._finish, asked, None)
             return asked
-        asked.due = self._timers.after(by - self._clock.now(), partial(self._late, asked))
+        asked.due = self._timers.call_after(by - self._clock.now(), partial(self._late, asked))
         self._waiting.append(asked)
         self._flush_soon()
         return asked
@@ -257,7 +259,7 @@
             except (OSError, TimeoutError) as trouble:
                 self._tell(at, f"can't be reached: {trouble!r}")
                 return 0
-            with Line(made, self._tasks, scope.cancel) as line:
+            with SocketStream(made, self._tasks, scope.cancel) as line:
                 try:
                     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNDELIVERED_MS)
                     with anyio.fail_after(_GREETING):
@@ -281,7 +283,7 @@
         found = await anyio.getaddrinfo(host, port, family=socket.AF_INET, type=socket.SOCK_STREAM)
         return await connect(*found[0][4])
 
-    async def _greet(self, at: int, line: Line) -> tuple[_Channel, codec.Reader, Greeted]:
+    async def _greet(self, at: int, line: SocketStream) -> tuple[_Channel, codec.Reader, Greeted]:
         channel: _Channel = line
         if self._names[at] is not None:
             from cresstray.sites.tls import Sealed
@@ -291,7 +293,7 @@
         talk = codec.greeting(self._given.user, await self._password())
         reader, commands = codec.Reader(), next(talk)
         while True:
-            channel.put(b"".join(codec.pack(command.words) for command in commands))
+            channel.write(b"".join(codec.pack(command.words) for command in commands))
             replies: Replies = []
             while len(replies) < len(commands):
                 replies += reader.feed(await channel.receive())
@@ -321,7 +323,7 @@
 
     async def _use(self, link: _Link, reader: codec.Reader, greeted: Greeted) -> None:
         if not self._links:
-            self._log.say("store", f"{self._name(link.at)} is the primary, RESP{greeted.protocol}")
+            self._log.log("store", f"{self._name(link.at)} is the primary, RESP{greeted.protocol}")
         self._trouble.clear()
         self._counters.add("store: links made")
         self._links.append(link)
@@ -388,4 +390,4 @@
     def _tell(self, at: int, why: str) -> None:
         if self._trouble.get(at) != why:
             self._trouble[at] = why
-            self._log.say("store", f"{self._name(at)}: {why}")
+            self._log.log("store", f"{self._name(at)}: {why}")
--- a/cresstray/idempotency/coordinator.py
+++ b/cresstray/idempotency/coordinator.py
@@ -31,10 +31,10 @@
 from cresstray.idempotency.records import Event, Kind, Mark, State
 from cresstray.idempotency.write_behind import Behind, Item
 from cresstray.observability.counters import Counters
-from cresstray.policy.types import Ending, Submission
+from cresstray.policy.types import Outcome, Request
 
 # Endings that prove a relay never ran, as the module has them.
-_UNRUN = (Ending.FULL, Ending.UNREACHABLE, Ending.MOOT)
+_UNRUN = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.EXPIRED_BEFORE_SEND)
 # Marks are kept so long unless the operator says else: clients that ask again after an hour ask anew.
 _KEPT_S = 3_600
 # As the module does: what ends within this of the hard stop is ended by the sweep.
@@ -70,7 +70,7 @@
 
 
 class Timers(Protocol):
-    def after(self, delay: int, call: Callable[[int], None]) -> object: ...
+    def call_after(self, delay: int, call: Callable[[int], None]) -> object: ...
 
 
 class Desk(Protocol):
@@ -86,7 +86,7 @@
 class Asked(Protocol):
     """What is used of an errand."""
 
-    submission: Submission
+    request: Request
 
     @property
     def query(self) -> Any: ...
@@ -122,14 +122,14 @@
 
     def __init__(
         self,
-        submission: Submission,
+        request: Request,
         name: str,
         kind: Guarded,
         times: Times,
         digest: bytes,
         call: Callable[[Decision], None],
     ) -> None:
-        self.submission, self.name, self.kind, self.times, self.digest = submission, name, kind, times, digest
+        self.submission, self.name, self.kind, self.times, self.digest = request, name, kind, times, digest
         self.call: Callable[[Decision], None] | None = call  # None: it has been told
         self.by, self.tries = 0, 0
         self.claimed: Event | None = None  # an intention that is in the store, or may be
@@ -151,7 +151,7 @@
         client: Client,
         lines: Mapping[str, Any],
         settings: Mapping[str, Any],
-        tariffs: Sequence[Any],
+        request_classes: Sequence[Any],
         owner: str,
         life: str,
         chance: Callable[[], float],
@@ -170,7 +170,9 @@
         limits = settings.get("Limits", {})
         honoured = int(limits.get("MaxRetryAfter", 0) * 1000) if limits.get("RetryAfter") else 0
         names = [service.get("Name", "") for service in settings.get("Services", [])]
-        self._kinds = [guarded(tariff, name, lines) for tariff, name in zip(tariffs, names)]
+        self._kinds = [
+            guarded(request_class, name, lines) for request_class, name in zip(request_classes, names)
+        ]
         self._names = names
         self._tenants = [str(tenant.get("Name", "")) for tenant in settings.get("Tenants", [])]
         now = clock.now()
@@ -178,7 +180,7 @@
         self.store_clock = StoreClock()
         self.behind = Behind()
         self._guard = Guard(lines, honoured, chance)
-        self._open: dict[Submission, _Held] = {}
+        self._open: dict[Request, _Held] = {}
         self._asking: Counter[int] = Counter()  # questions of submissions that are out, by tenant
         self._fence = 0  # of the last intention of this process
         self._writing = 0  # outcomes out at the store
@@ -190,48 +192,59 @@
 
     # What the stages call.
 
-    def ask(self, errand: Asked, now: int, call: Callable[[Decision], None]) -> bool:
+    def ask(self, context: Asked, now: int, call: Callable[[Decision], None]) -> bool:
         """False: it needs no mark. Else `call` is made once, perhaps within this, as its slack allows.
 
         With Go or Unguarded it may be relayed; Deny, Abandon and Answer are its end.
         """
-        submission = errand.submission
-        kind, name = self._kinds[submission.tariff.index], errand.query.mark
+        request = context.request
+        kind, name = self._kinds[request.request_class.index], context.query.idempotency_key
         # One from another hall is asked for where it was accepted.
-        if kind is Guarded.FREE or not name or submission.foreign:
+        if kind is Guarded.FREE or not name or request.is_forwarded_in:
             return False
-        tariff = submission.tariff
-        expected = tariff.usual.time_of(submission) if tariff.usual else tariff.soft_limit // 4
+        request_class = request.request_class
+        expected = (
+            request_class.latency.expected_us(request)
+            if request_class.latency
+            else request_class.latency_objective_us // 4
+        )
         # What is too late for its soft limit may still be answered by its hard stop.
-        soft_stop = submission.arrived + int(tariff.soft_limit + tariff.soft_stretch * expected)
-        stop = min(submission.hard_stop - _MARGIN, soft_stop)
-        leave_by = max(stop - expected, now + (submission.hard_stop - now) // 10)
-        beyond = _BEYOND + (submission.hard_stop - now) // _FIFTIETH
-        times = Times(now, min(leave_by, submission.hard_stop), submission.hard_stop + beyond, tariff.memory)
-        tenant = self._tenants[submission.tenant] if submission.tenant < len(self._tenants) else ""
-        group = self._names[tariff.index] + "/" + tariff.group
+        soft_stop = request.arrived_us + int(
+            request_class.latency_objective_us + request_class.objective_stretch * expected
+        )
+        stop = min(request.deadline_us - _MARGIN, soft_stop)
+        leave_by = max(stop - expected, now + (request.deadline_us - now) // 10)
+        beyond = _BEYOND + (request.deadline_us - now) // _FIFTIETH
+        times = Times(
+            now,
+            min(leave_by, request.deadline_us),
+            request.deadline_us + beyond,
+            request_class.dedup_window_us,
+        )
+        tenant = self._tenants[request.tenant] if request.tenant < len(self._tenants) else ""
+        group = self._names[request_class.index] + "/" + request_class.dedup_scope
         held = _Held(
-            submission,
-            self._names[tariff.index],
+            request,
+            self._names[request_class.index],
             kind,
             times,
             marks.digest(self._namespace, tenant, group, name),
             call,
         )
-        self._open[submission] = held
+        self._open[request] = held
         self._counters.add("marks: asked")
         self._look_up(held, now)
         return True
 
-    def may_send(self, submission: Submission, now: int) -> bool:
+    def may_send(self, request: Request, now: int) -> bool:
         """Asked at the moment of sending, with the clock of that moment. False: nothing may go out, and the
         relay ends as one that no engine has seen."""
-        held = self._open.get(submission)
+        held = self._open.get(request)
         # Danger: a process that was stopped wakes up before any of its timers has run. Only the clock tells.
         # What came from another hall is guarded there until its hard stop.
         if (
             held is None
-            and (not submission.foreign or now < submission.hard_stop)
+            and (not request.is_forwarded_in or now < request.deadline_us)
             or held is not None
             and held.call is None
             and now < held.until
@@ -240,14 +253,14 @@
         self._counters.add("marks: intentions over before a relay")
         return False
 
-    def left(self, submission: Submission, now: int) -> int | None:
+    def left(self, request: Request, now: int) -> int | None:
         """For how long it may still be sent by whoever has it from here, as another hall. None: no matter."""
-        held = self._open.get(submission)
+        held = self._open.get(request)
         return None if held is None else max(0, held.until - now)
 
-    def sent(self, submission: Submission, now: int) -> None:
+    def sent(self, request: Request, now: int) -> None:
         """A relay goes out; `relay_ended` is owed for it."""
-        held = self._open.get(submission)
+        held = self._open.get(request)
         if held is None:
             return
         held.out += 1
@@ -256,18 +269,18 @@
             if held.fresh:
                 self._behind(held, self._event(held, Kind.SENT), now)
 
-    def relay_ended(self, submission: Submission, ending: Ending, now: int) -> None:
-        held = self._open.get(submission)
+    def relay_ended(self, request: Request, ending: Outcome, now: int) -> None:
+        held = self._open.get(request)
         if held is None:
             return
         held.out = max(0, held.out - 1)
-        held.ran = held.ran or ending is Ending.FULFILLED
+        held.ran = held.ran or ending is Outcome.SUCCEEDED
         held.may_have_run = held.may_have_run or ending not in _UNRUN
         self._settle(held, now)
 
-    def ended(self, submission: Submission, how: str, result: bytes | None, now: int) -> None:
+    def ended(self, request: Request, how: str, result: bytes | None, now: int) -> None:
         """The final answer is out already, or its client has left; `how`: as the book counts it."""
-        held = self._open.get(submission)
+        held = self._open.get(request)
         if held is None:
             return
         held.over, held.call = True, None
@@ -396,7 +409,7 @@
             self._claim(held, held.seen, mark, decision.event, now)
         elif isinstance(decision, Wait):
             self._counters.add("marks: waits")
-            self._timers.after(decision.again_at - now, partial(self._again, held))
+            self._timers.call_after(decision.again_at - now, partial(self._again, held))
         elif isinstance(decision, Go):
             self._go(held, decision.fence, decision.until, at, began, now)
         else:
@@ -447,7 +460,7 @@
                     return
                 decision = Deny(self._guard.come_back(0))
             else:
-                held.until = held.submission.hard_stop
+                held.until = held.submission.deadline_us
         self._tell(held, decision, now)
 
     def _own(self, held: _Held, now: int) -> Decision | None:
@@ -478,17 +491,19 @@
     def _synced(self, held: _Held, decision: Decision, by: int, now: int) -> None:
         done = self._desk.synced(held.number)
         if done is None and (now < by or held.call is None):
-            self._timers.after(_LOOK if now < by else 100 * _LOOK, partial(self._synced, held, decision, by))
+            self._timers.call_after(
+                _LOOK if now < by else 100 * _LOOK, partial(self._synced, held, decision, by)
+            )
             return
         if held.call is None:
             # Told already, or its client has left: the disk has it by now, or never will.
             self._settle(held, now)
             return
         if done:
-            held.until = held.submission.hard_stop
+            held.until = held.submission.deadline_us
             self._tell(held, decision, now)
         elif done is None:
-            self._timers.after(100 * _LOOK, partial(self._synced, held, decision, by))
+            self._timers.call_after(100 * _LOOK, partial(self._synced, held, decision, by))
             self._tell(held, Deny(self._guard.come_back(0)), now)
         else:
             held.number = None
--- a/cresstray/idempotency/execution_guard.py
+++ b/cresstray/idempotency/execution_guard.py
@@ -12,8 +12,8 @@
 from typing import Any, NamedTuple
 
 from cresstray.idempotency.records import Event, Kind, Mark, State, kept_result
-from cresstray.policy.sliding_window import Ring
-from cresstray.policy.types import Tariff
+from cresstray.policy.sliding_window import SlidingWindow
+from cresstray.policy.types import RequestClass
 
 # Danger: an engine gets a relay later than it was sent, and clocks run at different speeds. A repeat is sent
 # no later than this before the memory of the first is over: a hundredth of it is more than any two clocks
@@ -38,13 +38,13 @@
     ONCE = "once"  # unrepeatable: the mark alone, where the client gives a name
 
 
-def guarded(tariff: Tariff, name: str, lines: Mapping[str, Any]) -> Guarded:
+def guarded(request_class: RequestClass, name: str, lines: Mapping[str, Any]) -> Guarded:
     """`lines["tariffs"]`: the names of the tariffs that the operator has marked."""
-    if tariff.idempotent or name not in lines.get("tariffs", ()):
+    if request_class.is_idempotent or name not in lines.get("tariffs", ()):
         return Guarded.FREE
-    if not tariff.deduplicated:
+    if not request_class.is_deduplicated:
         return Guarded.ONCE
-    shared = tariff.group == "all" and tariff.memory > 2 * (_TRAVEL + _WORTH)
+    shared = request_class.dedup_scope == "all" and request_class.dedup_window_us > 2 * (_TRAVEL + _WORTH)
     return Guarded.SHARED if shared else Guarded.APART
 
 
@@ -130,7 +130,7 @@
         # Off where the operator does not name a tariff: its promise is worth more than its payoff.
         self._most = {name: float(most) for name, most in lines.get("unguarded", {}).items()}
         self._longest = int(lines.get("unguarded_s", 0) * 1_000_000)
-        self._passed = {name: Ring(1_000_000, 10) for name in sorted(self._most)}
+        self._passed = {name: SlidingWindow(1_000_000, 10) for name in sorted(self._most)}
 
     def claim(
         self, kind: Guarded, mark: Mark | None, holder: Holder, at: int, times: Times, now: int
@@ -181,7 +181,11 @@
     def silent(self, silence: Silence, name: str, now: int) -> Decision:
         """Nothing is known of it. Danger: it may have run elsewhere, longer ago than the engines remember."""
         ring = self._passed.get(name)
-        if ring is not None and silence.since <= self._longest and ring.most(now) + 1 <= self._most[name]:
+        if (
+            ring is not None
+            and silence.since <= self._longest
+            and ring.upper_bound(now) + 1 <= self._most[name]
+        ):
             ring.add(now)
             return Unguarded(silence.why)
         return Deny(self.come_back(0))
--- a/cresstray/idempotency/health.py
+++ b/cresstray/idempotency/health.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from cresstray.policy.sliding_window import Ring
+from cresstray.policy.sliding_window import SlidingWindow
 
 _SPAN, _PARTS = 2_000_000, 10
 # Of a submission's slack at most a quarter goes to the store, whatever it asks there.
@@ -39,7 +39,7 @@
         self._most = int(lines.get("ask_most_ms", 250) * 1000)
         self._slow = int(lines.get("slow_ms", 50) * 1000)
         self._chance = chance
-        self._sum, self._count, self._faults = (Ring(_SPAN, _PARTS) for _ in range(3))
+        self._sum, self._count, self._faults = (SlidingWindow(_SPAN, _PARTS) for _ in range(3))
         self._tickets: dict[int, int] = {}  # when each began
         self._number = 0
         # It begins open: nothing is known of it before it has answered.
@@ -51,8 +51,8 @@
         """Microseconds that may be spent asking, of `slack`; 0: go on without. Never all that is left."""
         if self.open or len(self._tickets) >= _MOST_OUT:
             return 0
-        count = self._count.least(now)
-        usual = self._sum.least(now) / count if count else 0.0
+        count = self._count.lower_bound(now)
+        usual = self._sum.lower_bound(now) / count if count else 0.0
         budget = min(self._most, slack // _SHARE, max(self._slow, int(_TRIPS * usual)))
         return budget if budget > usual else 0
 
@@ -77,8 +77,8 @@
             self._well_at = now
             return
         self._faults.add(now)
-        faults = self._faults.most(now)
-        if not self.open and faults >= _FAULTS and faults >= _HALF * self._count.most(now):
+        faults = self._faults.upper_bound(now)
+        if not self.open and faults >= _FAULTS and faults >= _HALF * self._count.upper_bound(now):
             self.open, self._streak, self._failed, self._needed = True, 0, 0, _TRIALS
             self._rest(now)
 
@@ -98,7 +98,7 @@
             return
         self.open, self._well_at = False, now
         # What it was like before it opened says nothing of what it is like now.
-        self._sum, self._count, self._faults = (Ring(_SPAN, _PARTS) for _ in range(3))
+        self._sum, self._count, self._faults = (SlidingWindow(_SPAN, _PARTS) for _ in range(3))
 
     def _rest(self, now: int) -> None:
         # Danger: hundreds of gateways find it gone at once, and would all try it at once.
--- a/cresstray/membership/estimate.py
+++ b/cresstray/membership/estimate.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.membership import probe_budget as trials
 from cresstray.membership.confidence import HANDED, LIST, OLDEST, SECOND, weight
 from cresstray.membership.reconciliation import Numbers, Tomb, Tombs
-from cresstray.policy.types import Standing
+from cresstray.policy.types import EndpointState
 
 # A trial that nobody has answered: connecting is given up far sooner.
 _LOST = 5 * SECOND
@@ -57,7 +57,7 @@
 
 
 class Belief(msgspec.Struct):
-    member: Member  # as it was last told or kept, its start too
+    member: Endpoint  # as it was last told or kept, its start too
     state: State
     source: Source
     at: int  # of the last evidence, by this process's clock; before its start for what is older
@@ -99,13 +99,13 @@
 
     def remembered(
         self,
-        given: Iterable[tuple[Member, int]],
+        given: Iterable[tuple[Endpoint, int]],
         number: int,
         tombs: list[Tomb],
         source: Source,
         now: int,
         handed: bool = False,
-    ) -> list[Member]:
+    ) -> list[Endpoint]:
         """`number`: the register's, when the list was made. What this process knows better stays.
 
         What is to be listed because of it: who was listed on trial, and is gone by the word in it or has
@@ -123,7 +123,7 @@
             self.numbers.highest = max(self.numbers.highest, number)
             self.handed = handed
         trust = taken = 0.0
-        for member, age in sorted(given, key=lambda one: (one[1], -one[0].started, one[0].id)):
+        for member, age in sorted(given, key=lambda one: (one[1], -one[0].started_us, one[0].id)):
             if self._remember(member, min(age, OLDEST), number, source, now):
                 taken, trust = taken + 1, trust + weight(age, LIST)
         self.window.open(int(taken), trust / max(1.0, taken))
@@ -138,7 +138,7 @@
                 told.append(_gone(member))
             elif belief.since > since:
                 told.append(
-                    msgspec.structs.replace(belief.member, standing=Standing.READY, started=belief.since)
+                    msgspec.structs.replace(belief.member, state=EndpointState.READY, started_us=belief.since)
                 )
         return told
 
@@ -146,21 +146,21 @@
         # Danger: a successor lists by what the one before wrote last but one. The register's word in the last
         # write, that an engine is gone, counts before whatever listens or serves there.
         belief = self.engines.get(tomb.id)
-        return belief is None or belief.state is not State.TOLD and belief.member.started <= tomb.started
+        return belief is None or belief.state is not State.TOLD and belief.member.started_us <= tomb.started
 
-    def _remember(self, member: Member, age: int, number: int, source: Source, now: int) -> bool:
+    def _remember(self, member: Endpoint, age: int, number: int, source: Source, now: int) -> bool:
         known = self.engines.get(member.id)
         if (
             known is not None
             and known.state in (State.ON_TRIAL, State.CONFIRMED)
-            and member.started > known.member.started
+            and member.started_us > known.member.started_us
         ):
             # Danger: it is asked by what an earlier list said, and would be warm by its start of then.
-            known.member = msgspec.structs.replace(known.member, started=member.started)
-            known.since = max(known.since, member.started)
+            known.member = msgspec.structs.replace(known.member, started_us=member.started_us)
+            known.since = max(known.since, member.started_us)
         if (
-            member.standing is Standing.GONE
-            or self.tombs.bars(member.id, member.started, number)
+            member.state is EndpointState.REMOVED
+            or self.tombs.bars(member.id, member.started_us, number)
             or known is not None
             and (known.state not in (State.REMEMBERED, State.CONTRADICTED) or known.at >= now - age)
             or known is None
@@ -171,7 +171,7 @@
         if owner != member.id:
             return False  # the address has gone to another one, of which more is known
         # Danger: a drain of the list is over or not, nobody here knows. A grace after our start it is.
-        due = now + self._grace if member.standing is Standing.DRAINING else now
+        due = now + self._grace if member.state is EndpointState.DRAINING else now
         # Danger: whoever wrote this saw it well, and this process has seen it refuse: it may start anew.
         failed = 0 if known is None else known.failed
         due = max(due, known.due) if failed else due
@@ -181,39 +181,43 @@
 
     # The register's word, which counts before all others.
 
-    def told(self, event: Event, now: int) -> Event:
+    def told(self, event: EndpointEvent, now: int) -> EndpointEvent:
         """The event as the module may have it: what an old list would raise is left out of it.
 
         A whole list that is older than what was kept becomes a partial one: it can't say who is gone.
         """
-        whole = self.numbers.take(event.number, event.complete, now)
-        named, members = {member.id for member in event.members}, []
-        for member in event.members:
-            if member.standing is Standing.GONE:
-                self._bury(member.id, member.started, event.number, now)
+        whole = self.numbers.take(event.index, event.is_complete, now)
+        named, members = {member.id for member in event.endpoints}, []
+        for member in event.endpoints:
+            if member.state is EndpointState.REMOVED:
+                self._bury(member.id, member.started_us, event.index, now)
                 members.append(member)
             elif not (
-                self.tombs.bars(member.id, member.started, event.number)
-                or self._outdated(member, event.number)
+                self.tombs.bars(member.id, member.started_us, event.index)
+                or self._outdated(member, event.index)
             ):
-                members += self._claim(member, named, event.number, now)
-                started = self._started(member, event.number, now)
+                members += self._claim(member, named, event.index, now)
+                started = self._started(member, event.index, now)
                 self._put(self._told(member, started, now))
                 self.tombs.raised(member.id)
-                members.append(msgspec.structs.replace(member, started=started))
+                members.append(msgspec.structs.replace(member, started_us=started))
         if whole:
             for engine in [engine for engine in self.engines if engine not in named]:
-                self._bury(engine, 0, event.number, now)
+                self._bury(engine, 0, event.index, now)
             # Who is left out of a whole list is gone, links and all.
-            members = [member for member in members if member.standing is not Standing.GONE]
-        return Event(event.number, whole, members)
+            members = [member for member in members if member.state is not EndpointState.REMOVED]
+        return EndpointEvent(event.index, whole, members)
 
-    def _outdated(self, member: Member, number: int) -> bool:
+    def _outdated(self, member: Endpoint, number: int) -> bool:
         """An older list, on an engine that has started anew since."""
         known = self.engines.get(member.id)
-        return number < self.numbers.highest and known is not None and known.member.started > member.started
+        return (
+            number < self.numbers.highest
+            and known is not None
+            and known.member.started_us > member.started_us
+        )
 
-    def _started(self, member: Member, number: int, now: int) -> int:
+    def _started(self, member: Endpoint, number: int, now: int) -> int:
         """Since when the module may take it to be up.
 
         Danger: a register that was down, or is behind, names starts from before a loss of power. All gateways
@@ -221,17 +225,17 @@
         """
         known = self.engines.get(member.id)
         if known is not None and known.listed:
-            return max(member.started, known.since)
+            return max(member.started_us, known.since)
         # Danger: one that refused us is asked again by now, and still is as cold.
         if number < self.numbers.highest or known is not None and known.failed:
-            return max(member.started, now)
-        return member.started
+            return max(member.started_us, now)
+        return member.started_us
 
-    def _told(self, member: Member, started: int, now: int) -> Belief:
+    def _told(self, member: Endpoint, started: int, now: int) -> Belief:
         known, drained = self.engines.get(member.id), 0
-        if member.standing is Standing.DRAINING:
+        if member.state is EndpointState.DRAINING:
             # Said again, it is the same drain; its grace counts from when this process first heard of it.
-            same = known and known.state is State.TOLD and known.member.started == member.started
+            same = known and known.state is State.TOLD and known.member.started_us == member.started_us
             drained = known.drained if same and known.drained else now
         return Belief(
             member,
@@ -240,16 +244,16 @@
             now,
             listed=True,
             drained=drained,
-            since=started if started != member.started else 0,
+            since=started if started != member.started_us else 0,
         )
 
-    def _claim(self, member: Member, named: set[int], number: int, now: int) -> list[Member]:
+    def _claim(self, member: Endpoint, named: set[int], number: int, now: int) -> list[Endpoint]:
         """Whoever was believed at this address, and is not told of together with the one that has it now."""
         owner = self._at.get((member.host, member.port), member.id)
         if owner == member.id or owner in named:
             return []
         known = self.engines[owner]
-        self._bury(owner, known.member.started, number, now)
+        self._bury(owner, known.member.started_us, number, now)
         return [_gone(known.member)] if known.listed else []
 
     def grace_left(self, engine: int, now: int) -> int:
@@ -261,7 +265,7 @@
         """The register's link brings frames: what it has told is as fresh as the last of them."""
         self._alive = now
 
-    def settle(self, now: int) -> Event | None:
+    def settle(self, now: int) -> EndpointEvent | None:
         """Once the register has stood by numbers below ours: those that it never named are gone."""
         if now - self._alive > _SILENT:
             self.numbers.unheard(now)  # what it once said is no word that it stands by
@@ -272,11 +276,11 @@
         for belief in unnamed:
             self._bury(belief.member.id, 0, self.numbers.last, now)
         self.tombs.rebase(self.numbers.last)
-        return Event(0, False, [_gone(belief.member) for belief in unnamed if belief.listed])
+        return EndpointEvent(0, False, [_gone(belief.member) for belief in unnamed if belief.listed])
 
     # Trials: a connection first, then work as a cold engine gets it, until it has served.
 
-    def due(self, now: int) -> list[Member]:
+    def due(self, now: int) -> list[Endpoint]:
         """The engines to be asked now, by a connection, each once; what comes of it goes to `answered`."""
         for engine, since in list(self.window.out.items()):
             if now - since >= _LOST:
@@ -298,7 +302,7 @@
                     break
         return begun
 
-    def answered(self, engine: int, how: How, now: int) -> list[Member]:
+    def answered(self, engine: int, how: How, now: int) -> list[Endpoint]:
         """What came of a trial or of a relay; what is to be listed because of it."""
         belief = self.engines.get(engine)
         self.window.went(engine, how in (How.LISTENS, How.SERVED))
@@ -315,7 +319,7 @@
         listed, belief.listed = belief.listed, False
         if how is How.OTHER:
             # It is somebody else's address now; that one is not ours to list until we are told of it.
-            self._bury(engine, belief.member.started, self.numbers.highest, now)
+            self._bury(engine, belief.member.started_us, self.numbers.highest, now)
         else:
             belief.state, belief.failed = State.CONTRADICTED, belief.failed + 1
             belief.due = now + (
@@ -323,13 +327,13 @@
             )
         return [_gone(belief.member)] if listed else []
 
-    def forget(self, engine: int, now: int) -> list[Member]:
+    def forget(self, engine: int, now: int) -> list[Endpoint]:
         """An operator says that it is gone; later news of the register may still raise it."""
         belief = self.engines[engine]
-        self._bury(engine, belief.member.started, self.numbers.highest, now)
+        self._bury(engine, belief.member.started_us, self.numbers.highest, now)
         return [_gone(belief.member)] if belief.listed else []
 
-    def _list(self, belief: Belief, now: int) -> list[Member]:
+    def _list(self, belief: Belief, now: int) -> list[Endpoint]:
         belief.listed = True
         # Danger: it may have started at any time until now, alone or with all others. Cold from this moment
         # on, unless it was seen warm a few seconds ago by the gateway that handed over.
@@ -337,10 +341,10 @@
             self.handed
             and now - self.begun < HANDED
             and belief.failed == 0
-            and belief.member.standing is Standing.READY
+            and belief.member.state is EndpointState.READY
         )
-        belief.since = belief.member.started if warm else now
-        return [msgspec.structs.replace(belief.member, standing=Standing.READY, started=belief.since)]
+        belief.since = belief.member.started_us if warm else now
+        return [msgspec.structs.replace(belief.member, state=EndpointState.READY, started_us=belief.since)]
 
     # What it means for work.
 
@@ -354,7 +358,7 @@
         told = confirmed = on_trial = waiting = 0
         for belief in self.engines.values():
             if belief.state is State.TOLD:
-                told += belief.member.standing is Standing.READY
+                told += belief.member.state is EndpointState.READY
             elif belief.state is State.CONFIRMED:
                 confirmed += 1
             elif belief.state is State.ON_TRIAL and belief.listed:
@@ -376,7 +380,7 @@
 
     # What is kept, and how old each part of it is.
 
-    def evidence(self, now: int) -> list[tuple[Member, int]]:
+    def evidence(self, now: int) -> list[tuple[Endpoint, int]]:
         """All that is not gone, and when it was last known: writing it again makes nothing younger."""
         told, alive = State.TOLD, self._alive
         return [
@@ -385,7 +389,7 @@
             if belief.failed < _HOPELESS or now - belief.at < OLDEST
         ]
 
-    def kept(self, now: int) -> list[tuple[Member, int]]:
+    def kept(self, now: int) -> list[tuple[Endpoint, int]]:
         """The same with ages."""
         return [(member, max(0, min(OLDEST, now - at))) for member, at in self.evidence(now)]
 
@@ -404,7 +408,7 @@
 
     def _bury(self, engine: int, started: int, number: int, now: int) -> None:
         belief = self._drop(engine)
-        self.tombs.bury(engine, max(started, belief.member.started if belief else 0), number, now)
+        self.tombs.bury(engine, max(started, belief.member.started_us if belief else 0), number, now)
 
     def fingerprint(self) -> tuple:
         return (
@@ -420,5 +424,5 @@
         )
 
 
-def _gone(member: Member) -> Member:
-    return msgspec.structs.replace(member, standing=Standing.GONE)
+def _gone(member: Endpoint) -> Endpoint:
+    return msgspec.structs.replace(member, state=EndpointState.REMOVED)
--- a/cresstray/membership/guard.py
+++ b/cresstray/membership/guard.py
@@ -3,17 +3,19 @@
 from __future__ import annotations
 
 from cresstray.membership.recovery import Keep
-from cresstray.policy.controller import Gateway
-from cresstray.policy.types import Beside, Engine, Submission
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.types import ChainedRules, Engine, Request
 
 
-class Guard(Beside):
-    def __init__(self, keep: Keep, gateway: Gateway) -> None:
+class Guard(ChainedRules):
+    def __init__(self, keep: Keep, gateway: PolicyController) -> None:
         super().__init__(gateway)
         self._keep = keep
 
-    def takes(self, submission: Submission, engine: Engine, now: int) -> bool:
+    def allows(self, request: Request, engine: Engine, now: int) -> bool:
         # Danger: the first that a remembered address hears of us may be heard by somebody else.
         return (
-            submission.tariff.idempotent or submission.tariff.deduplicated or not self._keep.on_trial(engine)
-        ) and super().takes(submission, engine, now)
+            request.request_class.is_idempotent
+            or request.request_class.is_deduplicated
+            or not self._keep.on_trial(engine)
+        ) and super().allows(request, engine, now)
--- a/cresstray/membership/learned_state.py
+++ b/cresstray/membership/learned_state.py
@@ -7,7 +7,7 @@
 from cresstray.membership.confidence import LIMIT, PACE, TIMES, faded, faded_ratio, weight
 from cresstray.membership.estimate import Belief
 from cresstray.membership.snapshot import Limit, Tariff
-from cresstray.policy.controller import Gateway, Limiter
+from cresstray.policy.controller import Limiter, PolicyController
 from cresstray.policy.types import Engine
 
 # Danger: a tariff with fewer than five known answers weighs its soft limit on a cold engine. With many
@@ -19,11 +19,17 @@
 _TRIAL_SHARE = 0.5
 
 
-def tariffs(gateway: Gateway, names: Iterable[str]) -> list[Tariff]:
+def tariffs(gateway: PolicyController, names: Iterable[str]) -> list[Tariff]:
     return [
-        Tariff(name, tariff.usual.seen, tariff.usual.mean, tariff.usual.estimate, tariff.usual.factor)
-        for name, tariff in zip(names, gateway.tariffs)
-        if tariff.usual.seen
+        Tariff(
+            name,
+            request_class.latency.sample_count,
+            request_class.latency.mean_us,
+            request_class.latency.mean_work_us,
+            request_class.latency.work_factor,
+        )
+        for name, request_class in zip(names, gateway.request_classes)
+        if request_class.latency.sample_count
     ]
 
 
@@ -32,23 +38,23 @@
 ) -> list[tuple[int, int, float, float]]:
     """Of those that have learnt anything, as record.Limit has it."""
     return [
-        (number, beliefs[number].member.started, limiter.limit / limiter.start, limiter.pace)
+        (number, beliefs[number].member.started_us, limiter.limit / limiter.start, limiter.pace)
         for number, (_, limiter) in engines.items()
         if limiter.seen >= 10 and number in beliefs
     ]
 
 
-def put_tariffs(gateway: Gateway, names: Iterable[str], kept: Iterable[Tariff], age: int) -> int:
+def put_tariffs(gateway: PolicyController, names: Iterable[str], kept: Iterable[Tariff], age: int) -> int:
     """Into tariffs that have seen nothing yet, unless nobody knows how old they are; how many."""
     of, put, left = {one.name: one for one in kept}, 0, weight(age, TIMES)
-    for name, tariff in zip(names, gateway.tariffs):
-        usual, one = tariff.usual, of.get(name)
-        if one is None or usual.seen or one.seen < _KNOWN or not left:
+    for name, request_class in zip(names, gateway.request_classes):
+        usual, one = request_class.latency, of.get(name)
+        if one is None or usual.sample_count or one.seen < _KNOWN or not left:
             continue
-        usual.mean, usual.estimate = one.mean, one.estimate
-        usual.factor = faded_ratio(one.factor, age, TIMES)
+        usual.mean_us, usual.mean_work_us = one.mean, one.estimate
+        usual.work_factor = faded_ratio(one.factor, age, TIMES)
         # Fewer count for as much: what is answered from now on moves it sooner.
-        usual.seen = max(_KNOWN, int(min(one.seen, 200) * left))
+        usual.sample_count = max(_KNOWN, int(min(one.seen, 200) * left))
         put += 1
     return put
 
--- a/cresstray/membership/recovery.py
+++ b/cresstray/membership/recovery.py
@@ -9,28 +9,28 @@
 
 from anyio.abc import TaskGroup
 
-from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.membership import learned_state as learnt
 from cresstray.membership import snapshot as record
 from cresstray.membership.background_writer import Behind
 from cresstray.membership.confidence import HANDED, OLDEST, Moment, age
 from cresstray.membership.connection_probe import knock
 from cresstray.membership.estimate import Beliefs, How, Source, State
-from cresstray.membership.snapshot_files import Found, Outcome, Writer
+from cresstray.membership.snapshot_files import Found, Writer, WriteResult
 from cresstray.observability.counters import Counters
-from cresstray.policy.controller import Gateway, Limiter, micros
-from cresstray.policy.types import Ending, Engine, Relay, Standing, Submission
+from cresstray.policy.controller import Limiter, PolicyController, micros
+from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
 # What a relay's end says of a remembered engine. Faults of work say nothing: it runs work, so it is one. An
 # answer that can't be read may be another service's, which may be for a moment only.
 _HOW = {
-    Ending.FULFILLED: How.SERVED,
-    Ending.FULL: How.SERVED,
-    Ending.ERROR: How.SERVED,
-    Ending.UNREACHABLE: How.REFUSED,
-    Ending.TIMED_OUT: How.SILENT,
-    Ending.RESET: How.SILENT,
-    Ending.SPOILT: How.SILENT,
+    Outcome.SUCCEEDED: How.SERVED,
+    Outcome.OVERLOADED: How.SERVED,
+    Outcome.FAILED: How.SERVED,
+    Outcome.UNREACHABLE: How.REFUSED,
+    Outcome.TIMED_OUT: How.SILENT,
+    Outcome.CONNECTION_LOST: How.SILENT,
+    Outcome.PROTOCOL_ERROR: How.SILENT,
 }
 # Without a stated grace an engine is given so long to end.
 _GRACE = 10_000
@@ -51,7 +51,7 @@
         self,
         writer: Writer,
         settings: Mapping[str, Any],
-        gateway: Gateway,
+        gateway: PolicyController,
         chance: Callable[[], float],
         counters: Counters,
         say: Callable[[str], None],
@@ -68,8 +68,8 @@
             micros(safety.get("DrainGrace", _GRACE)), micros(limits.get("MaxRetryAfter", 0)), chance, now
         )
         self.behind = Behind(chance, now)
-        self._pending: dict[int, Member] = {}  # to be listed at the next step
-        self._asked: deque[Member] = deque()  # on trial, and still to be connected to
+        self._pending: dict[int, Endpoint] = {}  # to be listed at the next step
+        self._asked: deque[Endpoint] = deque()  # on trial, and still to be connected to
         self._engines: dict[int, tuple[Engine, Limiter]] = {}
         self._ids: dict[Engine, int] = {}
         self._same: set[int] = set()  # told, in the life that they were remembered in
@@ -113,29 +113,29 @@
 
     # The list: before and after the module hears of it.
 
-    def told(self, event: Event, now: int) -> Event:
+    def told(self, event: EndpointEvent, now: int) -> EndpointEvent:
         """The event as route and module may have it."""
         before = {
-            member.id: belief.member.started
-            for member in event.members
+            member.id: belief.member.started_us
+            for member in event.endpoints
             if (belief := self.beliefs.engines.get(member.id)) is not None
             and belief.state in (State.ON_TRIAL, State.CONFIRMED)
         }
         passed = self.beliefs.told(event, now)
-        self._same = {member.id for member in passed.members if before.get(member.id) == member.started}
-        left_out = len(event.members) - len(passed.members)
+        self._same = {member.id for member in passed.endpoints if before.get(member.id) == member.started_us}
+        left_out = len(event.endpoints) - len(passed.endpoints)
         if left_out:
             self._counters.add("kept: members of old lists left out", left_out)
-        for member in passed.members:
+        for member in passed.endpoints:
             self._pending.pop(member.id, None)
-        if passed.complete:
+        if passed.is_complete:
             self._pending.clear()
         self.behind.changed(now)
         return passed
 
-    def listed(self, event: Event, engines: Mapping[int, Engine], now: int) -> None:
+    def listed(self, event: EndpointEvent, engines: Mapping[int, Engine], now: int) -> None:
         """After the module has heard of `event`; `engines`: the route's, by id. Limits start as they were."""
-        for member in event.members:
+        for member in event.endpoints:
             engine = engines.get(member.id)
             if engine is None or engine.limiter is None:
                 continue
@@ -147,7 +147,7 @@
             self._engines = {number: held for number, held in self._engines.items() if number in engines}
             self._ids = {held[0]: number for number, held in self._engines.items()}
 
-    def _start(self, member: Member, engine: Engine, old: Limiter | None, now: int) -> None:
+    def _start(self, member: Endpoint, engine: Engine, old: Limiter | None, now: int) -> None:
         told = self.beliefs.state(member.id) is State.TOLD
         if old is not None and member.id in self._same:
             learnt.carry(old, engine.limiter)
@@ -155,14 +155,14 @@
         kept = self._limits.get(member.id)
         if kept is not None:
             passed = min(OLDEST, self._age + max(0, now - self._begun))
-            learnt.put_limit(engine.limiter, kept, member.started if told else None, passed)
+            learnt.put_limit(engine.limiter, kept, member.started_us if told else None, passed)
         if not told:
             learnt.on_trial(engine.limiter, self._chance, now)
 
     # What happens meanwhile.
 
-    def ended(self, relay: Relay, ending: Ending, now: int) -> None:
-        engine, how = self._ids.get(relay.engine), _HOW.get(ending)
+    def ended(self, attempt: Attempt, ending: Outcome, now: int) -> None:
+        engine, how = self._ids.get(attempt.engine), _HOW.get(ending)
         if engine is not None and how is not None and self.beliefs.state(engine) is not State.TOLD:
             self._answered(engine, how, now)
 
@@ -175,10 +175,10 @@
             self._counters.add(f"kept: engines {after.value}")
             self.behind.changed(now)
 
-    def refuses(self, submission: Submission, now: int) -> int | None:
+    def refuses(self, request: Request, now: int) -> int | None:
         """When to come back, in microseconds, where nothing is known well enough to send this to."""
-        tariff = submission.tariff
-        wait = self.beliefs.refuses(tariff.idempotent or tariff.deduplicated, now)
+        request_class = request.request_class
+        wait = self.beliefs.refuses(request_class.is_idempotent or request_class.is_deduplicated, now)
         if wait is not None:
             self._counters.add("kept: refused rather than guessed")
         return wait
@@ -187,7 +187,7 @@
         number = self._ids.get(engine)
         if number is None:
             # Danger: what is held may be sent while the module hears of it, before `listed` here.
-            return engine.far is None
+            return engine.forwarding is None
         # Danger: a relay that has just failed makes it contradicted, and the module sends on before it hears.
         return self.beliefs.state(number) not in (State.TOLD, State.CONFIRMED)
 
@@ -229,20 +229,20 @@
             tasks.start_soon(self._trial, self._asked.popleft(), now)
         return begun
 
-    async def _trial(self, member: Member, now: Callable[[], int]) -> None:
+    async def _trial(self, member: Endpoint, now: Callable[[], int]) -> None:
         how = await knock(member.host, member.port, self._patience)
         belief = self.beliefs.engines.get(member.id)
         # It may have been told of meanwhile, at another address.
         if belief is not None and (belief.member.host, belief.member.port) == (member.host, member.port):
             self._answered(member.id, how, now())
 
-    def step(self, now: int) -> Event | None:
+    def step(self, now: int) -> EndpointEvent | None:
         """`look` and `write`, for all there is."""
         event = self.look(now)
         self.write(now)
         return event
 
-    def look(self, now: int, most: int | None = None) -> Event | None:
+    def look(self, now: int, most: int | None = None) -> EndpointEvent | None:
         """What is to be listed, if anything, and what the register stands by; ten times a second.
 
         `most`: engines in it that are not gone; the rest is for the next look, see `more`.
@@ -254,16 +254,18 @@
         settled = self.beliefs.settle(now)
         if settled is not None:
             self._say("the register stands by smaller numbers than those kept: what it has not named is gone")
-            self._pending.update((member.id, member) for member in settled.members)
+            self._pending.update((member.id, member) for member in settled.endpoints)
             self.behind.changed(now)
         members = list(self._pending.values())
         if most is not None and len(members) > most:
             # Danger: what is gone must not wait behind others to be listed.
-            gone = [member for member in members if member.standing is Standing.GONE]
-            members = gone + [member for member in members if member.standing is not Standing.GONE][:most]
+            gone = [member for member in members if member.state is EndpointState.REMOVED]
+            members = (
+                gone + [member for member in members if member.state is not EndpointState.REMOVED][:most]
+            )
         for member in members:
             del self._pending[member.id]
-        return Event(0, False, members) if members else None
+        return EndpointEvent(0, False, members) if members else None
 
     @property
     def more(self) -> bool:
@@ -284,7 +286,7 @@
             self._final = True
             self._begin_write(now, self._last, True)
 
-    def _written(self, outcome: Outcome, now: int) -> None:
+    def _written(self, outcome: WriteResult, now: int) -> None:
         if outcome.busy:
             self.behind.locked_out(now)
         else:
@@ -314,7 +316,7 @@
         at, beliefs, folder = self._moment(), self.beliefs, self._writer.folder
         evidence, limits = beliefs.evidence(now), learnt.limits(self._engines, beliefs.engines)
         tombs, open_marks = record.bounded(beliefs.tombs.kept(now), list(marks))
-        number, tariffs = beliefs.numbers.highest, learnt.tariffs(self._gateway, self._names)
+        number, request_classes = beliefs.numbers.highest, learnt.tariffs(self._gateway, self._names)
 
         # Danger: made on the loop it would take a millisecond of it for 500 engines, at each write. So does a
         # thread that holds the interpreter for as long.
@@ -338,7 +340,7 @@
                 machines=list(self._machines),
                 engines=engines,
                 tombs=tombs,
-                tariffs=tariffs,
+                tariffs=request_classes,
                 limits=[record.Limit(*limit) for limit in limits],
                 marks=open_marks,
             )
--- a/cresstray/membership/snapshot.py
+++ b/cresstray/membership/snapshot.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from cresstray.discovery.endpoint_list import Member
+from cresstray.discovery.endpoint_list import Endpoint
 from cresstray.membership.confidence import Moment
 from cresstray.membership.reconciliation import MOST as MOST_TOMBS
 from cresstray.membership.reconciliation import Tomb
-from cresstray.policy.types import Standing
+from cresstray.policy.types import EndpointState
 
 MAGIC = b"cray\x00kpt"
 FORMAT = 2
@@ -176,7 +176,7 @@
     )
 
 
-def members(record: Record, zones: Sequence[str], machines: Sequence[str]) -> list[tuple[Member, int]]:
+def members(record: Record, zones: Sequence[str], machines: Sequence[str]) -> list[tuple[Endpoint, int]]:
     """The engines by the places that the settings have now, with their ages when it was written.
 
     Danger: a machine that is not named any more has cores that nobody knows: it is left out.
@@ -184,11 +184,11 @@
     zone_of, machine_of = _moved(record.zones, zones), _moved(record.machines, machines)
     return [
         (
-            Member(
+            Endpoint(
                 one.id,
                 one.host,
                 one.port,
-                Standing.DRAINING if one.draining else Standing.READY,
+                EndpointState.DRAINING if one.draining else EndpointState.READY,
                 zone_of(one.zone),
                 machine_of(one.machine),
                 one.cell,
@@ -212,26 +212,26 @@
     return moved
 
 
-def fits(member: Member) -> bool:
+def fits(member: Endpoint) -> bool:
     """Whether it can be kept: one engine that is out of all bounds must not cost the whole list."""
     return (
         0 <= member.id < 2**32
         and 1 <= member.port <= 65_535
-        and 0 <= member.started <= 2**62
-        and all(0 <= place <= 65_535 for place in (member.zone, member.machine, member.cell))
+        and 0 <= member.started_us <= 2**62
+        and all(0 <= place <= 65_535 for place in (member.zone, member.instance_type, member.cell))
     )
 
 
-def engine(member: Member, age: int) -> Engine:
+def engine(member: Endpoint, age: int) -> Engine:
     return Engine(
         member.id,
         member.host,
         member.port,
-        member.standing is Standing.DRAINING,
+        member.state is EndpointState.DRAINING,
         member.zone,
-        member.machine,
+        member.instance_type,
         member.cell,
-        member.started,
+        member.started_us,
         age,
     )
 
--- a/cresstray/membership/snapshot_files.py
+++ b/cresstray/membership/snapshot_files.py
@@ -178,7 +178,7 @@
     return " ".join(text.split())[:160]
 
 
-class Outcome(NamedTuple):
+class WriteResult(NamedTuple):
     """`found`: with the lock came a newer list than the one that was read; nothing was written over it."""
 
     trouble: str  # "": none
@@ -196,7 +196,7 @@
 
     def __init__(self, folder: Folder) -> None:
         self.folder = folder
-        self._outcome: Outcome | None = None
+        self._outcome: WriteResult | None = None
         self._thread: threading.Thread | None = None
 
     def start(self, make: Callable[[], Record], read: int) -> None:
@@ -223,9 +223,9 @@
             trouble = short(fault)
         except Exception as fault:  # Danger: a thread that dies unheard would write no more.
             trouble = f"a fault of its own: {fault!r}"
-        self._outcome = Outcome(trouble, (time.monotonic_ns() - begun) // 1000, size, busy, found)
+        self._outcome = WriteResult(trouble, (time.monotonic_ns() - begun) // 1000, size, busy, found)
 
-    def poll(self) -> Outcome | None:
+    def poll(self) -> WriteResult | None:
         """The outcome of the last write, told once."""
         outcome = self._outcome
         # Danger: the thread may set it at any moment; it is cleared only once it is set.
