--- a/cresstray/observability/counters.py
+++ b/cresstray/observability/counters.py
@@ -13,7 +13,7 @@
     def add(self, name: str, amount: int = 1) -> None:
         self.counts[name] += amount
 
-    def must(self, holds: object, name: str) -> None:
+    def check(self, holds: object, name: str) -> None:
         """What must hold is asserted in debug builds and counted in release builds (python -O)."""
         assert holds, name
         if not holds:
--- a/cresstray/observability/log.py
+++ b/cresstray/observability/log.py
@@ -13,7 +13,7 @@
         self._second: dict[str, int] = {}
         self._said: dict[str, int] = {}
 
-    def say(self, kind: str, text: str) -> None:
+    def log(self, kind: str, text: str) -> None:
         """Prints a line, unless this kind had its lines of this second; the next tells how many it lost."""
         second = self._clock.now() // 1_000_000
         if self._second.get(kind) != second:
@@ -26,7 +26,7 @@
         if self._said[kind] <= 5:
             self._print(kind, text)
 
-    def tell(self, kind: str, text: str) -> None:
+    def log_always(self, kind: str, text: str) -> None:
         """Prints a line that was asked for, however many there are."""
         self._print(kind, text)
 
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -5,91 +5,91 @@
 from typing import TYPE_CHECKING
 
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.request_context import Errand
+from cresstray.pipeline.request_context import RequestContext
 from cresstray.policy import controller as logic
-from cresstray.policy.types import Ending, Submission
+from cresstray.policy.types import Outcome, Request
 
 if TYPE_CHECKING:
-    from cresstray.pipeline.idempotency_checks import Marked
+    from cresstray.pipeline.idempotency_checks import IdempotencyChecks
 
 
-class Book:
+class RequestAccounting:
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
-        self.marked: Marked | None = None  # where marks are kept in a store
-        self.open: dict[Submission, Errand] = {}  # until answered and nothing of it is out
+        self.idempotency: IdempotencyChecks | None = None  # where marks are kept in a store
+        self.open: dict[Request, RequestContext] = {}  # until answered and nothing of it is out
 
-    def opened(self, errand: Errand) -> None:
-        self.open[errand.submission] = errand
-        errand.asker.open[errand.number] = errand
+    def open_request(self, context: RequestContext) -> None:
+        self.open[context.request] = context
+        context.responder.open[context.number] = context
         self._counters.add("submissions accepted")
 
-    def owed(self) -> int:
+    def unanswered_count(self) -> int:
         """How many still wait for their answer."""
-        return sum(not errand.answered for errand in self.open.values())
+        return sum(not context.is_answered for context in self.open.values())
 
-    def close(self, last_stop: int) -> None:
+    def limit_deadlines(self, last_stop: int) -> None:
         """The gateway ends then: that is a hard stop for all that is open."""
-        for submission in self.open:
-            logic.end_by(submission, last_stop)
-
-    def fulfil(self, submission: Submission, result: bytes) -> None:
-        errand = self._answer(submission, "fulfilled")
-        if errand is not None:
-            read = submission.read
-            errand.asker.fulfil(errand.number, result, read.at() if read is not None else None)
-            self._tell(submission, "fulfilled", result)
-
-    def deny(self, submission: Submission, come_back: int) -> None:
-        errand = self._answer(submission, "denied")
-        if errand is not None:
-            errand.asker.deny(errand.number, come_back)
-            self._tell(submission, "denied")
-
-    def abandon(self, submission: Submission) -> None:
-        errand = self._answer(submission, "abandoned")
-        if errand is not None:
-            errand.asker.abandon(errand.number)
-            self._tell(submission, "abandoned")
-
-    def left(self, errand: Errand) -> None:
+        for request in self.open:
+            logic.limit_deadline(request, last_stop)
+
+    def succeed(self, request: Request, result: bytes) -> None:
+        context = self._answer(request, "fulfilled")
+        if context is not None:
+            read = request.replica_read
+            context.responder.succeed(context.number, result, read.at() if read is not None else None)
+            self._tell(request, "fulfilled", result)
+
+    def reject(self, request: Request, come_back: int) -> None:
+        context = self._answer(request, "denied")
+        if context is not None:
+            context.responder.reject(context.number, come_back)
+            self._tell(request, "denied")
+
+    def fail(self, request: Request) -> None:
+        context = self._answer(request, "abandoned")
+        if context is not None:
+            context.responder.fail(context.number)
+            self._tell(request, "abandoned")
+
+    def on_client_left(self, context: RequestContext) -> None:
         """Nothing is owed any more."""
-        errand.answered = True
-        del errand.asker.open[errand.number]
+        context.is_answered = True
+        del context.responder.open[context.number]
         self._counters.add("submissions left")
-        self._tell(errand.submission, "left")
+        self._tell(context.request, "left")
 
-    def _tell(self, submission: Submission, how: str, result: bytes | None = None) -> None:
+    def _tell(self, request: Request, how: str, result: bytes | None = None) -> None:
         """Behind the answer, which waits for no mark."""
-        if self.marked is not None:
-            self.marked.ended(submission, how, result)
+        if self.idempotency is not None:
+            self.idempotency.on_request_finished(request, how, result)
 
-    def _answer(self, submission: Submission, how: str) -> Errand | None:
-        errand = self.open.get(submission)
-        self._counters.must(errand is not None, "an answer belongs to an open submission")
-        if errand is None:
+    def _answer(self, request: Request, how: str) -> RequestContext | None:
+        context = self.open.get(request)
+        self._counters.check(context is not None, "an answer belongs to an open submission")
+        if context is None:
             return None
-        self._counters.must(not errand.answered, "a submission is answered once")
-        if errand.answered:
+        self._counters.check(not context.is_answered, "a submission is answered once")
+        if context.is_answered:
             return None
-        errand.answered = True
+        context.is_answered = True
         self._counters.add(f"submissions {how}")
-        self.settle(submission)
-        return errand
+        self.release(request)
+        return context
 
-    def relay_ended(self, ending: Ending) -> None:
+    def count_attempt(self, ending: Outcome) -> None:
         self._counters.add(f"relays {ending.value}")
 
-    def tell_far(self, submission: Submission, ending: Ending) -> None:
+    def notify_remote(self, request: Request, ending: Outcome) -> None:
         """Who asked from another hall must know whether its relay ran, whatever the answer is."""
-        errand = self.open.get(submission)
-        if errand is not None:
-            errand.asker.relay_ended(errand.number, ending)
+        context = self.open.get(request)
+        if context is not None:
+            context.responder.on_attempt_finished(context.number, ending)
 
-    def settle(self, submission: Submission) -> None:
+    def release(self, request: Request) -> None:
         """Forgets what is answered and has nothing out."""
-        errand = self.open.get(submission)
-        if errand is not None and errand.answered and submission.relay is None:
-            del self.open[submission]
+        context = self.open.get(request)
+        if context is not None and context.is_answered and request.current_attempt is None:
+            del self.open[request]
             # Danger: relays and submissions point to each other; what only the collector frees costs pauses.
-            submission.relays.clear()
+            request.attempts.clear()
--- a/cresstray/pipeline/admission.py
+++ b/cresstray/pipeline/admission.py
@@ -4,50 +4,54 @@
 
 from typing import TYPE_CHECKING
 
-from cresstray.pipeline.accounting import Book
-from cresstray.pipeline.request_context import Errand
-from cresstray.policy.controller import Gateway
+from cresstray.pipeline.accounting import RequestAccounting
+from cresstray.pipeline.request_context import RequestContext
+from cresstray.policy.controller import PolicyController
 
 if TYPE_CHECKING:
     from cresstray.membership.recovery import Keep
-    from cresstray.pipeline.idempotency_checks import Marked
+    from cresstray.pipeline.idempotency_checks import IdempotencyChecks
     from cresstray.sites.flow_control import Share
 
 
-class Admit:
-    def __init__(self, book: Book) -> None:
+class Admission:
+    def __init__(self, book: RequestAccounting) -> None:
         self._book = book
-        self.gateway: Gateway | None = None  # made with the port, which stands further down the chain
-        self.share: Share | None = None  # of what may cross to other halls, where there are any
-        self.keep: Keep | None = None  # where a list is kept on disk
-        self.marked: Marked | None = None  # where marks are kept in a store
-
-    def admit(self, errand: Errand, now: int) -> None:
-        self._book.opened(errand)
-        if self.keep is not None and self._refused(errand, now):
+        self.controller: PolicyController | None = (
+            None  # made with the port, which stands further down the chain
+        )
+        self.forwarding_quota: Share | None = None  # of what may cross to other halls, where there are any
+        self.membership: Keep | None = None  # where a list is kept on disk
+        self.idempotency: IdempotencyChecks | None = None  # where marks are kept in a store
+
+    def admit(self, context: RequestContext, now: int) -> None:
+        self._book.open_request(context)
+        if self.membership is not None and self._refused(context, now):
             return
-        if self.marked is not None and self.marked.holds(errand, now, lambda now: self._accept(errand, now)):
+        if self.idempotency is not None and self.idempotency.holds_back(
+            context, now, lambda now: self._accept(context, now)
+        ):
             return
-        self._accept(errand, now)
+        self._accept(context, now)
 
-    def _accept(self, errand: Errand, now: int) -> None:
-        if self.share is not None and not errand.submission.foreign:
-            self.share.taken(now)
-        self.gateway.accept(errand.submission, now)
+    def _accept(self, context: RequestContext, now: int) -> None:
+        if self.forwarding_quota is not None and not context.request.is_forwarded_in:
+            self.forwarding_quota.taken(now)
+        self.controller.accept(context.request, now)
 
-    def _refused(self, errand: Errand, now: int) -> bool:
+    def _refused(self, context: RequestContext, now: int) -> bool:
         """Nothing is known well enough yet to send it anywhere; who asks from another hall counts on us."""
-        submission = errand.submission
-        wait = None if submission.foreign else self.keep.refuses(submission, now)
+        request = context.request
+        wait = None if request.is_forwarded_in else self.membership.refuses(request, now)
         if wait is None:
             return False
-        submission.ended = True
-        self._book.deny(submission, wait)
+        request.is_finished = True
+        self._book.reject(request, wait)
         return True
 
-    def leave(self, errand: Errand, now: int) -> None:
+    def cancel(self, context: RequestContext, now: int) -> None:
         """The client has left; the module gives up what is out."""
-        self._book.left(errand)
-        if self.marked is None or not self.marked.leaves(errand.submission):
-            self.gateway.client_left(errand.submission, now)
-        self._book.settle(errand.submission)
+        self._book.on_client_left(context)
+        if self.idempotency is None or not self.idempotency.on_client_left(context.request):
+            self.controller.on_client_cancelled(context.request, now)
+        self._book.release(context.request)
--- a/cresstray/pipeline/forwarding.py
+++ b/cresstray/pipeline/forwarding.py
@@ -6,69 +6,75 @@
 
 from cresstray.clock import Clock, Timers
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.dispatch import Send
-from cresstray.pipeline.request_context import Errand
-from cresstray.pipeline.response import Back
-from cresstray.policy.types import Ending, Engine, Relay, Standing
-from cresstray.sites.ledger import Crossing, Outcome
+from cresstray.pipeline.dispatch import Dispatcher
+from cresstray.pipeline.request_context import RequestContext
+from cresstray.pipeline.response import ResponseHandler
+from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome
+from cresstray.sites.ledger import Crossing, ForwardingResult
 from cresstray.sites.outbound import Outward
 
 if TYPE_CHECKING:
-    from cresstray.pipeline.idempotency_checks import Marked
+    from cresstray.pipeline.idempotency_checks import IdempotencyChecks
 
 
-class Across:
+class Forwarder:
     """The keeper of all crossings. Each link is one engine to the module, whose `far` is the way to it."""
 
-    def __init__(self, clock: Clock, timers: Timers, counters: Counters, back: Back, send: Send) -> None:
+    def __init__(
+        self, clock: Clock, timers: Timers, counters: Counters, back: ResponseHandler, send: Dispatcher
+    ) -> None:
         self._clock, self._timers, self._counters = clock, timers, counters
         self._back, self._send = back, send
-        self.marked: Marked | None = None  # where marks are kept in a store
+        self.idempotency: IdempotencyChecks | None = None  # where marks are kept in a store
         self._engines: dict[Outward, Engine] = {}
         self._links: dict[Engine, Outward] = {}
 
     def add(self, link: Outward) -> None:
         # No zone or cell of this hall: what may have run there is not sent again to a part of this hall only.
-        engine = Engine(zone=-1 - len(self._engines), cell=-1 - len(self._engines), far=link.way)
+        engine = Engine(zone=-1 - len(self._engines), cell=-1 - len(self._engines), forwarding=link.way)
         self._engines[link], self._links[engine] = engine, link
 
-    def send(self, relay: Relay, errand: Errand, patience: int) -> None:
-        if self._back.client_has_left(relay.submission):
-            self._send.end_unsent(relay)
+    def send(self, attempt: Attempt, context: RequestContext, patience: int) -> None:
+        if self._back.has_client_left(attempt.request):
+            self._send.finish_unsent(attempt)
             return
-        crossing = self._links[relay.engine].offer(relay, errand.query, self._clock.now())
-        self._back.out[relay] = crossing
-        if self.marked is not None:
-            self.marked.sent(relay.submission)
-        crossing.due = self._timers.after(patience, lambda _: self._send.give_up(relay, Ending.TIMED_OUT))
+        crossing = self._links[attempt.engine].offer(attempt, context.query, self._clock.now())
+        self._back.in_flight[attempt] = crossing
+        if self.idempotency is not None:
+            self.idempotency.on_attempt_sent(attempt.request)
+        crossing.timeout = self._timers.call_after(
+            patience, lambda _: self._send.abandon(attempt, Outcome.TIMED_OUT)
+        )
 
-    def ended(self, crossing: Crossing, outcome: Outcome, sent: bool, result: bytes | None) -> None:
-        relay = crossing.relay
-        if self._back.out.get(relay) is not crossing:
+    def on_finished(
+        self, crossing: Crossing, outcome: ForwardingResult, sent: bool, result: bytes | None
+    ) -> None:
+        attempt = crossing.attempt
+        if self._back.in_flight.get(attempt) is not crossing:
             return  # its time was over before
-        if outcome is Outcome.SERVED:
-            ending = Ending.FULFILLED
-        elif outcome is Outcome.UNRUN:
+        if outcome is ForwardingResult.SERVED:
+            ending = Outcome.SUCCEEDED
+        elif outcome is ForwardingResult.UNRUN:
             # Sent and full is the far engine's word; not sent at all, no engine has seen it.
-            ending = Ending.FULL if sent else Ending.MOOT
+            ending = Outcome.OVERLOADED if sent else Outcome.EXPIRED_BEFORE_SEND
         elif crossing.withdrawn:
-            ending = Ending.WITHDRAWN
+            ending = Outcome.CANCELLED
         else:
-            ending = Ending.ERROR if outcome is Outcome.RAN else Ending.RESET
+            ending = Outcome.FAILED if outcome is ForwardingResult.RAN else Outcome.CONNECTION_LOST
         now = self._clock.now()
-        travel = min(crossing.link.way.health.round_trip(now), (now - relay.sent) // 2)
-        self._back.ended(crossing, ending, result=result, travel=travel)
+        travel = min(crossing.connection.way.health.round_trip(now), (now - attempt.sent_us) // 2)
+        self._back.finish_attempt(crossing, ending, result=result, travel=travel)
 
-    def hopeless(self, crossing: Crossing) -> None:
-        self._back.gateway.hopeless(crossing.relay, self._clock.now())
+    def on_deadline_unreachable(self, crossing: Crossing) -> None:
+        self._back.controller.on_deadline_unreachable(crossing.attempt, self._clock.now())
 
-    def room_told(self, link: Outward) -> None:
-        self._back.gateway.hall_has_room(self._engines[link], self._clock.now())
+    def on_capacity(self, link: Outward) -> None:
+        self._back.controller.on_site_capacity(self._engines[link], self._clock.now())
 
-    def standing(self, link: Outward, ready: bool) -> None:
-        self._back.gateway.hall_listed(
+    def on_state(self, link: Outward, ready: bool) -> None:
+        self._back.controller.on_site_updated(
             self._engines[link],
             link.way.cores,
-            Standing.READY if ready else Standing.DRAINING,
+            EndpointState.READY if ready else EndpointState.DRAINING,
             self._clock.now(),
         )
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -14,7 +14,7 @@
 import anyio.to_thread
 from anyio.abc import TaskGroup
 
-from cresstray.background.schedule import Outcome, Priority
+from cresstray.background.schedule import JobResult, Priority
 from cresstray.background.worker import Worker
 from cresstray.clock import Clock, Timers
 from cresstray.config.idempotency import Store
@@ -24,10 +24,10 @@
 from cresstray.idempotency.journal import BusyError, Journal, Scribe, UnusableError
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.pipeline.accounting import Book
-from cresstray.pipeline.request_context import Errand
-from cresstray.policy.controller import Gateway
-from cresstray.policy.types import Beside, Ending, Engine, Relay, Submission
+from cresstray.pipeline.accounting import RequestAccounting
+from cresstray.pipeline.request_context import RequestContext
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.types import Attempt, ChainedRules, Engine, Outcome, Request
 
 # Microseconds: while outcomes wait to be written, and while there is nothing but the store to be looked at.
 _BUSY, _QUIET = 20_000, 500_000
@@ -51,7 +51,7 @@
         return False
 
 
-class Marked:
+class IdempotencyChecks:
     """Beside the stages: who is asked for at the store before the module hears of it, and what came of it."""
 
     def __init__(
@@ -64,23 +64,23 @@
         timers: Timers,
         counters: Counters,
         log: Log,
-        gateway: Gateway,
-        book: Book,
+        gateway: PolicyController,
+        book: RequestAccounting,
         worker: Worker,
     ) -> None:
         self._given, self._clock, self._book, self._log, self._worker = given, clock, book, log, worker
         self._scribe: Scribe | None = None
-        self._waiting: set[Submission] = set()  # the module has not heard of these yet
+        self._waiting: set[Request] = set()  # the module has not heard of these yet
         # Seeds are new with each start; the clock parts two starts that an operator gave the same one.
         life = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
         chance = random.Random(f"{seed}{clock.now()}").random
         self._client = Client(given, chance, clock, timers, counters, log)
         desk = Shut("") if given.journal else None
-        self.marks = Marks(
+        self.records = Marks(
             self._client,
             given.lines(),
             settings,
-            gateway.tariffs,
+            gateway.request_classes,
             name,
             life,
             chance,
@@ -88,12 +88,12 @@
             timers,
             counters,
             desk,
-            lambda text: log.say("marks", text),
+            lambda text: log.log("marks", text),
         )
         worker.does("store links", Priority.SERVICE, Client.EVERY, self._client.look)
         self._writing = worker.does("marks", Priority.STATE, 0, self._step, last=self._ends)
         worker.wake(self._writing)
-        gateway.agreed = _Guard(self.marks, gateway, clock.now)
+        gateway.admission_rules = _Guard(self.records, gateway, clock.now)
 
     def start(self, tasks: TaskGroup) -> None:
         tasks.start_soon(self._client.run)
@@ -107,100 +107,100 @@
             try:
                 entries = await anyio.to_thread.run_sync(journal.open, abandon_on_cancel=True)
             except BusyError as trouble:
-                self.marks.writes_to(Shut(str(trouble)))
+                self.records.writes_to(Shut(str(trouble)))
                 await anyio.sleep(_LOCKED)
                 continue
             except (UnusableError, OSError) as trouble:
-                self.marks.writes_to(Shut(str(trouble)))
+                self.records.writes_to(Shut(str(trouble)))
                 return
             for line in journal.told:
-                self._log.say("marks", line)
+                self._log.log("marks", line)
             self._scribe = Scribe(journal)
-            self.marks.writes_to(self._scribe)
-            self.marks.recover(entries, self._clock.now())
+            self.records.writes_to(self._scribe)
+            self.records.recover(entries, self._clock.now())
             return
 
     # Behind submissions.
 
     def _step(self, now: int) -> None:
-        self._worker.later(self._writing, _BUSY if self.marks.step(now) else _QUIET)
+        self._worker.later(self._writing, _BUSY if self.records.step(now) else _QUIET)
 
-    def _ends(self, now: int) -> Outcome:
+    def _ends(self, now: int) -> JobResult:
         """Before this process goes: what the store and the disk take of it within the time there is."""
-        if self.marks.last(now):
-            return Outcome.MORE
+        if self.records.last(now):
+            return JobResult.MORE
         if self._scribe is None:
-            return Outcome.DONE
+            return JobResult.DONE
         self._scribe.stop()
-        return Outcome.DONE if self._scribe.join(0) else Outcome.MORE
+        return JobResult.DONE if self._scribe.join(0) else JobResult.MORE
 
     # What the stages call.
 
-    def holds(self, errand: Errand, now: int, onward: Callable[[int], None]) -> bool:
+    def holds_back(self, context: RequestContext, now: int, onward: Callable[[int], None]) -> bool:
         """Whether it is to be asked for; `onward` is called once it may be relayed, if it may."""
-        submission = errand.submission
-        self._waiting.add(submission)
-        asked = self.marks.ask(errand, now, partial(self._told, submission, onward))
+        request = context.request
+        self._waiting.add(request)
+        asked = self.records.ask(context, now, partial(self._told, request, onward))
         if not asked:
-            self._waiting.discard(submission)
+            self._waiting.discard(request)
         return asked
 
-    def leaves(self, submission: Submission) -> bool:
+    def on_client_left(self, request: Request) -> bool:
         """Its client has left, before the module has heard of it."""
-        if submission not in self._waiting:
+        if request not in self._waiting:
             return False
-        self._waiting.discard(submission)
-        submission.ended = True
+        self._waiting.discard(request)
+        request.is_finished = True
         return True
 
-    def _told(self, submission: Submission, onward: Callable[[int], None], decision: Decision) -> None:
-        if submission not in self._waiting:
+    def _told(self, request: Request, onward: Callable[[int], None], decision: Decision) -> None:
+        if request not in self._waiting:
             return  # its client has left
-        self._waiting.discard(submission)
+        self._waiting.discard(request)
         if isinstance(decision, Deny | Abandon | Answer):
-            submission.ended = True
+            request.is_finished = True
         if isinstance(decision, Deny):
-            self._book.deny(submission, decision.come_back)
+            self._book.reject(request, decision.come_back)
         elif isinstance(decision, Abandon):
-            self._book.abandon(submission)
+            self._book.fail(request)
         elif isinstance(decision, Answer):
-            self._book.fulfil(submission, decision.result)
+            self._book.succeed(request, decision.result)
         else:
             onward(self._clock.now())
 
-    def may_send(self, submission: Submission) -> bool:
+    def may_send(self, request: Request) -> bool:
         # Danger: a process that was stopped in the middle of a turn still holds the time from before.
-        return self.marks.may_send(submission, self._clock.now())
+        return self.records.may_send(request, self._clock.now())
 
-    def until(self, submission: Submission) -> int | None:
+    def latest_send_us(self, request: Request) -> int | None:
         """When nothing of it may leave any more; None: no mark sets a time."""
         now = self._clock.now()
-        left = self.marks.left(submission, now)
+        left = self.records.left(request, now)
         return None if left is None else now + left
 
-    def sent(self, submission: Submission) -> None:
-        self.marks.sent(submission, self._clock.now())
+    def on_attempt_sent(self, request: Request) -> None:
+        self.records.sent(request, self._clock.now())
 
-    def relay_ended(self, relay: Relay, ending: Ending, now: int) -> None:
-        self.marks.relay_ended(relay.submission, ending, now)
+    def on_attempt_finished(self, attempt: Attempt, ending: Outcome, now: int) -> None:
+        self.records.relay_ended(attempt.request, ending, now)
 
-    def ended(self, submission: Submission, how: str, result: bytes | None = None) -> None:
+    def on_request_finished(self, request: Request, how: str, result: bytes | None = None) -> None:
         """Its final answer is out, or its client has left."""
-        self.marks.ended(submission, how, result, self._clock.now())
-        if len(self.marks.behind):
+        self.records.ended(request, how, result, self._clock.now())
+        if len(self.records.behind):
             self._worker.later(self._writing, _BUSY)
 
 
-class _Guard(Beside):
+class _Guard(ChainedRules):
     """Nothing is sent, or crosses to another hall, for longer than its mark is ours."""
 
-    def __init__(self, marks: Marks, gateway: Gateway, now: Callable[[], int]) -> None:
+    def __init__(self, marks: Marks, gateway: PolicyController, now: Callable[[], int]) -> None:
         super().__init__(gateway)
         self._marks, self._now = marks, now
 
-    def takes(self, submission: Submission, engine: Engine, now: int) -> bool:
-        left = self._marks.left(submission, self._now())
+    def allows(self, request: Request, engine: Engine, now: int) -> bool:
+        left = self._marks.left(request, self._now())
         # Danger: another hall relays it until its hard stop, and knows nothing of our intention's end.
-        if left is not None and left < (submission.hard_stop - now if engine.far is not None else 1):
+        if left is not None and left < (request.deadline_us - now if engine.forwarding is not None else 1):
             return False
-        return super().takes(submission, engine, now)
+        return super().allows(request, engine, now)
--- a/cresstray/pipeline/ingress.py
+++ b/cresstray/pipeline/ingress.py
@@ -6,58 +6,62 @@
 from typing import TYPE_CHECKING, Protocol
 
 from cresstray.clock import Clock
-from cresstray.pipeline.admission import Admit
-from cresstray.pipeline.request_context import Asker, Errand, Query
-from cresstray.policy.types import Submission, Tariff
+from cresstray.pipeline.admission import Admission
+from cresstray.pipeline.request_context import Query, RequestContext, Responder
+from cresstray.policy.types import Request, RequestClass
 from cresstray.tables import group_of
 
 if TYPE_CHECKING:
-    from cresstray.pipeline.replica_reads import Pinned
+    from cresstray.pipeline.replica_reads import ReplicaReads
 
 # Names are new with every request: one that comes again within some ten seconds is a mistake or worse.
 _MEMORY, _MOST_NAMES = 10_000_000, 20_000
 
 
-class Crossing(Protocol):
+class ForwardedOffer(Protocol):
     """Microseconds that it may be held, and the group of tables that the other hall has found."""
 
     hold: int
     group: int
 
 
-class TakeIn:
-    def __init__(self, settings: Mapping, tariffs: list[Tariff], clock: Clock, onward: Admit) -> None:
+class Ingress:
+    def __init__(
+        self, settings: Mapping, request_classes: list[RequestClass], clock: Clock, onward: Admission
+    ) -> None:
         self._clock, self._onward = clock, onward
-        self.last_stop: int | None = None  # when this gateway ends, once it is known
-        self.pinned: Pinned | None = None  # where there are rules of a fleet
+        self.shutdown_deadline_us: int | None = None  # when this gateway ends, once it is known
+        self.replica_reads: ReplicaReads | None = None  # where there are rules of a fleet
         services = settings.get("Services", [])
         # The longest time a client of a tariff waits, twice over: no client can mean more.
         self._tariffs = {
-            service.get("Name"): (tariff, 2 * service.get("GiveUp", 5e8))
-            for service, tariff in zip(services, tariffs)
+            service.get("Name"): (request_class, 2 * service.get("GiveUp", 5e8))
+            for service, request_class in zip(services, request_classes)
         }
         self._tenants = {tenant["Name"]: place for place, tenant in enumerate(settings.get("Tenants", []))}
         self._names: set[str] = set()  # of late, and before that
         self._older: set[str] = set()
         self._turn = 0
 
-    def take(self, asker: Asker, number: int, query: Query, crossing: Crossing | None = None) -> None:
+    def accept(
+        self, responder: Responder, number: int, query: Query, crossing: ForwardedOffer | None = None
+    ) -> None:
         """`crossing`: how it came from another hall, for what a client did not ask here."""
         now = self._clock.now()
-        known = self._tariffs.get(query.tariff)
+        known = self._tariffs.get(query.class_name)
         if known is None:
-            asker.reject(number, "an unknown tariff")
+            responder.reject_malformed(number, "an unknown tariff")
             return
-        tariff, longest = known
+        request_class, longest = known
         tenant = self._tenants.get(query.tenant, 0 if not self._tenants else None)
         statement = _text(query.statement)
         wrong = (
             "an unknown tenant"
             if tenant is None
             else "a mark is missing"
-            if tariff.deduplicated and not query.mark
+            if request_class.is_deduplicated and not query.idempotency_key
             else "a time limit beyond all bounds"
-            if query.patience > longest
+            if query.timeout_ms > longest
             else "a statement that is no text"
             if statement is None
             else "a name that was used before"
@@ -65,33 +69,33 @@
             else None
         )
         read = None
-        if not wrong and self.pinned is not None and crossing is None:
+        if not wrong and self.replica_reads is not None and crossing is None:
             try:
-                read = self.pinned.take(statement, query, tariff, now)
+                read = self.replica_reads.parse_hint(statement, query, request_class, now)
             except ValueError as trouble:
                 wrong = f"a hint that can't be followed: {trouble}"
         if wrong:
-            asker.reject(number, wrong)
+            responder.reject_malformed(number, wrong)
             return
-        hard_stop = now + int(query.patience * 1000)
-        if self.last_stop is not None:
-            hard_stop = min(hard_stop, self.last_stop)
-        submission = Submission(
-            tariff,
+        hard_stop = now + int(query.timeout_ms * 1000)
+        if self.shutdown_deadline_us is not None:
+            hard_stop = min(hard_stop, self.shutdown_deadline_us)
+        request = Request(
+            request_class,
             now,
             hard_stop,
             tenant,
             0,
-            int(query.estimate * 1000),
-            query.megabytes,
+            int(query.estimated_work_ms * 1000),
+            query.memory_mb,
             group_of(statement) if crossing is None else crossing.group,
-            size=len(query.statement),
+            size_bytes=len(query.statement),
         )
         if crossing is not None:
-            submission.foreign, submission.hold = True, crossing.hold
+            request.is_forwarded_in, request.max_queue_us = True, crossing.hold
         if read is not None:
-            self.pinned.made(submission, read)
-        self._onward.admit(Errand(asker, number, query, submission), now)
+            self.replica_reads.attach(request, read)
+        self._onward.admit(RequestContext(responder, number, query, request), now)
 
     def _is_new(self, name: str, now: int) -> bool:
         # Danger: engines know a request by its name alone. Under one that is open, a stranger could have the
@@ -103,26 +107,28 @@
         self._names.add(name)
         return True
 
-    def recent(self) -> list[str]:
+    def recent_names(self) -> list[str]:
         """Names of late, the latest last by ten seconds' turns."""
         return sorted(self._older) + sorted(self._names)
 
-    def used(self, names: Iterable[str]) -> None:
+    def remember_names(self, names: Iterable[str]) -> None:
         """By the process before this one, of late."""
         self._older.update(names)
         self._turn = self._turn or self._clock.now() + _MEMORY
 
-    def withdraw(self, asker: Asker, number: int | None, name: str | None) -> None:
+    def cancel(self, responder: Responder, number: int | None, name: str | None) -> None:
         """The client no longer waits for one of its submissions."""
         if number is None:
-            number = next((one for one, errand in asker.open.items() if errand.query.name == name), None)
-        if number in asker.open:
-            self._onward.leave(asker.open[number], self._clock.now())
+            number = next(
+                (one for one, context in responder.open.items() if context.query.name == name), None
+            )
+        if number in responder.open:
+            self._onward.cancel(responder.open[number], self._clock.now())
 
-    def gone(self, asker: Asker) -> None:
+    def on_disconnected(self, responder: Responder) -> None:
         """The client has left, and with it all that it waited for."""
-        for errand in list(asker.open.values()):
-            self._onward.leave(errand, self._clock.now())
+        for context in list(responder.open.values()):
+            self._onward.cancel(context, self._clock.now())
 
 
 def _text(statement: bytes) -> str | None:
--- a/cresstray/pipeline/replica_reads.py
+++ b/cresstray/pipeline/replica_reads.py
@@ -4,16 +4,16 @@
 
 from collections.abc import Mapping, Sequence
 
-from cresstray.discovery.endpoint_list import Event
+from cresstray.discovery.endpoint_list import EndpointEvent
 from cresstray.pipeline.request_context import Query
-from cresstray.policy.types import Engine, Relay, Submission, Tariff
+from cresstray.policy.types import Attempt, Engine, Request, RequestClass
 from cresstray.replicas.read import Read, Reads
 
 # Danger: engines come under new ids for days. Pins follow some that are gone: the zones of the last thousand.
 _MOST_GONE = 1000
 
 
-class Directory:
+class EngineDirectory:
     """Engines by id and back. Rules and reads name engines by id, the module knows none.
 
     `zones`: the names of zones, by their number in the list of engines.
@@ -25,9 +25,9 @@
         self.ids: dict[Engine, str] = {}
         self._gone: dict[str, int] = {}  # zones of those that were listed once
 
-    def listed(self, event: Event, engines: Mapping[int, Engine]) -> None:
+    def apply_event(self, event: EndpointEvent, engines: Mapping[int, Engine]) -> None:
         """After an event; `engines`: all that Route has then, by number."""
-        for member in event.members:
+        for member in event.endpoints:
             engine, name = engines.get(member.id), f"s-{member.id:08x}"
             if engine is not None:
                 self.engines[name], self.ids[engine] = engine, name
@@ -50,39 +50,39 @@
         engine = self.engines.get(name)
         return engine.limiter.cores if engine is not None and engine.limiter is not None else 0.0
 
-    def full(self, name: str, submission: Submission, now: int) -> bool:
+    def is_full(self, name: str, request: Request, now: int) -> bool:
         """Whether its limit lets no such work onto it now."""
         engine = self.engines.get(name)
-        return engine is None or engine.limiter is None or not engine.limiter.permits(submission, now)
+        return engine is None or engine.limiter is None or not engine.limiter.permits(request, now)
 
 
-class Pinned:
-    def __init__(self, reads: Reads, directory: Directory) -> None:
+class ReplicaReads:
+    def __init__(self, reads: Reads, directory: EngineDirectory) -> None:
         self.reads, self.directory = reads, directory
 
-    def take(self, statement: str, query: Query, tariff: Tariff, now: int) -> Read | None:
+    def parse_hint(self, statement: str, query: Query, request_class: RequestClass, now: int) -> Read | None:
         """The hint of a statement that a client asks for here; HintError where it can't be followed."""
-        return self.reads.hint(statement, tariff, now, query.tariff, query.tenant)
+        return self.reads.hint(statement, request_class, now, query.class_name, query.tenant)
 
-    def made(self, submission: Submission, read: Read | None) -> None:
-        submission.read = read
+    def attach(self, request: Request, read: Read | None) -> None:
+        request.replica_read = read
         if read is not None:
-            read.submission = submission
+            read.submission = request
 
-    def sent(self, relay: Relay, now: int) -> None:
+    def on_attempt_sent(self, attempt: Attempt, now: int) -> None:
         """As it goes out, at the moment at which the module chose its engine."""
-        read, name = relay.submission.read, self.directory.ids.get(relay.engine)
+        read, name = attempt.request.replica_read, self.directory.ids.get(attempt.engine)
         if read is not None and name is not None:
             read.sent(name, now)
 
-    def came_back(self, relay: Relay, report: Mapping[str, float] | None, now: int) -> None:
+    def on_attempt_finished(self, attempt: Attempt, report: Mapping[str, float] | None, now: int) -> None:
         """Each relay that ends, before an answer goes out."""
-        name, read = self.directory.ids.get(relay.engine), relay.submission.read
+        name, read = self.directory.ids.get(attempt.engine), attempt.request.replica_read
         if name is not None and report:
-            self.reads.heard(name, report, relay.sent, now)
+            self.reads.heard(name, report, attempt.sent_us, now)
         if read is not None:
-            read.came_back(report or {}, now - relay.sent, now)
+            read.came_back(report or {}, now - attempt.sent_us, now)
 
-    def at(self, submission: Submission) -> str | None:
+    def position_of(self, request: Request) -> str | None:
         """For the answer of a hinted read."""
-        return submission.read.at() if submission.read is not None else None
+        return request.replica_read.at() if request.replica_read is not None else None
--- a/cresstray/pipeline/request_context.py
+++ b/cresstray/pipeline/request_context.py
@@ -5,46 +5,46 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from cresstray.policy.types import Ending, Submission
+from cresstray.policy.types import Outcome, Request
 
 
 class Query(Protocol):
     """What was asked, whatever protocol it came by. Times in milliseconds."""
 
     name: str
-    tariff: str
+    class_name: str
     tenant: str
-    patience: float
-    mark: str
-    estimate: float
-    megabytes: float
+    timeout_ms: float
+    idempotency_key: str
+    estimated_work_ms: float
+    memory_mb: float
     statement: bytes
 
 
-class Asker(Protocol):
+class Responder(Protocol):
     """Who asked. Each submission gets one answer at most; `open` holds those that are owed one."""
 
     open: dict[int, object]
 
-    def fulfil(self, number: int, result: bytes, at: str | None = None) -> None: ...
-    def deny(self, number: int, come_back: int) -> None: ...
-    def abandon(self, number: int) -> None: ...
-    def reject(self, number: int | None, text: str) -> None: ...
-    def has_left(self) -> bool:
+    def succeed(self, number: int, result: bytes, at: str | None = None) -> None: ...
+    def reject(self, number: int, come_back: int) -> None: ...
+    def fail(self, number: int) -> None: ...
+    def reject_malformed(self, number: int | None, text: str) -> None: ...
+    def has_disconnected(self) -> bool:
         """Whether it has gone, even if that was not read yet; may cost a system call."""
 
     # Of an asker in another hall only: its submissions are foreign.
-    def sent(self, number: int) -> None: ...
-    def relay_ended(self, number: int, ending: Ending) -> None: ...
+    def on_attempt_sent(self, number: int) -> None: ...
+    def on_attempt_finished(self, number: int, ending: Outcome) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
-class Errand:
+class RequestContext:
     """One submission on its way."""
 
-    asker: Asker
+    responder: Responder
     number: int
     query: Query
-    submission: Submission
-    answered: bool = False  # or no longer owed an answer
+    request: Request
+    is_answered: bool = False  # or no longer owed an answer
     result: bytes | None = None
--- a/cresstray/pipeline/response.py
+++ b/cresstray/pipeline/response.py
@@ -6,99 +6,107 @@
 
 from cresstray.clock import Clock
 from cresstray.engines import codec
-from cresstray.engines.in_flight import Exchange
-from cresstray.engines.result_pages import Pages
+from cresstray.engines.in_flight import InFlightRequest
+from cresstray.engines.result_pages import ResultPages
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.accounting import Book
-from cresstray.policy.controller import Gateway
-from cresstray.policy.types import Ending, Relay, Standing, Submission
+from cresstray.pipeline.accounting import RequestAccounting
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.types import Attempt, EndpointState, Outcome, Request
 
 if TYPE_CHECKING:
     from cresstray.membership.recovery import Keep
-    from cresstray.pipeline.idempotency_checks import Marked
-    from cresstray.pipeline.replica_reads import Pinned
+    from cresstray.pipeline.idempotency_checks import IdempotencyChecks
+    from cresstray.pipeline.replica_reads import ReplicaReads
 
 # A client is asked again whether it is there for what came longer ago; what is sent at once costs no call.
 _FRESH = 20_000
-_ENDINGS = {b"overload": Ending.FULL, b"crashed": Ending.ERROR, b"nobody": Ending.MOOT}
+_ENDINGS = {
+    b"overload": Outcome.OVERLOADED,
+    b"crashed": Outcome.FAILED,
+    b"nobody": Outcome.EXPIRED_BEFORE_SEND,
+}
 
 
-class Back:
+class ResponseHandler:
     """The keeper of all exchanges with engines."""
 
-    def __init__(self, clock: Clock, counters: Counters, book: Book) -> None:
+    def __init__(self, clock: Clock, counters: Counters, book: RequestAccounting) -> None:
         self._clock, self._counters, self._book = clock, counters, book
-        self.gateway: Gateway | None = None
-        self.pinned: Pinned | None = None  # where the fleet's rules place shards
-        self.keep: Keep | None = None  # where a list is kept on disk
-        self.marked: Marked | None = None  # where marks are kept in a store
-        self.out: dict[Relay, Exchange] = {}
-        self._reports: dict[Relay, dict[str, float]] = {}  # told with a first page, for the relay's end
-
-    def answered(self, exchange: Exchange, answer: codec.Answer) -> bool:
+        self.controller: PolicyController | None = None
+        self.replica_reads: ReplicaReads | None = None  # where the fleet's rules place shards
+        self.membership: Keep | None = None  # where a list is kept on disk
+        self.idempotency: IdempotencyChecks | None = None  # where marks are kept in a store
+        self.in_flight: dict[Attempt, InFlightRequest] = {}
+        self._reports: dict[Attempt, dict[str, float]] = {}  # told with a first page, for the relay's end
+
+    def on_answer(self, exchange: InFlightRequest, answer: codec.Answer) -> bool:
         """Whether it belongs to what is still awaited."""
-        relay = exchange.relay
-        if answer.word == b"served" and exchange.pages is None:
-            exchange.pages = Pages(answer.pages, answer.body)
-            self._reports[relay] = answer.report
+        attempt = exchange.attempt
+        if answer.kind == b"served" and exchange.pages is None:
+            exchange.pages = ResultPages(answer.pages, answer.body)
+            self._reports[attempt] = answer.report
             if answer.pages > 1:
                 # All at once: a round trip for each would hold the permit and the client that much longer.
-                exchange.link.send(codec.next_pages(exchange.name, answer.pages))
-        elif answer.word == b"rows" and exchange.pages is not None:
+                exchange.connection.send(codec.next_pages(exchange.name, answer.pages))
+        elif answer.kind == b"rows" and exchange.pages is not None:
             if not exchange.pages.add(answer.page, answer.body):
                 return False
-        elif answer.word in _ENDINGS and not (exchange.pages and answer.word != b"crashed"):
+        elif answer.kind in _ENDINGS and not (exchange.pages and answer.kind != b"crashed"):
             if exchange.pages is None:
-                exchange.link.finish(exchange)
+                exchange.connection.finish(exchange)
             else:
-                exchange.link.give_up(exchange)  # answers to the other pages may still come
-            self.ended(exchange, _ENDINGS[answer.word], answer.report)
+                exchange.connection.abandon(exchange)  # answers to the other pages may still come
+            self.finish_attempt(exchange, _ENDINGS[answer.kind], answer.report)
             return True
         else:
             return False
-        result = exchange.pages.whole()
+        result = exchange.pages.assemble()
         if result is not None:
-            exchange.link.finish(exchange)
-            self.ended(exchange, Ending.FULFILLED, self._reports[relay], result)
+            exchange.connection.finish(exchange)
+            self.finish_attempt(exchange, Outcome.SUCCEEDED, self._reports[attempt], result)
         return True
 
-    def unreached(self, exchange: Exchange) -> None:
-        self.ended(exchange, Ending.UNREACHABLE)
+    def on_unreachable(self, exchange: InFlightRequest) -> None:
+        self.finish_attempt(exchange, Outcome.UNREACHABLE)
 
-    def cut(self, exchange: Exchange, spoilt: bool) -> None:
+    def on_connection_lost(self, exchange: InFlightRequest, spoilt: bool) -> None:
         # Danger: part of its bytes may have gone out; it may have run.
-        self.ended(exchange, Ending.SPOILT if spoilt else Ending.RESET)
+        self.finish_attempt(exchange, Outcome.PROTOCOL_ERROR if spoilt else Outcome.CONNECTION_LOST)
 
-    def may_leave(self, exchange: Exchange) -> bool:
+    def may_send(self, exchange: InFlightRequest) -> bool:
         """Whether what was decided when it was handed over still holds."""
-        relay = exchange.relay
-        if relay.submission.ended or relay.called_off or relay.engine.standing is not Standing.READY:
+        attempt = exchange.attempt
+        if (
+            attempt.request.is_finished
+            or attempt.cancel_requested
+            or attempt.engine.state is not EndpointState.READY
+        ):
             return False
-        over = exchange.until is not None and self._clock.now() >= exchange.until
-        return not over and not self.client_has_left(relay.submission)
+        over = exchange.latest_send_us is not None and self._clock.now() >= exchange.latest_send_us
+        return not over and not self.has_client_left(attempt.request)
 
-    def leaves(self, exchange: Exchange) -> None:
-        self.gateway.leaves(exchange.relay, self._clock.now())
+    def on_sent(self, exchange: InFlightRequest) -> None:
+        self.controller.on_attempt_sent(exchange.attempt, self._clock.now())
 
-    def client_has_left(self, submission: Submission) -> bool:
+    def has_client_left(self, request: Request) -> bool:
         """Whether it has gone, before its connection was read that far."""
-        if self._clock.now() - submission.arrived < _FRESH:
+        if self._clock.now() - request.arrived_us < _FRESH:
             return False
-        errand = self._book.open.get(submission)
-        return errand is not None and not errand.answered and errand.asker.has_left()
+        context = self._book.open.get(request)
+        return context is not None and not context.is_answered and context.responder.has_disconnected()
 
-    def unsent(self, exchange: Exchange) -> None:
+    def on_unsent(self, exchange: InFlightRequest) -> None:
         """Nothing of it has left, and nothing may any more."""
-        submission = exchange.relay.submission
-        if self.client_has_left(submission):
-            self._book.left(self._book.open[submission])
-            self.gateway.client_left(submission, self._clock.now())
-        self.ended(exchange, Ending.MOOT)
+        request = exchange.attempt.request
+        if self.has_client_left(request):
+            self._book.on_client_left(self._book.open[request])
+            self.controller.on_client_cancelled(request, self._clock.now())
+        self.finish_attempt(exchange, Outcome.EXPIRED_BEFORE_SEND)
 
-    def ended(
+    def finish_attempt(
         self,
-        exchange: Exchange,
-        ending: Ending,
+        exchange: InFlightRequest,
+        ending: Outcome,
         report: dict[str, float] | None = None,
         result: bytes | None = None,
         travel: int = 0,
@@ -107,22 +115,24 @@
 
         `travel`: microseconds between halls, which say nothing about how long the work takes.
         """
-        relay, submission, now = exchange.relay, exchange.relay.submission, self._clock.now()
-        exchange.due.cancel()
-        del self.out[relay]
-        self._reports.pop(relay, None)
-        self._book.relay_ended(ending)
-        if submission.foreign:
-            self._book.tell_far(submission, ending)
-        if self.pinned is not None:
-            self.pinned.came_back(relay, report, now)
-        if self.keep is not None:
-            self.keep.ended(relay, ending, now)
-        if self.marked is not None:
-            self.marked.relay_ended(relay, ending, now)
-        no_more = submission.ended
-        if ending is Ending.FULFILLED and not no_more:
-            self._book.fulfil(submission, result)
+        attempt, request, now = exchange.attempt, exchange.attempt.request, self._clock.now()
+        exchange.timeout.cancel()
+        del self.in_flight[attempt]
+        self._reports.pop(attempt, None)
+        self._book.count_attempt(ending)
+        if request.is_forwarded_in:
+            self._book.notify_remote(request, ending)
+        if self.replica_reads is not None:
+            self.replica_reads.on_attempt_finished(attempt, report, now)
+        if self.membership is not None:
+            self.membership.ended(attempt, ending, now)
+        if self.idempotency is not None:
+            self.idempotency.on_attempt_finished(attempt, ending, now)
+        no_more = request.is_finished
+        if ending is Outcome.SUCCEEDED and not no_more:
+            self._book.succeed(request, result)
             no_more = True
-        self.gateway.came_back(relay, ending, now - relay.sent - travel, no_more, report or {}, now)
-        self._book.settle(submission)
+        self.controller.on_attempt_finished(
+            attempt, ending, now - attempt.sent_us - travel, no_more, report or {}, now
+        )
+        self._book.release(request)
--- a/cresstray/placement/data_transfer.py
+++ b/cresstray/placement/data_transfer.py
@@ -226,7 +226,7 @@
         self._engine, self.address, self._heard, self._clock = engine, address, heard, clock
         self._counters, self._say = counters, say
         self._scope = anyio.CancelScope()
-        self._line: streams.Line | None = None
+        self._line: streams.SocketStream | None = None
         self._asked: deque[tuple[Command | None, int]] = deque()  # None: SHARDS; when
 
     def end(self) -> None:
@@ -243,7 +243,7 @@
 
     def _put(self, command: Command | None, message: bytes) -> None:
         self._asked.append((command, self._clock()))
-        self._line.put(message)
+        self._line.write(message)
 
     async def run(self) -> None:
         """Until its scope is cancelled."""
@@ -271,7 +271,7 @@
             made = await streams.connect(*self.address)
         try:
             async with anyio.create_task_group() as tasks:
-                with streams.Line(made, tasks, tasks.cancel_scope.cancel) as self._line:
+                with streams.SocketStream(made, tasks, tasks.cancel_scope.cancel) as self._line:
                     answers = Answers()
                     self.ask()
                     while True:
--- a/cresstray/policy/__init__.py
+++ b/cresstray/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision on engines, queueing, retries and load shedding, without I\/O or clocks."""
+"""Every decision on engines, queueing, retries and load shedding, without sockets, files or clocks."""
--- a/cresstray/policy/sliding_window.py
+++ b/cresstray/policy/sliding_window.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Ring:
+class SlidingWindow:
     """Sums over the last `span` microseconds, `parts` buckets of equal length and one that is filling."""
 
     __slots__ = ("_width", "_sums", "_stamp")
@@ -29,12 +29,12 @@
         if stamp > self._stamp - size:
             self._sums[stamp % size] += amount
 
-    def most(self, now: int) -> float:
+    def upper_bound(self, now: int) -> float:
         """The sum over the span or a little longer: at least what a sliding window holds."""
         self._turn(now)
         return sum(self._sums)
 
-    def least(self, now: int) -> float:
+    def lower_bound(self, now: int) -> float:
         """The sum over the span or a little less: at most what a sliding window holds."""
         at = self._turn(now)
         return sum(self._sums) - self._sums[(at + 1) % len(self._sums)]
--- a/cresstray/policy/types.py
+++ b/cresstray/policy/types.py
@@ -11,163 +11,163 @@
 from typing import Any, Protocol
 
 
-class Ending(Enum):
+class Outcome(Enum):
     """How one relay ended."""
 
-    FULFILLED = "fulfilled"
-    ERROR = "error"
-    FULL = "full"
+    SUCCEEDED = "fulfilled"
+    FAILED = "error"
+    OVERLOADED = "full"
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
-    RESET = "reset"
-    SPOILT = "spoilt"  # the engine has answered, and the answer or others on its link can't be used
-    WITHDRAWN = "withdrawn"
-    MOOT = "moot"
+    CONNECTION_LOST = "reset"
+    PROTOCOL_ERROR = "spoilt"  # the engine has answered, and the answer or others on its link can't be used
+    CANCELLED = "withdrawn"
+    EXPIRED_BEFORE_SEND = "moot"
 
 
-class Standing(Enum):
+class EndpointState(Enum):
     """What the list of engines says of one engine."""
 
-    GONE = "gone"
+    REMOVED = "gone"
     READY = "ready"
     DRAINING = "draining"
 
 
-class Topic(Enum):
+class ProgressKind(Enum):
     """What a note about an outstanding relay tells."""
 
-    SHARE_DONE = "share done"
-    SPILLS = "spills"
-    WAITS = "waits"
+    FRACTION_DONE = "share done"
+    SPILLING = "spills"
+    WAITING_FOR_DATA_SET = "waits"
 
 
 @dataclass(slots=True, eq=False)
-class Tariff:
+class RequestClass:
     """What all submissions of one kind have in common."""
 
     index: int
     threads: int
-    soft_limit: int
-    soft_stretch: float
-    payoff: float
-    late_payoff: float
-    idempotent: bool
-    deduplicated: bool
-    group: str
-    memory: int  # how long engines discard repeats
-    ordered: bool
-    zones: frozenset[int] | None
-    machines: frozenset[int] | None
-    load: bool = False  # holds its data set on its engine while it runs
-    waits: bool = False  # stands still where a load holds its data set
-    usual: Any = None  # the decision module's own reckoning
+    latency_objective_us: int
+    objective_stretch: float
+    value: float
+    late_value: float
+    is_idempotent: bool
+    is_deduplicated: bool
+    dedup_scope: str
+    dedup_window_us: int  # how long engines discard repeats
+    is_ordered: bool
+    allowed_zones: frozenset[int] | None
+    allowed_instance_types: frozenset[int] | None
+    locks_data_set: bool = False  # holds its data set on its engine while it runs
+    waits_for_data_set: bool = False  # stands still where a load holds its data set
+    latency: Any = None  # the decision module's own reckoning
 
 
 @dataclass(slots=True, eq=False)
 class Engine:
     """One query engine, as the list of engines last described it."""
 
-    machine: int = 0
+    instance_type: int = 0
     zone: int = 0
     cell: int = 0
-    started: int = 0  # 0: long ago
-    standing: Standing = Standing.GONE
+    started_us: int = 0  # 0: long ago
+    state: EndpointState = EndpointState.REMOVED
     limiter: Any = None  # the decision module's own reckoning
-    far: Far | None = None  # of a gateway in another hall: the way to it
+    forwarding: ForwardingRoute | None = None  # of a gateway in another hall: the way to it
 
 
-class Far(Protocol):
+class ForwardingRoute(Protocol):
     """What decides whether a submission goes to another hall; `near_load` as halls/decide.py has it."""
 
-    def takes(self, submission: Submission, near_load: float | None, now: int) -> bool: ...
+    def accepts(self, request: Request, near_load: float | None, now: int) -> bool: ...
 
 
 @dataclass(slots=True, eq=False)
-class Submission:
+class Request:
     """One query accepted by this gateway."""
 
-    tariff: Tariff
-    arrived: int
-    hard_stop: int
+    request_class: RequestClass
+    arrived_us: int
+    deadline_us: int
     tenant: int = 0
-    key: int = 0
-    estimate: int = 0  # work of all threads, as time on one; 0: none given
-    megabytes: float = 0.0
+    ordering_key: int = 0
+    estimated_work_us: int = 0  # work of all threads, as time on one; 0: none given
+    memory_mb: float = 0.0
     data_set: int = 0
-    relays: list[Relay] = field(default_factory=list)
-    relay: Relay | None = None  # the one that is out
-    ended: bool = False
-    expected: int = 0
-    soft_stop: int = 0
-    leave_by: int = 0
-    rank: float = 0.0
-    held: bool = False
-    size: int = 0  # bytes of its statement
-    foreign: bool = False  # it came from another hall: one relay here, and never across again
-    hold: int = 0  # of a foreign one: for how long it may be held
-    crossed: bool = False  # it has gone to another hall once
-    read: Any = None  # of one that may read a copy: what replicas/ knows of it
+    attempts: list[Attempt] = field(default_factory=list)
+    current_attempt: Attempt | None = None  # the one that is out
+    is_finished: bool = False
+    expected_latency_us: int = 0
+    objective_deadline_us: int = 0
+    latest_dispatch_us: int = 0
+    queue_rank: float = 0.0
+    is_queued: bool = False
+    size_bytes: int = 0  # bytes of its statement
+    is_forwarded_in: bool = False  # it came from another hall: one relay here, and never across again
+    max_queue_us: int = 0  # of a foreign one: for how long it may be held
+    was_forwarded: bool = False  # it has gone to another hall once
+    replica_read: Any = None  # of one that may read a copy: what replicas/ knows of it
 
 
 @dataclass(slots=True, eq=False)
-class Relay:
+class Attempt:
     """One attempt to run a submission on an engine."""
 
-    submission: Submission
+    request: Request
     engine: Engine
     number: int
-    sent: int
-    ending: Ending | None = None
-    called_off: bool = False
-    overdue: bool = False
-    noted: int = 0  # when the last note of it came
-    projected: float = 0.0
+    sent_us: int
+    outcome: Outcome | None = None
+    cancel_requested: bool = False
+    is_overdue: bool = False
+    last_progress_us: int = 0  # when the last note of it came
+    projected_latency_us: float = 0.0
 
 
-class Port(Protocol):
+class PolicyPort(Protocol):
     """What the module asks of the outside. Every call takes effect at once and returns nothing."""
 
-    def relay(self, relay: Relay, patience: int) -> None: ...
-    def withdraw(self, relay: Relay) -> None: ...
-    def deny(self, submission: Submission, come_back: int) -> None: ...
-    def abandon(self, submission: Submission) -> None: ...
-    def grant(self, submission: Submission, megabytes: float, priority: int) -> None: ...
-    def wake(self, delay: int, call: Callable[[int], None]) -> None: ...
-    def probe(self, engine: Engine) -> None: ...
-    def subscribe(self) -> None: ...
-    def remark(self, text: str) -> None: ...
+    def send_attempt(self, attempt: Attempt, patience: int) -> None: ...
+    def cancel_attempt(self, attempt: Attempt) -> None: ...
+    def reject_request(self, request: Request, come_back: int) -> None: ...
+    def fail_request(self, request: Request) -> None: ...
+    def assign_resources(self, request: Request, megabytes: float, priority: int) -> None: ...
+    def call_later(self, delay: int, call: Callable[[int], None]) -> None: ...
+    def probe_engine(self, engine: Engine) -> None: ...
+    def subscribe_to_endpoints(self) -> None: ...
+    def log_event(self, text: str) -> None: ...
 
 
-class Rules(Protocol):
+class AdmissionRules(Protocol):
     """What the fleet's rules let this gateway do at this moment: asked when acting, never kept."""
 
-    def gateways(self, now: int) -> int:
+    def gateway_count(self, now: int) -> int:
         """How many gateways share the engines; 0: this one may relay nothing."""
 
-    def admits(self, submission: Submission, now: int) -> bool:
+    def admits(self, request: Request, now: int) -> bool:
         """False: it is denied at once."""
 
-    def takes(self, submission: Submission, engine: Engine, now: int) -> bool: ...
+    def allows(self, request: Request, engine: Engine, now: int) -> bool: ...
 
-    def further(self, submission: Submission, now: int) -> float:
+    def retry_budget_scale(self, request: Request, now: int) -> float:
         """What scales the budget of further relays, for this one."""
 
 
-class Beside:
+class ChainedRules:
     """Rules beside those that a module had before, which say all that a subclass does not."""
 
     def __init__(self, gateway: Any) -> None:
         self._gateway = gateway
-        self._inner: Rules | None = gateway.agreed
+        self._inner: AdmissionRules | None = gateway.admission_rules
 
-    def gateways(self, now: int) -> int:
-        return self._inner.gateways(now) if self._inner else self._gateway.gateways
+    def gateway_count(self, now: int) -> int:
+        return self._inner.gateway_count(now) if self._inner else self._gateway.gateway_count
 
-    def admits(self, submission: Submission, now: int) -> bool:
-        return self._inner is None or self._inner.admits(submission, now)
+    def admits(self, request: Request, now: int) -> bool:
+        return self._inner is None or self._inner.admits(request, now)
 
-    def takes(self, submission: Submission, engine: Engine, now: int) -> bool:
-        return self._inner is None or self._inner.takes(submission, engine, now)
+    def allows(self, request: Request, engine: Engine, now: int) -> bool:
+        return self._inner is None or self._inner.allows(request, engine, now)
 
-    def further(self, submission: Submission, now: int) -> float:
-        return self._inner.further(submission, now) if self._inner else 1.0
+    def retry_budget_scale(self, request: Request, now: int) -> float:
+        return self._inner.retry_budget_scale(request, now) if self._inner else 1.0
--- a/cresstray/replicas/pins.py
+++ b/cresstray/replicas/pins.py
@@ -20,13 +20,13 @@
     until: int
 
 
-def matching(pins: Mapping[str, Pin], tariff: str, tenant: str, unix: float) -> list[Pin]:
+def matching(pins: Mapping[str, Pin], request_class: str, tenant: str, unix: float) -> list[Pin]:
     """Those that hold for these reads now, in the order of their names. `until` 0 never holds."""
     return [
         pin
         for _, pin in sorted(pins.items(), key=lambda one: one[0])
         if unix < pin.until
-        and pin.tariff in ("", tariff)
+        and pin.tariff in ("", request_class)
         and pin.tenant in ("", tenant)
         and (pin.tariff or pin.tenant)
     ]
--- a/cresstray/replicas/read.py
+++ b/cresstray/replicas/read.py
@@ -7,7 +7,7 @@
 
 from cresstray.fleet_config.active_config import InUse, Mode
 from cresstray.observability.counters import Counters
-from cresstray.policy.types import Submission, Tariff
+from cresstray.policy.types import Request, RequestClass
 from cresstray.replicas.fallback import Share
 from cresstray.replicas.hints import Else, Hint, HintError, read_hint
 from cresstray.replicas.pins import matching, narrowed
@@ -52,7 +52,7 @@
         chance: Callable[[], float],
         cores: Callable[[str], float],
         zone_of: Callable[[str], str | None],
-        full: Callable[[str, Submission, int], bool],
+        full: Callable[[str, Request, int], bool],
         wall: Callable[[], float],
     ) -> None:
         self.board, self.use, self.counters = board, use, counters
@@ -65,14 +65,14 @@
         self._wait_until = 0  # the last of those that wait
 
     def hint(
-        self, statement: str, tariff: Tariff, now: int, named: str = "", tenant: str = ""
+        self, statement: str, request_class: RequestClass, now: int, named: str = "", tenant: str = ""
     ) -> Read | None:
         """None where there is no hint; HintError where it can't be followed. The names are for pins."""
         hint = read_hint(statement)
         if hint is None:
             return None
         group = group_of(statement)
-        if not tariff.idempotent:
+        if not request_class.is_idempotent:
             raise HintError("a hint on a tariff that writes")
         if not group:
             raise HintError("a hint on a statement that names no shard's table")
@@ -154,10 +154,10 @@
 class Read:
     """One hinted read. All is asked of the rules when acting, nothing is kept."""
 
-    def __init__(self, reads: Reads, hint: Hint, shard: str, tariff: str, tenant: str) -> None:
+    def __init__(self, reads: Reads, hint: Hint, shard: str, request_class: str, tenant: str) -> None:
         self._reads, self.hint, self.shard = reads, hint, shard
-        self._tariff, self._tenant = tariff, tenant
-        self.submission: Submission | None = None  # once it is made
+        self._tariff, self._tenant = request_class, tenant
+        self.submission: Request | None = None  # once it is made
         self._fell: tuple[str, int, float, int] | None = None  # primary, charged, its cores, gateways
         self._fresh_until = 0
         self._wait_until: int | None = None  # for keepers' word, once no copy was known to do
@@ -236,7 +236,7 @@
         """Its relay has ended; `took`: microseconds that it was out."""
         if self._fell is not None:
             primary, charged, cores, gateways = self._fell
-            more = took * self.submission.tariff.threads - charged
+            more = took * self.submission.request_class.threads - charged
             if more > 0:
                 self._reads.share.charge(primary, more, cores, gateways, now)
             self._fell = None
@@ -265,7 +265,7 @@
             shard,
             self._reads.board,
             now,
-            self.submission.expected,
+            self.submission.expected_latency_us,
             lambda fresh: narrowed(
                 pins,
                 fresh,
@@ -284,4 +284,4 @@
         return self._reads.full(copy, self.submission, now)
 
     def _cost(self) -> int:
-        return self.submission.expected * self.submission.tariff.threads
+        return self.submission.expected_latency_us * self.submission.request_class.threads
--- a/cresstray/sites/codec.py
+++ b/cresstray/sites/codec.py
@@ -74,11 +74,11 @@
     number: _Number
     heard: _Number  # the last beat of the far side: bounds how old this frame can be, whatever the clocks say
     name: Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{16}$")]
-    tariff: _Text
+    class_name: _Text
     tenant: _Text
-    mark: Annotated[str, msgspec.Meta(pattern="^[0-9A-Za-z_.:-]{0,128}$")]
-    estimate: _Figure
-    megabytes: _Figure
+    idempotency_key: Annotated[str, msgspec.Meta(pattern="^[0-9A-Za-z_.:-]{0,128}$")]
+    estimated_work_ms: _Figure
+    memory_mb: _Figure
     left: _Time
     hold: _Time
     within: _Time
@@ -88,7 +88,7 @@
     statement: Annotated[bytes, msgspec.Meta(min_length=1)]
 
     @property
-    def patience(self) -> float:
+    def timeout_ms(self) -> float:
         """Milliseconds, as the passage has it."""
         return self.left / 1000
 
--- a/cresstray/sites/flow_control.py
+++ b/cresstray/sites/flow_control.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from cresstray.policy.sliding_window import Ring
+from cresstray.policy.sliding_window import SlidingWindow
 
 
 class Credit:
     """What one link may hold at once, in submissions and in bytes of their statements."""
 
-    def __init__(self, submissions: int, size: int) -> None:
-        self.submissions, self.size = submissions, size
+    def __init__(self, requests: int, size: int) -> None:
+        self.submissions, self.size = requests, size
         self.held, self.held_size = 0, 0
 
     def has(self, size: int) -> bool:
@@ -36,7 +36,7 @@
 
     def __init__(self, share: float) -> None:
         self.share = share
-        self._taken, self._crossed = Ring(_SPAN, _PARTS), Ring(_SPAN, _PARTS)
+        self._taken, self._crossed = SlidingWindow(_SPAN, _PARTS), SlidingWindow(_SPAN, _PARTS)
 
     def taken(self, now: int) -> None:
         self._taken.add(now)
@@ -45,14 +45,14 @@
         self._crossed.add(now)
 
     def room(self, now: int) -> bool:
-        return self._crossed.most(now) + 1 <= _ALWAYS + self.share * self._taken.least(now)
+        return self._crossed.upper_bound(now) + 1 <= _ALWAYS + self.share * self._taken.lower_bound(now)
 
 
 class Ramp:
     """What may cross on one link in each second since it healed."""
 
     def __init__(self) -> None:
-        self._second, self._count = Ring(1_000_000, 10), 0
+        self._second, self._count = SlidingWindow(1_000_000, 10), 0
 
     def crossed(self, now: int) -> None:
         self._second.add(now)
@@ -60,4 +60,4 @@
     def room(self, healed: int, now: int) -> bool:
         # Danger: all that waited through a cut would cross at once, and push over a hall that is just back.
         seconds = (now - healed) // 1_000_000
-        return seconds >= _RAMP_SECONDS or self._second.most(now) + 1 <= _RAMP_START << max(0, seconds)
+        return seconds >= _RAMP_SECONDS or self._second.upper_bound(now) + 1 <= _RAMP_START << max(0, seconds)
--- a/cresstray/sites/health.py
+++ b/cresstray/sites/health.py
@@ -11,7 +11,7 @@
 from collections import deque
 from enum import Enum
 
-from cresstray.policy.sliding_window import Ring
+from cresstray.policy.sliding_window import SlidingWindow
 
 
 class State(Enum):
@@ -41,7 +41,7 @@
         self.idle_beat, self._paced_at = IDLE * beat, 0
         self._slow, self.lease, self._heal = slow, lease, heal
         self.state = State.CUT
-        self._sum, self._count = Ring(_SPAN, _PARTS), Ring(_SPAN, _PARTS)
+        self._sum, self._count = SlidingWindow(_SPAN, _PARTS), SlidingWindow(_SPAN, _PARTS)
         self._latest = 0  # round trip
         self._told, self._told_at = 0, -1  # what was last said of it, and in which millisecond
         self._number = 0  # of our last beat
@@ -60,7 +60,7 @@
         # first word that names beat 0 or a later one does it.
         self.heard, self.heard_at, self._number, self._echoed, self._zero_at = 0, now, 0, 0, now
         self._word_at = self.calm_since = self.crossing_since = now
-        self._sum, self._count, self._latest = Ring(_SPAN, _PARTS), Ring(_SPAN, _PARTS), 0
+        self._sum, self._count, self._latest = SlidingWindow(_SPAN, _PARTS), SlidingWindow(_SPAN, _PARTS), 0
         self._told_at = -1
 
     def pace(self, busy: bool, now: int) -> None:
@@ -127,8 +127,8 @@
         return self._latest
 
     def _round_trip(self, now: int) -> int:
-        count = self._count.least(now)
-        mean = int(self._sum.least(now) / count) if count else self._latest
+        count = self._count.lower_bound(now)
+        mean = int(self._sum.lower_bound(now) / count) if count else self._latest
         return max(mean, self._latest, self._unheard(now) - self.beat)
 
     def _unheard(self, now: int) -> int:
--- a/cresstray/sites/inbound.py
+++ b/cresstray/sites/inbound.py
@@ -10,8 +10,8 @@
 from typing import Protocol
 
 from cresstray.observability.counters import Counters
-from cresstray.policy.controller import UNRUN
-from cresstray.policy.types import Ending
+from cresstray.policy.controller import NOT_EXECUTED
+from cresstray.policy.types import Outcome
 from cresstray.sites import codec
 from cresstray.sites.codec import BrokenError
 from cresstray.sites.ends import WINDOW, End, Place
@@ -27,8 +27,8 @@
 class Front(Protocol):
     """The first stage, as for clients; `offer` stands for the query."""
 
-    def take(self, asker: Inward, number: int, query: codec.Offer, crossing: codec.Offer) -> None: ...
-    def withdraw(self, asker: Inward, number: int | None, name: str | None) -> None: ...
+    def accept(self, responder: Inward, number: int, query: codec.Offer, crossing: codec.Offer) -> None: ...
+    def cancel(self, responder: Inward, number: int | None, name: str | None) -> None: ...
 
 
 class Inward(End):
@@ -41,7 +41,7 @@
         me: Place,
         near: Place,
         health: Health,
-        submissions: int,
+        requests: int,
         size: int,
         front: Front,
         room: Callable[[], tuple[float, float, float]],
@@ -53,7 +53,7 @@
         say: Callable[[str], None],
     ) -> None:
         super().__init__(me, health, now)
-        self.near, self._submissions, self._size = near, submissions, size
+        self.near, self._submissions, self._size = near, requests, size
         self._front, self._room, self._closed = front, room, closed
         self._wake, self._later = wake, later
         self._counters, self._say = counters, say
@@ -137,7 +137,7 @@
             self._counters.add("crossings taken")
             entry.fenced = offer.fenced
             self._wake()  # its lease is looked after from now on
-            self._front.take(self, entry.number, offer, offer)
+            self._front.accept(self, entry.number, offer, offer)
             if entry.state is State.TAKEN:  # else what was said since says it too
                 self._put(codec.Taken(entry.number))
 
@@ -181,7 +181,7 @@
 
     # What the passage says, as to any who asks.
 
-    def sent(self, number: int) -> None:
+    def on_attempt_sent(self, number: int) -> None:
         """Its relay leaves for an engine."""
         entry = self.ledger.open.get(number)
         if entry is not None and entry.state is State.TAKEN:
@@ -197,14 +197,14 @@
         if entry.state is State.SENT:
             self._put(codec.Sent(entry.number))
 
-    def relay_ended(self, number: int, ending: Ending) -> None:
+    def on_attempt_finished(self, number: int, ending: Outcome) -> None:
         entry = self.ledger.open.get(number)
         if entry is not None:
-            entry.ran, entry.how = ending not in UNRUN, ending.value
+            entry.ran, entry.how = ending not in NOT_EXECUTED, ending.value
             if entry.withdrawn and entry.state is State.SENT:
                 self._ended(entry, "withdrawn")
 
-    def fulfil(self, number: int, result: bytes, at: str | None = None) -> None:
+    def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
         """`at` is of this hall's copies, and a hinted read does not cross."""
         self.open.pop(number)
         entry = self.ledger.open.get(number)
@@ -213,7 +213,7 @@
             entry.let = WINDOW
             self._ended(entry, "fulfilled")
 
-    def deny(self, number: int, come_back: int) -> None:
+    def reject(self, number: int, come_back: int) -> None:
         self.open.pop(number)
         entry = self.ledger.open.get(number)
         if entry is None:
@@ -223,14 +223,14 @@
         else:
             self._ended(entry, entry.how or "denied")
 
-    def abandon(self, number: int) -> None:
-        self.deny(number, 0)
+    def fail(self, number: int) -> None:
+        self.reject(number, 0)
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Not known from here: whoever asked may be back, and what it no longer wants it withdraws."""
         return False
 
-    def reject(self, number: int | None, text: str) -> None:
+    def reject_malformed(self, number: int | None, text: str) -> None:
         entry = self.ledger.open.get(number)
         if entry is not None:
             # Halls that differ in tariffs or tenants: nothing of the kind should come for a while.
@@ -272,7 +272,7 @@
 
     def _give_up(self, entry: Entry) -> None:
         if entry.number in self.open:
-            self._front.withdraw(self, entry.number, None)
+            self._front.cancel(self, entry.number, None)
 
     # Time.
 
@@ -304,7 +304,7 @@
         if self._write is not None:
             threads, cores, pace = self._room()
             # What it has running here is its own to use again.
-            running = sum(errand.submission.tariff.threads for errand in self.open.values())
+            running = sum(context.request.request_class.threads for context in self.open.values())
             self._put(
                 codec.Beat(
                     *self._health.next_beat(now),
--- a/cresstray/sites/ledger.py
+++ b/cresstray/sites/ledger.py
@@ -21,7 +21,7 @@
     NEVER = "n"  # the far side never took it
 
 
-class Outcome(Enum):
+class ForwardingResult(Enum):
     """What is known of a crossing's relay at its end."""
 
     SERVED = "served"
@@ -35,10 +35,10 @@
 
     __slots__ = (
         "number",
-        "relay",
-        "link",
+        "attempt",
+        "connection",
         "name",
-        "due",
+        "timeout",
         "state",
         "cut",
         "withdrawn",
@@ -48,15 +48,15 @@
         "fenced",
     )
     # It may have left: that it never ran is the far side's word, or the link's, and nobody else's.
-    written = True
+    is_written = True
 
     def __init__(
-        self, number: int, relay: object, link: object, name: str, weight: float, fenced: bool
+        self, number: int, attempt: object, link: object, name: str, weight: float, fenced: bool
     ) -> None:
-        self.number, self.relay, self.link, self.name = number, relay, link, name
+        self.number, self.attempt, self.connection, self.name = number, attempt, link, name
         self.weight = weight  # threads that it counts for
         self.fenced = fenced  # given up there when the lease is over, and may run again here
-        self.due = None  # the call at its time limit
+        self.timeout = None  # the call at its time limit
         self.state, self.cut = State.OFFERED, False  # cut: the link has gone since
         self.withdrawn = False
         self.pages: list[bytes | None] | None = None
@@ -70,9 +70,9 @@
         self.open: dict[int, Crossing] = {}
         self._last = 0
 
-    def add(self, relay: object, link: object, name: str, weight: float, fenced: bool) -> Crossing:
+    def add(self, attempt: object, link: object, name: str, weight: float, fenced: bool) -> Crossing:
         self._last += 1
-        crossing = self.open[self._last] = Crossing(self._last, relay, link, name, weight, fenced)
+        crossing = self.open[self._last] = Crossing(self._last, attempt, link, name, weight, fenced)
         return crossing
 
     def given(self, number: int) -> bool:
@@ -86,7 +86,7 @@
         for crossing in self.open.values():
             crossing.cut = True
 
-    def settle(self, resumed: bool, states: list[tuple[int, str]]) -> list[tuple[Crossing, Outcome]]:
+    def settle(self, resumed: bool, states: list[tuple[int, str]]) -> list[tuple[Crossing, ForwardingResult]]:
         """What the far side's word on each settles, after a cut; what goes on is no longer cut."""
         told, settled = dict(states), []
         for crossing in self.open.values():
@@ -95,14 +95,14 @@
             word = told.get(crossing.number) if resumed else None
             if word == State.NEVER.value or word == State.TAKEN.value:
                 # What was taken and not sent is withdrawn there by the resumption itself.
-                settled.append((crossing, Outcome.UNRUN))
+                settled.append((crossing, ForwardingResult.UNRUN))
             elif word in (State.SENT.value, State.ENDED.value):
                 # Pages that came before the cut come again from the first; so does any other end.
                 crossing.cut, crossing.pages, crossing.told = False, None, 0
                 crossing.state = State.SENT if word == State.SENT.value else crossing.state
             else:
                 # Given up there, or forgotten, or a new incarnation that knows nothing: it may have run.
-                settled.append((crossing, Outcome.UNKNOWN))
+                settled.append((crossing, ForwardingResult.UNKNOWN))
         return settled
 
 
