--- a/cresstray/sites/links.py
+++ b/cresstray/sites/links.py
@@ -13,7 +13,7 @@
 
 from cresstray.background.schedule import Job, Priority
 from cresstray.background.worker import Worker
-from cresstray.clock import Clock, Due, Timers
+from cresstray.clock import Clock, TimerHandle, Timers
 from cresstray.config import operator
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
@@ -25,7 +25,7 @@
 from cresstray.sites.inbound import Front, Inward
 from cresstray.sites.outbound import Keeper, Outward
 from cresstray.sites.routing import Way
-from cresstray.transport.streams import ENDED, Line, connect, contained
+from cresstray.transport.streams import ENDED, SocketStream, connect, contained
 
 if TYPE_CHECKING:
     from cresstray.sites.tls import Contexts
@@ -50,14 +50,16 @@
 class Channel(Protocol):
     """What a link is written to and read from: a line, or TLS on one."""
 
-    def put(self, message: bytes) -> object: ...
+    def write(self, message: bytes) -> object: ...
     async def receive(self) -> bytes: ...
 
 
 class Wire:
     """One connection. What is written waits as long as its end allows, and goes out in one piece."""
 
-    def __init__(self, line: Line, channel: Channel, scope: anyio.CancelScope, timers: Timers) -> None:
+    def __init__(
+        self, line: SocketStream, channel: Channel, scope: anyio.CancelScope, timers: Timers
+    ) -> None:
         self._line, self._channel, self.scope, self._timers = line, channel, scope, timers
         self.dawdle: Callable[[], int] = lambda: 0
         self._out = bytearray()
@@ -76,15 +78,15 @@
             self._flush()
         elif not self._waits:
             self._waits = True
-            self._timers.after(wait, self._flush)
+            self._timers.call_after(wait, self._flush)
 
     def _flush(self, _now: int = 0) -> None:
         self._waits = False
-        if not self._out or not self._line.lives():
+        if not self._out or not self._line.is_open():
             return
-        self._channel.put(bytes(self._out))
+        self._channel.write(bytes(self._out))
         self._out.clear()
-        if len(self._line.waiting) > _MOST_UNWRITTEN:
+        if len(self._line.unsent) > _MOST_UNWRITTEN:
             self.scope.cancel()
 
     async def serve(self, receive: Callable[[bytes], object]) -> str:
@@ -142,7 +144,7 @@
         self._wires: dict[object, Wire] = {}
         self.leaving = False
         self._tasks: TaskGroup
-        self._busy, self._due = False, Due(0, lambda _: None)  # the next tick
+        self._busy, self._due = False, TimerHandle(0, lambda _: None)  # the next tick
         self._links = [(peer, self._outward(peer)) for peer in given.peers]
         self.load_keys(given)
 
@@ -183,7 +185,7 @@
         return outward
 
     def _say(self, text: str) -> None:
-        self._log.say("hall", text)
+        self._log.log("hall", text)
 
     async def run(self, tasks: TaskGroup) -> None:
         """Starts all links in these tasks; returns once it accepts."""
@@ -214,7 +216,7 @@
         # Half a beat: fine enough for beats, leases and what is hopeless. An idle beat where all is idle.
         beat = self._given.link.heartbeat
         self._busy = any(end.busy(now) for end in ends)
-        self._due = self._timers.after(beat // 2 if self._busy else IDLE * beat, self._tick)
+        self._due = self._timers.call_after(beat // 2 if self._busy else IDLE * beat, self._tick)
 
     def _look_for_absent(self, now: int) -> None:
         for place, inward in list(self._near.items()):
@@ -227,7 +229,7 @@
         if not self._busy:
             self._busy = True
             self._due.cancel()
-            self._due = self._timers.after(0, self._tick)
+            self._due = self._timers.call_after(0, self._tick)
 
     # Links that we make.
 
@@ -256,7 +258,7 @@
                 made = await connect(*peer.address)
         except (OSError, TimeoutError) as trouble:
             return f"not made: {trouble!r}"
-        with anyio.CancelScope() as scope, Line(made, self._tasks, scope.cancel) as line:
+        with anyio.CancelScope() as scope, SocketStream(made, self._tasks, scope.cancel) as line:
             try:
                 with anyio.fail_after(_HANDSHAKE):
                     channel, _ = await self._secured(line, {peer.hall}, False)
@@ -265,7 +267,7 @@
             wire = self._wires[outward] = Wire(line, channel, scope, self._timers)
             wire.dawdle = outward.dawdle
             outward.connected(wire.write)
-            greeted = self._timers.after(
+            greeted = self._timers.call_after(
                 int(_HANDSHAKE * 1e6), lambda _: outward.greeted or wire.scope.cancel()
             )
             try:
@@ -275,7 +277,7 @@
                 del self._wires[outward]
         return "given up"
 
-    async def _secured(self, line: Line, halls: set[str], server: bool) -> tuple[Channel, set[str]]:
+    async def _secured(self, line: SocketStream, halls: set[str], server: bool) -> tuple[Channel, set[str]]:
         """What to speak on, and the halls that the other side may be; BrokenError where that is none."""
         if self._contexts is None:
             return line, halls
@@ -306,11 +308,11 @@
     async def _accepted(self, made: socket.socket) -> None:
         why = "given up"
         with contained("a link from another hall", self._counters, self._log):
-            with anyio.CancelScope() as scope, Line(made, self._tasks, scope.cancel) as line:
+            with anyio.CancelScope() as scope, SocketStream(made, self._tasks, scope.cancel) as line:
                 why = await self._taken_in(line, scope)
         self._say(f"link from another hall ended: {why}")
 
-    async def _taken_in(self, line: Line, scope: anyio.CancelScope) -> str:
+    async def _taken_in(self, line: SocketStream, scope: anyio.CancelScope) -> str:
         halls = {peer.hall for peer in self._given.peers}
         if len(self._wires) >= _MOST_LINKS:
             return "refused, there are too many"
@@ -376,7 +378,7 @@
                 self._closed,
                 self._clock.now,
                 self._wake,
-                self._timers.after,
+                self._timers.call_after,
                 self._counters,
                 self._say,
             )
--- a/cresstray/sites/outbound.py
+++ b/cresstray/sites/outbound.py
@@ -10,11 +10,11 @@
 from typing import Protocol
 
 from cresstray.observability.counters import Counters
-from cresstray.policy.types import Relay
+from cresstray.policy.types import Attempt
 from cresstray.sites import codec
 from cresstray.sites.codec import BrokenError
 from cresstray.sites.ends import WINDOW, End, Place
-from cresstray.sites.ledger import Crossing, Outcome, Outgoing, State
+from cresstray.sites.ledger import Crossing, ForwardingResult, Outgoing, State
 from cresstray.sites.routing import Way
 
 # A result holds 48,000 bytes at most where clients speak JSON-RPC; what claims far more is no result.
@@ -25,10 +25,12 @@
     """Who is told of crossings; after `ended` nothing more comes of one."""
 
     def add(self, link: Outward) -> None: ...
-    def ended(self, crossing: Crossing, outcome: Outcome, sent: bool, result: bytes | None) -> None: ...
-    def hopeless(self, crossing: Crossing) -> None: ...
-    def standing(self, link: Outward, ready: bool) -> None: ...
-    def room_told(self, link: Outward) -> None: ...
+    def on_finished(
+        self, crossing: Crossing, outcome: ForwardingResult, sent: bool, result: bytes | None
+    ) -> None: ...
+    def on_deadline_unreachable(self, crossing: Crossing) -> None: ...
+    def on_state(self, link: Outward, ready: bool) -> None: ...
+    def on_capacity(self, link: Outward) -> None: ...
 
 
 class Outward(End):
@@ -127,7 +129,7 @@
                 self._put(codec.Withdraw(number))
                 self._put(codec.Forget([number]))
         for crossing, outcome in settled:
-            self._end(crossing, outcome, outcome is not Outcome.UNRUN)
+            self._end(crossing, outcome, outcome is not ForwardingResult.UNRUN)
             if resumed:
                 # Danger: what was given up there would count against our credit until it is too old.
                 self._forget(crossing.number)
@@ -145,28 +147,28 @@
 
     # Crossings.
 
-    def offer(self, relay: Relay, query: object, now: int) -> Crossing:
+    def offer(self, attempt: Attempt, query: object, now: int) -> Crossing:
         """`query` as passage.errand has it; the way has said that it takes it."""
-        submission = relay.submission
-        fenced = submission.tariff.idempotent or submission.tariff.deduplicated
-        crossing = self.ledger.add(relay, self, query.name, self.way.offered(submission, now), fenced)
-        within = self.way.within(submission, now)
-        bounded = within < submission.hard_stop - now
+        request = attempt.request
+        fenced = request.request_class.is_idempotent or request.request_class.is_deduplicated
+        crossing = self.ledger.add(attempt, self, query.name, self.way.offered(request, now), fenced)
+        within = self.way.within(request, now)
+        bounded = within < request.deadline_us - now
         self._put(
             codec.Offer(
                 crossing.number,
                 self._health.heard,
                 query.name,
-                query.tariff,
+                query.class_name,
                 query.tenant,
-                query.mark,
-                query.estimate,
-                query.megabytes,
-                max(0, submission.hard_stop - now),
-                self.way.hold(submission, now),
+                query.idempotency_key,
+                query.estimated_work_ms,
+                query.memory_mb,
+                max(0, request.deadline_us - now),
+                self.way.hold(request, now),
                 max(1, within) if bounded else 0,
-                submission.data_set,
-                len(submission.relays) - 1,
+                request.data_set,
+                len(request.attempts) - 1,
                 fenced,
                 query.statement,
             )
@@ -174,7 +176,7 @@
         self._counters.add("crossings offered")
         return crossing
 
-    def give_up(self, crossing: Crossing) -> bool:
+    def abandon(self, crossing: Crossing) -> bool:
         """False: the far side's word, or the end of its lease, is still to come. Until then it may run."""
         if crossing.number in self.ledger.open and not crossing.withdrawn:
             crossing.withdrawn = True
@@ -182,11 +184,13 @@
             self._put(codec.Withdraw(crossing.number))
         return False
 
-    def _end(self, crossing: Crossing, outcome: Outcome, sent: bool, result: bytes | None = None) -> None:
+    def _end(
+        self, crossing: Crossing, outcome: ForwardingResult, sent: bool, result: bytes | None = None
+    ) -> None:
         self.ledger.end(crossing)
-        self.way.over(crossing.relay.submission, crossing.weight)
+        self.way.over(crossing.attempt.request, crossing.weight)
         self._counters.add(f"crossings {outcome.value}")
-        self._keeper.ended(crossing, outcome, sent, result)
+        self._keeper.on_finished(crossing, outcome, sent, result)
 
     def _given(self, number: int, last: bool = False) -> Crossing | None:
         """An open crossing; None for one that has ended here, of which the last word need not be kept."""
@@ -217,14 +221,14 @@
                 raise BrokenError(f"crossing {frame.number} is refused after it was sent")
             self._counters.add("crossings refused")
             self._forget(frame.number)
-            self._end(crossing, Outcome.UNRUN, False)
+            self._end(crossing, ForwardingResult.UNRUN, False)
 
     def _failed(self, frame: codec.Ended, now: int) -> None:
         crossing = self._given(frame.number, last=True)
         if crossing is not None:
             self._forget(frame.number)
             sent = crossing.state is State.SENT or frame.ran
-            self._end(crossing, Outcome.RAN if frame.ran else Outcome.UNRUN, sent)
+            self._end(crossing, ForwardingResult.RAN if frame.ran else ForwardingResult.UNRUN, sent)
 
     def _page(self, frame: codec.Page, now: int) -> None:
         crossing = self._given(frame.number, last=frame.page == 0)
@@ -241,7 +245,7 @@
         have = len(crossing.pages)
         if have == frame.pages:
             self._forget(frame.number)
-            self._end(crossing, Outcome.SERVED, True, b"".join(crossing.pages))
+            self._end(crossing, ForwardingResult.SERVED, True, b"".join(crossing.pages))
         elif have - crossing.told >= WINDOW // 2:
             crossing.told = have
             self._put(codec.More(frame.number, have))
@@ -251,7 +255,7 @@
         self.way.tell(frame.threads, frame.cores, frame.pace, frame.closed, now)
         self._tell_standing(now)
         if self._told and self.way.room() > 0:
-            self._keeper.room_told(self)
+            self._keeper.on_capacity(self)
 
     def _goodbye(self, frame: codec.Goodbye, now: int) -> None:
         self._say(f"{self.far} takes nothing more: {frame.reason}")
@@ -289,13 +293,13 @@
             self._say(f"link to {self.far} is {state.value}, round trip {trip:.1f} ms")
         gone = now > self._health.lease_end()
         for crossing in list(self.ledger.open.values()):
-            submission = crossing.relay.submission
-            if crossing.cut and gone and (crossing.fenced or submission.ended):
+            request = crossing.attempt.request
+            if crossing.cut and gone and (crossing.fenced or request.is_finished):
                 # The far side has given it up by now, whatever it did; or nobody waits for it any more.
-                self._end(crossing, Outcome.UNKNOWN, True)
-            elif not crossing.withdrawn and self.way.hopeless(submission, crossing.state is State.SENT, now):
+                self._end(crossing, ForwardingResult.UNKNOWN, True)
+            elif not crossing.withdrawn and self.way.hopeless(request, crossing.state is State.SENT, now):
                 self._counters.add("crossings hopeless")
-                self._keeper.hopeless(crossing)
+                self._keeper.on_deadline_unreachable(crossing)
         self._tell_standing(now)
         return not self._health.dead(now)
 
@@ -309,4 +313,4 @@
         cores = self.way.cores if self.greeted and not self.way.leaving else 0.0
         if bool(cores) != bool(self._told) or abs(cores - self._told) > 0.1 * self._told:
             self._told = cores
-            self._keeper.standing(self, cores > 0)
+            self._keeper.on_state(self, cores > 0)
--- a/cresstray/sites/routing.py
+++ b/cresstray/sites/routing.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Callable
 
-from cresstray.policy.controller import UNRUN
-from cresstray.policy.types import Submission
+from cresstray.policy.controller import NOT_EXECUTED
+from cresstray.policy.types import Request
 from cresstray.sites.flow_control import Credit, Ramp, Share
 from cresstray.sites.health import Health, State
 
@@ -65,14 +65,14 @@
             and (state is State.UP or self.ramp.room(self.health.crossing_since, now))
         )
 
-    def takes(self, submission: Submission, near_load: float | None, now: int) -> bool:
+    def accepts(self, request: Request, near_load: float | None, now: int) -> bool:
         """`near_load`: threads a core, at its pace, of the engine that could take it here; None: none can."""
         # Asked for every submission: most go no further than this.
         if near_load is not None and not self._is_busy(near_load):
             return False
-        expected, trip = submission.expected, self.health.round_trip(now)
+        expected, trip = request.expected_latency_us, self.health.round_trip(now)
         far = int(trip + expected * self.pace) + _MARGIN
-        if near_load is not None and not self._is_better(submission, near_load, far - _MARGIN, now):
+        if near_load is not None and not self._is_better(request, near_load, far - _MARGIN, now):
             return False
         self.asked_at = now
         if self.health.stale(now):
@@ -81,18 +81,21 @@
             return False
         if (
             not self.usable(now)
-            or not self._fits(submission.tariff.threads)
-            or not self.credit.has(submission.size)
+            or not self._fits(request.request_class.threads)
+            or not self.credit.has(request.size_bytes)
             or not self.share.room(now)
         ):
             return False
         # Danger: work that the far hall ends after the soft limit is wasted there, and was worth more here.
-        return now + far <= submission.soft_stop and self.within(submission, now) > trip // 2
+        return now + far <= request.objective_deadline_us and self.within(request, now) > trip // 2
 
-    def _is_better(self, submission: Submission, near_load: float, far: int, now: int) -> bool:
+    def _is_better(self, request: Request, near_load: float, far: int, now: int) -> bool:
         """Whether the far hall would be clearly sooner, or the near one late."""
-        near = int(submission.expected * max(1.0, near_load))
-        return now + near > submission.soft_stop or near - far > submission.expected // _BETTER + _NOISE
+        near = int(request.expected_latency_us * max(1.0, near_load))
+        return (
+            now + near > request.objective_deadline_us
+            or near - far > request.expected_latency_us // _BETTER + _NOISE
+        )
 
     def _fits(self, threads: int) -> bool:
         # Danger: parts of a thread for each of many gateways would leave room for nobody. What is at least
@@ -104,47 +107,49 @@
         self._busy = load >= (_CALM if self._busy else _BUSY)
         return self._busy
 
-    def offered(self, submission: Submission, now: int) -> float:
+    def offered(self, request: Request, now: int) -> float:
         """Books it; returns the threads it counts for: of its time under way, it runs for a part only."""
-        self.credit.take(submission.size)
+        self.credit.take(request.size_bytes)
         self.share.crossed(now)
         self.ramp.crossed(now)
-        runs = submission.expected * self.pace
-        weight = submission.tariff.threads * runs / (runs + self.health.round_trip(now))
+        runs = request.expected_latency_us * self.pace
+        weight = request.request_class.threads * runs / (runs + self.health.round_trip(now))
         self.used += weight
         self.open += 1
         return weight
 
-    def over(self, submission: Submission, weight: float) -> None:
-        self.credit.give(submission.size)
+    def over(self, request: Request, weight: float) -> None:
+        self.credit.give(request.size_bytes)
         self.open -= 1
         self.used = max(0.0, self.used - weight) if self.open else 0.0
 
-    def hold(self, submission: Submission, now: int) -> int:
+    def hold(self, request: Request, now: int) -> int:
         """How long the far gateway may hold it; a further relay goes at once or not at all."""
-        if len(submission.relays) > 1:
+        if len(request.attempts) > 1:
             return 0
-        return max(0, min(_MOST_HOLD, (submission.hard_stop - now) // 20))
+        return max(0, min(_MOST_HOLD, (request.deadline_us - now) // 20))
 
-    def within(self, submission: Submission, now: int) -> int:
+    def within(self, request: Request, now: int) -> int:
         """How long from now its relay may still be sent; its whole time where nothing bounds that."""
-        longest = submission.hard_stop - now
-        earlier = [relay for relay in submission.relays if relay.ending is not None]
+        longest = request.deadline_us - now
+        earlier = [attempt for attempt in request.attempts if attempt.outcome is not None]
         if earlier:
             longest = min(longest, AHEAD)
-        if submission.tariff.deduplicated:
+        if request.request_class.is_deduplicated:
             # Danger: past their memory, engines would run a repeat. It is reckoned from the earlier send.
-            for relay in earlier:
-                if relay.ending not in UNRUN:
-                    longest = min(longest, relay.sent + submission.tariff.memory - 100_000 - now)
+            for attempt in earlier:
+                if attempt.outcome not in NOT_EXECUTED:
+                    longest = min(
+                        longest, attempt.sent_us + request.request_class.dedup_window_us - 100_000 - now
+                    )
         return longest
 
-    def hopeless(self, submission: Submission, sent: bool, now: int) -> bool:
+    def hopeless(self, request: Request, sent: bool, now: int) -> bool:
         """Whether its answer can no longer come before its hard stop, so that nobody should wait for it."""
-        left = submission.hard_stop - now
+        left = request.deadline_us - now
         if self.health.state is State.CUT:
             # Without the link: no answer before it is up again, which takes a round trip at the least.
             return left <= self.health.usual_trip() + _MARGIN
         trip = self.health.round_trip(now)
         # What was not yet sent needs its work as well; half of the usual at the least.
-        return left <= trip // 2 + (0 if sent else submission.expected // 2)
+        return left <= trip // 2 + (0 if sent else request.expected_latency_us // 2)
--- a/cresstray/sites/tls.py
+++ b/cresstray/sites/tls.py
@@ -7,7 +7,7 @@
 import anyio
 
 from cresstray.config.operator import Tls
-from cresstray.transport.streams import Line
+from cresstray.transport.streams import SocketStream
 
 
 class Contexts:
@@ -38,7 +38,7 @@
 class Sealed:
     """TLS on one line, read and written like the line itself. A broken record ends it with ssl.SSLError."""
 
-    def __init__(self, line: Line, contexts: Contexts, server: bool) -> None:
+    def __init__(self, line: SocketStream, contexts: Contexts, server: bool) -> None:
         self._line, self._in, self._out = line, ssl.MemoryBIO(), ssl.MemoryBIO()
         context = contexts.far if server else contexts.near
         self._tls = context.wrap_bio(self._in, self._out, server_side=server)
@@ -58,7 +58,7 @@
         self._flush()
         return {value for kind, value in self._tls.getpeercert().get("subjectAltName", ()) if kind == "DNS"}
 
-    def put(self, message: bytes) -> None:
+    def write(self, message: bytes) -> None:
         self._tls.write(message)
         self._flush()
 
@@ -76,4 +76,4 @@
 
     def _flush(self) -> None:
         if self._out.pending:
-            self._line.put(self._out.read())
+            self._line.write(self._out.read())
--- a/cresstray/transport/peers.py
+++ b/cresstray/transport/peers.py
@@ -19,7 +19,7 @@
 from cresstray.fleet_config.codec import MAGIC, ROLES, VERSION, Greet
 from cresstray.observability.counters import Counters
 from cresstray.transport.framing import BrokenError, Frame, Frames, encode
-from cresstray.transport.streams import ENDED, Line, connect
+from cresstray.transport.streams import ENDED, SocketStream, connect
 
 if TYPE_CHECKING:
     from cresstray.config.fleet import Fleet
@@ -95,7 +95,7 @@
 
 
 class Channel(Protocol):
-    def put(self, message: bytes) -> object: ...
+    def write(self, message: bytes) -> object: ...
     async def receive(self) -> bytes: ...
 
 
@@ -104,7 +104,7 @@
 
     def __init__(
         self,
-        line: Line,
+        line: SocketStream,
         channel: Channel,
         scope: anyio.CancelScope,
         frames: Frames,
@@ -134,13 +134,13 @@
 
     @property
     def unwritten(self) -> int:
-        return len(self._out) + len(self._line.waiting)
+        return len(self._out) + len(self._line.unsent)
 
     def _flush(self) -> None:
-        if self._out and self._line.lives() and not self.why:
+        if self._out and self._line.is_open() and not self.why:
             self.sent += len(self._out)
             try:
-                self._channel.put(bytes(self._out))
+                self._channel.write(bytes(self._out))
             except OSError as trouble:
                 self.end(repr(trouble))
         self._out.clear()
@@ -218,7 +218,7 @@
                 self._not_made[name] = why
                 self._said.say("link", "not made, tried again", to=name, why=why)
             return why
-        with anyio.CancelScope() as scope, Line(made, tasks, scope.cancel) as line:
+        with anyio.CancelScope() as scope, SocketStream(made, tasks, scope.cancel) as line:
             made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNDELIVERED_MS)
             link = await self._greeted(line, scope, False, lambda _: hello, check)
             if isinstance(link, str):
@@ -254,7 +254,7 @@
             host = ""
             try:
                 host = "{}:{}".format(*made.getpeername()[:2])
-                with anyio.CancelScope() as scope, Line(made, tasks, scope.cancel) as line:
+                with anyio.CancelScope() as scope, SocketStream(made, tasks, scope.cancel) as line:
                     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNDELIVERED_MS)
                     self._greeting += 1
                     try:
@@ -294,7 +294,7 @@
 
     async def _greeted(
         self,
-        line: Line,
+        line: SocketStream,
         scope: anyio.CancelScope,
         server: bool,
         hello: Callable[[Frame | None], Frame],
@@ -311,12 +311,12 @@
                     channel = Sealed(line, self.contexts, server)
                     names = await channel.shake_hands()
                 if not server:
-                    channel.put(encode(hello(None)))
+                    channel.write(encode(hello(None)))
                 while not found:
                     found = frames.feed(await channel.receive())
                 check(found[0], names)
                 if server:
-                    channel.put(encode(hello(found[0])))
+                    channel.write(encode(hello(found[0])))
         except (*ENDED, TimeoutError, BrokenError) as trouble:
             self._counters.add("links refused")
             return f"refused: {trouble!r}"
--- a/cresstray/transport/streams.py
+++ b/cresstray/transport/streams.py
@@ -38,7 +38,7 @@
 def tell_fault(what: str, trouble: Exception, counters: Counters, log: Log) -> None:
     """A fault of ours: counted, and told whole."""
     counters.add("faults")
-    log.say("fault", f"{what}: {''.join(traceback.format_exception(trouble))}")
+    log.log("fault", f"{what}: {''.join(traceback.format_exception(trouble))}")
 
 
 async def connect(host: str, port: int) -> socket.socket:
@@ -59,7 +59,7 @@
     return made
 
 
-class Line:
+class SocketStream:
     """One connection. What is put goes to the kernel at once; what that does not take waits, in order.
 
     Only then does a task of `tasks` write it. `ended` is called when the connection breaks, or is done for.
@@ -69,15 +69,15 @@
         made.setblocking(False)
         made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._socket, self._tasks, self._ended = made, tasks, ended
-        self.waiting = bytearray()
-        self.broken = False  # found so while it was written to
+        self.unsent = bytearray()
+        self.is_broken = False  # found so while it was written to
         self._pumps = self._finishing = False
 
-    def put(self, message: bytes) -> bool:
+    def write(self, message: bytes) -> bool:
         """False where the connection is broken and nothing of the message has left."""
         # Danger: written by a task of its own, a QUIT could follow the ASK that it must go before.
         sent = 0
-        if not self.waiting:
+        if not self.unsent:
             try:
                 sent = self._socket.send(message)
             except BlockingIOError:
@@ -86,24 +86,24 @@
                 self._break()
                 return False
         if sent < len(message):
-            self.waiting += message[sent:]
+            self.unsent += message[sent:]
             if not self._pumps:
                 self._pumps = True
                 self._tasks.start_soon(self._pump)
         return True
 
-    def finish(self) -> None:
+    def write_eof_when_drained(self) -> None:
         """`ended` is called once what waits has been written."""
         self._finishing = True
-        if not self.waiting:
+        if not self.unsent:
             self._finished()
 
     async def _pump(self) -> None:
         try:
-            while self.waiting:
+            while self.unsent:
                 await anyio.wait_writable(self._socket)
                 with suppress(BlockingIOError):
-                    del self.waiting[: self._socket.send(self.waiting)]
+                    del self.unsent[: self._socket.send(self.unsent)]
         except (*ENDED, ValueError):  # the latter: closed before the wait
             self._break()
         self._pumps = False
@@ -111,18 +111,18 @@
             self._finished()
 
     def _break(self) -> None:
-        self.broken = True
+        self.is_broken = True
         self._ended()
 
     def _finished(self) -> None:
         self._finishing = False
         self._ended()
 
-    def shut(self) -> None:
+    def shutdown_write(self) -> None:
         """Nothing more is written, and the other side hears of it; what it sends can still be received."""
         self._socket.shutdown(socket.SHUT_WR)
 
-    def lives(self) -> bool:
+    def is_open(self) -> bool:
         """Whether it has not been closed here."""
         return self._socket.fileno() >= 0
 
@@ -188,7 +188,7 @@
         except OSError:
             return b""
 
-    def __enter__(self) -> Line:
+    def __enter__(self) -> SocketStream:
         return self
 
     def __exit__(self, *_: object) -> None:
--- a/tests/attack_stand_ins.py
+++ b/tests/attack_stand_ins.py
@@ -444,12 +444,16 @@
         return self.transport.get_extra_info("sockname")[1]
 
     def line(
-        self, tariff: str = IDEMPOTENT, timeout: float = 2.0, statement: str = "select 1", **more: object
+        self,
+        request_class: str = IDEMPOTENT,
+        timeout: float = 2.0,
+        statement: str = "select 1",
+        **more: object,
     ) -> bytes:
         """A new request's line, noted and not sent."""
         self.number += 1
         Client.names += 1
-        asked = Asked(f"{Client.names:016x}", tariff, timeout, self.number)
+        asked = Asked(f"{Client.names:016x}", request_class, timeout, self.number)
         self.numbers[self.number] = self.account.asked[asked.name] = asked
         params = {
             "req": asked.name,
@@ -457,15 +461,19 @@
             "owner": "acme",
             "data": base64.b64encode(statement.encode()).decode(),
         }
-        if tariff == DEDUPLICATED:
+        if request_class == DEDUPLICATED:
             params["opkey"] = asked.name * 2
-        message = {"jsonrpc": "2.0", "id": self.number, "method": tariff, "params": params | more}
+        message = {"jsonrpc": "2.0", "id": self.number, "method": request_class, "params": params | more}
         return json.dumps(message).encode() + b"\n"
 
     def ask(
-        self, tariff: str = IDEMPOTENT, timeout: float = 2.0, statement: str = "select 1", **more: object
+        self,
+        request_class: str = IDEMPOTENT,
+        timeout: float = 2.0,
+        statement: str = "select 1",
+        **more: object,
     ) -> Asked:
-        line = self.line(tariff, timeout, statement, **more)
+        line = self.line(request_class, timeout, statement, **more)
         asked = self.numbers[self.number]
         self.write(line)
         asked.sent = now()
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -17,8 +17,8 @@
 import anyio.abc
 import hiredis
 
-from cresstray.policy.controller import Gateway
-from cresstray.policy.types import Ending, Engine, Relay, Standing, Submission
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
 TRACES = Path(__file__).parent / "traces"
 SETTINGS = {
@@ -59,7 +59,7 @@
         self.now = START
         self.wakes: list[tuple[int, int, object]] = []
         self.names: dict[object, str] = {}
-        self.gateway = Gateway(self, given, seed, self.now)
+        self.gateway = PolicyController(self, given, seed, self.now)
         self.engines = [Engine() for _ in range(engines)]
         for number, engine in enumerate(self.engines):
             self.names[engine] = f"engine {number}"
@@ -68,31 +68,31 @@
     def say(self, text: str) -> None:
         self.lines.append(f"{(self.now - START) / 1000:8.0f} ms  {text}")
 
-    def relay(self, relay: Relay, patience: int) -> None:
-        self.say(f"relay {self.names[relay.submission]} #{relay.number} to {self.names[relay.engine]}")
+    def send_attempt(self, attempt: Attempt, patience: int) -> None:
+        self.say(f"relay {self.names[attempt.request]} #{attempt.number} to {self.names[attempt.engine]}")
 
-    def withdraw(self, relay: Relay) -> None:
-        self.say(f"withdraw {self.names[relay.submission]} #{relay.number}")
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        self.say(f"withdraw {self.names[attempt.request]} #{attempt.number}")
 
-    def deny(self, submission: Submission, come_back: int) -> None:
-        self.say(f"deny {self.names[submission]}, come back {'later' if come_back else 'at will'}")
+    def reject_request(self, request: Request, come_back: int) -> None:
+        self.say(f"deny {self.names[request]}, come back {'later' if come_back else 'at will'}")
 
-    def abandon(self, submission: Submission) -> None:
-        self.say(f"abandon {self.names[submission]}")
+    def fail_request(self, request: Request) -> None:
+        self.say(f"abandon {self.names[request]}")
 
-    def grant(self, submission: Submission, megabytes: float, priority: int) -> None:
-        self.say(f"grant {self.names[submission]} {megabytes:.0f} MB, priority {priority}")
+    def assign_resources(self, request: Request, megabytes: float, priority: int) -> None:
+        self.say(f"grant {self.names[request]} {megabytes:.0f} MB, priority {priority}")
 
-    def probe(self, engine: Engine) -> None:
+    def probe_engine(self, engine: Engine) -> None:
         self.say(f"probe {self.names[engine]}")
 
-    def subscribe(self) -> None:
+    def subscribe_to_endpoints(self) -> None:
         self.say("subscribe")
 
-    def remark(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         self.say(f"remark {text}")
 
-    def wake(self, delay: int, call: object) -> None:
+    def call_later(self, delay: int, call: object) -> None:
         self.wakes.append((self.now + delay, len(self.names), call))
 
     def list(self, changes: dict, complete: bool = False) -> None:
@@ -104,24 +104,28 @@
                     c.get("zone", 0),
                     c.get("cell", 0),
                     c.get("started", 0),
-                    c.get("standing", Standing.READY),
+                    c.get("standing", EndpointState.READY),
                 ),
             )
             for engine, c in changes.items()
         ]
-        self.gateway.listed(known, complete, self.now)
-
-    def submit(self, name: str, tariff: int = 0, left: int = 2000, **more: int) -> Submission:
-        submission = Submission(self.gateway.tariffs[tariff], self.now, self.now + left * 1000, **more)
-        self.names[submission] = name
-        self.gateway.accept(submission, self.now)
-        return submission
-
-    def back(self, submission: Submission, ending: Ending, report: dict | None = None) -> None:
-        relay = submission.relays[-1]
-        done = ending is Ending.FULFILLED or submission.ended
-        self.say(f"        {self.names[submission]} #{relay.number} comes back {ending.value}")
-        self.gateway.came_back(relay, ending, self.now - relay.sent, done, report or {}, self.now)
+        self.gateway.on_endpoints_updated(known, complete, self.now)
+
+    def submit(self, name: str, request_class: int = 0, left: int = 2000, **more: int) -> Request:
+        request = Request(
+            self.gateway.request_classes[request_class], self.now, self.now + left * 1000, **more
+        )
+        self.names[request] = name
+        self.gateway.accept(request, self.now)
+        return request
+
+    def back(self, request: Request, ending: Outcome, report: dict | None = None) -> None:
+        attempt = request.attempts[-1]
+        done = ending is Outcome.SUCCEEDED or request.is_finished
+        self.say(f"        {self.names[request]} #{attempt.number} comes back {ending.value}")
+        self.gateway.on_attempt_finished(
+            attempt, ending, self.now - attempt.sent_us, done, report or {}, self.now
+        )
 
     def run(self, milliseconds: int) -> None:
         until = self.now + milliseconds * 1000
@@ -224,7 +228,9 @@
         self._stream, self._lines, self._buffer = stream, lines, b""
         self.names = names  # that were used
 
-    async def ask(self, number: int, statement: str, tariff: str = "lookup", timeout: int = 5000) -> None:
+    async def ask(
+        self, number: int, statement: str, request_class: str = "lookup", timeout: int = 5000
+    ) -> None:
         self.names += 1
         params = {
             "req": f"{self.names:04x}{'0' * 12}",
@@ -233,7 +239,7 @@
             "data": base64.b64encode(statement.encode()).decode(),
         }
         self._lines.append(f"client asks {number}: {statement}")
-        await self.say({"jsonrpc": "2.0", "id": number, "method": tariff, "params": params})
+        await self.say({"jsonrpc": "2.0", "id": number, "method": request_class, "params": params})
 
     async def say(self, message: dict | bytes) -> None:
         line = message if isinstance(message, bytes) else json.dumps(message).encode() + b"\n"
--- a/tests/halls.py
+++ b/tests/halls.py
@@ -5,16 +5,16 @@
 from cresstray.clock import Timers
 from cresstray.engines import codec as resp
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.accounting import Book
-from cresstray.pipeline.admission import Admit
-from cresstray.pipeline.dispatch import Send
-from cresstray.pipeline.forwarding import Across
-from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.accounting import RequestAccounting
+from cresstray.pipeline.admission import Admission
+from cresstray.pipeline.dispatch import Dispatcher
+from cresstray.pipeline.forwarding import Forwarder
+from cresstray.pipeline.ingress import Ingress
 from cresstray.pipeline.policy_port import SocketPort
-from cresstray.pipeline.response import Back
-from cresstray.pipeline.routing import Route
-from cresstray.policy.controller import Gateway
-from cresstray.policy.types import Engine, Standing
+from cresstray.pipeline.response import ResponseHandler
+from cresstray.pipeline.routing import Router
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.types import EndpointState, Engine
 from cresstray.sites.ends import Place
 from cresstray.sites.flow_control import Credit, Share
 from cresstray.sites.health import Health
@@ -44,12 +44,12 @@
         self.open: dict[str, object] = {}
 
     def start(self, exchange: object) -> None:
-        exchange.link, exchange.written = self, True
+        exchange.connection, exchange.is_written = self, True
         self.open[exchange.name.decode()] = exchange
         self.desk.world.runs.append((exchange.name.decode(), self.name))
         self.desk.world.say(f"{self.name} runs {self.desk.world.names[exchange.name.decode()]}")
 
-    def give_up(self, exchange: object) -> bool:
+    def abandon(self, exchange: object) -> bool:
         self.open.pop(exchange.name.decode(), None)
         self.desk.world.say(f"{self.name} is told to quit {self.desk.world.names[exchange.name.decode()]}")
         return True
@@ -64,19 +64,19 @@
         exchange = self.open[name]
         if word == b"overload":
             self.desk.world.unrun[name] = self.desk.world.unrun.get(name, 0) + 1
-        exchange.keeper.answered(exchange, resp.Answer(name.encode(), word, 1, 0, {}, body))
+        exchange.listener.on_answer(exchange, resp.Answer(name.encode(), word, 1, 0, {}, body))
 
     def reset(self) -> None:
         for exchange in list(self.open.values()):
             del self.open[exchange.name.decode()]
-            exchange.keeper.cut(exchange, False)
+            exchange.listener.on_connection_lost(exchange, False)
 
 
 class Query:
-    def __init__(self, name: str, tariff: str, patience: float) -> None:
-        self.name, self.tariff, self.patience, self.tenant = name, tariff, patience, "acme"
-        self.mark = name if TARIFFS[tariff] == "deduplicated" else ""
-        self.estimate, self.megabytes, self.statement = 0.0, 0.0, b"select 1"
+    def __init__(self, name: str, request_class: str, patience: float) -> None:
+        self.name, self.class_name, self.timeout_ms, self.tenant = name, request_class, patience, "acme"
+        self.idempotency_key = name if TARIFFS[request_class] == "deduplicated" else ""
+        self.estimated_work_ms, self.memory_mb, self.statement = 0.0, 0.0, b"select 1"
 
 
 class Client:
@@ -86,24 +86,24 @@
         self._desk, self.open, self.answers = desk, {}, {}
 
     def _told(self, number: int, how: str) -> None:
-        errand = self.open.pop(number)
-        name = self._desk.world.names[errand.query.name]
+        context = self.open.pop(number)
+        name = self._desk.world.names[context.query.name]
         self.answers.setdefault(name, []).append(how)
         self._desk.world.say(f"{self._desk.hall} answers {name}: {how}")
 
-    def fulfil(self, number: int, result: bytes, at: str | None = None) -> None:
+    def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
         self._told(number, f"fulfilled, {len(result)} bytes")
 
-    def deny(self, number: int, come_back: int) -> None:
+    def reject(self, number: int, come_back: int) -> None:
         self._told(number, "denied")
 
-    def abandon(self, number: int) -> None:
+    def fail(self, number: int) -> None:
         self._told(number, "abandoned")
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False
 
-    def reject(self, number: int | None, text: str) -> None:
+    def reject_malformed(self, number: int | None, text: str) -> None:
         self._desk.world.say(f"{self._desk.hall} rejects {text}")
 
 
@@ -113,18 +113,20 @@
     def __init__(self, world: "TwoHalls", hall: str, engines: int, clock: VirtualClock, given: dict) -> None:
         self.world, self.hall, self.clock = world, hall, clock
         self.timers, self.counters = Timers(clock), Counters()
-        self.book = Book(self.counters)
-        self.back = Back(clock, self.counters, self.book)
-        self.send = Send(clock, self.timers, self.counters, self.back)
-        self.route = Route(None, self.send)
-        self.across = self.route.across = Across(clock, self.timers, self.counters, self.back, self.send)
-        log = type("NoLog", (), {"say": lambda self, kind, text: None})()
+        self.book = RequestAccounting(self.counters)
+        self.back = ResponseHandler(clock, self.counters, self.book)
+        self.send = Dispatcher(clock, self.timers, self.counters, self.back)
+        self.route = Router(None, self.send)
+        self.across = self.route.forwarder = Forwarder(
+            clock, self.timers, self.counters, self.back, self.send
+        )
+        log = type("NoLog", (), {"log": lambda self, kind, text: None})()
         port = SocketPort(self.route, self.send, self.book, self.timers, self.counters, log)
-        self.gateway = Gateway(port, given, 7, clock.now())
-        admit = Admit(self.book)
-        self.back.gateway = admit.gateway = self.gateway
-        self.share = admit.share = Share(1.0)
-        self.take_in = TakeIn(given, self.gateway.tariffs, clock, admit)
+        self.gateway = PolicyController(port, given, 7, clock.now())
+        admit = Admission(self.book)
+        self.back.controller = admit.controller = self.gateway
+        self.share = admit.forwarding_quota = Share(1.0)
+        self.take_in = Ingress(given, self.gateway.request_classes, clock, admit)
         self.engines, self.links = [Engine() for _ in range(engines)], []
         for number, engine in enumerate(self.engines):
             self.links.append(FakeLink(self, f"{hall} engine {number}"))
@@ -132,29 +134,29 @@
         self.list()
         self.client, self._number = Client(self), 0
 
-    def list(self, *standings: Standing) -> None:
+    def list(self, *standings: EndpointState) -> None:
         told = dict(zip(self.engines, standings))
-        self.gateway.listed(
-            [(engine, (0, 0, 0, 0, told.get(engine, Standing.READY))) for engine in self.engines],
+        self.gateway.on_endpoints_updated(
+            [(engine, (0, 0, 0, 0, told.get(engine, EndpointState.READY))) for engine in self.engines],
             True,
             self.clock.now(),
         )
 
-    def ask(self, label: str, tariff: str, patience: float = 8000) -> None:
+    def ask(self, label: str, request_class: str, patience: float = 8000) -> None:
         self._number += 1
         name = f"{len(self.world.names) + 1:016x}"
         self.world.names[name] = label
-        self.world.say(f"{self.hall} is asked {label}, a {tariff}")
-        self.take_in.take(self.client, self._number, Query(name, tariff, patience))
+        self.world.say(f"{self.hall} is asked {label}, a {request_class}")
+        self.take_in.accept(self.client, self._number, Query(name, request_class, patience))
 
     def withdraw(self, label: str) -> None:
         number = next(
             number
-            for number, errand in self.client.open.items()
-            if self.world.names[errand.query.name] == label
+            for number, context in self.client.open.items()
+            if self.world.names[context.query.name] == label
         )
         self.world.say(f"the client withdraws {label}")
-        self.take_in.withdraw(self.client, number, None)
+        self.take_in.cancel(self.client, number, None)
 
 
 class TwoHalls:
@@ -226,7 +228,7 @@
         if not first:
             for link in self.b.links:
                 for exchange in list(link.open.values()):
-                    link.give_up(exchange)
+                    link.abandon(exchange)
             self.b = HallDesk(self, "hall-b", len(self.b.engines), self.clocks[1], self._given)
         self._life += 1
         self.inward = Inward(
@@ -236,11 +238,11 @@
             16,
             1 << 20,
             self.b.take_in,
-            lambda: self.b.gateway.room(self.clocks[1].now()),
+            lambda: self.b.gateway.spare_capacity(self.clocks[1].now()),
             lambda: 0,
             self.clocks[1].now,
             lambda: None,
-            self.b.timers.after,
+            self.b.timers.call_after,
             self.b.counters,
             lambda text: self.say(f"hall-b says {text}"),
         )
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -21,8 +21,8 @@
 import anyio
 import hiredis
 
-from cresstray.clients.listener import Door
-from cresstray.clients.session import Talk
+from cresstray.clients.listener import Listener
+from cresstray.clients.session import ClientSession
 from cresstray.clock import Clock
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
@@ -71,23 +71,23 @@
     def __init__(self) -> None:
         self.taken: list[int] = []
         self.withdrawn: list[int] = []
-        self.talks: list[Talk] = []
+        self.talks: list[ClientSession] = []
         self.breaks_on: int | None = None  # the number of a request that is a fault of ours
         self.breaks_at_the_end = False
 
-    def take(self, connection: Talk, number: int, _query: object) -> None:
+    def accept(self, connection: ClientSession, number: int, _query: object) -> None:
         if number == self.breaks_on:
             raise RuntimeError("a fault of ours")
         connection.open[number] = None
         self.taken.append(number)
         self.talks.append(connection)
 
-    def withdraw(self, connection: Talk, number: int | None, _name: str | None) -> None:
+    def cancel(self, connection: ClientSession, number: int | None, _name: str | None) -> None:
         if number in connection.open:
             del connection.open[number]
             self.withdrawn.append(number)
 
-    def gone(self, connection: Talk) -> None:
+    def on_disconnected(self, connection: ClientSession) -> None:
         if self.breaks_at_the_end:
             raise RuntimeError("a fault of ours")
         self.withdrawn += connection.open
@@ -97,7 +97,7 @@
 class Stage:
     """A door on loopback, its front, its clock, and clients of it, all in one thread: nothing overtakes."""
 
-    def __init__(self, door: Door, front: Front, listener: socket.socket, clock: list[int]) -> None:
+    def __init__(self, door: Listener, front: Front, listener: socket.socket, clock: list[int]) -> None:
         self.door, self.front, self.listener, self.clock = door, front, listener, clock
         self.address = listener.getsockname()
         self._open = contextlib.ExitStack()
@@ -119,7 +119,9 @@
 
     async def main() -> None:
         clock, front = [0], Front()
-        door = Door(frozenset((CLASS,)), front, most, 100, lambda: clock[0], Counters(), Log("n0", Clock()))
+        door = Listener(
+            frozenset((CLASS,)), front, most, 100, lambda: clock[0], Counters(), Log("n0", Clock())
+        )
         with socket.socket() as listener:
             # Whole scenes fit into it, so that what is written lies in the kernel before anything is read.
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 200_000)
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -1,6 +1,6 @@
 """The module's one hook: what the fleet has agreed on, asked at the moment of acting."""
 
-from cresstray.policy.types import Ending, Engine, Submission
+from cresstray.policy.types import Engine, Outcome, Request
 from tests.desk import Desk, TraceCase, settings
 
 SAFETY = {"BudgetWindow": 10_000.0, "ResendRatio": 0.5, "FreeResends": 2}
@@ -12,22 +12,22 @@
     def __init__(self) -> None:
         self.count, self.barred, self.stopped, self.scale = 4, set(), set(), 1.0
 
-    def gateways(self, now: int) -> int:
+    def gateway_count(self, now: int) -> int:
         return self.count
 
-    def admits(self, submission: Submission, now: int) -> bool:
-        return submission.tariff.index not in self.stopped
+    def admits(self, request: Request, now: int) -> bool:
+        return request.request_class.index not in self.stopped
 
-    def takes(self, submission: Submission, engine: Engine, now: int) -> bool:
-        return engine not in self.barred and submission.read is None
+    def allows(self, request: Request, engine: Engine, now: int) -> bool:
+        return engine not in self.barred and request.replica_read is None
 
-    def further(self, submission: Submission, now: int) -> float:
+    def retry_budget_scale(self, request: Request, now: int) -> float:
         return self.scale
 
 
 def desk_under(**more: object) -> tuple[Desk, Agreed]:
     desk = Desk(settings(Balancers=4, Safety=SAFETY, **more), engines=3)
-    desk.gateway.agreed = agreed = Agreed()
+    desk.gateway.admission_rules = agreed = Agreed()
     return desk, agreed
 
 
@@ -46,7 +46,7 @@
         desk.run(300)
         agreed.barred = set(desk.engines[:2])
         desk.run(200)
-        self.assertTrue(first.relay and held.relay)
+        self.assertTrue(first.current_attempt and held.current_attempt)
         self.check("agreed_engines", desk.lines)
 
     def test_shares_follow_the_count_and_none_is_sent_at_none(self) -> None:
@@ -58,18 +58,18 @@
             desk.run(200)
             limits.append([round(engine.limiter.limit, 6) for engine in desk.engines])
         self.assertEqual(limits, [[1.0] * 3, [0.5] * 3, [2.0] * 3, [2.0] * 3, [1.0] * 3])
-        self.assertEqual(desk.gateway.gateways, 4)
+        self.assertEqual(desk.gateway.gateway_count, 4)
         self.check("agreed_count", desk.lines)
 
     def test_a_read_that_waits_for_a_copy_holds_up_itself_only(self) -> None:
         desk, _ = desk_under()
-        waits = desk.submit("a read", read=object())
+        waits = desk.submit("a read", replica_read=object())
         for name in ("a second read", "the like without a hint"):
-            desk.submit(name, read=object() if "read" in name else None)
-        self.assertTrue(waits.held)
+            desk.submit(name, replica_read=object() if "read" in name else None)
+        self.assertTrue(waits.is_queued)
         self.assertEqual(
             ["the like without a hint"],
-            [desk.names[one] for one in desk.names if isinstance(one, Submission) and one.relay],
+            [desk.names[one] for one in desk.names if isinstance(one, Request) and one.current_attempt],
         )
 
     def test_the_budget_of_further_relays_is_scaled(self) -> None:
@@ -78,6 +78,6 @@
             desk, agreed = desk_under()
             agreed.scale = scale
             for number in range(8):
-                desk.back(desk.submit(f"{number}"), Ending.FULL)
+                desk.back(desk.submit(f"{number}"), Outcome.OVERLOADED)
             made.append(sum(" #1 to" in line for line in desk.lines))
         self.assertEqual(made, [6, 3, 0])
--- a/tests/test_attacks.py
+++ b/tests/test_attacks.py
@@ -332,7 +332,7 @@
 
         made.engines[0].script = script
         client = await made.client()
-        heard = [await client.hears(client.ask(tariff), 1) for tariff in (ONCE, IDEMPOTENT)]
+        heard = [await client.hears(client.ask(request_class), 1) for request_class in (ONCE, IDEMPOTENT)]
         return ([] if heard == ["served"] * 2 else [f"heard {heard}"]) + made.wrong()
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -17,19 +17,19 @@
 import anyio
 import hiredis
 
-from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.engines import connection as links
 from cresstray.model_checking.world import VirtualClock
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.accounting import Book
-from cresstray.pipeline.admission import Admit
-from cresstray.pipeline.dispatch import Send
-from cresstray.pipeline.ingress import TakeIn
+from cresstray.pipeline.accounting import RequestAccounting
+from cresstray.pipeline.admission import Admission
+from cresstray.pipeline.dispatch import Dispatcher
+from cresstray.pipeline.ingress import Ingress
 from cresstray.pipeline.policy_port import SocketPort
-from cresstray.pipeline.response import Back
-from cresstray.pipeline.routing import Route
-from cresstray.policy.controller import Gateway
-from cresstray.policy.types import Ending, Standing
+from cresstray.pipeline.response import ResponseHandler
+from cresstray.pipeline.routing import Router
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.types import EndpointState, Outcome
 from cresstray.transport.streams import connect
 from tests import desk
 from tests.desk import ClientStandIn, settings
@@ -42,10 +42,10 @@
 
 
 class Query:
-    def __init__(self, name: str, tariff: str, patience: float) -> None:
-        self.name, self.tariff, self.patience, self.tenant = name, tariff, patience, ""
-        self.mark = name if tariff == "keyed" else ""
-        self.estimate, self.megabytes, self.statement = 0.0, 0.0, b"select 1"
+    def __init__(self, name: str, request_class: str, patience: float) -> None:
+        self.name, self.class_name, self.timeout_ms, self.tenant = name, request_class, patience, ""
+        self.idempotency_key = name if request_class == "keyed" else ""
+        self.estimated_work_ms, self.memory_mb, self.statement = 0.0, 0.0, b"select 1"
 
 
 class Asker:
@@ -57,23 +57,23 @@
         self.shut = False
         self.looks = 0
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         self.looks += 1
         return self.shut
 
     def _told(self, number: int, how: str) -> None:
         self.answers.append(f"{self.open.pop(number).query.name} {how}")
 
-    def fulfil(self, number: int, result: bytes, at: str | None = None) -> None:
+    def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
         self._told(number, "fulfilled")
 
-    def deny(self, number: int, come_back: int) -> None:
+    def reject(self, number: int, come_back: int) -> None:
         self._told(number, "denied")
 
-    def abandon(self, number: int) -> None:
+    def fail(self, number: int) -> None:
         self._told(number, "abandoned")
 
-    def reject(self, number: int | None, text: str) -> None:
+    def reject_malformed(self, number: int | None, text: str) -> None:
         raise AssertionError(text)
 
 
@@ -84,40 +84,40 @@
         given = settings(*SERVICES, Limits={"Cancel": cancel, "StreamsPerConn": 32}, Safety=safety)
         self.clock, self.counters = VirtualClock(desk.START), Counters()
         self.pools: list[FakePool] = []
-        self.book = Book(self.counters)
-        self.back = Back(self.clock, self.counters, self.book)
+        self.book = RequestAccounting(self.counters)
+        self.back = ResponseHandler(self.clock, self.counters, self.book)
         timers = self.timers = FakePool(self.clock).timers
-        self.send = Send(self.clock, timers, self.counters, self.back)
-        self.route = Route(self._make_pool, self.send)
-        log = type("NoLog", (), {"say": lambda self, kind, text: None})()
+        self.send = Dispatcher(self.clock, timers, self.counters, self.back)
+        self.route = Router(self._make_pool, self.send)
+        log = type("NoLog", (), {"log": lambda self, kind, text: None})()
         port = SocketPort(self.route, self.send, self.book, timers, self.counters, log)
-        self.gateway = Gateway(port, given, 7, self.clock.now())
-        admit = Admit(self.book)
-        self.back.gateway = admit.gateway = self.gateway
-        self.take_in = TakeIn(given, self.gateway.tariffs, self.clock, admit)
+        self.gateway = PolicyController(port, given, 7, self.clock.now())
+        admit = Admission(self.book)
+        self.back.controller = admit.controller = self.gateway
+        self.take_in = Ingress(given, self.gateway.request_classes, self.clock, admit)
         self.client, self.asked = Asker(), 0
-        self.list(*(Standing.READY for _ in range(engines)), complete=True)
+        self.list(*(EndpointState.READY for _ in range(engines)), complete=True)
 
     def _make_pool(self, label: str, address: tuple[str, int]) -> FakePool:
         self.pools.append(FakePool(self.clock))
         self.pools[-1].address, self.pools[-1]._timers = address, self.timers
         return self.pools[-1]
 
-    def list(self, *standings: Standing, complete: bool = False) -> None:
+    def list(self, *standings: EndpointState, complete: bool = False) -> None:
         """As service.py tells of an event."""
-        members = [Member(n, "e", n, standing, 0, 0, 0, 0) for n, standing in enumerate(standings)]
-        event = Event(1, complete, members)
-        self.gateway.listed(self.route.listed(event), complete, self.clock.now())
+        members = [Endpoint(n, "e", n, standing, 0, 0, 0, 0) for n, standing in enumerate(standings)]
+        event = EndpointEvent(1, complete, members)
+        self.gateway.on_endpoints_updated(self.route.apply_event(event), complete, self.clock.now())
 
-    def ask(self, name: str, tariff: str = "read", patience: float = 3000) -> None:
+    def ask(self, name: str, request_class: str = "read", patience: float = 3000) -> None:
         self.asked += 1
-        self.take_in.take(self.client, self.asked, Query(name, tariff, patience))
+        self.take_in.accept(self.client, self.asked, Query(name, request_class, patience))
 
     def withdraw(self, number: int = 1) -> None:
-        self.take_in.withdraw(self.client, number, None)
+        self.take_in.cancel(self.client, number, None)
 
     def leave(self) -> None:
-        self.take_in.gone(self.client)
+        self.take_in.on_disconnected(self.client)
 
     def wait(self, milliseconds: float) -> None:
         until = self.clock.at + int(milliseconds * MILLI)
@@ -140,15 +140,15 @@
 
     def ends(self) -> dict[str, int]:
         """How relays have ended."""
-        how = {ending.value: self.counters.counts[f"relays {ending.value}"] for ending in Ending}
+        how = {ending.value: self.counters.counts[f"relays {ending.value}"] for ending in Outcome}
         return {name: count for name, count in how.items() if count}
 
 
 class DeskCase(unittest.TestCase):
     def rests(self, made: Desk) -> None:
         """Nothing is owed, out, or open on a link."""
-        kept = [made.book.open, made.back.out, made.back._reports, made.client.open, made.gateway.held]
-        kept += [link.life.open for pool in made.pools for link in pool.links]
+        kept = [made.book.open, made.back.in_flight, made.back._reports, made.client.open, made.gateway.queue]
+        kept += [link.in_flight.open for pool in made.pools for link in pool.connections]
         self.assertEqual([], [one for one in kept if one])
         self.assertEqual([], [trouble for pool in made.pools for trouble in pool.faults])
         limiters = [engine.limiter for engine in made.gateway.engines]
@@ -204,9 +204,9 @@
 
     def test_its_time_is_over_before_it_is_up(self) -> None:
         """It never ran: what may run once only is denied, so that its client may come again."""
-        for tariff in ("read", "post"):
+        for request_class in ("read", "post"):
             made = Desk()
-            made.ask("a", tariff, patience=1000)
+            made.ask("a", request_class, patience=1000)
             made.wait(1000)
             self.assertEqual((["a denied"], {"moot": 1}), (made.client.answers, made.ends()))
             made.link().come_up()
@@ -214,22 +214,22 @@
             self.rests(made)
 
     def test_its_time_is_over_when_it_is_out(self) -> None:
-        for tariff, answer in (("read", "denied"), ("post", "abandoned")):
+        for request_class, answer in (("read", "denied"), ("post", "abandoned")):
             made = Desk()
-            made.ask("a", tariff, patience=1000)
+            made.ask("a", request_class, patience=1000)
             made.link().come_up()
             made.wait(1000)
             self.assertEqual(([f"a {answer}"], {"timed out": 1}), (made.client.answers, made.ends()))
             self.rests(made)
 
     def test_its_engine_drains_is_gone_or_replaced(self) -> None:
-        for standing in (Standing.DRAINING, Standing.GONE):
+        for standing in (EndpointState.DRAINING, EndpointState.REMOVED):
             made = Desk(engines=2)
             made.ask("a", "post")
             first = next(link for link in made.links())
             pool = first.pool
             gone = made.pools.index(pool)
-            standings = [Standing.READY, Standing.READY]
+            standings = [EndpointState.READY, EndpointState.READY]
             standings[gone] = standing
             made.list(*standings)
             first.come_up()
@@ -246,12 +246,14 @@
         for name in "abcd":
             made.ask(name, "post")
         drained = made.pools.index(made.links()[0].pool)
-        standings = [Standing.READY, Standing.READY]
-        standings[drained] = Standing.DRAINING
+        standings = [EndpointState.READY, EndpointState.READY]
+        standings[drained] = EndpointState.DRAINING
         made.list(*standings)
-        made.pools[drained].recall_unwritten()
-        made.pools[drained].recall_unwritten()
-        self.assertEqual({}, {name: link for link in made.pools[drained].links for name in link.life.open})
+        made.pools[drained].cancel_unwritten()
+        made.pools[drained].cancel_unwritten()
+        self.assertEqual(
+            {}, {name: link for link in made.pools[drained].connections for name in link.in_flight.open}
+        )
         made.wait(1)
         for link in made.pools[1 - drained].made:
             link.come_up()
@@ -261,8 +263,8 @@
         made = Desk()
         made.ask("a", "post")
         first = made.link()
-        event = Event(2, False, [Member(0, "f", 9, Standing.READY, 0, 0, 0, 0)])
-        made.gateway.listed(made.route.listed(event), False, made.clock.now())
+        event = EndpointEvent(2, False, [Endpoint(0, "f", 9, EndpointState.READY, 0, 0, 0, 0)])
+        made.gateway.on_endpoints_updated(made.route.apply_event(event), False, made.clock.now())
         made.wait(1)
         self.assertEqual([], first.come_up().heard())
         self.assertEqual(["ASK a"], made.link().come_up().heard())
@@ -276,7 +278,7 @@
             first = made.links()[0]
             first.come_up()
             made.wait(5)
-            first.gone()
+            first.on_closed()
             second = next(link for link in made.links() if link is not first)
             made.stopped(late - 5)
             second.come_up()
@@ -286,10 +288,10 @@
         made = Desk(engines=2)
         made.ask("a", "keyed")
         made.links()[0].come_up()
-        relay, then = next(iter(made.back.out)), made.clock.now()
-        made.back.out.pop(relay).due.cancel()
+        attempt, then = next(iter(made.back.in_flight)), made.clock.now()
+        made.back.in_flight.pop(attempt).timeout.cancel()
         made.stopped(1000)
-        made.gateway.came_back(relay, Ending.RESET, 0, False, {}, then)
+        made.gateway.on_attempt_finished(attempt, Outcome.CONNECTION_LOST, 0, False, {}, then)
         self.assertEqual(1, len(made.links()))
         made.wait(0)
         self.assertEqual(({"moot": 1}, ["ASK a"]), (made.ends(), made.heard()))
@@ -317,8 +319,8 @@
         made = Desk(engines=2)
         made.ask("a")
         first = made.links()[0]
-        relay = next(iter(made.back.out))
-        made.gateway._call_back(relay, made.clock.now())
+        attempt = next(iter(made.back.in_flight))
+        made.gateway._call_back(attempt, made.clock.now())
         first.come_up()
         made.wait(1)
         self.assertEqual(([], {"moot": 1}), (made.heard(), made.ends()))
@@ -328,7 +330,7 @@
         made = Desk(engines=2)
         made.ask("a", "post")
         first = made.links()[0]
-        first.gone()
+        first.on_closed()
         second = next(link for link in made.links() if link is not first)
         second.come_up()
         self.assertEqual((["ASK a"], {"unreachable": 1}), (made.heard(), made.ends()))
@@ -351,11 +353,11 @@
 
     def test_the_client_of_a_held_request_is_gone(self) -> None:
         made = Desk()
-        made.list(Standing.DRAINING)
+        made.list(EndpointState.DRAINING)
         made.ask("a")
         made.wait(30)
         made.client.shut = True
-        made.list(Standing.READY)
+        made.list(EndpointState.READY)
         made.wait(0)
         self.assertEqual(([], []), (made.links(), made.client.answers))
         self.rests(made)
@@ -363,11 +365,11 @@
     def test_it_is_read_that_the_client_is_gone_before_the_relay_has_ended(self) -> None:
         for cancel in (True, False):
             made = Desk(cancel=cancel)
-            made.list(Standing.DRAINING)
+            made.list(EndpointState.DRAINING)
             made.ask("a")
             made.wait(30)
             made.client.shut = True
-            made.list(Standing.READY)
+            made.list(EndpointState.READY)
             made.leave()
             made.wait(0)
             self.assertEqual(([], 1), (made.links(), made.counters.counts["submissions left"]))
@@ -386,7 +388,7 @@
             (lambda link: link.answer("a", "overload"), "full", True),
             (lambda link: link.answer("a", "nobody"), "moot", True),
             (lambda link: link.answer("a", "crashed"), "error", False),
-            (lambda link: link.gone(), "reset", False),
+            (lambda link: link.on_closed(), "reset", False),
             (self._spoils, "spoilt", False),
         )
         for comes, how, again in table:
@@ -403,8 +405,8 @@
     def _spoils(self, link: FakeLink) -> None:
         with self.assertRaises(links.codec.BrokenError):
             link.answer("a", "served", "sheets=1", "\0")
-        link.spoilt = True
-        link.gone()
+        link.is_corrupt = True
+        link.on_closed()
 
     def test_words_after_part_of_a_result(self) -> None:
         """It has run: a refusal, or that it was over, proves nothing any more."""
@@ -462,8 +464,8 @@
             with self.assertRaises(links.codec.BrokenError):
                 link.answer("a", "served", first, "x\ty\tz\n")
                 link.answer("a", "rows", second, "x\ty\tz\n")
-            link.spoilt = True
-            link.gone()
+            link.is_corrupt = True
+            link.on_closed()
             self.assertEqual((["a abandoned"], {"spoilt": 1}), (made.client.answers, made.ends()))
             self.rests(made)
 
@@ -499,12 +501,14 @@
         for turn in range(60):
             made.ask(f"n{turn}", patience=60_000)
             for _ in range(83):
-                for relay, exchange in list(made.back.out.items()):
-                    if exchange.link.line is None:
-                        exchange.link.come_up()
-                    sent += [relay.sent] if relay.number else []
-                    word = "served" if relay.number else "nobody"
-                    exchange.link.answer(exchange.name.decode(), word, "-", "a\tb\tc\n" * relay.number)
+                for attempt, exchange in list(made.back.in_flight.items()):
+                    if exchange.connection.line is None:
+                        exchange.connection.come_up()
+                    sent += [attempt.sent_us] if attempt.number else []
+                    word = "served" if attempt.number else "nobody"
+                    exchange.connection.answer(
+                        exchange.name.decode(), word, "-", "a\tb\tc\n" * attempt.number
+                    )
                 made.wait(1)
         gaps = [after - before for before, after in zip(sent, sent[1:])]
         self.assertGreater(len(gaps), 2)
@@ -525,7 +529,7 @@
         late.answer("a", "served", "sheets=1", "a\tb\tc\n")
         made.wait(830)
         made.ask("b", patience=60_000)
-        taken = next(link for link in made.links() if link.life.open)
+        taken = next(link for link in made.links() if link.in_flight.open)
         taken.answer("b", "nobody")
         while made.heard().count("ASK b") < 2:
             made.wait(1)
@@ -610,15 +614,15 @@
 
     def test_the_engine_drains_while_it_is_dialled(self) -> None:
         """The request goes to the other one, although its class is unsafe to repeat."""
-        for standing in (Standing.DRAINING, Standing.GONE):
+        for standing in (EndpointState.DRAINING, EndpointState.REMOVED):
 
             async def scene(stage: Stage, client: ClientStandIn, dials: Dials, standing=standing) -> None:
-                second = member(stage.engines[1].port, 1, Standing.DRAINING)
-                stage.service._told(Event(2, False, [second]))
+                second = member(stage.engines[1].port, 1, EndpointState.DRAINING)
+                stage.service._told(EndpointEvent(2, False, [second]))
                 await client.ask(1, "plain")
                 await dials.begun.wait()
                 told = [member(stage.engines[0].port, 0, standing), member(stage.engines[1].port, 1)]
-                stage.service._told(Event(3, False, told))
+                stage.service._told(EndpointEvent(3, False, told))
                 dials.let.set()
                 self.assertIn("result", await client.hear())
 
@@ -648,17 +652,17 @@
             dials.let.set()
             with socket.create_server(("127.0.0.1", 0)) as server:
                 server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-                stage.service._told(Event(2, True, [member(server.getsockname()[1], 7)]))
+                stage.service._told(EndpointEvent(2, True, [member(server.getsockname()[1], 7)]))
                 await client.ask(1, "x" * 150_000)
                 server.settimeout(5)
                 accepted = (await anyio.to_thread.run_sync(server.accept))[0]
                 pool = next(iter(stage.service._route._pools.values()))
-                while not (pool.links and pool.links[0].line):
+                while not (pool.connections and pool.connections[0].line):
                     await anyio.sleep(0.001)
-                waits = len(pool.links[0].line.waiting)
+                waits = len(pool.connections[0].line.unsent)
                 await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
                 with anyio.fail_after(5):
-                    while pool.links:
+                    while pool.connections:
                         await anyio.sleep(0.001)
                 received = b""
                 with accepted:
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 
 from cresstray.background import schedule, worker
-from cresstray.background.schedule import AGE, LEAST, Job, Outcome, Priority, Schedule
+from cresstray.background.schedule import AGE, LEAST, Job, JobResult, Priority, Schedule
 from cresstray.background.worker import Worker
 from cresstray.clock import Timers
 from cresstray.observability.counters import Counters
@@ -22,7 +22,7 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.schedule, self.now = Schedule(random.Random(seed).random, TICK, BUDGET), START
-        self.does: dict[Job, tuple[Callable[[], int], Callable[[], Outcome]]] = {}
+        self.does: dict[Job, tuple[Callable[[], int], Callable[[], JobResult]]] = {}
         self.ran: list[tuple[int, str, int]] = []  # from when, what, how long
 
     def add(
@@ -31,7 +31,7 @@
         priority: Priority,
         every: int,
         took: int | Callable[[], int] = 100,
-        outcome: Outcome | Callable[[], Outcome] = Outcome.DONE,
+        outcome: JobResult | Callable[[], JobResult] = JobResult.DONE,
         **more: int,
     ) -> Job:
         job = self.schedule.add(name, priority, every, self.now, **more)
@@ -87,7 +87,7 @@
                     Priority(rng.randrange(3)),
                     MS * rng.randrange(1, 20),
                     lambda rng=rng: rng.randrange(longest + 1),
-                    lambda rng=rng: rng.choice([Outcome.MORE, Outcome.MORE, Outcome.DONE]),
+                    lambda rng=rng: rng.choice([JobResult.MORE, JobResult.MORE, JobResult.DONE]),
                 )
             for priority in Priority:
                 turns.add(priority.name, priority, 300 * MS, longest)
@@ -106,7 +106,7 @@
 
     def test_what_takes_no_time_and_wants_more_leaves_the_loop(self) -> None:
         turns = Turns()
-        turns.add("greedy", Priority.SAFETY, MS, 0, Outcome.MORE)
+        turns.add("greedy", Priority.SAFETY, MS, 0, JobResult.MORE)
         turns.run(START)
         self.assertEqual(BUDGET // LEAST, len(turns.ran))
 
@@ -121,7 +121,7 @@
                     Priority(number % 4),
                     MS * rng.randrange(1, 40),
                     lambda rng=rng, longest=longest: rng.choice((0, 50, 200, longest)),
-                    lambda rng=rng: rng.choice(list(Outcome)),
+                    lambda rng=rng: rng.choice(list(JobResult)),
                 )
             turns.run(START + 3 * SECOND)
             begun = [((START + at) // TICK, max(LEAST, took)) for at, _, took in turns.ran]
@@ -151,7 +151,7 @@
 
     def test_what_is_left_of_a_tick_is_not_saved_up(self) -> None:
         turns = Turns()
-        turns.add("greedy", Priority.TIDY, 10 * SECOND, 100, Outcome.MORE)
+        turns.add("greedy", Priority.TIDY, 10 * SECOND, 100, JobResult.MORE)
         turns.run(START)
         turns.now += 8 * SECOND
         before = len(turns.ran)
@@ -191,10 +191,10 @@
         turns.schedule.wake(woken, START)
         turns.schedule.wake(woken, START)
         self.assertIsNone(turns.schedule.next(START), "it ran twice at once")
-        turns.schedule.ended(woken, Outcome.DONE, 100, START + 100)
+        turns.schedule.ended(woken, JobResult.DONE, 100, START + 100)
         self.assertEqual(START + 100, turns.schedule.due(START + 100))
         self.assertIs(woken, turns.schedule.next(START + 100))
-        turns.schedule.ended(woken, Outcome.DONE, 100, START + 200)
+        turns.schedule.ended(woken, JobResult.DONE, 100, START + 200)
         self.assertIsNone(turns.schedule.due(START + 200))
 
     def test_later_is_the_sooner_of_two(self) -> None:
@@ -208,9 +208,9 @@
     def test_pauses_grow_are_spread_and_are_the_same_for_a_seed(self) -> None:
         def pauses(seed: int) -> list[int]:
             turns = Turns(seed)
-            job = turns.add("fails", Priority.STATE, 100 * MS, 10, Outcome.FAILED, longest_pause=5 * SECOND)
+            job = turns.add("fails", Priority.STATE, 100 * MS, 10, JobResult.FAILED, longest_pause=5 * SECOND)
             wakes = turns.add("wakes it", Priority.SAFETY, 100 * MS, 10)
-            turns.does[wakes] = (lambda: turns.schedule.wake(job, turns.now) or 10, lambda: Outcome.DONE)
+            turns.does[wakes] = (lambda: turns.schedule.wake(job, turns.now) or 10, lambda: JobResult.DONE)
             turns.run(START + 60 * SECOND)
             return gaps(turns.began("fails"))
 
@@ -271,10 +271,10 @@
         """`ends`: what it returns or raises, turn by turn, then None; where it is the `last`, MORE."""
         left = list(ends)
 
-        def call(now: int) -> Outcome | None:
+        def call(now: int) -> JobResult | None:
             self.ran.append((now - START, name))
             self.at += took
-            how = left.pop(0) if left else Outcome.MORE if last else None
+            how = left.pop(0) if left else JobResult.MORE if last else None
             if isinstance(how, Exception):
                 raise how
             return how
@@ -351,12 +351,12 @@
 
     def test_last_turns_in_order_and_within_their_time(self) -> None:
         loop = Loop()
-        more = [Outcome.MORE]
+        more = [JobResult.MORE]
         loop.does("goes on", 10 * MS)
-        loop.does("writes", ends=more * 3 + [Outcome.DONE], last=True)
+        loop.does("writes", ends=more * 3 + [JobResult.DONE], last=True)
         loop.does("hangs", last=True)
         loop.does("raises", ends=[OSError("full")], last=True)
-        loop.does("is last", ends=more + [Outcome.DONE], last=True)
+        loop.does("is last", ends=more + [JobResult.DONE], last=True)
         loop.worker.start()
         loop.run(START + 100 * MS)
         loop.ran.clear()
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -15,7 +15,7 @@
 from cresstray.model_checking.patching import lines
 from cresstray.model_checking.properties import PROPERTIES
 from cresstray.model_checking.world import Bounds, thaw
-from cresstray.pipeline.accounting import Book
+from cresstray.pipeline.accounting import RequestAccounting
 
 KEPT = tomllib.loads((Path(__file__).parent / "check_kept.toml").read_text())
 
@@ -133,7 +133,7 @@
 
 class Patched(unittest.TestCase):
     def test_a_variant_that_changes_nothing_is_refused(self) -> None:
-        with self.assertRaises(ValueError), lines((Book.settle, "no such piece", "pass"))():
+        with self.assertRaises(ValueError), lines((RequestAccounting.release, "no such piece", "pass"))():
             self.fail("it was taken for a variant")
 
     def test_what_is_no_trace_is_refused(self) -> None:
--- a/tests/test_check_worlds.py
+++ b/tests/test_check_worlds.py
@@ -20,7 +20,7 @@
     ("trials", {"depth": 3}, (581, 883, 3, False)),
     ("marks", {"faults": 0, "leaves": 0}, (1084, 1214, 16, True)),
     ("marks", {"leaves": 0, "depth": 10}, (3238, 4032, 10, False)),
-    ("marks", {"depth": 5, "submissions": 3, "words": 1}, (793, 1028, 5, False)),
+    ("marks", {"depth": 5, "submissions": 3, "words": 1}, (722, 971, 5, False)),
 )
 TWICE = "g1 is asked, store does g1/0, g1 sends, engines cut off g1, store does g1/0, time passes, "
 # A schedule that shows each, the shortest but for `fence_ignored`, and the bounds that it needs.
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -22,7 +22,7 @@
             client = stage.client(small=True)
             client.sendall(request(1) + request(2) + request(3))
             await until(lambda: len(stage.front.taken) == 3)
-            stage.front.talks[0].fulfil(1, BIG)
+            stage.front.talks[0].succeed(1, BIG)
             for data in (request(4), request(5), withdrawal(2)):  # in a reading each
                 client.sendall(data)
                 await turns()
@@ -39,7 +39,7 @@
             client = stage.client(small=True)
             client.sendall(request(1) + request(2))
             await until(lambda: len(stage.front.taken) == 2)
-            stage.front.talks[0].fulfil(1, BIG)
+            stage.front.talks[0].succeed(1, BIG)
             await anyio.to_thread.run_sync(client.sendall, b"".join(map(request, range(3, 2100))))
             await until(lambda: stage.front.withdrawn == [2])
             self.assertEqual([1, 2], stage.front.taken)
@@ -55,7 +55,7 @@
             self.assertEqual([1, 2], stage.front.taken)
             self.assertEqual(10 * ["None -32700"], [await hear(client) for _ in range(10)])
             self.assertEqual("3 -32000", await hear(client))
-            stage.front.talks[0].fulfil(1, b"a\tb\tc\n")
+            stage.front.talks[0].succeed(1, b"a\tb\tc\n")
             self.assertEqual((["1 6 bytes"], "closed"), await all_of(client))
 
         on_stage(scene)
@@ -100,9 +100,9 @@
                 client.sendall(request(1))
                 await until(lambda: stage.front.taken)
                 talk = stage.front.talks[0]
-                self.assertFalse(talk.has_left())
+                self.assertFalse(talk.has_disconnected())
                 end(client)
-                self.assertTrue(talk.has_left())  # before the loop has read its end
+                self.assertTrue(talk.has_disconnected())  # before the loop has read its end
                 self.assertEqual([], stage.front.withdrawn)
 
             on_stage(scene)
@@ -114,7 +114,7 @@
             await until(lambda: len(stage.door.connections) == 2)
             other.sendall(status(1))
             self.assertEqual("1 pass", await hear(other))
-            self.assertTrue(next(iter(stage.door.connections)).more)
+            self.assertTrue(next(iter(stage.door.connections)).has_buffered_lines)
             for _ in range(2500):
                 self.assertEqual("1 pass", await hear(flood))
 
@@ -142,7 +142,7 @@
             await until(lambda: stage.front.taken)
             await anyio.to_thread.run_sync(client.sendall, b"a" * 300_000)
             self.assertEqual("None -32600", await hear(client))
-            stage.front.talks[0].fulfil(1, b"a\tb\tc\n")
+            stage.front.talks[0].succeed(1, b"a\tb\tc\n")
             client.sendall(b"a" * 100_000 + b"\n" + request(2))  # unread as it is ended
             heard, end = await all_of(client)
             self.assertEqual(("1 6 bytes", "closed"), (heard[0], end))
@@ -157,11 +157,11 @@
             self.assertEqual("1 pass", await hear(client))
             stage.clock[0] = 5_000_000
             client.sendall(request(2))
-            stage.door.close_silent()
+            stage.door.close_idle()
             self.assertEqual({}, stage.door.connections)
             await until(lambda: stage.front.taken == [2])
             self.assertEqual(1, len(stage.door.connections))
-            stage.front.talks[0].fulfil(2, b"a\tb\tc\n")
+            stage.front.talks[0].succeed(2, b"a\tb\tc\n")
             self.assertEqual("2 6 bytes", await hear(client))
 
         on_stage(scene)
@@ -174,7 +174,7 @@
             client.sendall(status(1))
             self.assertEqual("1 pass", await hear(client))
             stage.clock[0] = 5_000_000
-            stage.door.close_silent()
+            stage.door.close_idle()
             self.assertEqual("closed", await hear(client))
             for number in (2, 3):
                 client.sendall(request(number))
@@ -193,7 +193,7 @@
             client.sendall(status(1))
             self.assertEqual("1 pass", await hear(client))
             stage.clock[0] = 5_000_000
-            stage.door.close_silent()
+            stage.door.close_idle()
             await until(lambda: stage.door.leaving)
             await until(lambda: not stage.door.leaving)
 
@@ -205,7 +205,7 @@
             client = stage.client(small=True)
             client.sendall(request(1))
             await until(lambda: stage.front.taken)
-            stage.front.talks[0].fulfil(1, BIG)
+            stage.front.talks[0].succeed(1, BIG)
             stage.door.close()
             await turns()
             client.sendall(request(2))  # while that is written
@@ -219,13 +219,13 @@
         async def scene(stage: Stage) -> None:
             client = stage.client()
             client.sendall(request(1)[:-9])
-            await until(lambda: stage.door.unfinished)
+            await until(lambda: stage.door.buffered_bytes)
             stage.clock[0] = 2_200_000
-            stage.door.close_silent()
+            stage.door.close_idle()
             self.assertEqual("closed", await hear(client))
             client.close()
             await until(lambda: not stage.door.leaving)
-            self.assertEqual(0, stage.door.unfinished)
+            self.assertEqual(0, stage.door.buffered_bytes)
 
         on_stage(scene)
 
@@ -265,9 +265,9 @@
             client.sendall(request(7) + request(8)[:-9])
             self.assertEqual(([], "closed"), await all_of(client))
             self.assertEqual(
-                (1, 0, 0), (len(stage.door.connections), len(stage.door.leaving), stage.door.unfinished)
+                (1, 0, 0), (len(stage.door.connections), len(stage.door.leaving), stage.door.buffered_bytes)
             )
-            stage.front.talks[0].fulfil(1, b"a\tb\tc\n")
+            stage.front.talks[0].succeed(1, b"a\tb\tc\n")
             self.assertEqual("1 6 bytes", await hear(other))
             stage.front.breaks_at_the_end = False
 
@@ -304,7 +304,7 @@
             leaves.sendall(status(1))
             self.assertEqual("1 pass", await hear(leaves))
             await until(lambda: len(stage.door.connections) == 2)
-            next(iter(stage.door.connections)).end_silence(surely=False)
+            next(iter(stage.door.connections)).close_idle(surely=False)
             self.assertEqual("closed", await hear(leaves))
             third = stage.client()
             third.sendall(status(1))
@@ -323,7 +323,7 @@
             clients = [stage.client() for _ in range(10)]
             await until(lambda: len(stage.door.connections) == 10)
             most[0] = 6
-            stage.door.close_silent()
+            stage.door.close_idle()
             self.assertEqual(6, len(stage.door.connections))
             most[0] = 4
             clients.append(stage.client())
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as some
 
 from cresstray.clients import codec as rpc
-from cresstray.clients.session import House, Next, Talk
+from cresstray.clients.session import ClientSession, ConnectionRegistry, NextAction
 from cresstray.config import lines as conf_lines
 from cresstray.config import operator
 from cresstray.consensus import codec as consensus
@@ -20,7 +20,7 @@
 from cresstray.discovery import codec as frames
 from cresstray.discovery import endpoint_list as known
 from cresstray.engines import codec as resp
-from cresstray.engines.result_pages import Pages
+from cresstray.engines.result_pages import ResultPages
 from cresstray.fleet_config import codec as rules
 from cresstray.membership import snapshot as record
 from cresstray.observability.counters import Counters
@@ -95,11 +95,11 @@
             [
                 answer.decode().rstrip("\n")
                 for answer in (
-                    rpc.fulfilled(7, b"a\tb\tc\n"),
-                    rpc.healthy(1),
-                    rpc.denied(7, 200),
-                    rpc.denied(7, 0),
-                    rpc.failed(None, rpc.PARSE_ERROR, "no JSON"),
+                    rpc.encode_success(7, b"a\tb\tc\n"),
+                    rpc.encode_status(1),
+                    rpc.encode_rejection(7, 200),
+                    rpc.encode_rejection(7, 0),
+                    rpc.encode_error(None, rpc.PARSE_ERROR, "no JSON"),
                 )
             ],
         )
@@ -117,8 +117,8 @@
             + array(b"q1", b"rows", b"sheet=1", b"\r\n\t\n")
             + array(b"t", b"green", b"-", b"")
         )
-        whole = resp.Answers().feed(stream)
-        bytewise, answers = [], resp.Answers()
+        whole = resp.AnswerDecoder().feed(stream)
+        bytewise, answers = [], resp.AnswerDecoder()
         for at in range(len(stream)):
             bytewise += answers.feed(stream[at : at + 1])
         self.assertEqual(whole, bytewise)
@@ -147,12 +147,12 @@
             ("a report below none", array(b"q", b"served", b"load=util:-1", b"")),
         ]:
             with self.assertRaises(resp.BrokenError, msg=text) as caught:
-                resp.Answers().feed(data)
+                resp.AnswerDecoder().feed(data)
             lines.append(f"{text}: {caught.exception}")
         self.check("resp_malformed", lines)
 
     def test_what_came_whole_before_noise_counts(self) -> None:
-        answers, good = resp.Answers(), array(b"q", b"served", b"-", b"a\tb\tc\n")
+        answers, good = resp.AnswerDecoder(), array(b"q", b"served", b"-", b"a\tb\tc\n")
         self.assertEqual([b"q"], [one.name for one in answers.feed(good + b"noise\r\n" + good)])
         for _ in range(2):
             with self.assertRaises(resp.BrokenError):
@@ -175,7 +175,7 @@
 
     def test_pages(self) -> None:
         lines = []
-        pages = Pages(4, b"a\t0\t\n")
+        pages = ResultPages(4, b"a\t0\t\n")
         for number, body in (
             (3, b"a\t3\t\n"),
             (1, b"a\t1\t\nb\t1\t\n"),
@@ -190,10 +190,10 @@
         ):
             try:
                 kind = "new" if pages.add(number, body) else "a copy"
-                lines.append(f"page {number}: {kind}, {pages.whole()}")
+                lines.append(f"page {number}: {kind}, {pages.assemble()}")
             except resp.BrokenError as trouble:
                 lines.append(str(trouble))
-        lines.append(f"a single page: {Pages(1, b'').whole()}")
+        lines.append(f"a single page: {ResultPages(1, b'').assemble()}")
         self.check("pages", lines)
 
 
@@ -209,12 +209,12 @@
     def test_any_cut_and_both_forms(self) -> None:
         late = (1, 0x7F000001, 80, 2, 0, 1, 0, 0, 0)
         stream = frame(41, 1, self.RECORD) + frame(41, 0) + frame(42, 2, late)
-        whole = frames.Frames().feed(stream)
-        bytewise, reader = [], frames.Frames()
+        whole = frames.EventDecoder().feed(stream)
+        bytewise, reader = [], frames.EventDecoder()
         for at in range(len(stream)):
             bytewise += reader.feed(stream[at : at + 1])
         self.assertEqual(whole, bytewise)
-        given = known.Known(
+        given = known.InitialList(
             41,
             [
                 known._Update(
@@ -236,7 +236,7 @@
                 )
             ],
         )
-        self.assertEqual(known.events(given, self.SETTINGS), whole[:1])
+        self.assertEqual(known.initial_events(given, self.SETTINGS), whole[:1])
         self.check("events", [str(event) for event in whole])
 
     def test_malformed(self) -> None:
@@ -249,20 +249,22 @@
             ("an unknown state", frame(1, 2, (1, 1, 1, 3, 0, 0, 0, 0, 0))),
         ]:
             with self.assertRaises(known.MalformedError, msg=text) as caught:
-                frames.Frames().feed(data)
+                frames.EventDecoder().feed(data)
             lines.append(f"{text}: {caught.exception}")
         for name, change in [("id", "x"), ("host_port", "10.1.0.9"), ("phase", "asleep")]:
             member = known._Member("s-1", "10.1.0.9:7001", "east", "std")
             setattr(member, name, change)
-            given = known.Known(1, [known._Update(1, known._Endpoints(True, [member]))])
+            given = known.InitialList(1, [known._Update(1, known._Endpoints(True, [member]))])
             with self.assertRaises(known.MalformedError, msg=name) as caught:
-                known.events(given, self.SETTINGS)
+                known.initial_events(given, self.SETTINGS)
             lines.append(f"{name} {change}: {caught.exception}")
         self.check("events_malformed", lines)
 
     def test_zones_and_kinds_that_the_settings_do_not_name(self) -> None:
-        (event,) = frames.Frames().feed(frame(1, 1, (1, 1, 1, 0, 7, 9, 0, 0, 0), (2, 1, 1, 0, 1, 0, 0, 0, 0)))
-        given = known.Known(
+        (event,) = frames.EventDecoder().feed(
+            frame(1, 1, (1, 1, 1, 0, 7, 9, 0, 0, 0), (2, 1, 1, 0, 1, 0, 0, 0, 0))
+        )
+        given = known.InitialList(
             1,
             [
                 known._Update(
@@ -280,15 +282,15 @@
             ],
         )
         told = [
-            (f"frame {event.number}", event),
-            ("known", known.events(given, self.SETTINGS)[0]),
-            ("settings without any", known.events(given, {})[0]),
+            (f"frame {event.index}", event),
+            ("known", known.initial_events(given, self.SETTINGS)[0]),
+            ("settings without any", known.initial_events(given, {})[0]),
         ]
         self.check(
             "events_unnamed",
             [
-                f"{text}: zones {[one.zone for one in told.members]}, kinds "
-                f"{[one.machine for one in told.members]}"
+                f"{text}: zones {[one.zone for one in told.endpoints]}, kinds "
+                f"{[one.instance_type for one in told.endpoints]}"
                 for text, told in told
             ],
         )
@@ -504,7 +506,7 @@
                 (told["id"], told["params"]["req"], base64.b64decode(told["params"]["data"])),
                 (number, query.name, query.statement),
             )
-            answer = json.loads(rpc.fulfilled(number, query.statement))
+            answer = json.loads(rpc.encode_success(number, query.statement))
             self.assertEqual(query.statement, base64.b64decode(answer["result"]["data"]))
 
         never_fails()
@@ -519,21 +521,25 @@
                 "Front",
                 (),
                 {
-                    "take": lambda self, talk, number, query: lines.append(f"{number} {query}"),
-                    "withdraw": lambda self, talk, number, name: lines.append(f"withdraw {number} {name}"),
-                    "gone": lambda self, talk: lines.append("gone"),
+                    "accept": lambda self, talk, number, query: lines.append(f"{number} {query}"),
+                    "cancel": lambda self, talk, number, name: lines.append(f"withdraw {number} {name}"),
+                    "on_disconnected": lambda self, talk: lines.append("gone"),
                 },
             )()
-            wire = type("Wire", (), {"waiting": b"", "put": lambda self, line: lines.append(line.decode())})()
-            house = House(frozenset(("report",)), front, lambda: 1, 1, lambda: 0, Counters(), lambda *_: None)
-            talk = Talk(house, wire)
+            wire = type(
+                "Wire", (), {"unsent": b"", "write": lambda self, line: lines.append(line.decode())}
+            )()
+            house = ConnectionRegistry(
+                frozenset(("report",)), front, lambda: 1, 1, lambda: 0, Counters(), lambda *_: None
+            )
+            talk = ClientSession(house, wire)
             for piece in cut(data, sizes):
-                if talk.receive(piece) is not Next.READ:
+                if talk.receive(piece) is not NextAction.READ:
                     break
-                self.assertEqual(house.unfinished, len(talk._buffer))
+                self.assertEqual(house.buffered_bytes, len(talk._buffer))
                 self.assertNotIn(b"\n", talk._buffer)
-            talk.gone()
-            self.assertEqual(0, house.unfinished)
+            talk.on_disconnected()
+            self.assertEqual(0, house.buffered_bytes)
             return lines
 
         @usually
@@ -549,19 +555,19 @@
         @usually
         @given(almost(some.lists(ANSWERS, max_size=3).map(b"".join)) | some.binary(max_size=60), CUTS)
         def never_fails(data: bytes, sizes: list[int]) -> None:
-            reader = resp.Answers()
+            reader = resp.AnswerDecoder()
             self.read(reader.feed, data, sizes, resp.BrokenError, lambda: len(reader._buffer), most)
 
         @usually
         @given(some.lists(ANSWERS, max_size=3), CUTS)
         def any_cut(answers: list[bytes], sizes: list[int]) -> None:
             data = b"".join(answers)
-            whole, pieces = resp.Answers(), resp.Answers()
+            whole, pieces = resp.AnswerDecoder(), resp.AnswerDecoder()
             found = self.read(whole.feed, data, [], resp.BrokenError, lambda: len(whole._buffer), 0)
             told = self.read(pieces.feed, data, sizes, resp.BrokenError, lambda: len(pieces._buffer), most)
             self.assertEqual(found, told)
             if found is not None:
-                self.assertEqual((len(answers), False), (len(found), pieces.begun()))
+                self.assertEqual((len(answers), False), (len(found), pieces.has_partial_answer()))
 
         never_fails()
         any_cut()
@@ -570,18 +576,18 @@
         @usually
         @given(almost(some.lists(EVENTS, max_size=3).map(b"".join)) | some.binary(max_size=60), CUTS)
         def never_fails(data: bytes, sizes: list[int]) -> None:
-            reader = frames.Frames()
+            reader = frames.EventDecoder()
             self.read(reader.feed, data, sizes, known.MalformedError, lambda: len(reader._buffer), 4_000_004)
 
         @usually
         @given(some.lists(EVENTS, max_size=3), CUTS)
         def any_cut(events: list[bytes], sizes: list[int]) -> None:
-            whole, pieces = frames.Frames(), frames.Frames()
+            whole, pieces = frames.EventDecoder(), frames.EventDecoder()
             found = whole.feed(b"".join(events))
             told = [one for piece in cut(b"".join(events), sizes) for one in pieces.feed(piece)]
             self.assertEqual(found, told)
             self.assertEqual(
-                [struct.unpack_from(">Q", one, 4)[0] for one in events], [one.number for one in found]
+                [struct.unpack_from(">Q", one, 4)[0] for one in events], [one.index for one in found]
             )
 
         never_fails()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from itertools import count
 
-from cresstray.policy.controller import Gateway
-from cresstray.policy.types import Ending, Engine, Relay, Standing, Submission
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
 SECOND = 1_000_000
 # One kind of engine and class, as a deployment states them.
@@ -28,33 +28,36 @@
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self._fleet = fleet
         self.warm, self.cold = Engine(), Engine()
-        self.gateway = Gateway(self, SETTINGS | {"Balancers": fleet.size}, seed, fleet.now)
-        self.gateway.listed([(self.warm, (0, 0, 0, 0, Standing.READY))], True, fleet.now)
+        self.gateway = PolicyController(self, SETTINGS | {"Balancers": fleet.size}, seed, fleet.now)
+        self.gateway.on_endpoints_updated([(self.warm, (0, 0, 0, 0, EndpointState.READY))], True, fleet.now)
 
     def ask(self) -> None:
-        now, tariff = self._fleet.now, self.gateway.tariffs[0]
-        self.gateway.accept(Submission(tariff, now, now + 20 * SECOND), now)
+        now, request_class = self._fleet.now, self.gateway.request_classes[0]
+        self.gateway.accept(Request(request_class, now, now + 20 * SECOND), now)
 
     def learns_of_the_cold_one(self) -> None:
         now = self._fleet.now
-        self.gateway.listed([(self.cold, (0, 0, 0, now, Standing.READY))], False, now)
+        self.gateway.on_endpoints_updated([(self.cold, (0, 0, 0, now, EndpointState.READY))], False, now)
 
-    def relay(self, relay: Relay, patience: int) -> None:
-        if relay.engine is self.cold:
+    def send_attempt(self, attempt: Attempt, patience: int) -> None:
+        if attempt.engine is self.cold:
             self._fleet.sent.append(self._fleet.now)
         report = {"concurrent": 1.0, "load_share": 0.5, "x0": self._fleet.memory_granted}
-        self.wake(WORK, lambda now: self.gateway.came_back(relay, Ending.FULFILLED, WORK, True, report, now))
+        self.call_later(
+            WORK,
+            lambda now: self.gateway.on_attempt_finished(attempt, Outcome.SUCCEEDED, WORK, True, report, now),
+        )
 
-    def wake(self, delay: int, call: Callable[[int], None]) -> None:
+    def call_later(self, delay: int, call: Callable[[int], None]) -> None:
         self._fleet.after(delay, call)
 
-    def withdraw(self, relay: Relay) -> None: ...
-    def deny(self, submission: Submission, come_back: int) -> None: ...
-    def abandon(self, submission: Submission) -> None: ...
-    def grant(self, submission: Submission, megabytes: float, priority: int) -> None: ...
-    def probe(self, engine: Engine) -> None: ...
-    def subscribe(self) -> None: ...
-    def remark(self, text: str) -> None: ...
+    def cancel_attempt(self, attempt: Attempt) -> None: ...
+    def reject_request(self, request: Request, come_back: int) -> None: ...
+    def fail_request(self, request: Request) -> None: ...
+    def assign_resources(self, request: Request, megabytes: float, priority: int) -> None: ...
+    def probe_engine(self, engine: Engine) -> None: ...
+    def subscribe_to_endpoints(self) -> None: ...
+    def log_event(self, text: str) -> None: ...
 
 
 class Fleet:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -50,7 +50,7 @@
 
     def start(self) -> None:
         code = (
-            "import errno, os, runpy\nfrom cresstray.membership import files\n"
+            "import errno, os, runpy\nfrom cresstray.membership import snapshot_files as files\n"
             + LAUNCH[self.how]
             + "runpy.run_module('cresstray', run_name='__main__', alter_sys=True)\n"
         )
@@ -218,12 +218,12 @@
         self.assertEqual((0, 0), (told.fallen, told.known_gone))
         self.assertGreater(told.peak, 0)
         with mock.patch(
-            "cresstray.membership.estimate.Beliefs._started", lambda self, member, *_: member.started
+            "cresstray.membership.estimate.Beliefs._started", lambda self, member, *_: member.started_us
         ):
             self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4).fallen, 0)
 
     def test_engines_fall_where_nobody_minds_that_they_are_cold(self) -> None:
-        with mock.patch("cresstray.policy.controller.Gateway._cold_room", lambda *_: True):
+        with mock.patch("cresstray.policy.controller.PolicyController._cold_room", lambda *_: True):
             self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 4.0, load=2.0).run(3).fallen, 0)
 
     def test_seconds_to_nine_tenths(self) -> None:
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -11,8 +11,8 @@
 from typing import Any
 from unittest.mock import Mock, patch
 
-from cresstray.policy.controller import PASSED_OVER, Gateway, Limiter, Signs
-from cresstray.policy.types import Ending, Standing, Submission
+from cresstray.policy.controller import STARVED_RANK, Limiter, LoadSignals, PolicyController
+from cresstray.policy.types import EndpointState, Outcome, Request
 from tests.desk import START, Desk, settings
 
 FAR = START * 100
@@ -30,17 +30,17 @@
         self.told: list[tuple[str, float, float]] = []
         super().__init__(*given, **more)
 
-    def deny(self, submission: Submission, come_back: int) -> None:
+    def reject_request(self, request: Request, come_back: int) -> None:
         self.told.append(("deny", (self.now - START) / 1000, come_back / 1000))
 
-    def abandon(self, submission: Submission) -> None:
+    def fail_request(self, request: Request) -> None:
         self.told.append(("abandon", (self.now - START) / 1000, 0))
 
-    def drop(self, submission: Submission) -> None:
+    def drop(self, request: Request) -> None:
         """Its relay ends, nothing is learnt and nothing further is sent."""
-        self.gateway.came_back(submission.relays[-1], Ending.WITHDRAWN, 0, True, {}, self.now)
+        self.gateway.on_attempt_finished(request.attempts[-1], Outcome.CANCELLED, 0, True, {}, self.now)
 
-    def fill(self) -> list[Submission]:
+    def fill(self) -> list[Request]:
         """All permits of engine 0 taken, under pressure for good."""
         self.engines[0].limiter.full_until = FAR
         return [self.submit(f"filler {n}", left=FAR // 1000) for n in range(4)]
@@ -51,7 +51,7 @@
 
 def counts(row: Row) -> Row:
     desk = Teller(settings(), engines=1)
-    works = [desk.submit(str(n), tariff) for n, tariff in enumerate(row["works"])]
+    works = [desk.submit(str(n), request_class) for n, request_class in enumerate(row["works"])]
     for work in works[: row["back"]]:
         desk.drop(work)
     limiter = desk.engines[0].limiter
@@ -61,7 +61,7 @@
 def windows(row: Row) -> Row:
     desk = Teller(settings(), engines=1)
     for n in range(row["answers"]):
-        desk.back(desk.submit(str(n)), Ending.FULFILLED)
+        desk.back(desk.submit(str(n)), Outcome.SUCCEEDED)
     desk.run(row["run"])
     return {"open": desk.engines[0].limiter.count}
 
@@ -87,27 +87,27 @@
     limiter.average, limiter.best = row.get("average", 0.0), row.get("best", 0.0)
     limiter.threads = row.get("threads", 0)
     for report in row.get("reports", ()):
-        desk.gateway.probed(desk.engines[0], Ending.FULFILLED, report, desk.now)
+        desk.gateway.on_probe_finished(desk.engines[0], Outcome.SUCCEEDED, report, desk.now)
     if "full" in row:
-        desk.back(desk.submit("refused"), Ending.FULL)
+        desk.back(desk.submit("refused"), Outcome.OVERLOADED)
     now = desk.now + int(1000 * (row.get("full", 0) or row.get("since", 0)))
     return {"binds": limiter.pressed(now), "others": limiter.by_now(now)[0]}
 
 
 def permits(row: Row) -> Row:
-    fleet = Signs()
-    fleet.threads, fleet.limit = row.get("all_running", 0), row.get("all_limits", 1e9)
+    fleet = LoadSignals()
+    fleet.running_threads, fleet.total_limit = row.get("all_running", 0), row.get("all_limits", 1e9)
     limiter = Limiter(4, 1, fleet)
     limiter.limit, limiter.threads = row["limit"], row["running"]
     limiter.full_until = FAR if row.get("bound", True) else 0
-    tariff = Teller(settings()).gateway.tariffs[0]
-    tariff.threads = row["threads"]
-    work = Submission(
-        tariff,
+    request_class = Teller(settings()).gateway.request_classes[0]
+    request_class.threads = row["threads"]
+    work = Request(
+        request_class,
         START,
         FAR,
-        expected=int(row.get("lasts", 1.0) * 1e6),
-        rank=PASSED_OVER if row.get("passed_over") else 0.0,
+        expected_latency_us=int(row.get("lasts", 1.0) * 1e6),
+        queue_rank=STARVED_RANK if row.get("passed_over") else 0.0,
     )
     chance = 0
     for drawn in range(1000):
@@ -131,11 +131,11 @@
     desk = Teller(settings(), engines=1)
     limiter, ratio = desk.engines[0].limiter, 0.0
     for estimate, latency in (*row.get("taught", ()), (row["estimate"], row["latency"])):
-        work = desk.submit("work", row["tariff"], left=9000, estimate=estimate * 1000)
+        work = desk.submit("work", row["tariff"], left=9000, estimated_work_us=estimate * 1000)
         before, closed = limiter.total, limiter.close_window
         limiter.close_window = lambda: None  # the open window is looked at, not moved by
         desk.run(latency)
-        desk.back(work, Ending.FULFILLED)
+        desk.back(work, Outcome.SUCCEEDED)
         limiter.close_window, ratio = closed, limiter.total - before
     return {"ratio": ratio}
 
@@ -144,7 +144,7 @@
     desk = Teller(settings(Zone=row.get("zone", 9)), engines=len(row["engines"]))
     desk.list(
         {
-            engine: {"zone": given.get("zone", 0), "standing": Standing(given.get("standing", "ready"))}
+            engine: {"zone": given.get("zone", 0), "standing": EndpointState(given.get("standing", "ready"))}
             for engine, given in zip(desk.engines, row["engines"])
         }
     )
@@ -152,38 +152,44 @@
         limiter, limiter.pace = engine.limiter, given.get("pace", 1.0)
         limiter.threads, limiter.doubted = given["threads"], given.get("doubted", False)
         limiter.trial_at = FAR
-        limiter.signs.at, limiter.signs.others = desk.now, given.get("others", 0.0)
+        limiter.signs.updated_us, limiter.signs.other_threads_per_core = desk.now, given.get("others", 0.0)
         limiter.full_until = FAR if given.get("full") else 0
     desk.gateway.doubt_counts = 2 * sum(e.limiter.doubted for e in desk.engines) <= len(desk.engines)
     desk.gateway.idlest = [desk.engines[row["idlest"]]] if "idlest" in row else []
     wins = dict.fromkeys(desk.engines, 0)
     for n in range(1500):
         work = desk.submit(str(n))
-        if work.relays:
-            wins[work.relays[0].engine] += 1
+        if work.attempts:
+            wins[work.attempts[0].engine] += 1
             desk.drop(work)
         else:
-            desk.gateway.client_left(work, desk.now)
+            desk.gateway.on_client_cancelled(work, desk.now)
     return {"shares": [count / 1500 for count in wins.values()]}
 
 
 def hold(row: Row) -> Row:
     desk = Teller(settings(FamilyInfo={"Dop": [1, 1]}), engines=1)  # each frees what the next takes
     fillers = desk.fill()
-    for tariff, sent, lost in zip(desk.gateway.tariffs, row.get("sent", (0, 0)), row.get("lost", (0, 0))):
-        tariff.usual.sent.add(desk.now, sent - (len(fillers) if tariff.index == 0 else 0))
-        tariff.usual.unsent.add(desk.now, lost)
+    for request_class, sent, lost in zip(
+        desk.gateway.request_classes, row.get("sent", (0, 0)), row.get("lost", (0, 0))
+    ):
+        request_class.latency.dispatched.add(
+            desk.now, sent - (len(fillers) if request_class.index == 0 else 0)
+        )
+        request_class.latency.never_dispatched.add(desk.now, lost)
     works = [
-        desk.submit(f"work {n}", work["tariff"], left=90_000, estimate=work.get("estimate", 0) * 1000)
+        desk.submit(
+            f"work {n}", work["tariff"], left=90_000, estimated_work_us=work.get("estimate", 0) * 1000
+        )
         for n, work in enumerate(row["works"])
     ]
-    assert not any(work.relays for work in works), "a permit was free"
+    assert not any(work.attempts for work in works), "a permit was free"
     del desk.lines[:]
     if row.get("again"):
-        desk.back(fillers[0], Ending.FULL)
+        desk.back(fillers[0], Outcome.OVERLOADED)
         desk.engines[0].limiter.full_until = FAR
     for out in (*fillers, *works):
-        if out.relay:
+        if out.current_attempt:
             desk.drop(out)
     relayed = [line.split()[3:5] for line in desk.lines if " relay " in line]
     return {"order": [int(number) if kind == "work" else -1 for kind, number in relayed]}
@@ -193,9 +199,9 @@
     desk = Teller(settings(), engines=1)
     if not row.get("free"):
         desk.fill()
-    more = {"foreign": True, "hold": row["hold"] * 1000} if "hold" in row else {}
-    work = desk.submit("work", left=row["left"], estimate=row.get("estimate", 0) * 1000, **more)
-    sent, leaves = bool(work.relays), (work.leave_by - START) / 1000
+    more = {"is_forwarded_in": True, "max_queue_us": row["hold"] * 1000} if "hold" in row else {}
+    work = desk.submit("work", left=row["left"], estimated_work_us=row.get("estimate", 0) * 1000, **more)
+    sent, leaves = bool(work.attempts), (work.latest_dispatch_us - START) / 1000
     desk.run(2000 if not sent else 0)
     answer, told, _ = ("sent", 0, 0) if sent else desk.told[0]
     return {"leaves": leaves, "told": told, "answer": answer}
@@ -204,7 +210,7 @@
 def refuse(row: Row) -> Row:
     service = {"Effect": row["effect"], "Group": row.get("group", "all"), "KeyTtl": 60_000.0}
     desk = Teller(settings(service, Limits={"MaxAttempts": 1}), engines=1)
-    desk.back(desk.submit("work", left=9000), Ending(row["ending"]))
+    desk.back(desk.submit("work", left=9000), Outcome(row["ending"]))
     return {"answer": desk.told[0][0]}
 
 
@@ -217,7 +223,7 @@
 
 
 def law(row: Row) -> Row:
-    limiter, limits, averages = Limiter(20, 1, Signs()), [], []
+    limiter, limits, averages = Limiter(20, 1, LoadSignals()), [], []
     if "warm" in row:
         for _ in range(10):
             limiter.sample(row["warm"])
@@ -238,7 +244,7 @@
     limiter.seen, limiter.average = 10, 1.0
     works = [desk.submit(str(n), left=60_000) for n in range(len(row["endings"]))]
     for work, ending in zip(works, row["endings"]):
-        desk.back(work, Ending(ending))
+        desk.back(work, Outcome(ending))
     limiter.close_window()
     limiter.close_window()  # a window of its own: what the first had is not counted again
     return {"left": limiter.limit / limiter.start}
@@ -246,13 +252,13 @@
 
 def agreed(row: Row) -> Row:
     desk = Teller(settings(), engines=1)
-    desk.gateway.agreed = Mock(
-        gateways=lambda now: row["gateways"],
-        admits=lambda submission, now: True,
-        takes=lambda submission, engine, now: True,
+    desk.gateway.admission_rules = Mock(
+        gateway_count=lambda now: row["gateways"],
+        admits=lambda request, now: True,
+        allows=lambda request, engine, now: True,
     )
     work, limiter = desk.submit("work"), desk.engines[0].limiter
-    return {"limit": limiter.limit, "start": limiter.start, "sent": bool(work.relays)}
+    return {"limit": limiter.limit, "start": limiter.start, "sent": bool(work.attempts)}
 
 
 DRIVERS = {
@@ -323,23 +329,29 @@
     "a limit that always binds": ("permits", Limiter, "permits", "or not self.pressed(now)", ""),
     "a chance beside our own": ("permits", Limiter, "permits", "self.threads == 0 and", ""),
     "a chance whatever the width": ("permits", Limiter, "permits", "self.draw * threads", "self.draw"),
-    "no sum of all limits": ("permits", Limiter, "permits", "3 * self.fleet.limit", "1e9"),
+    "no sum of all limits": ("permits", Limiter, "permits", "3 * self.fleet.total_limit", "1e9"),
     "full for half a window": ("pressure", Limiter, "pressed", "self.full_until", "self.full_until - 5e5"),
-    "latency for all": ("pressure", Limiter, "pressed", "self.fleet.at", "self.fleet.at and not self.best"),
-    "the more loaded": ("choose", Gateway, "_choose", "min(drawn, default", "max(drawn, default"),
-    "one choice": ("choose", Gateway, "_choose", "2 + len(", "1 + len("),
+    "latency for all": (
+        "pressure",
+        Limiter,
+        "pressed",
+        "self.fleet.updated_us",
+        "self.fleet.updated_us and not self.best",
+    ),
+    "the more loaded": ("choose", PolicyController, "_choose", "min(drawn, default", "max(drawn, default"),
+    "one choice": ("choose", PolicyController, "_choose", "2 + len(", "1 + len("),
     "samples of any size": (
         "samples",
-        Gateway,
+        PolicyController,
         "_learn",
-        "min(4.0, latency / submission.expected)",
-        "latency / submission.expected",
+        "min(4.0, latency / request.expected_latency_us)",
+        "latency / request.expected_latency_us",
     ),
-    "held for a fifth": ("leave", Gateway, "accept", "// 10", "// 5"),
-    "held in arrival order": ("hold", Gateway, "_offer", "one.rank", "one.arrived"),
-    "a reset as a failure": ("failures", Gateway, "_fault", "limiter.failed or counts", "True"),
-    "limits that stay": ("agreed", Gateway, "_counted", "limiter.limit *=", "limiter.best *="),
-    "denied after a run": ("refuse", Gateway, "_end", "not self._may_deny(submission)", "False"),
+    "held for a fifth": ("leave", PolicyController, "accept", "// 10", "// 5"),
+    "held in arrival order": ("hold", PolicyController, "_offer", "one.queue_rank", "one.arrived_us"),
+    "a reset as a failure": ("failures", PolicyController, "_fault", "limiter.failed or counts", "True"),
+    "limits that stay": ("agreed", PolicyController, "_counted", "limiter.limit *=", "limiter.best *="),
+    "denied after a run": ("refuse", PolicyController, "_end", "not self._may_deny(request)", "False"),
 }
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -4,8 +4,8 @@
 import io
 import struct
 
-from cresstray.policy.controller import WINDOW, Limiter, Signs
-from cresstray.policy.types import Ending, Topic
+from cresstray.policy.controller import WINDOW_US, Limiter, LoadSignals
+from cresstray.policy.types import Outcome, ProgressKind
 from cresstray.simulator import host as wirehost
 from cresstray.simulator import wire
 from tests.desk import Desk, TraceCase, settings
@@ -14,7 +14,7 @@
 
 class Decisions(TraceCase):
     def test_gradient_window(self) -> None:
-        limiter, lines = Limiter(8, 2, Signs()), []
+        limiter, lines = Limiter(8, 2, LoadSignals()), []
         plan = [
             ("warmup, nine samples", [1.0] * 9, False),
             ("first average only holds", [1.0] * 4, False),
@@ -40,19 +40,19 @@
     def test_holding_and_denial(self) -> None:
         desk = Desk(settings(), engines=1)
         running = fill(desk)
-        again = desk.submit("further relay", left=6000, estimate=1000)
-        desk.submit("heavy first relay", 1, left=9000, estimate=4_000_000)
-        desk.submit("light first relay", 0, left=6000, estimate=100_000)
-        desk.submit("huge, denied when its time to wait is over", 1, left=6000, estimate=90_000_000)
-        for submission in running[:3]:
+        again = desk.submit("further relay", left=6000, estimated_work_us=1000)
+        desk.submit("heavy first relay", 1, left=9000, estimated_work_us=4_000_000)
+        desk.submit("light first relay", 0, left=6000, estimated_work_us=100_000)
+        desk.submit("huge, denied when its time to wait is over", 1, left=6000, estimated_work_us=90_000_000)
+        for request in running[:3]:
             desk.run(20)
-            if submission is running[0]:
-                desk.back(submission, Ending.FULL)
+            if request is running[0]:
+                desk.back(request, Outcome.OVERLOADED)
                 desk.engines[0].limiter.full_until = desk.now + 60_000_000
             else:
-                desk.back(submission, Ending.FULFILLED)
-        desk.back(running[3], Ending.FULFILLED)
-        desk.back(again, Ending.FULFILLED)
+                desk.back(request, Outcome.SUCCEEDED)
+        desk.back(running[3], Outcome.SUCCEEDED)
+        desk.back(again, Outcome.SUCCEEDED)
         desk.run(6000)
         self.check("holding", desk.lines)
 
@@ -66,54 +66,61 @@
     def test_fast_errors_raise_doubt(self) -> None:
         desk = Desk(settings(), engines=3)
         for number in range(12):
-            submission = desk.submit(f"s{number}")
-            while submission.relay and submission.relay.engine is desk.engines[0] and desk.now < 108_000_000:
-                desk.back(submission, Ending.ERROR)
+            request = desk.submit(f"s{number}")
+            while (
+                request.current_attempt
+                and request.current_attempt.engine is desk.engines[0]
+                and desk.now < 108_000_000
+            ):
+                desk.back(request, Outcome.FAILED)
             desk.run(150)
-            if submission.relay:
-                desk.back(submission, Ending.FULFILLED)
+            if request.current_attempt:
+                desk.back(request, Outcome.SUCCEEDED)
         desk.lines.append("doubted: " + ", ".join(str(engine.limiter.doubted) for engine in desk.engines))
         self.check("fast_errors", desk.lines)
 
     def test_silence_raises_doubt_and_calls_back(self) -> None:
         desk = Desk(settings(), engines=3)
-        out = [desk.submit(f"s{number}", 1, left=9000, estimate=200_000) for number in range(3)]
-        for submission in out:
-            if submission.relay.engine is not desk.engines[0]:
+        out = [desk.submit(f"s{number}", 1, left=9000, estimated_work_us=200_000) for number in range(3)]
+        for request in out:
+            if request.current_attempt.engine is not desk.engines[0]:
                 desk.run(100)
-                desk.back(submission, Ending.FULFILLED)
+                desk.back(request, Outcome.SUCCEEDED)
         desk.run(700)
-        for submission in out:
-            if submission.relay and submission.relay.called_off:
-                desk.back(submission, Ending.WITHDRAWN)
+        for request in out:
+            if request.current_attempt and request.current_attempt.cancel_requested:
+                desk.back(request, Outcome.CANCELLED)
         desk.submit("after the doubt")
         desk.lines.append("doubted: " + ", ".join(str(engine.limiter.doubted) for engine in desk.engines))
         self.check("silence", desk.lines)
 
     def test_bad_plan_called_back_once(self) -> None:
         desk = Desk(settings(FamilyInfo={"TellsEvery": 500.0}))
-        desk.gateway.tariffs[1].usual.seen, desk.gateway.tariffs[1].usual.mean = 20, 400_000
+        (
+            desk.gateway.request_classes[1].latency.sample_count,
+            desk.gateway.request_classes[1].latency.mean_us,
+        ) = 20, 400_000
         slow = desk.submit("bad plan, then heavy by itself", 1, left=9000)
         for _ in range(2):
             desk.run(500)
-            desk.gateway.noted(slow.relays[-1], Topic.SHARE_DONE, 0.05, desk.now)
-            if slow.relays[-1].called_off:
-                desk.back(slow, Ending.WITHDRAWN)
+            desk.gateway.on_progress(slow.attempts[-1], ProgressKind.FRACTION_DONE, 0.05, desk.now)
+            if slow.attempts[-1].cancel_requested:
+                desk.back(slow, Outcome.CANCELLED)
         desk.run(500)
-        desk.back(slow, Ending.FULFILLED)
+        desk.back(slow, Outcome.SUCCEEDED)
         self.check("bad_plan", desk.lines)
 
     def test_old_reports_go_over_into_the_fleet(self) -> None:
         desk, lines = Desk(settings(), engines=4), []
         busy, *others = desk.engines
-        desk.gateway.probed(busy, Ending.FULFILLED, {"concurrent": 13.0}, desk.now)
+        desk.gateway.on_probe_finished(busy, Outcome.SUCCEEDED, {"concurrent": 13.0}, desk.now)
         for crowd in (1.0, 13.0):
             for seconds in range(4):
                 told = ", ".join(f"{value:.2f}" for value in busy.limiter.by_now(desk.now))
                 pressed = busy.limiter.pressed(desk.now)
                 lines.append(f"{seconds} s on, others with {crowd}: {told}, pressed {pressed}")
                 for engine in others:
-                    desk.gateway.probed(engine, Ending.FULFILLED, {"concurrent": crowd}, desk.now)
+                    desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, {"concurrent": crowd}, desk.now)
                 desk.run(1000)
         self.check("old_reports", lines)
 
@@ -121,7 +128,7 @@
         desk, lines = Desk(settings(), engines=12), []
         for number, engine in enumerate(desk.engines):
             report = {"concurrent": 1.0 if number == 5 else 5.0}
-            desk.gateway.probed(engine, Ending.FULFILLED, report, desk.now)
+            desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, report, desk.now)
         lines.append(
             "seldom heard of: "
             + ", ".join(
@@ -130,11 +137,11 @@
         )
         doubted = desk.engines[3].limiter
         for engine in desk.engines:
-            engine.limiter.limit, engine.limiter.full_until = 0.0, desk.now + WINDOW
-        doubted.limit, doubted.doubted, doubted.trial_at = 9.0, True, desk.now + WINDOW
+            engine.limiter.limit, engine.limiter.full_until = 0.0, desk.now + WINDOW_US
+        doubted.limit, doubted.doubted, doubted.trial_at = 9.0, True, desk.now + WINDOW_US
         for doubted.mute in (False, True):
             waits = desk.submit("two")
-            for at, text in ((desk.now, "it can wait"), (waits.leave_by, "it can't")):
+            for at, text in ((desk.now, "it can wait"), (waits.latest_dispatch_us, "it can't")):
                 chosen = desk.gateway._choose(waits, at)
                 lines.append(
                     f"the rest full, one {'silent' if doubted.mute else 'failing'}, {text}: "
@@ -146,7 +153,7 @@
         desk = Desk(settings(), engines=2)
         failing, full = desk.engines
         for engine in desk.engines:
-            engine.limiter.full_until = desk.now + 10 * WINDOW
+            engine.limiter.full_until = desk.now + 10 * WINDOW_US
         full.limiter.limit = 0.0
         failing.limiter.doubted, failing.limiter.trial_at, failing.limiter.streak = True, 2**60, -3
         for number in range(3):
@@ -159,19 +166,19 @@
     def test_two_errors_are_enough(self) -> None:
         desk = Desk(settings(), engines=4)
         nobody_can = desk.submit("what no engine can run", left=9000)
-        while nobody_can.relay:
-            desk.back(nobody_can, Ending.ERROR)
+        while nobody_can.current_attempt:
+            desk.back(nobody_can, Outcome.FAILED)
         self.check("two_errors", desk.lines)
 
     def test_faults_of_links_are_none_of_queries(self) -> None:
         lines = []
-        for ending in (Ending.ERROR, Ending.SPOILT, Ending.RESET, Ending.UNREACHABLE):
+        for ending in (Outcome.FAILED, Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHABLE):
             for good in (8, 0):
                 desk = Desk(settings(), engines=1)
                 for number in range(good + 3):
-                    submission = desk.submit(f"s{number}")
-                    if submission.relay:  # else held: the only engine is in doubt
-                        desk.back(submission, Ending.FULFILLED if number < good else ending)
+                    request = desk.submit(f"s{number}")
+                    if request.current_attempt:  # else held: the only engine is in doubt
+                        desk.back(request, Outcome.SUCCEEDED if number < good else ending)
                 limiter = desk.engines[0].limiter
                 lines.append(
                     f"up to 3 {ending.value} behind {good} good: cut {limiter.failed}, doubted "
@@ -225,9 +232,9 @@
         for number in range(3):
             desk.submit(f"of set 7, {number}", data_set=7)
         waits = desk.submit("of set 9", data_set=9)
-        desk.gateway.noted(waits.relay, Topic.WAITS, 2, desk.now)
-        if waits.relay.called_off:
-            desk.back(waits, Ending.WITHDRAWN)
+        desk.gateway.on_progress(waits.current_attempt, ProgressKind.WAITING_FOR_DATA_SET, 2, desk.now)
+        if waits.current_attempt.cancel_requested:
+            desk.back(waits, Outcome.CANCELLED)
         for number in range(3):
             desk.submit(f"of set 9, {number}", data_set=9)
         self.check("loads", desk.lines)
@@ -244,14 +251,14 @@
         loads = [desk.submit(f"load of set 7, {number}", 1, left=9000, data_set=7) for number in range(3)]
         desk.submit("load of set 8", 1, left=9000, data_set=8)
         desk.run(200)
-        desk.back(loads[0], Ending.FULFILLED)
+        desk.back(loads[0], Outcome.SUCCEEDED)
         self.check("hot_set", desk.lines)
 
     def test_what_cannot_run_again_avoids_faults(self) -> None:
         desk = Desk(settings({"Effect": "at_most_once"}))
         lost = desk.submit("cut off", left=9000)
-        desk.gateway.probed(lost.relay.engine, Ending.FULFILLED, {}, desk.now)
-        desk.back(lost, Ending.ERROR)
+        desk.gateway.on_probe_finished(lost.current_attempt.engine, Outcome.SUCCEEDED, {}, desk.now)
+        desk.back(lost, Outcome.FAILED)
         for number in range(4):
             desk.submit(f"unrepeatable {number}", left=9000)
         self.check("avoids_faults", desk.lines)
@@ -269,8 +276,8 @@
             {"x0": 1.1},
             {"depth": 2.0},
         ):
-            limiter.signs.at = desk.gateway.fleet.at = 0
-            desk.gateway.probed(desk.engines[0], Ending.FULFILLED, report, desk.now)
+            limiter.signs.updated_us = desk.gateway.fleet.updated_us = 0
+            desk.gateway.on_probe_finished(desk.engines[0], Outcome.SUCCEEDED, report, desk.now)
             lines.append(f"{report}: pressed {limiter.pressed(desk.now)}")
             desk.run(2000)
         self.check("pressure", lines)
@@ -287,37 +294,45 @@
 
     def test_heavy_by_itself_given_up_while_others_are_held(self) -> None:
         desk = Desk(settings(FamilyInfo={"TellsEvery": 500.0}))
-        desk.gateway.tariffs[1].usual.seen, desk.gateway.tariffs[1].usual.mean = 20, 400_000
+        (
+            desk.gateway.request_classes[1].latency.sample_count,
+            desk.gateway.request_classes[1].latency.mean_us,
+        ) = 20, 400_000
         heavy = desk.submit("heavy", 1, left=20_000)
         for _ in range(2):
             desk.run(300)
-            desk.gateway.noted(heavy.relay, Topic.SHARE_DONE, 0.01, desk.now)
-            if not heavy.ended:
-                desk.back(heavy, Ending.WITHDRAWN)
+            desk.gateway.on_progress(heavy.current_attempt, ProgressKind.FRACTION_DONE, 0.01, desk.now)
+            if not heavy.is_finished:
+                desk.back(heavy, Outcome.CANCELLED)
                 fill(desk)
-        desk.back(heavy, Ending.WITHDRAWN)
+        desk.back(heavy, Outcome.CANCELLED)
         self.check("heavy", [line for line in desk.lines if "filler" not in line])
 
     def test_given_up_when_its_notes_show_it_too_late(self) -> None:
         desk = Desk(settings(FamilyInfo={"TellsEvery": 500.0}))
-        desk.gateway.tariffs[1].usual.seen, desk.gateway.tariffs[1].usual.mean = 20, 3_000_000
+        (
+            desk.gateway.request_classes[1].latency.sample_count,
+            desk.gateway.request_classes[1].latency.mean_us,
+        ) = 20, 3_000_000
         for name, share in (("too late", 0.15), ("in time", 0.5)):
             slow = desk.submit(name, 1, left=6000)
             for passed in (500, 1000):
                 desk.run(passed)
-                if not slow.ended:
-                    desk.gateway.noted(slow.relay, Topic.SHARE_DONE, share, desk.now)
-            desk.back(slow, Ending.WITHDRAWN if slow.ended else Ending.FULFILLED)
+                if not slow.is_finished:
+                    desk.gateway.on_progress(
+                        slow.current_attempt, ProgressKind.FRACTION_DONE, share, desk.now
+                    )
+            desk.back(slow, Outcome.CANCELLED if slow.is_finished else Outcome.SUCCEEDED)
         self.check("too_late", desk.lines)
 
     def test_an_answer_tries_few_of_many_held(self) -> None:
         desk = Desk(settings(), engines=1)
         running = fill(desk)
         for number in range(200):
-            desk.submit(f"held {number}", left=9000, estimate=1000)
+            desk.submit(f"held {number}", left=9000, estimated_work_us=1000)
         tried = []
-        desk.gateway._is_turn = lambda submission, now: tried.append(submission) or False
-        desk.back(running[0], Ending.FULFILLED)
+        desk.gateway._is_turn = lambda request, now: tried.append(request) or False
+        desk.back(running[0], Outcome.SUCCEEDED)
         few = len(tried)
         desk.run(100)
         self.check("few_tried", [f"an answer looks at {few}, the sweep at {len(tried) - few}"])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,12 +9,12 @@
 from cresstray.clock import Clock, Timers
 from cresstray.discovery import endpoint_list as known
 from cresstray.emulators.coordinator import Coordinator, Listed
-from cresstray.engines.connection import Link, Pool, Quota
-from cresstray.engines.in_flight import Exchange
+from cresstray.engines.connection import DescriptorQuota, SocketConnection, SocketConnectionPool
+from cresstray.engines.in_flight import InFlightRequest
 from cresstray.gateway.service import Service
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.policy.types import Ending
+from cresstray.policy.types import Outcome
 from tests.desk import ClientStandIn, Desk, EngineStandIn, TraceCase, settings
 
 BUSY = {"concurrent": 50.0, "load_share": 1.0}
@@ -32,9 +32,9 @@
             desk = Desk(settings(Balancers=gateways), engines=20)
             for second in range(6):
                 for engine in desk.engines:
-                    desk.gateway.probed(engine, Ending.FULFILLED, BUSY, desk.now)
+                    desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, BUSY, desk.now)
                 for number in range(20):
-                    desk.submit(f"s{second}.{number}", left=60_000, estimate=100_000)
+                    desk.submit(f"s{second}.{number}", left=60_000, estimated_work_us=100_000)
                     desk.run(50)
             limits = sum(engine.limiter.limit for engine in desk.engines)
             lines.append(
@@ -53,10 +53,10 @@
             def start_soon(self, run: object) -> None:
                 up.append(run.__self__)
 
-        up: list[Link] = []
-        quota, timers, lines = Quota(64, 200), Timers(Clock()), []
+        up: list[SocketConnection] = []
+        quota, timers, lines = DescriptorQuota(64, 200), Timers(Clock()), []
         pools = [
-            Pool(
+            SocketConnectionPool(
                 f"engine {number}",
                 ("127.0.0.1", 1),
                 {},
@@ -69,21 +69,21 @@
             )
             for number in range(1024)
         ]
-        busy = [Exchange(b"%d" % number, b"", None, None) for number in range(50)]
+        busy = [InFlightRequest(b"%d" % number, b"", None, None) for number in range(50)]
         for number, pool in enumerate(pools):
-            exchange = busy[number] if number < len(busy) else Exchange(b"short", b"", None, None)
+            exchange = busy[number] if number < len(busy) else InFlightRequest(b"short", b"", None, None)
             pool.start(exchange)
             if number >= len(busy):
-                exchange.link.finish(exchange)
-            for link in [one for one in up if one.life.ended]:
+                exchange.connection.finish(exchange)
+            for link in [one for one in up if one.in_flight.is_closed]:
                 up.remove(link)  # its task has run
-                link.pool.removed(link)
+                link.pool.on_removed(link)
             if number in (49, 199, 200, 1023):
                 lines.append(
                     f"{number + 1} engines asked: {quota.used} links, {len(quota.idle)} idle, "
-                    f"{sum(bool(one.life.open) for one in up)} with work"
+                    f"{sum(bool(one.in_flight.open) for one in up)} with work"
                 )
-        kept = sum(bool(pool.links) for pool in pools[-150:])
+        kept = sum(bool(pool.connections) for pool in pools[-150:])
         lines.append(f"of the last 150 engines {kept} still have theirs")
         self.check("fleet_links", lines)
 
@@ -91,7 +91,7 @@
         self,
         given: dict,
         engines: int,
-        tariffs: tuple[int, ...],
+        request_classes: tuple[int, ...],
         answer: int,
         seconds: int = 60,
         pause: int = 100,
@@ -104,21 +104,27 @@
                 for number, engine in enumerate(desk.engines)
             }
         )
-        made: list[list] = [[] for _ in desk.gateway.tariffs]
-        for tariff in desk.gateway.tariffs:
-            tariff.usual.seen, tariff.usual.mean = 200, answer * 1000 * (1 + 9 * (tariff.index > 0))
+        made: list[list] = [[] for _ in desk.gateway.request_classes]
+        for request_class in desk.gateway.request_classes:
+            request_class.latency.sample_count, request_class.latency.mean_us = (
+                200,
+                answer * 1000 * (1 + 9 * (request_class.index > 0)),
+            )
         for turn in range(seconds * 1000 // pause):
             for engine in desk.engines:
-                desk.gateway.probed(engine, Ending.FULFILLED, BUSY, desk.now)
-            for index in tariffs:
+                desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, BUSY, desk.now)
+            for index in request_classes:
                 made[index].append(desk.submit(f"{index}.{turn}", index, left=20_000))
             desk.run(pause)
-            for index in tariffs:
-                takes = desk.gateway.tariffs[index].usual.time_of(made[index][0])
-                for submission in made[index]:
-                    if submission.relay and desk.now - submission.relay.sent >= takes:
-                        desk.back(submission, Ending.FULFILLED)
-        parts = [f"{sum(bool(one.relays) for one in made[index])} of {len(made[index])}" for index in tariffs]
+            for index in request_classes:
+                takes = desk.gateway.request_classes[index].latency.expected_us(made[index][0])
+                for request in made[index]:
+                    if request.current_attempt and desk.now - request.current_attempt.sent_us >= takes:
+                        desk.back(request, Outcome.SUCCEEDED)
+        parts = [
+            f"{sum(bool(one.attempts) for one in made[index])} of {len(made[index])}"
+            for index in request_classes
+        ]
         return ", ".join(parts) + " relayed"
 
     def test_no_tariff_is_passed_over_for_good(self) -> None:
@@ -179,7 +185,7 @@
                 await tasks.start(engine.run)
                 first = [listed(number, number % 2) for number in range(1, 1025)]
                 coordinator = Coordinator(first)
-                start = known.events(msgspec.convert(coordinator.known, known.Known), given)
+                start = known.initial_events(msgspec.convert(coordinator.known, known.InitialList), given)
                 service = Service("n0", ("127.0.0.1", 0), 7, given, start, coordinator.address)
                 tasks.start_soon(coordinator.run)
                 address = await tasks.start(service.run)
@@ -191,16 +197,16 @@
                             for number in range(40):
                                 await client.ask(client.names + 1, f"plain {number}")
                                 await client.hear()
-                            zones = len({one.zone for one in gateway.ready})
+                            zones = len({one.zone for one in gateway.ready_engines})
                             lines.append(
-                                f"{text}: {len(gateway.ready)} ready in {zones} zones, "
+                                f"{text}: {len(gateway.ready_engines)} ready in {zones} zones, "
                                 f"{len(service._route._pools)} pools, "
                                 f"{service.counters.counts['submissions fulfilled']} fulfilled"
                             )
 
                         await look("at the start")
                         coordinator.tell(*(listed(number, number % 5) for number in range(2001, 3025)))
-                        while len(gateway.ready) < 2048:
+                        while len(gateway.ready_engines) < 2048:
                             await anyio.sleep(0.01)
                         await look("as many more")
                         coordinator.tell(*(listed(one.id, 0, "terminated") for one in first))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -158,7 +158,7 @@
 
                 def take(data: bytes) -> None:
                     heard.append(("there", data))
-                    peer.line.put(data.upper())
+                    peer.line.write(data.upper())
 
                 await peer.run(take)
                 heard.append(("there", b"end"))
@@ -190,14 +190,14 @@
     def test_held_connections_come_behind_newer_ones(self) -> None:
         async def script(mesh: Mesh, way: Way, call) -> None:  # noqa: ANN001
             old = await call()
-            old.line.put(b"a")
+            old.line.write(b"a")
             await anyio.sleep(0.05)
             way.hold()
-            old.line.put(b"b")
+            old.line.write(b"b")
             await anyio.sleep(0.02)
             old.scope.cancel()  # said and gone, and still on its way
             new = await call()
-            new.line.put(b"c")
+            new.line.write(b"c")
             await anyio.sleep(0.05)
             way.release()
             await anyio.sleep(0.1)
@@ -209,18 +209,18 @@
         async def script(mesh: Mesh, way: Way, call) -> None:  # noqa: ANN001
             peer = await call()
             mesh.silence("k1", ["k2"], hears=False)
-            peer.line.put(b"a")
+            peer.line.write(b"a")
             await anyio.sleep(0.05)
             told.append((mesh.hears("k1", "k2"), list(way.silent)))
             mesh.heal()
             await anyio.sleep(0.05)
             mesh.silence("k2", lost=True, hears=False)
-            peer.line.put(b"b")  # heard, and its answer is lost for good
+            peer.line.write(b"b")  # heard, and its answer is lost for good
             await anyio.sleep(0.05)
             mesh.heal("k1")
             await anyio.sleep(0.05)
             peer = await call()
-            peer.line.put(b"c")
+            peer.line.write(b"c")
             await anyio.sleep(0.05)
             mesh.cut("k2")
             await anyio.sleep(0.05)
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -37,8 +37,8 @@
 from cresstray.fleet_config.strictest import divisor, strictest
 from cresstray.fleet_config.validation import checked
 from cresstray.observability.counters import Counters
-from cresstray.policy.controller import Limiter, Signs
-from cresstray.policy.types import Engine, Submission, Tariff
+from cresstray.policy.controller import Limiter, LoadSignals
+from cresstray.policy.types import Engine, Request, RequestClass
 
 LEASE, FLOOR_LEASE, DRIFT, MOST = 2_000_000, 8_000_000, 0.01, 20
 WORLD = World(
@@ -581,11 +581,11 @@
         self.use = Use("g1", LEASE, FLOOR_LEASE, DRIFT, MOST)
         self.counters = Counters()
         self.rules = Admission(
-            self.use, WORLD.tenants, WORLD.tariffs, lambda engine: f"s-{engine.machine}", self.counters
+            self.use, WORLD.tenants, WORLD.tariffs, lambda engine: f"s-{engine.instance_type}", self.counters
         )
-        self.engines = [Engine(machine=n) for n in range(4)]
+        self.engines = [Engine(instance_type=n) for n in range(4)]
         for engine in self.engines:
-            engine.limiter = Limiter(8, 4, Signs())
+            engine.limiter = Limiter(8, 4, LoadSignals())
 
     def hear(self, turn: int, lease: bool = True, **given: Any) -> None:
         documents = parsed(
@@ -599,20 +599,28 @@
             self.use.take(Granted(asked.number, turn), self.now)
 
     def ask(
-        self, tenant: int = 0, tariff: int = 0, data_set: int = 0, threads: int = 1, read: Any = None
-    ) -> Submission:
-        kind = Tariff(tariff, threads, 10**6, 0.0, 1.0, 0.0, True, False, "all", 0, False, None, None)
-        made = Submission(kind, self.now, self.now + 10**7, tenant, data_set=data_set, expected=100_000)
-        made.read = read
+        self, tenant: int = 0, request_class: int = 0, data_set: int = 0, threads: int = 1, read: Any = None
+    ) -> Request:
+        kind = RequestClass(
+            request_class, threads, 10**6, 0.0, 1.0, 0.0, True, False, "all", 0, False, None, None
+        )
+        made = Request(
+            kind, self.now, self.now + 10**7, tenant, data_set=data_set, expected_latency_us=100_000
+        )
+        made.replica_read = read
         return made
 
-    def takers(self, submission: Submission) -> str:
+    def takers(self, request: Request) -> str:
         return "".join(
-            str(engine.machine) for engine in self.engines if self.rules.takes(submission, engine, self.now)
+            str(engine.instance_type)
+            for engine in self.engines
+            if self.rules.allows(request, engine, self.now)
         )
 
     def test_stops_and_bars(self) -> None:
-        self.assertEqual((20, True), (self.rules.gateways(self.now), self.rules.admits(self.ask(), self.now)))
+        self.assertEqual(
+            (20, True), (self.rules.gateway_count(self.now), self.rules.admits(self.ask(), self.now))
+        )
         self.hear(
             2,
             tariffs={"items": {"slow": {"stopped": True}, "fast": {"further": 0.5}}},
@@ -620,18 +628,22 @@
             engines={"items": {"s-2": {"barred": True}}},
         )
         held = self.ask()
-        self.assertEqual((4, "013"), (self.rules.gateways(self.now), self.takers(held)))
-        self.assertEqual((True, 0.5), (self.rules.admits(held, self.now), self.rules.further(held, self.now)))
-        for one in (self.ask(tariff=1), self.ask(tenant=1)):
+        self.assertEqual((4, "013"), (self.rules.gateway_count(self.now), self.takers(held)))
+        self.assertEqual(
+            (True, 0.5), (self.rules.admits(held, self.now), self.rules.retry_budget_scale(held, self.now))
+        )
+        for one in (self.ask(request_class=1), self.ask(tenant=1)):
             self.assertEqual((False, ""), (self.rules.admits(one, self.now), self.takers(one)))
-        self.assertTrue(self.rules.admits(self.ask(tenant=7, tariff=7), self.now))  # no rule is about these
+        self.assertTrue(
+            self.rules.admits(self.ask(tenant=7, request_class=7), self.now)
+        )  # no rule is about these
         # The lease is over: the floor's count, and the rest as last known.
         self.now += LEASE
-        self.assertEqual((9, "013"), (self.rules.gateways(self.now), self.takers(held)))
+        self.assertEqual((9, "013"), (self.rules.gateway_count(self.now), self.takers(held)))
         self.hear(4, gateways=gateways("g2"))
-        self.assertEqual((0, ""), (self.rules.gateways(self.now), self.takers(held)))
+        self.assertEqual((0, ""), (self.rules.gateway_count(self.now), self.takers(held)))
         self.assertFalse(self.rules.admits(held, self.now))
-        self.assertEqual(0.0, self.rules.further(held, self.now))
+        self.assertEqual(0.0, self.rules.retry_budget_scale(held, self.now))
         self.assertEqual(
             {
                 "rules: denied, tariff stopped": 1,
@@ -707,10 +719,10 @@
                 body = msgspec.msgpack.encode([0, 2, [delta(EMPTY, documents)]])
                 me.take(codec.contents(0, 2, body)[0], 1)
                 me.take(Granted(me.asks(1).number, 2), 1)
-                rules = Admission(me, (), (), lambda engine: f"s-{engine.machine}")
+                rules = Admission(me, (), (), lambda engine: f"s-{engine.instance_type}")
                 engine, one = self.engines[1], self.ask(threads=threads)
-                engine.limiter = Limiter(cores, 64, Signs())
-                while rules.takes(one, engine, 2):
+                engine.limiter = Limiter(cores, 64, LoadSignals())
+                while rules.allows(one, engine, 2):
                     engine.limiter.threads += threads
                 total += engine.limiter.threads
             seats[total] = threads
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -2,7 +2,7 @@
 
 import random
 
-from cresstray.policy.types import Standing
+from cresstray.policy.types import EndpointState
 from cresstray.sites import codec
 from cresstray.sites.flow_control import Credit, Ramp, Share
 from cresstray.sites.health import Health
@@ -14,7 +14,7 @@
 class Cuts(TraceCase):
     """Case 1: the link drops at each point of a crossing's life, for tariffs that may not just run again."""
 
-    def drop(self, tariff: str, point: str, back: int | None) -> str:
+    def drop(self, request_class: str, point: str, back: int | None) -> str:
         world = TwoHalls(trace=False)
         world.ready()
         engine = world.b.links[0]
@@ -26,7 +26,7 @@
             for number in range(4):
                 world.b.ask(f"own {number}", "post")
             world.outward.way.threads = 9.0  # as an old word of room would have it
-        world.a.ask("it", tariff, 30_000)
+        world.a.ask("it", request_class, 30_000)
         world.run(3 if point == "before it was taken" else 12 if point == "taken, not sent" else 40)
         name = world.name("it")
         before = world.crossing("it").state.name.lower()
@@ -58,11 +58,13 @@
 
     def test_the_link_drops(self) -> None:
         lines = []
-        for tariff in ("load", "post"):
+        for request_class in ("load", "post"):
             for point in ("before it was taken", "taken, not sent", "sent", "ended"):
                 for back in (1000, 21_000, None):
                     when = "never" if back is None else f"after {back / 1000:.0f} s"
-                    lines.append(f"{tariff}, {point}, back {when}: {self.drop(tariff, point, back)}")
+                    lines.append(
+                        f"{request_class}, {point}, back {when}: {self.drop(request_class, point, back)}"
+                    )
         self.check("halls_cuts", lines)
 
 
@@ -88,9 +90,9 @@
                 world.b.links[0].answer(name)
             world.run(80)
             late += [
-                errand
-                for errand in world.a.book.open.values()
-                if not errand.answered and errand.submission.hard_stop < world.clocks[0].now()
+                context
+                for context in world.a.book.open.values()
+                if not context.is_answered and context.request.deadline_us < world.clocks[0].now()
             ]
             state = world.outward.way.health.state.value
             lines.append(
@@ -111,8 +113,8 @@
         """Case 3: all that its earlier life had taken is unknown."""
         world = TwoHalls()
         world.ready()
-        for tariff in ("lookup", "load", "post"):
-            world.a.ask(f"a {tariff}", tariff)
+        for request_class in ("lookup", "load", "post"):
+            world.a.ask(f"a {request_class}", request_class)
         world.run(60)
         world.cut()
         world.restart_far()
@@ -127,10 +129,10 @@
         world.ready()
         world.a.ask("first", "lookup")
         world.run(40)
-        world.b.list(Standing.DRAINING, Standing.DRAINING)
+        world.b.list(EndpointState.DRAINING, EndpointState.DRAINING)
         world.a.ask("nowhere", "lookup")
         world.run(40)
-        world.b.list(Standing.DRAINING)
+        world.b.list(EndpointState.DRAINING)
         world.a.ask("second", "lookup")
         world.run(500)
         ran_on = [engine for name, engine in world.runs if world.names[name] == "second"]
@@ -149,13 +151,13 @@
         """Case 4: both ways, and each way alone. What was under way is given up, the far side first."""
         for ways in (("there", "back"), ("there",), ("back",)):
             world = TwoHalls(near_engines=1)
-            world.a.list(Standing.DRAINING)
+            world.a.list(EndpointState.DRAINING)
             world.ready()
             world.a.ask("a lookup", "lookup")
             world.run(60)
             world.say(f"silent: {' and '.join(ways)}")
             world.swallow.update(ways)
-            world.a.list(Standing.READY)
+            world.a.list(EndpointState.READY)
             world.run(4000)
             for name in list(world.a.links[0].open):
                 world.a.links[0].answer(name)
@@ -171,14 +173,14 @@
         world.b.ask("own", "lookup")
         world.fresh()
         world.outward.way.threads = 50.0
-        world.a.gateway.halls[0].limiter.limit = 50.0
+        world.a.gateway.remote_sites[0].limiter.limit = 50.0
         for number in range(3):
             world.a.ask(f"one {number}", "lookup", 2000)
         # The far gateway has a way back that would take anything.
-        far = type("Anything", (), {"takes": lambda self, submission, load, now: True})()
-        hall = type(world.b.engines[0])(far=far)
-        world.b.gateway.hall_listed(hall, 50.0, Standing.READY, world.clocks[1].now())
-        world.b.route.across = type("Nowhere", (), {"send": lambda *_: self.fail("it went back")})()
+        far = type("Anything", (), {"accepts": lambda self, request, load, now: True})()
+        hall = type(world.b.engines[0])(forwarding=far)
+        world.b.gateway.on_site_updated(hall, 50.0, EndpointState.READY, world.clocks[1].now())
+        world.b.route.forwarder = type("Nowhere", (), {"send": lambda *_: self.fail("it went back")})()
         world.run(300)
         counts = world.a.counters.counts
         world.say(f"{counts['crossings offered']} offered, {counts['crossings refused']} refused by now")
@@ -269,7 +271,7 @@
         world.ready()
         world.a.ask("again", "lookup")
         world.run(20)
-        world.a.list(Standing.DRAINING)
+        world.a.list(EndpointState.DRAINING)
         world.fresh()
         world.delay = 400_000
         world.a.links[0].reset()
@@ -412,9 +414,9 @@
             )[0]
             links = [link for link in world.a.links + world.b.links if link.open]
             if what == "ask":
-                tariff, patience = chance.choice(list(TARIFFS)), chance.choice((700, 2500, 9000))
-                asked[f"{tariff} {step}"] = tariff, world.clocks[0].now() + patience * 1000
-                world.a.ask(f"{tariff} {step}", tariff, patience)
+                request_class, patience = chance.choice(list(TARIFFS)), chance.choice((700, 2500, 9000))
+                asked[f"{request_class} {step}"] = request_class, world.clocks[0].now() + patience * 1000
+                world.a.ask(f"{request_class} {step}", request_class, patience)
             elif what in ("answer", "full", "fail") and links:
                 link = chance.choice(links)
                 word = {"answer": b"served", "full": b"overload", "fail": b"crashed"}[what]
@@ -436,7 +438,7 @@
                 withdrawn.add(label)
                 world.a.withdraw(label)
             elif what == "near":
-                world.a.list(chance.choice((Standing.READY, Standing.DRAINING)))
+                world.a.list(chance.choice((EndpointState.READY, EndpointState.DRAINING)))
             elif what == "slow":
                 world.delay = chance.choice((1_000, 20_000, 400_000))
             if step == silent:
@@ -465,7 +467,7 @@
 
     def hold(self, world: TwoHalls, asked: dict[str, tuple[str, int]], withdrawn: set[str]) -> None:
         now = world.clocks[0].now()
-        for label, (tariff, stop) in asked.items():
+        for label, (request_class, stop) in asked.items():
             if label not in withdrawn:
                 self.assertTrue(label in world.answers() or now < stop, f"{label} has no answer")
             name = world.name(label)
@@ -473,7 +475,7 @@
             self.assertLessEqual(len(out), 1, f"{label} is out twice: {out}")
             runs = [run for run in world.runs if run[0] == name]
             self.assertLessEqual(len(runs), 3, label)
-            if tariff == "post":
+            if request_class == "post":
                 self.assertLessEqual(len(runs) - world.unrun.get(name, 0), 1, f"{label} ran twice")
                 if "denied" in world.answers().get(label, ()):
                     self.assertEqual(len(runs), world.unrun.get(name, 0), f"{label} ran, and is denied")
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -17,7 +17,7 @@
 import anyio
 import msgspec
 
-from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.membership import confidence as fade
 from cresstray.membership import inspection as operate
 from cresstray.membership import learned_state as learnt
@@ -33,22 +33,22 @@
 from cresstray.membership.recovery import Keep
 from cresstray.membership.snapshot_files import Folder, System, Writer
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.routing import Route
-from cresstray.policy.types import Ending, Standing
+from cresstray.pipeline.routing import Router
+from cresstray.policy.types import EndpointState, Outcome
 from cresstray.simulation.cold import Unlinked
 from tests.desk import Desk, settings
 
 SECOND, START = 1_000_000, 1_800_000_000_000_000
 GRACE, WAIT = 10 * SECOND, 2 * SECOND
 STORED = Path(__file__).parent / "kept_files"
-READY, DRAINING, GONE = Standing.READY, Standing.DRAINING, Standing.GONE
+READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
 
 
-def member(number: int, standing: Standing = READY, started: int = 5, port: int = 0) -> Member:
-    return Member(number, "127.0.0.1", port or 1000 + number, standing, 0, 0, 0, started)
+def member(number: int, standing: EndpointState = READY, started: int = 5, port: int = 0) -> Endpoint:
+    return Endpoint(number, "127.0.0.1", port or 1000 + number, standing, 0, 0, 0, started)
 
 
-def beliefs(*given: Member, age: int = SECOND, number: int = 50, seed: int = 1, **more: object) -> Beliefs:
+def beliefs(*given: Endpoint, age: int = SECOND, number: int = 50, seed: int = 1, **more: object) -> Beliefs:
     made = Beliefs(GRACE, WAIT, random.Random(seed).random, START)
     made.remembered([(one, age) for one in given], number, [], Source.DISK, START, **more)
     return made
@@ -86,19 +86,19 @@
         "gone": ("told gone",),
     }
 
-    def does(self, one: Beliefs, event: str, now: int) -> list[Member]:
+    def does(self, one: Beliefs, event: str, now: int) -> list[Endpoint]:
         if event == "due":
             one.due(now)
             return []
         if event.startswith("told"):
             standing = {"ready": READY, "draining": DRAINING, "gone": GONE}[event[5:]]
-            one.told(Event(one.numbers.highest + 1, False, [member(1, standing)]), now)
+            one.told(EndpointEvent(one.numbers.highest + 1, False, [member(1, standing)]), now)
             return []
         if event == "left out":
-            one.told(Event(one.numbers.highest + 1, True, [member(2)]), now)
+            one.told(EndpointEvent(one.numbers.highest + 1, True, [member(2)]), now)
             return []
         if event == "older list":  # a whole one of the register, without it
-            one.told(Event(one.numbers.highest - 1, True, [member(2)]), now)
+            one.told(EndpointEvent(one.numbers.highest - 1, True, [member(2)]), now)
             return []
         if event == "old list":
             one.remembered([(member(1), 9 * SECOND)], 40, [], Source.PEER, now)
@@ -121,7 +121,7 @@
                     self.does(one, way, START)
                 self.assertEqual(self.name(one), state)
                 out = self.does(one, event, START + SECOND)
-                mark = "".join("!" if one.standing is GONE else "+" for one in out)
+                mark = "".join("!" if one.state is GONE else "+" for one in out)
                 expected = state if cell == "-" else cell.split()[0]
                 with self.subTest(state=state, event=event):
                     self.assertEqual((self.name(one), mark), (expected, cell[-1] if cell[-1] in "+!" else ""))
@@ -132,15 +132,15 @@
         one = Beliefs(GRACE, WAIT, random.Random(1).random, START)
         one.remembered([(member(n), SECOND) for n in (1, 2, 3)], 50, [Tomb(2, 5, 50, 0)], Source.DISK, START)
         self.assertEqual(one.state(2), State.GONE)
-        passed = one.told(Event(40, True, [member(1), member(2)]), START)
-        self.assertEqual((passed.complete, [m.id for m in passed.members]), (False, [1]))
+        passed = one.told(EndpointEvent(40, True, [member(1), member(2)]), START)
+        self.assertEqual((passed.is_complete, [m.id for m in passed.endpoints]), (False, [1]))
         self.assertEqual(one.state(3), State.REMEMBERED)  # an older list can't say that it is gone
         one.remembered([(member(2), 0)], 50, [], Source.PEER, START)
         self.assertEqual(one.state(2), State.GONE)
-        passed = one.told(Event(51, False, [member(2)]), START)  # later news can
-        self.assertEqual(([m.id for m in passed.members], one.state(2)), ([2], State.TOLD))
-        one.told(Event(52, False, [member(2, GONE)]), START)
-        one.told(Event(30, False, [member(2, started=9)]), START)  # and so can a later start
+        passed = one.told(EndpointEvent(51, False, [member(2)]), START)  # later news can
+        self.assertEqual(([m.id for m in passed.endpoints], one.state(2)), ([2], State.TOLD))
+        one.told(EndpointEvent(52, False, [member(2, GONE)]), START)
+        one.told(EndpointEvent(30, False, [member(2, started=9)]), START)  # and so can a later start
         self.assertEqual(one.state(2), State.TOLD)
 
     def test_tombs_last_a_week_of_running_time_however_clocks_are_set(self) -> None:
@@ -152,8 +152,10 @@
     def test_a_week_old_list_with_addresses_that_moved_and_were_given_to_others(self) -> None:
         one = beliefs(member(1), member(2), member(3), age=7 * 86_400 * SECOND)
         self.assertEqual(len(one.due(START)), 3)
-        passed = one.told(Event(60, False, [member(1, port=2000, started=7), member(8, port=1002)]), START)
-        self.assertEqual([m.port for m in passed.members], [2000, 1002])
+        passed = one.told(
+            EndpointEvent(60, False, [member(1, port=2000, started=7), member(8, port=1002)]), START
+        )
+        self.assertEqual([m.port for m in passed.endpoints], [2000, 1002])
         self.assertEqual((one.state(1), one.state(2)), (State.TOLD, State.GONE))  # 8 has the address of 2
         self.assertEqual(one.due(START), [])
         self.assertEqual(one.answered(3, How.OTHER, START), [])
@@ -167,18 +169,22 @@
         one.answered(2, How.REFUSED, START + 1)
         # Behind, the same again, and news of somebody else: none of them has heard of a restart.
         for number in (40, 50, 51):
-            told = one.told(Event(number, True, [member(n, started=7) for n in (1, 2, 3)]), START + number)
-            self.assertEqual([m.started for m in told.members], [START + 1, START + 40, START + 40])
+            told = one.told(
+                EndpointEvent(number, True, [member(n, started=7) for n in (1, 2, 3)]), START + number
+            )
+            self.assertEqual([m.started_us for m in told.endpoints], [START + 1, START + 40, START + 40])
         # A later start counts, and an engine of which the register speaks first is as it says.
-        told = one.told(Event(52, True, [member(1, started=START + 60), member(4, started=7)]), START + 70)
-        self.assertEqual([m.started for m in told.members], [START + 60, 7])
-        self.assertEqual([m.started for m, _ in one.evidence(START + 70)], [START + 60, 7])
+        told = one.told(
+            EndpointEvent(52, True, [member(1, started=START + 60), member(4, started=7)]), START + 70
+        )
+        self.assertEqual([m.started_us for m in told.endpoints], [START + 60, 7])
+        self.assertEqual([m.started_us for m, _ in one.evidence(START + 70)], [START + 60, 7])
 
     def test_two_that_have_changed_places(self) -> None:
         one = beliefs(member(1, port=7), member(2, port=8))
         moved = [member(1, port=8, started=9), member(2, port=7, started=9)]
-        passed = one.told(Event(60, False, moved), START)
-        self.assertEqual([(m.id, m.port) for m in passed.members], [(1, 8), (2, 7)])
+        passed = one.told(EndpointEvent(60, False, moved), START)
+        self.assertEqual([(m.id, m.port) for m in passed.endpoints], [(1, 8), (2, 7)])
         self.assertEqual((one.standings().told, len(one.tombs)), (2, 0))
 
     def test_two_of_one_address_on_disk_the_younger_word_counts(self) -> None:
@@ -189,44 +195,44 @@
     def test_a_listed_engine_is_cold_and_one_whose_address_was_taken_is_taken_off(self) -> None:
         one = beliefs(member(1), member(2))
         one.due(START)
-        self.assertEqual(one.answered(1, How.LISTENS, START + 7)[0].started, START + 7)
-        passed = one.told(Event(60, False, [member(8, port=1001)]), START)
-        self.assertEqual([(m.id, m.standing) for m in passed.members], [(1, GONE), (8, READY)])
+        self.assertEqual(one.answered(1, How.LISTENS, START + 7)[0].started_us, START + 7)
+        passed = one.told(EndpointEvent(60, False, [member(8, port=1001)]), START)
+        self.assertEqual([(m.id, m.state) for m in passed.endpoints], [(1, GONE), (8, READY)])
 
     def test_a_drain_on_disk_is_no_news_and_its_engine_waits_a_grace(self) -> None:
         one = beliefs(member(1, DRAINING))
         self.assertEqual((one.due(START), one.grace_left(1, START)), ([], 0))
         self.assertEqual(len(one.due(START + GRACE)), 1)
         listed = one.answered(1, How.LISTENS, START + GRACE)[0]
-        self.assertEqual((listed.standing, listed.started), (READY, START + GRACE))
+        self.assertEqual((listed.state, listed.started_us), (READY, START + GRACE))
         fresh = beliefs(member(1, DRAINING))
-        fresh.told(Event(51, False, [member(1, READY, started=99)]), START)  # restarted since
-        self.assertEqual(fresh.engines[1].member.started, 99)
-        fresh.told(Event(40, True, [member(1, DRAINING)]), START)  # the old drain, by an older list
-        self.assertEqual(fresh.engines[1].member.standing, READY)
+        fresh.told(EndpointEvent(51, False, [member(1, READY, started=99)]), START)  # restarted since
+        self.assertEqual(fresh.engines[1].member.started_us, 99)
+        fresh.told(EndpointEvent(40, True, [member(1, DRAINING)]), START)  # the old drain, by an older list
+        self.assertEqual(fresh.engines[1].member.state, READY)
 
     def test_the_grace_counts_from_being_told_once(self) -> None:
         one = beliefs(member(1))
-        one.told(Event(51, False, [member(1, DRAINING)]), START)
-        one.told(Event(52, True, [member(1, DRAINING)]), START + 4 * SECOND)
+        one.told(EndpointEvent(51, False, [member(1, DRAINING)]), START)
+        one.told(EndpointEvent(52, True, [member(1, DRAINING)]), START + 4 * SECOND)
         self.assertEqual(one.grace_left(1, START + 4 * SECOND), GRACE - 4 * SECOND)
 
     def test_a_register_that_stands_by_smaller_numbers_is_believed_in_the_end(self) -> None:
         one = beliefs(member(1), member(2), number=5000)
         one.due(START)
         one.answered(2, How.LISTENS, START)
-        one.told(Event(12, True, [member(1)]), START)
+        one.told(EndpointEvent(12, True, [member(1)]), START)
         for passed in range(0, INSISTS, SECOND):
             one.alive(START + passed)
             self.assertIsNone(one.settle(START + passed))
         one.alive(START + INSISTS)
-        self.assertEqual([(m.id, m.standing) for m in one.settle(START + INSISTS).members], [(2, GONE)])
-        one.told(Event(13, False, [member(2)]), START + INSISTS)  # its next word counts
+        self.assertEqual([(m.id, m.state) for m in one.settle(START + INSISTS).endpoints], [(2, GONE)])
+        one.told(EndpointEvent(13, False, [member(2)]), START + INSISTS)  # its next word counts
         self.assertEqual((one.state(2), one.numbers.highest), (State.TOLD, 13))
 
     def test_a_list_from_the_start_alone_never_settles(self) -> None:
         one = beliefs(member(1), member(2), number=5000)
-        one.told(Event(12, True, [member(1)]), START)
+        one.told(EndpointEvent(12, True, [member(1)]), START)
         for passed in range(0, 3 * INSISTS, SECOND):
             self.assertIsNone(one.settle(START + passed))
         self.assertEqual(one.state(2), State.REMEMBERED)
@@ -237,18 +243,20 @@
         for number in (1, 2):
             one.answered(number, How.LISTENS, START)
             one.answered(number, How.SERVED, START)
-        first = one.told(Event(51, True, [member(2), member(3)]), START)
-        self.assertEqual((first.complete, one.state(1)), (True, State.GONE))  # it answers well, and is gone
+        first = one.told(EndpointEvent(51, True, [member(2), member(3)]), START)
+        self.assertEqual(
+            (first.is_complete, one.state(1)), (True, State.GONE)
+        )  # it answers well, and is gone
         for how in How:
             self.assertEqual(one.answered(1, how, START) + one.answered(3, how, START), [])
         self.assertEqual(one.state(3), State.TOLD)  # it refuses, and is ready: the module's doubt has it
-        again = one.told(Event(52, True, [member(2), member(3)]), START + 9 * SECOND)
-        self.assertEqual((again.complete, one.standings().told), (True, 2))
+        again = one.told(EndpointEvent(52, True, [member(2), member(3)]), START + 9 * SECOND)
+        self.assertEqual((again.is_complete, one.standings().told), (True, 2))
 
     def test_writing_again_makes_nothing_younger(self) -> None:
         one = beliefs(member(1), age=3600 * SECOND)
         self.assertEqual(one.kept(START + SECOND)[0][1], 3601 * SECOND)
-        one.told(Event(51, False, [member(1)]), START)
+        one.told(EndpointEvent(51, False, [member(1)]), START)
         one.alive(START + 50 * SECOND)
         self.assertEqual(one.kept(START + 60 * SECOND)[0][1], 10 * SECOND)
 
@@ -328,23 +336,23 @@
                 if act == 0:
                     some = [(m, chance.randrange(9 * SECOND)) for m in some]
                     one.remembered(some, number, [], chance.choice((Source.DISK, Source.PEER)), now)
-                    out = Event(0, False, [])
+                    out = EndpointEvent(0, False, [])
                 elif act == 1:
-                    event = Event(number, chance.random() < 0.5, some)
+                    event = EndpointEvent(number, chance.random() < 0.5, some)
                     out = one.told(event, now)
-                    self.assertFalse(out.complete and event.number < highest)
+                    self.assertFalse(out.is_complete and event.index < highest)
                 elif act == 2:
                     one.due(now)
-                    out = Event(0, False, [])
+                    out = EndpointEvent(0, False, [])
                 else:
-                    out = Event(0, False, one.answered(engine, chance.choice(list(How)), now))
-                if out.complete:
+                    out = EndpointEvent(0, False, one.answered(engine, chance.choice(list(How)), now))
+                if out.is_complete:
                     listed = {}
-                for m in out.members:
-                    listed[m.id] = m.standing
+                for m in out.endpoints:
+                    listed[m.id] = m.state
                 listed = {n: standing for n, standing in listed.items() if standing is not GONE}
                 believed = {
-                    n: belief.member.standing if belief.state is State.TOLD else READY
+                    n: belief.member.state if belief.state is State.TOLD else READY
                     for n, belief in one.engines.items()
                     if belief.listed
                 }
@@ -352,7 +360,7 @@
                 # Only later news raises the dead.
                 self.assertTrue(
                     all(
-                        number > tomb.number or one.engines[tomb.id].member.started > tomb.started
+                        number > tomb.number or one.engines[tomb.id].member.started_us > tomb.started
                         for tomb in tombs
                         if tomb.id in one.engines
                     ),
@@ -603,7 +611,7 @@
         bad = made_record(limits=[record.Limit(1, 5, float("inf"), 1.0)])
         self.assertRaises(record.UnusableError, self.folder(disk).write, bad)
         self.assertEqual(Folder("/kept", "g1", disk).read().record.number, 2)
-        odd = [member(1), member(2, port=70_000), Member(3, "h", 9, READY, 0, 0, 99_999, 5)]
+        odd = [member(1), member(2, port=70_000), Endpoint(3, "h", 9, READY, 0, 0, 99_999, 5)]
         self.assertEqual([record.fits(one) for one in odd], [True, False, False])
 
     def test_never_kept(self) -> None:
@@ -620,10 +628,10 @@
         kept = made_record(
             zones=["a", "b"],
             machines=["small", "big"],
-            engines=[record.engine(Member(n, "h", 1, READY, n % 2, n % 2, 0, 0), 0) for n in range(2)],
+            engines=[record.engine(Endpoint(n, "h", 1, READY, n % 2, n % 2, 0, 0), 0) for n in range(2)],
         )
         moved = record.members(kept, ["b", "c"], ["big"])
-        self.assertEqual([(m.id, m.zone, m.machine) for m, _ in moved], [(1, 0, 0)])
+        self.assertEqual([(m.id, m.zone, m.instance_type) for m, _ in moved], [(1, 0, 0)])
 
     def test_two_processes_on_one_folder(self) -> None:
         with tempfile.TemporaryDirectory() as path:
@@ -701,7 +709,7 @@
             service["Name"] = f"t{number}"
         super().__init__(self.given, engines=0, seed=seed)
         self.at, self.counters, self.said = Moment(wall, boot, ticked), Counters(), []
-        self.route = Route(lambda label, address: Unlinked(address), None)
+        self.route = Router(lambda label, address: Unlinked(address), None)
         self.writer = Writer(Folder(path, owner))
         self.keep = Keep(
             self.writer,
@@ -715,17 +723,17 @@
         )
         self.keep.begin(self.now)
 
-    def relay(self, relay: object, patience: int) -> None:
+    def send_attempt(self, attempt: object, patience: int) -> None:
         self.sent = getattr(self, "sent", [])
-        self.sent.append((self.now, relay))
+        self.sent.append((self.now, attempt))
 
-    def tell(self, event: Event) -> None:
+    def tell(self, event: EndpointEvent) -> None:
         passed = self.keep.told(event, self.now)
         self.give(passed)
 
-    def give(self, event: Event) -> None:
-        self.gateway.listed(self.route.listed(event), event.complete, self.now)
-        self.route.recall(event)
+    def give(self, event: EndpointEvent) -> None:
+        self.gateway.on_endpoints_updated(self.route.apply_event(event), event.is_complete, self.now)
+        self.route.cancel_unsent(event)
         self.keep.listed(event, self.route._engines, self.now)
 
     def step(self) -> None:
@@ -752,12 +760,12 @@
 
     def first(self) -> Fleet:
         fleet = Fleet(self.path)
-        fleet.tell(Event(50, True, [member(1, started=7), member(2, started=7), member(3, DRAINING)]))
+        fleet.tell(EndpointEvent(50, True, [member(1, started=7), member(2, started=7), member(3, DRAINING)]))
         for number in (1, 2):
             limiter = fleet.engine(number).limiter
             limiter.seen, limiter.limit, limiter.pace = 50, limiter.start * (0.5, 1.5)[number - 1], 1.4
-        usual = fleet.gateway.tariffs[0].usual
-        usual.seen, usual.mean, usual.factor = 150, 90_000.0, 1.2
+        usual = fleet.gateway.request_classes[0].latency
+        usual.sample_count, usual.mean_us, usual.work_factor = 150, 90_000.0, 1.2
         return fleet
 
     def test_what_is_held_does_not_go_out_as_an_engine_is_listed(self) -> None:
@@ -765,13 +773,13 @@
         again = Fleet(self.path)
         again.sent = []
         again.gateway.rules["WarmUp"] = 0
-        again.gateway.agreed = Guard(again.keep, again.gateway)
+        again.gateway.admission_rules = Guard(again.keep, again.gateway)
         once = again.submit("once", left=20_000)
-        once.tariff = dataclasses.replace(once.tariff, idempotent=False)
+        once.request_class = dataclasses.replace(once.request_class, is_idempotent=False)
         for one in again.keep.beliefs.due(again.now):
             again.keep._answered(one.id, How.LISTENS, again.now)
         again.step()
-        self.assertEqual((again.sent, len(again.gateway.ready)), ([], 2))
+        self.assertEqual((again.sent, len(again.gateway.ready_engines)), ([], 2))
 
     def test_a_restart_starts_from_what_was_kept_and_the_register_settles_it(self) -> None:
         fleet = self.first()
@@ -780,7 +788,10 @@
         fleet.keep.close()
         again = Fleet(self.path, wall=START + 60 * SECOND, boot="b2", ticked=SECOND)
         self.assertEqual(again.said, ["remembers 3 engines and 1 tariffs, 60 s old"])
-        self.assertEqual((again.gateway.tariffs[0].usual.seen, list(again.gateway.ready)), (149, []))
+        self.assertEqual(
+            (again.gateway.request_classes[0].latency.sample_count, list(again.gateway.ready_engines)),
+            (149, []),
+        )
         asked = {m.id for m in again.keep.beliefs.due(again.now)}
         self.assertEqual(asked, {1, 2})  # the one that drained waits
         for number in (1, 2):
@@ -792,7 +803,7 @@
         self.assertEqual(two.limit, two.start)  # of a life that is not known nothing raises a limit
         two.seen, two.pace = 40, 1.9
         again.keep._answered(2, How.SERVED, again.now)
-        again.tell(Event(51, True, [member(2, started=7), member(4)]))
+        again.tell(EndpointEvent(51, True, [member(2, started=7), member(4)]))
         # The same life: what was learnt stays, and so does its coldness, of which the register knows nothing.
         self.assertIs(again.engine(2).limiter, two)
         self.assertTrue(two.cold)
@@ -810,10 +821,10 @@
         again.run(5000)
         again.submit("first", left=20_000)
         again.run(5000)
-        ((_, relay),) = again.sent
-        again.keep.ended(relay, Ending.UNREACHABLE, again.now)
+        ((_, attempt),) = again.sent
+        again.keep.ended(attempt, Outcome.UNREACHABLE, again.now)
         again.step()
-        self.assertEqual((again.gateway.ready, again.keep.beliefs.state(1)), ([], State.CONTRADICTED))
+        self.assertEqual((again.gateway.ready_engines, again.keep.beliefs.state(1)), ([], State.CONTRADICTED))
         again.run(1000)
         self.assertIn(1, [m.id for m in again.keep.beliefs.due(again.now)])
         again.keep._answered(1, How.LISTENS, again.now)
@@ -827,7 +838,7 @@
         gateways, per_engine, firsts = 20, {1: [], 2: []}, []
         for seed in range(gateways):
             one = Fleet(self.path, wall=START + 5 * SECOND, boot="b2", seed=seed, gateways=gateways)
-            one.gateway.tariffs[0].usual.mean = 100_000.0
+            one.gateway.request_classes[0].latency.mean_us = 100_000.0
             for m in one.keep.beliefs.due(one.now):
                 one.keep._answered(m.id, How.LISTENS, one.now)
             one.step()
@@ -835,16 +846,16 @@
             firsts += [
                 (engine.limiter.cold - begun)
                 * one.gateway._cold_ration(engine)
-                / min(map(one.gateway._cold_weight, one.gateway.tariffs))
+                / min(map(one.gateway._cold_weight, one.gateway.request_classes))
                 for engine in ids
             ]
             one.sent = []
             for n in range(160):
                 one.submit(f"{n}", left=60_000)
                 one.run(50)
-            for at, relay in one.sent:
-                one.keep.ended(relay, Ending.FULFILLED, at)
-                per_engine[ids[relay.engine]].append(at - begun)
+            for at, attempt in one.sent:
+                one.keep.ended(attempt, Outcome.SUCCEEDED, at)
+                per_engine[ids[attempt.engine]].append(at - begun)
         # What nobody has vouched for begins within two turns, not one.
         self.assertTrue(1.2 < max(firsts) < 2 and min(firsts) < 0.4, firsts)
         # Rated as the module rates it: 2.0 * 0.5 of four cores at 0.85 busy and 0.9 of speed, in work of
@@ -884,12 +895,15 @@
 
     def test_usual_times_of_any_known_age_are_known_and_move_soon(self) -> None:
         for days, seen, mean in ((0, 150, 90_000), (7, 5, 90_000), (29, 5, 90_000), (30, 0, 100_000)):
-            tariffs = [record.Tariff("t0", 150, 90_000.0, 0.0, 1.0), record.Tariff("t1", 4, 1.0, 0.0, 1.0)]
+            request_classes = [
+                record.Tariff("t0", 150, 90_000.0, 0.0, 1.0),
+                record.Tariff("t1", 4, 1.0, 0.0, 1.0),
+            ]
             gateway = Fleet(self.path).gateway
-            put = learnt.put_tariffs(gateway, ["t0", "t1"], tariffs, days * 86_400 * SECOND)
-            usual = gateway.tariffs[0].usual
-            self.assertEqual((put, usual.seen, usual.mean), (seen > 0, seen, mean), days)
-            self.assertEqual(gateway.tariffs[1].usual.seen, 0)
+            put = learnt.put_tariffs(gateway, ["t0", "t1"], request_classes, days * 86_400 * SECOND)
+            usual = gateway.request_classes[0].latency
+            self.assertEqual((put, usual.sample_count, usual.mean_us), (seen > 0, seen, mean), days)
+            self.assertEqual(gateway.request_classes[1].latency.sample_count, 0)
 
     def test_a_hand_over_across_a_boot_or_too_old_is_none(self) -> None:
         fleet = self.first()
@@ -922,18 +936,18 @@
         fleet.written()
         fleet.keep.close()
         again = Fleet(self.path)
-        guard = again.gateway.agreed = Guard(again.keep, again.gateway)
+        guard = again.gateway.admission_rules = Guard(again.keep, again.gateway)
         for m in again.keep.beliefs.due(again.now):
             again.keep._answered(m.id, How.LISTENS, again.now)
         again.step()
         again.keep._answered(1, How.SERVED, again.now)
         once, twice = again.submit("once"), again.submit("twice")
-        once.tariff = dataclasses.replace(once.tariff, idempotent=False)
+        once.request_class = dataclasses.replace(once.request_class, is_idempotent=False)
         engines = [again.engine(1), again.engine(2)]
-        takes = [[guard.takes(one, engine, again.now) for engine in engines] for one in (once, twice)]
+        takes = [[guard.allows(one, engine, again.now) for engine in engines] for one in (once, twice)]
         self.assertEqual(takes, [[True, False], [True, True]])
-        again.tell(Event(51, False, [member(2)]))
-        self.assertTrue(guard.takes(once, again.engine(2), again.now))
+        again.tell(EndpointEvent(51, False, [member(2)]))
+        self.assertTrue(guard.allows(once, again.engine(2), again.now))
 
     def test_operators_see_verify_and_forget(self) -> None:
         fleet = self.first()
@@ -962,7 +976,7 @@
     def test_a_missing_folder_is_told_once(self) -> None:
         fleet = Fleet(f"{self.path}/none")
         for _ in range(2):
-            fleet.tell(Event(50, True, [member(1)]))
+            fleet.tell(EndpointEvent(50, True, [member(1)]))
             fleet.now += 60 * SECOND
             fleet.written()
         self.assertEqual(fleet.said, ["can't be written: No such file or directory; tried again"])
--- a/tests/test_kept_join.py
+++ b/tests/test_kept_join.py
@@ -19,8 +19,8 @@
 from cresstray.cli import cli
 from cresstray.clock import Clock
 from cresstray.config import operator
-from cresstray.discovery.endpoint_list import Event
-from cresstray.discovery.watch import Feed
+from cresstray.discovery.endpoint_list import EndpointEvent
+from cresstray.discovery.watch import EndpointWatch
 from cresstray.emulators.account import Account
 from cresstray.emulators.coordinator import Coordinator, Listed
 from cresstray.emulators.engine import Engine, Marks
@@ -86,12 +86,12 @@
         await self.gateway.ready()
         return begun
 
-    async def ask(self, tariff: str = "lookup", name: int = 0) -> dict:
+    async def ask(self, request_class: str = "lookup", name: int = 0) -> dict:
         if not name:
             name = self.names = self.names + 1
         async with await anyio.connect_tcp("127.0.0.1", self.gateway.port) as stream:
             client = ClientStandIn(stream, self.lines, names=name - 1)
-            await client.ask(1, "run 20 1 1", tariff, 300)
+            await client.ask(1, "run 20 1 1", request_class, 300)
             return await client.hear()
 
     async def first(self, tasks: TaskGroup) -> None:
@@ -324,7 +324,7 @@
     def test_a_long_list_is_listed_and_asked_piece_by_piece(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             first = Fleet(folder)
-            first.tell(Event(50, True, [member(number) for number in range(1, 21)]))
+            first.tell(EndpointEvent(50, True, [member(number) for number in range(1, 21)]))
             first.written()
             first.keep.close()
             fleet, asked = Fleet(folder), []
@@ -340,9 +340,11 @@
             gone = asked[0]
             keep._answered(gone, How.REFUSED, fleet.now)
             told = keep.look(fleet.now, 3)
-            self.assertEqual((gone, 4), (told.members[0].id, len(told.members)), "what is gone has waited")
+            self.assertEqual(
+                (gone, 4), (told.endpoints[0].id, len(told.endpoints)), "what is gone has waited"
+            )
             self.assertTrue(keep.more)
-            self.assertEqual([2, None], [len(keep.look(fleet.now, 3).members), keep.look(fleet.now, 3)])
+            self.assertEqual([2, None], [len(keep.look(fleet.now, 3).endpoints), keep.look(fleet.now, 3)])
 
 
 class Older(unittest.TestCase):
@@ -353,14 +355,14 @@
             told, clock = [], Clock()
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
-            feed = Feed(
+            feed = EndpointWatch(
                 f"127.0.0.1:{listener.getsockname()[1]}",
                 0,
-                lambda event: told.append(event.number),
+                lambda event: told.append(event.index),
                 Counters(),
                 Log("n0", clock),
             )
-            feed.takes_older = takes_older
+            feed.accepts_older_list = takes_older
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(feed.run, tasks)
                 # A link each: whole and changes; an older whole list, and again older ones on the same link.
@@ -372,7 +374,7 @@
                     made.close()
                 tasks.cancel_scope.cancel()
             listener.close()
-            return told, feed.last
+            return told, feed.last_index
 
         with contextlib.redirect_stderr(io.StringIO()):
             return anyio.run(main)
