--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,8 +7,8 @@
 from cresstray.clock import Timers
 from cresstray.engines import codec
 from cresstray.engines.codec import BrokenError
-from cresstray.engines.connection_pool import _MOST_BEHIND, AnyLink, AnyPool, Quota
-from cresstray.engines.in_flight import Exchange
+from cresstray.engines.connection_pool import _MOST_BEHIND, ConnectionPool, DescriptorQuota, EngineConnection
+from cresstray.engines.in_flight import InFlightRequest
 from cresstray.model_checking.world import VirtualClock
 from cresstray.observability.counters import Counters
 
@@ -17,22 +17,22 @@
     """A connection of which the other side takes `room` more bytes, or all."""
 
     def __init__(self) -> None:
-        self.sent, self.waiting = b"", bytearray()
+        self.sent, self.unsent = b"", bytearray()
         self.room: int | None = None
-        self.broken = self.ended = False
+        self.is_broken = self.ended = False
 
-    def put(self, message: bytes) -> bool:
-        if not self.waiting and self.broken:
+    def write(self, message: bytes) -> bool:
+        if not self.unsent and self.is_broken:
             return False
-        self.waiting += message
+        self.unsent += message
         self.flow()
         return True
 
     def flow(self) -> None:
         """What there is room for leaves."""
-        count = len(self.waiting) if self.room is None else min(self.room, len(self.waiting))
-        self.sent += bytes(self.waiting[:count])
-        del self.waiting[:count]
+        count = len(self.unsent) if self.room is None else min(self.room, len(self.unsent))
+        self.sent += bytes(self.unsent[:count])
+        del self.unsent[:count]
         self.room = None if self.room is None else self.room - count
 
     def has_ended(self) -> bool:
@@ -47,38 +47,38 @@
         return found
 
 
-class FakeLink(AnyLink):
+class FakeLink(EngineConnection):
     wire: FakeWire
     hung_up = False
 
-    def hang_up(self) -> None:
+    def abort(self) -> None:
         self.hung_up = True
 
     def come_up(self) -> FakeWire:
         self.wire = FakeWire()
-        self.up(self.wire)
+        self.on_connected(self.wire)
         return self.wire
 
     def answer(self, name: str, word: str, fields: str = "-", body: str = "") -> None:
-        self.received(hiredis.pack_command((name, word, fields, body)))
+        self.on_received(hiredis.pack_command((name, word, fields, body)))
 
 
-class FakePool(AnyPool):
+class FakePool(ConnectionPool):
     """Links come up and end by the test's hand."""
 
     def __init__(self, clock: VirtualClock, share: int = 64, most: int = 64, **limits: int) -> None:
         self.timers, counters = Timers(clock), Counters()
-        quota = Quota(share, most)
+        quota = DescriptorQuota(share, most)
         super().__init__(("e", 1), {"Limits": limits}, quota, self.timers, clock.now, counters)
         self.made: list[FakeLink] = []
         self.faults: list[Exception] = []
 
-    def dial(self) -> FakeLink:
+    def connect(self) -> FakeLink:
         self.made.append(FakeLink(self))
         return self.made[-1]
 
-    def fault(self, trouble: Exception) -> None:
-        super().fault(trouble)
+    def on_fault(self, trouble: Exception) -> None:
+        super().on_fault(trouble)
         self.faults.append(trouble)
 
 
@@ -91,7 +91,7 @@
         self.raises: set[str] = set()
         self.then = None  # called with each end
 
-    def _note(self, exchange: Exchange, what: str) -> None:
+    def _note(self, exchange: InFlightRequest, what: str) -> None:
         name = exchange.name.decode()
         self.told.append(f"{name} {what}")
         if name in self.raises:
@@ -99,24 +99,24 @@
         if self.then is not None:
             self.then(exchange)
 
-    def may_leave(self, exchange: Exchange) -> bool:
+    def may_send(self, exchange: InFlightRequest) -> bool:
         return self.allowed
 
-    def leaves(self, exchange: Exchange) -> None:
+    def on_sent(self, exchange: InFlightRequest) -> None:
         """What leaves is heard at the other end of the wire."""
 
-    def answered(self, exchange: Exchange, answer: codec.Answer) -> bool:
-        exchange.link.finish(exchange)
-        self._note(exchange, answer.word.decode())
+    def on_answer(self, exchange: InFlightRequest, answer: codec.Answer) -> bool:
+        exchange.connection.finish(exchange)
+        self._note(exchange, answer.kind.decode())
         return True
 
-    def unreached(self, exchange: Exchange) -> None:
+    def on_unreachable(self, exchange: InFlightRequest) -> None:
         self._note(exchange, "unreached")
 
-    def cut(self, exchange: Exchange, spoilt: bool) -> None:
+    def on_connection_lost(self, exchange: InFlightRequest, spoilt: bool) -> None:
         self._note(exchange, "spoilt" if spoilt else "cut")
 
-    def unsent(self, exchange: Exchange) -> None:
+    def on_unsent(self, exchange: InFlightRequest) -> None:
         self._note(exchange, "unsent")
 
 
@@ -128,9 +128,9 @@
     def pool(self, share: int = 64) -> FakePool:
         return FakePool(self.clock, share)
 
-    def start(self, pool: FakePool, name: str, size: int = 8) -> Exchange:
+    def start(self, pool: FakePool, name: str, size: int = 8) -> InFlightRequest:
         message = hiredis.pack_command(("ASK", name, "-", "x" * size))
-        exchange = Exchange(name.encode(), message, self.keeper, None)
+        exchange = InFlightRequest(name.encode(), message, self.keeper, None)
         pool.start(exchange)
         return exchange
 
@@ -152,16 +152,16 @@
             self.start(pool, "one")
             link = pool.made[0]
             link.come_up()
-            link.wire.broken = True
+            link.wire.is_broken = True
             self.start(pool, "two")
             self.keeper.allowed = allowed
-            link.gone()
+            link.on_closed()
             self.assertEqual((["one cut", *told], links), (self.keeper.told, len(pool.made)))
 
     def test_given_up_while_it_is_dialled(self) -> None:
         pool = self.pool()
         exchange = self.start(pool, "one")
-        exchange.link.give_up(exchange)
+        exchange.connection.abandon(exchange)
         wire = pool.made[0].come_up()
         self.assertEqual(([], []), (wire.heard(), self.keeper.told))
         self.assertIn(pool.made[0], pool.quota.idle)
@@ -171,12 +171,12 @@
         exchange = self.start(pool, "one")
         link = pool.made[0]
         link.come_up()
-        link.give_up(exchange)
-        link.give_up(exchange)
+        link.abandon(exchange)
+        link.abandon(exchange)
         self.assertEqual(["ASK one", "QUIT one"], link.wire.heard())
         other = self.start(pool, "two")
-        pool.made[1].gone()
-        other.link.give_up(other)
+        pool.made[1].on_closed()
+        other.connection.abandon(other)
         self.assertEqual(["two unreached"], self.keeper.told)
 
     def test_given_up_after_it_has_moved(self) -> None:
@@ -184,13 +184,13 @@
         self.start(pool, "one")
         first = pool.made[0]
         first.come_up()
-        first.wire.broken = True
+        first.wire.is_broken = True
         moved = self.start(pool, "two")
-        first.gone()
+        first.on_closed()
         second = pool.made[1]
-        self.assertIs(second, moved.link)
+        self.assertIs(second, moved.connection)
         second.come_up()
-        moved.link.give_up(moved)
+        moved.connection.abandon(moved)
         self.assertEqual(["ASK two", "QUIT two"], second.wire.heard())
         self.assertEqual([], first.wire.heard()[1:])
 
@@ -204,7 +204,7 @@
         self.assertTrue(link.hung_up)
 
     def test_an_old_address_that_does_not_answer_says_nothing_of_the_engine(self) -> None:
-        for ends in (FakeLink.gone, None):
+        for ends in (FakeLink.on_closed, None):
             self.keeper.told = []
             pool = self.pool()
             self.start(pool, "one")
@@ -225,7 +225,7 @@
         self.start(pool, "one")
         self.start(pool, "two")
         pool.retire()
-        pool.recall_unwritten()
+        pool.cancel_unwritten()
         self.assertEqual(["one unsent", "two unsent"], self.keeper.told)
         self.assertEqual([False, True, True], [link.hung_up for link in pool.made])
         pool.made[0].answer("out", "served")
@@ -239,15 +239,15 @@
             pool = self.pool(share=1)
             exchanges = [self.start(pool, name) for name in ("one", "two", "three")]
 
-            def then(exchange: Exchange, pool=pool, exchanges=exchanges) -> None:
+            def then(exchange: InFlightRequest, pool=pool, exchanges=exchanges) -> None:
                 if exchange is exchanges[0]:
-                    exchanges[1].link.give_up(exchanges[1])
+                    exchanges[1].connection.abandon(exchanges[1])
                     self.start(pool, "new")
 
             self.keeper.then = then
             self.keeper.allowed = recalled
             if recalled:
-                pool.recall_unwritten()
+                pool.cancel_unwritten()
             wire = pool.made[0].come_up()
             self.assertEqual(["one unsent", "three unsent"], self.keeper.told)
             self.assertEqual((["ASK new"], []), (wire.heard(), pool.faults))
@@ -268,22 +268,22 @@
         pool = self.pool(share=1)
         link = self.busy(pool, 10)
         self.start(pool, "partly")
-        self.assertTrue(link.wire.waiting)
+        self.assertTrue(link.wire.unsent)
         self.start(pool, "next")
-        self.assertEqual(["first", "partly"], [name.decode() for name in link.life.open])
+        self.assertEqual(["first", "partly"], [name.decode() for name in link.in_flight.open])
         self.assertEqual(["ASK next"], pool.made[1].come_up().heard())
         link.wire.room = None
         link.wire.flow()
         link.answer("first", "served")
         self.start(pool, "after")
         self.assertIn(b"after", pool.made[1].wire.sent + link.wire.sent)
-        self.assertEqual((2, False), (len(pool.made), link.life.retired))
+        self.assertEqual((2, False), (len(pool.made), link.in_flight.is_retired))
 
     def test_what_has_not_left_at_all_takes_another_link(self) -> None:
         pool = self.pool(share=1)
         link = self.busy(pool, 0)
         self.start(pool, "second")
-        self.assertEqual((b"", True), (bytes(link.wire.waiting), link.life.retired))
+        self.assertEqual((b"", True), (bytes(link.wire.unsent), link.in_flight.is_retired))
         self.assertEqual(["ASK second"], pool.made[1].come_up().heard())
 
     def test_of_two_on_a_link_that_comes_up_the_second_goes_elsewhere(self) -> None:
@@ -291,11 +291,11 @@
         self.start(pool, "one")
         self.start(pool, "two")
         link = pool.made[0]
-        self.assertEqual(2, len(link.life.open))
+        self.assertEqual(2, len(link.in_flight.open))
         link.wire = FakeWire()
         link.wire.room = 10
-        link.up(link.wire)
-        self.assertEqual(["one"], [name.decode() for name in link.life.open])
+        link.on_connected(link.wire)
+        self.assertEqual(["one"], [name.decode() for name in link.in_flight.open])
         self.assertEqual(["ASK two"], pool.made[1].come_up().heard())
         link.wire.room = None
         link.wire.flow()
@@ -308,14 +308,14 @@
         self.start(pool, "other")
         link.wire.room = 10
         partly = self.start(pool, "partly")
-        link.give_up(partly)
+        link.abandon(partly)
         self.assertTrue(link.hung_up)
-        link.give_up(link.life.open[b"first"])
+        link.abandon(link.in_flight.open[b"first"])
         link.wire.room = None
         sent = link.wire.sent
         link.wire.flow()  # before the connection has ended
         self.assertEqual((["ASK first", "ASK other"], sent), (link.wire.heard(), link.wire.sent))
-        link.gone()
+        link.on_closed()
         self.assertEqual(["other cut"], self.keeper.told)
 
     def test_answered_once_its_rest_has_left(self) -> None:
@@ -325,9 +325,9 @@
         partly = self.start(pool, "partly")
         link.wire.room = len(partly.message) - 10 + 5
         link.wire.flow()
-        link.life.heard += 1  # the engine lives
-        link.give_up(link.life.open[b"first"])
-        self.assertTrue(link.wire.waiting)
+        link.in_flight.received_count += 1  # the engine lives
+        link.abandon(link.in_flight.open[b"first"])
+        self.assertTrue(link.wire.unsent)
         link.answer("partly", "served")
         self.assertEqual(["partly served"], self.keeper.told)
 
@@ -336,13 +336,13 @@
         pool = self.pool(share=1)
         link = self.busy(pool, 10)
         partly = self.start(pool, "partly")
-        link.life.heard += 1  # the engine lives
-        link.give_up(link.life.open[b"first"])
+        link.in_flight.received_count += 1  # the engine lives
+        link.abandon(link.in_flight.open[b"first"])
         link.wire.room = len(partly.message) - 10
         link.wire.flow()
-        self.assertTrue(link.wire.waiting)
-        link.life.heard += 1
-        link.give_up(partly)
+        self.assertTrue(link.wire.unsent)
+        link.in_flight.received_count += 1
+        link.abandon(partly)
         self.assertFalse(link.hung_up)
         link.wire.room = None
         link.wire.flow()
@@ -355,8 +355,8 @@
         self.start(pool, "partly")
         with self.assertRaises(BrokenError):
             link.answer("partly", "overload")
-        link.spoilt = True
-        link.gone()
+        link.is_corrupt = True
+        link.on_closed()
         self.assertEqual(["first spoilt", "partly spoilt"], self.keeper.told)
 
     def test_an_answer_to_what_was_not_written(self) -> None:
@@ -364,7 +364,7 @@
         self.start(pool, "first")
         link = pool.made[0]
         link.come_up()
-        link.wire.broken = True
+        link.wire.is_broken = True
         self.start(pool, "second")
         link.answer("second", "served")
         self.assertEqual(([], 1), (self.keeper.told, pool.counters.counts["answers not awaited"]))
@@ -374,8 +374,8 @@
         pool = self.pool(share=1)
         link = self.busy(pool, 1)
         self.start(pool, "partly")
-        link.wire.broken = True
-        link.gone()
+        link.wire.is_broken = True
+        link.on_closed()
         self.assertEqual(["first cut", "partly cut"], self.keeper.told)
         self.assertEqual(1, len(pool.made))
 
@@ -385,17 +385,17 @@
         most = 0
         for _ in range(100_000):
             link.send(b"*3\r\n$4\r\nNEXT\r\n$16\r\n0123456789abcdef\r\n$1\r\n1\r\n")
-            most = max(most, len(link.wire.waiting))
+            most = max(most, len(link.wire.unsent))
         self.assertTrue(link.hung_up)
         self.assertLess(most, _MOST_BEHIND + 100)
-        link.gone()
+        link.on_closed()
         self.assertEqual(["first cut"], self.keeper.told)
 
     def test_a_long_request_that_leaves_slowly_keeps_its_link(self) -> None:
         pool = self.pool(share=1)
         link = self.busy(pool, 10)
         self.start(pool, "long", 4 * _MOST_BEHIND)
-        link.give_up(link.life.open[b"first"])
+        link.abandon(link.in_flight.open[b"first"])
         link.wire.room = None
         link.wire.flow()
         self.assertEqual(["ASK first", "ASK long", "QUIT first"], link.wire.heard())
@@ -414,12 +414,12 @@
                     self.keeper.allowed = False
                     pool.made[0].come_up()
                 elif how == "recalled":
-                    pool.recall_unwritten()
+                    pool.cancel_unwritten()
                 elif how == "moved":
                     pool.move(("e", 2))
                     pool.timers.run_due()
                 else:
-                    pool.made[0].gone()
+                    pool.made[0].on_closed()
                 end = "unreached" if how == "gone" else "unsent"
                 self.assertEqual([f"{name} {end}" for name in ("one", "two", "three")], self.keeper.told)
                 self.assertEqual((1, 1), (len(pool.faults), pool.counters.counts["faults"]))
@@ -430,10 +430,10 @@
         self.start(pool, "idle")
         pool.made[0].come_up()
         pool.made[0].answer("idle", "served")
-        pool.made[0].line.waiting += b"QUIT"
+        pool.made[0].line.unsent += b"QUIT"
         self.start(pool, "one")
-        pool.made[1].lacking = True
-        pool.made[1].gone()
+        pool.made[1].is_out_of_descriptors = True
+        pool.made[1].on_closed()
         self.assertEqual(["idle served", "one unsent"], self.keeper.told)
         self.assertTrue(pool.made[0].hung_up)
 
@@ -446,7 +446,7 @@
         link.answer("one", "overload")
         link.answer("one", "overload")
         second = self.start(pool, "one")
-        self.assertIsNot(first.link, second.link)
+        self.assertIsNot(first.connection, second.connection)
         pool.made[1].come_up()
         link.answer("one", "overload")
         link.answer("other", "served")
@@ -460,11 +460,11 @@
         exchange = self.start(pool, "one")
         link = pool.made[0]
         link.come_up()
-        exchange.link.give_up(exchange)
+        exchange.connection.abandon(exchange)
         link.answer("one", "served")
         self.assertEqual([], self.keeper.told)
         again = self.start(pool, "one")
-        self.assertIsNot(link, again.link)
+        self.assertIsNot(link, again.connection)
 
     def test_an_answer_in_single_bytes_and_half_of_one(self) -> None:
         pool = self.pool()
@@ -475,12 +475,12 @@
         answer = hiredis.pack_command(("one", "served", "-", "a\tb\tc\n"))
         for at in range(len(answer)):
             self.assertEqual([], self.keeper.told)
-            pool.made[0].received(answer[at : at + 1])
+            pool.made[0].on_received(answer[at : at + 1])
         self.assertEqual(["one served"], self.keeper.told)
-        pool.made[1].received(answer[:-1])
+        pool.made[1].on_received(answer[:-1])
         self.clock.at += 250_000
-        self.assertEqual(0.0, pool.made[1].left())
-        for ends in (pool.made[1].stopped, pool.made[1].cut_short):
+        self.assertEqual(0.0, pool.made[1].seconds_left())
+        for ends in (pool.made[1].on_stalled, pool.made[1].on_end_of_stream):
             with self.assertRaises(BrokenError):
                 ends()
 
@@ -499,13 +499,13 @@
         pool = self.pool()
         for number in range(600):
             exchange = self.start(pool, f"{number}")
-            link = exchange.link
+            link = exchange.connection
             if link.line is None:
                 link.come_up()
-            link.life.heard += 1  # the engine lives
-            link.give_up(exchange)
+            link.in_flight.received_count += 1  # the engine lives
+            link.abandon(exchange)
         self.assertEqual([True, False], [link.hung_up for link in pool.made])
-        self.assertEqual(500, len(pool.made[0].life.given_up))
+        self.assertEqual(500, len(pool.made[0].in_flight.abandoned))
 
 
 if __name__ == "__main__":
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -103,10 +103,10 @@
     def add(self, link: object) -> None:
         self.link = link
 
-    def standing(self, link: object, ready: bool) -> None:
+    def on_state(self, link: object, ready: bool) -> None:
         self.ready = ready
 
-    def room_told(self, link: object) -> None:
+    def on_capacity(self, link: object) -> None:
         """Nothing is held."""
 
 
@@ -223,10 +223,10 @@
                         "Front",
                         (),
                         {
-                            "take": lambda self, asker, number, query, crossing: asker.open.update(
+                            "accept": lambda self, responder, number, query, crossing: responder.open.update(
                                 {number: None}
                             ),
-                            "withdraw": lambda self, asker, number, name: asker.open.pop(number),
+                            "cancel": lambda self, responder, number, name: responder.open.pop(number),
                         },
                     )(),
                 )
@@ -450,4 +450,5 @@
             "redis",
         )
         self.assertIn("cresstray.gateway.service", said)
-        self.assertEqual([], [name for name in said if name.startswith(unwanted)])
+        loaded = [name for name in said if any(name == one or name.startswith(f"{one}.") for one in unwanted)]
+        self.assertEqual([], loaded)
--- a/tests/test_placement_moves.py
+++ b/tests/test_placement_moves.py
@@ -20,7 +20,7 @@
 
 from cresstray.cli import placement as typed
 from cresstray.emulators.shards import Held, RefusedError, Shelf, passed_on
-from cresstray.engines.codec import Answer, Answers, ask
+from cresstray.engines.codec import Answer, AnswerDecoder, ask
 from cresstray.fleet_config import documents
 from cresstray.fleet_config import state as rules
 from cresstray.observability.counters import Counters
@@ -116,7 +116,7 @@
         assert self.state.dump() == dumped
         self.carrier, self.told = self.make(TIMES), {}
 
-    def place(self, name: str, copies: tuple[str, ...]) -> rules.Outcome:
+    def place(self, name: str, copies: tuple[str, ...]) -> rules.CommandResult:
         """An operator's own version, once nothing else waits."""
         latest = self.state.latest
         shard = documents.Shard(copies, copies[0], latest.placement.items[name].epoch + 1, copies)
@@ -668,12 +668,12 @@
         def told(engine: str, statement: str) -> Answer:
             with socket.create_connection(("127.0.0.1", self.ports[engine]), 5) as made:
                 made.sendall(ask(b"q", "t", 1000, "", statement.encode()))
-                answers = Answers()
+                answers = AnswerDecoder()
                 while not (found := answers.feed(made.recv(65536))):
                     pass
             return found[0]
 
-        self.assertEqual(told("a1", "run 1 1 1").word, b"served")
+        self.assertEqual(told("a1", "run 1 1 1").kind, b"served")
         self.assertNotIn("shard", told("a1", "run 1 1 1").report)
         for head in (1, 2):
             report = told("a1", "write 1 1 1 into sales_1.orders").report
@@ -681,9 +681,9 @@
             self.assertEqual(named, [1, 1, head, head])
         hinted = told("a1", "/*+ cresstray read=replica */ run 1 1 1 from sales_1.x")
         self.assertEqual(hinted.report["head"], 2)
-        self.assertEqual(told("a2", "run 1 1 1 from sales_1.orders").word, b"crashed")
+        self.assertEqual(told("a2", "run 1 1 1 from sales_1.orders").kind, b"crashed")
         asked(self.ports["a1"], "SWITCH", "1", "MOVE", "5", "EPOCH", "2", "PRIMARY", "", "FROM", "")
-        self.assertEqual(told("a1", "write 1 1 1 into sales_1.orders").word, b"crashed")
+        self.assertEqual(told("a1", "write 1 1 1 into sales_1.orders").kind, b"crashed")
         self.assertEqual(asked(self.ports["a1"], "DROP", "1", "MOVE", "4"), {"refused": "older"})
         # A read that is open keeps its copy.
         with socket.create_connection(("127.0.0.1", self.ports["a1"]), 5) as made:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -14,14 +14,14 @@
 from hypothesis import strategies as st
 
 from cresstray.control_plane import replica_positions as joined
-from cresstray.discovery.endpoint_list import Event, Member
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.fleet_config.active_config import InUse, Mode
 from cresstray.fleet_config.documents import Documents, Pin, Placement, Replicas, Shard
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.replica_reads import Directory
+from cresstray.pipeline.replica_reads import EngineDirectory
 from cresstray.placement.data_transfer import Hands
 from cresstray.placement.move_executor import Copy, Disk
-from cresstray.policy.types import Engine, Standing, Submission, Tariff
+from cresstray.policy.types import EndpointState, Engine, Request, RequestClass
 from cresstray.replicas import fallback, read
 from cresstray.replicas import position_polling as asking
 from cresstray.replicas import replica_selection as choose
@@ -35,7 +35,7 @@
 
 MS = 1000
 TABLE = tomllib.loads((Path(__file__).parent / "conformance" / "replicas.toml").read_text())
-TARIFF = Tariff(0, 1, 500 * MS, 0, 1, 0, True, False, "all", 0, False, None, None)
+TARIFF = RequestClass(0, 1, 500 * MS, 0, 1, 0, True, False, "all", 0, False, None, None)
 CORES, EXPECTED = 8, 30 * MS
 
 
@@ -63,7 +63,7 @@
 
 def ask(reads: Reads, hint: str, now: int = 0, expected: int = EXPECTED):
     one = reads.hint(f"/*+ cresstray {hint} */ select 1 from t_7.x", TARIFF, now, "t", "n")
-    one.submission = Submission(TARIFF, now, now + 1_000_000, expected=expected)
+    one.submission = Request(TARIFF, now, now + 1_000_000, expected_latency_us=expected)
     return one
 
 
@@ -167,14 +167,16 @@
         )
         limits: set[str] = set()
         reads = gateway(use, full=lambda name, *_: name in limits)
-        writing = Tariff(0, 1, 0, 0, 1, 0, False, False, "all", 0, False, None, None)
-        for tariff, table, hint, wrong in (
+        writing = RequestClass(0, 1, 0, 0, 1, 0, False, False, "all", 0, False, None, None)
+        for request_class, table, hint, wrong in (
             (writing, "t_7.x", "", "writes"),
             (TARIFF, "x", "", "no shard"),
             (TARIFF, "t_7.x", " after=" + token(Token(8, 1, 1)), "shard 8"),
         ):
             with self.assertRaisesRegex(HintError, wrong):
-                reads.hint(f"/*+ cresstray read=replica within=1s{hint} */ select 1 from {table}", tariff, 0)
+                reads.hint(
+                    f"/*+ cresstray read=replica within=1s{hint} */ select 1 from {table}", request_class, 0
+                )
         self.assertIsNone(reads.hint("select 1 from t_7.x", writing, 0))
         self.assertFalse(ask(reads, "read=replica within=1s else=deny").admits(0))
         one = ask(reads, "read=replica within=1s else=wait")
@@ -222,19 +224,20 @@
         self.assertEqual(reads.needs(1_000 * MS, 9), [])
 
     def test_directory(self) -> None:
-        directory, engines = Directory(("north", "south")), {}
-        member = Member(42, "h", 1, Standing.READY, 1, 0, 0, 0)
+        directory, engines = EngineDirectory(("north", "south")), {}
+        member = Endpoint(42, "h", 1, EndpointState.READY, 1, 0, 0, 0)
         engines[42] = Engine(zone=1)
-        directory.listed(Event(1, False, [member]), engines)
+        directory.apply_event(EndpointEvent(1, False, [member]), engines)
         self.assertEqual(
             (directory.ids[engines[42]], directory.zone_of("s-0000002a")), ("s-0000002a", "south")
         )
         self.assertEqual((directory.zone_of("s-00000001"), directory.cores("s-0000002a")), (None, 0.0))
-        directory.listed(Event(2, True, []), {})
+        directory.apply_event(EndpointEvent(2, True, []), {})
         self.assertEqual((directory.ids, directory.zone_of("s-0000002a")), ({}, "south"))
         for number in range(3000):
-            directory.listed(
-                Event(3, True, [Member(number, "h", 1, Standing.READY, 0, 0, 0, 0)]), {number: Engine()}
+            directory.apply_event(
+                EndpointEvent(3, True, [Endpoint(number, "h", 1, EndpointState.READY, 0, 0, 0, 0)]),
+                {number: Engine()},
             )
         self.assertEqual((len(directory.ids), directory.zone_of("s-0000002a")), (1, None))
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,22 +19,22 @@
 import anyio.lowlevel
 
 from cresstray import __main__ as program
-from cresstray.clients.listener import Door
+from cresstray.clients.listener import Listener
 from cresstray.clock import Clock, Timers
-from cresstray.discovery.endpoint_list import Event, Member
-from cresstray.engines.connection import Link, Pool, Quota
-from cresstray.engines.in_flight import Exchange, Exchanges
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
+from cresstray.engines.connection import DescriptorQuota, SocketConnection, SocketConnectionPool
+from cresstray.engines.in_flight import InFlightRequest, InFlightRequests
 from cresstray.gateway.service import Service
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.pipeline.routing import Route
-from cresstray.policy.types import Standing
+from cresstray.pipeline.routing import Router
+from cresstray.policy.types import EndpointState
 from tests.desk import ClientStandIn, EngineStandIn, TraceCase, settings
 from tests.test_codecs import frame
 
 
-def member(port: int, number: int = 1, standing: Standing = Standing.READY) -> Member:
-    return Member(number, "127.0.0.1", port, standing, 0, 0, 0, 0)
+def member(port: int, number: int = 1, standing: EndpointState = EndpointState.READY) -> Endpoint:
+    return Endpoint(number, "127.0.0.1", port, standing, 0, 0, 0, 0)
 
 
 class Stage:
@@ -64,7 +64,7 @@
                 ("127.0.0.1", 0),
                 7,
                 self.settings,
-                [Event(1, True, listed)],
+                [EndpointEvent(1, True, listed)],
                 coordinator,
                 lambda: self.coordinator,
             )
@@ -325,10 +325,10 @@
         """Clients at a door of `most`, and what `check` notes about it; the clock is the test's."""
 
         async def main() -> None:
-            door = Door(
+            door = Listener(
                 frozenset(), None, lambda: most, many, lambda: clock[0], Counters(), Log("n0", Clock())
             )
-            door.front = type("Front", (), {"gone": lambda self, connection: None})()
+            door.handler = type("Front", (), {"on_disconnected": lambda self, connection: None})()
             with contextlib.ExitStack() as crowd:
                 listener = crowd.enter_context(socket.create_server(("127.0.0.1", 0), backlog=200))
                 listener.setblocking(False)
@@ -350,14 +350,16 @@
         return lines
 
     def test_a_crowd_is_accepted_at_once(self) -> None:
-        async def check(door: Door, _: list[int], lines: list[str], clients: list[socket.socket]) -> None:
+        async def check(door: Listener, _: list[int], lines: list[str], clients: list[socket.socket]) -> None:
             await turns(20)
             lines.append(f"{len(door.connections)} of {len(clients)} are served after 20 turns of the loop")
 
         self.check("crowd", self.crowd(200, 200, 100, check))
 
     def test_silent_clients_make_room(self) -> None:
-        async def check(door: Door, clock: list[int], lines: list[str], clients: list[socket.socket]) -> None:
+        async def check(
+            door: Listener, clock: list[int], lines: list[str], clients: list[socket.socket]
+        ) -> None:
             def note(text: str) -> None:
                 lines.append(f"{text}: {' '.join(names[one] for one in door.connections)}")
 
@@ -383,7 +385,7 @@
                     for one in door.connections:
                         names.setdefault(one, text.split()[1])
                 else:
-                    door.close_silent()
+                    door.close_idle()
                 note(f"{milliseconds} ms, {text}")
             for client in clients:
                 client.close()
@@ -391,14 +393,16 @@
         self.check("silent_clients", self.crowd(4, 4, 4, check))
 
     def test_who_stays_after_an_answer_keeps_nobody_out(self) -> None:
-        async def check(door: Door, clock: list[int], lines: list[str], clients: list[socket.socket]) -> None:
+        async def check(
+            door: Listener, clock: list[int], lines: list[str], clients: list[socket.socket]
+        ) -> None:
             for client in clients[:5]:
                 client.sendall(b'{"jsonrpc":"2.0","id":1,"method":"status"}\n')
             await turns(20)
             for clock[0] in (200_000, 400_000):
-                door.close_silent()
+                door.close_idle()
                 lines.append(
-                    f"{clock[0]} us: {[one.spoken for one in door.connections].count(True)} "
+                    f"{clock[0]} us: {[one.has_sent_request for one in door.connections].count(True)} "
                     f"answered, {len(door.connections)} in all"
                 )
                 await turns(2)
@@ -415,37 +419,41 @@
 
     def names_on_a_link(self) -> None:
         timers = Timers(Clock())
-        pool = Pool(
+        pool = SocketConnectionPool(
             "engine",
             ("127.0.0.1", 1),
             {},
-            Quota(8, 8),
+            DescriptorQuota(8, 8),
             None,
             timers,
             Clock().now,
             Counters(),
             Log("n0", Clock()),
         )
-        link, lines = Link(pool), []
+        link, lines = SocketConnection(pool), []
         stand_in = {
-            "put": lambda self, message: True,
+            "write": lambda self, message: True,
             "has_ended": lambda self: False,
-            "waiting": bytearray(),
+            "unsent": bytearray(),
         }
         link.line = type("Line", (), stand_in)()
-        keeper = type("Keeper", (), {"leaves": lambda self, exchange: None})()
+        keeper = type("Keeper", (), {"on_sent": lambda self, exchange: None})()
         for name in (b"first", b"second"):
-            link.start(Exchange(name, b"", keeper, None))
-        link.life.heard = 1
+            link.start(InFlightRequest(name, b"", keeper, None))
+        link.in_flight.received_count = 1
         for text, name in (("open", b"first"), ("given up", b"first"), ("new", b"third")):
             if text == "given up":
-                link.give_up(link.life.open[name])
-            lines.append(f"{text}: {'room' if link.life.room_for(name) else 'no room'}")
-        link.finish(link.life.open[b"second"])
-        lines.append(f"answered, asked again: {'room' if link.life.room_for(b'second') else 'no room'}")
-        link.start(Exchange(b"third", b"", keeper, None))
-        link.give_up(link.life.open[b"third"])
-        lines.append(f"given up, nothing heard: {'room' if link.life.room_for(b'new') else 'no room'}")
+                link.abandon(link.in_flight.open[name])
+            lines.append(f"{text}: {'room' if link.in_flight.has_room_for(name) else 'no room'}")
+        link.finish(link.in_flight.open[b"second"])
+        lines.append(
+            f"answered, asked again: {'room' if link.in_flight.has_room_for(b'second') else 'no room'}"
+        )
+        link.start(InFlightRequest(b"third", b"", keeper, None))
+        link.abandon(link.in_flight.open[b"third"])
+        lines.append(
+            f"given up, nothing heard: {'room' if link.in_flight.has_room_for(b'new') else 'no room'}"
+        )
         self.check("links", lines)
 
     def test_what_the_end_of_a_link_means(self) -> None:
@@ -458,29 +466,31 @@
             ("moved twice", True, False, 2),
             ("never up", False, False, 0),
         ):
-            life, exchange = Exchanges(8), Exchange(b"one", b"", None, None)
-            exchange.moves = moves
+            life, exchange = InFlightRequests(8), InFlightRequest(b"one", b"", None, None)
+            exchange.reconnects = moves
             life.begin(exchange)
-            life.wrote(exchange, written)
-            ended = life.end(came_up)
-            self.assertFalse(life.room_for(b"two"))
-            lines.append(f"{text}: {', '.join(fate.value for _, fate in ended)}; {exchange.moves} moves")
+            life.on_written(exchange, written)
+            ended = life.on_connection_closed(came_up)
+            self.assertFalse(life.has_room_for(b"two"))
+            lines.append(f"{text}: {', '.join(fate.value for _, fate in ended)}; {exchange.reconnects} moves")
         self.check("link_ends", lines)
 
     def test_engines_that_are_gone_are_forgotten(self) -> None:
-        def pool(label: str, address: tuple[str, int]) -> Pool:
+        def pool(label: str, address: tuple[str, int]) -> SocketConnectionPool:
             lines.append(f"links to {label}")
-            return Pool(label, address, {}, Quota(8, 8), None, None, None, Counters(), None)
+            return SocketConnectionPool(
+                label, address, {}, DescriptorQuota(8, 8), None, None, None, Counters(), None
+            )
 
-        lines, route = [], Route(pool, None)
+        lines, route = [], Router(pool, None)
         for text, event in (
-            ("two come", Event(1, True, [member(1, 1), member(2, 2)])),
-            ("one leaves", Event(2, False, [member(1, 1, Standing.GONE)])),
-            ("a late word on it", Event(3, False, [member(1, 1, Standing.GONE)])),
-            ("its address under another id", Event(4, False, [member(1, 3)])),
-            ("only that one is listed", Event(5, True, [member(1, 3)])),
+            ("two come", EndpointEvent(1, True, [member(1, 1), member(2, 2)])),
+            ("one leaves", EndpointEvent(2, False, [member(1, 1, EndpointState.REMOVED)])),
+            ("a late word on it", EndpointEvent(3, False, [member(1, 1, EndpointState.REMOVED)])),
+            ("its address under another id", EndpointEvent(4, False, [member(1, 3)])),
+            ("only that one is listed", EndpointEvent(5, True, [member(1, 3)])),
         ):
-            entries = len(route.listed(event))
+            entries = len(route.apply_event(event))
             lines.append(f"{text}: {entries} told, {len(route._engines)} kept, {len(route._pools)} pools")
         self.check("gone", lines)
 
@@ -489,9 +499,9 @@
         clock.now = lambda: now
         timers, now = Timers(clock), 0
         for at, text in ((50, "late"), (10, "early"), (10, "early too"), (30, "cancelled")):
-            due = timers.after(at, lambda _, text=text: lines.append(text))
+            due = timers.call_after(at, lambda _, text=text: lines.append(text))
         due.cancel()
-        timers.after(20, lambda _: timers.after(0, lambda _: lines.append("added by a call")))
+        timers.call_after(20, lambda _: timers.call_after(0, lambda _: lines.append("added by a call")))
         for now in (9, 10, 40, 50):  # noqa: B007, the clock reads it
             lines.append(f"at {now}: next in {timers.run_due()}")
         self.check("timers", lines)
@@ -505,8 +515,8 @@
             clock = Clock()
             clock.now = lambda: 7
             timers = Timers(clock, None if told is None else told.append)
-            timers.after(0, fails)
-            timers.after(0, made.append)
+            timers.call_after(0, fails)
+            timers.call_after(0, made.append)
             if told is None:
                 with self.assertRaises(ValueError):
                     timers.run_due()
@@ -536,9 +546,9 @@
 
     def test_what_must_hold(self) -> None:
         counters = Counters()
-        counters.must(True, "nothing")
+        counters.check(True, "nothing")
         with self.assertRaises(AssertionError):
-            counters.must(False, "a submission is answered once")
+            counters.check(False, "a submission is answered once")
 
     def test_configuration(self) -> None:
         lines = []
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -45,7 +45,7 @@
 from cresstray.idempotency.records import Event, Kind, Mark, State, step
 from cresstray.idempotency.write_behind import Behind
 from cresstray.observability.counters import Counters
-from cresstray.policy.types import Ending, Submission, Tariff
+from cresstray.policy.types import Outcome, Request, RequestClass
 
 SECOND, START = 1_000_000, 1_800_000_000_000_000
 MEMORY = 20 * SECOND
@@ -143,8 +143,12 @@
 # The guard.
 
 
-def tariff(deduplicated: bool = True, group: str = "all", idempotent: bool = False, index: int = 0) -> Tariff:
-    return Tariff(index, 1, SECOND, 0.0, 1.0, 0.0, idempotent, deduplicated, group, MEMORY, False, None, None)
+def tariff(
+    deduplicated: bool = True, group: str = "all", idempotent: bool = False, index: int = 0
+) -> RequestClass:
+    return RequestClass(
+        index, 1, SECOND, 0.0, 1.0, 0.0, idempotent, deduplicated, group, MEMORY, False, None, None
+    )
 
 
 class Guarding(unittest.TestCase):
@@ -595,7 +599,7 @@
 
         self.world.at(delay, due)
 
-    def after(self, delay: int, call: Callable[[int], None]) -> None:
+    def call_after(self, delay: int, call: Callable[[int], None]) -> None:
         self.does(delay, lambda: call(self.now()))
 
     def pause(self, seconds: int) -> None:
@@ -635,12 +639,12 @@
         self,
         mark: str,
         hold: int = 0,
-        ending: Ending = Ending.FULFILLED,
+        ending: Outcome = Outcome.SUCCEEDED,
         work: int = 100_000,
         tenant: int = 0,
     ) -> None:
         now, world = self.now(), self.world
-        submission = Submission(tariff(), now, now + 3 * SECOND, tenant)
+        request = Request(tariff(), now, now + 3 * SECOND, tenant)
 
         def told(decision: Any) -> None:
             world.counts[type(decision).__name__] += 1
@@ -650,25 +654,25 @@
                 self.does(hold, send)
 
         def send() -> None:
-            if not self.marks.may_send(submission, self.now()):
+            if not self.marks.may_send(request, self.now()):
                 world.counts["held back"] += 1
-                self.marks.ended(submission, "denied", None, self.now())
+                self.marks.ended(request, "denied", None, self.now())
                 return
-            self.marks.sent(submission, self.now())
-            if ending is not Ending.FULL:
+            self.marks.sent(request, self.now())
+            if ending is not Outcome.OVERLOADED:
                 world.at(10_000, lambda: world.arrive(mark))
             self.does(work, back)
 
         send.sends = True
 
         def back() -> None:
-            self.marks.relay_ended(submission, ending, self.now())
-            how = {Ending.FULFILLED: "fulfilled", Ending.FULL: "denied"}.get(ending, "abandoned")
-            self.marks.ended(submission, how, b"r" * self.world.faults.get("size", 50), self.now())
+            self.marks.relay_ended(request, ending, self.now())
+            how = {Outcome.SUCCEEDED: "fulfilled", Outcome.OVERLOADED: "denied"}.get(ending, "abandoned")
+            self.marks.ended(request, how, b"r" * self.world.faults.get("size", 50), self.now())
 
-        errand = SimpleNamespace(submission=submission, query=SimpleNamespace(mark=mark))
+        context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key=mark))
         world.counts["asked"] += 1
-        world.counts["unmarked"] += not self.marks.ask(errand, now, told)
+        world.counts["unmarked"] += not self.marks.ask(context, now, told)
 
 
 def restart(world: World, at: int) -> None:
@@ -688,7 +692,9 @@
     for n in range(8):
         begin = int(chance.random() * 10 * SECOND)
         for again in chance.sample(ASKED_AGAIN, 6):
-            ending = chance.choice([Ending.FULFILLED] * 2 + [Ending.RESET] * 2 + [Ending.FULL])
+            ending = chance.choice(
+                [Outcome.SUCCEEDED] * 2 + [Outcome.CONNECTION_LOST] * 2 + [Outcome.OVERLOADED]
+            )
             hold = chance.choice((0, 0, 50_000, SECOND, 2 * SECOND))
             work = chance.choice((30_000, 300_000, 2 * SECOND))
 
@@ -742,7 +748,7 @@
     return sum(walk(seed, **faults).second_runs() for seed in seeds)
 
 
-def marked_after(self: Marks, errand: Any, now: int, call: Callable[[Any], None]) -> bool:
+def marked_after(self: Marks, context: Any, now: int, call: Callable[[Any], None]) -> bool:
     kept, self._look_up = (
         self._look_up,
         lambda held, now: (
@@ -751,7 +757,7 @@
         ),
     )
     try:
-        return ask(self, errand, now, call)
+        return ask(self, context, now, call)
     finally:
         self._look_up = kept
 
@@ -759,7 +765,7 @@
 def go_by_timer(self: Marks, held: Any, fence: int, until: int, at: int, began: int, now: int) -> None:
     go(self, held, fence, until, at, began, now)
     ends, held.until = held.until, held.until and 1 << 62
-    self._timers.after(ends - now, lambda _: setattr(held, "until", 0))
+    self._timers.call_after(ends - now, lambda _: setattr(held, "until", 0))
 
 
 def since_anew(mark: Mark | None, event: Event, at: int) -> Mark | None:
@@ -792,7 +798,7 @@
         "killed and stopped",
         lambda: patch.object(Marks, "_go", go_by_timer),
     ),
-    "unknown counted as unrun": ("no outcomes", lambda: patch.object(joined, "_UNRUN", tuple(Ending)[1:])),
+    "unknown counted as unrun": ("no outcomes", lambda: patch.object(joined, "_UNRUN", tuple(Outcome)[1:])),
     "set in place of compare-and-set": ("killed and stopped", lambda: patch.object(codec, "cas", set_only)),
     "a takeover that forgets the first time": ("no outcomes", forgotten),
 }
@@ -828,9 +834,9 @@
         world = self.world()
         gate, trips = world.gates[0], world.gates[0].counters.counts
         for mark, ending, most in (
-            ("m", Ending.FULL, 1),
-            ("m", Ending.FULFILLED, 2),
-            ("n", Ending.FULFILLED, 1),
+            ("m", Outcome.OVERLOADED, 1),
+            ("m", Outcome.SUCCEEDED, 2),
+            ("n", Outcome.SUCCEEDED, 1),
         ):
             before = trips["marks: round trips"]
             gate.ask(mark, hold=200_000, ending=ending)
@@ -839,11 +845,11 @@
             world.run(1)
         before = trips["marks: round trips"]
         for kind, foreign in ((tariff(idempotent=True), False), (tariff(), True)):
-            submission = Submission(kind, world.now, world.now + SECOND, foreign=foreign)
-            errand = SimpleNamespace(submission=submission, query=SimpleNamespace(mark="m"))
+            request = Request(kind, world.now, world.now + SECOND, is_forwarded_in=foreign)
+            context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key="m"))
             gate.marks._kinds = [guarded(kind, "load", {"tariffs": ["load"]})]
-            self.assertFalse(gate.marks.ask(errand, world.now, self.fail))
-            self.assertTrue(gate.marks.may_send(submission, world.now))
+            self.assertFalse(gate.marks.ask(context, world.now, self.fail))
+            self.assertTrue(gate.marks.may_send(request, world.now))
         self.assertEqual(before, trips["marks: round trips"])
 
     def test_one_mark_at_three_gateways_with_one_killed(self) -> None:
@@ -880,7 +886,7 @@
         """One gateway's release is told twice; between, another one holds the mark, sends, and is killed."""
         world = self.world()
         first, second, third = world.gates
-        first.ask("m", ending=Ending.FULL, work=10_000)
+        first.ask("m", ending=Outcome.OVERLOADED, work=10_000)
         world.run(0.009)
         world.faults["reply lost"] = 1.0
         world.run(0.2)
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -358,7 +358,7 @@
         self.assertEqual([None, None], self.check(desk))
         self.assertEqual([True, False], [asked.written for asked in desk.asked])
         held = {bytes.fromhex(one["key"]) for one in self.store.tell("copy")}
-        line = mock.Mock(waiting=b"", **{"has_ended.return_value": False, "put.return_value": False})
+        line = mock.Mock(unsent=b"", **{"has_ended.return_value": False, "write.return_value": False})
         link = _Link(0, line, line, mock.Mock(), 0)
         asked = Asked([codec.now()], 0, lambda _: None)
         link.write(link.flight.begin(asked, 0), [asked])
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -20,15 +20,15 @@
 from cresstray.clock import Clock
 from cresstray.discovery import endpoint_list as known
 from cresstray.discovery import watch as feeds
-from cresstray.discovery.codec import Frames
-from cresstray.discovery.endpoint_list import Event, MalformedError, Member, foreseen
-from cresstray.discovery.watch import Feed
+from cresstray.discovery.codec import EventDecoder
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent, MalformedError, apply_final_states
+from cresstray.discovery.watch import EndpointWatch
 from cresstray.gateway import service as services
 from cresstray.gateway.service import Service
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.pipeline.routing import Route
-from cresstray.policy.types import Standing
+from cresstray.pipeline.routing import Router
+from cresstray.policy.types import EndpointState
 from cresstray.transport.streams import connect
 from tests.desk import ClientStandIn
 from tests.scripted import LONG, turns, until
@@ -72,15 +72,15 @@
         self.told: list[tuple[int, dict[int, str]]] = []
         self.fails: list[int] = []  # numbers whose telling fails, once each
         self.counters, self._changed = Counters(), anyio.Event()
-        self.feed = Feed(address, last, self._told, self.counters, Log("n0", Clock()), **limits)
+        self.feed = EndpointWatch(address, last, self._told, self.counters, Log("n0", Clock()), **limits)
 
-    def _told(self, event: Event) -> None:
+    def _told(self, event: EndpointEvent) -> None:
         self._changed.set()
         self._changed = anyio.Event()
-        if event.number in self.fails:
-            self.fails.remove(event.number)
+        if event.index in self.fails:
+            self.fails.remove(event.index)
             raise RuntimeError("half way")
-        self.told.append((event.number, {one.id: one.standing.value for one in event.members}))
+        self.told.append((event.index, {one.id: one.state.value for one in event.endpoints}))
 
     async def until(self, number: int) -> None:
         while number not in [one for one, _ in self.told]:
@@ -117,7 +117,7 @@
             begun = anyio.current_time()
             if says is not None:
                 tasks.start_soon(tells)
-            await watch.feed.caught_up(within)
+            await watch.feed.wait_until_current(within)
             taken = anyio.current_time() - begun
 
         async def tells() -> None:
@@ -157,7 +157,7 @@
             made.send(event[:9])
             while not watch.feed._heard:
                 await turns(1)
-            tasks.start_soon(watch.feed.caught_up, LONG)
+            tasks.start_soon(watch.feed.wait_until_current, LONG)
             await turns(3)
             made.send(event[9:])
             time.sleep(0.1)  # the loop is late: it finds the end of the wait beside what has come
@@ -499,7 +499,7 @@
             "\x00:7001",
         ):
             with self.subTest(wrong):
-                for call in (lambda wrong=wrong: Feed(wrong, 0, None, None, None), watch.feed.move):
+                for call in (lambda wrong=wrong: EndpointWatch(wrong, 0, None, None, None), watch.feed.move):
                     with self.assertRaises(ValueError) as caught:
                         call(wrong) if call == watch.feed.move else call()
                     self.assertTrue(any(part and part in str(caught.exception) for part in wrong.split(":")))
@@ -557,37 +557,39 @@
         self.assertEqual([(2, {5: "draining"}), (3, {6: "ready", 5: "draining"})], watch.told)
 
 
-def member(number: int, state: Standing = Standing.READY, port: int = 7001, started: int = 0) -> Member:
-    return Member(number, "127.0.0.1", port, state, 0, 0, 0, started)
+def member(
+    number: int, state: EndpointState = EndpointState.READY, port: int = 7001, started: int = 0
+) -> Endpoint:
+    return Endpoint(number, "127.0.0.1", port, state, 0, 0, 0, started)
 
 
 class Foreseen(unittest.TestCase):
-    def states(self, *events: Event) -> list[tuple[int, dict[int, str]]]:
-        told = foreseen(events)
-        return [(event.number, {one.id: one.standing.value for one in event.members}) for event in told]
+    def states(self, *events: EndpointEvent) -> list[tuple[int, dict[int, str]]]:
+        told = apply_final_states(events)
+        return [(event.index, {one.id: one.state.value for one in event.endpoints}) for event in told]
 
     def test_events_of_one_reading(self) -> None:
-        drains, gone = member(1, Standing.DRAINING), member(1, Standing.GONE)
+        drains, gone = member(1, EndpointState.DRAINING), member(1, EndpointState.REMOVED)
         for text, events, wanted in (
-            ("one", (Event(1, False, [member(1), drains]),), [(1, {1: "draining"})]),
+            ("one", (EndpointEvent(1, False, [member(1), drains]),), [(1, {1: "draining"})]),
             (
                 "an engine of none of the first",
-                (Event(1, False, [member(2)]), Event(2, False, [drains])),
+                (EndpointEvent(1, False, [member(2)]), EndpointEvent(2, False, [drains])),
                 [(1, {2: "ready", 1: "draining"}), (2, {1: "draining"})],
             ),
             (
                 "a whole list, and one that is gone from it",
-                (Event(1, True, [member(1)]), Event(2, False, [gone])),
+                (EndpointEvent(1, True, [member(1)]), EndpointEvent(2, False, [gone])),
                 [(1, {1: "gone"}), (2, {1: "gone"})],
             ),
             (
                 "what a whole list follows",
-                (Event(1, False, [member(1)]), Event(2, True, [member(2)])),
+                (EndpointEvent(1, False, [member(1)]), EndpointEvent(2, True, [member(2)])),
                 [(2, {2: "ready"})],
             ),
             (
                 "back again",
-                (Event(1, False, [gone]), Event(2, False, [member(1, started=9)])),
+                (EndpointEvent(1, False, [gone]), EndpointEvent(2, False, [member(1, started=9)])),
                 [(1, {1: "gone"}), (2, {1: "ready"})],
             ),
         ):
@@ -595,8 +597,8 @@
                 self.assertEqual(wanted, self.states(*events))
 
     def test_frames_before_a_bad_one_are_told_first(self) -> None:
-        frames = Frames()
-        self.assertEqual([2], [event.number for event in frames.feed(frame(2, 2) + frame(3, 9))])
+        frames = EventDecoder()
+        self.assertEqual([2], [event.index for event in frames.feed(frame(2, 2) + frame(3, 9))])
         for _ in range(2):
             with self.assertRaises(MalformedError):
                 frames.feed(b"")
@@ -615,7 +617,7 @@
     def retire(self) -> None:
         self.append("retire")
 
-    def recall_unwritten(self) -> None:
+    def cancel_unwritten(self) -> None:
         self.append("recall")
 
 
@@ -624,26 +626,28 @@
 
     def setUp(self) -> None:
         self.pools: list[PoolStandIn] = []
-        self.route = Route(self.pool, None)
+        self.route = Router(self.pool, None)
 
     def pool(self, label: str, address: tuple[str, int]) -> PoolStandIn:
         self.pools.append(PoolStandIn(label, address))
         return self.pools[-1]
 
-    def tell(self, *members: Member, complete: bool = False) -> dict[int, str]:
+    def tell(self, *members: Endpoint, complete: bool = False) -> dict[int, str]:
         """As the module would take it; the engines in use afterwards, with their states."""
-        event = Event(1, complete, list(members))
+        event = EndpointEvent(1, complete, list(members))
         before = dict(self.route.engines)
         self.entries = []
-        for engine, (_, _, _, started, standing) in self.route.listed(event):
-            engine.started, engine.standing = started, standing
+        for engine, (_, _, _, started, standing) in self.route.apply_event(event):
+            engine.started_us, engine.state = started, standing
             self.entries.append(standing.value)
-        self.route.recall(event)
+        self.route.cancel_unsent(event)
         gone = [engine for number, engine in before.items() if self.route.engines.get(number) is not engine]
         if not complete:
-            self.assertTrue(all(engine.standing is Standing.GONE for engine in gone), "the module is told")
+            self.assertTrue(
+                all(engine.state is EndpointState.REMOVED for engine in gone), "the module is told"
+            )
         self.assertEqual(len(self.route.engines), len(self.route._pools))
-        return {number: engine.standing.value for number, engine in self.route.engines.items()}
+        return {number: engine.state.value for number, engine in self.route.engines.items()}
 
     def asked(self) -> dict[str, list[str]]:
         """What was asked of each pool."""
@@ -658,8 +662,8 @@
         for complete in (True, False):
             told = self.tell(member(1), member(2, port=7002), member(3, started=5), complete=complete)
             self.assertEqual({2: "ready", 3: "ready"}, told)
-        self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(1, Standing.DRAINING)))
-        self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(1, Standing.GONE)))
+        self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(1, EndpointState.DRAINING)))
+        self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(1, EndpointState.REMOVED)))
         self.assertEqual(3, len(self.pools))
         self.assertEqual({}, self.route._addresses._lost)
 
@@ -667,7 +671,7 @@
         for text, back, wanted in (
             ("elsewhere", [member(1, port=7009)], {3: "ready", 1: "ready"}),
             ("started later", [member(1, started=9)], {1: "ready"}),
-            ("where nobody is", [member(3, Standing.GONE), member(1)], {1: "ready"}),
+            ("where nobody is", [member(3, EndpointState.REMOVED), member(1)], {1: "ready"}),
         ):
             with self.subTest(text):
                 self.setUp()
@@ -681,9 +685,9 @@
         for text, members in (
             ("old first", [old, new]),
             ("new first", [new, old]),
-            ("told gone first", [member(1, Standing.GONE), new]),
-            ("told gone last", [new, member(1, Standing.GONE)]),
-            ("draining", [new, member(1, Standing.DRAINING)]),
+            ("told gone first", [member(1, EndpointState.REMOVED), new]),
+            ("told gone last", [new, member(1, EndpointState.REMOVED)]),
+            ("draining", [new, member(1, EndpointState.DRAINING)]),
         ):
             for known_before in (True, False):
                 for complete in (True, False):
@@ -699,7 +703,7 @@
         self.assertEqual({"01 7002": ["move"], "02 7001": ["move"]}, self.asked())
 
     def test_an_engine_twice_in_one_event(self) -> None:
-        drains, gone = member(1, Standing.DRAINING), member(1, Standing.GONE)
+        drains, gone = member(1, EndpointState.DRAINING), member(1, EndpointState.REMOVED)
         for text, members, wanted in (
             ("draining and ready", [drains, member(1)], {1: "draining"}),
             ("ready and draining", [member(1), drains], {1: "draining"}),
@@ -716,14 +720,14 @@
 
     def test_what_has_not_left_is_recalled(self) -> None:
         """From engines that drain or are gone; links to those that moved see to it themselves."""
-        drains = member(1, Standing.DRAINING)
+        drains = member(1, EndpointState.DRAINING)
         for text, members, complete, wanted in (
             ("drains", [drains], False, [["recall"]]),
-            ("gone", [member(1, Standing.GONE)], False, [["retire", "recall"]]),
+            ("gone", [member(1, EndpointState.REMOVED)], False, [["retire", "recall"]]),
             ("not named", [], True, [["retire", "recall"]]),
             ("elsewhere", [member(1, port=7009)], False, [["move"]]),
             ("anew", [member(1, started=9)], False, [["move"]]),
-            ("anew, and gone", [member(1, Standing.GONE, 7009, 9)], False, [["retire", "recall"]]),
+            ("anew, and gone", [member(1, EndpointState.REMOVED, 7009, 9)], False, [["retire", "recall"]]),
             ("no change", [member(1)], False, [[]]),
         ):
             with self.subTest(text):
@@ -735,12 +739,12 @@
 
     def test_gone_in_a_whole_list_is_forgotten(self) -> None:
         self.tell(member(1), member(2, port=7002), complete=True)
-        told = self.tell(member(1, Standing.GONE), member(2, port=7002), complete=True)
+        told = self.tell(member(1, EndpointState.REMOVED), member(2, port=7002), complete=True)
         self.assertEqual({2: "ready"}, told)
 
     def test_engines_that_were_never_listed(self) -> None:
-        self.assertEqual({}, self.tell(member(1, Standing.GONE)))
-        self.assertEqual({2: "draining"}, self.tell(member(2, Standing.DRAINING)))
+        self.assertEqual({}, self.tell(member(1, EndpointState.REMOVED)))
+        self.assertEqual({2: "draining"}, self.tell(member(2, EndpointState.DRAINING)))
 
 
 class Known(unittest.TestCase):
@@ -788,11 +792,11 @@
 
     def test_all_that_a_frame_can_hold_can_be_known(self) -> None:
         engine = known._Member("s-fFffffff", "255.255.255.255:65535", up_since_ms=2.0**63)
-        (event,) = known.events(
-            known.Known(1, [known._Update(2**64 - 1, known._Endpoints(True, [engine]))]), {}
+        (event,) = known.initial_events(
+            known.InitialList(1, [known._Update(2**64 - 1, known._Endpoints(True, [engine]))]), {}
         )
-        told = event.members[0]
-        self.assertEqual((2**32 - 1, 65_535, 2**63 * 1000), (told.id, told.port, told.started))
+        told = event.endpoints[0]
+        self.assertEqual((2**32 - 1, 65_535, 2**63 * 1000), (told.id, told.port, told.started_us))
 
 
 class Whole(unittest.TestCase):
@@ -824,8 +828,8 @@
             made.send(frame(3, 2, record(6, port=port)))
             while 6 not in stage.service._route.engines:
                 await anyio.sleep(0.01)
-            self.assertEqual([stage.service._route.engines[6]], stage.service._gateway.ready)
-            self.assertEqual(Standing.GONE, old.standing)
+            self.assertEqual([stage.service._route.engines[6]], stage.service._gateway.ready_engines)
+            self.assertEqual(EndpointState.REMOVED, old.state)
             made.send(frame(4, 1, record(6, port=port), record(5, port=port)))
             await self.served(client, range(3, 5))
             self.assertEqual([6], list(stage.service._route.engines))
@@ -840,8 +844,10 @@
                 for engine in engines:
                     await tasks.start(engine.run)
                 places = enumerate(engines, 1)
-                listed = [Member(n, "127.0.0.1", one.port, Standing.READY, 0, 0, 0, 0) for n, one in places]
-                service = self.starts(stage, coordinator, Event(1, True, listed))
+                listed = [
+                    Endpoint(n, "127.0.0.1", one.port, EndpointState.READY, 0, 0, 0, 0) for n, one in places
+                ]
+                service = self.starts(stage, coordinator, EndpointEvent(1, True, listed))
                 tasks.start_soon(service.run)
                 made, number = await coordinator.link()
                 with self.assertRaises(OSError):
@@ -885,7 +891,7 @@
         self.run_slowly(main)
         self.assertIn("can't be listened on", told[0])
 
-    def starts(self, stage: Stage, coordinator: Coordinator, *events: Event) -> Service:
+    def starts(self, stage: Stage, coordinator: Coordinator, *events: EndpointEvent) -> Service:
         """A gateway under an address that is known before it serves."""
         with socket.create_server(("127.0.0.1", 0)) as place:
             address = place.getsockname()
@@ -910,7 +916,7 @@
             service = Service("n0", ("127.0.0.1", 0), 7, Stage(0).settings, [], "127.0.0.1:1")
             service._hub = mock.Mock()
             service._start_hub = lambda hub: noted("halls")
-            service._feed.caught_up = lambda within: noted("first word")
+            service._feed.wait_until_current = lambda within: noted("first word")
             service._door.run = lambda listener: noted("clients")
             async with anyio.create_task_group() as tasks:
                 await tasks.start(service.run)
@@ -937,7 +943,7 @@
         async def scene(stage: Stage, client: ClientStandIn) -> None:
             made, _ = await self.coordinator.link()
             made.send(frame(2, 2, record(1, port=port)))
-            while not stage.service._gateway.ready:
+            while not stage.service._gateway.ready_engines:
                 await anyio.sleep(0.01)
             await client.ask(1, "plain", timeout=20_000)
             while not stage.service.counters.counts["relays sent"]:
@@ -977,21 +983,21 @@
             made, _ = await self.coordinator.link()
             first, second = (engine.port for engine in stage.engines)
             made.send(frame(2, 2, record(1, port=first), record(2, port=second)))
-            while len(gateway.ready) < 2:
+            while len(gateway.ready_engines) < 2:
                 await anyio.sleep(0.01)
 
             def fails(*_: object) -> None:
-                del gateway.listed
+                del gateway.on_endpoints_updated
                 raise RuntimeError("half way")
 
-            gateway.listed = fails
+            gateway.on_endpoints_updated = fails
             made.send(frame(3, 2, record(1, GONE, first)))
             made, number = await self.coordinator.link()
             self.assertEqual(2, number)
             # Before it comes again: the module still lists it, and must not send to it.
             await self.served(client, range(1, 5))
             made.send(frame(3, 2, record(1, GONE, first)))
-            while len(gateway.ready) > 1:
+            while len(gateway.ready_engines) > 1:
                 await anyio.sleep(0.01)
             await self.served(client, range(5, 9))
             self.assertEqual(([], 8), (stage.engines[0].lines, len(stage.engines[1].lines)))
