--- a/cresstray/idempotency/coordinator.py
+++ b/cresstray/idempotency/coordinator.py
@@ -285,7 +285,7 @@
             return
         held.over, held.call = True, None
         held.until = 0
-        if how == "fulfilled":
+        if how == "succeeded":
             held.ran = True
             held.outcome = marks.outcome_of(result, self._largest)
         self._settle(held, now)
--- a/cresstray/model_checking/crossing.py
+++ b/cresstray/model_checking/crossing.py
@@ -669,9 +669,7 @@
         "an_error_is_told_as_not_run",
         "unrepeatable",
         "halls",
-        lines(
-            (Inward.on_attempt_finished, "ending not in NOT_EXECUTED, ending.value", "False, ending.value")
-        ),
+        lines((Inward.on_attempt_finished, "ending not in NOT_EXECUTED", "False")),
     ),
     Mutant(
         "what_was_fenced_is_kept",
--- a/cresstray/model_checking/marked.py
+++ b/cresstray/model_checking/marked.py
@@ -334,7 +334,7 @@
         asked.back = True
         gate.marks.relay_ended(asked.request, ending, now)
         if not asked.over:
-            how = {Outcome.SUCCEEDED: "fulfilled", Outcome.OVERLOADED: "denied"}.get(ending, "abandoned")
+            how = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}.get(ending, "failed")
             asked.end(how, b"r" if ending is Outcome.SUCCEEDED else None)
 
     def _kill(self, gate: Gate) -> None:
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -22,7 +22,7 @@
     def open_request(self, context: RequestContext) -> None:
         self.open[context.request] = context
         context.responder.open[context.number] = context
-        self._counters.add("submissions accepted")
+        self._counters.add("requests accepted")
 
     def unanswered_count(self) -> int:
         """How many still wait for their answer."""
@@ -34,29 +34,29 @@
             logic.limit_deadline(request, last_stop)
 
     def succeed(self, request: Request, result: bytes) -> None:
-        context = self._answer(request, "fulfilled")
+        context = self._answer(request, "succeeded")
         if context is not None:
             read = request.replica_read
             context.responder.succeed(context.number, result, read.at() if read is not None else None)
-            self._tell(request, "fulfilled", result)
+            self._tell(request, "succeeded", result)
 
     def reject(self, request: Request, come_back: int) -> None:
-        context = self._answer(request, "denied")
+        context = self._answer(request, "rejected")
         if context is not None:
             context.responder.reject(context.number, come_back)
-            self._tell(request, "denied")
+            self._tell(request, "rejected")
 
     def fail(self, request: Request) -> None:
-        context = self._answer(request, "abandoned")
+        context = self._answer(request, "failed")
         if context is not None:
             context.responder.fail(context.number)
-            self._tell(request, "abandoned")
+            self._tell(request, "failed")
 
     def on_client_left(self, context: RequestContext) -> None:
         """Nothing is owed any more."""
         context.is_answered = True
         del context.responder.open[context.number]
-        self._counters.add("submissions left")
+        self._counters.add("requests cancelled")
         self._tell(context.request, "left")
 
     def _tell(self, request: Request, how: str, result: bytes | None = None) -> None:
@@ -73,12 +73,12 @@
         if context.is_answered:
             return None
         context.is_answered = True
-        self._counters.add(f"submissions {how}")
+        self._counters.add(f"requests {how}")
         self.release(request)
         return context
 
     def count_attempt(self, ending: Outcome) -> None:
-        self._counters.add(f"relays {ending.value}")
+        self._counters.add(f"attempts {ending.value}")
 
     def notify_remote(self, request: Request, ending: Outcome) -> None:
         """Who asked from another hall must know whether its relay ran, whatever the answer is."""
--- a/cresstray/pipeline/dispatch.py
+++ b/cresstray/pipeline/dispatch.py
@@ -39,7 +39,7 @@
         exchange.timeout = self._timers.call_after(
             patience, lambda _: self.abandon(attempt, Outcome.TIMED_OUT)
         )
-        self._counters.add("relays sent")
+        self._counters.add("attempts sent")
         if attempt.request.is_forwarded_in:
             context.responder.on_attempt_sent(context.number)
         if self.idempotency is not None:
--- a/cresstray/policy/types.py
+++ b/cresstray/policy/types.py
@@ -14,21 +14,23 @@
 class Outcome(Enum):
     """How one relay ended."""
 
-    SUCCEEDED = "fulfilled"
-    FAILED = "error"
-    OVERLOADED = "full"
+    SUCCEEDED = "succeeded"
+    FAILED = "failed"
+    OVERLOADED = "overloaded"
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
-    CONNECTION_LOST = "reset"
-    PROTOCOL_ERROR = "spoilt"  # the engine has answered, and the answer or others on its link can't be used
-    CANCELLED = "withdrawn"
-    EXPIRED_BEFORE_SEND = "moot"
+    CONNECTION_LOST = "connection lost"
+    PROTOCOL_ERROR = (
+        "protocol error"  # the engine has answered, and the answer or others on its link can't be used
+    )
+    CANCELLED = "cancelled"
+    EXPIRED_BEFORE_SEND = "expired before send"
 
 
 class EndpointState(Enum):
     """What the list of engines says of one engine."""
 
-    REMOVED = "gone"
+    REMOVED = "removed"
     READY = "ready"
     DRAINING = "draining"
 
--- a/cresstray/sites/codec.py
+++ b/cresstray/sites/codec.py
@@ -6,6 +6,7 @@
 
 import msgspec
 
+from cresstray.policy.types import Outcome
 from cresstray.transport.framing import LONGEST, BrokenError, Frame, encode
 from cresstray.transport.framing import Frames as AnyFrames
 
@@ -158,6 +159,19 @@
     reason: _Text
 
 
+# `Ended.how` as the link has always written it, by how the attempt ended here.
+OUTCOME_WORDS = {
+    Outcome.SUCCEEDED: "fulfilled",
+    Outcome.FAILED: "error",
+    Outcome.OVERLOADED: "full",
+    Outcome.TIMED_OUT: "timed out",
+    Outcome.UNREACHABLE: "unreachable",
+    Outcome.CONNECTION_LOST: "reset",
+    Outcome.PROTOCOL_ERROR: "spoilt",
+    Outcome.CANCELLED: "withdrawn",
+    Outcome.EXPIRED_BEFORE_SEND: "moot",
+}
+
 _KINDS = (Hello, Welcome, Beat, Offer, Taken, Refused, Sent, Page, Ended, More, Withdraw, Forget, Goodbye)
 
 
--- a/cresstray/sites/inbound.py
+++ b/cresstray/sites/inbound.py
@@ -200,7 +200,8 @@
     def on_attempt_finished(self, number: int, ending: Outcome) -> None:
         entry = self.ledger.open.get(number)
         if entry is not None:
-            entry.ran, entry.how = ending not in NOT_EXECUTED, ending.value
+            entry.ran = ending not in NOT_EXECUTED
+            entry.how = codec.OUTCOME_WORDS[ending]
             if entry.withdrawn and entry.state is State.SENT:
                 self._ended(entry, "withdrawn")
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -140,7 +140,7 @@
 
     def ends(self) -> dict[str, int]:
         """How relays have ended."""
-        how = {ending.value: self.counters.counts[f"relays {ending.value}"] for ending in Outcome}
+        how = {ending.value: self.counters.counts[f"attempts {ending.value}"] for ending in Outcome}
         return {name: count for name, count in how.items() if count}
 
 
@@ -164,7 +164,7 @@
             made.ask("a")
             made.withdraw()
             made.link().come_up()  # before the timer of the withdrawal
-            self.assertEqual(([], {"moot": 1}), (made.heard(), made.ends()))
+            self.assertEqual(([], {"expired before send": 1}), (made.heard(), made.ends()))
             made.wait(100)
             self.assertEqual([], made.client.answers)
             self.rests(made)
@@ -187,8 +187,10 @@
         made.wait(30)
         made.link().come_up()
         made.wait(10)
-        self.assertEqual(([], {"moot": 1}, []), (made.heard(), made.ends(), made.client.answers))
-        self.assertEqual(1, made.counters.counts["submissions left"])
+        self.assertEqual(
+            ([], {"expired before send": 1}, []), (made.heard(), made.ends(), made.client.answers)
+        )
+        self.assertEqual(1, made.counters.counts["requests cancelled"])
         self.rests(made)
 
     def test_what_was_written_stays_out_without_cancel(self) -> None:
@@ -199,7 +201,7 @@
         made.wait(10)
         self.assertEqual(["ASK a"], made.heard())
         made.link().answer("a", "served", "sheets=1", "a\tb\tc\n")
-        self.assertEqual(([], {"fulfilled": 1}), (made.client.answers, made.ends()))
+        self.assertEqual(([], {"succeeded": 1}), (made.client.answers, made.ends()))
         self.rests(made)
 
     def test_its_time_is_over_before_it_is_up(self) -> None:
@@ -208,7 +210,7 @@
             made = Desk()
             made.ask("a", request_class, patience=1000)
             made.wait(1000)
-            self.assertEqual((["a denied"], {"moot": 1}), (made.client.answers, made.ends()))
+            self.assertEqual((["a denied"], {"expired before send": 1}), (made.client.answers, made.ends()))
             made.link().come_up()
             self.assertEqual([], made.heard())
             self.rests(made)
@@ -268,7 +270,7 @@
         made.wait(1)
         self.assertEqual([], first.come_up().heard())
         self.assertEqual(["ASK a"], made.link().come_up().heard())
-        self.assertEqual({"moot": 1}, made.ends())
+        self.assertEqual({"expired before send": 1}, made.ends())
 
     def test_the_window_for_repeats_is_over(self) -> None:
         """A part of a second before engines forget the first; with the window open it leaves."""
@@ -294,7 +296,7 @@
         made.gateway.on_attempt_finished(attempt, Outcome.CONNECTION_LOST, 0, False, {}, then)
         self.assertEqual(1, len(made.links()))
         made.wait(0)
-        self.assertEqual(({"moot": 1}, ["ASK a"]), (made.ends(), made.heard()))
+        self.assertEqual(({"expired before send": 1}, ["ASK a"]), (made.ends(), made.heard()))
 
     def test_a_window_counts_from_attempts_that_may_have_run_only(self) -> None:
         made = Desk(engines=2)
@@ -323,7 +325,7 @@
         made.gateway._call_back(attempt, made.clock.now())
         first.come_up()
         made.wait(1)
-        self.assertEqual(([], {"moot": 1}), (made.heard(), made.ends()))
+        self.assertEqual(([], {"expired before send": 1}), (made.heard(), made.ends()))
 
     def test_it_is_never_up(self) -> None:
         """A refused connection proves that nothing ran: one that is unsafe to repeat goes elsewhere."""
@@ -346,8 +348,8 @@
         made.client.shut = True
         made.links()[0].answer("a", "crashed")
         made.wait(0)
-        self.assertEqual((1, {"error": 1, "moot": 1}), (len(made.links()), made.ends()))
-        self.assertEqual(([], 1), (made.client.answers, made.counters.counts["submissions left"]))
+        self.assertEqual((1, {"failed": 1, "expired before send": 1}), (len(made.links()), made.ends()))
+        self.assertEqual(([], 1), (made.client.answers, made.counters.counts["requests cancelled"]))
         made.leave()
         self.rests(made)
 
@@ -372,7 +374,7 @@
             made.list(EndpointState.READY)
             made.leave()
             made.wait(0)
-            self.assertEqual(([], 1), (made.links(), made.counters.counts["submissions left"]))
+            self.assertEqual(([], 1), (made.links(), made.counters.counts["requests cancelled"]))
             self.rests(made)
 
     def test_what_is_sent_at_once_asks_nobody(self) -> None:
@@ -385,11 +387,11 @@
     def test_which_ends_are_proofs(self) -> None:
         """(what comes, how it ends, whether an unsafe request is sent again, what it is answered else)."""
         table = (
-            (lambda link: link.answer("a", "overload"), "full", True),
-            (lambda link: link.answer("a", "nobody"), "moot", True),
-            (lambda link: link.answer("a", "crashed"), "error", False),
-            (lambda link: link.on_closed(), "reset", False),
-            (self._spoils, "spoilt", False),
+            (lambda link: link.answer("a", "overload"), "overloaded", True),
+            (lambda link: link.answer("a", "nobody"), "expired before send", True),
+            (lambda link: link.answer("a", "crashed"), "failed", False),
+            (lambda link: link.on_closed(), "connection lost", False),
+            (self._spoils, "protocol error", False),
         )
         for comes, how, again in table:
             with self.subTest(how):
@@ -433,7 +435,7 @@
         first.answer("a", "crashed")
         first.answer("a", "crashed")  # to the other page
         first.answer("a", "rows", "sheet=1", "x\ty\tz\n")
-        self.assertEqual((["a abandoned"], {"error": 1}), (made.client.answers, made.ends()))
+        self.assertEqual((["a abandoned"], {"failed": 1}), (made.client.answers, made.ends()))
         self.assertEqual(2, self._unawaited(made))
         self.rests(made)
 
@@ -466,15 +468,15 @@
                 link.answer("a", "rows", second, "x\ty\tz\n")
             link.is_corrupt = True
             link.on_closed()
-            self.assertEqual((["a abandoned"], {"spoilt": 1}), (made.client.answers, made.ends()))
+            self.assertEqual((["a abandoned"], {"protocol error": 1}), (made.client.answers, made.ends()))
             self.rests(made)
 
     def test_an_answer_beside_a_cancel_and_a_time_out(self) -> None:
         """Whichever is first ends it; the other finds nothing."""
         for first, ends, answers in (
-            ("answer", {"fulfilled": 1}, ["a fulfilled"]),
-            ("cancel", {"fulfilled": 1}, []),
-            ("cancel is due", {"withdrawn": 1}, []),
+            ("answer", {"succeeded": 1}, ["a fulfilled"]),
+            ("cancel", {"succeeded": 1}, []),
+            ("cancel is due", {"cancelled": 1}, []),
             ("time", {"timed out": 1}, ["a denied"]),
         ):
             with self.subTest(first):
@@ -589,7 +591,7 @@
                 await client.ask(1, "plain one")
                 await dials.begun.wait()
                 await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
-                await self.answered(stage, "submissions left")
+                await self.answered(stage, "requests cancelled")
                 dials.let.set()
                 await client.ask(2, "plain two")
                 self.assertEqual(2, (await client.hear())["id"])
@@ -603,7 +605,7 @@
             async with await anyio.connect_tcp(*stage.address) as stream:
                 await ClientStandIn(stream, stage.lines, names=16).ask(1, "plain one")
                 await dials.begun.wait()
-            await self.answered(stage, "submissions left")
+            await self.answered(stage, "requests cancelled")
             dials.let.set()
             await client.ask(2, "plain two")
             self.assertEqual(2, (await client.hear())["id"])
@@ -643,7 +645,7 @@
 
         stage = self.play(scene, Services=[{"Effect": "at_most_once"}])
         counts = stage.service.counters.counts
-        self.assertEqual((0, 4), (counts["relays unreachable"], counts["relays moot"]))
+        self.assertEqual((0, 4), (counts["attempts unreachable"], counts["attempts expired before send"]))
 
     def test_an_engine_that_never_reads(self) -> None:
         """Its connections are taken and nothing on them is read; no request is half sent and then whole."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -201,7 +201,7 @@
                             lines.append(
                                 f"{text}: {len(gateway.ready_engines)} ready in {zones} zones, "
                                 f"{len(service._route._pools)} pools, "
-                                f"{service.counters.counts['submissions fulfilled']} fulfilled"
+                                f"{service.counters.counts['requests succeeded']} fulfilled"
                             )
 
                         await look("at the start")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -115,7 +115,7 @@
                 await client.hear()
 
         stage = self.play("scene_pages", scene)
-        self.assertEqual(2, stage.service.counters.counts["submissions fulfilled"])
+        self.assertEqual(2, stage.service.counters.counts["requests succeeded"])
 
     def test_malformed_lines_keep_the_connection(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
@@ -163,7 +163,7 @@
             await client.hear()
 
         stage = self.play("scene_left", scene)
-        self.assertEqual(2, stage.service.counters.counts["submissions left"])
+        self.assertEqual(2, stage.service.counters.counts["requests cancelled"])
 
     def test_strangers_do_no_harm(self) -> None:
         """The id of an open request, one used again after it was withdrawn, too many open, only mistakes."""
@@ -211,7 +211,10 @@
         # What was asked first is open on a link of its own until the gateway ends, a reset for it.
         stage = self.play("scene_faults", scene, Limits={"MaxAttempts": 1})
         counts = stage.service.counters.counts
-        endings = [counts[f"relays {how}"] for how in ("spoilt", "reset", "full", "fulfilled")]
+        endings = [
+            counts[f"attempts {how}"]
+            for how in ("protocol error", "connection lost", "overloaded", "succeeded")
+        ]
         self.assertEqual([3, 2, 1, 2], endings)
         self.assertEqual(2, counts["answers not awaited"])
 
@@ -238,7 +241,7 @@
             await client.hear()
 
         stage = self.play("scene_unreachable", scene, Limits={"MaxAttempts": 1})
-        self.assertEqual(1, stage.service.counters.counts["relays unreachable"])
+        self.assertEqual(1, stage.service.counters.counts["attempts unreachable"])
 
     def test_last_stop(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -667,7 +667,7 @@
 
         def back() -> None:
             self.marks.relay_ended(request, ending, self.now())
-            how = {Outcome.SUCCEEDED: "fulfilled", Outcome.OVERLOADED: "denied"}.get(ending, "abandoned")
+            how = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}.get(ending, "failed")
             self.marks.ended(request, how, b"r" * self.world.faults.get("size", 50), self.now())
 
         context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key=mark))
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -580,7 +580,7 @@
             (
                 "a whole list, and one that is gone from it",
                 (EndpointEvent(1, True, [member(1)]), EndpointEvent(2, False, [gone])),
-                [(1, {1: "gone"}), (2, {1: "gone"})],
+                [(1, {1: "removed"}), (2, {1: "removed"})],
             ),
             (
                 "what a whole list follows",
@@ -590,7 +590,7 @@
             (
                 "back again",
                 (EndpointEvent(1, False, [gone]), EndpointEvent(2, False, [member(1, started=9)])),
-                [(1, {1: "gone"}), (2, {1: "ready"})],
+                [(1, {1: "removed"}), (2, {1: "ready"})],
             ),
         ):
             with self.subTest(text):
@@ -656,7 +656,7 @@
     def test_an_address_of_another_id(self) -> None:
         self.tell(member(1), member(2, port=7002), complete=True)
         self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(3, started=5)))
-        self.assertEqual(["ready", "gone"], self.entries)
+        self.assertEqual(["ready", "removed"], self.entries)
         self.assertEqual({"01 7001": ["retire", "recall"], "02 7002": [], "03 7001": []}, self.asked())
         # The coordinator has not told it gone yet, and lists it.
         for complete in (True, False):
@@ -935,7 +935,7 @@
             late = record(2, port=other)
             return {
                 "drains": frame(3, 2, record(1, DRAINING, port), late),
-                "gone": frame(3, 2, record(1, GONE, port), late),
+                "removed": frame(3, 2, record(1, GONE, port), late),
                 "not named": frame(3, 1, late),
                 "its address is another's": frame(3, 2, record(3, port=port, started=1), late),
             }[how]
@@ -946,17 +946,19 @@
             while not stage.service._gateway.ready_engines:
                 await anyio.sleep(0.01)
             await client.ask(1, "plain", timeout=20_000)
-            while not stage.service.counters.counts["relays sent"]:
+            while not stage.service.counters.counts["attempts sent"]:
                 await anyio.sleep(0.01)
             made.send(words(how, stage.engines[0].port))
             self.assertIn("result", await client.hear())
 
-        for how in ("drains", "gone", "not named", "its address is another's"):
+        for how in ("drains", "removed", "not named", "its address is another's"):
             with self.subTest(how):
                 # A connection that never comes up would be given up far later than the scene is.
                 stage = self.play(scene, 1, Limits={"ConnectTimeout": 60_000, "MaxAttempts": 3})
                 counts = stage.service.counters.counts
-                self.assertEqual((1, 1), (counts["relays moot"], counts["relays fulfilled"]))
+                self.assertEqual(
+                    (1, 1), (counts["attempts expired before send"], counts["attempts succeeded"])
+                )
 
     def test_a_drain_right_after_a_move_and_before_a_bad_frame(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
