--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -59,10 +59,10 @@
     Documents,
     EngineRule,
     Placement,
+    RequestClassRule,
     Shard,
-    TariffRule,
     TenantRule,
-    delta,
+    encode_delta,
 )
 
 _RATE = 120.0  # a second: a quarter of what the engines can do, so that payoff is not decided by one barred
@@ -173,7 +173,7 @@
     for turn in itertools.count():
         what, name, edit, back = (
             ("engine", one := next(engines), *_both("engines", trial.fleet.engine_id(one), EngineRule(True))),
-            ("tariff", CANARY.name, *_both("tariffs", CANARY.name, TariffRule(True))),
+            ("tariff", CANARY.name, *_both("tariffs", CANARY.name, RequestClassRule(True))),
             ("tenant", "guest", *_both("tenants", "guest", TenantRule(True))),
         )[turn % 3]
         made = await trial.operator.change(edit, 20)
@@ -196,7 +196,7 @@
 async def _tick(operator: Operator, keeper: str, commits: list[float]) -> None:
     """Proposes without end what the log refuses by its base: a commit, and no turn to wait for."""
     shard = {SHARD: Shard(("s-00000001",), epoch=2**50)}
-    change = delta(EMPTY, Documents(placement=Placement(shard)))
+    change = encode_delta(EMPTY, Documents(placement=Placement(shard)))
     for number in itertools.count():
         ask = Ask("propose", f"{operator.name}-{number}", {"placement": 2**50}, change)
         answer = await operator.ask(ask, 1.0, keeper)
--- a/cresstray/cli/fleet.py
+++ b/cresstray/cli/fleet.py
@@ -19,7 +19,7 @@
 from cresstray.consensus.storage import UnusableError as UnusableFileError
 from cresstray.control_plane.codec import Ask, Gather, requests
 from cresstray.fleet_config import documents
-from cresstray.fleet_config.codec import PARTS, Greet, Reply
+from cresstray.fleet_config.codec import MAX_PARTS, Greeting, OperatorReply
 from cresstray.observability.counters import Counters
 from cresstray.transport.framing import BrokenError, Frame
 from cresstray.transport.peers import Ends, Link, greeted, hello
@@ -71,7 +71,7 @@
             from cresstray.sites.tls import Contexts
 
             contexts = Contexts(given.tls)
-        self._ends = Ends((Greet, Reply), contexts, random.random, _Quiet(), Counters())
+        self._ends = Ends((Greeting, OperatorReply), contexts, random.random, _Quiet(), Counters())
         self._life, self._number = secrets.token_hex(8), 0
         self._until = time.monotonic() + seconds
         self._keepers = list(given.keepers)
@@ -103,7 +103,7 @@
 
     async def _of(self, keeper: Keeper, ask: Ask) -> dict[str, Any]:
         self._number += 1
-        number, gather = self._number, Gather(PARTS)
+        number, gather = self._number, Gather(MAX_PARTS)
         found: list[dict[str, Any]] = []
 
         def check(greeting: Frame, names: set[str] | None) -> None:
@@ -116,7 +116,7 @@
                 link.put(part)
 
         def taken(link: Link, frame: Frame) -> None:
-            if not isinstance(frame, Reply):
+            if not isinstance(frame, OperatorReply):
                 raise BrokenError("a second greeting")
             body = gather.add(frame)
             if body is not None and frame.number == number:
@@ -172,10 +172,10 @@
         )
     if not isinstance(stated, dict) or not all(isinstance(value, int) for value in stated.values()):
         raise ValueError("versions: a number for each document")
-    old = documents.parsed(shown)
-    new = documents.parsed({**shown, **given} if whole else merged(shown, given))
+    old = documents.parse_documents(shown)
+    new = documents.parse_documents({**shown, **given} if whole else merged(shown, given))
     bases = {name: stated.get(name, old.version(name)) for name in documents.NAMES}
-    return bases, documents.delta(old, new)
+    return bases, documents.encode_delta(old, new)
 
 
 def differing(old: dict[str, Any], new: dict[str, Any], path: str = "") -> list[str]:
--- a/cresstray/cli/placement.py
+++ b/cresstray/cli/placement.py
@@ -129,7 +129,7 @@
 
         line = fleet.Line(fleet.read(file), answer_in)
         limits = Limits(tolerance, at_once, share, border_moves, border_pace)
-        given = documents.parsed(fleet.ask(line, "show")["documents"])
+        given = documents.parse_documents(fleet.ask(line, "show")["documents"])
         told = msgspec.convert(fleet.ask(line, "disks")["disks"], dict[str, Disk])
         world = _world(given, told, empty, keep_free, keep_free_bytes, limits)
         found = plan_in_worker(world, seconds)
@@ -177,7 +177,9 @@
     fenced = sorted(name for name, shard in given.placement.items.items() if not shard.primary)
     if fenced:
         raise ValueError(f"shards without a primary: {', '.join(fenced[:5])}; a plan needs one for each")
-    out = set(empty) | {name for name, rule in given.engines.items.items() if rule.barred and name in known}
+    out = set(empty) | {
+        name for name, rule in given.engines.items.items() if rule.is_barred and name in known
+    }
     disks = [
         fleetmap.Disk(
             disk.engine,
--- a/cresstray/control_plane/codec.py
+++ b/cresstray/control_plane/codec.py
@@ -11,7 +11,14 @@
 
 from cresstray.consensus import codec as log
 from cresstray.fleet_config import codec as rules
-from cresstray.fleet_config.codec import PART, PARTS, Greet, Heard, Reply, Request
+from cresstray.fleet_config.codec import (
+    MAX_PART_BYTES,
+    MAX_PARTS,
+    Greeting,
+    OperatorReply,
+    OperatorRequest,
+    ReplicaPositions,
+)
 from cresstray.transport.framing import BrokenError, Frame, Frames, encode
 
 _Text = Annotated[str, msgspec.Meta(max_length=128)]
@@ -27,20 +34,20 @@
 
 
 # What a keeper takes on a link that was made to it, by the role of who made it.
-FROM_KEEPER = (*log.KINDS, rules.Carried, Heard, Alive)
-FROM_GATEWAY = (rules.Renew, rules.Get, Heard)
-FROM_OPERATOR = (Request,)
+FROM_KEEPER = (*log.KINDS, rules.ForwardedFrame, ReplicaPositions, Alive)
+FROM_GATEWAY = (rules.RenewLease, rules.GetConfig, ReplicaPositions)
+FROM_OPERATOR = (OperatorRequest,)
 TAKEN: dict[str, tuple[type[Frame], ...]] = {
     "keeper": FROM_KEEPER,
     "gateway": FROM_GATEWAY,
     "operator": FROM_OPERATOR,
 }
-ALL = (Greet, *FROM_KEEPER, *FROM_GATEWAY[:2], Request)
+ALL = (Greeting, *FROM_KEEPER, *FROM_GATEWAY[:2], OperatorRequest)
 # What comes back on a link that a keeper made.
-BACK = (Greet, Alive, Heard)
+BACK = (Greeting, Alive, ReplicaPositions)
 # What may be carried to the leader, and what back from it.
-TO_LEADER = (rules.Renew, Request)
-FROM_LEADER = (rules.Granted, rules.Behind, rules.Refused, Reply)
+TO_LEADER = (rules.RenewLease, OperatorRequest)
+FROM_LEADER = (rules.LeaseGranted, rules.LeaseBehind, rules.LeaseRefused, OperatorReply)
 
 
 class Ask(msgspec.Struct, omit_defaults=True):
@@ -68,23 +75,23 @@
 
 def _cut(body: bytes) -> list[bytes]:
     """Parts that still fit when another frame carries them."""
-    size = PART - 1024
+    size = MAX_PART_BYTES - 1024
     return [body[at : at + size] for at in range(0, len(body), size)]
 
 
-def requests(number: int, ask: Ask) -> list[Request]:
+def requests(number: int, ask: Ask) -> list[OperatorRequest]:
     """ValueError where it is too long."""
     cut = _cut(msgspec.msgpack.encode(ask))
     if len(cut) > _MOST_PARTS:
         raise ValueError("a question that is too long")
-    return [Request(number, part, at == len(cut) - 1) for at, part in enumerate(cut)]
+    return [OperatorRequest(number, part, at == len(cut) - 1) for at, part in enumerate(cut)]
 
 
-def replies(number: int, answer: dict[str, Any]) -> list[Reply]:
+def replies(number: int, answer: dict[str, Any]) -> list[OperatorReply]:
     cut = _cut(msgspec.msgpack.encode(answer))
-    if len(cut) > PARTS:
-        cut = [msgspec.msgpack.encode({"error": f"an answer of {len(cut)} parts; {PARTS} at most"})]
-    return [Reply(number, part, at == len(cut) - 1) for at, part in enumerate(cut)]
+    if len(cut) > MAX_PARTS:
+        cut = [msgspec.msgpack.encode({"error": f"an answer of {len(cut)} parts; {MAX_PARTS} at most"})]
+    return [OperatorReply(number, part, at == len(cut) - 1) for at, part in enumerate(cut)]
 
 
 class Gather:
@@ -94,14 +101,14 @@
         self._most = most
         self._number, self._parts = -1, []
 
-    def add(self, frame: Request | Reply) -> bytes | None:
+    def add(self, frame: OperatorRequest | OperatorReply) -> bytes | None:
         """All of it once the last part is here; BrokenError beyond so many parts."""
         if frame.number != self._number:
             self._number, self._parts = frame.number, []
         self._parts.append(frame.body)
         if len(self._parts) > self._most:
             raise BrokenError(f"more than {self._most} parts")
-        if not frame.last:
+        if not frame.is_last:
             return None
         whole, self._parts = b"".join(self._parts), []
         return whole
--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -30,10 +30,10 @@
 from cresstray.control_plane.node_controller import Core, Guest
 from cresstray.control_plane.replica_positions import Moving, Positions
 from cresstray.fleet_config import documents
-from cresstray.fleet_config.codec import Heard
-from cresstray.fleet_config.documents import World
-from cresstray.fleet_config.leases import Leases
-from cresstray.fleet_config.state import State
+from cresstray.fleet_config.codec import ReplicaPositions
+from cresstray.fleet_config.documents import FleetState
+from cresstray.fleet_config.leases import LeaseTable
+from cresstray.fleet_config.state import ConfigState
 from cresstray.observability.counters import Counters
 from cresstray.observability.event_log import Said
 from cresstray.placement.move_executor import Disk
@@ -98,11 +98,11 @@
         chance = Random(os.urandom(16)).random
         started = now()
         moves = Moves()
-        state = State(world(given), {"moves": moves})
+        state = ConfigState(world(given), {"moves": moves})
         node = Node(durable, Times(given.beat, given.election, given.drift), chance, started)
         self._positions = Positions(given.drift, self._say, self.counters)
         self._moving = Moving(moves, now, self.counters, self._say)
-        leases = Leases(given.lease, given.floor_lease, given.drift)
+        leases = LeaseTable(given.lease, given.floor_lease, given.drift)
         self._core = Core(
             given, node, state, leases, self._write, self._say, self.counters, started, self._positions.talk
         )
@@ -183,12 +183,12 @@
         greet = link.greeting
         self._serial += 1
         key = {
-            "keeper": f"keeper:{greet.name}/{greet.life}",
+            "keeper": f"keeper:{greet.name}/{greet.incarnation}",
             "gateway": f"gateway:{greet.name}",
             "operator": f"operator:{self._serial}",
         }[greet.role]
         agrees = greet.nonce == peers.agreed(self._given)
-        link.guest = Guest(link, greet.role, greet.name, greet.life, key, agrees)
+        link.guest = Guest(link, greet.role, greet.name, greet.incarnation, key, agrees)
         self._core.come(link.guest)
 
     def _taken(self, link: Link, frame: Frame) -> None:
@@ -222,7 +222,7 @@
 
         def talk(link: Link) -> None:
             nonlocal full, heard
-            full, heard = f"{name}/{link.greeting.life}", time.monotonic()
+            full, heard = f"{name}/{link.greeting.incarnation}", time.monotonic()
             self._core.connected(full, link)
             asyncio.get_running_loop().call_soon(beat, link, 1)
             self._say("link", "made", to=full)
@@ -238,7 +238,7 @@
 
         def taken(link: Link, frame: Frame) -> None:
             nonlocal heard
-            if isinstance(frame, Heard):
+            if isinstance(frame, ReplicaPositions):
                 self._core.heard_back(full, frame, now())
                 self._wake()
             elif not isinstance(frame, Alive):
@@ -342,9 +342,9 @@
             print(f"{self.name} counter: {line}", file=sys.stderr, flush=True)
 
 
-def world(given: Fleet) -> World:
+def world(given: Fleet) -> FleetState:
     """What all keepers check changes by, so that one log makes one state of all of them."""
-    return World(most=given.most, most_barred=given.barred)
+    return FleetState(max_gateways=given.most, max_barred_fraction=given.barred)
 
 
 def _contexts(given: Fleet) -> Contexts | None:
@@ -366,7 +366,7 @@
         durable = storage.load()
     finally:
         storage.close()
-    state = State(world(given), {"moves": Moves()})
+    state = ConfigState(world(given), {"moves": Moves()})
     if durable.snapshot.data:
         state.restore(durable.snapshot.data)
     for index, entry in enumerate(durable.entries, durable.snapshot.index + 1):
@@ -378,7 +378,7 @@
         "index": durable.snapshot.index + len(durable.entries),
         "turn": state.turn,
         "latest": state.version,
-        "documents": documents.plain(state.latest),
+        "documents": documents.to_plain(state.latest),
     }
 
 
--- a/cresstray/control_plane/node_controller.py
+++ b/cresstray/control_plane/node_controller.py
@@ -20,9 +20,9 @@
 from cresstray.control_plane.request_handlers import Answers
 from cresstray.fleet_config import codec as rules
 from cresstray.fleet_config import state as commands
-from cresstray.fleet_config.codec import Heard
-from cresstray.fleet_config.leases import Leases
-from cresstray.fleet_config.state import Since, State
+from cresstray.fleet_config.codec import ReplicaPositions
+from cresstray.fleet_config.leases import LeaseTable
+from cresstray.fleet_config.state import ConfigState, ConfigUpdates
 from cresstray.observability.counters import Counters
 from cresstray.transport.framing import BrokenError, Frame, encode
 
@@ -77,8 +77,8 @@
         self,
         given: Fleet,
         node: Node,
-        state: State,
-        leases: Leases,
+        state: ConfigState,
+        leases: LeaseTable,
         write: Callable[[Keep], None],
         say: Callable[..., None],
         counters: Counters,
@@ -95,7 +95,7 @@
         self._entries = self._bytes = 0  # applied since the last snapshot
         self.waiting: dict[int, tuple[int, Callable[[bytes | None], None]]] = {}  # by index: term, who waits
         self._reads: list[tuple[int, Callable[[bool], None]]] = []  # to be answered once this is applied
-        self._renewals: list[tuple[Callable[[Frame], None], str, rules.Renew]] = []
+        self._renewals: list[tuple[Callable[[Frame], None], str, rules.RenewLease]] = []
         self.now = now  # of this call
         self._term_ready = 0  # the term that we lead, once all before it is applied
         self._out: dict[str, int] = {}  # ghosts that are out, and the term in which that was proposed
@@ -125,7 +125,7 @@
             del self.keepers[name]
             self.talking.pop(name, None)
 
-    def heard_back(self, name: str, frame: Heard, now: int) -> None:
+    def heard_back(self, name: str, frame: ReplicaPositions, now: int) -> None:
         """On a link that we made."""
         if name in self.talking:
             self.talking[name][1].hears(frame.body, now)
@@ -161,12 +161,12 @@
             raise BrokenError("a newer link has taken its place")
         if not isinstance(frame, codec.TAKEN[guest.role]):
             raise BrokenError(f"a {type(frame).__name__} from the role {guest.role}")
-        if isinstance(frame, rules.Renew):
+        if isinstance(frame, rules.RenewLease):
             self._renew(guest, frame)
-        elif isinstance(frame, rules.Get):
+        elif isinstance(frame, rules.GetConfig):
             guest.turn = frame.turn
             self._push_to(guest)
-        elif isinstance(frame, Heard):
+        elif isinstance(frame, ReplicaPositions):
             if guest.talk is None and self._talks is not None:
                 guest.talk = self._talks()
             if guest.talk is not None:
@@ -174,24 +174,24 @@
                 # At once: an age counts from the word that is answered. Danger: one that talks without end.
                 if now - guest.spoke >= _AT_ONCE and guest.far.unwritten < _LAGGING:
                     guest.spoke = now
-                    guest.far.put(Heard(guest.talk.says(now)))
+                    guest.far.put(ReplicaPositions(guest.talk.says(now)))
         elif isinstance(frame, Alive):
             guest.far.put(frame)
-        elif isinstance(frame, rules.Carried):
+        elif isinstance(frame, rules.ForwardedFrame):
             self._carried(guest, frame, now)
-        elif isinstance(frame, rules.Request):
+        elif isinstance(frame, rules.OperatorRequest):
             self._request(guest, frame, now)
         else:
             self.node.receive(f"{guest.name}/{guest.life}", frame, now)
 
-    def _renew(self, guest: Guest, frame: rules.Renew) -> None:
+    def _renew(self, guest: Guest, frame: rules.RenewLease) -> None:
         # Danger: with a longer lease of its own it would act when the leader takes it for stopped.
         if not guest.agrees:
             raise BrokenError("a renewal, with another lease, floor-lease, drift, most or barred than here")
         # Danger: a renewal that is played again would have a lease counted from long ago.
         if frame.number <= guest.renewed:
             raise BrokenError(f"renewal {frame.number} after {guest.renewed}")
-        guest.renewed, frame.life = frame.number, guest.life
+        guest.renewed, frame.incarnation = frame.number, guest.life
         self.counters.add("renewals")
         if guest.turn is None:
             guest.turn = frame.turn
@@ -199,17 +199,17 @@
         if self.node.role is Role.LEADER:
             self._renewals.append((guest.far.put, guest.name, frame))
         elif not self._carry(guest, frame):
-            guest.far.put(rules.Refused(frame.number, self.state.turn, "no leader"))
+            guest.far.put(rules.LeaseRefused(frame.number, self.state.turn, "no leader"))
 
     def _carry(self, guest: Guest, frame: Frame) -> bool:
         leader = self.keepers.get(self.node.leader or "")
         if leader is None:
             return False
-        leader.put(rules.Carried(guest.key, False, encode(frame)))
+        leader.put(rules.ForwardedFrame(guest.key, False, encode(frame)))
         return True
 
-    def _carried(self, guest: Guest, frame: rules.Carried, now: int) -> None:
-        if frame.answer:
+    def _carried(self, guest: Guest, frame: rules.ForwardedFrame, now: int) -> None:
+        if frame.is_reply:
             origin = self.guests.get(frame.origin)
             codec.carried(frame.body, codec.FROM_LEADER)
             if origin is not None and origin.role != "keeper":
@@ -220,16 +220,16 @@
         def back(answer: Frame) -> None:
             far = self.keepers.get(f"{guest.name}/{guest.life}")
             if far is not None:
-                far.put(rules.Carried(frame.origin, True, encode(answer)))
+                far.put(rules.ForwardedFrame(frame.origin, True, encode(answer)))
 
         role, _, name = frame.origin.partition(":")
-        if isinstance(inner, rules.Renew):
+        if isinstance(inner, rules.RenewLease):
             if role != "gateway":
                 raise BrokenError(f"a renewal carried for {frame.origin!r}")
             if self.node.role is Role.LEADER:
                 self._renewals.append((back, name, inner))
             else:
-                back(rules.Refused(inner.number, self.state.turn, "no leader"))
+                back(rules.LeaseRefused(inner.number, self.state.turn, "no leader"))
             return
         # Danger: whoever carries parts of questions without an end would have them all kept.
         if len(guest.gathers) > 64:
@@ -239,7 +239,7 @@
             del guest.gathers[frame.origin]
             self._ask(codec.asked(body), inner.number, back, now)
 
-    def _request(self, guest: Guest, frame: rules.Request, now: int) -> None:
+    def _request(self, guest: Guest, frame: rules.OperatorRequest, now: int) -> None:
         body = guest.gathers.setdefault("", Gather()).add(frame)
         if body is None:
             return
@@ -302,8 +302,8 @@
         self._tell()
         if self._wanting:
             due.append(now + 20_000)
-        if self._term_ready and self.state.wants_turn() is not None:
-            due.append(self.leases.due(self.state, now) or now + self.given.beat)
+        if self._term_ready and self.state.pending_turn() is not None:
+            due.append(self.leases.next_expiry_us(self.state, now) or now + self.given.beat)
         return max(now, min(due))
 
     def _drain(self, now: int) -> None:
@@ -345,7 +345,7 @@
         if then is not None:
             then(outcome if term == entry.term else None)
         if self._entries >= _MOST_ENTRIES or self._bytes >= _MOST_BYTES:
-            self.node.compact(index, self.state.dump())
+            self.node.compact(index, self.state.snapshot())
             self._entries = self._bytes = 0
 
     def _lead(self, now: int) -> None:
@@ -364,12 +364,12 @@
                 return
             self._term_ready = node.term
             self._out.clear()
-            self.leases.lead(self.state.gateways(), node.led_since)
-        turn = self.state.wants_turn()
+            self.leases.on_elected(self.state.counting_gateways(), node.led_since)
+        turn = self.state.pending_turn()
         if turn is None or self._advancing == (node.term, turn):
             return
-        if self.leases.may_turn(self.state, now):
-            if self.propose(commands.advance(turn), lambda _: None, now):
+        if self.leases.can_advance(self.state, now):
+            if self.propose(commands.encode_advance(turn), lambda _: None, now):
                 self._advancing = (node.term, turn)
 
     def _renewed(self, now: int) -> None:
@@ -377,16 +377,23 @@
         leads = self.ready(now)
         for back, name, frame in renewals:
             if self._term_ready != self.node.term:
-                back(rules.Refused(frame.number, self.state.turn, "no leader"))
+                back(rules.LeaseRefused(frame.number, self.state.turn, "no leader"))
                 continue
             back(
                 self.leases.renew(
-                    name, frame.number, frame.turn, self.state, leads, now, frame.life, frame.stopped
+                    name,
+                    frame.number,
+                    frame.turn,
+                    self.state,
+                    leads,
+                    now,
+                    frame.incarnation,
+                    frame.has_stopped,
                 )
             )
-            if self.leases.is_out(name, self.state) and self._out.get(name) != self.node.term:
+            if self.leases.has_departed(name, self.state) and self._out.get(name) != self.node.term:
                 self._out[name] = self.node.term
-                self.propose(commands.gone(name), lambda _: None, now)
+                self.propose(commands.encode_departed(name), lambda _: None, now)
 
     # What gateways are given.
 
@@ -421,9 +428,12 @@
 
     def _leads_on(self, turn: int) -> tuple[int, list[bytes]]:
         if turn not in self._deltas:
-            body = self.state.since(turn)
-            base = msgspec.msgpack.decode(body, type=Since).base
-            self._deltas[turn] = base, [encode(one) for one in rules.contents(base, self.state.turn, body)]
+            body = self.state.updates_since(turn)
+            base = msgspec.msgpack.decode(body, type=ConfigUpdates).base
+            self._deltas[turn] = (
+                base,
+                [encode(one) for one in rules.config_parts(base, self.state.turn, body)],
+            )
         return self._deltas[turn]
 
     def _give(self, guest: Guest) -> int:
@@ -438,7 +448,7 @@
             return
         self._spread_at = now + _SPREAD
         for far, talk in self.talking.values():
-            far.put(Heard(talk.says(now)))
+            far.put(ReplicaPositions(talk.says(now)))
 
     def _tell(self) -> None:
         node = self.node
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -9,7 +9,7 @@
 
 from cresstray.consensus.raft import Role
 from cresstray.control_plane.node_controller import Core, Far
-from cresstray.fleet_config.codec import Heard
+from cresstray.fleet_config.codec import ReplicaPositions
 from cresstray.observability.counters import Counters
 from cresstray.placement.data_transfer import Hands
 from cresstray.placement.move_executor import Carrier, Disk, Entry
@@ -77,13 +77,13 @@
     def join(self, core: Core, ask: Callable[[list[str]], None]) -> None:
         """`ask`: engines' positions, at once."""
         self._core, self._ask = core, ask
-        core.turned.append(lambda now: self._board.place(core.state.acting.placement.items, now))
+        core.turned.append(lambda now: self._board.place(core.state.effective.placement.items, now))
         core.each_round.append(self._each)
 
     def _each(self, now: int) -> int | None:
         core, exchange = self._core, self._exchange
         if core.ready(now):
-            engines = exchange.due(core.state.acting.placement.items, now)
+            engines = exchange.due(core.state.effective.placement.items, now)
             if engines:
                 self._counters.add("positions asked for", len(engines))
                 self._ask(engines)
@@ -91,13 +91,13 @@
             # Danger: kept while there is no leader, the next one would be asked for what is long over.
             for peer, far in self._links(core.node.leader):
                 self._counters.add("positions asked of the leader", len(needs))
-                far.put(Heard(encoded(peer.asks(needs, now))))
+                far.put(ReplicaPositions(encoded(peer.asks(needs, now))))
         told = exchange.tells(now)
         if told:
             links = dict(self._links())
             for peer, word in told:
                 if peer in links:
-                    links[peer].put(Heard(encoded(word)))
+                    links[peer].put(ReplicaPositions(encoded(word)))
         return exchange.again()
 
     def _links(self, keeper: str | None = "") -> list[tuple[Peer, Far]]:
--- a/cresstray/control_plane/request_handlers.py
+++ b/cresstray/control_plane/request_handlers.py
@@ -85,11 +85,11 @@
         reply(
             self._turns()
             | {
-                "documents": documents.plain(content),
-                "acting": documents.plain(state.acting),
-                "ghosts": sorted(state.ghosts),
-                "waits_for": self._core.leases.waits_for(state, self._core.now)
-                if state.wants_turn() is not None
+                "documents": documents.to_plain(content),
+                "acting": documents.to_plain(state.effective),
+                "ghosts": sorted(state.departed_gateways),
+                "waits_for": self._core.leases.blocking_gateways(state, self._core.now)
+                if state.pending_turn() is not None
                 else [],
             }
         )
@@ -102,8 +102,8 @@
                     {
                         "version": past.version,
                         "request": past.request,
-                        "who": past.who,
-                        "why": past.why,
+                        "who": past.author,
+                        "why": past.reason,
                         "documents": list(past.documents),
                     }
                     for past in self._core.state.history()
@@ -114,7 +114,7 @@
     def _propose(self, ask: Ask, reply: Reply) -> None:
         if ask.version:
             try:
-                ask.bases, ask.change = self._core.state.back_to(ask.version)
+                ask.bases, ask.change = self._core.state.revert_to(ask.version)
             except LookupError as trouble:
                 reply({"error": str(trouble)})
                 return
@@ -124,7 +124,9 @@
         bases = dict.fromkeys(documents.NAMES, -1) if refused else ask.bases
         # Danger: a log that is read again with a newer file would come to another state.
         self._log(
-            commands.propose(ask.request, bases, ask.change, ask.why, ask.name, self._core.state.world),
+            commands.encode_proposal(
+                ask.request, bases, ask.change, ask.why, ask.name, self._core.state.fleet_state
+            ),
             reply,
             refused,
         )
@@ -133,27 +135,27 @@
         """What would be barred beyond a part of a zone; only a file that names engines knows zones."""
         state = self._core.state
         try:
-            if not self.zones or "engines" not in documents.touched(change):
+            if not self.zones or "engines" not in documents.touched_documents(change):
                 return []
-            new = documents.patched(state.latest, change)
+            new = documents.apply_delta(state.latest, change)
         except ValueError:
             return []  # told by the log
-        known = checks.checked(state.latest, new, state.world)
-        world = msgspec.structs.replace(state.world, engines=self.zones)
-        return [one for one in checks.checked(state.latest, new, world) if one not in known]
+        known = checks.refusals(state.latest, new, state.fleet_state)
+        world = msgspec.structs.replace(state.fleet_state, engines=self.zones)
+        return [one for one in checks.refusals(state.latest, new, world) if one not in known]
 
     def _log(self, data: bytes, reply: Reply, instead: list[str] | None = None) -> None:
         def applied(outcome: bytes | None) -> None:
             if outcome is None:
                 reply(dict(_LOST))
                 return
-            told = commands.outcome(outcome)
+            told = commands.decode_result(outcome)
             reply(
                 self._turns()
                 | {
-                    "accepted": told.accepted,
+                    "accepted": told.is_accepted,
                     "version": told.version,
-                    "refused": list(instead or told.refused) if not told.accepted else [],
+                    "refused": list(instead or told.reasons) if not told.is_accepted else [],
                 }
             )
 
@@ -169,9 +171,9 @@
         bases, change = ask.bases, ask.change
         try:
             if ask.version:
-                bases, change = state.back_to(ask.version)
-            new = documents.patched(state.latest, change)
-            names = documents.touched(change)
+                bases, change = state.revert_to(ask.version)
+            new = documents.apply_delta(state.latest, change)
+            names = documents.touched_documents(change)
         except (ValueError, LookupError) as trouble:
             reply({"error": str(trouble)})
             return
@@ -182,22 +184,22 @@
             if bases.get(name, 0) != state.latest.version(name)
         ]
         dropped = state.latest.gateways.items.keys() - new.gateways.items.keys()
-        ghosts = (state.ghosts | dropped) - new.gateways.items.keys()
-        refused += checks.checked(state.latest, new, state.world, len(ghosts)) + self._too_much(change)
+        ghosts = (state.departed_gateways | dropped) - new.gateways.items.keys()
+        refused += checks.refusals(state.latest, new, state.fleet_state, len(ghosts)) + self._too_much(change)
         reply(
             self._turns()
             | {
                 "accepted": not refused,
                 "version": state.version + 1,
                 "refused": refused,
-                "old": documents.plain(state.latest),
-                "new": documents.plain(new),
+                "old": documents.to_plain(state.latest),
+                "new": documents.to_plain(new),
             }
         )
 
     def _forget(self, ask: Ask, reply: Reply) -> None:
         """An operator says that a gateway which no list names any more is out for good."""
-        self._log(commands.gone(ask.name, ask.why or "an operator says that it is out"), reply)
+        self._log(commands.encode_departed(ask.name, ask.why or "an operator says that it is out"), reply)
 
     def _section(self, ask: Ask, reply: Reply) -> None:
         """A command of another package, which knows its own bytes and its own outcome."""
@@ -208,7 +210,7 @@
         if ask.name not in self._core.state.sections:
             reply({"error": f"no section {ask.name!r}"})
         elif not self._core.propose(
-            commands.section(ask.name, ask.request, ask.change), applied, self._core.now
+            commands.encode_section_command(ask.name, ask.request, ask.change), applied, self._core.now
         ):
             reply({"error": "there is no leader", "again": True})
 
@@ -221,14 +223,14 @@
                     {
                         "gateway": one.gateway,
                         "turn": one.turn if one.turn >= 0 else None,
-                        "lease_us": one.left,
-                        "age_us": one.age if one.age >= 0 else None,
-                        "ghost": one.gateway in core.state.ghosts,
+                        "lease_us": one.lease_left_us,
+                        "age_us": one.heard_ago_us if one.heard_ago_us >= 0 else None,
+                        "ghost": one.gateway in core.state.departed_gateways,
                     }
-                    for one in core.leases.where(core.state, core.now)
+                    for one in core.leases.gateway_statuses(core.state, core.now)
                 ],
-                "waits_for": core.leases.waits_for(core.state, core.now)
-                if core.state.wants_turn() is not None
+                "waits_for": core.leases.blocking_gateways(core.state, core.now)
+                if core.state.pending_turn() is not None
                 else [],
             }
         )
--- a/cresstray/emulators/fleet/crowd.py
+++ b/cresstray/emulators/fleet/crowd.py
@@ -14,8 +14,8 @@
 
 from cresstray.clock import Clock
 from cresstray.config import operator
-from cresstray.fleet_config.active_config import Use
-from cresstray.fleet_config.follower import Follower
+from cresstray.fleet_config.active_config import ActiveConfig
+from cresstray.fleet_config.follower import ConfigFollower
 
 
 def names(count: int) -> list[str]:
@@ -26,16 +26,18 @@
     given, clock = operator.read(path).fleet, Clock(sleeps=True)
     async with anyio.create_task_group() as tasks:
         for number, name in enumerate(names(count)):
-            use = Use(
+            use = ActiveConfig(
                 name,
                 given.lease,
                 given.floor_lease,
                 given.drift,
                 given.most,
                 waits=True,
-                life=f"{os.getpid():x}",
+                incarnation=f"{os.getpid():x}",
+            )
+            tasks.start_soon(
+                ConfigFollower(given, name, use, random.Random(number).random, clock.now).run, tasks
             )
-            tasks.start_soon(Follower(given, name, use, random.Random(number).random, clock.now).run, tasks)
 
 
 if __name__ == "__main__":
--- a/cresstray/emulators/fleet/operators.py
+++ b/cresstray/emulators/fleet/operators.py
@@ -17,15 +17,22 @@
 from cresstray.control_plane.codec import Ask, Gather, requests
 from cresstray.emulators.fleet.accounts import Ban
 from cresstray.emulators.fleet.history import History, Operation
-from cresstray.fleet_config.codec import Content, Get, Greet, Reply
-from cresstray.fleet_config.documents import Documents, Gateway, Gateways, Shard, delta, parsed
+from cresstray.fleet_config.codec import ConfigPart, GetConfig, Greeting, OperatorReply
+from cresstray.fleet_config.documents import (
+    Documents,
+    Gateway,
+    GatewayList,
+    Shard,
+    encode_delta,
+    parse_documents,
+)
 from cresstray.sites.tls import Contexts, Sealed
 from cresstray.transport.framing import BrokenError, Frame, Frames, encode
 from cresstray.transport.peers import hello
 from cresstray.transport.streams import ENDED, SocketStream, connect
 
 _numbers = itertools.count(1)
-_BACK = (Greet, Reply, Content)  # positions are told to those only that tell some
+_BACK = (Greeting, OperatorReply, ConfigPart)  # positions are told to those only that tell some
 # One try at one keeper: an election is over by then, and the next keeper may be on the better side.
 _TRY = 0.8
 
@@ -93,7 +100,7 @@
                 gathered = Gather(128)
                 while True:
                     for frame in await self.frames():
-                        if isinstance(frame, Reply) and frame.number == number:
+                        if isinstance(frame, OperatorReply) and frame.number == number:
                             whole = gathered.add(frame)
                             if whole is not None:
                                 return msgspec.msgpack.decode(whole)
@@ -149,14 +156,14 @@
     async def documents(self, within: float, at: str | None = None) -> Documents | None:
         """The latest, by a read that is no older than this call."""
         answer = await self.ask(Ask("show"), within, at)
-        return parsed(answer["documents"]) if answer and "documents" in answer else None
+        return parse_documents(answer["documents"]) if answer and "documents" in answer else None
 
     async def propose(
         self, old: Documents, new: Documents, request: str, within: float, at: str | None = None
     ) -> Changed | None:
         """None: it may have been accepted, and may be yet."""
         asked = anyio.current_time()
-        ask = Ask("propose", request, bases=old.versions, change=delta(old, new), why="trial")
+        ask = Ask("propose", request, bases=old.versions, change=encode_delta(old, new), why="trial")
         answer = await self.ask(ask, within, at)
         if answer is None:
             return None
@@ -182,13 +189,12 @@
     """An edit that puts one item into a document; None: takes it out."""
 
     def edit(old: Documents) -> Documents:
-        before = getattr(old, document)
+        before = old.document(document)
         items = {name: one for name, one in before.items.items() if name != item}
         if rule is not None:
             items[item] = rule
-        return msgspec.structs.replace(
-            old, **{document: msgspec.structs.replace(before, items=dict(sorted(items.items())))}
-        )
+        changed = msgspec.structs.replace(before, items=dict(sorted(items.items())))
+        return old.with_documents({document: changed})
 
     return edit
 
@@ -216,10 +222,10 @@
     async def _follow(self, caller: Caller) -> None:
         while True:
             try:
-                await caller.put([Get(self._first[-1][0])])
+                await caller.put([GetConfig(self._first[-1][0])])
                 while True:
                     for frame in await caller.frames():
-                        if isinstance(frame, Content) and frame.turn > self._first[-1][0]:
+                        if isinstance(frame, ConfigPart) and frame.turn > self._first[-1][0]:
                             self._first.append((frame.turn, anyio.current_time()))
                             self._news.set()
                             self._news = anyio.Event()
@@ -245,7 +251,7 @@
 async def listed(operator: Operator, watch: Watch, gateways: Iterable[str]) -> None:
     """The first list: whoever runs counts, and as many without a lease."""
     names = sorted(gateways)
-    document = Gateways({name: Gateway() for name in names}, floor=len(names))
+    document = GatewayList({name: Gateway() for name in names}, count_without_lease=len(names))
     made = await operator.change(lambda old: msgspec.structs.replace(old, gateways=document), 10)
     if made is None or await watch.until(2 * made.version, 10) is None:
         raise TimeoutError(f"no list of gateways: {made}")
--- a/cresstray/fleet_config/admission.py
+++ b/cresstray/fleet_config/admission.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
-from cresstray.fleet_config.active_config import InUse, Mode, Use
-from cresstray.fleet_config.documents import Documents, EngineRule, Shard, TariffRule, TenantRule
+from cresstray.fleet_config.active_config import ActiveConfig, EffectiveConfig, Mode
+from cresstray.fleet_config.documents import Documents, EngineRule, RequestClassRule, Shard, TenantRule
 from cresstray.observability.counters import Counters
 from cresstray.policy.sliding_window import SlidingWindow
 from cresstray.policy.types import Engine, Request
@@ -21,18 +21,23 @@
 _FULL = 2
 
 
-class _View:
+class _EffectiveRules:
     """The documents of one turn, by the indexes that submissions carry."""
 
     def __init__(self, documents: Documents, tenants: Sequence[str], request_classes: Sequence[str]) -> None:
         self.documents = documents
         self.tenants = [documents.tenants.items.get(name, TenantRule()) for name in tenants]
-        self.tariffs = [documents.tariffs.items.get(name, TariffRule()) for name in request_classes]
-        self.capped = any(rule.share < 1 for rule in self.tenants)
+        self.request_classes = [
+            documents.request_classes.items.get(name, RequestClassRule()) for name in request_classes
+        ]
+        self.has_share_limits = any(rule.share < 1 for rule in self.tenants)
         self.shards = documents.placement.items
         # Nothing is said of any engine, tenant, tariff or shard: most fleets' most of the time.
-        self.plain = not (
-            documents.engines.items or documents.tenants.items or documents.tariffs.items or self.shards
+        self.is_empty = not (
+            documents.engines.items
+            or documents.tenants.items
+            or documents.request_classes.items
+            or self.shards
         )
         self.ranks: dict[str, int] = {}  # of this gateway among all, for the seats of an engine
 
@@ -48,44 +53,53 @@
         self.count.add(now)
 
 
-class Admission:
+class ConfigAdmissionRules:
     """interface.Rules. `tenants`, `tariffs`: names by index; `engine_id` gives "" for one of another hall."""
 
     def __init__(
         self,
-        use: Use,
+        use: ActiveConfig,
         tenants: Sequence[str],
         request_classes: Sequence[str],
         engine_id: Callable[[Engine], str],
         counters: Counters | None = None,
     ) -> None:
-        self.use, self._engine_id = use, engine_id
+        self.active_config, self._engine_id = use, engine_id
         self._tenants, self._tariffs = tuple(tenants), tuple(request_classes)
         self._counters = counters or Counters()
-        self._view = _View(use.documents, self._tenants, self._tariffs)
-        self._judged: tuple[Request | None, InUse | None, bool, Shard | None] = None, None, False, None
+        self._view = _EffectiveRules(use.documents, self._tenants, self._tariffs)
+        self._judged: tuple[Request | None, EffectiveConfig | None, bool, Shard | None] = (
+            None,
+            None,
+            False,
+            None,
+        )
         self._all, self._of = _Taken(), [_Taken() for _ in self._tenants]
 
-    def _at(self, now: int) -> InUse:
-        found = self.use.at(now)
+    def _at(self, now: int) -> EffectiveConfig:
+        found = self.active_config.effective_at(now)
         if found.documents is not self._view.documents:
-            self._view = _View(found.documents, self._tenants, self._tariffs)
+            self._view = _EffectiveRules(found.documents, self._tenants, self._tariffs)
         return found
 
     def gateway_count(self, now: int) -> int:
         """By how many the shares are divided; 0: relay nothing."""
-        return self._at(now).gateways
+        return self._at(now).gateway_count
 
     def retry_budget_scale(self, request: Request, now: int) -> float:
         """Scales the budget of further relays, 0 to 1."""
-        return self._rule(request, self._at(now)).further
+        return self._rule(request, self._at(now)).retry_budget_scale
 
-    def _rule(self, request: Request, use: InUse) -> TariffRule:
-        if use.mode is Mode.STOP:
+    def _rule(self, request: Request, use: EffectiveConfig) -> RequestClassRule:
+        if use.mode is Mode.STOPPED:
             return _STOPPED
         index = request.request_class.index
         # What the deploy file has and no name is known of, no rule is about.
-        return self._view.tariffs[index] if index < len(self._view.tariffs) else TariffRule()
+        return (
+            self._view.request_classes[index]
+            if index < len(self._view.request_classes)
+            else RequestClassRule()
+        )
 
     def _tenant(self, request: Request) -> TenantRule:
         known = self._view.tenants
@@ -94,26 +108,26 @@
     def admits(self, request: Request, now: int) -> bool:
         """Whether it may go on, each time it is offered; its first time counts for its tenant's share."""
         use = self._at(now)
-        if self._view.plain and request.replica_read is None and use.mode is not Mode.STOP:
+        if self._view.is_empty and request.replica_read is None and use.mode is not Mode.STOPPED:
             return True
         against = self._against(request, use, now)
         if against:
             self._counters.add(f"rules: denied, {against}")
             return False
-        if self._view.capped and not request.attempts:
+        if self._view.has_share_limits and not request.attempts:
             work = _work(request)
             self._all.add(now, work)
             if 0 <= request.tenant < len(self._of):
                 self._of[request.tenant].add(now, work)
         return True
 
-    def _against(self, request: Request, use: InUse, now: int) -> str:
-        if use.mode is Mode.STOP:
+    def _against(self, request: Request, use: EffectiveConfig, now: int) -> str:
+        if use.mode is Mode.STOPPED:
             return "this gateway is not named"
-        if self._rule(request, use).stopped:
+        if self._rule(request, use).is_stopped:
             return "tariff stopped"
         tenant = self._tenant(request)
-        if tenant.barred:
+        if tenant.is_barred:
             return "tenant barred"
         if tenant.share < 1 and not request.attempts and self._over(request, tenant.share, now):
             return "tenant over its share"
@@ -133,12 +147,14 @@
     def allows(self, request: Request, engine: Engine, now: int) -> bool:
         """Whether a relay of it may go to this engine now; what was held is judged anew."""
         use = self._at(now)
-        if self._view.plain and request.replica_read is None:
-            return use.mode is not Mode.STOP
+        if self._view.is_empty and request.replica_read is None:
+            return use.mode is not Mode.STOPPED
         # Asked for one engine after the other: what is said of the submission is found once for a moment.
         if self._judged[0] is not request or self._judged[1] is not use:
             may = not (
-                use.mode is Mode.STOP or self._rule(request, use).stopped or self._tenant(request).barred
+                use.mode is Mode.STOPPED
+                or self._rule(request, use).is_stopped
+                or self._tenant(request).is_barred
             )
             self._judged = request, use, may, self._view.shards.get(str(request.data_set))
         _, _, may, shard = self._judged
@@ -161,31 +177,33 @@
         rule = use.documents.engines.items.get(name)
         return (
             rule is None
-            or not rule.barred
-            and (rule.work >= 1 or self._room(request, engine, name, rule, use))
+            or not rule.is_barred
+            and (rule.work_fraction >= 1 or self._room(request, engine, name, rule, use))
         )
 
-    def _room(self, request: Request, engine: Engine, name: str, rule: EngineRule, use: InUse) -> bool:
+    def _room(
+        self, request: Request, engine: Engine, name: str, rule: EngineRule, use: EffectiveConfig
+    ) -> bool:
         """All gateways together have at most that part of what the engine is given on it, and as much again
         in seats, or one: where a gateway's part is less than a thread, a few of them have a whole."""
         own, threads = engine.limiter.threads, request.request_class.threads
-        whole = rule.work * _FULL * engine.limiter.cores
-        if own + threads <= whole / use.gateways:
+        whole = rule.work_fraction * _FULL * engine.limiter.cores
+        if own + threads <= whole / use.gateway_count:
             return True
         # Danger: one each for 230 gateways would be many times what a limited engine is to have.
-        return own == 0 and rule.work > 0 and self._rank(name) < max(1, int(whole / threads))
+        return own == 0 and rule.work_fraction > 0 and self._rank(name) < max(1, int(whole / threads))
 
     def _rank(self, engine: str) -> int:
         ranks = self._view.ranks
         if engine not in ranks:
             # By a draw that all gateways make alike: others have the seats of another engine.
             drawn = {one: _draw(engine, one) for one in self._view.documents.gateways.items}
-            mine = drawn.get(self.use.name)
+            mine = drawn.get(self.active_config.name)
             ranks[engine] = len(drawn) if mine is None else sum(one < mine for one in drawn.values())
         return ranks[engine]
 
 
-_STOPPED = TariffRule(stopped=True, further=0.0)
+_STOPPED = RequestClassRule(is_stopped=True, retry_budget_scale=0.0)
 
 
 def _work(request: Request) -> float:
--- a/cresstray/fleet_config/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -12,8 +12,15 @@
 import anyio
 
 from cresstray.config.fleet import Fleet, Keeper
-from cresstray.fleet_config.active_config import Mode, Use
-from cresstray.fleet_config.codec import Behind, Content, Granted, Greet, Heard, Refused
+from cresstray.fleet_config.active_config import ActiveConfig, Mode
+from cresstray.fleet_config.codec import (
+    ConfigPart,
+    Greeting,
+    LeaseBehind,
+    LeaseGranted,
+    LeaseRefused,
+    ReplicaPositions,
+)
 from cresstray.observability.counters import Counters
 from cresstray.observability.event_log import Said
 from cresstray.transport.framing import BrokenError, Frame
@@ -23,7 +30,7 @@
     from anyio.abc import TaskGroup
 
 # What a keeper may send to a gateway.
-_KINDS = (Greet, Granted, Behind, Refused, Content, Heard)
+_KINDS = (Greeting, LeaseGranted, LeaseBehind, LeaseRefused, ConfigPart, ReplicaPositions)
 # A link that worked is made again, to the next keeper, within this: a lease of two seconds outlives it.
 _AT_ONCE = 0.2
 # After all keepers were tried in vain: doubled each time around, by chance from nothing to it. 230 gateways
@@ -34,17 +41,17 @@
 _TELL, _TELL_LEAST = 250_000, 20_000
 
 
-def boottime() -> int:
+def boottime_us() -> int:
     """Microseconds of a clock that neither a stopped process nor a sleeping machine stops."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-def order(name: str, keepers: tuple[Keeper, ...]) -> list[Keeper]:
+def preference_order(name: str, keepers: tuple[Keeper, ...]) -> list[Keeper]:
     """By rendezvous hashing: all gateways agree on nothing, and still spread over the keepers evenly."""
     return sorted(keepers, key=lambda one: blake2b(f"{name} {one.name}".encode(), digest_size=8).digest())
 
 
-class Follower:
+class ConfigFollower:
     """`now` is the clock that the gateway acts by. `talks` makes what is said of positions on a new link.
 
     `linked` hears whether there is a link now. OSError where the keys can't be used.
@@ -54,14 +61,14 @@
         self,
         given: Fleet,
         name: str,
-        use: Use,
+        use: ActiveConfig,
         chance: Callable[[], float],
-        now: Callable[[], int] = boottime,
+        now: Callable[[], int] = boottime_us,
         counters: Counters | None = None,
         talks: Callable[[], Talk] | None = None,
         linked: Callable[[bool], None] = lambda up: None,
     ) -> None:
-        self._given, self.name, self.use, self._linked = given, name, use, linked
+        self._given, self.name, self.active_config, self._linked = given, name, use, linked
         self._chance, self._now, self._talks = chance, now, talks
         self.counters = counters or Counters()
         self._said = Said(now, gateway=name)
@@ -72,8 +79,8 @@
             contexts = Contexts(given.tls)
         # Danger: a keeper that is silent holds up the way to the next one; a lease is to outlive two of them.
         self._ends = Ends(_KINDS, contexts, chance, self._said, self.counters, given.lease / 4e6)
-        self._hello = hello("gateway", given.name, name, use.life, agreed(given))
-        self._keepers = order(name, given.keepers)
+        self._hello = hello("gateway", given.name, name, use.incarnation, agreed(given))
+        self._keepers = preference_order(name, given.keepers)
         self._link: Link | None = None
         self._keeper = ""
         self._talk: Talk | None = None
@@ -125,8 +132,8 @@
         self._talk = self._talks() if self._talks is not None else None
         self._linked(True)
         self._said.say("link", "made", to=keeper.name)
-        self.use.connected(at)
-        link.put(self.use.gets())
+        self.active_config.on_connected(at)
+        link.put(self.active_config.make_request())
         self._tick()
 
     def _down(self, link: Link) -> None:
@@ -136,18 +143,18 @@
 
     def _taken(self, link: Link, frame: Frame) -> None:
         at = self._heard_at = self._now()
-        if isinstance(frame, Greet):
+        if isinstance(frame, Greeting):
             raise BrokenError("a second greeting")
-        if isinstance(frame, Heard):
+        if isinstance(frame, ReplicaPositions):
             if self._talk is not None:
                 self._talk.hears(frame.body, at)
             return
-        if not isinstance(frame, Refused) or frame.reason != "no leader":
+        if not isinstance(frame, LeaseRefused) or frame.reason != "no leader":
             self._leader_at = at
-        if isinstance(frame, Granted):
+        if isinstance(frame, LeaseGranted):
             self.counters.add("leases granted")
         try:
-            self.use.take(frame, at)
+            self.active_config.receive(frame, at)
         except BrokenError:
             raise
         except Exception:
@@ -155,11 +162,13 @@
             self.counters.add("faults")
             self._said.say("fault", traceback.format_exc())
             raise BrokenError("a fault of ours") from None
-        refused = (frame.reason, frame.turn) if isinstance(frame, Refused) else None
+        refused = (frame.reason, frame.turn) if isinstance(frame, LeaseRefused) else None
         # Danger: a refusal that is answered by the next question at once would go round without end.
         if refused is not None and refused == self._refused:
             self._hush = at + self._given.lease // 3
-        self._refused = refused if isinstance(frame, (Granted, Behind, Refused)) else self._refused
+        self._refused = (
+            refused if isinstance(frame, (LeaseGranted, LeaseBehind, LeaseRefused)) else self._refused
+        )
         self._tick()
 
     def _tick(self) -> None:
@@ -171,7 +180,7 @@
         try:
             if self._link is not None and not self._link.why:
                 self._ask(self._link, at)
-                wait = max(1000, min(wait, max(self.use.due, self._hush) - at))
+                wait = max(1000, min(wait, max(self.active_config.due_us, self._hush) - at))
             self._look(at)
         except Exception:
             self.counters.add("faults")
@@ -179,13 +188,13 @@
         self._timer = asyncio.get_running_loop().call_later(wait / 1e6, self._tick)
 
     def _ask(self, link: Link, at: int) -> None:
-        use = self.use
-        renew = use.asks(at) if at >= self._hush else None
+        use = self.active_config
+        renew = use.renewal_due(at) if at >= self._hush else None
         if renew is not None:
             link.put(renew)
-        if use.behind and self._got < use.heard:
-            self._got = use.heard
-            link.put(use.gets())
+        if use.is_behind and self._got < use.highest_turn_heard:
+            self._got = use.highest_turn_heard
+            link.put(use.make_request())
         if self._talk is not None and at >= self._tell_at:
             self._tell(link, self._talk, at)
         # A renewal goes out each third of a lease; a sixth later its answer is overdue, and half of the lease
@@ -198,17 +207,17 @@
 
     def _tell(self, link: Link, talk: Talk, at: int) -> None:
         self._told_at, self._tell_at = at, at + _TELL
-        link.put(Heard(talk.says(at)))
+        link.put(ReplicaPositions(talk.says(at)))
 
-    def asks_at_once(self) -> None:
+    def request_positions(self) -> None:
         """Tells, and so asks, what is known of copies now, where there is a keeper to hear it."""
         at = self._now()
         if self._link is not None and self._talk is not None and at - self._told_at >= _TELL_LEAST:
             self._tell(self._link, self._talk, at)
 
     def _look(self, at: int) -> None:
-        in_use = self.use.at(at)
-        for line in self.use.told():
+        in_use = self.active_config.effective_at(at)
+        for line in self.active_config.take_log_lines():
             if line != self._line:
                 self._said.say("rules", line)
             self._line = line
@@ -220,7 +229,7 @@
 
     def status(self) -> dict[str, Any]:
         at = self._now()
-        in_use = self.use.at(at)
+        in_use = self.active_config.effective_at(at)
         return {
             "member": self.name,
             "keeper": self._keeper or None,
@@ -228,9 +237,9 @@
             "turn": in_use.turn,
             "version": in_use.turn // 2,
             "joint": bool(in_use.turn % 2),
-            "heard": self.use.heard,
-            "gateways": in_use.gateways,
-            "lease ms": self.use.lease_left(at) // 1000,
+            "heard": self.active_config.highest_turn_heard,
+            "gateways": in_use.gateway_count,
+            "lease ms": self.active_config.lease_left_us(at) // 1000,
             "age ms": (at - self._heard_at) // 1000 if self._heard_at else None,
             "versions": dict(in_use.documents.versions),
         }
--- a/cresstray/fleet_config/strictest.py
+++ b/cresstray/fleet_config/strictest.py
@@ -8,25 +8,25 @@
     NAMES,
     Documents,
     EngineRule,
-    Engines,
-    Gateways,
+    EngineRules,
+    GatewayList,
     Pin,
     Placement,
     Replicas,
+    RequestClassRule,
+    RequestClassRules,
     Shard,
-    TariffRule,
-    Tariffs,
     TenantRule,
-    Tenants,
+    TenantRules,
 )
 
 
-def divisor(gateways: Gateways, ghosts: int = 0) -> int:
+def gateway_divisor(gateways: GatewayList, ghosts: int = 0) -> int:
     """By how many the shares of the engines are divided; `ghosts`: not named any more, but may still run."""
     return max(gateways.count, len(gateways.items) + ghosts)
 
 
-def unlisted(documents: Documents) -> bool:
+def has_no_gateway_list(documents: Documents) -> bool:
     """Whether no list of gateways has ever been agreed on: then any may run, each by the file's most."""
     return not documents.version("gateways")
 
@@ -35,9 +35,9 @@
     """In either order the same; of one with itself, itself but for `count`, which then says the divisor."""
     return Documents(
         _gateways(old, new),
-        Engines(_engines(old.engines.items, new.engines.items)),
-        Tenants(_tenants(old.tenants.items, new.tenants.items)),
-        Tariffs(_tariffs(old.tariffs.items, new.tariffs.items)),
+        EngineRules(_engines(old.engines.items, new.engines.items)),
+        TenantRules(_tenants(old.tenants.items, new.tenants.items)),
+        RequestClassRules(_tariffs(old.request_classes.items, new.request_classes.items)),
         Placement(_placement(old.placement.items, new.placement.items)),
         Replicas(_replicas(old.replicas.items, new.replicas.items)),
         # Of an unagreed list nothing is known; the other's version says which one is meant.
@@ -49,15 +49,19 @@
     )
 
 
-def _gateways(old: Documents, new: Documents) -> Gateways:
+def _gateways(old: Documents, new: Documents) -> GatewayList:
     one, other = old.gateways, new.gateways
-    if unlisted(old) != unlisted(new):
+    if has_no_gateway_list(old) != has_no_gateway_list(new):
         # Danger: the first list against none leaves nobody who may relay. No list: whoever runs may.
-        names = other.items if unlisted(old) else one.items
+        names = other.items if has_no_gateway_list(old) else one.items
     else:
         names = {name: item for name, item in one.items.items() if name in other.items}
-    floor = 0 if not one.floor or not other.floor else max(one.floor, other.floor)  # 0: the most of all
-    return Gateways(dict(sorted(names.items())), max(divisor(one), divisor(other)), floor)
+    floor = (
+        0
+        if not one.count_without_lease or not other.count_without_lease
+        else max(one.count_without_lease, other.count_without_lease)
+    )  # 0: the most of all
+    return GatewayList(dict(sorted(names.items())), max(gateway_divisor(one), gateway_divisor(other)), floor)
 
 
 def _union(old: dict, new: dict) -> list[str]:
@@ -67,21 +71,30 @@
 def _engines(old: dict[str, EngineRule], new: dict[str, EngineRule]) -> dict[str, EngineRule]:
     both = ((name, old.get(name, EngineRule()), new.get(name, EngineRule())) for name in _union(old, new))
     return {
-        name: EngineRule(one.barred or other.barred, min(one.work, other.work)) for name, one, other in both
+        name: EngineRule(one.is_barred or other.is_barred, min(one.work_fraction, other.work_fraction))
+        for name, one, other in both
     }
 
 
 def _tenants(old: dict[str, TenantRule], new: dict[str, TenantRule]) -> dict[str, TenantRule]:
     both = ((name, old.get(name, TenantRule()), new.get(name, TenantRule())) for name in _union(old, new))
     return {
-        name: TenantRule(one.barred or other.barred, min(one.share, other.share)) for name, one, other in both
+        name: TenantRule(one.is_barred or other.is_barred, min(one.share, other.share))
+        for name, one, other in both
     }
 
 
-def _tariffs(old: dict[str, TariffRule], new: dict[str, TariffRule]) -> dict[str, TariffRule]:
-    both = ((name, old.get(name, TariffRule()), new.get(name, TariffRule())) for name in _union(old, new))
+def _tariffs(
+    old: dict[str, RequestClassRule], new: dict[str, RequestClassRule]
+) -> dict[str, RequestClassRule]:
+    both = (
+        (name, old.get(name, RequestClassRule()), new.get(name, RequestClassRule()))
+        for name in _union(old, new)
+    )
     return {
-        name: TariffRule(one.stopped or other.stopped, min(one.further, other.further))
+        name: RequestClassRule(
+            one.is_stopped or other.is_stopped, min(one.retry_budget_scale, other.retry_budget_scale)
+        )
         for name, one, other in both
     }
 
@@ -111,6 +124,6 @@
             continue
         # A strict pin forbids all other copies, a preference forbids nothing. Of a strict one that changes,
         # both hold; no name that may be proposed ends like the second's.
-        strict = sorted((pin for pin in pins if pin.strict), key=msgspec.msgpack.encode)
+        strict = sorted((pin for pin in pins if pin.is_strict), key=msgspec.msgpack.encode)
         made |= zip((name, name + "'"), strict)
     return dict(sorted(made.items()))
--- a/cresstray/fleet_config/validation.py
+++ b/cresstray/fleet_config/validation.py
@@ -5,15 +5,15 @@
 import re
 from collections import Counter
 
-from cresstray.fleet_config.documents import Documents, World
-from cresstray.fleet_config.strictest import divisor
+from cresstray.fleet_config.documents import Documents, FleetState
+from cresstray.fleet_config.strictest import gateway_divisor
 
 _NAME = re.compile(r"[0-9A-Za-z_.:@-]{1,64}")
 # What a keeper sends to a gateway that knows nothing is so long at most: half of what fits into its parts.
-LONGEST = 8 * 1024 * 1024
+MAX_DOCUMENTS_BYTES = 8 * 1024 * 1024
 
 
-def checked(old: Documents, new: Documents, world: World, ghosts: int = 0) -> list[str]:
+def refusals(old: Documents, new: Documents, world: FleetState, ghosts: int = 0) -> list[str]:
     """Every refusal, in order; none: fit. `ghosts`: gateways not named any more that may still run.
 
     What does not change is not judged again: the file may have changed, and a move may leave a pin behind.
@@ -22,32 +22,34 @@
         *_gateways(new, world, ghosts),
         *_engines(old, new, world),
         *_named("tenant", old, new, world.tenants),
-        *_named("tariff", old, new, world.tariffs),
+        *_named("tariff", old, new, world.request_classes),
         *_placement(old, new, world),
         *_replicas(old, new, world),
     ]
 
 
-def _gateways(new: Documents, world: World, ghosts: int) -> list[str]:
+def _gateways(new: Documents, world: FleetState, ghosts: int) -> list[str]:
     given, told = new.gateways, []
-    named, needed = len(given.items), divisor(given, ghosts)
+    named, needed = len(given.items), gateway_divisor(given, ghosts)
     if not named:
         told.append("gateways: none is named, and all would stop")
     if given.count and given.count < named:
         told.append(f"gateways: count {given.count} is less than the {named} that are named")
-    if given.count > world.most:
-        told.append(f"gateways: count {given.count} is more than the file's most, {world.most}")
-    elif needed > world.most:
+    if given.count > world.max_gateways:
+        told.append(f"gateways: count {given.count} is more than the file's most, {world.max_gateways}")
+    elif needed > world.max_gateways:
         behind = f" and {ghosts} not yet known to be out" if ghosts else ""
-        told.append(f"gateways: {named} named{behind} are more than the file's most, {world.most}")
-    if given.floor and given.floor < needed:
-        told.append(f"gateways: floor {given.floor} is less than the {needed} that count")
-    if given.floor > world.most:
-        told.append(f"gateways: floor {given.floor} is more than the file's most, {world.most}")
+        told.append(f"gateways: {named} named{behind} are more than the file's most, {world.max_gateways}")
+    if given.count_without_lease and given.count_without_lease < needed:
+        told.append(f"gateways: floor {given.count_without_lease} is less than the {needed} that count")
+    if given.count_without_lease > world.max_gateways:
+        told.append(
+            f"gateways: floor {given.count_without_lease} is more than the file's most, {world.max_gateways}"
+        )
     return told
 
 
-def _engines(old: Documents, new: Documents, world: World) -> list[str]:
+def _engines(old: Documents, new: Documents, world: FleetState) -> list[str]:
     if not world.engines or old.engines == new.engines:
         return []
     told = [
@@ -59,19 +61,20 @@
     barred = Counter(
         world.engines[name]
         for name, rule in new.engines.items.items()
-        if name in world.engines and (rule.barred or not rule.work)
+        if name in world.engines and (rule.is_barred or not rule.work_fraction)
     )
     zones = Counter(world.engines.values())
     for zone, count in sorted(barred.items()):
         # Danger: what the others of a zone can't carry fells them; barring is for a few. One always may be.
-        most = max(1, int(world.most_barred * zones[zone] + 1e-9))
+        most = max(1, int(world.max_barred_fraction * zones[zone] + 1e-9))
         if count > most:
             told.append(f"engines: {count} of {zones[zone]} barred in zone {zone!r}, {most} may be")
     return told
 
 
 def _named(kind: str, old: Documents, new: Documents, known: tuple[str, ...]) -> list[str]:
-    before, after = getattr(old, f"{kind}s").items, getattr(new, f"{kind}s").items
+    before = old.document(f"{kind}s").items
+    after = new.document(f"{kind}s").items
     return [
         f"{kind}s: there is no {kind} {name!r}"
         for name, rule in after.items()
@@ -79,7 +82,7 @@
     ]
 
 
-def _placement(old: Documents, new: Documents, world: World) -> list[str]:
+def _placement(old: Documents, new: Documents, world: FleetState) -> list[str]:
     told = []
     for name, shard in new.placement.items.items():
         at, before = f"placement: shard {name}: ", old.placement.items.get(name)
@@ -108,7 +111,7 @@
     return told
 
 
-def _replicas(old: Documents, new: Documents, world: World) -> list[str]:
+def _replicas(old: Documents, new: Documents, world: FleetState) -> list[str]:
     told = []
     placed = {copy for shard in new.placement.items.values() for copy in shard.copies}
     for name, pin in new.replicas.items.items():
@@ -117,10 +120,10 @@
             continue
         if not _NAME.fullmatch(name):
             told.append(f"{at}not a name")
-        if not pin.tariff and not pin.tenant:
+        if not pin.request_class and not pin.tenant:
             told.append(f"{at}neither a tariff nor a tenant")
-        if pin.tariff and world.tariffs and pin.tariff not in world.tariffs:
-            told.append(f"{at}there is no tariff {pin.tariff!r}")
+        if pin.request_class and world.request_classes and pin.request_class not in world.request_classes:
+            told.append(f"{at}there is no tariff {pin.request_class!r}")
         if pin.tenant and world.tenants and pin.tenant not in world.tenants:
             told.append(f"{at}there is no tenant {pin.tenant!r}")
         if bool(pin.copies) == bool(pin.zone):
@@ -128,6 +131,6 @@
         if pin.zone and world.engines and pin.zone not in world.engines.values():
             told.append(f"{at}there is no zone {pin.zone!r}")
         told += [f"{at}no shard has a copy on {copy}" for copy in pin.copies if copy not in placed]
-        if not pin.until:
+        if not pin.until_s:
             told.append(f"{at}it has no end")
     return told
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -16,9 +16,9 @@
 from cresstray.background.worker import Worker
 from cresstray.clock import Clock, Timers
 from cresstray.config.fleet import Fleet as Given
-from cresstray.fleet_config.active_config import Use
-from cresstray.fleet_config.admission import Admission
-from cresstray.fleet_config.follower import Follower
+from cresstray.fleet_config.active_config import ActiveConfig
+from cresstray.fleet_config.admission import ConfigAdmissionRules
+from cresstray.fleet_config.follower import ConfigFollower
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from cresstray.pipeline.ingress import Ingress
@@ -44,7 +44,7 @@
     """interface.Rules at the moment of acting, by this process's clock and not by when an event was read."""
 
     def __init__(
-        self, admission: Admission, reads: Reads, now: Callable[[], int], ask: Callable[[], None]
+        self, admission: ConfigAdmissionRules, reads: Reads, now: Callable[[], int], ask: Callable[[], None]
     ) -> None:
         self._admission, self._reads, self._now, self._ask = admission, reads, now, ask
         self._moment = 0  # of the send or the offer that is being decided
@@ -109,8 +109,14 @@
         # Seeds are new with each start; the clock parts two starts that an operator gave the same one.
         life = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
         chance = random.Random(seed).random
-        self.use = use = Use(
-            given.member, given.lease, given.floor_lease, given.drift, given.most, waits=True, life=life
+        self.use = use = ActiveConfig(
+            given.member,
+            given.lease,
+            given.floor_lease,
+            given.drift,
+            given.most,
+            waits=True,
+            incarnation=life,
         )
         self.directory = directory = EngineDirectory(settings.get("Localities", []))
         board = Board(lambda text: log.log("replicas", text), given.drift)
@@ -118,14 +124,14 @@
             board, use, counters, chance, directory.cores, directory.zone_of, directory.is_full, time.time
         )
         self._reads, self._asks_again = reads, False
-        admission = Admission(
+        admission = ConfigAdmissionRules(
             use,
             [tenant["Name"] for tenant in settings.get("Tenants", [])],
             [service.get("Name", "") for service in settings.get("Services", [])],
             lambda engine: directory.ids.get(engine, ""),
             counters,
         )
-        self.follower = Follower(
+        self.follower = ConfigFollower(
             given,
             given.member,
             use,
@@ -145,7 +151,7 @@
         self._timers.call_after(_PATIENCE + 1000, self._look)
 
     def _ask_now(self) -> None:
-        self.follower.asks_at_once()
+        self.follower.request_positions()
         # Too soon behind another word: tried again, unless no keeper is there to hear it.
         if self._reads.untold() and self._reads.patience and not self._asks_again:
             self._asks_again = True
@@ -162,6 +168,6 @@
     def start(self, tasks: TaskGroup) -> None:
         # Danger: one that no list names would relay beside all that are named. Keepers within reach say so in
         # a lease; where there are none, service goes on, by the smallest share there is.
-        floor = self._worker.does("floor", Priority.SAFETY, 0, lambda now: self.use.goes_on())
+        floor = self._worker.does("floor", Priority.SAFETY, 0, lambda now: self.use.stop_waiting_for_list())
         self._worker.later(floor, self._lease)
         tasks.start_soon(self.follower.run, tasks)
--- a/cresstray/placement/move_executor.py
+++ b/cresstray/placement/move_executor.py
@@ -131,7 +131,7 @@
         self.waits: dict[int, str] = {}  # by move: what it waits for, for operators
 
     def next(
-        self, state: rules.State, moves: Moves, told: Mapping[str, Disk], now: int
+        self, state: rules.ConfigState, moves: Moves, told: Mapping[str, Disk], now: int
     ) -> list[Command | Entry]:
         """All that is due now; what was asked for and shows no effect comes again after a while."""
         if self._began is None:
@@ -234,7 +234,7 @@
     def _barred(self, engine: str) -> bool:
         """Danger: a primary on an engine that no gateway may send to takes no writes."""
         rule = self._state.latest.engines.items.get(engine)
-        return rule is not None and (rule.barred or not rule.work)
+        return rule is not None and (rule.is_barred or not rule.work_fraction)
 
     def _watch(self, index: int, move: Moving) -> _Watch:
         key = (move.at, move.fence, move.tries)
@@ -268,7 +268,7 @@
 
     def _log(self, entry: log.Step | log.Paid) -> None:
         # It is compared and set, so it counts once without a name; names are kept for operators.
-        self._steps.append(Entry("", rules.section(log.NAME, "", log.encode(entry))))
+        self._steps.append(Entry("", rules.encode_section_command(log.NAME, "", log.encode(entry))))
 
     def _goes_back(self, index: int, move: Moving) -> bool:
         """Whether it was asked to; said again until the log has it."""
@@ -309,12 +309,12 @@
         self._steps.append(
             Entry(
                 request,
-                rules.propose(
+                rules.encode_proposal(
                     request,
                     {"placement": base},
-                    documents.delta(state.latest, after),
+                    documents.encode_delta(state.latest, after),
                     why[:200],
-                    world=state.world,
+                    world=state.fleet_state,
                 ),
             )
         )
--- a/cresstray/placement/moves.py
+++ b/cresstray/placement/moves.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from cresstray.fleet_config import documents
-    from cresstray.fleet_config.state import State
+    from cresstray.fleet_config.state import ConfigState
 
 NAME = "moves"  # of the section in the log
 # Moves in one entry of the log: about 80 bytes each, well below the longest frame.
@@ -211,14 +211,14 @@
         self.serial = 0  # the last number given to engines, over all plans
         self.owed: dict[tuple[str, str], int] = {}  # engine and shard that it is to drop, once it is back
 
-    def apply(self, state: State, data: bytes) -> bytes:
+    def apply(self, state: ConfigState, data: bytes) -> bytes:
         try:
             entry = _decode.decode(data)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
             return f"refused: no entry of moves: {trouble}".encode()
         return self._TAKES[type(entry)](self, state, entry)
 
-    def dump(self) -> bytes:
+    def snapshot(self) -> bytes:
         owed = [(engine, shard, fence) for (engine, shard), fence in sorted(self.owed.items())]
         return _encode.encode(_Kept(self.plan, self.serial, owed))
 
@@ -261,7 +261,7 @@
 
     # Entries.
 
-    def _begun(self, state: State, entry: Begin) -> bytes:
+    def _begun(self, state: ConfigState, entry: Begin) -> bytes:
         plan = self.plan
         if plan is not None and plan.id == entry.id:
             if entry.part < plan.had:
@@ -286,7 +286,7 @@
         self.plan = plan
         return DONE
 
-    def _stepped(self, state: State, entry: Step) -> bytes:
+    def _stepped(self, state: ConfigState, entry: Step) -> bytes:
         plan = self.plan
         if plan is None or plan.id != entry.plan or plan.had != plan.parts:
             return b"refused: no such plan is under way"
@@ -311,7 +311,7 @@
         self._set(plan, move, entry, to)
         return DONE
 
-    def _hinders(self, state: State, move: Moving, entry: Step) -> str:
+    def _hinders(self, state: ConfigState, move: Moving, entry: Step) -> str:
         """Why an event may not be yet, by the documents; carrier.py has looked before, and may be late."""
         shard = state.latest.placement.items.get(move.shard)
         event = entry.event
@@ -375,7 +375,7 @@
             if move.at is At.PLANNED:
                 move.at = At.CANCELLED
 
-    def _cancelled(self, state: State, entry: Cancel) -> bytes:
+    def _cancelled(self, state: ConfigState, entry: Cancel) -> bytes:
         plan = self.plan
         if plan is None or plan.id != entry.id:
             return b"refused: no such plan is under way"
@@ -392,7 +392,7 @@
                 move.at, move.held, move.why = At.CANCELLED, 0, f"cancelled by {entry.who}"
         return DONE
 
-    def _paid(self, state: State, entry: Paid) -> bytes:
+    def _paid(self, state: ConfigState, entry: Paid) -> bytes:
         if self.owed.get((entry.engine, entry.shard)) != entry.fence:
             return BEFORE
         del self.owed[entry.engine, entry.shard]
@@ -436,7 +436,7 @@
     )
 
 
-def in_force(state: State, shard: str) -> bool:
+def in_force(state: ConfigState, shard: str) -> bool:
     """Whether a shard's last committed placement is what all act on: no lease under an older one is left.
 
     At turn 2v and 2v + 1 version v is in force: who holds a lease acts at one of these, or has none.
@@ -444,5 +444,5 @@
     if state.latest.version("placement") <= state.turn // 2:
         return True
     return state.turn % 2 == 0 and (
-        state.acting.placement.items.get(shard) == state.latest.placement.items.get(shard)
+        state.effective.placement.items.get(shard) == state.latest.placement.items.get(shard)
     )
--- a/cresstray/replicas/pins.py
+++ b/cresstray/replicas/pins.py
@@ -10,14 +10,14 @@
 
 
 class Pin(Protocol):
-    """As `replicas` in force has it; `until` in Unix seconds."""
+    """As `replicas` in force has it; `until_s` in Unix seconds."""
 
-    tariff: str
+    request_class: str
     tenant: str
     copies: tuple[str, ...]
     zone: str
-    strict: bool
-    until: int
+    is_strict: bool
+    until_s: int
 
 
 def matching(pins: Mapping[str, Pin], request_class: str, tenant: str, unix: float) -> list[Pin]:
@@ -25,10 +25,10 @@
     return [
         pin
         for _, pin in sorted(pins.items(), key=lambda one: one[0])
-        if unix < pin.until
-        and pin.tariff in ("", request_class)
+        if unix < pin.until_s
+        and pin.request_class in ("", request_class)
         and pin.tenant in ("", tenant)
-        and (pin.tariff or pin.tenant)
+        and (pin.request_class or pin.tenant)
     ]
 
 
@@ -41,7 +41,7 @@
 ) -> list[str]:
     """Those of `copies` that the pin means; one that the shard no longer has is followed into its zone."""
     # Danger: while joint a copy that moves is in neither's reads; by the version in force it has not gone.
-    gone = [] if joint and pin.strict else [copy for copy in pin.copies if copy not in reads]
+    gone = [] if joint and pin.is_strict else [copy for copy in pin.copies if copy not in reads]
     zones = {zone_of(copy) for copy in gone} | ({pin.zone} if gone or not pin.copies else set())
     zones -= {None, ""}
     return [copy for copy in copies if copy in pin.copies or zone_of(copy) in zones]
@@ -58,10 +58,10 @@
     """What pins leave of the copies that are fresh enough: of several strict ones all hold, and the first
     preference with a copy that has room counts."""
     for pin in pins:
-        if pin.strict:
+        if pin.is_strict:
             fresh = pinned(pin, fresh, reads, zone_of, joint)
     for pin in pins:
-        if not pin.strict:
+        if not pin.is_strict:
             preferred = [copy for copy in pinned(pin, fresh, reads, zone_of) if not full(copy)]
             if preferred:
                 return preferred
--- a/cresstray/replicas/read.py
+++ b/cresstray/replicas/read.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from cresstray.fleet_config.active_config import InUse, Mode
+from cresstray.fleet_config.active_config import EffectiveConfig, Mode
 from cresstray.observability.counters import Counters
 from cresstray.policy.types import Request, RequestClass
 from cresstray.replicas.fallback import Share
@@ -18,7 +18,7 @@
 from cresstray.tables import group_of
 
 if TYPE_CHECKING:
-    from cresstray.fleet_config.active_config import Use
+    from cresstray.fleet_config.active_config import ActiveConfig
 
 # Positions of a shard are asked of keepers for so long after its last hinted read here.
 _OF_LATE = 60_000_000
@@ -47,7 +47,7 @@
     def __init__(
         self,
         board: Board,
-        use: Use,
+        use: ActiveConfig,
         counters: Counters,
         chance: Callable[[], float],
         cores: Callable[[str], float],
@@ -133,9 +133,9 @@
             self.placed(now)
             self.board.heard(str(shard), engine, epoch, applied, head, sent_at, now)
 
-    def placed(self, now: int) -> InUse:
+    def placed(self, now: int) -> EffectiveConfig:
         """What may be used now; the board has heard of it."""
-        in_use = self.use.at(now)
+        in_use = self.use.effective_at(now)
         self.board.place(in_use.documents.placement.items, now)
         return in_use
 
@@ -168,7 +168,7 @@
 
     def takes(self, engine: str, now: int) -> bool:
         """Whether it may be read there now."""
-        in_use = self._reads.use.at(now)
+        in_use = self._reads.use.effective_at(now)
         # The module asks for each engine in turn, at one moment.
         key = (now, in_use.turn, in_use.mode)
         if key != self._moment:
@@ -196,7 +196,7 @@
         return tuple(
             one
             for one in primary
-            if self._reads.share.admits(one, self._cost(), self._reads.cores(one), in_use.gateways, now)
+            if self._reads.share.admits(one, self._cost(), self._reads.cores(one), in_use.gateway_count, now)
         )
 
     def admits(self, now: int) -> bool:
@@ -210,7 +210,7 @@
             return self.hint.otherwise is not Else.DENY
         pins = self._pins(in_use)
         # A strict pin takes from others what its copies could give them: at their limits it goes first.
-        if any(pin.strict for pin in pins) and all(self._full(copy, now) for copy in copies):
+        if any(pin.is_strict for pin in pins) and all(self._full(copy, now) for copy in copies):
             self._reads.counters.add("reads of pins shed")
             return False
         return True
@@ -224,7 +224,7 @@
             return
         if engine == shard.primary:
             cost, cores = self._cost(), reads.cores(engine)
-            self._fell = (engine, cost, cores, in_use.gateways)
+            self._fell = (engine, cost, cores, in_use.gateway_count)
             reads.share.charge(*self._fell, now)
             reads.counters.add("reads fallen back")
         else:
@@ -253,11 +253,11 @@
         """What the client may hand back as `after`; None where the answer did not tell how far it saw."""
         return None if self._seen is None else token(self._seen)
 
-    def _shard(self, in_use: InUse) -> Shard | None:
+    def _shard(self, in_use: EffectiveConfig) -> Shard | None:
         # Danger: without a lease another may be the primary, and copies may be gone or set back.
         return in_use.documents.placement.items.get(self.shard) if in_use.mode is Mode.LEASE else None
 
-    def _chosen(self, in_use: InUse, shard: Shard, now: int) -> Choice:
+    def _chosen(self, in_use: EffectiveConfig, shard: Shard, now: int) -> Choice:
         pins = self._pins(in_use)
         return candidates(
             self.hint,
@@ -276,7 +276,7 @@
             ),
         )
 
-    def _pins(self, in_use: InUse) -> list:
+    def _pins(self, in_use: EffectiveConfig) -> list:
         items = in_use.documents.replicas.items
         return matching(items, self._tariff, self._tenant, self._reads.wall()) if items else []
 
--- a/cresstray/simulation/fleet.py
+++ b/cresstray/simulation/fleet.py
@@ -25,15 +25,15 @@
 from cresstray.control_plane.node_controller import Core, Guest
 from cresstray.fleet_config import codec as rules
 from cresstray.fleet_config import documents
-from cresstray.fleet_config.active_config import Mode, Use
-from cresstray.fleet_config.leases import Leases
-from cresstray.fleet_config.state import State
+from cresstray.fleet_config.active_config import ActiveConfig, Mode
+from cresstray.fleet_config.leases import LeaseTable
+from cresstray.fleet_config.state import ConfigState
 from cresstray.observability.counters import Counters
 from cresstray.transport.framing import BrokenError, Frame, Frames, encode
 
 MS, SECOND = 1_000, 1_000_000
 REGISTER = "999999"  # of no group of tables
-TO_GATEWAY = (rules.Granted, rules.Behind, rules.Refused, rules.Content)
+TO_GATEWAY = (rules.LeaseGranted, rules.LeaseBehind, rules.LeaseRefused, rules.ConfigPart)
 
 
 class CrashError(Exception):
@@ -116,7 +116,7 @@
         return ready
 
 
-class SeenState(State):
+class SeenState(ConfigState):
     seen_by: World
 
     def apply(self, index: int, data: bytes) -> bytes:
@@ -284,7 +284,7 @@
             world.given,
             self.node,
             self.state,
-            Leases(plan.lease, plan.floor_lease, plan.drift),
+            LeaseTable(plan.lease, plan.floor_lease, plan.drift),
             self.write,
             lambda *_, **__: None,
             Counters(),
@@ -357,7 +357,7 @@
         due = self.core.round(self.clock())
         if self.core.applied - self.compacted >= self.world.plan.snapshot:
             self.compacted = self.core.applied
-            self.node.compact(self.core.applied, self.state.dump())
+            self.node.compact(self.core.applied, self.state.snapshot())
             due = self.core.round(self.clock())
         self.wake(due, self.round)
 
@@ -368,7 +368,7 @@
     def start(self) -> None:
         super().start()
         plan = self.world.plan
-        self.use = Use(
+        self.use = ActiveConfig(
             self.name, plan.lease, plan.floor_lease, plan.drift, plan.most, plan.waits, str(self.lives)
         )
         self.link: Link | None = None
@@ -385,7 +385,7 @@
             self.link = link = Link(self, keeper)
             self.answered = self.clock()
             keeper.run(lambda: keeper.come(link, "gateway", self.name, str(self.lives)))
-            self.use.connected(self.clock())
+            self.use.on_connected(self.clock())
         elif self.link is None:
             world.at(
                 world.now + world.random.randint(100 * MS, 600 * MS),
@@ -396,10 +396,10 @@
         if link is not self.link:
             return
         now = self.clock()
-        if not isinstance(frame, rules.Refused):
+        if not isinstance(frame, rules.LeaseRefused):
             self.answered = now
         try:
-            self.use.take(frame, now)
+            self.use.receive(frame, now)
         except BrokenError as trouble:
             self.world.notes[f"a gateway's link dropped: {trouble}"] += 1
             link.drop("broken")
@@ -416,13 +416,13 @@
             if now - self.answered > 1500 * MS:
                 self.link.drop("silent")
                 self.answered = now
-            elif (frame := self.use.asks(now)) is not None:
+            elif (frame := self.use.renewal_due(now)) is not None:
                 self.link.ends[0].put(frame)
-            if self.use.behind and now - self.got > 500 * MS:
+            if self.use.is_behind and now - self.got > 500 * MS:
                 self.got = now
-                self.link.ends[0].put(self.use.gets())
+                self.link.ends[0].put(self.use.make_request())
         self.wake(
-            max(now + MS, min(self.use.due, now + 100 * MS) if self.use.due > now else now + 20 * MS),
+            max(now + MS, min(self.use.due_us, now + 100 * MS) if self.use.due_us > now else now + 20 * MS),
             self.tick,
         )
 
@@ -438,7 +438,7 @@
 class Operator(Machine):
     """Proposes one change after the other, and asks again by the same name until it hears what came of it."""
 
-    kinds = (rules.Reply,)
+    kinds = (rules.OperatorReply,)
 
     def start(self) -> None:
         super().start()
@@ -468,7 +468,7 @@
                 "propose",
                 f"{self.name}-{self.serial}",
                 dict(self.known.versions),
-                documents.delta(self.known, self.change),
+                documents.encode_delta(self.known, self.change),
                 "a change",
                 self.name,
             )
@@ -495,7 +495,7 @@
         if "error" in answer:
             self.later(50 * MS, self.put)
         elif self.ask.what == "show":
-            self.known, self.ghosts = documents.parsed(answer["documents"]), len(answer["ghosts"])
+            self.known, self.ghosts = documents.parse_documents(answer["documents"]), len(answer["ghosts"])
             self.later(MS, self.next)
         else:
             request = self.ask.request
@@ -543,7 +543,7 @@
                 "propose",
                 f"{self.name}-{self.serial}",
                 dict(self.known.versions),
-                documents.delta(self.known, new),
+                documents.encode_delta(self.known, new),
                 "set",
                 self.name,
             )
@@ -581,7 +581,7 @@
         if "error" in answer:
             self.later(20 * MS, self.put)
         elif self.ask.what == "show":
-            self.known = documents.parsed(answer["documents"])
+            self.known = documents.parse_documents(answer["documents"])
             read = self.known.placement.items.get(REGISTER, documents.Shard((), epoch=0)).epoch
             self.world.noted.append((self.name, self.asked, self.world.now, str(read)))
             self.done(True)
@@ -651,9 +651,9 @@
             plan.most,
         )
         self.engines = [f"s-{n:08x}" for n in range(plan.engines)]
-        self.rules = documents.World(
-            most=plan.most,
-            most_barred=0.33,
+        self.rules = documents.FleetState(
+            max_gateways=plan.most,
+            max_barred_fraction=0.33,
             engines={name: f"z{n % 2}" for n, name in enumerate(self.engines)},
         )
         members = Members(tuple(f"{name}/1" for name in names))
@@ -807,21 +807,21 @@
             self.changes_of[self.version] = Change(self.now)
         if told.turn > self.turn:
             self.turn = told.turn
-            self.acting[told.turn] = told.acting
+            self.acting[told.turn] = told.effective
             self.check_strictest(told.turn)
             if told.turn % 2 == 0:
                 self.force_at[told.turn] = self.now
                 for version, change in self.changes_of.items():
                     if version <= told.turn // 2 and not change.in_force:
                         change.in_force = self.now
-        if told.turn in self.acting and self.acting[told.turn] is not told.acting:
-            if self.acting[told.turn] != told.acting:
+        if told.turn in self.acting and self.acting[told.turn] is not told.effective:
+            if self.acting[told.turn] != told.effective:
                 self.breach("one-state", f"{keeper.name} acts on another content at turn {told.turn}")
 
     def check_strictest(self, turn: int) -> None:
         """Of two neighbours one is joint, and has all that the other bars."""
         barred = [
-            {name for name, rule in self.acting[one].engines.items.items() if rule.barred}
+            {name for name, rule in self.acting[one].engines.items.items() if rule.is_barred}
             for one in (turn - 1, turn)
             if one in self.acting
         ]
@@ -836,8 +836,8 @@
         if not gateway.alive:
             self.forget(name, before)
             return
-        used = gateway.use.at(gateway.clock())
-        share = 1 / used.gateways if used.gateways else 0.0
+        used = gateway.use.effective_at(gateway.clock())
+        share = 1 / used.gateway_count if used.gateway_count else 0.0
         if before is None or before != (used.mode, used.turn, share):
             self.forget(name, before)
             self.modes[name] = (used.mode, used.turn, share)
@@ -865,7 +865,8 @@
         barred = [
             engine
             for engine, rule in self.acting[force].engines.items.items()
-            if rule.barred and not used.documents.engines.items.get(engine, documents.EngineRule()).barred
+            if rule.is_barred
+            and not used.documents.engines.items.get(engine, documents.EngineRule()).is_barred
         ]
         if barred:
             since = self.now - min(at for turn, at in self.force_at.items() if turn > used.turn)
@@ -888,8 +889,8 @@
         before = self.modes.get(name)
         self.forget(name, before)
         if gateway.alive and self.now >= gateway.frozen:
-            used = gateway.use.at(gateway.clock())
-            self.modes[name] = (used.mode, used.turn, 1 / used.gateways if used.gateways else 0.0)
+            used = gateway.use.effective_at(gateway.clock())
+            self.modes[name] = (used.mode, used.turn, 1 / used.gateway_count if used.gateway_count else 0.0)
             if used.mode is Mode.LEASE:
                 self.at_turn.setdefault(used.turn, {})[name] = None
 
@@ -919,7 +920,7 @@
         if entry.kind == Kind.MEMBERS:
             self.members_at[index] = members_of(entry.data)
 
-    def check_applied(self, told: State, index: int, outcome: bytes) -> None:
+    def check_applied(self, told: ConfigState, index: int, outcome: bytes) -> None:
         made = hashlib.blake2b(outcome + f"{told.turn} {told.version}".encode(), digest_size=8).hexdigest()
         if self.outcomes.setdefault(index, made) != made:
             self.breach("one-outcome", f"entry {index} has two outcomes, one after a restart")
@@ -973,7 +974,7 @@
                 + ", ".join(f"{keeper.disk.name} {keeper.core.applied}" for keeper in live),
             )
             return
-        if len({keeper.state.dump() for keeper in live}) > 1:
+        if len({keeper.state.snapshot() for keeper in live}) > 1:
             self.breach("one-state", "keepers hold different states at the end")
         if self.turn != 2 * self.version:
             self.breach("recovers", f"turn {self.turn} in the end, and the latest change is {self.version}")
@@ -991,8 +992,8 @@
         behind = [
             gateway.name
             for gateway in self.gateways
-            if gateway.name in live[0].state.named()
-            and gateway.use.at(gateway.clock())[:2] != (Mode.LEASE, self.turn)
+            if gateway.name in live[0].state.named_gateways()
+            and gateway.use.effective_at(gateway.clock())[:2] != (Mode.LEASE, self.turn)
         ]
         if behind:
             self.breach("recovers", f"{len(behind)} gateways have no lease at turn {self.turn}: {behind[:3]}")
@@ -1053,7 +1054,7 @@
 
 
 def _deaf(world: World, keeper: Keeper, gateway: Gateway, until: int) -> None:
-    gateway.deaf = frozenset({rules.Content.kind})
+    gateway.deaf = frozenset({rules.ConfigPart.kind})
     world.at(until, lambda: setattr(gateway, "deaf", frozenset()))
 
 
@@ -1113,11 +1114,11 @@
     if drawn < 0.75:
         items = dict(known.engines.items)
         name = random.choice(world.engines[:12])
-        items[name] = documents.EngineRule(barred=not items.get(name, documents.EngineRule()).barred)
-        return msgspec.structs.replace(known, engines=documents.Engines(dict(sorted(items.items()))))
+        items[name] = documents.EngineRule(is_barred=not items.get(name, documents.EngineRule()).is_barred)
+        return msgspec.structs.replace(known, engines=documents.EngineRules(dict(sorted(items.items()))))
     items = dict(known.tenants.items)
     items[f"t{random.randrange(9)}"] = documents.TenantRule(share=random.random())
-    return msgspec.structs.replace(known, tenants=documents.Tenants(dict(sorted(items.items()))))
+    return msgspec.structs.replace(known, tenants=documents.TenantRules(dict(sorted(items.items()))))
 
 
 def half_and_all(operator: Operator, known: documents.Documents) -> documents.Documents | None:
@@ -1126,7 +1127,7 @@
     half = names[: len(names) // 2]
     if len(listed) == len(names) or not known.version("gateways"):
         return listing(known, half, len(listed) and len(names) - len(half))
-    if known.gateways.floor > len(half):
+    if known.gateways.count_without_lease > len(half):
         return None if operator.ghosts else listing(known, half, 0)
     return listing(known, names, operator.ghosts)
 
@@ -1139,7 +1140,7 @@
 
 
 def listing(known: documents.Documents, names: list[str], ghosts: int) -> documents.Documents:
-    gateways = documents.Gateways({name: documents.Gateway() for name in names}, 0, len(names) + ghosts)
+    gateways = documents.GatewayList({name: documents.Gateway() for name in names}, 0, len(names) + ghosts)
     return msgspec.structs.replace(known, gateways=gateways)
 
 
--- a/cresstray/simulation/joined.py
+++ b/cresstray/simulation/joined.py
@@ -16,10 +16,10 @@
 from cresstray.emulators.shards import Held, RefusedError, Shelf, passed_on
 from cresstray.fleet_config import documents
 from cresstray.fleet_config import state as rules
-from cresstray.fleet_config.active_config import Mode, Use
-from cresstray.fleet_config.admission import Admission
-from cresstray.fleet_config.codec import contents
-from cresstray.fleet_config.leases import Leases
+from cresstray.fleet_config.active_config import ActiveConfig, Mode
+from cresstray.fleet_config.admission import ConfigAdmissionRules
+from cresstray.fleet_config.codec import config_parts
+from cresstray.fleet_config.leases import LeaseTable
 from cresstray.observability.counters import Counters
 from cresstray.placement import model, moves
 from cresstray.placement import move_executor as carrier
@@ -116,8 +116,8 @@
 
     def __init__(self, world: World) -> None:
         self.world, self.clock = world, Clock(world)
-        self.leases, self.carrier = Leases(LEASE, FLOOR, DRIFT), Carrier(TIMES)
-        self.leases.lead(world.state.gateways(), self.clock.now())
+        self.leases, self.carrier = LeaseTable(LEASE, FLOOR, DRIFT), Carrier(TIMES)
+        self.leases.on_elected(world.state.counting_gateways(), self.clock.now())
         self.told: dict[str, Disk] = {}
         self.log: list[bytes] = []
         self.turned = -1
@@ -125,10 +125,10 @@
     def tick(self) -> None:
         world, now = self.world, self.clock.now()
         state = world.state
-        turn = state.wants_turn()
-        if turn is not None and turn != self.turned and self.leases.may_turn(state, now):
+        turn = state.pending_turn()
+        if turn is not None and turn != self.turned and self.leases.can_advance(state, now):
             self.turned = turn
-            self.append(rules.advance(turn))
+            self.append(rules.encode_advance(turn))
         for step in self.carrier.next(state, world.moves, self.told, now):
             if isinstance(step, Entry):
                 self.append(step.data)
@@ -154,8 +154,8 @@
             self.world.state,
             True,
             self.clock.now(),
-            frame.life,
-            frame.stopped,
+            frame.incarnation,
+            frame.has_stopped,
         )
         self.world.send(gateway.take, answer)
 
@@ -164,7 +164,7 @@
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name, self.clock = world, name, Clock(world)
         self.frozen = 0
-        self.use = Use(name, LEASE, FLOOR, DRIFT, 8, waits=True, life=f"{name} {world.now}")
+        self.use = ActiveConfig(name, LEASE, FLOOR, DRIFT, 8, waits=True, incarnation=f"{name} {world.now}")
         self.counters, self.said = Counters(), []
         board = Board(self.said.append, DRIFT)
         self.reads = Reads(
@@ -183,7 +183,7 @@
             )
             for machine, engine in enumerate(ENGINES)
         }
-        self.admission = Admission(
+        self.admission = ConfigAdmissionRules(
             self.use, ["n"], ["writes", "reads"], lambda engine: ENGINES[engine.instance_type], self.counters
         )
         self.reads.patience = 30 * MS
@@ -199,23 +199,23 @@
             act(*given)
 
     def take(self, frame) -> None:
-        self.when(lambda: self.use.take(frame, self.clock.now()))
+        self.when(lambda: self.use.receive(frame, self.clock.now()))
 
     def tick(self) -> None:
         world, now = self.world, self.clock.now()
-        if (renew := self.use.asks(now)) is not None:
+        if (renew := self.use.renewal_due(now)) is not None:
             world.send(lambda: world.leader and world.leader.renewed(self, renew))
-        if self.use.behind:
-            world.send(self.got, self.use.gets().turn)
+        if self.use.is_behind:
+            world.send(self.got, self.use.make_request().turn)
 
     def got(self, turn: int) -> None:
-        for frame in contents(*self._since(turn)):
+        for frame in config_parts(*self._since(turn)):
             self.world.send(self.take, frame)
 
     def _since(self, turn: int) -> tuple[int, int, bytes]:
         state = self.world.state
-        body = state.since(turn)
-        base = msgspec.msgpack.decode(body, type=rules.Since).base if body else turn
+        body = state.updates_since(turn)
+        base = msgspec.msgpack.decode(body, type=rules.ConfigUpdates).base if body else turn
         return base, state.turn, body
 
     def gossip(self) -> None:
@@ -343,23 +343,25 @@
         self.after(self.chance.uniform(4, 20) * SECOND, self.pins)
 
     def _found(self) -> None:
-        self.state = rules.State(documents.World(most=8), {moves.NAME: self.moves})
+        self.state = rules.ConfigState(documents.FleetState(max_gateways=8), {moves.NAME: self.moves})
         items = {name: documents.Shard(copies, copies[0], 1, copies) for name, copies in PLACED.items()}
         names = {f"g{number}": documents.Gateway() for number in range(self.GATEWAYS)}
         pins = {
-            f"p{shard}": documents.Pin(f"pinned {shard}", copies=("a1",), strict=True, until=10**9)
+            f"p{shard}": documents.Pin(f"pinned {shard}", copies=("a1",), is_strict=True, until_s=10**9)
             for shard in "35"
         }
         new = documents.Documents(
-            gateways=documents.Gateways(names),
+            gateways=documents.GatewayList(names),
             placement=documents.Placement(items),
             replicas=documents.Replicas(pins),
         )
-        assert rules.outcome(
-            self.state.apply(1, rules.propose("found", {}, documents.delta(self.state.latest, new), ""))
-        ).accepted
-        while self.state.wants_turn() is not None:
-            self.state.apply(1, rules.advance(self.state.wants_turn()))
+        assert rules.decode_result(
+            self.state.apply(
+                1, rules.encode_proposal("found", {}, documents.encode_delta(self.state.latest, new), "")
+            )
+        ).is_accepted
+        while self.state.pending_turn() is not None:
+            self.state.apply(1, rules.encode_advance(self.state.pending_turn()))
 
     # Time, and the network.
 
@@ -407,7 +409,7 @@
         """As keeper.joined's Positions does each round."""
         exchange, now = self.exchanges[number], self.clocks[number].now()
         if self.leads(number):
-            for engine in exchange.due(self.state.acting.placement.items, now):
+            for engine in exchange.due(self.state.effective.placement.items, now):
                 self.count("asked for positions")
                 self.send(self.answers, engine, self.now)
         elif (needs := exchange.asking.carried(32, now)) and number:
@@ -448,7 +450,7 @@
 
     def _place(self) -> None:
         for board, clock in zip(self.boards, self.clocks, strict=True):
-            board.place(self.state.acting.placement.items, clock.now())
+            board.place(self.state.effective.placement.items, clock.now())
 
     def plan(self) -> None:
         plan = self.moves.plan
@@ -459,21 +461,21 @@
             and begun < len(PLANS)
         ):
             for entry in moves.begin(f"{begun + 1}", "me", PLANS[begun], model.Limits(share=1.0)):
-                self.leader.append(rules.section(moves.NAME, "", entry))
+                self.leader.append(rules.encode_section_command(moves.NAME, "", entry))
         self.after(2 * SECOND, self.plan)
 
     def pins(self) -> None:
         """An operator pins to another copy."""
         latest = self.state.latest
-        pin = documents.Pin("pinned 3", copies=("b2",), strict=True, until=10**9)
+        pin = documents.Pin("pinned 3", copies=("b2",), is_strict=True, until_s=10**9)
         items = latest.replicas.items | {"p3": pin}
         new = msgspec.structs.replace(latest, replicas=documents.Replicas(items))
         if self.leader is None:
             self.after(SECOND, self.pins)
         else:
             self.leader.append(
-                rules.propose(
-                    "pin", {"replicas": latest.version("replicas")}, documents.delta(latest, new), ""
+                rules.encode_proposal(
+                    "pin", {"replicas": latest.version("replicas")}, documents.encode_delta(latest, new), ""
                 )
             )
 
@@ -486,9 +488,9 @@
         self.after(self.chance.uniform(300, 1500) * MS, self.elect, left)
 
     def elect(self, left: list[bytes]) -> None:
-        dumped = self.state.dump()
+        dumped = self.state.snapshot()
         self.moves = Moves()
-        self.state = rules.State(documents.World(most=8), {moves.NAME: self.moves})
+        self.state = rules.ConfigState(documents.FleetState(max_gateways=8), {moves.NAME: self.moves})
         self.state.restore(dumped)
         for data in left:
             self.apply(data)
@@ -602,7 +604,7 @@
     def asked(self, gateway: Gateway, name: str, shard: str, one: Request, session: Session | None) -> None:
         """It has gone out; it comes to the engine, runs and is answered."""
         sent, true_sent = gateway.clock.now(), self.now
-        lease = gateway.use.at(sent).mode is Mode.LEASE
+        lease = gateway.use.effective_at(sent).mode is Mode.LEASE
         placed = gateway.use.documents.placement.items.get(shard)
         primary = placed.primary if placed is not None else ""
         if session is not None:
--- a/cresstray/transport/peers.py
+++ b/cresstray/transport/peers.py
@@ -16,7 +16,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from cresstray.fleet_config.codec import MAGIC, ROLES, VERSION, Greet
+from cresstray.fleet_config.codec import MAGIC, ROLES, VERSION, Greeting
 from cresstray.observability.counters import Counters
 from cresstray.transport.framing import BrokenError, Frame, Frames, encode
 from cresstray.transport.streams import ENDED, SocketStream, connect
@@ -63,14 +63,14 @@
     return blake2b(told, digest_size=16).digest()
 
 
-def hello(role: str, fleet: str, name: str, life: str, agreed: bytes = b"") -> Greet:
+def hello(role: str, fleet: str, name: str, life: str, agreed: bytes = b"") -> Greeting:
     """`agreed`: needed from keepers, and from gateways that ask for leases."""
-    return Greet(MAGIC, VERSION, role, fleet, name, life, agreed)
+    return Greeting(MAGIC, VERSION, role, fleet, name, life, agreed)
 
 
-def greeted(greeting: Frame, given: Fleet, names: set[str] | None) -> Greet:
+def greeted(greeting: Frame, given: Fleet, names: set[str] | None) -> Greeting:
     """A greeting of this fleet by who may bear its name; BrokenError with what is wrong."""
-    if not isinstance(greeting, Greet) or greeting.magic != MAGIC:
+    if not isinstance(greeting, Greeting) or greeting.magic != MAGIC:
         raise BrokenError("no greeting")
     if greeting.version != VERSION:
         raise BrokenError(f"version {greeting.version}, this is {VERSION}")
@@ -78,8 +78,8 @@
         raise BrokenError(f"of fleet {greeting.fleet!r}")
     if greeting.role not in ROLES:
         raise BrokenError(f"role {greeting.role!r}")
-    if not _NAME.fullmatch(greeting.name) or not _LIFE.fullmatch(greeting.life):
-        raise BrokenError(f"name {greeting.name!r}, life {greeting.life!r}")
+    if not _NAME.fullmatch(greeting.name) or not _LIFE.fullmatch(greeting.incarnation):
+        raise BrokenError(f"name {greeting.name!r}, life {greeting.incarnation!r}")
     if names is not None and greeting.name not in names:
         raise BrokenError(f"{greeting.name!r} with a certificate for {', '.join(sorted(names)) or 'nobody'}")
     keeper = given.keeper(greeting.name) is not None
@@ -108,7 +108,7 @@
         channel: Channel,
         scope: anyio.CancelScope,
         frames: Frames,
-        greeting: Greet,
+        greeting: Greeting,
         early: list[Frame],
         bound: int = _MOST_UNWRITTEN,
     ) -> None:
--- a/tests/test_fleet_attack.py
+++ b/tests/test_fleet_attack.py
@@ -13,7 +13,7 @@
 from cresstray.emulators.fleet import crowd, stepped
 from cresstray.emulators.fleet.operators import Caller, admitted
 from cresstray.emulators.fleet.processes import NAME
-from cresstray.fleet_config.documents import Gateway, Gateways
+from cresstray.fleet_config.documents import Gateway, GatewayList
 from cresstray.placement import moves
 from cresstray.placement.move_executor import Carrier
 from cresstray.placement.moves import Event
@@ -259,7 +259,7 @@
             case.fleet.crowd.start()
             made = await case.operator.change(
                 lambda old: msgspec.structs.replace(
-                    old, gateways=Gateways(dict(sorted(names.items())), floor=len(names))
+                    old, gateways=GatewayList(dict(sorted(names.items())), count_without_lease=len(names))
                 ),
                 5,
             )
--- a/tests/test_fleet_joined.py
+++ b/tests/test_fleet_joined.py
@@ -11,7 +11,7 @@
 from cresstray.emulators.shards import RefusedError
 from cresstray.fleet_config import documents
 from cresstray.fleet_config import state as rules
-from cresstray.fleet_config.active_config import Mode, Use
+from cresstray.fleet_config.active_config import ActiveConfig, Mode
 from cresstray.placement import move_executor as carrier
 from cresstray.placement import moves
 from cresstray.placement.move_executor import Carrier
@@ -123,11 +123,14 @@
 
         def bar(barred: bool) -> None:
             latest = world.state.latest
-            items = {"a2": documents.EngineRule(barred=True)} if barred else {}
-            new = msgspec.structs.replace(latest, engines=documents.Engines(items))
+            items = {"a2": documents.EngineRule(is_barred=True)} if barred else {}
+            new = msgspec.structs.replace(latest, engines=documents.EngineRules(items))
             world.leader.append(
-                rules.propose(
-                    f"bar {barred}", {"engines": latest.version("engines")}, documents.delta(latest, new), ""
+                rules.encode_proposal(
+                    f"bar {barred}",
+                    {"engines": latest.version("engines")},
+                    documents.encode_delta(latest, new),
+                    "",
                 )
             )
 
@@ -136,7 +139,7 @@
         self.assertNotIn("a2", sent)
         written = world.acked["1"]
         world.until(27 * SECOND)
-        self.assertEqual(world.state.acting.engines.items["a2"].barred, True)
+        self.assertEqual(world.state.effective.engines.items["a2"].is_barred, True)
         # Its primary may not have gone where no write may go.
         self.assertGreater(world.acked["1"], written, world.state.latest.placement.items["1"])
         bar(False)
@@ -164,7 +167,7 @@
     def test_old_copy_dropped_at_the_switch(self) -> None:
         real = moves.in_force
 
-        def at_once(state: rules.State, shard: str) -> bool:
+        def at_once(state: rules.ConfigState, shard: str) -> bool:
             return bool(state.latest.placement.items[shard].primary) or real(state, shard)
 
         self.caught("a dropped copy was reached", mock.patch.object(moves, "in_force", at_once))
@@ -248,7 +251,7 @@
         )
 
     def test_lease_that_is_not_looked_at_when_acting(self) -> None:
-        def ever(self: Use, now: int) -> Mode:
+        def ever(self: ActiveConfig, now: int) -> Mode:
             return Mode.LEASE if self._until else Mode.FLOOR
 
         def worse(world: World) -> None:
@@ -260,7 +263,7 @@
             world.every(15, world.some_read)
             world.every(15, world.some_write)
 
-        self.caught("a dropped copy was reached", mock.patch.object(Use, "_mode_at", ever), worse)
+        self.caught("a dropped copy was reached", mock.patch.object(ActiveConfig, "_mode_at", ever), worse)
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -20,7 +20,7 @@
 from cresstray.emulators.fleet.operators import Changed, Operator, Watch, admitted, client, edited, listed
 from cresstray.emulators.fleet.processes import CANARY, FLEET_KINDS, HALL, NAME, Faults, Fleet, tenant
 from cresstray.emulators.sockets import Peer, listen, serve
-from cresstray.fleet_config.documents import EngineRule, TariffRule, delta
+from cresstray.fleet_config.documents import EngineRule, RequestClassRule, encode_delta
 from cresstray.transport.streams import connect
 
 
@@ -441,8 +441,8 @@
     def test_an_answer_that_is_lost_is_asked_for_again(self) -> None:
         async def script(case: Case) -> None:
             old = await case.operator.documents(4)
-            new = edited("tariffs", CANARY.name, TariffRule(further=0.5))(old)
-            ask = Ask("propose", "lost-1", bases=old.versions, change=delta(old, new), why="once")
+            new = edited("tariffs", CANARY.name, RequestClassRule(retry_budget_scale=0.5))(old)
+            ask = Ask("propose", "lost-1", bases=old.versions, change=encode_delta(old, new), why="once")
             for keeper in case.ports:  # each takes it, and none can answer
                 caller = case.another(f"lost-{keeper}").callers[keeper]
                 await caller.put(requests(1, ask))
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -18,33 +18,47 @@
 from cresstray.fleet_config import active_config as use
 from cresstray.fleet_config import codec
 from cresstray.fleet_config import state as state_of
-from cresstray.fleet_config.active_config import Mode, Use
-from cresstray.fleet_config.admission import Admission
-from cresstray.fleet_config.codec import Behind, BrokenError, Content, Granted, Refused, Renew
+from cresstray.fleet_config.active_config import ActiveConfig, Mode
+from cresstray.fleet_config.admission import ConfigAdmissionRules
+from cresstray.fleet_config.codec import (
+    BrokenError,
+    ConfigPart,
+    LeaseBehind,
+    LeaseGranted,
+    LeaseRefused,
+    RenewLease,
+)
 from cresstray.fleet_config.documents import (
     EMPTY,
     NAMES,
     Documents,
-    World,
-    delta,
-    parsed,
-    patched,
-    plain,
-    tidy,
+    FleetState,
+    apply_delta,
+    encode_delta,
+    parse_documents,
+    sorted_documents,
+    to_plain,
+)
+from cresstray.fleet_config.leases import NOT_NAMED, LeaseTable
+from cresstray.fleet_config.state import (
+    ConfigState,
+    decode_result,
+    encode_advance,
+    encode_departed,
+    encode_proposal,
+    encode_section_command,
 )
-from cresstray.fleet_config.leases import NOT_NAMED, Leases
-from cresstray.fleet_config.state import State, advance, gone, outcome, propose, section
-from cresstray.fleet_config.strictest import divisor, strictest
-from cresstray.fleet_config.validation import checked
+from cresstray.fleet_config.strictest import gateway_divisor, strictest
+from cresstray.fleet_config.validation import refusals
 from cresstray.observability.counters import Counters
 from cresstray.policy.controller import Limiter, LoadSignals
 from cresstray.policy.types import Engine, Request, RequestClass
 
 LEASE, FLOOR_LEASE, DRIFT, MOST = 2_000_000, 8_000_000, 0.01, 20
-WORLD = World(
-    most=MOST,
+WORLD = FleetState(
+    max_gateways=MOST,
     engines={f"s-{n}": "ab"[n % 2] for n in range(12)},
-    tariffs=("fast", "slow"),
+    request_classes=("fast", "slow"),
     tenants=("t0", "t1"),
 )
 FEW = settings(
@@ -61,7 +75,7 @@
 
 
 def amended(documents: Documents, **given: Any) -> Documents:
-    return parsed({**plain(documents), **given})
+    return parse_documents({**to_plain(documents), **given})
 
 
 def items(names: str, **rules: Any) -> some.SearchStrategy:
@@ -77,8 +91,8 @@
 PARTS = some.sampled_from([0.0, 0.25, 0.5, 1.0])
 COPIES = some.lists(some.sampled_from(["s-1", "s-2", "s-3"]), unique=True, max_size=3)
 ALL = some.builds(
-    lambda base, count, floor, versions: tidy(
-        parsed(
+    lambda base, count, floor, versions: sorted_documents(
+        parse_documents(
             {
                 **base,
                 "gateways": {**base["gateways"], "count": count, "floor": floor},
@@ -120,15 +134,17 @@
         self.assertEqual(old.gateways.items, own.gateways.items)
         for one in (old, new):
             self.assertLessEqual(set(both.gateways.items), set(one.gateways.items))
-            self.assertGreaterEqual(both.gateways.count, divisor(one.gateways))
-            self.assertGreaterEqual(both.gateways.floor or 10**9, one.gateways.floor or 10**9)
+            self.assertGreaterEqual(both.gateways.count, gateway_divisor(one.gateways))
+            self.assertGreaterEqual(
+                both.gateways.count_without_lease or 10**9, one.gateways.count_without_lease or 10**9
+            )
             for kind, stops, part in (
-                ("engines", "barred", "work"),
-                ("tenants", "barred", "share"),
-                ("tariffs", "stopped", "further"),
+                ("engines", "is_barred", "work_fraction"),
+                ("tenants", "is_barred", "share"),
+                ("tariffs", "is_stopped", "retry_budget_scale"),
             ):
-                for name, rule in getattr(one, kind).items.items():
-                    found = getattr(both, kind).items[name]
+                for name, rule in one.document(kind).items.items():
+                    found = both.document(kind).items[name]
                     self.assertGreaterEqual(getattr(found, stops), getattr(rule, stops))
                     self.assertLessEqual(getattr(found, part), getattr(rule, part))
             for name, shard in one.placement.items.items():
@@ -138,35 +154,35 @@
                 self.assertGreaterEqual(found.epoch, shard.epoch)
                 self.assertTrue(not found.primary or found.epoch == shard.epoch)
             for pin in one.replicas.items.values():
-                self.assertTrue(not pin.strict or pin in both.replicas.items.values())
+                self.assertTrue(not pin.is_strict or pin in both.replicas.items.values())
         for pin in both.replicas.items.values():
-            self.assertTrue(pin.strict or all(pin in one.replicas.items.values() for one in (old, new)))
+            self.assertTrue(pin.is_strict or all(pin in one.replicas.items.values() for one in (old, new)))
 
     @FEW
     @given(ALL, ALL)
     def test_a_delta_leads_from_one_to_the_other(self, old: Documents, new: Documents) -> None:
-        made = patched(old, delta(old, new))
+        made = apply_delta(old, encode_delta(old, new))
         self.assertEqual(new, made)
         self.assertEqual(msgspec.msgpack.encode(new), msgspec.msgpack.encode(made))  # and their order
-        self.assertEqual(b"\x90", delta(new, made))
-        self.assertEqual(new, parsed(plain(new) | {"versions": new.versions}))
+        self.assertEqual(b"\x90", encode_delta(new, made))
+        self.assertEqual(new, parse_documents(to_plain(new) | {"versions": new.versions}))
         both = strictest(old, new)
-        self.assertEqual(both, patched(EMPTY, delta(EMPTY, both)))
+        self.assertEqual(both, apply_delta(EMPTY, encode_delta(EMPTY, both)))
 
     @FEW
     @given(some.binary(max_size=40), ALL)
     def test_what_is_no_delta_is_told(self, data: bytes, old: Documents) -> None:
-        state = State(WORLD)
-        before = state.dump()
-        for given_data in (data, propose("r", {}, data, "why")):
-            told = outcome(state.apply(1, given_data))
-            self.assertTrue(told.refused or data == b"\x90")
+        state = ConfigState(WORLD)
+        before = state.snapshot()
+        for given_data in (data, encode_proposal("r", {}, data, "why")):
+            told = decode_result(state.apply(1, given_data))
+            self.assertTrue(told.reasons or data == b"\x90")
         try:
-            patched(old, data)
+            apply_delta(old, data)
         except ValueError:
             pass
         state._requests.clear()
-        self.assertEqual(before, state.dump())
+        self.assertEqual(before, state.snapshot())
 
     def test_what_an_operator_wrote_wrongly_is_named(self) -> None:
         for wrong, word in (
@@ -178,10 +194,10 @@
             ({"engines": {"items": []}}, "engines"),
         ):
             with self.assertRaisesRegex(ValueError, word):
-                parsed(wrong)
+                parse_documents(wrong)
 
     def test_all_refusals_come_in_one_answer(self) -> None:
-        old = parsed(
+        old = parse_documents(
             {
                 "gateways": gateways("g1 g2"),
                 "placement": {
@@ -215,7 +231,7 @@
                 }
             },
         )
-        told = checked(old, new, WORLD)
+        told = refusals(old, new, WORLD)
         for words in (
             "count 2",
             "floor 1",
@@ -242,24 +258,24 @@
         ):
             self.assertEqual(1, sum(words in line for line in told), (words, told))
         self.assertEqual(22, len(told), told)
-        self.assertEqual([], checked(old, old, WORLD))
+        self.assertEqual([], refusals(old, old, WORLD))
         # What was there before, whatever the file says now, is in the way of no other change.
-        self.assertEqual([], checked(new, amended(new, gateways=gateways("g1")), WORLD))
-        self.assertIn("none is named", checked(old, EMPTY, WORLD)[0])
+        self.assertEqual([], refusals(new, amended(new, gateways=gateways("g1")), WORLD))
+        self.assertIn("none is named", refusals(old, EMPTY, WORLD)[0])
         many = amended(old, gateways=gateways("g1", count=21, floor=22))
-        self.assertEqual(2, len(checked(old, many, WORLD)))
-        self.assertIn("19 not yet", checked(old, old, WORLD, 19)[0])
+        self.assertEqual(2, len(refusals(old, many, WORLD)))
+        self.assertIn("19 not yet", refusals(old, old, WORLD, 19)[0])
 
 
-def changed(state: State, request: str = "", **given: Any) -> Any:
+def changed(state: ConfigState, request: str = "", **given: Any) -> Any:
     new = amended(state.latest, **given)
-    return outcome(
+    return decode_result(
         state.apply(
             1,
-            propose(
+            encode_proposal(
                 request or f"r{state.version}",
                 dict(state.latest.versions),
-                delta(state.latest, new),
+                encode_delta(state.latest, new),
                 "why",
                 "who",
                 WORLD,
@@ -268,15 +284,15 @@
     )
 
 
-def turned(state: State, times: int = 99) -> None:
-    while state.wants_turn() is not None and times:
+def turned(state: ConfigState, times: int = 99) -> None:
+    while state.pending_turn() is not None and times:
         times -= 1
-        assert outcome(state.apply(1, advance(state.turn + 1))).accepted
+        assert decode_result(state.apply(1, encode_advance(state.turn + 1))).is_accepted
 
 
-def named(names: str = "g1 g2", **more: Any) -> State:
-    state = State(WORLD)
-    assert changed(state, gateways=gateways(names, **more)).accepted
+def named(names: str = "g1 g2", **more: Any) -> ConfigState:
+    state = ConfigState(WORLD)
+    assert changed(state, gateways=gateways(names, **more)).is_accepted
     turned(state)
     return state
 
@@ -284,11 +300,16 @@
 class Changes(unittest.TestCase):
     def test_one_asked_again_is_done_once(self) -> None:
         state = named()
-        given = propose("it", {"tariffs": 0}, delta(EMPTY, parsed({"tariffs": {"items": {"fast": {}}}})), "")
+        given = encode_proposal(
+            "it",
+            {"tariffs": 0},
+            encode_delta(EMPTY, parse_documents({"tariffs": {"items": {"fast": {}}}})),
+            "",
+        )
         first = state.apply(2, given)
         self.assertEqual([first] * 3, [state.apply(n, given) for n in range(3)])
-        again = State(WORLD)
-        again.restore(state.dump())
+        again = ConfigState(WORLD)
+        again.restore(state.snapshot())
         turned(state)
         turned(again)
         self.assertEqual(first, state.apply(9, given))
@@ -296,17 +317,17 @@
         self.assertEqual(2, state.version)
         # Of another's change since then: refused, and the refusal is what is heard again.
         other = given.replace(b"it", b"at", 1)
-        self.assertIn("of version 0, and the latest is 2", outcome(state.apply(10, other)).refused[0])
+        self.assertIn("of version 0, and the latest is 2", decode_result(state.apply(10, other)).reasons[0])
         self.assertEqual(state.apply(11, other), state.apply(12, other))
         for n in range(4096):
-            state.apply(n, propose(f"n{n}", {}, b"\x90", ""))
+            state.apply(n, encode_proposal(f"n{n}", {}, b"\x90", ""))
         self.assertEqual(4096, len(state._requests))
         self.assertNotEqual(first, state.apply(9, given))
 
     def test_what_differs_in_nothing_needs_no_turn(self) -> None:
         state = named()
-        self.assertTrue(changed(state, "same").accepted)
-        self.assertIsNone(state.wants_turn())
+        self.assertTrue(changed(state, "same").is_accepted)
+        self.assertIsNone(state.pending_turn())
         self.assertEqual(1, state.version)
 
     def test_history_and_back(self) -> None:
@@ -323,16 +344,20 @@
             [("engines", "tariffs"), ("tariffs",)],
             [tuple(sorted(past.documents)) for past in state.history()[1:]],
         )
-        bases, change = state.back_to(2)
+        bases, change = state.revert_to(2)
         self.assertEqual({"tariffs": 3}, bases)
-        self.assertTrue(outcome(state.apply(1, propose("back", bases, change, "as before"))).accepted)
-        self.assertEqual((contents[2].tariffs, 4), (state.latest.tariffs, state.latest.versions["tariffs"]))
+        self.assertTrue(
+            decode_result(state.apply(1, encode_proposal("back", bases, change, "as before"))).is_accepted
+        )
+        self.assertEqual(
+            (contents[2].request_classes, 4), (state.latest.request_classes, state.latest.versions["tariffs"])
+        )
         for n in range(300):
             changed(state, tariffs={"items": {"fast": {"further": n / 300}}})
             turned(state)
         self.assertEqual(256, len(state.history()))
         with self.assertRaises(LookupError):
-            state.back_to(3)
+            state.revert_to(3)
 
     def test_a_follower_is_led_on_from_wherever_it_is(self) -> None:
         state, at = named("g1 g2 g3"), {0: EMPTY}
@@ -343,90 +368,92 @@
                 gateways=gateways("g1 g2 g3" if n % 2 else "g1 g2"),
             )
             turned(state, 1)
-            at[state.turn] = state.acting
+            at[state.turn] = state.effective
             turned(state, 1)
-            at[state.turn] = state.acting
+            at[state.turn] = state.effective
         self.assertEqual(302, state.turn)
         for turn, documents in at.items():
-            since = use._since(state.since(turn)) if turn < state.turn else None
+            since = use._since(state.updates_since(turn)) if turn < state.turn else None
             if since is None:
-                self.assertEqual(b"", state.since(turn))
+                self.assertEqual(b"", state.updates_since(turn))
                 continue
             self.assertEqual(turn if 302 - turn <= 256 else 0, since.base)
             for told in since.deltas:
-                documents = patched(documents if since.base else EMPTY, told)
-            self.assertEqual((302, state.acting), (since.turn, documents))
-        self.assertEqual(b"", state.since(303))
+                documents = apply_delta(documents if since.base else EMPTY, told)
+            self.assertEqual((302, state.effective), (since.turn, documents))
+        self.assertEqual(b"", state.updates_since(303))
 
     def test_a_section_of_another_package(self) -> None:
         class Moves:
             def __init__(self) -> None:
                 self.seen: list[bytes] = []
 
-            def apply(self, state: State, data: bytes) -> bytes:
+            def apply(self, state: ConfigState, data: bytes) -> bytes:
                 self.seen.append(data)
                 return b"%d %d" % (state.turn, len(self.seen))
 
-            def dump(self) -> bytes:
+            def snapshot(self) -> bytes:
                 return b" ".join(self.seen)
 
             def restore(self, data: bytes) -> None:
                 self.seen = data.split()
 
-        state, other = State(WORLD, {"moves": Moves()}), State(WORLD, {"moves": Moves()})
+        state, other = ConfigState(WORLD, {"moves": Moves()}), ConfigState(WORLD, {"moves": Moves()})
         for request in ("a", "a", "b", "", ""):
-            state.apply(1, section("moves", request, request.encode() or b"c"))
+            state.apply(1, encode_section_command("moves", request, request.encode() or b"c"))
         self.assertEqual([b"a", b"b", b"c", b"c"], state.sections["moves"].seen)
-        other.restore(state.dump())
-        self.assertEqual(state.dump(), other.dump())
-        self.assertEqual(b"0 1", other.apply(1, section("moves", "a", b"a")))
-        self.assertFalse(outcome(state.apply(1, section("none", "x", b""))).accepted)
-        for wrong in (b"", b"\x90", state.dump()):
+        other.restore(state.snapshot())
+        self.assertEqual(state.snapshot(), other.snapshot())
+        self.assertEqual(b"0 1", other.apply(1, encode_section_command("moves", "a", b"a")))
+        self.assertFalse(decode_result(state.apply(1, encode_section_command("none", "x", b""))).is_accepted)
+        for wrong in (b"", b"\x90", state.snapshot()):
             with self.assertRaises(ValueError):
-                State(WORLD).restore(wrong)
+                ConfigState(WORLD).restore(wrong)
 
     def test_who_is_taken_off_the_list_counts_until_it_is_out(self) -> None:
         state = named("g1 g2 g3")
         changed(state, gateways=gateways("g1 g2"))
-        self.assertEqual(frozenset(), state.ghosts)
+        self.assertEqual(frozenset(), state.departed_gateways)
         turned(state, 1)
-        self.assertEqual((3, ["g1", "g2"]), (state.acting.gateways.count, list(state.acting.gateways.items)))
+        self.assertEqual(
+            (3, ["g1", "g2"]), (state.effective.gateways.count, list(state.effective.gateways.items))
+        )
         turned(state)
-        self.assertEqual((3, {"g3"}), (state.acting.gateways.count, state.ghosts))
-        self.assertEqual({"g1", "g2", "g3"}, state.gateways())
+        self.assertEqual((3, {"g3"}), (state.effective.gateways.count, state.departed_gateways))
+        self.assertEqual({"g1", "g2", "g3"}, state.counting_gateways())
         self.assertIn(
             "not yet known to be out",
-            changed(state, gateways=gateways(" ".join(f"h{n}" for n in range(18)))).refused[0],
+            changed(state, gateways=gateways(" ".join(f"h{n}" for n in range(18)))).reasons[0],
         )
-        self.assertFalse(outcome(state.apply(1, gone("g1"))).accepted)
-        self.assertTrue(outcome(state.apply(1, gone("g3"))).accepted)
-        self.assertFalse(outcome(state.apply(1, gone("g3"))).accepted)
-        again = State(WORLD)
-        again.restore(state.dump())
+        self.assertFalse(decode_result(state.apply(1, encode_departed("g1"))).is_accepted)
+        self.assertTrue(decode_result(state.apply(1, encode_departed("g3"))).is_accepted)
+        self.assertFalse(decode_result(state.apply(1, encode_departed("g3"))).is_accepted)
+        again = ConfigState(WORLD)
+        again.restore(state.snapshot())
         for one in (state, again):
             turned(one)
-            self.assertEqual((2, frozenset()), (one.acting.gateways.count, one.ghosts))
+            self.assertEqual((2, frozenset()), (one.effective.gateways.count, one.departed_gateways))
         # Named again before it was out: it is no ghost any more.
         changed(state, gateways=gateways("g1"))
         changed(state, gateways=gateways("g1 g2"))
         turned(state)
-        self.assertEqual((2, frozenset()), (state.acting.gateways.count, state.ghosts))
+        self.assertEqual((2, frozenset()), (state.effective.gateways.count, state.departed_gateways))
 
 
 class Frames(unittest.TestCase):
     def test_every_frame_and_its_limits(self) -> None:
         frames = [
-            codec.Greet(codec.MAGIC, 1, "gateway", "north", "g1", "life", b"n" * 16),
-            Renew(1, 2, "life", True),
-            Granted(1, 2),
-            Behind(1, 2),
-            Refused(1, 2, "no"),
-            codec.Get(3),
-            Content(0, 2, 0, 1, b"x"),
-            codec.Heard(b"w" * 32_768),
-            codec.Carried("g1", True, b"f"),
-            codec.Request(1, b"q", False),
-            codec.Reply(1, b"a", True),
+            codec.Greeting(codec.MAGIC, 1, "gateway", "north", "g1", "life", b"n" * 16),
+            RenewLease(1, 2, "life", True),
+            LeaseGranted(1, 2),
+            LeaseBehind(1, 2),
+            LeaseRefused(1, 2, "no"),
+            codec.GetConfig(3),
+            ConfigPart(0, 2, 0, 1, b"x"),
+            codec.ReplicaPositions(b"w" * 32_768),
+            codec.ForwardedFrame("g1", True, b"f"),
+            codec.OperatorRequest(1, b"q", False),
+            codec.OperatorReply(1, b"a", True),
         ]
         self.assertEqual(list(range(48, 59)), [one.kind for one in codec.KINDS])
         data = b"".join(map(codec.encode, frames))
@@ -435,19 +462,19 @@
             found += reader.feed(data[at : at + 7])
         self.assertEqual(frames, found)
         for wrong in (
-            Renew(-1, 2),
-            Granted(2**60, 2),
-            Content(0, 2, 0, 129, b""),
-            Content(0, 2, 0, 1, b"x" * 131_073),
-            codec.Heard(b"w" * 32_769),
-            codec.Greet("m" * 129, 1, "", "", "", ""),
+            RenewLease(-1, 2),
+            LeaseGranted(2**60, 2),
+            ConfigPart(0, 2, 0, 129, b""),
+            ConfigPart(0, 2, 0, 1, b"x" * 131_073),
+            codec.ReplicaPositions(b"w" * 32_769),
+            codec.Greeting("m" * 129, 1, "", "", "", ""),
         ):
             with self.assertRaises(BrokenError):
                 codec.Frames(codec.KINDS).feed(codec.encode(wrong))
         body = random.Random(1).randbytes(300_000)
-        self.assertEqual([3, 3, 3], [one.parts for one in codec.contents(0, 2, body)])
+        self.assertEqual([3, 3, 3], [one.part_count for one in codec.config_parts(0, 2, body)])
         with self.assertRaises(ValueError):
-            codec.parts(b"x" * (codec.PART * codec.PARTS + 1))
+            codec.split_into_parts(b"x" * (codec.MAX_PART_BYTES * codec.MAX_PARTS + 1))
 
 
 TABLES = tomllib.loads((Path(__file__).parent / "conformance/rules.toml").read_text())
@@ -456,45 +483,50 @@
 class Tables(unittest.TestCase):
     """Each row of tests/conformance/rules.toml: in a state, an event, and what must come of it."""
 
-    def whole(self, turn: int, names: str, base: int = 0, floor: int = 6) -> Content:
-        documents = parsed({"gateways": gateways(names, count=4, floor=floor), "versions": {"gateways": 1}})
+    def whole(self, turn: int, names: str, base: int = 0, floor: int = 6) -> ConfigPart:
+        documents = parse_documents(
+            {"gateways": gateways(names, count=4, floor=floor), "versions": {"gateways": 1}}
+        )
         # Led on, it is enough to name what is put.
-        told = delta(EMPTY, documents)
+        told = encode_delta(EMPTY, documents)
         body = msgspec.msgpack.encode([base, turn, [told]])
-        return codec.contents(base, turn, body)[0]
+        return codec.config_parts(base, turn, body)[0]
 
-    def user(self, state: str) -> tuple[Use, int]:
-        me, now = Use("g1", LEASE, FLOOR_LEASE, DRIFT, MOST, waits=state == "waits", life="a"), 1_000_000
+    def user(self, state: str) -> tuple[ActiveConfig, int]:
+        me, now = (
+            ActiveConfig("g1", LEASE, FLOOR_LEASE, DRIFT, MOST, waits=state == "waits", incarnation="a"),
+            1_000_000,
+        )
         if state in ("new", "waits"):
             return me, now
-        me.take(self.whole(4, "g1 g2" if state != "not named" else "g2"), now)
-        asked = me.asks(now)
+        me.receive(self.whole(4, "g1 g2" if state != "not named" else "g2"), now)
+        asked = me.renewal_due(now)
         if state in ("lease", "floor", "most"):
-            me.take(Granted(asked.number, 4), now + 1000)
+            me.receive(LeaseGranted(asked.number, 4), now + 1000)
             now += {"lease": 1000, "floor": LEASE, "most": FLOOR_LEASE}[state]
         elif state == "refused":
-            me.take(Refused(asked.number, 5, NOT_NAMED), now)
+            me.receive(LeaseRefused(asked.number, 5, NOT_NAMED), now)
         return me, now
 
-    def mode(self, me: Use, now: int) -> str:
-        held = me.at(now)
-        return f"{held.mode.value} {held.gateways} {me.turn}"
+    def mode(self, me: ActiveConfig, now: int) -> str:
+        held = me.effective_at(now)
+        return f"{held.mode.value} {held.gateway_count} {me.turn}"
 
-    def events(self, me: Use, number: int, now: int) -> dict[str, Callable[[], Any]]:
+    def events(self, me: ActiveConfig, number: int, now: int) -> dict[str, Callable[[], Any]]:
         return {
             "nothing": lambda: None,
-            "granted": lambda: me.take(Granted(number, me.turn), now),
-            "granted late": lambda: me.take(Granted(number, me.turn), now + LEASE),
-            "granted at another turn": lambda: me.take(Granted(number, me.turn + 2), now),
-            "granted unasked": lambda: me.take(Granted(number + 7, me.turn), now),
-            "behind": lambda: me.take(Behind(number, me.turn + 1), now),
-            "refused": lambda: me.take(Refused(number, me.turn, "no leader"), now),
-            "refused not named": lambda: me.take(Refused(number, me.turn + 1, NOT_NAMED), now),
-            "refused not named of old": lambda: me.take(Refused(number, me.turn - 1, NOT_NAMED), now),
-            "content": lambda: me.take(self.whole(6, "g1 g2"), now),
-            "content of old": lambda: me.take(self.whole(3, "g2"), now),
-            "content without it": lambda: me.take(self.whole(6, "g2"), now),
-            "content of another base": lambda: me.take(self.whole(6, "g2", base=5), now),
+            "granted": lambda: me.receive(LeaseGranted(number, me.turn), now),
+            "granted late": lambda: me.receive(LeaseGranted(number, me.turn), now + LEASE),
+            "granted at another turn": lambda: me.receive(LeaseGranted(number, me.turn + 2), now),
+            "granted unasked": lambda: me.receive(LeaseGranted(number + 7, me.turn), now),
+            "behind": lambda: me.receive(LeaseBehind(number, me.turn + 1), now),
+            "refused": lambda: me.receive(LeaseRefused(number, me.turn, "no leader"), now),
+            "refused not named": lambda: me.receive(LeaseRefused(number, me.turn + 1, NOT_NAMED), now),
+            "refused not named of old": lambda: me.receive(LeaseRefused(number, me.turn - 1, NOT_NAMED), now),
+            "content": lambda: me.receive(self.whole(6, "g1 g2"), now),
+            "content of old": lambda: me.receive(self.whole(3, "g2"), now),
+            "content without it": lambda: me.receive(self.whole(6, "g2"), now),
+            "content of another base": lambda: me.receive(self.whole(6, "g2", base=5), now),
             "a lease later": lambda: None,
             "a floor lease later": lambda: None,
         }
@@ -505,23 +537,23 @@
         for row in TABLES["use"]:
             with self.subTest(row):
                 me, now = self.user(row["given"])
-                me.due = now
-                events = self.events(me, me.asks(now).number, now)
+                me.due_us = now
+                events = self.events(me, me.renewal_due(now).number, now)
                 events[row["event"]]()
                 self.assertEqual(row["must"], self.mode(me, now + later.get(row["event"], 0)), row)
                 done.add((row["given"], row["event"]))
         self.assertEqual(len(TABLES["use"]), len(done))
         self.assertEqual({(state, event) for state in states for event in events}, done)
 
-    def happens(self, state: State, event: str) -> None:
+    def happens(self, state: ConfigState, event: str) -> None:
         {
-            "next turn": lambda: state.apply(1, advance(state.turn + 1)),
-            "the same turn": lambda: state.apply(1, advance(state.turn)),
-            "a turn too far": lambda: state.apply(1, advance(state.turn + 2)),
+            "next turn": lambda: state.apply(1, encode_advance(state.turn + 1)),
+            "the same turn": lambda: state.apply(1, encode_advance(state.turn)),
+            "a turn too far": lambda: state.apply(1, encode_advance(state.turn + 2)),
             "proposed": lambda: changed(state, tariffs={"items": {"fast": {"further": 0.5}}}),
             "proposed again": lambda: changed(state, f"r{max(1, state.version - 1)}"),
-            "gone": lambda: state.apply(1, gone("g3")),
-            "dump and restore": lambda: state.restore(state.dump()),
+            "gone": lambda: state.apply(1, encode_departed("g3")),
+            "dump and restore": lambda: state.restore(state.snapshot()),
             "unreadable": lambda: state.apply(1, b"\xc1"),
         }[event]()
 
@@ -532,11 +564,11 @@
                 if row["given"] != "none":
                     changed(state, gateways=gateways("g1 g2"))
                     turned(state, {"proposed": 0, "joint": 1, "in force": 2}[row["given"]])
-                before, event = state.dump(), row["event"]
+                before, event = state.snapshot(), row["event"]
                 self.happens(state, event)
-                waits = len(state.waiting())
-                self.assertEqual(row["must"], f"{state.turn} {state.acting.gateways.count} {waits}", row)
-                self.assertEqual(row.get("same", False), before == state.dump(), row)
+                waits = len(state.pending_versions())
+                self.assertEqual(row["must"], f"{state.turn} {state.effective.gateways.count} {waits}", row)
+                self.assertEqual(row.get("same", False), before == state.snapshot(), row)
         done = [(row["given"], row["event"]) for row in TABLES["change"]]
         self.assertEqual(4 * 8, len(set(done)))
         self.assertEqual(len(done), len(set(done)))
@@ -545,8 +577,8 @@
         for row in TABLES["leases"]:
             with self.subTest(row):
                 state, now = named("g1 g2 g3", floor=5), 10_000_000
-                table = Leases(LEASE, FLOOR_LEASE, DRIFT)
-                table.lead(state.gateways(), now)
+                table = LeaseTable(LEASE, FLOOR_LEASE, DRIFT)
+                table.on_elected(state.counting_gateways(), now)
                 changes = {
                     "none": {},
                     "joint": {"tariffs": {"items": {"fast": {"further": 0.5}}}},
@@ -568,9 +600,9 @@
                     self.assertEqual(row["answer"], told)
                 later = {"a lease later": LEASE * 102 // 100, "a floor lease later": FLOOR_LEASE * 102 // 100}
                 now += later.get(row["event"], 0)
-                self.assertEqual(row["may"], table.may_turn(state, now), row)
-                self.assertEqual(row.get("out", False), table.is_out("g3", state), row)
-                self.assertEqual([] if row["may"] else ["g3"], table.waits_for(state, now))
+                self.assertEqual(row["may"], table.can_advance(state, now), row)
+                self.assertEqual(row.get("out", False), table.has_departed("g3", state), row)
+                self.assertEqual([] if row["may"] else ["g3"], table.blocking_gateways(state, now))
 
 
 class Hook(unittest.TestCase):
@@ -578,25 +610,29 @@
 
     def setUp(self) -> None:
         self.now = 5_000_000
-        self.use = Use("g1", LEASE, FLOOR_LEASE, DRIFT, MOST)
+        self.use = ActiveConfig("g1", LEASE, FLOOR_LEASE, DRIFT, MOST)
         self.counters = Counters()
-        self.rules = Admission(
-            self.use, WORLD.tenants, WORLD.tariffs, lambda engine: f"s-{engine.instance_type}", self.counters
+        self.rules = ConfigAdmissionRules(
+            self.use,
+            WORLD.tenants,
+            WORLD.request_classes,
+            lambda engine: f"s-{engine.instance_type}",
+            self.counters,
         )
         self.engines = [Engine(instance_type=n) for n in range(4)]
         for engine in self.engines:
             engine.limiter = Limiter(8, 4, LoadSignals())
 
     def hear(self, turn: int, lease: bool = True, **given: Any) -> None:
-        documents = parsed(
+        documents = parse_documents(
             {"gateways": gateways("g1 g2 g3 g4", floor=9), "versions": {"gateways": 1}, **given}
         )
-        body = msgspec.msgpack.encode([0, turn, [delta(EMPTY, documents)]])
-        self.use.take(codec.contents(0, turn, body)[0], self.now)
+        body = msgspec.msgpack.encode([0, turn, [encode_delta(EMPTY, documents)]])
+        self.use.receive(codec.config_parts(0, turn, body)[0], self.now)
         self.now += LEASE // 2
-        asked = self.use.asks(self.now)
+        asked = self.use.renewal_due(self.now)
         if lease:
-            self.use.take(Granted(asked.number, turn), self.now)
+            self.use.receive(LeaseGranted(asked.number, turn), self.now)
 
     def ask(
         self, tenant: int = 0, request_class: int = 0, data_set: int = 0, threads: int = 1, read: Any = None
@@ -708,18 +744,18 @@
         for threads, cores, work in ((1, 8, 0.25), (3, 8, 0.25), (1, 640, 0.25), (1, 8, 0.0), (9, 8, 0.01)):
             total = 0
             for n in range(64):
-                me = Use(f"g{n}", LEASE, FLOOR_LEASE, DRIFT, 99)
-                documents = parsed(
+                me = ActiveConfig(f"g{n}", LEASE, FLOOR_LEASE, DRIFT, 99)
+                documents = parse_documents(
                     {
                         "gateways": gateways(names),
                         "versions": {"gateways": 1},
                         "engines": {"items": {"s-1": {"work": work}}},
                     }
                 )
-                body = msgspec.msgpack.encode([0, 2, [delta(EMPTY, documents)]])
-                me.take(codec.contents(0, 2, body)[0], 1)
-                me.take(Granted(me.asks(1).number, 2), 1)
-                rules = Admission(me, (), (), lambda engine: f"s-{engine.instance_type}")
+                body = msgspec.msgpack.encode([0, 2, [encode_delta(EMPTY, documents)]])
+                me.receive(codec.config_parts(0, 2, body)[0], 1)
+                me.receive(LeaseGranted(me.renewal_due(1).number, 2), 1)
+                rules = ConfigAdmissionRules(me, (), (), lambda engine: f"s-{engine.instance_type}")
                 engine, one = self.engines[1], self.ask(threads=threads)
                 engine.limiter = Limiter(cores, 64, LoadSignals())
                 while rules.allows(one, engine, 2):
@@ -736,14 +772,14 @@
         self.chance = random.Random(seed)
         self.names = [f"g{n}" for n in range(6)]
         self.now, self.calls, self.serial = 50_000_000, [], 0
-        self.state, self.table = State(WORLD), Leases(LEASE, FLOOR_LEASE, DRIFT)
+        self.state, self.table = ConfigState(WORLD), LeaseTable(LEASE, FLOOR_LEASE, DRIFT)
         self.leads_from = 0
-        self.uses = {name: use.Use(name, LEASE, FLOOR_LEASE, DRIFT, MOST) for name in self.names}
+        self.uses = {name: use.ActiveConfig(name, LEASE, FLOOR_LEASE, DRIFT, MOST) for name in self.names}
         # Each clock has its own start and runs wrong by the drift that is assumed, at the most.
         self.clocks = {name: self.draw_clock() for name in (*self.names, "leader")}
         self.asleep = dict.fromkeys(self.names, 0)
         self.cut = dict.fromkeys(self.names, 0)
-        self.loss, self.turns, self.seen = 0.1, 0, {Mode.LEASE: 0, Mode.FLOOR: 0, Mode.STOP: 0}
+        self.loss, self.turns, self.seen = 0.1, 0, {Mode.LEASE: 0, Mode.FLOOR: 0, Mode.STOPPED: 0}
         self.listed = False
         self.asked = self.accepted = self.epoch = 0
         self.restless = True
@@ -752,7 +788,7 @@
         return self.chance.randrange(10**9), 1 + self.chance.uniform(-DRIFT, DRIFT) * 0.99
 
     def lead(self) -> None:
-        self.table.lead(self.state.gateways(), self.clock("leader"))
+        self.table.on_elected(self.state.counting_gateways(), self.clock("leader"))
 
     def clock(self, who: str) -> int:
         start, rate = self.clocks[who]
@@ -782,31 +818,38 @@
         for name, me in self.uses.items():
             if self.now < self.asleep[name]:
                 continue
-            asked = me.asks(self.clock(name))
+            asked = me.renewal_due(self.clock(name))
             if asked is not None:
                 self.send(name, lambda name=name, asked=asked: self.renew(name, asked))
             if me.turn < self.state.turn and self.chance.random() < 0.2:
-                turn, since = self.state.turn, self.state.since(me.turn)
-                for frame in codec.contents(use._since(since).base, turn, since):
+                turn, since = self.state.turn, self.state.updates_since(me.turn)
+                for frame in codec.config_parts(use._since(since).base, turn, since):
                     self.send(name, lambda me=me, frame=frame: self.give(me, frame))
-        if self.now >= self.leads_from and self.state.wants_turn() is not None:
-            if self.table.may_turn(self.state, self.clock("leader")):
-                self.state.apply(1, advance(self.state.turn + 1))
+        if self.now >= self.leads_from and self.state.pending_turn() is not None:
+            if self.table.can_advance(self.state, self.clock("leader")):
+                self.state.apply(1, encode_advance(self.state.turn + 1))
                 self.turns += 1
         if self.restless:
             self.trouble()
         self.judge()
 
-    def give(self, me: Use, frame: Any) -> None:
-        me.take(frame, self.clock(me.name))
+    def give(self, me: ActiveConfig, frame: Any) -> None:
+        me.receive(frame, self.clock(me.name))
 
-    def renew(self, name: str, asked: Renew) -> None:
+    def renew(self, name: str, asked: RenewLease) -> None:
         leads = self.now >= self.leads_from
         answer = self.table.renew(
-            name, asked.number, asked.turn, self.state, leads, self.clock("leader"), asked.life, asked.stopped
+            name,
+            asked.number,
+            asked.turn,
+            self.state,
+            leads,
+            self.clock("leader"),
+            asked.incarnation,
+            asked.has_stopped,
         )
-        if leads and self.table.is_out(name, self.state):
-            self.state.apply(1, gone(name))
+        if leads and self.table.has_departed(name, self.state):
+            self.state.apply(1, encode_departed(name))
         self.send(name, lambda: self.give(self.uses[name], answer))
 
     def trouble(self) -> None:
@@ -822,8 +865,8 @@
             self.later(self.leads_from - self.now, self.lead)
         elif roll < 0.007:
             # Who has been taken off the list is started so that it waits for one, as the note says.
-            waits = self.listed and name not in self.state.gateways()
-            self.uses[name] = use.Use(name, LEASE, FLOOR_LEASE, DRIFT, MOST, waits, f"{self.now}")
+            waits = self.listed and name not in self.state.counting_gateways()
+            self.uses[name] = use.ActiveConfig(name, LEASE, FLOOR_LEASE, DRIFT, MOST, waits, f"{self.now}")
         elif roll < 0.02:
             self.change()
 
@@ -846,25 +889,29 @@
             "placement": {"items": {"1": {"copies": [copy], "primary": copy, "epoch": self.epoch}}},
             "tariffs": {"items": {"fast": {"stopped": self.chance.random() < 0.5}}},
         }
-        if changed(self.state, f"c{self.asked}", **given).accepted:
+        if changed(self.state, f"c{self.asked}", **given).is_accepted:
             self.accepted += 1
             self.listed = True
 
     def judge(self) -> None:
         """At this moment: what each that is awake would act by, by its own clock."""
         held = {
-            name: me.at(self.clock(name)) for name, me in self.uses.items() if self.now >= self.asleep[name]
+            name: me.effective_at(self.clock(name))
+            for name, me in self.uses.items()
+            if self.now >= self.asleep[name]
         }
         turns = [one.turn for one in held.values() if one.mode is Mode.LEASE]
         assert not turns or max(turns) - min(turns) <= 1, (self.now, held)
-        shares = sum(1 / one.gateways for one in held.values() if one.gateways)
+        shares = sum(1 / one.gateway_count for one in held.values() if one.gateway_count)
         assert shares <= 1 + 1e-9, (self.now, {name: one[:3] for name, one in held.items()}, self.state.turn)
         # Two that may write a shard to different engines; one that runs what the rules in force stop.
         leased = [one.documents for one in held.values() if one.mode is Mode.LEASE]
         shards = [one.placement.items["1"] for one in leased]
         assert len({(one.primary, one.epoch) for one in shards if one.primary}) <= 1, (self.now, shards)
-        rule = self.state._force.documents.tariffs.items.get("fast")
-        assert not (rule and rule.stopped) or all(one.tariffs.items["fast"].stopped for one in leased)
+        rule = self.state._force.documents.request_classes.items.get("fast")
+        assert not (rule and rule.is_stopped) or all(
+            one.request_classes.items["fast"].is_stopped for one in leased
+        )
         for one in held.values():
             self.seen[one.mode] += 1
 
@@ -897,7 +944,10 @@
             fleet.step()
         self.assertEqual(
             (2, [Mode.LEASE] * 2),
-            (fleet.state.turn, [fleet.uses[name].at(fleet.clock(name)).mode for name in ("g0", "g1")]),
+            (
+                fleet.state.turn,
+                [fleet.uses[name].effective_at(fleet.clock(name)).mode for name in ("g0", "g1")],
+            ),
         )
         fleet.cut["g0"] = fleet.now + 20_000_000
         changed(fleet.state, gateways=gateways("g0 g1 g2 g3 g4 g5", floor=6))
@@ -905,13 +955,16 @@
         for step in range(1200):
             fleet.step()
             taken = taken or (fleet.state.turn == 4) * (step + 1) * 10_000
-        return taken, fleet.uses["g0"].at(fleet.clock("g0")).gateways
+        return taken, fleet.uses["g0"].effective_at(fleet.clock("g0")).gateway_count
 
     def test_a_floor_is_raised_when_the_old_one_is_over(self) -> None:
         taken, gateways = self.raised_floor()
         self.assertEqual(MOST, gateways)
         self.assertTrue(0.75 * FLOOR_LEASE < taken < 1.05 * FLOOR_LEASE, taken)
-        with patch.object(State, "touches_floor", lambda _: False), self.assertRaises(AssertionError):
+        with (
+            patch.object(ConfigState, "changes_count_without_lease", lambda _: False),
+            self.assertRaises(AssertionError),
+        ):
             self.raised_floor()
 
     def test_one_cut_off_delays_a_change_by_a_lease(self) -> None:
@@ -929,26 +982,33 @@
             self.assertTrue(least <= fleet.now - began <= most, fleet.now - began)
 
     def test_all_come_back_at_once(self) -> None:
-        fleet = [Use(f"gateway-{n}", LEASE, FLOOR_LEASE, DRIFT, 300) for n in range(230)]
-        body = msgspec.msgpack.encode([0, 2, [delta(EMPTY, parsed({"gateways": gateways("g1")}))]])
+        fleet = [ActiveConfig(f"gateway-{n}", LEASE, FLOOR_LEASE, DRIFT, 300) for n in range(230)]
+        body = msgspec.msgpack.encode(
+            [0, 2, [encode_delta(EMPTY, parse_documents({"gateways": gateways("g1")}))]]
+        )
         for me in fleet:
-            me.connected(10**6)
-            me.take(codec.contents(0, 2, body)[0], 10**6)
-        asked = [sum(me.asks(10**6 + at) is not None for me in fleet) for at in range(0, LEASE, 10_000)]
+            me.on_connected(10**6)
+            me.receive(codec.config_parts(0, 2, body)[0], 10**6)
+        asked = [
+            sum(me.renewal_due(10**6 + at) is not None for me in fleet) for at in range(0, LEASE, 10_000)
+        ]
         seconds = [sum(asked[at : at + 10]) for at in range(len(asked) - 9)]
         self.assertLessEqual(max(seconds), 2 * 230 * 3 // 20, "in any 100 ms, twice the rate at rest")
         self.assertGreaterEqual(sum(asked), 2 * 230)
 
     def test_two_of_one_name(self) -> None:
-        state, table = named(), Leases(LEASE, FLOOR_LEASE, DRIFT)
-        table.lead(state.gateways(), 0)
+        state, table = named(), LeaseTable(LEASE, FLOOR_LEASE, DRIFT)
+        table.on_elected(state.counting_gateways(), 0)
         told = [
             type(table.renew("g1", 1, 2, state, True, now, life)).__name__
             for now, life in ((1, "a"), (2, "b"), (LEASE, "a"), (2 * LEASE, "b"), (4 * LEASE, "b"))
         ]
-        self.assertEqual(["Granted", "Refused", "Granted", "Refused", "Granted"], told)
         self.assertEqual(
-            [("g1", 2, table._lease, 0), ("g2", -1, 0, -1)], list(map(tuple, table.where(state, 4 * LEASE)))
+            ["LeaseGranted", "LeaseRefused", "LeaseGranted", "LeaseRefused", "LeaseGranted"], told
+        )
+        self.assertEqual(
+            [("g1", 2, table._lease, 0), ("g2", -1, 0, -1)],
+            list(map(tuple, table.gateway_statuses(state, 4 * LEASE))),
         )
 
     def broken(self, where: Any, name: str, made: Any) -> None:
@@ -959,27 +1019,29 @@
                     fleet.step()
 
     def test_broken_ones_are_caught(self) -> None:
-        def from_arrival(me: Use, frame: Any, now: int) -> None:
+        def from_arrival(me: ActiveConfig, frame: Any, now: int) -> None:
             asked = me._asked.get(getattr(frame, "number", None))
-            if isinstance(frame, Granted) and asked:
+            if isinstance(frame, LeaseGranted) and asked:
                 me._asked[frame.number] = (now, asked[1])
             take(me, frame, now)
 
-        def by_timer(me: Use, now: int) -> Mode:
+        def by_timer(me: ActiveConfig, now: int) -> Mode:
             mode = mode_at(me, now)
             return Mode.LEASE if mode is Mode.FLOOR and me._until else mode
 
-        def any_turn(me: Leases, gateway: str, number: int, turn: int, state: State, *more: Any) -> Any:
+        def any_turn(
+            me: LeaseTable, gateway: str, number: int, turn: int, state: ConfigState, *more: Any
+        ) -> Any:
             return renew(me, gateway, number, state.turn, state, *more)
 
-        take, mode_at, renew = Use.take, Use._mode_at, Leases.renew
-        self.broken(Leases, "renew", any_turn)
-        self.broken(Use, "take", from_arrival)
-        self.broken(Use, "_mode_at", by_timer)
-        self.broken(Leases, "may_turn", lambda *_: True)
-        self.broken(Leases, "lead", lambda me, gateways, now: me._holders.clear())
-        self.broken(State, "_joined", lambda me: me._waiting[0].acting())
-        self.broken(state_of, "divisor", lambda gateways, ghosts=0: divisor(gateways))
+        take, mode_at, renew = ActiveConfig.receive, ActiveConfig._mode_at, LeaseTable.renew
+        self.broken(LeaseTable, "renew", any_turn)
+        self.broken(ActiveConfig, "receive", from_arrival)
+        self.broken(ActiveConfig, "_mode_at", by_timer)
+        self.broken(LeaseTable, "can_advance", lambda *_: True)
+        self.broken(LeaseTable, "on_elected", lambda me, gateways, now: me._holders.clear())
+        self.broken(ConfigState, "_joined", lambda me: me._waiting[0].effective())
+        self.broken(state_of, "gateway_divisor", lambda gateways, ghosts=0: gateway_divisor(gateways))
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_shards.py
+++ b/tests/test_fleet_shards.py
@@ -283,7 +283,7 @@
 
         async def script(fleet: ShardFleet, operator: Operator) -> None:
             primary, unix = fleet.ids[2], int(time.time())
-            pin = documents.Pin(tariff="lookup", copies=(primary,), strict=True, until=unix + 40)
+            pin = documents.Pin(request_class="lookup", copies=(primary,), is_strict=True, until_s=unix + 40)
             await operator.change(edited("replicas", "held", pin), 5)
             async with anyio.create_task_group() as tasks:
                 for number in range(4):
@@ -295,7 +295,7 @@
                 await anyio.sleep(2.5)
                 ended = anyio.current_time()
                 tasks.cancel_scope.cancel()
-            self.assertLess(time.time(), pin.until)
+            self.assertLess(time.time(), pin.until_s)
             found = await self.closed(fleet, operator)
             self.assertEqual((found.went_back, found.bound_broken), (0, 0), found.lines)
             reads, elsewhere = Counter(), Counter()
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -14,10 +14,10 @@
 from cresstray.consensus.raft import Node, Role
 from cresstray.emulators.fleet.history import History, Operation
 from cresstray.fleet_config import strictest
-from cresstray.fleet_config.active_config import Mode, Use
-from cresstray.fleet_config.codec import Behind, Frame, Granted
-from cresstray.fleet_config.leases import Leases
-from cresstray.fleet_config.state import State
+from cresstray.fleet_config.active_config import ActiveConfig, Mode
+from cresstray.fleet_config.codec import Frame, LeaseBehind, LeaseGranted
+from cresstray.fleet_config.leases import LeaseTable
+from cresstray.fleet_config.state import ConfigState
 from cresstray.simulation.fleet import (
     ALL_FAULTS,
     FAULTS,
@@ -48,32 +48,34 @@
 
 
 def _from_arrival() -> Any:
-    take = Use.take
+    take = ActiveConfig.receive
 
-    def late(use: Use, frame: Frame, now: int) -> None:
-        if isinstance(frame, Granted) and frame.number in use._asked:
+    def late(use: ActiveConfig, frame: Frame, now: int) -> None:
+        if isinstance(frame, LeaseGranted) and frame.number in use._asked:
             use._asked[frame.number] = (now, use._asked[frame.number][1])
         take(use, frame, now)
 
-    return patch.object(Use, "take", late)
+    return patch.object(ActiveConfig, "receive", late)
 
 
 def _by_timer() -> Any:
     """What may be used is worked out when something comes, and when a timer says that the lease is over."""
-    at, asks = Use.at, Use.asks
+    at, asks = ActiveConfig.effective_at, ActiveConfig.renewal_due
 
-    def kept(use: Use, now: int) -> Any:
+    def kept(use: ActiveConfig, now: int) -> Any:
         fresh = getattr(use, "kept", None) or at(use, now)
         if fresh.turn != use.turn or fresh.mode is not Mode.LEASE:
             fresh = at(use, now)
         use.kept = fresh
         return fresh
 
-    def timer(use: Use, now: int) -> Any:
+    def timer(use: ActiveConfig, now: int) -> Any:
         use.kept = None
         return asks(use, now)
 
-    return _both(patch.object(Use, "at", kept), patch.object(Use, "asks", timer))
+    return _both(
+        patch.object(ActiveConfig, "effective_at", kept), patch.object(ActiveConfig, "renewal_due", timer)
+    )
 
 
 def _both(*patches: Any) -> Any:
@@ -88,44 +90,44 @@
 
 
 def _behind_extends() -> Any:
-    take = Use.take
+    take = ActiveConfig.receive
 
-    def extended(use: Use, frame: Frame, now: int) -> None:
-        asked = use._asked.get(frame.number) if isinstance(frame, Behind) else None
+    def extended(use: ActiveConfig, frame: Frame, now: int) -> None:
+        asked = use._asked.get(frame.number) if isinstance(frame, LeaseBehind) else None
         take(use, frame, now)
         if asked is not None:
             use._until = max(use._until, asked[0] + use._lease)
 
-    return patch.object(Use, "take", extended)
+    return patch.object(ActiveConfig, "receive", extended)
 
 
 def _no_joint() -> Any:
-    advance = State._advance
+    advance = ConfigState._advance
 
-    def both(state: State, turn: int) -> Any:
+    def both(state: ConfigState, turn: int) -> Any:
         told = advance(state, turn)
-        return advance(state, turn + 1) if told.accepted and turn % 2 else told
+        return advance(state, turn + 1) if told.is_accepted and turn % 2 else told
 
-    return patch.object(State, "_advance", both)
+    return patch.object(ConfigState, "_advance", both)
 
 
 def _no_wait() -> Any:
-    lead = Leases.lead
+    lead = LeaseTable.on_elected
 
-    def at_once(leases: Leases, gateways: Any, now: int) -> None:
+    def at_once(leases: LeaseTable, gateways: Any, now: int) -> None:
         lead(leases, gateways, now - leases._floor_lease)
 
-    return patch.object(Leases, "lead", at_once)
+    return patch.object(LeaseTable, "on_elected", at_once)
 
 
 def _forgets() -> Any:
-    restore = State.restore
+    restore = ConfigState.restore
 
-    def forgotten(state: State, data: bytes) -> None:
+    def forgotten(state: ConfigState, data: bytes) -> None:
         restore(state, data)
         state._requests, state._request_bytes = {}, 0
 
-    return patch.object(State, "restore", forgotten)
+    return patch.object(ConfigState, "restore", forgotten)
 
 
 def _no_members() -> Any:
@@ -225,17 +227,19 @@
     "new leader does not wait": (_no_wait, MIXED, ("turns", "contradiction")),
     "behind extends the lease": (_behind_extends, LATE, ("turns", "contradiction", "shares")),
     "turn made with a holder behind": (
-        lambda: patch.object(Leases, "may_turn", lambda *_: True),
+        lambda: patch.object(LeaseTable, "can_advance", lambda *_: True),
         MIXED,
         ("turns", "contradiction"),
     ),
     "floors changed after the short lease": (
-        lambda: patch.object(State, "touches_floor", lambda _: False),
+        lambda: patch.object(ConfigState, "changes_count_without_lease", lambda _: False),
         MOVES,
         ("shares",),
     ),
     "a dropped gateway forgotten": (
-        lambda: broken(State, "_propose", "(latest.ghosts | dropped)", "latest.ghosts"),
+        lambda: broken(
+            ConfigState, "_propose", "(latest.departed_gateways | dropped)", "latest.departed_gateways"
+        ),
         MOVES,
         ("shares",),
     ),
@@ -249,7 +253,7 @@
     "a stranger with an old vote counted": (_old_name, DISKS, ("one-vote", "one-log", "acknowledged")),
     "read by a deposed leader": (_reads_at_once, REGISTER, ("history",)),
     "compare-and-set forgotten": (
-        lambda: broken(State, "_propose", "if base != version:", "if False:"),
+        lambda: broken(ConfigState, "_propose", "if base != version:", "if False:"),
         REGISTER,
         ("history",),
     ),
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -24,9 +24,9 @@
 from cresstray.config import operator
 from cresstray.config.lines import UnusableError
 from cresstray.control_plane.codec import Alive, Ask, requests
-from cresstray.fleet_config.active_config import Mode, Use
-from cresstray.fleet_config.codec import Carried, Get, Renew, Request
-from cresstray.fleet_config.follower import Follower, order
+from cresstray.fleet_config.active_config import ActiveConfig, Mode
+from cresstray.fleet_config.codec import ForwardedFrame, GetConfig, OperatorRequest, RenewLease
+from cresstray.fleet_config.follower import ConfigFollower, preference_order
 from cresstray.transport import peers
 from cresstray.transport.framing import LONGEST, encode
 
@@ -111,12 +111,19 @@
 
 
 class Fleets(unittest.TestCase):
-    def followers(self, given: object, *names: str) -> list[Follower]:
+    def followers(self, given: object, *names: str) -> list[ConfigFollower]:
         return [
-            Follower(
+            ConfigFollower(
                 given,
                 name,
-                Use(name, given.lease, given.floor_lease, given.drift, given.most, life=f"{number:016x}"),
+                ActiveConfig(
+                    name,
+                    given.lease,
+                    given.floor_lease,
+                    given.drift,
+                    given.most,
+                    incarnation=f"{number:016x}",
+                ),
                 Random(number).random,
             )
             for number, name in enumerate(names)
@@ -156,7 +163,7 @@
             barred = {"engines": {"items": {"s-00000001": {"barred": True}}}}
             told = await propose(barred)
             self.assertEqual("in force", told["phase"])
-            await until(lambda: all(one.use.documents.engines.items for one in followers))
+            await until(lambda: all(one.active_config.documents.engines.items for one in followers))
             await until(lambda: followers[0].status()["mode"] == followers[1].status()["mode"] == "lease")
 
             # Back without its file: a stranger, until an operator takes it in.
@@ -191,8 +198,10 @@
             # None left: leases end, and what was known goes on by the floor.
             for name in list(keepers.processes):
                 keepers.kill(name)
-            await until(lambda: followers[0].use.at(followers[0]._now()).mode is Mode.FLOOR)
-            self.assertEqual(2 * told["version"], followers[0].use.turn)
+            await until(
+                lambda: followers[0].active_config.effective_at(followers[0]._now()).mode is Mode.FLOOR
+            )
+            self.assertEqual(2 * told["version"], followers[0].active_config.turn)
             tasks.cancel_scope.cancel()
 
     def test_one_keeper_and_the_commands(self) -> None:
@@ -290,7 +299,7 @@
             cases = {
                 "noise": (b"GET / HTTP/1.0\r\n\r\n", "refused: .*a frame of kind"),
                 "a length that lies": (struct.pack(">IB", LONGEST + 1, 48), "refused: .*a frame of kind 48"),
-                "no greeting": (encode(Get(0)), "refused: .*no greeting"),
+                "no greeting": (encode(GetConfig(0)), "refused: .*no greeting"),
                 "another magic": (greeting(magic="other"), "refused: .*no greeting"),
                 "a later version": (greeting(version=9), "refused: .*version 9"),
                 "another fleet": (greeting(fleet="other"), "refused: .*of fleet 'other'"),
@@ -299,16 +308,28 @@
                 "a keeper's name": (greeting(name="k1"), "refused: .*'k1' as a gateway"),
                 "a keeper unheard of": (greeting(role="keeper"), "refused: .*'g0' as a keeper"),
                 "its own name": (keeper, "refused: .*own name"),
-                "another lease": (greeting(nonce=b"") + encode(Renew(1, 0)), "dropped: .*another lease"),
-                "a second greeting": (well + well, "dropped: a Greet from the role gateway"),
+                "another lease": (greeting(nonce=b"") + encode(RenewLease(1, 0)), "dropped: .*another lease"),
+                "a second greeting": (well + well, "dropped: a Greeting from the role gateway"),
                 "a keeper's word": (well + encode(Alive(1)), "dropped: a Alive from the role gateway"),
-                "a carried word": (well + encode(Carried("x", False, b"")), "dropped: a Carried from"),
-                "an operator's question": (well + encode(requests(1, Ask("show"))[0]), "dropped: a Request"),
-                "a gateway's word": (operator_ + encode(Renew(1, 0)), "dropped: a Renew from the role oper"),
-                "a renewal again": (well + encode(Renew(7, 0)) * 2, "dropped: renewal 7 after 7"),
-                "an older renewal": (well + encode(Renew(7, 0)) + encode(Renew(6, 0)), "dropped: renewal 6"),
-                "no question": (operator_ + encode(Request(1, b"\xc1", True)), "dropped: a question"),
-                "cut in the middle": (well + encode(Get(0))[:-1], "EndOfStream"),
+                "a carried word": (
+                    well + encode(ForwardedFrame("x", False, b"")),
+                    "dropped: a ForwardedFrame from",
+                ),
+                "an operator's question": (
+                    well + encode(requests(1, Ask("show"))[0]),
+                    "dropped: a OperatorRequest",
+                ),
+                "a gateway's word": (
+                    operator_ + encode(RenewLease(1, 0)),
+                    "dropped: a RenewLease from the role oper",
+                ),
+                "a renewal again": (well + encode(RenewLease(7, 0)) * 2, "dropped: renewal 7 after 7"),
+                "an older renewal": (
+                    well + encode(RenewLease(7, 0)) + encode(RenewLease(6, 0)),
+                    "dropped: renewal 6",
+                ),
+                "no question": (operator_ + encode(OperatorRequest(1, b"\xc1", True)), "dropped: a question"),
+                "cut in the middle": (well + encode(GetConfig(0))[:-1], "EndOfStream"),
             }
             for name, (message, wanted) in cases.items():
                 with self.subTest(name):
@@ -367,8 +388,10 @@
                 self.assertIn("'g0' as an operator", ended)
 
                 async def follow() -> str:
-                    use = Use("g0", as_g0.lease, as_g0.floor_lease, as_g0.drift, as_g0.most, life="a1")
-                    one = Follower(as_g0, "g0", use, Random(1).random)
+                    use = ActiveConfig(
+                        "g0", as_g0.lease, as_g0.floor_lease, as_g0.drift, as_g0.most, incarnation="a1"
+                    )
+                    one = ConfigFollower(as_g0, "g0", use, Random(1).random)
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(one.run, tasks)
                         await until(lambda: one.status()["keeper"] == "k1")
@@ -456,7 +479,7 @@
 
     def test_gateways_spread_over_the_keepers(self) -> None:
         given = operator.read("deploy/fleet.conf").fleet
-        first = [order(f"g{number}", given.keepers)[0].name for number in range(300)]
+        first = [preference_order(f"g{number}", given.keepers)[0].name for number in range(300)]
         for keeper in given.keepers:
             self.assertTrue(70 < first.count(keeper.name) < 130, first.count(keeper.name))
 
--- a/tests/test_placement_moves.py
+++ b/tests/test_placement_moves.py
@@ -42,17 +42,17 @@
 PLAN = model.Plan(MOVES, 7_000_000, 7_000_000, ((0, 1), (2,)))
 
 
-def founded(section: Moves, placed: dict[str, tuple[str, ...]]) -> rules.State:
-    state = rules.State(documents.World(most=9), {moves.NAME: section})
+def founded(section: Moves, placed: dict[str, tuple[str, ...]]) -> rules.ConfigState:
+    state = rules.ConfigState(documents.FleetState(max_gateways=9), {moves.NAME: section})
     items = {name: documents.Shard(copies, copies[0], 1, copies) for name, copies in placed.items()}
     new = documents.Documents(
-        gateways=documents.Gateways({"g": documents.Gateway()}), placement=documents.Placement(items)
+        gateways=documents.GatewayList({"g": documents.Gateway()}), placement=documents.Placement(items)
     )
-    change = documents.delta(state.latest, new)
-    told = rules.outcome(state.apply(1, rules.propose("found", {}, change, "")))
-    assert told.accepted, told
-    while state.wants_turn() is not None:
-        state.apply(1, rules.advance(state.wants_turn()))
+    change = documents.encode_delta(state.latest, new)
+    told = rules.decode_result(state.apply(1, rules.encode_proposal("found", {}, change, "")))
+    assert told.is_accepted, told
+    while state.pending_turn() is not None:
+        state.apply(1, rules.encode_advance(state.pending_turn()))
     return state
 
 
@@ -84,17 +84,17 @@
         self.log: list[bytes] = []  # appended by the leader, not yet committed
         self.applied = 0
         self.written = dict.fromkeys(PLACED, 0)
-        self.turned, self.before = self.now, self.state.acting
+        self.turned, self.before = self.now, self.state.effective
         self.told: dict[str, Disk] = {}
         self.lost: list[str] = []
         self.seen: list[tuple[int, At]] = []
         self.on_applied = lambda fleet: None
         self.crashes = False
         for entry in moves.begin("p1", "me", PLAN, model.Limits(share=1.0)):
-            self.apply(rules.section(moves.NAME, "", entry))
+            self.apply(rules.encode_section_command(moves.NAME, "", entry))
 
     def apply(self, data: bytes) -> None:
-        acting, turn = self.state.acting, self.state.turn
+        acting, turn = self.state.effective, self.state.turn
         before = [move.at for move in self.moves.plan.moves] if self.moves.plan else []
         self.state.apply(self.applied, data)
         if self.state.turn != turn:
@@ -109,11 +109,11 @@
             for data in self.log:
                 self.apply(data)
         self.log.clear()
-        dumped = self.state.dump()
+        dumped = self.state.snapshot()
         self.moves = type(self.moves)()
-        self.state = rules.State(documents.World(most=9), {moves.NAME: self.moves})
+        self.state = rules.ConfigState(documents.FleetState(max_gateways=9), {moves.NAME: self.moves})
         self.state.restore(dumped)
-        assert self.state.dump() == dumped
+        assert self.state.snapshot() == dumped
         self.carrier, self.told = self.make(TIMES), {}
 
     def place(self, name: str, copies: tuple[str, ...]) -> rules.CommandResult:
@@ -123,11 +123,14 @@
         new = msgspec.structs.replace(
             latest, placement=documents.Placement(latest.placement.items | {name: shard})
         )
-        return rules.outcome(
+        return rules.decode_result(
             self.state.apply(
                 1,
-                rules.propose(
-                    "operator", {"placement": latest.version("placement")}, documents.delta(latest, new), ""
+                rules.encode_proposal(
+                    "operator",
+                    {"placement": latest.version("placement")},
+                    documents.encode_delta(latest, new),
+                    "",
                 ),
             )
         )
@@ -150,7 +153,7 @@
             else:
                 held = shelf.shards.get(shard)
                 shelf.drop(shard, fence)
-                for acting in (self.state.acting, self.before):
+                for acting in (self.state.effective, self.before):
                     if held and command.engine in acting.placement.items[shard].reads:
                         self.lost.append(f"{shard} dropped on {command.engine} while it is read")
         except RefusedError:
@@ -165,7 +168,7 @@
             shelf.advance(self.now)
             if self.up(engine):
                 self.work(shelf)
-        for shard, acting in self.state.acting.placement.items.items():
+        for shard, acting in self.state.effective.placement.items.items():
             # Gateways a turn behind write where they may; what is acknowledged must stay.
             for one in {acting.primary, self.before.placement.items[shard].primary} - {""}:
                 if self.chance.random() < 0.3 and self.up(one):
@@ -188,9 +191,9 @@
                 self.give(step)
                 if self.chance.random() < 0.3:
                     self.late.append((self.now + int(self.chance.random() * 20 * SECOND), step))
-        turn = self.state.wants_turn()
+        turn = self.state.pending_turn()
         if turn is not None and self.now - self.turned >= 400_000:
-            self.apply(rules.advance(turn))
+            self.apply(rules.encode_advance(turn))
 
     def work(self, shelf: Shelf) -> None:
         passed_on(shelf, self.shelves, self.up, self.now)
@@ -268,7 +271,9 @@
 
     def test_cancelled_at_each_step(self) -> None:
         def cancel(fleet: Fleet) -> None:
-            fleet.log.append(rules.section(moves.NAME, "", moves.encode(moves.Cancel("p1", "me"))))
+            fleet.log.append(
+                rules.encode_section_command(moves.NAME, "", moves.encode(moves.Cancel("p1", "me")))
+            )
 
         self.faulty(cancel, done=False)
 
@@ -295,7 +300,7 @@
         self.assertIn("kept", fleet.carrier.waits[0])
         self.assertTrue(fleet.shelves["a2"].shards["1"].whole)
         # An operator gives up the dead primary's last writes, and places the shard where it is.
-        self.assertTrue(fleet.place("1", ("a2",)).accepted)
+        self.assertTrue(fleet.place("1", ("a2",)).is_accepted)
         for _ in range(100):
             fleet.tick()
         self.assertTrue(fleet.moves.plan.over())
@@ -311,7 +316,9 @@
                 fleet.down["a2"] = fleet.now + 2 * SECOND
                 late = Command("a2", "COPY", "1", move.fence, "a1", 0, 1_000_000)
                 fleet.late.append((fleet.now + 20 * SECOND, late))
-                fleet.log.append(rules.section(moves.NAME, "", moves.encode(moves.Cancel("p1", "me"))))
+                fleet.log.append(
+                    rules.encode_section_command(moves.NAME, "", moves.encode(moves.Cancel("p1", "me")))
+                )
 
         fleet.on_applied = fault
         fleet.run()
@@ -333,7 +340,7 @@
             fleet.tick()
         self.assertIs(fleet.moves.plan.moves[1].at, At.SWITCHED)
         self.assertTrue(fleet.shelves["b1"].shards["2"].whole)
-        self.assertTrue(fleet.place("2", ("a1", "b1")).accepted)
+        self.assertTrue(fleet.place("2", ("a1", "b1")).is_accepted)
         fleet.run()
         fleet.judge(self)
 
@@ -418,7 +425,7 @@
     def test_what_is_planned_from(self) -> None:
         shard = documents.Shard(("a1",), "a1", 1, ("a1",))
         given = documents.Documents(
-            engines=documents.Engines({"a1": documents.EngineRule(barred=True)}),
+            engines=documents.EngineRules({"a1": documents.EngineRule(is_barred=True)}),
             placement=documents.Placement({"1": shard}),
         )
         copies = {"1": Copy(40, primary=True, growth=3)}
@@ -478,7 +485,7 @@
         self.assertEqual(paced.part("a1"), 0.5)
 
 
-def placed(kind: str, how: str) -> tuple[rules.State, Moves]:
+def placed(kind: str, how: str) -> tuple[rules.ConfigState, Moves]:
     """One move under way, a1 > a2, its documents so far on their way."""
     section = Moves()
     primary = kind == "primary"
@@ -500,16 +507,16 @@
         )
         told = state.apply(
             1,
-            rules.propose(
+            rules.encode_proposal(
                 f"r{number}",
                 {"placement": state.latest.version("placement")},
-                documents.delta(state.latest, new),
+                documents.encode_delta(state.latest, new),
                 "",
             ),
         )
-        assert rules.outcome(told).accepted, rules.outcome(told)
-        while how != "moved" and state.wants_turn() is not None:
-            state.apply(1, rules.advance(state.wants_turn()))
+        assert rules.decode_result(told).is_accepted, rules.decode_result(told)
+        while how != "moved" and state.pending_turn() is not None:
+            state.apply(1, rules.encode_advance(state.pending_turn()))
     return state, section
 
 
@@ -522,22 +529,22 @@
         state, section = placed(kind, how)
         move = section.plan.moves[0]
         move.at, move.fence, section.serial = At(at), 7, 9
-        before = section.dump()
+        before = section.snapshot()
         step = moves.Step("p", 0, At(at), Event(event), 7, held=100, copied=50)
         outcome = section.apply(state, moves.encode(step))
         if outcome != moves.DONE:
-            self.assertEqual(section.dump(), before)
+            self.assertEqual(section.snapshot(), before)
         self.assertEqual(move.fence, section.serial if move.fence != 7 else 7)
         # Asked again, and asked by one that is behind: once.
-        after = section.dump()
+        after = section.snapshot()
         if section.plan.moves[0].at.value != at:
             self.assertEqual(section.apply(state, moves.encode(step)), moves.BEFORE)
         stale = msgspec.structs.replace(step, fence=6, was=move.at)
         self.assertEqual(section.apply(state, moves.encode(stale)), moves.BEFORE)
-        self.assertEqual(section.dump(), after)
+        self.assertEqual(section.snapshot(), after)
         restored = Moves()
         restored.restore(after)
-        self.assertEqual(restored.dump(), after)
+        self.assertEqual(restored.snapshot(), after)
         return move.at.value, outcome, move.fence
 
     def test_each_state_with_each_event(self) -> None:
@@ -707,7 +714,7 @@
             ((0,), (1,)),
         )
         for entry in moves.begin("p", "me", plan, model.Limits(share=1.0)):
-            self.assertEqual(state.apply(1, rules.section(moves.NAME, "", entry)), moves.DONE)
+            self.assertEqual(state.apply(1, rules.encode_section_command(moves.NAME, "", entry)), moves.DONE)
         told = anyio.run(self.carried, state, section)
         self.assertEqual([move.at for move in section.plan.moves], [At.DONE] * 2)
         accounts = {engine: asked(port, "ACCOUNT") for engine, port in self.ports.items()}
@@ -722,7 +729,7 @@
         self.assertLess(accounts["a1"]["copied_out"], 4_000_000 * 1.05 + 400_000)
         self.assertEqual(accounts["a2"]["again"], 0)
 
-    async def carried(self, state: rules.State, section: Moves) -> dict:
+    async def carried(self, state: rules.ConfigState, section: Moves) -> dict:
         """The keeper's part; the target is killed at a third of its copy, and comes back a second later."""
         told, log, carrying = {}, [], Carrier()
         hands = carry.Hands(
@@ -741,8 +748,8 @@
                     for data in log:
                         state.apply(1, data)
                     log.clear()
-                    if state.wants_turn() is not None:
-                        state.apply(1, rules.advance(state.wants_turn()))
+                    if state.pending_turn() is not None:
+                        state.apply(1, rules.encode_advance(state.pending_turn()))
                     if "before" not in told and section.plan.moves[0].copied > 1_000_000:
                         told["before"] = section.plan.moves[0].copied
                         self.engines["a2"].send_signal(signal.SIGKILL)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -15,7 +15,7 @@
 
 from cresstray.control_plane import replica_positions as joined
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
-from cresstray.fleet_config.active_config import InUse, Mode
+from cresstray.fleet_config.active_config import EffectiveConfig, Mode
 from cresstray.fleet_config.documents import Documents, Pin, Placement, Replicas, Shard
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.replica_reads import EngineDirectory
@@ -50,8 +50,8 @@
         self.turn += 1
         self.documents = Documents(placement=Placement({"7": shard}), replicas=Replicas(self.pins))
 
-    def at(self, now: int) -> InUse:
-        return InUse(self.mode, self.turn, self.gateways, self.documents)
+    def effective_at(self, now: int) -> EffectiveConfig:
+        return EffectiveConfig(self.mode, self.turn, self.gateways, self.documents)
 
 
 def gateway(use: Use, chance=lambda: 0.5, full=lambda *_: False, said=None) -> Reads:
@@ -497,7 +497,7 @@
                 turned=[],
                 each_round=[],
                 ready=lambda now, leads=name == leader: leads,
-                state=SimpleNamespace(acting=SimpleNamespace(placement=SimpleNamespace(items=placed))),
+                state=SimpleNamespace(effective=SimpleNamespace(placement=SimpleNamespace(items=placed))),
             )
             one.join(core, self.ask)
             core.turned[0](0)
