--- a/cresstray/control_plane/node_controller.py
+++ b/cresstray/control_plane/node_controller.py
@@ -19,7 +19,7 @@
 from cresstray.control_plane.codec import Alive, Gather
 from cresstray.control_plane.request_handlers import Answers
 from cresstray.fleet_config import codec as rules
-from cresstray.fleet_config import state as commands
+from cresstray.fleet_config import commands as commands
 from cresstray.fleet_config.codec import ReplicaPositions
 from cresstray.fleet_config.leases import LeaseTable
 from cresstray.fleet_config.state import ConfigState, ConfigUpdates
--- a/cresstray/control_plane/request_handlers.py
+++ b/cresstray/control_plane/request_handlers.py
@@ -10,8 +10,8 @@
 
 from cresstray.consensus.entries import Members
 from cresstray.control_plane.codec import Ask
+from cresstray.fleet_config import commands as commands
 from cresstray.fleet_config import documents
-from cresstray.fleet_config import state as commands
 from cresstray.fleet_config import validation as checks
 
 if TYPE_CHECKING:
--- a/cresstray/fleet_config/active_config.py
+++ b/cresstray/fleet_config/active_config.py
@@ -25,24 +25,28 @@
 from cresstray.fleet_config.strictest import gateway_divisor
 
 # A lease is renewed three times while it lasts: two answers may be lost.
-_TIMES = 3
-# When something was learnt, asked at once, though not more often than so many times in a lease.
+_RENEWALS_PER_LEASE = 3
+# When something was learnt, a renewal goes out at once, though not more often than so many times in a lease.
 # A change takes two turns, and each waits for what all gateways say at once: 20 ms of a lease of two seconds.
-_AT_ONCE = 100
+_MAX_RENEWALS_PER_LEASE = 100
 # Refused for now, as when no leader is known: asked again so many times as often, so that one that is elected
 # hears of all within a fraction of a second, and turns go on.
-_REFUSED = 3
-# Asked and not answered: what comes back later than this is of no use, whatever the lease.
-_ASKED = 64
-_NEVER = 1 << 62
+_REFUSED_SPEEDUP = 3
+# Renewals without an answer: what comes back later than this is of no use, whatever the lease.
+_MAX_UNANSWERED = 64
+_NEVER_US = 1 << 62
 # Lines for the log that nobody has taken yet.
-_TOLD = 64
+_MAX_LOG_LINES = 64
 
-_since = msgspec.msgpack.Decoder(ConfigUpdates).decode
+_decode_updates = msgspec.msgpack.Decoder(ConfigUpdates).decode
 
 
 class Mode(Enum):
-    """LEASE: all that was agreed on. FLOOR: as last known, by the floor. STOP: relay nothing."""
+    """What a gateway acts by.
+
+    LEASE: all that was agreed on. FLOOR: what was last known, with the count without a lease. STOPPED:
+    nothing is sent.
+    """
 
     LEASE = "lease"
     FLOOR = "floor"
@@ -50,7 +54,7 @@
 
 
 class EffectiveConfig(NamedTuple):
-    """Of one moment. `gateways`: by how many to divide, 0: relay nothing."""
+    """What holds at one moment. `gateway_count`: by how many to divide; 0: nothing may be sent."""
 
     mode: Mode
     turn: int
@@ -59,9 +63,11 @@
 
 
 class ActiveConfig:
-    """`lease`, `floor_lease` in microseconds, `drift` a part; `most`: gateways that may ever run.
+    """The configuration in use at one gateway.
 
-    `waits`: until it has heard of a list it relays nothing; else it acts by `most`. `life`: its incarnation.
+    `lease` and `floor_lease` (how long the count without a lease may be used) in microseconds; `drift`: how
+    much a clock may run wrong, as a fraction; `max_gateways`: that may ever run. `waits`: until it has heard
+    of a list it sends nothing; else it divides by `max_gateways`.
     """
 
     def __init__(
@@ -74,34 +80,38 @@
         waits: bool = False,
         incarnation: str = "",
     ) -> None:
-        self.name, self.max_gateways, self.incarnation = name, max_gateways, incarnation
-        self._every, self._at_once = lease // _TIMES, lease // _AT_ONCE
+        self.name = name
+        self.max_gateways = max_gateways
+        self.incarnation = incarnation
+        self._every = lease // _RENEWALS_PER_LEASE
+        self._at_once = lease // _MAX_RENEWALS_PER_LEASE
         self._lease = int(lease * (1 - drift))
         self._floor_lease = int(max(lease, floor_lease) * (1 - drift))
-        self.turn, self.documents = 0, EMPTY
-        self.highest_turn_heard = (
-            0  # the highest turn that was heard of; above `turn`: its content is to come
-        )
+        self.turn = 0
+        self.documents = EMPTY
+        self.highest_turn_heard = 0  # above `turn`: its content is to come
         self._waits = waits
         self._out = 0  # the highest turn of which it was told that it is not named
-        self.revision = 0  # grows whenever the answer of `at` may be another, beside by time
-        self._until = self._floor_until = 0
-        self.due_us = self._spread_to = 0
+        self.revision = 0  # grows whenever the answer of `effective_at` may be another, beside by time
+        self._until = 0
+        self._floor_until = 0
+        self.due_us = 0
+        self._spread_to = 0
         self._number = 0
         self._asked: dict[int, tuple[int, int]] = {}  # number: when, and at which turn
         self._asked_at = -self._every  # when it last asked
         self._parts: list[ConfigPart] = []
         self._mode: Mode | None = None
-        # The last answer of `at`: of which changes, and until when it holds.
-        self._kept = (-1, 0, EffectiveConfig(Mode.STOPPED, 0, 0, EMPTY))
-        self._told: deque[str] = deque(maxlen=_TOLD)
+        # The last answer of `effective_at`: of which revision, and until when it holds.
+        self._cached = (-1, 0, EffectiveConfig(Mode.STOPPED, 0, 0, EMPTY))
+        self._log_lines: deque[str] = deque(maxlen=_MAX_LOG_LINES)
 
     # Asking.
 
     def on_connected(self, now: int) -> None:
         """On a new connection: parts begin anew; a lease is asked for at a moment of its own."""
         self._parts.clear()
-        # Danger: keepers are back, and all gateways ask in the same moment. Names spread them over a third.
+        # Where nodes are back, all gateways would ask in the same moment: names spread them over a third.
         if now >= self._until:
             self._spread_to = now + crc32(self.name.encode()) % max(1, self._every)
             self.due_us = max(self.due_us, self._spread_to)
@@ -114,19 +124,19 @@
             return None
         self._number += 1
         self._asked[self._number] = (now, self.turn)
-        # Danger: answers that never come would be waited for, and kept, without end.
-        while len(self._asked) > _ASKED:
+        # Answers that never come must not be waited for without end.
+        while len(self._asked) > _MAX_UNANSWERED:
             del self._asked[next(iter(self._asked))]
         self._asked_at, self.due_us = now, now + self._every
         return RenewLease(self._number, self.turn, self.incarnation, self._mode_at(now) is Mode.STOPPED)
 
     def make_request(self) -> GetConfig:
-        """What to ask a keeper for: all since our turn."""
+        """What to ask a node for: all since this turn."""
         return GetConfig(self.turn)
 
     @property
     def is_behind(self) -> bool:
-        """A higher turn was heard of than its content."""
+        """Whether a turn was heard of whose content has not come yet."""
         return self.highest_turn_heard > self.turn
 
     def _soon(self, now: int) -> None:
@@ -143,7 +153,7 @@
         if not isinstance(frame, (LeaseGranted, LeaseBehind, LeaseRefused)):
             raise BrokenError(f"a {type(frame).__name__} for a gateway")
         asked = self._asked.pop(frame.number, None)
-        # Danger: an answer to what this process didn't ask, or asked too long ago to know when.
+        # An answer to what this process didn't ask, or asked too long ago to know when.
         if asked is None:
             return
         self.highest_turn_heard = max(self.highest_turn_heard, frame.turn)
@@ -152,22 +162,22 @@
         elif isinstance(frame, LeaseRefused) and frame.reason == NOT_NAMED and frame.turn >= self.turn:
             # That it has stopped is said at once, and then with each renewal.
             if self._out <= self.turn:
-                self._told.append(f"stopped: not named by the list of turn {frame.turn}")
+                self._log_lines.append(f"stopped: not named by the list of turn {frame.turn}")
                 self._soon(now)
             self._out, self._until, self._floor_until = max(self._out, frame.turn), 0, 0
             self.revision += 1
         elif isinstance(frame, LeaseRefused):
-            self.due_us = min(self.due_us, self._asked_at + self._every // _REFUSED)
+            self.due_us = min(self.due_us, self._asked_at + self._every // _REFUSED_SPEEDUP)
         elif isinstance(frame, LeaseBehind) and frame.turn < self.turn:
             # The leader is still on its way to our turn.
             self._soon(now)
 
     def _granted(self, frame: LeaseGranted, asked_at: int, turn: int) -> None:
-        # Danger: a lease at a turn that was not ours then says nothing about what we act at.
+        # A lease at a turn that was not this one then says nothing about what is acted at.
         if frame.turn != turn or not turn or self._out > self.turn:
             return
         self.revision += 1
-        # Danger: counted from the answer's arrival, it would last longer than the leader waits.
+        # Counted from the answer's arrival, it would last longer than the leader waits.
         self._until = max(self._until, asked_at + self._lease)
         self._floor_until = max(self._floor_until, asked_at + self._floor_lease)
 
@@ -198,11 +208,11 @@
         if frame.base and frame.base != self.turn:
             return
         try:
-            since = _since(body)
-            if (since.base, since.turn) != (frame.base, frame.turn):
+            updates = _decode_updates(body)
+            if (updates.base, updates.turn) != (frame.base, frame.turn):
                 raise ValueError("its head says another turn")
-            documents = self.documents if since.base else EMPTY
-            for delta in since.deltas:
+            documents = self.documents if updates.base else EMPTY
+            for delta in updates.deltas:
                 documents = apply_delta(documents, delta)
         except (ValueError, UnicodeDecodeError, RecursionError) as trouble:
             raise BrokenError(f"content of turn {frame.turn}: {trouble}") from None
@@ -216,7 +226,7 @@
         return self.name in self.documents.gateways.items
 
     def stop_waiting_for_list(self) -> None:
-        """No keeper could be reached for so long that service counts for more: it waits for no list."""
+        """No node could be reached for so long that service counts for more: it goes on without a list."""
         self._waits = False
         self.revision += 1
 
@@ -229,31 +239,34 @@
 
     def effective_at(self, now: int) -> EffectiveConfig:
         """What holds at this moment. Ask it when acting, each time: a lease ends without a word."""
-        # The same answer until something was heard, or its time is over: asked several times a submission.
-        changes, ends, kept = self._kept
-        if changes == self.revision and now < ends:
-            return kept
+        # The same answer until something was heard, or its time is over: asked several times a request.
+        revision, ends, cached = self._cached
+        if revision == self.revision and now < ends:
+            return cached
         mode = self._mode_at(now)
         if mode is not self._mode:
-            if self._mode is not None or mode is not Mode.FLOOR:
-                before = self._mode.value if self._mode else "nothing"
-                self._told.append(f"{before} > {mode.value} at turn {self.turn}")
-            self._mode = mode
-        made = EffectiveConfig(mode, self.turn, self._gateways(mode, now), self.documents)
+            self._log_mode(mode)
+        made = EffectiveConfig(mode, self.turn, self._divisor(mode, now), self.documents)
         if mode is Mode.LEASE:
             ends = self._until
         else:
-            ends = self._floor_until if mode is Mode.FLOOR and now < self._floor_until else _NEVER
-        self._kept = self.revision, ends, made
+            ends = self._floor_until if mode is Mode.FLOOR and now < self._floor_until else _NEVER_US
+        self._cached = self.revision, ends, made
         return made
 
-    def _gateways(self, mode: Mode, now: int) -> int:
+    def _log_mode(self, mode: Mode) -> None:
+        if self._mode is not None or mode is not Mode.FLOOR:
+            before = self._mode.value if self._mode else "nothing"
+            self._log_lines.append(f"{before} > {mode.value} at turn {self.turn}")
+        self._mode = mode
+
+    def _divisor(self, mode: Mode, now: int) -> int:
         if mode is Mode.STOPPED:
             return 0
         given = self.documents.gateways
         if mode is Mode.LEASE:
             return max(1, gateway_divisor(given))
-        # Danger: after the floor's lease, others may have agreed on a higher one. The file's most holds.
+        # After that time others may have agreed on a higher count: the file's most holds.
         floor = given.count_without_lease if now < self._floor_until else 0
         return max(floor or self.max_gateways, gateway_divisor(given)) if self.turn else self.max_gateways
 
@@ -263,6 +276,6 @@
 
     def take_log_lines(self) -> list[str]:
         """Lines for the log since it was last asked."""
-        lines = list(self._told)
-        self._told.clear()
+        lines = list(self._log_lines)
+        self._log_lines.clear()
         return lines
--- a/cresstray/fleet_config/codec.py
+++ b/cresstray/fleet_config/codec.py
@@ -1,4 +1,8 @@
-"""Frames 48 to 58: between keepers, gateways and operators. Knows no socket and decides nothing."""
+"""Frames 48 to 58: between control-plane nodes, gateways and operators, without sockets.
+
+A frame is an array: positions count, and the names here are not written. The role `keeper` on the wire is a
+control-plane node.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +19,9 @@
 ROLES = ("gateway", "keeper", "operator")
 # Half of the longest frame: a part still fits when another frame carries it.
 MAX_PART_BYTES = 128 * 1024
-# Danger: parts without end would be kept without end. 16 MB hold ten times the documents of 5,000 shards.
+# Bounds what one side can make the other hold. 16 MB are ten times the documents of 5,000 shards.
 MAX_PARTS = 128
-# One word on positions: 256 shards of some 60 bytes, and room.
+# One message on positions: 256 shards of some 60 bytes, and room.
 MAX_POSITIONS_BYTES = 32 * 1024
 
 _Text = Annotated[str, msgspec.Meta(max_length=128)]
@@ -26,7 +30,7 @@
 
 
 class Greeting(Frame):
-    """First, both ways. `life`: a gateway's or operator's incarnation, a keeper's generation."""
+    """First, both ways. `incarnation`: of a gateway or operator; the generation of a control-plane node."""
 
     kind = 48
     magic: _Text
@@ -92,14 +96,14 @@
 
 
 class ReplicaPositions(Frame):
-    """What is known of copies' positions, both ways: a word of replicas/spread.py."""
+    """What is known of replicas' positions, both ways: a message of replicas/spread.py."""
 
     kind = 55
     body: Annotated[bytes, msgspec.Meta(max_length=MAX_POSITIONS_BYTES)]
 
 
 class ForwardedFrame(Frame):
-    """A frame, encoded, that a keeper carries to the leader for `origin`, or (`answer`) back to it."""
+    """An encoded frame that a node forwards to the leader for `origin`, or (`is_reply`) back to it."""
 
     kind = 56
     origin: _Text
--- a/cresstray/fleet_config/documents.py
+++ b/cresstray/fleet_config/documents.py
@@ -31,32 +31,34 @@
     """A value of a document; unknown fields are refused, defaults are not written."""
 
 
-class Gateway(_Typed):
+class Gateway(_Typed, frozen=True):
     """One gateway by its name; it has no rules of its own."""
 
 
-class EngineRule(_Typed, rename={"is_barred": "barred", "work_fraction": "work"}):
+class EngineRule(_Typed, frozen=True, rename={"is_barred": "barred", "work_fraction": "work"}):
     """What the fleet lets gateways do on one engine."""
 
     is_barred: bool = False
     work_fraction: Part = 1.0  # of what it would be given
 
 
-class TenantRule(_Typed, rename={"is_barred": "barred"}):
+class TenantRule(_Typed, frozen=True, rename={"is_barred": "barred"}):
     """What the fleet lets one tenant do."""
 
     is_barred: bool = False
     share: Part = 1.0  # of the work that a gateway takes in
 
 
-class RequestClassRule(_Typed, rename={"is_stopped": "stopped", "retry_budget_scale": "further"}):
+class RequestClassRule(
+    _Typed, frozen=True, rename={"is_stopped": "stopped", "retry_budget_scale": "further"}
+):
     """What the fleet lets requests of one class do."""
 
     is_stopped: bool = False
     retry_budget_scale: Part = 1.0  # of the retry budget
 
 
-class Shard(_Typed):
+class Shard(_Typed, frozen=True):
     """Where the replicas of one shard are, and which of them may be written or read."""
 
     copies: tuple[Name, ...] = ()
@@ -65,7 +67,7 @@
     reads: tuple[Name, ...] = ()  # of the copies, those that may be read
 
 
-class Pin(_Typed, rename={"request_class": "tariff", "is_strict": "strict", "until_s": "until"}):
+class Pin(_Typed, frozen=True, rename={"request_class": "tariff", "is_strict": "strict", "until_s": "until"}):
     """Reads of a request class, a tenant or both go to these replicas, or to a zone's.
 
     `until_s` is a Unix time in seconds.
@@ -79,7 +81,7 @@
     until_s: Number = 0
 
 
-class GatewayList(_Typed, rename={"count_without_lease": "floor"}):
+class GatewayList(_Typed, frozen=True, rename={"count_without_lease": "floor"}):
     """The gateways of the fleet.
 
     `count`: gateways that share the engines; 0: as many as are named. `count_without_lease`: by how many a
@@ -91,31 +93,31 @@
     count_without_lease: Count = 0
 
 
-class EngineRules(_Typed):
+class EngineRules(_Typed, frozen=True):
     """Rules by engine id."""
 
     items: dict[Name, EngineRule] = {}
 
 
-class TenantRules(_Typed):
+class TenantRules(_Typed, frozen=True):
     """Rules by tenant name."""
 
     items: dict[Label, TenantRule] = {}
 
 
-class RequestClassRules(_Typed):
+class RequestClassRules(_Typed, frozen=True):
     """Rules by request class name."""
 
     items: dict[Label, RequestClassRule] = {}
 
 
-class Placement(_Typed):
+class Placement(_Typed, frozen=True):
     """Shards by name."""
 
     items: dict[Name, Shard] = {}
 
 
-class Replicas(_Typed):
+class Replicas(_Typed, frozen=True):
     """Pins by name."""
 
     items: dict[Label, Pin] = {}  # while joint, a changed strict pin is there twice, the second as "NAME'"
@@ -134,7 +136,7 @@
 _FIELDS = {"tariffs": "request_classes"}
 
 
-class Documents(_Typed, rename={"request_classes": "tariffs"}):
+class Documents(_Typed, frozen=True, rename={"request_classes": "tariffs"}):
     """All documents; a document's version is the number of the change that last touched it."""
 
     gateways: GatewayList = GatewayList()
@@ -169,6 +171,7 @@
 
 class FleetState(
     _Typed,
+    frozen=True,
     rename={
         "max_gateways": "most",
         "max_barred_fraction": "most_barred",
--- a/cresstray/fleet_config/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -1,4 +1,7 @@
-"""A gateway's link to the keepers: one at a time, another when it is silent, spread when all come back."""
+"""A gateway's link to the control plane: one node at a time, another when it is silent.
+
+Gateways that come back at once are spread over time.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +9,7 @@
 import time
 import traceback
 from collections.abc import Callable
+from functools import partial
 from hashlib import blake2b
 from typing import TYPE_CHECKING, Any
 
@@ -29,16 +33,18 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-# What a keeper may send to a gateway.
-_KINDS = (Greeting, LeaseGranted, LeaseBehind, LeaseRefused, ConfigPart, ReplicaPositions)
-# A link that worked is made again, to the next keeper, within this: a lease of two seconds outlives it.
-_AT_ONCE = 0.2
-# After all keepers were tried in vain: doubled each time around, by chance from nothing to it. 230 gateways
-# that come back are some 80 links a second for all keepers together.
-_PAUSE, _PAUSE_MOST = 0.5, 3.0
-# What was seen of copies goes out so often, a word of some hundred bytes, as docs/replicas.md has measured;
-# asked at once, not more often than the latter.
-_TELL, _TELL_LEAST = 250_000, 20_000
+# What a node may send to a gateway.
+_FRAMES = (Greeting, LeaseGranted, LeaseBehind, LeaseRefused, ConfigPart, ReplicaPositions)
+# A link that worked is made again, to the next node, within this: a lease of two seconds outlives it.
+_RECONNECT_S = 0.2
+# After all nodes were tried in vain: doubled each time around, by chance from nothing to it. 230 gateways
+# that come back are some 80 links a second for all nodes together.
+_FIRST_PAUSE_S = 0.5
+_MAX_PAUSE_S = 3.0
+# What was seen of replicas goes out so often, in a message of some hundred bytes, as docs/replicas.md has
+# measured; asked for at once, not more often than the latter.
+_POSITIONS_INTERVAL_US = 250_000
+_MIN_POSITIONS_INTERVAL_US = 20_000
 
 
 def boottime_us() -> int:
@@ -46,30 +52,37 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-def preference_order(name: str, keepers: tuple[Keeper, ...]) -> list[Keeper]:
-    """By rendezvous hashing: all gateways agree on nothing, and still spread over the keepers evenly."""
-    return sorted(keepers, key=lambda one: blake2b(f"{name} {one.name}".encode(), digest_size=8).digest())
+def preference_order(name: str, nodes: tuple[Keeper, ...]) -> list[Keeper]:
+    """The nodes in this gateway's order, by rendezvous hashing: gateways spread over them evenly."""
+    return sorted(nodes, key=lambda node: blake2b(f"{name} {node.name}".encode(), digest_size=8).digest())
 
 
 class ConfigFollower:
-    """`now` is the clock that the gateway acts by. `talks` makes what is said of positions on a new link.
+    """Follows the control plane for one gateway, and renews its lease.
 
-    `linked` hears whether there is a link now. OSError where the keys can't be used.
+    `now` is the clock that the gateway acts by, in microseconds. `talks` makes what exchanges replicas'
+    positions on a new link. `linked` is told whether there is a link now. OSError where the keys can't be
+    used.
     """
 
     def __init__(
         self,
         given: Fleet,
         name: str,
-        use: ActiveConfig,
+        active_config: ActiveConfig,
         chance: Callable[[], float],
         now: Callable[[], int] = boottime_us,
         counters: Counters | None = None,
         talks: Callable[[], Talk] | None = None,
         linked: Callable[[bool], None] = lambda up: None,
     ) -> None:
-        self._given, self.name, self.active_config, self._linked = given, name, use, linked
-        self._chance, self._now, self._talks = chance, now, talks
+        self._given = given
+        self.name = name
+        self.active_config = active_config
+        self._linked = linked
+        self._chance = chance
+        self._now = now
+        self._talks = talks
         self.counters = counters or Counters()
         self._said = Said(now, gateway=name)
         contexts = None
@@ -77,68 +90,72 @@
             from cresstray.sites.tls import Contexts
 
             contexts = Contexts(given.tls)
-        # Danger: a keeper that is silent holds up the way to the next one; a lease is to outlive two of them.
-        self._ends = Ends(_KINDS, contexts, chance, self._said, self.counters, given.lease / 4e6)
-        self._hello = hello("gateway", given.name, name, use.incarnation, agreed(given))
-        self._keepers = preference_order(name, given.keepers)
+        # A node that is silent holds up the way to the next one; a lease is to outlive two of them.
+        self._ends = Ends(_FRAMES, contexts, chance, self._said, self.counters, given.lease / 4e6)
+        self._hello = hello("gateway", given.name, name, active_config.incarnation, agreed(given))
+        self._nodes = preference_order(name, given.keepers)
         self._link: Link | None = None
-        self._keeper = ""
+        self._node = ""
         self._talk: Talk | None = None
-        self._heard_at = self._leader_at = self._tell_at = self._told_at = 0
-        self._got = -1  # the turn for which the rest has been asked for on this link
+        self._heard_at = self._leader_at = self._send_positions_at = self._sent_positions_at = 0
+        self._requested_turn = -1  # for which the rest has been asked for on this link
         self._timer: asyncio.TimerHandle | None = None
         self._was: tuple[Mode, int] | None = None
         self._refused: tuple[str, int] | None = None  # why, and at which turn
-        self._hush = 0  # no renewal before this
+        self._silent_until = 0  # no renewal before this
         self._line = ""
 
     async def run(self, tasks: TaskGroup) -> None:
         """Follows until it is cancelled; `tasks` write what a link does not take at once."""
-        tried, pause = 0, _PAUSE
+        tried, pause = 0, _FIRST_PAUSE_S
         self._tick()
         while True:
-            keeper = self._keepers[tried % len(self._keepers)]
+            node = self._nodes[tried % len(self._nodes)]
             began = self._now()
             await self._ends.made(
-                keeper.address,
-                keeper.name,
+                node.address,
+                node.name,
                 self._hello,
-                lambda greeting, names, keeper=keeper: self._check(keeper, greeting, names),
-                lambda link, keeper=keeper: self._up(keeper, link),
+                partial(self._check, node),
+                partial(self._up, node),
                 self._taken,
                 self._down,
                 tasks,
             )
             tried += 1
             if self._leader_at >= began:
-                tried, pause = tried % len(self._keepers), _PAUSE
-                # Danger: all that followed one keeper find it gone at once, and would come at once.
-                await anyio.sleep(self._chance() * _AT_ONCE)
-            elif tried % len(self._keepers):
-                await anyio.sleep(self._chance() * _AT_ONCE)
+                tried, pause = tried % len(self._nodes), _FIRST_PAUSE_S
+                # All that followed one node find it gone in the same moment, and would come at once.
+                await anyio.sleep(self._chance() * _RECONNECT_S)
+            elif tried % len(self._nodes):
+                await anyio.sleep(self._chance() * _RECONNECT_S)
             else:
                 await anyio.sleep(self._chance() * pause)
-                pause = min(2 * pause, _PAUSE_MOST)
+                pause = min(2 * pause, _MAX_PAUSE_S)
 
-    def _check(self, keeper: Keeper, greeting: Frame, names: set[str] | None) -> None:
+    def _check(self, node: Keeper, greeting: Frame, names: set[str] | None) -> None:
         greet = greeted(greeting, self._given, names)
-        if greet.role != "keeper" or greet.name != keeper.name:
-            raise BrokenError(f"the {greet.role} {greet.name!r} where {keeper.name!r} should be")
+        if greet.role != "keeper" or greet.name != node.name:
+            raise BrokenError(f"the {greet.role} {greet.name!r} where {node.name!r} should be")
 
-    def _up(self, keeper: Keeper, link: Link) -> None:
+    def _up(self, node: Keeper, link: Link) -> None:
         at = self._now()
-        self._link, self._keeper, self._got = link, keeper.name, -1
+        self._link = link
+        self._node = node.name
+        self._requested_turn = -1
         self._heard_at = self._leader_at = at
         self._talk = self._talks() if self._talks is not None else None
         self._linked(True)
-        self._said.say("link", "made", to=keeper.name)
+        self._said.say("link", "made", to=node.name)
         self.active_config.on_connected(at)
         link.put(self.active_config.make_request())
         self._tick()
 
     def _down(self, link: Link) -> None:
         if self._link is link:
-            self._link, self._keeper, self._talk = None, "", None
+            self._link = None
+            self._node = ""
+            self._talk = None
             self._linked(False)
 
     def _taken(self, link: Link, frame: Frame) -> None:
@@ -158,14 +175,14 @@
         except BrokenError:
             raise
         except Exception:
-            # Danger: a fault of ours must not end the gateway; without a lease it goes by the floor.
+            # A fault here must not end the gateway; without a lease it divides by the count without one.
             self.counters.add("faults")
             self._said.say("fault", traceback.format_exc())
             raise BrokenError("a fault of ours") from None
         refused = (frame.reason, frame.turn) if isinstance(frame, LeaseRefused) else None
-        # Danger: a refusal that is answered by the next question at once would go round without end.
+        # A refusal that is answered by the next renewal at once would go round without end.
         if refused is not None and refused == self._refused:
-            self._hush = at + self._given.lease // 3
+            self._silent_until = at + self._given.lease // 3
         self._refused = (
             refused if isinstance(frame, (LeaseGranted, LeaseBehind, LeaseRefused)) else self._refused
         )
@@ -180,7 +197,7 @@
         try:
             if self._link is not None and not self._link.why:
                 self._ask(self._link, at)
-                wait = max(1000, min(wait, max(self.active_config.due_us, self._hush) - at))
+                wait = max(1000, min(wait, max(self.active_config.due_us, self._silent_until) - at))
             self._look(at)
         except Exception:
             self.counters.add("faults")
@@ -189,31 +206,35 @@
 
     def _ask(self, link: Link, at: int) -> None:
         use = self.active_config
-        renew = use.renewal_due(at) if at >= self._hush else None
+        renew = use.renewal_due(at) if at >= self._silent_until else None
         if renew is not None:
             link.put(renew)
-        if use.is_behind and self._got < use.highest_turn_heard:
-            self._got = use.highest_turn_heard
+        if use.is_behind and self._requested_turn < use.highest_turn_heard:
+            self._requested_turn = use.highest_turn_heard
             link.put(use.make_request())
-        if self._talk is not None and at >= self._tell_at:
-            self._tell(link, self._talk, at)
+        if self._talk is not None and at >= self._send_positions_at:
+            self._send_positions(link, self._talk, at)
         # A renewal goes out each third of a lease; a sixth later its answer is overdue, and half of the lease
-        # is left to find a keeper that answers.
+        # is left to find a node that answers.
         quiet = self._given.lease // 2
         if at - self._heard_at > quiet:
             link.end("silent")
         elif at - self._leader_at > max(quiet, 4 * self._given.election):
             link.end("it knows no leader")
 
-    def _tell(self, link: Link, talk: Talk, at: int) -> None:
-        self._told_at, self._tell_at = at, at + _TELL
+    def _send_positions(self, link: Link, talk: Talk, at: int) -> None:
+        self._sent_positions_at, self._send_positions_at = at, at + _POSITIONS_INTERVAL_US
         link.put(ReplicaPositions(talk.says(at)))
 
     def request_positions(self) -> None:
-        """Tells, and so asks, what is known of copies now, where there is a keeper to hear it."""
+        """Sends, and so asks for, what is known of replicas now, where there is a node to hear it."""
         at = self._now()
-        if self._link is not None and self._talk is not None and at - self._told_at >= _TELL_LEAST:
-            self._tell(self._link, self._talk, at)
+        if (
+            self._link is not None
+            and self._talk is not None
+            and at - self._sent_positions_at >= _MIN_POSITIONS_INTERVAL_US
+        ):
+            self._send_positions(self._link, self._talk, at)
 
     def _look(self, at: int) -> None:
         in_use = self.active_config.effective_at(at)
@@ -228,11 +249,12 @@
             self._was = now_is
 
     def status(self) -> dict[str, Any]:
+        """What an operator sees of the link and of the configuration in use."""
         at = self._now()
         in_use = self.active_config.effective_at(at)
         return {
             "member": self.name,
-            "keeper": self._keeper or None,
+            "keeper": self._node or None,
             "mode": in_use.mode.value,
             "turn": in_use.turn,
             "version": in_use.turn // 2,
--- a/cresstray/fleet_config/leases.py
+++ b/cresstray/fleet_config/leases.py
@@ -1,4 +1,7 @@
-"""The leader's table of leases: who may act at which turn, and until when. Never in the log, gone with it."""
+"""The leader's table of leases: which gateway may act at which turn, and until when.
+
+It is never in the log and is gone with the leader.
+"""
 
 from __future__ import annotations
 
@@ -9,45 +12,57 @@
 from cresstray.fleet_config.codec import Frame, LeaseBehind, LeaseGranted, LeaseRefused
 from cresstray.fleet_config.state import ConfigState
 
-# How a refusal says that the gateway must stop.
+# The reason on the wire for a refusal after which the gateway must stop.
 NOT_NAMED = "not named"
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """`until`, `floor_until`: what the gateway was granted is over by then, whatever its clock does."""
+    """One gateway.
+
+    By `until_us` and `count_until_us` what it was granted is over, whatever its clock does.
+    """
 
     until_us: int
     count_until_us: int
-    turn: int = -1  # it last said; -1: nothing yet
-    heard_us: int = -1  # when
+    turn: int = -1  # that it last said it acts at; -1: nothing yet
+    heard_us: int = -1
     incarnation: str = ""
     has_stopped: bool = False
 
 
 class GatewayStatus(NamedTuple):
+    """What the leader knows of one gateway."""
+
     gateway: str
     turn: int  # -1: not heard of
-    lease_left_us: int  # microseconds of its lease, 0: over
-    heard_ago_us: int  # since it was heard, -1: never
+    lease_left_us: int  # 0: over
+    heard_ago_us: int  # -1: never
 
 
 class LeaseTable:
-    """`lease`, `floor_lease` in microseconds; `drift`: how much a clock may run wrong, as a part."""
+    """The leases of all gateways.
 
-    def __init__(self, lease: int, floor_lease: int, drift: float) -> None:
-        self._lease = int(lease * (1 + drift)) + 1
-        self._floor_lease = int(max(lease, floor_lease) * (1 + drift)) + 1
+    `lease_us` is a lease's length, `count_lease_us` how long the count without a lease may be used after it;
+    `drift`: how much a clock may run wrong, as a fraction.
+    """
+
+    def __init__(self, lease_us: int, count_lease_us: int, drift: float) -> None:
+        self._lease = int(lease_us * (1 + drift)) + 1
+        self._count_lease = int(max(lease_us, count_lease_us) * (1 + drift)) + 1
         self._holders: dict[str, LeaseHolder] = {}
-        self._until = self._floor_until = 0  # of those that the leader before may have granted one
+        # Until when gateways may hold a lease that the leader before granted.
+        self._until = 0
+        self._count_until = 0
 
     def on_elected(self, gateways: Iterable[str], now: int) -> None:
         """Elected: each may hold a lease of the old leader's until it is over or has spoken to this one."""
-        self._until, self._floor_until = now + self._lease, now + self._floor_lease
+        self._until = now + self._lease
+        self._count_until = now + self._count_lease
         self._holders = {name: self._unknown() for name in sorted(gateways)}
 
     def _unknown(self) -> LeaseHolder:
-        return LeaseHolder(self._until, self._floor_until)
+        return LeaseHolder(self._until, self._count_until)
 
     def renew(
         self,
@@ -57,12 +72,12 @@
         state: ConfigState,
         leads: bool,
         now: int,
-        life: str = "",
-        stopped: bool = False,
+        incarnation: str = "",
+        has_stopped: bool = False,
     ) -> Frame:
-        """The answer. What the gateway says of its turn counts even where it gets no lease.
+        """The answer to a renewal. What the gateway says of its turn counts even where it gets no lease.
 
-        `leads`: Node.leads(now), and all entries up to the leader's own first one are applied.
+        `leads`: this node leads, and all entries up to the leader's own first one are applied.
         """
         if not leads:
             return LeaseRefused(number, state.turn, "no leader")
@@ -71,23 +86,26 @@
         if gateway not in state.counting_gateways():
             return LeaseRefused(number, state.turn, NOT_NAMED)
         holder = self._holders.setdefault(gateway, self._unknown())
-        # Danger: two of one name would each take that name's share. The second waits for the first's lease.
-        if holder.incarnation and life != holder.incarnation and now < holder.until_us:
+        # Two of one name would each take that name's share: the second waits until the first's lease is over.
+        if holder.incarnation and incarnation != holder.incarnation and now < holder.until_us:
             return LeaseRefused(number, state.turn, "another of that name has a lease")
-        if life != holder.incarnation:
-            holder.incarnation, holder.turn = life, -1
-        # Danger: a word that was long on its way says less than what came after it.
-        holder.turn, holder.heard_us, holder.has_stopped = max(holder.turn, turn), now, stopped
+        if incarnation != holder.incarnation:
+            holder.incarnation = incarnation
+            holder.turn = -1
+        # A renewal that was long on its way says less than what came after it.
+        holder.turn = max(holder.turn, turn)
+        holder.heard_us = now
+        holder.has_stopped = has_stopped
         if gateway not in state.named_gateways():
             return LeaseRefused(number, state.turn, NOT_NAMED)
         if turn != state.turn:
             return LeaseBehind(number, state.turn)
         holder.until_us = max(holder.until_us, now + self._lease)
-        holder.count_until_us = max(holder.count_until_us, now + self._floor_lease)
+        holder.count_until_us = max(holder.count_until_us, now + self._count_lease)
         return LeaseGranted(number, turn)
 
     def has_departed(self, gateway: str, state: ConfigState) -> bool:
-        """Whether a ghost has said that it has stopped, at a turn that doesn't name it: time for `gone`."""
+        """Whether a departed gateway has said that it stopped, at a turn that doesn't name it."""
         holder = self._holders.get(gateway)
         return (
             gateway in state.departed_gateways
@@ -97,47 +115,36 @@
             and holder.turn >= state.turn
         )
 
-    def _open(self, state: ConfigState, now: int) -> list[int]:
-        """When what is not confirmed will be over, for each gateway that is waited for."""
-        floor = state.changes_count_without_lease()
-        ends = []
+    def _unconfirmed(self, state: ConfigState, now: int) -> list[tuple[str, int]]:
+        """Gateways that may still act at an earlier turn, each with the time at which that is over."""
+        with_count = state.changes_count_without_lease()
+        found = []
         for name in state.counting_gateways():
             holder = self._holders.get(name) or self._unknown()
-            end = holder.count_until_us if floor else holder.until_us
+            end = holder.count_until_us if with_count else holder.until_us
             if holder.turn < state.turn and now < end:
-                ends.append(end)
-        return ends
+                found.append((name, end))
+        return found
 
     def can_advance(self, state: ConfigState, now: int) -> bool:
         """Whether each gateway acts at the present turn at least, or by nothing that it was granted."""
-        return not self._open(state, now)
+        return not self._unconfirmed(state, now)
 
     def next_expiry_us(self, state: ConfigState, now: int) -> int | None:
-        """When `may_turn` becomes true if nothing more is heard; None: no turn waits, or it may go now."""
+        """When `can_advance` becomes true if nothing more is heard; None: no turn waits, or it may go now."""
         if state.pending_turn() is None:
             return None
-        return max(self._open(state, now), default=None)
+        return max((end for _, end in self._unconfirmed(state, now)), default=None)
 
     def blocking_gateways(self, state: ConfigState, now: int) -> list[str]:
-        """The gateways that the next turn waits for, for logs and `where`."""
-        floor = state.changes_count_without_lease()
-        return [
-            name
-            for name in sorted(state.counting_gateways())
-            for holder in [self._holders.get(name) or self._unknown()]
-            if holder.turn < state.turn and now < (holder.count_until_us if floor else holder.until_us)
-        ]
+        """The gateways that the next turn waits for, sorted, for logs and status."""
+        return sorted(name for name, _ in self._unconfirmed(state, now))
 
     def gateway_statuses(self, state: ConfigState, now: int) -> list[GatewayStatus]:
-        made = []
-        for name in sorted(state.counting_gateways()):
-            holder = self._holders.get(name) or self._unknown()
-            made.append(
-                GatewayStatus(
-                    name,
-                    holder.turn,
-                    max(0, holder.until_us - now),
-                    now - holder.heard_us if holder.heard_us >= 0 else -1,
-                )
-            )
-        return made
+        """What is known of each gateway that counts, sorted by name."""
+        return [self._status(name, now) for name in sorted(state.counting_gateways())]
+
+    def _status(self, name: str, now: int) -> GatewayStatus:
+        holder = self._holders.get(name) or self._unknown()
+        heard_ago_us = now - holder.heard_us if holder.heard_us >= 0 else -1
+        return GatewayStatus(name, holder.turn, max(0, holder.until_us - now), heard_ago_us)
--- a/cresstray/fleet_config/strictest.py
+++ b/cresstray/fleet_config/strictest.py
@@ -1,7 +1,12 @@
-"""The strictest of two contents, field by field: what either forbids, it forbids. It holds while joint."""
+"""The strictest of two contents, field by field: what either forbids, it forbids.
+
+It holds while a change is joint.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+
 import msgspec
 
 from cresstray.fleet_config.documents import (
@@ -21,9 +26,12 @@
 )
 
 
-def gateway_divisor(gateways: GatewayList, ghosts: int = 0) -> int:
-    """By how many the shares of the engines are divided; `ghosts`: not named any more, but may still run."""
-    return max(gateways.count, len(gateways.items) + ghosts)
+def gateway_divisor(gateways: GatewayList, departed_count: int = 0) -> int:
+    """By how many the shares of the engines are divided.
+
+    `departed_count`: gateways that are not named any more and may still run.
+    """
+    return max(gateways.count, len(gateways.items) + departed_count)
 
 
 def has_no_gateway_list(documents: Documents) -> bool:
@@ -52,7 +60,7 @@
 def _gateways(old: Documents, new: Documents) -> GatewayList:
     one, other = old.gateways, new.gateways
     if has_no_gateway_list(old) != has_no_gateway_list(new):
-        # Danger: the first list against none leaves nobody who may relay. No list: whoever runs may.
+        # The first list against none would leave nobody who may send. Without a list, whoever runs may.
         names = other.items if has_no_gateway_list(old) else one.items
     else:
         names = {name: item for name, item in one.items.items() if name in other.items}
@@ -64,7 +72,7 @@
     return GatewayList(dict(sorted(names.items())), max(gateway_divisor(one), gateway_divisor(other)), floor)
 
 
-def _union(old: dict, new: dict) -> list[str]:
+def _union(old: Mapping[str, object], new: Mapping[str, object]) -> list[str]:
     return sorted({**old, **new})
 
 
@@ -106,9 +114,11 @@
 
 
 def _shard(one: Shard | None, other: Shard | None) -> Shard:
-    if one is None or other is None or one == other:
-        return one or other
-    # Danger: of two primaries, or one of two epochs, both could take writes at once. Then none may.
+    if one is None:
+        return other or Shard()
+    if other is None or one == other:
+        return one
+    # Of two primaries, or one of two epochs, both could take writes at once: then none may.
     same = one.primary == other.primary and one.epoch == other.epoch
     copies = tuple(copy for copy in sorted(one.copies) if copy in other.copies)
     reads = tuple(copy for copy in sorted(one.reads) if copy in other.reads and copy in copies)
--- a/cresstray/fleet_config/validation.py
+++ b/cresstray/fleet_config/validation.py
@@ -9,17 +9,17 @@
 from cresstray.fleet_config.strictest import gateway_divisor
 
 _NAME = re.compile(r"[0-9A-Za-z_.:@-]{1,64}")
-# What a keeper sends to a gateway that knows nothing is so long at most: half of what fits into its parts.
+# What a node sends to a gateway that knows nothing is so long at most: half of what fits into its parts.
 MAX_DOCUMENTS_BYTES = 8 * 1024 * 1024
 
 
-def refusals(old: Documents, new: Documents, world: FleetState, ghosts: int = 0) -> list[str]:
-    """Every refusal, in order; none: fit. `ghosts`: gateways not named any more that may still run.
+def refusals(old: Documents, new: Documents, world: FleetState, departed_count: int = 0) -> list[str]:
+    """Every refusal, in order; none: fit. `departed_count`: gateways not named any more that may still run.
 
     What does not change is not judged again: the file may have changed, and a move may leave a pin behind.
     """
     return [
-        *_gateways(new, world, ghosts),
+        *_gateways(new, world, departed_count),
         *_engines(old, new, world),
         *_named("tenant", old, new, world.tenants),
         *_named("tariff", old, new, world.request_classes),
@@ -28,9 +28,9 @@
     ]
 
 
-def _gateways(new: Documents, world: FleetState, ghosts: int) -> list[str]:
+def _gateways(new: Documents, world: FleetState, departed_count: int) -> list[str]:
     given, told = new.gateways, []
-    named, needed = len(given.items), gateway_divisor(given, ghosts)
+    named, needed = len(given.items), gateway_divisor(given, departed_count)
     if not named:
         told.append("gateways: none is named, and all would stop")
     if given.count and given.count < named:
@@ -38,7 +38,7 @@
     if given.count > world.max_gateways:
         told.append(f"gateways: count {given.count} is more than the file's most, {world.max_gateways}")
     elif needed > world.max_gateways:
-        behind = f" and {ghosts} not yet known to be out" if ghosts else ""
+        behind = f" and {departed_count} not yet known to be out" if departed_count else ""
         told.append(f"gateways: {named} named{behind} are more than the file's most, {world.max_gateways}")
     if given.count_without_lease and given.count_without_lease < needed:
         told.append(f"gateways: floor {given.count_without_lease} is less than the {needed} that count")
@@ -65,7 +65,7 @@
     )
     zones = Counter(world.engines.values())
     for zone, count in sorted(barred.items()):
-        # Danger: what the others of a zone can't carry fells them; barring is for a few. One always may be.
+        # Load that the rest of a zone can't bear overloads it: barring is for a few. One always may be.
         most = max(1, int(world.max_barred_fraction * zones[zone] + 1e-9))
         if count > most:
             told.append(f"engines: {count} of {zones[zone]} barred in zone {zone!r}, {most} may be")
--- a/cresstray/placement/move_executor.py
+++ b/cresstray/placement/move_executor.py
@@ -10,8 +10,9 @@
 
 import msgspec
 
+from cresstray.fleet_config import commands as rules
 from cresstray.fleet_config import documents
-from cresstray.fleet_config import state as rules
+from cresstray.fleet_config.state import ConfigState
 from cresstray.placement import moves as log
 from cresstray.placement.model import Limits
 from cresstray.placement.moves import At, Event, Moves, Moving, Under
@@ -131,7 +132,7 @@
         self.waits: dict[int, str] = {}  # by move: what it waits for, for operators
 
     def next(
-        self, state: rules.ConfigState, moves: Moves, told: Mapping[str, Disk], now: int
+        self, state: ConfigState, moves: Moves, told: Mapping[str, Disk], now: int
     ) -> list[Command | Entry]:
         """All that is due now; what was asked for and shows no effect comes again after a while."""
         if self._began is None:
@@ -314,7 +315,7 @@
                     {"placement": base},
                     documents.encode_delta(state.latest, after),
                     why[:200],
-                    world=state.fleet_state,
+                    fleet_state=state.fleet_state,
                 ),
             )
         )
--- a/cresstray/simulation/joined.py
+++ b/cresstray/simulation/joined.py
@@ -14,12 +14,13 @@
 import msgspec
 
 from cresstray.emulators.shards import Held, RefusedError, Shelf, passed_on
+from cresstray.fleet_config import commands as rules
 from cresstray.fleet_config import documents
-from cresstray.fleet_config import state as rules
 from cresstray.fleet_config.active_config import ActiveConfig, Mode
 from cresstray.fleet_config.admission import ConfigAdmissionRules
 from cresstray.fleet_config.codec import config_parts
 from cresstray.fleet_config.leases import LeaseTable
+from cresstray.fleet_config.state import ConfigState, ConfigUpdates
 from cresstray.observability.counters import Counters
 from cresstray.placement import model, moves
 from cresstray.placement import move_executor as carrier
@@ -215,7 +216,7 @@
     def _since(self, turn: int) -> tuple[int, int, bytes]:
         state = self.world.state
         body = state.updates_since(turn)
-        base = msgspec.msgpack.decode(body, type=rules.ConfigUpdates).base if body else turn
+        base = msgspec.msgpack.decode(body, type=ConfigUpdates).base if body else turn
         return base, state.turn, body
 
     def gossip(self) -> None:
@@ -343,7 +344,7 @@
         self.after(self.chance.uniform(4, 20) * SECOND, self.pins)
 
     def _found(self) -> None:
-        self.state = rules.ConfigState(documents.FleetState(max_gateways=8), {moves.NAME: self.moves})
+        self.state = ConfigState(documents.FleetState(max_gateways=8), {moves.NAME: self.moves})
         items = {name: documents.Shard(copies, copies[0], 1, copies) for name, copies in PLACED.items()}
         names = {f"g{number}": documents.Gateway() for number in range(self.GATEWAYS)}
         pins = {
@@ -490,7 +491,7 @@
     def elect(self, left: list[bytes]) -> None:
         dumped = self.state.snapshot()
         self.moves = Moves()
-        self.state = rules.ConfigState(documents.FleetState(max_gateways=8), {moves.NAME: self.moves})
+        self.state = ConfigState(documents.FleetState(max_gateways=8), {moves.NAME: self.moves})
         self.state.restore(dumped)
         for data in left:
             self.apply(data)
--- a/tests/test_fleet_joined.py
+++ b/tests/test_fleet_joined.py
@@ -9,9 +9,10 @@
 import msgspec
 
 from cresstray.emulators.shards import RefusedError
+from cresstray.fleet_config import commands as rules
 from cresstray.fleet_config import documents
-from cresstray.fleet_config import state as rules
 from cresstray.fleet_config.active_config import ActiveConfig, Mode
+from cresstray.fleet_config.state import ConfigState
 from cresstray.placement import move_executor as carrier
 from cresstray.placement import moves
 from cresstray.placement.move_executor import Carrier
@@ -167,7 +168,7 @@
     def test_old_copy_dropped_at_the_switch(self) -> None:
         real = moves.in_force
 
-        def at_once(state: rules.ConfigState, shard: str) -> bool:
+        def at_once(state: ConfigState, shard: str) -> bool:
             return bool(state.latest.placement.items[shard].primary) or real(state, shard)
 
         self.caught("a dropped copy was reached", mock.patch.object(moves, "in_force", at_once))
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -28,6 +28,13 @@
     LeaseRefused,
     RenewLease,
 )
+from cresstray.fleet_config.commands import (
+    decode_result,
+    encode_advance,
+    encode_departed,
+    encode_proposal,
+    encode_section_command,
+)
 from cresstray.fleet_config.documents import (
     EMPTY,
     NAMES,
@@ -40,14 +47,7 @@
     to_plain,
 )
 from cresstray.fleet_config.leases import NOT_NAMED, LeaseTable
-from cresstray.fleet_config.state import (
-    ConfigState,
-    decode_result,
-    encode_advance,
-    encode_departed,
-    encode_proposal,
-    encode_section_command,
-)
+from cresstray.fleet_config.state import ConfigState
 from cresstray.fleet_config.strictest import gateway_divisor, strictest
 from cresstray.fleet_config.validation import refusals
 from cresstray.observability.counters import Counters
@@ -181,7 +181,7 @@
             apply_delta(old, data)
         except ValueError:
             pass
-        state._requests.clear()
+        state._results.clear()
         self.assertEqual(before, state.snapshot())
 
     def test_what_an_operator_wrote_wrongly_is_named(self) -> None:
@@ -321,7 +321,7 @@
         self.assertEqual(state.apply(11, other), state.apply(12, other))
         for n in range(4096):
             state.apply(n, encode_proposal(f"n{n}", {}, b"\x90", ""))
-        self.assertEqual(4096, len(state._requests))
+        self.assertEqual(4096, len(state._results))
         self.assertNotEqual(first, state.apply(9, given))
 
     def test_what_differs_in_nothing_needs_no_turn(self) -> None:
@@ -373,7 +373,7 @@
             at[state.turn] = state.effective
         self.assertEqual(302, state.turn)
         for turn, documents in at.items():
-            since = use._since(state.updates_since(turn)) if turn < state.turn else None
+            since = use._decode_updates(state.updates_since(turn)) if turn < state.turn else None
             if since is None:
                 self.assertEqual(b"", state.updates_since(turn))
                 continue
@@ -823,7 +823,7 @@
                 self.send(name, lambda name=name, asked=asked: self.renew(name, asked))
             if me.turn < self.state.turn and self.chance.random() < 0.2:
                 turn, since = self.state.turn, self.state.updates_since(me.turn)
-                for frame in codec.config_parts(use._since(since).base, turn, since):
+                for frame in codec.config_parts(use._decode_updates(since).base, turn, since):
                     self.send(name, lambda me=me, frame=frame: self.give(me, frame))
         if self.now >= self.leads_from and self.state.pending_turn() is not None:
             if self.table.can_advance(self.state, self.clock("leader")):
@@ -908,7 +908,7 @@
         leased = [one.documents for one in held.values() if one.mode is Mode.LEASE]
         shards = [one.placement.items["1"] for one in leased]
         assert len({(one.primary, one.epoch) for one in shards if one.primary}) <= 1, (self.now, shards)
-        rule = self.state._force.documents.request_classes.items.get("fast")
+        rule = self.state._in_force.documents.request_classes.items.get("fast")
         assert not (rule and rule.is_stopped) or all(
             one.request_classes.items["fast"].is_stopped for one in leased
         )
@@ -1040,8 +1040,8 @@
         self.broken(ActiveConfig, "_mode_at", by_timer)
         self.broken(LeaseTable, "can_advance", lambda *_: True)
         self.broken(LeaseTable, "on_elected", lambda me, gateways, now: me._holders.clear())
-        self.broken(ConfigState, "_joined", lambda me: me._waiting[0].effective())
-        self.broken(state_of, "gateway_divisor", lambda gateways, ghosts=0: gateway_divisor(gateways))
+        self.broken(ConfigState, "_joined", lambda me: me._pending[0].effective())
+        self.broken(state_of, "gateway_divisor", lambda gateways, departed_count=0: gateway_divisor(gateways))
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -115,7 +115,7 @@
     lead = LeaseTable.on_elected
 
     def at_once(leases: LeaseTable, gateways: Any, now: int) -> None:
-        lead(leases, gateways, now - leases._floor_lease)
+        lead(leases, gateways, now - leases._count_lease)
 
     return patch.object(LeaseTable, "on_elected", at_once)
 
@@ -125,7 +125,7 @@
 
     def forgotten(state: ConfigState, data: bytes) -> None:
         restore(state, data)
-        state._requests, state._request_bytes = {}, 0
+        state._results.clear()
 
     return patch.object(ConfigState, "restore", forgotten)
 
@@ -238,7 +238,7 @@
     ),
     "a dropped gateway forgotten": (
         lambda: broken(
-            ConfigState, "_propose", "(latest.departed_gateways | dropped)", "latest.departed_gateways"
+            ConfigState, "_next_content", "(latest.departed_gateways | dropped)", "latest.departed_gateways"
         ),
         MOVES,
         ("shares",),
@@ -253,7 +253,7 @@
     "a stranger with an old vote counted": (_old_name, DISKS, ("one-vote", "one-log", "acknowledged")),
     "read by a deposed leader": (_reads_at_once, REGISTER, ("history",)),
     "compare-and-set forgotten": (
-        lambda: broken(ConfigState, "_propose", "if base != version:", "if False:"),
+        lambda: broken(ConfigState, "_outdated_bases", "if base != version:", "if False:"),
         REGISTER,
         ("history",),
     ),
--- a/tests/test_placement_moves.py
+++ b/tests/test_placement_moves.py
@@ -21,8 +21,9 @@
 from cresstray.cli import placement as typed
 from cresstray.emulators.shards import Held, RefusedError, Shelf, passed_on
 from cresstray.engines.codec import Answer, AnswerDecoder, ask
+from cresstray.fleet_config import commands as rules
 from cresstray.fleet_config import documents
-from cresstray.fleet_config import state as rules
+from cresstray.fleet_config.state import ConfigState
 from cresstray.observability.counters import Counters
 from cresstray.placement import data_transfer as carry
 from cresstray.placement import model, moves
@@ -42,8 +43,8 @@
 PLAN = model.Plan(MOVES, 7_000_000, 7_000_000, ((0, 1), (2,)))
 
 
-def founded(section: Moves, placed: dict[str, tuple[str, ...]]) -> rules.ConfigState:
-    state = rules.ConfigState(documents.FleetState(max_gateways=9), {moves.NAME: section})
+def founded(section: Moves, placed: dict[str, tuple[str, ...]]) -> ConfigState:
+    state = ConfigState(documents.FleetState(max_gateways=9), {moves.NAME: section})
     items = {name: documents.Shard(copies, copies[0], 1, copies) for name, copies in placed.items()}
     new = documents.Documents(
         gateways=documents.GatewayList({"g": documents.Gateway()}), placement=documents.Placement(items)
@@ -111,7 +112,7 @@
         self.log.clear()
         dumped = self.state.snapshot()
         self.moves = type(self.moves)()
-        self.state = rules.ConfigState(documents.FleetState(max_gateways=9), {moves.NAME: self.moves})
+        self.state = ConfigState(documents.FleetState(max_gateways=9), {moves.NAME: self.moves})
         self.state.restore(dumped)
         assert self.state.snapshot() == dumped
         self.carrier, self.told = self.make(TIMES), {}
@@ -485,7 +486,7 @@
         self.assertEqual(paced.part("a1"), 0.5)
 
 
-def placed(kind: str, how: str) -> tuple[rules.ConfigState, Moves]:
+def placed(kind: str, how: str) -> tuple[ConfigState, Moves]:
     """One move under way, a1 > a2, its documents so far on their way."""
     section = Moves()
     primary = kind == "primary"
@@ -729,7 +730,7 @@
         self.assertLess(accounts["a1"]["copied_out"], 4_000_000 * 1.05 + 400_000)
         self.assertEqual(accounts["a2"]["again"], 0)
 
-    async def carried(self, state: rules.ConfigState, section: Moves) -> dict:
+    async def carried(self, state: ConfigState, section: Moves) -> dict:
         """The keeper's part; the target is killed at a third of its copy, and comes back a second later."""
         told, log, carrying = {}, [], Carrier()
         hands = carry.Hands(
