--- /dev/null
+++ b/tests/test_membership_files.py
@@ -0,0 +1,140 @@
+"""Snapshot files stay readable, and are written byte for byte as the first build of each format wrote them.
+
+The files under tests/fixtures/membership were written once and are never made anew.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import io
+import json
+import tempfile
+import unittest
+from pathlib import Path
+
+import msgspec
+
+from cresstray.cli import cli
+from cresstray.membership import inspection, snapshot
+from cresstray.membership.confidence import Moment
+from cresstray.membership.snapshot_files import Folder
+
+FIXTURES = Path(__file__).parent / "fixtures" / "membership"
+OWNER = "gateway-1"
+SERIAL_A = 12
+SERIAL_B = 11
+# The names in the body of format 2, in the order in which they are written.
+BODY_KEYS = [
+    "owner",
+    "wall",
+    "boot",
+    "ticked",
+    "number",
+    "handed",
+    "zones",
+    "machines",
+    "engines",
+    "tombs",
+    "tariffs",
+    "limits",
+    "marks",
+]
+HEADER_BYTES = 26
+
+
+class SnapshotFileTest(unittest.TestCase):
+    """Each kind of file, read and written again."""
+
+    def test_format_2_is_written_again_byte_for_byte(self) -> None:
+        for file_name, serial in (("engines.a", SERIAL_A), ("engines.b", SERIAL_B), ("empty.snapshot", 1)):
+            with self.subTest(file=file_name):
+                data = (FIXTURES / file_name).read_bytes()
+                found_serial, found = snapshot.decoded(data, OWNER)
+                self.assertEqual(serial, found_serial)
+                self.assertEqual(data, snapshot.encoded(found, serial))
+
+    def test_format_2_names_its_fields_as_it_always_did(self) -> None:
+        body = msgspec.msgpack.decode((FIXTURES / "engines.a").read_bytes()[HEADER_BYTES:])
+        self.assertEqual(BODY_KEYS, list(body))
+        self.assertEqual(
+            [1, "10.0.0.1", 7001, False, 1, 0, 3, 1_700_000_000_000_001, 2_000_000], body["engines"][0]
+        )
+        self.assertEqual([9, 1_700_000_000_000_009, 4321, 3_600_000_000], body["tombs"][0])
+        self.assertEqual(["lookup", 150, 90_000.5, 88_000.25, 1.25], body["tariffs"][0])
+        self.assertEqual([1, 1_700_000_000_000_001, 0.5, 1.4], body["limits"][0])
+
+    def test_format_1_is_read_and_written_again_as_format_2(self) -> None:
+        serial, found = snapshot.decoded((FIXTURES / "format1.snapshot").read_bytes(), OWNER)
+        self.assertEqual(7, serial)
+        self.assertEqual((FIXTURES / "format1-migrated.snapshot").read_bytes(), snapshot.encoded(found, 8))
+
+    def test_the_folder_takes_the_newer_generation(self) -> None:
+        found = Folder(str(FIXTURES), OWNER).read()
+        self.assertEqual(("engines.a", SERIAL_A, []), (found.name, found.serial, found.skipped))
+
+    def test_the_report_of_a_snapshot_is_as_it_was(self) -> None:
+        found = Folder(str(FIXTURES), OWNER).read().record
+        now = Moment(1_800_000_060_000_000, "boot-2", 5_000_000)
+        self.assertEqual(json.loads((FIXTURES / "report.json").read_text()), inspection.shown(found, now))
+
+    def test_a_folder_is_written_byte_for_byte(self) -> None:
+        """The third write goes over the older generation, as the second file of the fixtures."""
+        with tempfile.TemporaryDirectory() as path:
+            for file_name in ("engines.a", "engines.b"):
+                (Path(path) / file_name).write_bytes((FIXTURES / file_name).read_bytes())
+            folder = Folder(path, OWNER)
+            self.assertTrue(folder.lock())
+            written = folder.write(folder.read().record)
+            folder.unlock()
+            expected = snapshot.encoded(
+                snapshot.decoded((FIXTURES / "engines.a").read_bytes(), OWNER)[1], SERIAL_A + 1
+            )
+            self.assertEqual(expected, (Path(path) / "engines.b").read_bytes())
+            self.assertEqual(len(expected), written)
+            self.assertEqual(
+                ["engines.a", "engines.b", "lock"], sorted(one.name for one in Path(path).iterdir())
+            )
+
+
+class CommandTest(unittest.TestCase):
+    """What the commands print of the fixtures."""
+
+    def output(self, *words: str) -> tuple[int, str]:
+        with contextlib.redirect_stdout(io.StringIO()) as out:
+            try:
+                code = cli(list(words))
+            except SystemExit as ended:
+                code = ended.code
+        return code, out.getvalue()
+
+    def test_kept_verify(self) -> None:
+        code, out = self.output("kept", "verify", str(FIXTURES), "--name", OWNER)
+        self.assertEqual(0, code)
+        self.assertEqual(
+            "engines.a: whole, serial 12, 2 engines, index 5000\n"
+            "engines.b: whole, serial 11, 1 engines, index 4999\n",
+            out,
+        )
+
+    def test_kept_export_prints_the_keys_that_operators_read(self) -> None:
+        code, out = self.output("kept", "export", str(FIXTURES), "--name", OWNER)
+        self.assertEqual(0, code)
+        stored = json.loads((FIXTURES / "report.json").read_text())
+        told = json.loads(out)
+        self.assertEqual(list(stored), list(told))
+        for part in ("engines", "gone", "tariffs"):
+            self.assertEqual(list(stored[part][0]), list(told[part][0]))
+
+    def test_kept_show(self) -> None:
+        code, out = self.output("kept", "show", str(FIXTURES), "--name", OWNER)
+        self.assertEqual(0, code)
+        lines = out.splitlines()
+        self.assertRegex(lines[0], r"^gateway-1: .*, index 5000, 1 limits, handed over$")
+        self.assertRegex(lines[1], r"^engine s-00000001 10\.0\.0\.1:7001 .*, trust [0-9.]+$")
+        self.assertRegex(lines[2], r"^engine s-0000002a engine-42\.example:7002 .*, drained$")
+        self.assertEqual("gone s-00000009 by index 4321, for 0.04 days of running", lines[3])
+        self.assertEqual("tariff lookup 150 answers, 90 ms", lines[4])
+
+
+if __name__ == "__main__":
+    unittest.main()
