--- a/benchmarks/background.py
+++ b/benchmarks/background.py
@@ -40,9 +40,9 @@
 from cresstray.emulators.engine import Engine, Marks
 from cresstray.emulators.sockets import listen
 from cresstray.emulators.world import Gateway, settings
-from cresstray.membership.snapshot import Engine as Kept
-from cresstray.membership.snapshot import Record
-from cresstray.membership.snapshot_files import Folder, moment
+from cresstray.membership.snapshot import EndpointEntry as Kept
+from cresstray.membership.snapshot import Snapshot
+from cresstray.membership.snapshot_files import SnapshotFolder, read_clocks
 
 # Over at once, so that what an answer takes is the gateway's time and the network's.
 _KIND = Kind("lookup", 1.0, 0.001, 1, 0.5, 2.0, 1.0, "idempotent")
@@ -208,25 +208,25 @@
                 f"peer hall-b 127.0.0.{number}:{self._far['hall']}\n" for number in range(1, _PEERS + 1)
             )
         )
-        at, folder = moment(), Folder(str(kept), gateway.name)
+        at, folder = read_clocks(), SnapshotFolder(str(kept), gateway.name)
         assert folder.lock()
         # A higher number than the coordinator's: what that names is a part, and the others stay remembered.
         # In the zone that is not ours, so that live work stays where it is without them.
         folder.write(
-            Record(
+            Snapshot(
                 owner=gateway.name,
-                wall=at.wall,
-                boot=at.boot,
-                ticked=at.ticked,
-                number=100,
-                handed=False,
+                wall_us=at.wall_us,
+                boot_id=at.boot_id,
+                uptime_us=at.uptime_us,
+                index=100,
+                is_handed_over=False,
                 zones=list(ZONES),
-                machines=given["Flavors"],
-                tombs=[],
-                tariffs=[],
+                instance_types=given["Flavors"],
+                tombstones=[],
+                latencies=[],
                 limits=[],
-                marks=[],
-                engines=[
+                request_names=[],
+                endpoints=[
                     Kept(1000 + number, "127.0.0.1", port, False, 1, 0, 0, 1, 0)
                     for number, port in enumerate(self._far["kept"])
                 ],
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -30,8 +30,8 @@
 from cresstray.emulators.coordinator import Listed
 from cresstray.emulators.world import KINDS, Gateway, Hall, World, _free_port, running, settings
 from cresstray.membership import snapshot as record
-from cresstray.membership.reconciliation import Tomb
-from cresstray.membership.snapshot_files import Folder
+from cresstray.membership.reconciliation import Tombstone
+from cresstray.membership.snapshot_files import SnapshotFolder
 from cresstray.simulation.cold import to_ninety
 
 GATEWAYS, ENGINES, CORES = 4, 24, 4
@@ -142,7 +142,7 @@
         self.account.late_sends = told["late"]
         return self.account.promises(time.monotonic())
 
-    async def learn(self, seconds: float, seed: int) -> dict[str, record.Record]:
+    async def learn(self, seconds: float, seed: int) -> dict[str, record.Snapshot]:
         """A first life with warm engines and the register up; what each gateway left on its disk."""
         engines = Engines(self.plan)
         engines.say("warm")
@@ -159,7 +159,7 @@
             engines.end()
         left = {}
         for gateway in self.halls[HALL].gateways:
-            left[gateway.name] = Folder(str(self.kept(gateway.name)), gateway.name).read().record
+            left[gateway.name] = SnapshotFolder(str(self.kept(gateway.name)), gateway.name).read().snapshot
         return left
 
 
@@ -167,8 +167,8 @@
 class Fleet:
     """What a list of some age says, and what is so."""
 
-    listed: list[record.Engine]
-    tombs: list[Tomb]
+    listed: list[record.EndpointEntry]
+    tombs: list[Tombstone]
     true: list[Listed]  # one is left out: gone by the register, and answers well
     stale: list[Listed]  # by the register that is behind
     known: dict  # by the gateways' configuration, older still: it names one that is gone
@@ -193,7 +193,7 @@
             address = dead.pop()
         elif place in given:
             address, truly = strangers.pop(), 100 + place
-        listed.append(record.Engine(number, "127.0.0.1", address, False, 0, 0, 0, 0))
+        listed.append(record.EndpointEntry(number, "127.0.0.1", address, False, 0, 0, 0, 0))
         true.append(Listed(truly, at, started=int(time.time() * 1000)))
     gone = Listed(99, zombie)
     known = {
@@ -222,7 +222,7 @@
     taken_back = next(place for place in places if place not in removed + moved + given)
     return Fleet(
         listed,
-        [Tomb(99, 0, NUMBER - 10, 0)],
+        [Tombstone(99, 0, NUMBER - 10, 0)],
         [one for one in true if one is not true[taken_back]],
         stale,
         known,
@@ -230,25 +230,25 @@
     )
 
 
-def aged(left: record.Record, age: float, now: Fleet) -> record.Record:
+def aged(left: record.Snapshot, age: float, now: Fleet) -> record.Snapshot:
     """What a gateway left, as it would have been written so long ago on another boot."""
     # What was learnt of engines stays by their ids; the first life's are numbered alike.
     return msgspec.structs.replace(
         left,
-        wall=int((time.time() - age) * 1e6),
-        boot="",
-        ticked=0,
-        handed=False,
-        number=NUMBER,
-        engines=now.listed,
-        tombs=now.tombs,
-        marks=[],
+        wall_us=int((time.time() - age) * 1e6),
+        boot_id="",
+        uptime_us=0,
+        is_handed_over=False,
+        index=NUMBER,
+        endpoints=now.listed,
+        tombstones=now.tombs,
+        request_names=[],
     )
 
 
 async def start(
     folder: Path,
-    left: dict[str, record.Record],
+    left: dict[str, record.Snapshot],
     age: float | None,
     changed: float,
     seconds: float,
@@ -267,7 +267,7 @@
     engines = Engines(plan)
     now = fleet(engines, plan, changed, seed)
     for name, one in left.items() if age is not None else ():
-        kept = Folder(str(stage.kept(name)), name)
+        kept = SnapshotFolder(str(stage.kept(name)), name)
         kept.lock()
         kept.write(aged(one, age, now))
         kept.write(aged(one, age, now))
--- a/cresstray/cli/membership.py
+++ b/cresstray/cli/membership.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from cresstray.membership import inspection as operate
-from cresstray.membership.snapshot import UnusableError
-from cresstray.membership.snapshot_files import Folder, moment, short
+from cresstray.membership.snapshot import UnusableSnapshotError
+from cresstray.membership.snapshot_files import SnapshotFolder, one_line, read_clocks
 
 
 @click.group()
@@ -25,12 +25,12 @@
 
 def _read(folder: str, name: str) -> dict:
     """What a gateway that starts now would take; what it would skip is told."""
-    found = Folder(folder, name).read()
-    for line in found.skipped:
+    found = SnapshotFolder(folder, name).read()
+    for line in found.skipped_lines:
         click.echo(line, err=True)
-    if found.record is None:
+    if found.snapshot is None:
         raise click.ClickException(f"{folder}: no list that can be used")
-    return operate.shown(found.record, moment())
+    return operate.report(found.snapshot, read_clocks())
 
 
 @kept.command()
@@ -75,7 +75,7 @@
 @_NAME
 def verify(folder: str, name: str) -> None:
     """Tell of each file whether it can be used; exit code 1 where one can't be, or there is none."""
-    told = operate.verified(Folder(folder, name))
+    told = operate.verify(SnapshotFolder(folder, name))
     for file, _, line in told:
         click.echo(f"{file}: {line}")
     if not told:
@@ -93,11 +93,11 @@
     if not found:
         raise click.ClickException(f"expected an engine such as s-0000002a; this is {engine!r}")
     try:
-        operate.forget(Folder(folder, name), int(found[1], 16))
+        operate.forget(SnapshotFolder(folder, name), int(found[1], 16))
     except BlockingIOError as trouble:
         raise click.ClickException(str(trouble)) from None
     except KeyError:
         raise click.ClickException(f"{folder}: no engine {engine} is kept here") from None
-    except (OSError, UnusableError) as trouble:
-        raise click.ClickException(f"{folder}: {short(trouble)}") from None
+    except (OSError, UnusableSnapshotError) as trouble:
+        raise click.ClickException(f"{folder}: {one_line(trouble)}") from None
     click.echo(f"{engine} is forgotten")
--- a/cresstray/gateway/service.py
+++ b/cresstray/gateway/service.py
@@ -36,7 +36,7 @@
     from cresstray.config.idempotency import Store
     from cresstray.config.operator import Halls, Operator
     from cresstray.gateway.fleet_member import FleetMember
-    from cresstray.membership.recovery import Keep
+    from cresstray.membership.recovery import Membership
     from cresstray.pipeline.idempotency_checks import IdempotencyChecks
     from cresstray.sites.links import Hub
 
@@ -173,7 +173,7 @@
         self._feed = EndpointWatch(
             coordinator, last, self._told, self.counters, self._log, self._gateway.random
         )
-        self._keep: Keep | None = None
+        self._keep: Membership | None = None
         if operator and operator.kept:
             self._keep = self._make_keep(name, operator.kept.folder, settings, seed)
         self._marked = self._make_marked(name, store, settings, seed) if store else None
@@ -240,30 +240,30 @@
             self._log,
         )
 
-    def _make_keep(self, name: str, folder: str, settings: Mapping[str, Any], seed: int) -> Keep:
+    def _make_keep(self, name: str, folder: str, settings: Mapping[str, Any], seed: int) -> Membership:
         """After the fleet's rules, which it asks as well."""
-        from cresstray.membership.guard import Guard
-        from cresstray.membership.recovery import Keep
-        from cresstray.membership.snapshot_files import Folder, Writer, moment
+        from cresstray.membership.guard import AdmissionGuard
+        from cresstray.membership.recovery import Membership
+        from cresstray.membership.snapshot_files import SnapshotFolder, SnapshotWriter, read_clocks
 
-        now, kept = self._clock.now(), Folder(folder, name)
+        now, kept = self._clock.now(), SnapshotFolder(folder, name)
         # Danger: until the first write an operator's `forget` would find it free, and change it beneath us. A
         # process that still ends may hold it, and is asked again; what is wrong with the disk a write tells.
         with contextlib.suppress(OSError):
             kept.lock()
         # Seeds are new with each start; the clock parts two starts that an operator gave the same one.
         chance = random.Random(f"{seed}{now}").random
-        keep = Keep(
-            Writer(kept),
+        keep = Membership(
+            SnapshotWriter(kept),
             settings,
             self._gateway,
             chance,
             self.counters,
             lambda text: self._log.log("kept", text),
-            moment,
+            read_clocks,
             now,
         )
-        self._gateway.admission_rules = Guard(keep, self._gateway)
+        self._gateway.admission_rules = AdmissionGuard(keep, self._gateway)
         self._admit.membership = self._back.membership = keep
         self._feed.accepts_older_list = True
         return keep
@@ -312,47 +312,47 @@
         if self._keep is None:
             self._list(event, now)
         else:
-            self._give(self._keep.told(event, now), now)
+            self._give(self._keep.on_endpoint_event(event, now), now)
 
     def _give(self, event: known.EndpointEvent, now: int) -> None:
         """What is kept has seen it: to route and module."""
         self._list(event, now)
-        self._keep.listed(event, self._route.engines, now)
+        self._keep.on_endpoints_listed(event, self._route.engines, now)
 
     def _list(self, event: known.EndpointEvent, now: int) -> None:
         self._gateway.on_endpoints_updated(self._route.apply_event(event), event.is_complete, now)
         self._route.cancel_unsent(event)
 
-    def _tend(self, keep: Keep, worker: Worker) -> None:
+    def _tend(self, keep: Membership, worker: Worker) -> None:
         """What is kept, behind submissions: what came of trials, trials, and writes with a last one."""
         from cresstray.background.schedule import JobResult, Priority
-        from cresstray.membership.recovery import KNOCK, LISTED_AT_ONCE
+        from cresstray.membership.recovery import MAX_LISTED_AT_ONCE, PROBE_COST_US
 
         def lists(now: int) -> JobResult:
-            event = keep.look(now, LISTED_AT_ONCE)
+            event = keep.take_changes(now, MAX_LISTED_AT_ONCE)
             if event is not None:
                 self._give(event, now)
-            return JobResult.MORE if keep.more else JobResult.DONE
+            return JobResult.MORE if keep.has_changes else JobResult.DONE
 
         def asks(now: int) -> None:
-            if keep.asks(now):
+            if keep.queue_due_probes(now):
                 worker.wake(knocking)
 
         def knocks(now: int) -> JobResult:
-            begun = keep.knocks(self._tasks, self._clock.now)
-            worker.begun(KNOCK * begun)
+            begun = keep.start_probes(self._tasks, self._clock.now)
+            worker.begun(PROBE_COST_US * begun)
             return JobResult.MORE if begun else JobResult.DONE
 
         def writes(now: int) -> None:
-            keep.write(now)
+            keep.write_snapshots(now)
             self._know(keep)
 
         def hands_over(now: int) -> JobResult:
-            if keep.handing:
-                keep.write(now)
+            if keep.is_handing_over:
+                keep.write_snapshots(now)
             else:
                 keep.hand_over(self._take_in.recent_names(), now)
-            return JobResult.DONE if keep.done else JobResult.MORE
+            return JobResult.DONE if keep.is_handed_over else JobResult.MORE
 
         self._know(keep)
         worker.does("listing", Priority.SAFETY, _TEND, lists, _TRIALS_AGAIN)
@@ -360,11 +360,11 @@
         knocking = worker.does("knocks", Priority.SAFETY, 0, knocks, _TRIALS_AGAIN)
         worker.does("kept list", Priority.STATE, _TEND, writes, last=hands_over)
 
-    def _know(self, keep: Keep) -> None:
+    def _know(self, keep: Membership) -> None:
         """Names that were in use: the one before may hand them over after this one has begun."""
-        if keep.marks:
-            self._take_in.remember_names(keep.marks)
-            keep.marks = []
+        if keep.recovered_request_names:
+            self._take_in.remember_names(keep.recovered_request_names)
+            keep.recovered_request_names = []
 
     async def run(self, *, task_status: TaskStatus = anyio.TASK_STATUS_IGNORED) -> None:
         """Serves until SIGTERM; `task_status` hears the address once it does. AddressError where it can't."""
@@ -387,7 +387,7 @@
     async def _start(self, listener: socket.socket) -> None:
         """Up to the moment from which on clients are taken in; AddressError where they can't be."""
         if self._keep is not None:
-            self._keep.begin(self._clock.now())
+            self._keep.recover(self._clock.now())
         for event in self._events:
             self._told(event)
         if self._keep is not None:
--- a/cresstray/membership/guard.py
+++ b/cresstray/membership/guard.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from cresstray.membership.recovery import Keep
+from cresstray.membership.recovery import Membership
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.types import ChainedRules, Engine, Request
 
 
-class Guard(ChainedRules):
-    def __init__(self, keep: Keep, gateway: PolicyController) -> None:
+class AdmissionGuard(ChainedRules):
+    def __init__(self, keep: Membership, gateway: PolicyController) -> None:
         super().__init__(gateway)
-        self._keep = keep
+        self._membership = keep
 
     def allows(self, request: Request, engine: Engine, now: int) -> bool:
         # Danger: the first that a remembered address hears of us may be heard by somebody else.
         return (
             request.request_class.is_idempotent
             or request.request_class.is_deduplicated
-            or not self._keep.on_trial(engine)
+            or not self._membership.is_unproven(engine)
         ) and super().allows(request, engine, now)
--- a/cresstray/membership/recovery.py
+++ b/cresstray/membership/recovery.py
@@ -12,11 +12,11 @@
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.membership import learned_state as learnt
 from cresstray.membership import snapshot as record
-from cresstray.membership.background_writer import Behind
-from cresstray.membership.confidence import HANDED, OLDEST, Moment, age
-from cresstray.membership.connection_probe import knock
-from cresstray.membership.estimate import Beliefs, How, Source, State
-from cresstray.membership.snapshot_files import Found, Writer, WriteResult
+from cresstray.membership.background_writer import WriteSchedule
+from cresstray.membership.confidence import HANDOVER_VALIDITY_US, UNKNOWN_AGE_US, ClockReading, age_us
+from cresstray.membership.connection_probe import probe_connection
+from cresstray.membership.estimate import ContactResult, EstimateState, EvidenceSource, MembershipEstimate
+from cresstray.membership.snapshot_files import ReadResult, SnapshotWriter, WriteResult
 from cresstray.observability.counters import Counters
 from cresstray.policy.controller import Limiter, PolicyController, micros
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
@@ -24,38 +24,38 @@
 # What a relay's end says of a remembered engine. Faults of work say nothing: it runs work, so it is one. An
 # answer that can't be read may be another service's, which may be for a moment only.
 _HOW = {
-    Outcome.SUCCEEDED: How.SERVED,
-    Outcome.OVERLOADED: How.SERVED,
-    Outcome.FAILED: How.SERVED,
-    Outcome.UNREACHABLE: How.REFUSED,
-    Outcome.TIMED_OUT: How.SILENT,
-    Outcome.CONNECTION_LOST: How.SILENT,
-    Outcome.PROTOCOL_ERROR: How.SILENT,
+    Outcome.SUCCEEDED: ContactResult.SERVED,
+    Outcome.OVERLOADED: ContactResult.SERVED,
+    Outcome.FAILED: ContactResult.SERVED,
+    Outcome.UNREACHABLE: ContactResult.REFUSED,
+    Outcome.TIMED_OUT: ContactResult.TIMED_OUT,
+    Outcome.CONNECTION_LOST: ContactResult.TIMED_OUT,
+    Outcome.PROTOCOL_ERROR: ContactResult.TIMED_OUT,
 }
 # Without a stated grace an engine is given so long to end.
 _GRACE = 10_000
 # Connections made and closed at once, and microseconds of the loop for each: a tick's budget of background
 # work. The 64 that a round may have took 6 ms of it in one piece, which live answers waited for.
-AT_ONCE, KNOCK = 2, 100
+MAX_PROBES_AT_ONCE, PROBE_COST_US = 2, 100
 # Engines that are listed at once: a quarter of a millisecond for route and module, of which a half is for
 # those listed before.
-LISTED_AT_ONCE = 8
+MAX_LISTED_AT_ONCE = 8
 # Engines of which the record is made in one piece, some 80 us, and seconds for the loop in between.
 _PIECE, _BREATH = 50, 50e-6
 
 
-class Keep:
+class Membership:
     """`say` prints a line for operators; `moment` reads all clocks, `now` is the module's."""
 
     def __init__(
         self,
-        writer: Writer,
+        writer: SnapshotWriter,
         settings: Mapping[str, Any],
         gateway: PolicyController,
         chance: Callable[[], float],
         counters: Counters,
         say: Callable[[str], None],
-        moment: Callable[[], Moment],
+        moment: Callable[[], ClockReading],
         now: int,
     ) -> None:
         limits, safety = settings.get("Limits", {}), settings.get("Safety", {})
@@ -64,64 +64,70 @@
         self._names = [service.get("Name", "") for service in settings.get("Services", [])]
         self._zones, self._machines = settings.get("Localities", []), settings.get("Flavors", [])
         self._patience = micros(limits.get("ConnectTimeout", 250))
-        self.beliefs = Beliefs(
+        self.estimate = MembershipEstimate(
             micros(safety.get("DrainGrace", _GRACE)), micros(limits.get("MaxRetryAfter", 0)), chance, now
         )
-        self.behind = Behind(chance, now)
+        self.write_schedule = WriteSchedule(chance, now)
         self._pending: dict[int, Endpoint] = {}  # to be listed at the next step
-        self._asked: deque[Endpoint] = deque()  # on trial, and still to be connected to
+        self._queued_probes: deque[Endpoint] = deque()  # on trial, and still to be connected to
         self._engines: dict[int, tuple[Engine, Limiter]] = {}
         self._ids: dict[Engine, int] = {}
         self._same: set[int] = set()  # told, in the life that they were remembered in
-        self._limits: dict[int, record.Limit] = {}
-        self._age, self._begun, self._serial, self._frames = OLDEST, now, 0, 0
+        self._limits: dict[int, record.LimitEntry] = {}
+        self._age, self._begun, self._serial, self._frames = UNKNOWN_AGE_US, now, 0, 0
         self._last: list[str] | None = None  # marks of the last write, once this gateway ends
         self._final = False  # the last write has begun
         self._trouble = ""
-        self.done = False  # the last write is at its end
-        self.marks: list[str] = []  # handed over: names that were in use a few seconds ago
+        self.is_handed_over = False  # the last write is at its end
+        self.recovered_request_names: list[str] = []  # handed over: names that were in use a few seconds ago
 
     # The start, and what another process leaves while it ends.
 
-    def begin(self, now: int) -> None:
-        self._take(self._writer.folder.read(), now)
+    def recover(self, now: int) -> None:
+        self._apply_snapshot(self._writer.folder.read(), now)
 
-    def _take(self, found: Found, now: int) -> None:
-        for line in found.skipped:
+    def _apply_snapshot(self, found: ReadResult, now: int) -> None:
+        for line in found.skipped_lines:
             self._counters.add("kept files skipped")
             self._say(line)
-        kept = found.record
+        kept = found.snapshot
         if kept is None or found.serial <= self._serial:
             return
-        self._serial, self._age = found.serial, age(kept.moment, self._moment())
+        self._serial, self._age = found.serial, age_us(kept.written_at, self._moment())
         members = [
-            (member, min(OLDEST, self._age + before))
-            for member, before in record.members(kept, self._zones, self._machines)
+            (member, min(UNKNOWN_AGE_US, self._age + before))
+            for member, before in record.to_endpoints(kept, self._zones, self._machines)
         ]
         # Danger: only the reading that nobody sets says that a few seconds are a few seconds.
-        handed = kept.handed and kept.boot == self._moment().boot != "" and self._age < HANDED
-        told = self.beliefs.remembered(members, kept.number, kept.tombs, Source.DISK, now, handed)
+        handed = (
+            kept.is_handed_over
+            and kept.boot_id == self._moment().boot_id != ""
+            and self._age < HANDOVER_VALIDITY_US
+        )
+        told = self.estimate.merge_remembered(
+            members, kept.index, kept.tombstones, EvidenceSource.DISK, now, handed
+        )
         self._pending.update((member.id, member) for member in told)
         self._limits = {one.id: one for one in kept.limits}
-        put = learnt.put_tariffs(self._gateway, self._names, kept.tariffs, self._age)
-        self.marks = kept.marks if handed else []
+        put = learnt.restore_latencies(self._gateway, self._names, kept.latencies, self._age)
+        self.recovered_request_names = kept.request_names if handed else []
         self._say(
             f"remembers {len(members)} engines and {put} tariffs, "
-            + ("of an unknown age" if self._age >= OLDEST else f"{self._age / 1e6:.0f} s old")
+            + ("of an unknown age" if self._age >= UNKNOWN_AGE_US else f"{self._age / 1e6:.0f} s old")
             + (", handed over" if handed else "")
         )
 
     # The list: before and after the module hears of it.
 
-    def told(self, event: EndpointEvent, now: int) -> EndpointEvent:
+    def on_endpoint_event(self, event: EndpointEvent, now: int) -> EndpointEvent:
         """The event as route and module may have it."""
         before = {
-            member.id: belief.member.started_us
+            member.id: belief.endpoint.started_us
             for member in event.endpoints
-            if (belief := self.beliefs.engines.get(member.id)) is not None
-            and belief.state in (State.ON_TRIAL, State.CONFIRMED)
+            if (belief := self.estimate.endpoints.get(member.id)) is not None
+            and belief.state in (EstimateState.PROBING, EstimateState.CONFIRMED)
         }
-        passed = self.beliefs.told(event, now)
+        passed = self.estimate.apply_event(event, now)
         self._same = {member.id for member in passed.endpoints if before.get(member.id) == member.started_us}
         left_out = len(event.endpoints) - len(passed.endpoints)
         if left_out:
@@ -130,10 +136,10 @@
             self._pending.pop(member.id, None)
         if passed.is_complete:
             self._pending.clear()
-        self.behind.changed(now)
+        self.write_schedule.on_change(now)
         return passed
 
-    def listed(self, event: EndpointEvent, engines: Mapping[int, Engine], now: int) -> None:
+    def on_endpoints_listed(self, event: EndpointEvent, engines: Mapping[int, Engine], now: int) -> None:
         """After the module has heard of `event`; `engines`: the route's, by id. Limits start as they were."""
         for member in event.endpoints:
             engine = engines.get(member.id)
@@ -148,101 +154,107 @@
             self._ids = {held[0]: number for number, held in self._engines.items()}
 
     def _start(self, member: Endpoint, engine: Engine, old: Limiter | None, now: int) -> None:
-        told = self.beliefs.state(member.id) is State.TOLD
+        told = self.estimate.state_of(member.id) is EstimateState.REGISTERED
         if old is not None and member.id in self._same:
-            learnt.carry(old, engine.limiter)
+            learnt.copy_learned_state(old, engine.limiter)
             return
         kept = self._limits.get(member.id)
         if kept is not None:
-            passed = min(OLDEST, self._age + max(0, now - self._begun))
-            learnt.put_limit(engine.limiter, kept, member.started_us if told else None, passed)
+            passed = min(UNKNOWN_AGE_US, self._age + max(0, now - self._begun))
+            learnt.restore_limit(engine.limiter, kept, member.started_us if told else None, passed)
         if not told:
-            learnt.on_trial(engine.limiter, self._chance, now)
+            learnt.delay_first_turn(engine.limiter, self._chance, now)
 
     # What happens meanwhile.
 
-    def ended(self, attempt: Attempt, ending: Outcome, now: int) -> None:
+    def on_attempt_finished(self, attempt: Attempt, ending: Outcome, now: int) -> None:
         engine, how = self._ids.get(attempt.engine), _HOW.get(ending)
-        if engine is not None and how is not None and self.beliefs.state(engine) is not State.TOLD:
-            self._answered(engine, how, now)
-
-    def _answered(self, engine: int, how: How, now: int) -> None:
-        before = self.beliefs.state(engine)
-        for member in self.beliefs.answered(engine, how, now):
+        if (
+            engine is not None
+            and how is not None
+            and self.estimate.state_of(engine) is not EstimateState.REGISTERED
+        ):
+            self._on_contact(engine, how, now)
+
+    def _on_contact(self, engine: int, how: ContactResult, now: int) -> None:
+        before = self.estimate.state_of(engine)
+        for member in self.estimate.on_contact(engine, how, now):
             self._pending[member.id] = member
-        after = self.beliefs.state(engine)
+        after = self.estimate.state_of(engine)
         if before is not after and after is not None:
             self._counters.add(f"kept: engines {after.value}")
-            self.behind.changed(now)
+            self.write_schedule.on_change(now)
 
-    def refuses(self, request: Request, now: int) -> int | None:
+    def retry_after_us(self, request: Request, now: int) -> int | None:
         """When to come back, in microseconds, where nothing is known well enough to send this to."""
         request_class = request.request_class
-        wait = self.beliefs.refuses(request_class.is_idempotent or request_class.is_deduplicated, now)
+        wait = self.estimate.retry_after_us(request_class.is_idempotent or request_class.is_deduplicated, now)
         if wait is not None:
             self._counters.add("kept: refused rather than guessed")
         return wait
 
-    def on_trial(self, engine: Engine) -> bool:
+    def is_unproven(self, engine: Engine) -> bool:
         number = self._ids.get(engine)
         if number is None:
             # Danger: what is held may be sent while the module hears of it, before `listed` here.
             return engine.forwarding is None
         # Danger: a relay that has just failed makes it contradicted, and the module sends on before it hears.
-        return self.beliefs.state(number) not in (State.TOLD, State.CONFIRMED)
+        return self.estimate.state_of(number) not in (EstimateState.REGISTERED, EstimateState.CONFIRMED)
 
     def forget(self, engine: int, now: int) -> bool:
         """An operator's word that it is gone. False: the register names it, or nobody does."""
-        if self.beliefs.state(engine) in (None, State.TOLD, State.GONE):
+        if self.estimate.state_of(engine) in (None, EstimateState.REGISTERED, EstimateState.REMOVED):
             return False
-        self._pending.update((member.id, member) for member in self.beliefs.forget(engine, now))
-        self.behind.changed(now)
+        self._pending.update((member.id, member) for member in self.estimate.forget(engine, now))
+        self.write_schedule.on_change(now)
         return True
 
     def status(self, now: int) -> list[dict[str, Any]]:
         """What is believed, a plain map for each engine; ages in seconds."""
-        ages = {member.id: before for member, before in self.beliefs.kept(now)}
+        ages = {member.id: before for member, before in self.estimate.evidence_ages(now)}
         return [
             {
                 "id": f"s-{number:08x}",
-                "address": f"{one.member.host}:{one.member.port}",
+                "address": f"{one.endpoint.host}:{one.endpoint.port}",
                 "state": one.state.value,
                 "source": one.source.value,
-                "listed": one.listed,
-                "age": None if ages.get(number, OLDEST) >= OLDEST else round(ages[number] / 1e6, 1),
-                "failed": one.failed,
+                "listed": one.is_listed,
+                "age": None
+                if ages.get(number, UNKNOWN_AGE_US) >= UNKNOWN_AGE_US
+                else round(ages[number] / 1e6, 1),
+                "failed": one.failure_count,
             }
-            for number, one in self.beliefs.engines.items()
+            for number, one in self.estimate.endpoints.items()
         ]
 
-    def asks(self, now: int) -> bool:
+    def queue_due_probes(self, now: int) -> bool:
         """A round of trials: who is due is asked by `knocks`. Whether there is any to be asked."""
-        for member in self.beliefs.due(now):
+        for member in self.estimate.start_due_probes(now):
             self._counters.add("kept: trials")
-            self._asked.append(member)
-        return bool(self._asked)
+            self._queued_probes.append(member)
+        return bool(self._queued_probes)
 
-    def knocks(self, tasks: TaskGroup, now: Callable[[], int]) -> int:
+    def start_probes(self, tasks: TaskGroup, now: Callable[[], int]) -> int:
         """Connects to some of them, each in a task that ends within a link's patience; to how many."""
-        begun = min(AT_ONCE, len(self._asked))
+        begun = min(MAX_PROBES_AT_ONCE, len(self._queued_probes))
         for _ in range(begun):
-            tasks.start_soon(self._trial, self._asked.popleft(), now)
+            tasks.start_soon(self._probe, self._queued_probes.popleft(), now)
         return begun
 
-    async def _trial(self, member: Endpoint, now: Callable[[], int]) -> None:
-        how = await knock(member.host, member.port, self._patience)
-        belief = self.beliefs.engines.get(member.id)
+    async def _probe(self, member: Endpoint, now: Callable[[], int]) -> None:
+        how = await probe_connection(member.host, member.port, self._patience)
+        belief = self.estimate.endpoints.get(member.id)
         # It may have been told of meanwhile, at another address.
-        if belief is not None and (belief.member.host, belief.member.port) == (member.host, member.port):
-            self._answered(member.id, how, now())
+        if belief is not None and (belief.endpoint.host, belief.endpoint.port) == (member.host, member.port):
+            self._on_contact(member.id, how, now())
 
     def step(self, now: int) -> EndpointEvent | None:
         """`look` and `write`, for all there is."""
-        event = self.look(now)
-        self.write(now)
+        event = self.take_changes(now)
+        self.write_snapshots(now)
         return event
 
-    def look(self, now: int, most: int | None = None) -> EndpointEvent | None:
+    def take_changes(self, now: int, most: int | None = None) -> EndpointEvent | None:
         """What is to be listed, if anything, and what the register stands by; ten times a second.
 
         `most`: engines in it that are not gone; the rest is for the next look, see `more`.
@@ -250,12 +262,12 @@
         frames = self._counters.counts["coordinator frames"]
         if frames != self._frames:
             self._frames = frames
-            self.beliefs.alive(now)
-        settled = self.beliefs.settle(now)
+            self.estimate.on_watch_frame(now)
+        settled = self.estimate.settle_index(now)
         if settled is not None:
             self._say("the register stands by smaller numbers than those kept: what it has not named is gone")
             self._pending.update((member.id, member) for member in settled.endpoints)
-            self.behind.changed(now)
+            self.write_schedule.on_change(now)
         members = list(self._pending.values())
         if most is not None and len(members) > most:
             # Danger: what is gone must not wait behind others to be listed.
@@ -268,81 +280,82 @@
         return EndpointEvent(0, False, members) if members else None
 
     @property
-    def more(self) -> bool:
+    def has_changes(self) -> bool:
         """Whether anything is still to be listed."""
         return bool(self._pending)
 
     # Writing, and handing over.
 
-    def write(self, now: int) -> None:
+    def write_snapshots(self, now: int) -> None:
         """Ends and begins writes; ten times a second, more often once the last one is under way."""
         outcome = self._writer.poll()
         if outcome is not None:
             self._written(outcome, now)
         if self._last is None:
-            if self.behind.wants(now):
+            if self.write_schedule.is_due(now):
                 self._begin_write(now, (), False)
-        elif not self._final and self.behind.writing is None:
+        elif not self._final and self.write_schedule.write_started_us is None:
             self._final = True
             self._begin_write(now, self._last, True)
 
     def _written(self, outcome: WriteResult, now: int) -> None:
-        if outcome.busy:
-            self.behind.locked_out(now)
+        if outcome.is_folder_busy:
+            self.write_schedule.on_folder_locked(now)
         else:
-            self.behind.ended(not outcome.trouble, outcome.took, now)
+            self.write_schedule.on_write_finished(not outcome.error, outcome.duration_us, now)
             counts = self._counters.counts
-            self._counters.add("kept: writes failed" if outcome.trouble else "kept: writes")
-            counts["kept: bytes"] = outcome.size or counts["kept: bytes"]
-            counts["kept: slowest write us"] = max(outcome.took, counts["kept: slowest write us"])
-        if outcome.trouble != self._trouble:
-            self._trouble = outcome.trouble
-            self._say(
-                f"can't be written: {outcome.trouble}; tried again" if outcome.trouble else "written again"
-            )
-        if outcome.found is not None and self._last is None:
-            self._take(outcome.found, now)
-            self.behind.changed(now)
-        self.done = self._final
+            self._counters.add("kept: writes failed" if outcome.error else "kept: writes")
+            counts["kept: bytes"] = outcome.size_bytes or counts["kept: bytes"]
+            counts["kept: slowest write us"] = max(outcome.duration_us, counts["kept: slowest write us"])
+        if outcome.error != self._trouble:
+            self._trouble = outcome.error
+            self._say(f"can't be written: {outcome.error}; tried again" if outcome.error else "written again")
+        if outcome.newer is not None and self._last is None:
+            self._apply_snapshot(outcome.newer, now)
+            self.write_schedule.on_change(now)
+        self.is_handed_over = self._final
 
     def _begin_write(self, now: int, marks: Sequence[str], handed: bool) -> None:
-        self.behind.began(now)
-        self._writer.start(self.record(now, marks, handed), self._serial)
+        self.write_schedule.on_write_started(now)
+        self._writer.start(self.snapshot_builder(now, marks, handed), self._serial)
 
-    def record(
+    def snapshot_builder(
         self, now: int, marks: Sequence[str] = (), handed: bool = False
-    ) -> Callable[[], record.Record]:
+    ) -> Callable[[], record.Snapshot]:
         """All that is kept, as of now: gathered at once, and made by whoever calls what comes back."""
-        at, beliefs, folder = self._moment(), self.beliefs, self._writer.folder
-        evidence, limits = beliefs.evidence(now), learnt.limits(self._engines, beliefs.engines)
-        tombs, open_marks = record.bounded(beliefs.tombs.kept(now), list(marks))
-        number, request_classes = beliefs.numbers.highest, learnt.tariffs(self._gateway, self._names)
+        at, beliefs, folder = self._moment(), self.estimate, self._writer.folder
+        evidence, limits = beliefs.evidence(now), learnt.collect_limits(self._engines, beliefs.endpoints)
+        tombs, open_marks = record.newest_entries(beliefs.tombstones.unexpired(now), list(marks))
+        number, request_classes = (
+            beliefs.index_tracker.highest,
+            learnt.collect_latencies(self._gateway, self._names),
+        )
 
         # Danger: made on the loop it would take a millisecond of it for 500 engines, at each write. So does a
         # thread that holds the interpreter for as long.
-        def make() -> record.Record:
-            engines: list[record.Engine] = []
+        def make() -> record.Snapshot:
+            engines: list[record.EndpointEntry] = []
             for begin in range(0, len(evidence), _PIECE):
                 engines += [
-                    record.engine(member, max(0, min(OLDEST, now - known)))
+                    record.to_entry(member, max(0, min(UNKNOWN_AGE_US, now - known)))
                     for member, known in evidence[begin : begin + _PIECE]
-                    if record.fits(member)
+                    if record.can_store(member)
                 ]
                 time.sleep(_BREATH)
-            return record.Record(
+            return record.Snapshot(
                 owner=folder.owner,
-                wall=at.wall,
-                boot=at.boot,
-                ticked=at.ticked,
-                number=number,
-                handed=handed,
+                wall_us=at.wall_us,
+                boot_id=at.boot_id,
+                uptime_us=at.uptime_us,
+                index=number,
+                is_handed_over=handed,
                 zones=list(self._zones),
-                machines=list(self._machines),
-                engines=engines,
-                tombs=tombs,
-                tariffs=request_classes,
-                limits=[record.Limit(*limit) for limit in limits],
-                marks=open_marks,
+                instance_types=list(self._machines),
+                endpoints=engines,
+                tombstones=tombs,
+                latencies=request_classes,
+                limits=[record.LimitEntry(*limit) for limit in limits],
+                request_names=open_marks,
             )
 
         return make
@@ -353,14 +366,14 @@
         `marks`: names in use of late. Once nothing more is sent, so that what is learnt is complete.
         """
         self._last = list(marks)
-        self.write(now)
+        self.write_snapshots(now)
 
     @property
-    def handing(self) -> bool:
+    def is_handing_over(self) -> bool:
         """Whether the last write has been asked for."""
         return self._last is not None
 
     def close(self) -> None:
         """Leaves the folder to the successor; while a write hangs it stays with this process."""
-        if self.behind.writing is None:
+        if self.write_schedule.write_started_us is None:
             self._writer.folder.unlock()
--- a/cresstray/membership/snapshot.py
+++ b/cresstray/membership/snapshot.py
@@ -13,15 +13,15 @@
 import msgspec
 
 from cresstray.discovery.endpoint_list import Endpoint
-from cresstray.membership.confidence import Moment
-from cresstray.membership.reconciliation import MOST as MOST_TOMBS
-from cresstray.membership.reconciliation import Tomb
+from cresstray.membership.confidence import ClockReading
+from cresstray.membership.reconciliation import MAX_TOMBSTONES as MOST_TOMBS
+from cresstray.membership.reconciliation import Tombstone
 from cresstray.policy.types import EndpointState
 
 MAGIC = b"cray\x00kpt"
-FORMAT = 2
+FORMAT_VERSION = 2
 # Danger: a length out of a damaged header would be read into memory. 20 000 engines are some two megabytes.
-MOST_BYTES = 16 << 20
+MAX_BODY_BYTES = 16 << 20
 _MOST_MARKS = 4096
 
 _HEADER = Struct(">8sHQII")  # magic, format, serial, length and check sum of the body
@@ -34,7 +34,7 @@
 _Factor = Annotated[float, msgspec.Meta(ge=0.0, le=1e9)]
 
 
-class UnusableError(ValueError):
+class UnusableSnapshotError(ValueError):
     """These bytes can't be used; one line that says why. `serial`: its header's, 0 where it has none."""
 
     def __init__(self, why: str, serial: int = 0) -> None:
@@ -42,162 +42,182 @@
         self.serial = serial
 
 
-class ForeignError(UnusableError):
+class ForeignSnapshotError(UnusableSnapshotError):
     """It is whole, and another gateway's: not to be written over."""
 
 
-class Engine(msgspec.Struct, array_like=True, frozen=True):
+class EndpointEntry(msgspec.Struct, array_like=True, frozen=True):
     """`age`: microseconds since the last evidence of it, when this was written."""
 
     id: _Id
     host: str
     port: _Port
-    draining: bool
+    is_draining: bool
     zone: _Small
-    machine: _Small
+    instance_type: _Small
     cell: _Small
-    started: _Micros
-    age: _Micros = 0
+    started_us: _Micros
+    age_us: _Micros = 0
 
 
-class Tariff(msgspec.Struct, array_like=True, frozen=True):
+class LatencyEntry(msgspec.Struct, array_like=True, frozen=True):
     """Usual times, as logic.Usual has them, by the tariff's name."""
 
     name: str
-    seen: _Micros
-    mean: _Factor
-    estimate: _Factor
-    factor: _Factor
+    sample_count: _Micros
+    mean_us: _Factor
+    mean_work_us: _Factor
+    work_factor: _Factor
 
 
-class Limit(msgspec.Struct, array_like=True, frozen=True):
+class LimitEntry(msgspec.Struct, array_like=True, frozen=True):
     """A limit as a factor of what it starts with, so that another number of gateways changes nothing."""
 
     id: _Id
-    started: _Micros
+    started_us: _Micros
     ratio: _Factor
-    pace: _Factor
-
-
-class Record(msgspec.Struct, frozen=True, kw_only=True):
+    slowdown: _Factor
+
+
+# Each field by the name that it has in the body: (name here, name on disk), in the order on disk.
+_NAMES_ON_DISK = {
+    "owner": "owner",
+    "wall_us": "wall",
+    "boot_id": "boot",
+    "uptime_us": "ticked",
+    "index": "number",
+    "is_handed_over": "handed",
+    "zones": "zones",
+    "instance_types": "machines",
+    "endpoints": "engines",
+    "tombstones": "tombs",
+    "latencies": "tariffs",
+    "limits": "limits",
+    "request_names": "marks",
+}
+
+
+class Snapshot(msgspec.Struct, frozen=True, kw_only=True, rename=_NAMES_ON_DISK):
     """`owner`: the gateway whose it is. Zones, machines and tariffs are named, as their places may change."""
 
     owner: str
-    wall: _Micros
-    boot: str
-    ticked: _Micros
-    number: _Micros  # the register's, last heard
-    handed: bool  # written as the last thing by a gateway that ends as planned
+    wall_us: _Micros
+    boot_id: str
+    uptime_us: _Micros
+    index: _Micros  # the register's, last heard
+    is_handed_over: bool  # written as the last thing by a gateway that ends as planned
     zones: list[str]
-    machines: list[str]
-    engines: list[Engine]
-    tombs: list[Tomb]
-    tariffs: list[Tariff]
-    limits: list[Limit]
-    marks: list[str]  # open ones, of those that ended as planned; their age is the record's
+    instance_types: list[str]
+    endpoints: list[EndpointEntry]
+    tombstones: list[Tombstone]
+    latencies: list[LatencyEntry]
+    limits: list[LimitEntry]
+    request_names: list[str]  # open ones, of those that ended as planned; their age is the record's
 
     @property
-    def moment(self) -> Moment:
-        return Moment(self.wall, self.boot, self.ticked)
+    def written_at(self) -> ClockReading:
+        return ClockReading(self.wall_us, self.boot_id, self.uptime_us)
 
 
 class _First(msgspec.Struct, array_like=True, frozen=True):
     """The body of format 1: engines only, no readings but the wall clock's."""
 
     owner: str
-    wall: _Micros
-    number: _Micros
+    wall_us: _Micros
+    index: _Micros
     zones: list[str]
-    machines: list[str]
-    engines: list[Engine]
+    instance_types: list[str]
+    endpoints: list[EndpointEntry]
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_record = msgspec.msgpack.Decoder(Record).decode
+_record = msgspec.msgpack.Decoder(Snapshot).decode
 _first = msgspec.msgpack.Decoder(_First).decode
 
 
-def encoded(record: Record, serial: int) -> bytes:
+def encode(record: Snapshot, serial: int) -> bytes:
     body = _encode(record)
-    if len(body) > MOST_BYTES:
-        raise UnusableError(f"{len(body)} bytes, more than can be kept")
+    if len(body) > MAX_BODY_BYTES:
+        raise UnusableSnapshotError(f"{len(body)} bytes, more than can be kept")
     try:
         # Danger: bounds are checked at reading only; what can't be read would take the place of what can.
         _record(body)
     except msgspec.MsgspecError as trouble:
-        raise UnusableError(f"it could not be read again: {trouble}") from None
-    return _HEADER.pack(MAGIC, FORMAT, serial, len(body), _sum(FORMAT, serial, body)) + body
+        raise UnusableSnapshotError(f"it could not be read again: {trouble}") from None
+    return _HEADER.pack(MAGIC, FORMAT_VERSION, serial, len(body), _sum(FORMAT_VERSION, serial, body)) + body
 
 
 def _sum(version: int, serial: int, body: bytes) -> int:
     return crc32(body, crc32(_SUMMED.pack(version, serial, len(body))) if version > 1 else 0)
 
 
-def decoded(data: bytes, owner: str) -> tuple[int, Record]:
+def decode(data: bytes, owner: str) -> tuple[int, Snapshot]:
     """Its serial and all of it; UnusableError where anything is not as it was written, or not for us."""
     if len(data) < _HEADER.size:
         ours = MAGIC.startswith(data[:8])
-        raise UnusableError("torn: shorter than a header" if ours else "not a kept list")
+        raise UnusableSnapshotError("torn: shorter than a header" if ours else "not a kept list")
     magic, version, serial, length, total = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise UnusableError("not a kept list")
-    if version > FORMAT or version < 1:
-        raise UnusableError(f"of format {version}; this build knows 1 to {FORMAT}", serial)
+        raise UnusableSnapshotError("not a kept list")
+    if version > FORMAT_VERSION or version < 1:
+        raise UnusableSnapshotError(f"of format {version}; this build knows 1 to {FORMAT_VERSION}", serial)
     body = data[_HEADER.size :]
-    if len(body) != length or length > MOST_BYTES:
-        raise UnusableError(f"torn: {len(body)} bytes of {length}", serial)
+    if len(body) != length or length > MAX_BODY_BYTES:
+        raise UnusableSnapshotError(f"torn: {len(body)} bytes of {length}", serial)
     if _sum(version, serial, body) != total:
-        raise UnusableError("damaged: its check sum is another", serial)
+        raise UnusableSnapshotError("damaged: its check sum is another", serial)
     try:
-        record = _record(body) if version == FORMAT else _migrated(_first(body))
+        record = _record(body) if version == FORMAT_VERSION else _migrated(_first(body))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
         # The sum holds, so it was written like this: by a build that was half one version, half another.
-        raise UnusableError(f"damaged: no body of format {version}: {trouble}", serial) from None
+        raise UnusableSnapshotError(f"damaged: no body of format {version}: {trouble}", serial) from None
     if record.owner != owner:
-        raise ForeignError(f"kept by {record.owner[:64]!r}, not by {owner!r}", serial)
+        raise ForeignSnapshotError(f"kept by {record.owner[:64]!r}, not by {owner!r}", serial)
     return serial, record
 
 
-def _migrated(first: _First) -> Record:
-    return Record(
+def _migrated(first: _First) -> Snapshot:
+    return Snapshot(
         owner=first.owner,
-        wall=first.wall,
-        boot="",
-        ticked=0,
-        number=first.number,
-        handed=False,
+        wall_us=first.wall_us,
+        boot_id="",
+        uptime_us=0,
+        index=first.index,
+        is_handed_over=False,
         zones=first.zones,
-        machines=first.machines,
-        engines=first.engines,
-        tombs=[],
-        tariffs=[],
+        instance_types=first.instance_types,
+        endpoints=first.endpoints,
+        tombstones=[],
+        latencies=[],
         limits=[],
-        marks=[],
+        request_names=[],
     )
 
 
-def members(record: Record, zones: Sequence[str], machines: Sequence[str]) -> list[tuple[Endpoint, int]]:
+def to_endpoints(
+    record: Snapshot, zones: Sequence[str], machines: Sequence[str]
+) -> list[tuple[Endpoint, int]]:
     """The engines by the places that the settings have now, with their ages when it was written.
 
     Danger: a machine that is not named any more has cores that nobody knows: it is left out.
     """
-    zone_of, machine_of = _moved(record.zones, zones), _moved(record.machines, machines)
+    zone_of, machine_of = _moved(record.zones, zones), _moved(record.instance_types, machines)
     return [
         (
             Endpoint(
                 one.id,
                 one.host,
                 one.port,
-                EndpointState.DRAINING if one.draining else EndpointState.READY,
+                EndpointState.DRAINING if one.is_draining else EndpointState.READY,
                 zone_of(one.zone),
-                machine_of(one.machine),
+                machine_of(one.instance_type),
                 one.cell,
-                one.started,
+                one.started_us,
             ),
-            one.age,
+            one.age_us,
         )
-        for one in record.engines
-        if zone_of(one.zone) is not None and machine_of(one.machine) is not None
+        for one in record.endpoints
+        if zone_of(one.zone) is not None and machine_of(one.instance_type) is not None
     ]
 
 
@@ -212,7 +232,7 @@
     return moved
 
 
-def fits(member: Endpoint) -> bool:
+def can_store(member: Endpoint) -> bool:
     """Whether it can be kept: one engine that is out of all bounds must not cost the whole list."""
     return (
         0 <= member.id < 2**32
@@ -222,8 +242,8 @@
     )
 
 
-def engine(member: Endpoint, age: int) -> Engine:
-    return Engine(
+def to_entry(member: Endpoint, age: int) -> EndpointEntry:
+    return EndpointEntry(
         member.id,
         member.host,
         member.port,
@@ -236,6 +256,6 @@
     )
 
 
-def bounded(tombs: list[Tomb], marks: list[str]) -> tuple[list[Tomb], list[str]]:
+def newest_entries(tombs: list[Tombstone], marks: list[str]) -> tuple[list[Tombstone], list[str]]:
     """The youngest of each, as many as are kept."""
     return tombs[-MOST_TOMBS:], marks[-_MOST_MARKS:]
--- a/cresstray/model_checking/beliefs.py
+++ b/cresstray/model_checking/beliefs.py
@@ -15,12 +15,12 @@
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.membership import recovery as keeping
 from cresstray.membership import snapshot as record
-from cresstray.membership.confidence import HANDED, Moment
-from cresstray.membership.estimate import Beliefs, How
-from cresstray.membership.guard import Guard
-from cresstray.membership.reconciliation import Numbers
-from cresstray.membership.recovery import Keep
-from cresstray.membership.snapshot_files import Found
+from cresstray.membership.confidence import HANDOVER_VALIDITY_US, ClockReading
+from cresstray.membership.estimate import ContactResult, MembershipEstimate
+from cresstray.membership.guard import AdmissionGuard
+from cresstray.membership.reconciliation import IndexTracker
+from cresstray.membership.recovery import Membership
+from cresstray.membership.snapshot_files import ReadResult
 from cresstray.model_checking.patching import Mutant, lines
 from cresstray.model_checking.world import (
     Bounds,
@@ -40,14 +40,14 @@
 # Trials are asked again after 0.375 s and half of work's time is over after 1 s: each step may bring either.
 _STEP = 500 * MILLI
 # Past what is handed over, drains and warm-ups.
-_LONG = HANDED + 1_000 * MILLI
+_LONG = HANDOVER_VALIDITY_US + 1_000 * MILLI
 _UP = START - 100_000 * MILLI  # both engines, as the disk has them
 _LISTED = 5  # the register's number, as the disk was written
 _PATIENCE = 10_000 * MILLI
 _NAMES = "read", "put", "post"
 _EFFECTS = "idempotent", "deduplicated", "at_most_once"
 # How a trial and a relay may end, by the words of a trace.
-_TRIALS = {"listens to": How.LISTENS, "refuses": How.REFUSED}
+_TRIALS = {"listens to": ContactResult.LISTENING, "refuses": ContactResult.REFUSED}
 _ENDS = {
     "serves": Outcome.SUCCEEDED,
     "is not reached by": Outcome.UNREACHABLE,
@@ -119,13 +119,13 @@
     def __init__(self) -> None:
         self.folder, self.bytes, self.serial = self, b"", 0
 
-    def write(self, made: record.Record) -> None:
+    def write(self, made: record.Snapshot) -> None:
         self.serial += 1
-        self.bytes = record.encoded(made, self.serial)
+        self.bytes = record.encode(made, self.serial)
 
-    def read(self) -> Found:
-        serial, found = record.decoded(self.bytes, self.owner)
-        return Found(found, serial, "engines.a", [])
+    def read(self) -> ReadResult:
+        serial, found = record.decode(self.bytes, self.owner)
+        return ReadResult(found, serial, "engines.a", [])
 
 
 class Word(NamedTuple):
@@ -249,23 +249,23 @@
         self.before, self.news, self.number = list(self.list.values()), [], _LISTED
         self.account, self.written = Account(), (_LISTED, {0: (_UP, 1), 1: (_UP, 2)}, {})
         self.handed_at: int | None = None  # when what is on disk was handed over
-        self.unread: tuple[record.Record, tuple, int] | None = None  # the last write of one that still ends
+        self.unread: tuple[record.Snapshot, tuple, int] | None = None  # the last write of one that still ends
         self._begin()
         self.disk.write(
-            record.Record(
+            record.Snapshot(
                 owner=Disk.owner,
-                wall=START - 5_000 * MILLI,
-                boot="b",
-                ticked=START - 5_000 * MILLI,
-                number=_LISTED,
-                handed=False,
+                wall_us=START - 5_000 * MILLI,
+                boot_id="b",
+                uptime_us=START - 5_000 * MILLI,
+                index=_LISTED,
+                is_handed_over=False,
                 zones=["z"],
-                machines=["m"],
-                engines=[record.engine(one, 0) for one in self.before],
-                tombs=[],
-                tariffs=[],
+                instance_types=["m"],
+                endpoints=[record.to_entry(one, 0) for one in self.before],
+                tombstones=[],
+                latencies=[],
                 limits=[],
-                marks=[],
+                request_names=[],
             )
         )
         self._start()
@@ -279,27 +279,29 @@
         self.route = Router(Pool, self)
         self.gateway = PolicyController(self, _given(""), 0, now)
         self.gateway.random = fixed
-        self.keep = Keep(self.disk, _given(""), self.gateway, fixed, self.counters, untold, self._moment, now)
-        self.gateway.admission_rules = Guard(self.keep, self.gateway)
+        self.keep = Membership(
+            self.disk, _given(""), self.gateway, fixed, self.counters, untold, self._moment, now
+        )
+        self.gateway.admission_rules = AdmissionGuard(self.keep, self.gateway)
         self.asked = [Asked(kind) for kind in range(len(_NAMES))]
         self.trials: list[Endpoint] = []
         self.out: dict[Attempt, int] = {}  # and the engine that has it
 
     def _start(self) -> None:
-        self.keep.begin(self.clock.at)
+        self.keep.recover(self.clock.at)
         self.account.read(self.written)
         self._ask_engines()
 
-    def _moment(self) -> Moment:
-        return Moment(self.clock.at, "b", self.clock.at)
+    def _moment(self) -> ClockReading:
+        return ClockReading(self.clock.at, "b", self.clock.at)
 
     def _ask_engines(self) -> None:
-        self.keep.asks(self.clock.at)
-        while self.keep._asked:
-            self.trials.append(self.keep._asked.popleft())
+        self.keep.queue_due_probes(self.clock.at)
+        while self.keep._queued_probes:
+            self.trials.append(self.keep._queued_probes.popleft())
 
     def _look(self) -> None:
-        event = self.keep.look(self.clock.at)
+        event = self.keep.take_changes(self.clock.at)
         if event is not None:
             self._give(event)
 
@@ -323,7 +325,7 @@
                 account.cold[member.id] = account.heard.get(member.id, now)
         self.gateway.on_endpoints_updated(self.route.apply_event(event), event.is_complete, now)
         self.route.cancel_unsent(event)
-        self.keep.listed(event, self.route.engines, now)
+        self.keep.on_endpoints_listed(event, self.route.engines, now)
 
     def _warm(self, engine: int) -> bool:
         """Whether it was found to listen as one that was handed over, and has not failed since."""
@@ -332,7 +334,7 @@
         return (
             account.handed
             and found is not None
-            and found - self.begun < HANDED
+            and found - self.begun < HANDOVER_VALIDITY_US
             and engine not in account.failed
         )
 
@@ -407,7 +409,7 @@
             or any(asked.submission and not asked.over for asked in self.asked)
         ):
             return []  # nothing can be sent any more
-        if self.keep.more:
+        if self.keep.has_changes:
             found.append("gateway lists")
         if self.words:
             found += ["register tells all", "register tells before"]
@@ -428,7 +430,8 @@
             found.append("time passes")
         # It ends what was handed over, drains and warm-ups; a last write is over within seconds.
         drains = any(
-            belief.member.state is EndpointState.DRAINING for belief in self.keep.beliefs.engines.values()
+            belief.endpoint.state is EndpointState.DRAINING
+            for belief in self.keep.estimate.endpoints.values()
         )
         if self.longs and self.unread is None and (self.account.handed or drains):
             found.append("long time passes")
@@ -481,26 +484,26 @@
         self.asking -= 1
         now, asked = self.clock.at, self.asked[kind]
         asked.submission = Request(self.gateway.request_classes[kind], now, now + _PATIENCE)
-        if self.keep.refuses(asked.submission, now) is not None:
+        if self.keep.retry_after_us(asked.submission, now) is not None:
             self._over(asked.submission)
         else:
             self.gateway.accept(asked.submission, now)
 
-    def _tried(self, engine: int, how: How) -> None:
+    def _tried(self, engine: int, how: ContactResult) -> None:
         member = next(one for one in self.trials if one.id == engine)
         self.trials.remove(member)
-        if how is How.LISTENS:
+        if how is ContactResult.LISTENING:
             self.account.heard[engine] = self.clock.at
         else:
             self.faults -= 1
             self.account.failed.add(engine)
 
-        async def knocked(*_: object) -> How:
+        async def knocked(*_: object) -> ContactResult:
             return how
 
-        with mock.patch.object(keeping, "knock", knocked):
+        with mock.patch.object(keeping, "probe_connection", knocked):
             try:
-                self.keep._trial(member, self.clock.now).send(None)
+                self.keep._probe(member, self.clock.now).send(None)
             except StopIteration:
                 return
         raise AssertionError("a trial waits for more than its connection")
@@ -517,7 +520,7 @@
             if ending is Outcome.UNREACHABLE:
                 self.account.served.discard(engine)
                 self.account.failed.add(engine)
-        self.keep.ended(attempt, ending, now)
+        self.keep.on_attempt_finished(attempt, ending, now)
         no_more = attempt.request.is_finished
         if ending is Outcome.SUCCEEDED and not no_more:
             self._over(attempt.request)
@@ -554,7 +557,7 @@
         older, before = event.index < self.account.number, self.account.failed.copy()
         cold = dict(self.account.cold)
         self.account.hear(event)
-        passed = self.keep.told(event, self.clock.at)
+        passed = self.keep.on_endpoint_event(event, self.clock.at)
         for member in passed.endpoints:
             # What only an older list names, or what has failed us, may have started since the register knew.
             if (
@@ -569,7 +572,7 @@
         self._give(passed)
 
     def _write(self, handed: bool) -> None:
-        self.disk.write(self.keep.record(self.clock.at, (), handed)())
+        self.disk.write(self.keep.snapshot_builder(self.clock.at, (), handed)())
         self.written = self.account.written()
         self.handed_at = self.clock.at if handed else None
 
@@ -579,23 +582,29 @@
         self.unread = None
         if parts[-1] == "slowly":
             # Its successor reads what is there; the last write comes later.
-            self.unread = self.keep.record(self.clock.at, (), True)(), self.account.written(), self.clock.at
+            self.unread = (
+                self.keep.snapshot_builder(self.clock.at, (), True)(),
+                self.account.written(),
+                self.clock.at,
+            )
         elif handed:
             self._write(True)
         self.clock.at += _STEP
         self.account = Account()
         self._begin()
         # Who hands over may be followed by several, for some seconds.
-        self.account.handed = self.handed_at is not None and self.clock.at - self.handed_at < HANDED
+        self.account.handed = (
+            self.handed_at is not None and self.clock.at - self.handed_at < HANDOVER_VALIDITY_US
+        )
         self._start()
 
     def _read_last(self) -> None:
         made, written, self.handed_at = self.unread
         self.unread = None
         self.disk.write(made)
-        self.account.handed, self.written = self.clock.at - self.handed_at < HANDED, written
+        self.account.handed, self.written = self.clock.at - self.handed_at < HANDOVER_VALIDITY_US, written
         self.account.read(written)
-        self.keep._take(self.disk.read(), self.clock.at)
+        self.keep._apply_snapshot(self.disk.read(), self.clock.at)
         self._look()
         self._ask_engines()
 
@@ -638,9 +647,9 @@
         "belief",
         lines(
             (
-                Keep.record,
-                "record.bounded(beliefs.tombs.kept(now), list(marks))",
-                "record.bounded([], list(marks))",
+                Membership.snapshot_builder,
+                "record.newest_entries(beliefs.tombstones.unexpired(now), list(marks))",
+                "record.newest_entries([], list(marks))",
             )
         ),
     ),
@@ -648,52 +657,75 @@
         "older_list_taken_as_newer",
         "belief",
         "belief",
-        lines((Numbers.take, "if number >= self.highest:", "if True:")),
+        lines((IndexTracker.observe, "if number >= self.highest:", "if True:")),
     ),
     Mutant(
         "warm_though_not_handed_over",
         "belief",
         "belief",
-        lines((Beliefs._list, "self.handed\n        and now - self.begun < HANDED\n        and ", "")),
+        lines(
+            (
+                MembershipEstimate._list_endpoint,
+                "self.is_handed_over\n        and now - self.started_us < HANDOVER_VALIDITY_US\n        and ",
+                "",
+            )
+        ),
     ),
     Mutant(
         "once_only_sent_on_trial",
         "belief",
         "belief",
-        lines((Guard.allows, "or not self._keep.on_trial(engine)", "or True")),
+        lines((AdmissionGuard.allows, "or not self._membership.is_unproven(engine)", "or True")),
     ),
     Mutant(
         "just_listed_is_no_trial",
         "belief",
         "belief",
-        lines((Keep.on_trial, "return engine.forwarding is None", "return False")),
+        lines((Membership.is_unproven, "return engine.forwarding is None", "return False")),
     ),
     Mutant(
         "refused_is_no_trial",
         "belief",
         "trials",
-        lines((Keep.on_trial, "not in (State.TOLD, State.CONFIRMED)", "is State.ON_TRIAL")),
+        lines(
+            (
+                Membership.is_unproven,
+                "not in (EstimateState.REGISTERED, EstimateState.CONFIRMED)",
+                "is EstimateState.PROBING",
+            )
+        ),
     ),
     Mutant(
         "newer_start_unheard",
         "belief",
         "belief",
-        lines((Beliefs._remember, "and member.started_us > known.member.started_us", "and False")),
+        lines(
+            (
+                MembershipEstimate._merge_endpoint,
+                "and member.started_us > known.endpoint.started_us",
+                "and False",
+            )
+        ),
     ),
     Mutant(
-        "left_out_is_kept", "belief", "belief", lines((Beliefs.told, "if engine not in named]", "if False]"))
+        "left_out_is_kept",
+        "belief",
+        "belief",
+        lines((MembershipEstimate.apply_event, "if engine not in named]", "if False]")),
     ),
     Mutant(
         "older_start_believed",
         "belief",
         "belief",
-        lines((Beliefs._outdated, "number < self.numbers.highest\n        and", "False and")),
+        lines(
+            (MembershipEstimate._is_outdated, "number < self.index_tracker.highest\n        and", "False and")
+        ),
     ),
     Mutant(
         "address_of_another_kept",
         "belief",
         "belief",
-        lines((Beliefs._claim, "if owner == member.id or owner in named:", "if True:")),
+        lines((MembershipEstimate._release_address, "if owner == member.id or owner in named:", "if True:")),
     ),
     Mutant(
         "listed_though_told_gone",
@@ -701,7 +733,7 @@
         "belief",
         lines(
             (
-                Keep.told,
+                Membership.on_endpoint_event,
                 "self._pending.pop(member.id, None)\n"
                 "    if passed.is_complete:\n        self._pending.clear()",
                 "pass",
@@ -712,7 +744,13 @@
         "warm_as_the_register_had_it",
         "belief",
         "belief",
-        lines((Beliefs._started, "return max(member.started_us, known.since)", "return member.started_us")),
+        lines(
+            (
+                MembershipEstimate._start_for_listing_us,
+                "return max(member.started_us, known.listed_start_us)",
+                "return member.started_us",
+            )
+        ),
     ),
     Mutant(
         "last_write_unheard",
@@ -720,9 +758,9 @@
         "belief",
         lines(
             (
-                Beliefs._older,
-                "belief.state is not State.TOLD",
-                "belief.state in (State.REMEMBERED, State.CONTRADICTED)",
+                MembershipEstimate._is_superseded_by,
+                "belief.state is not EstimateState.REGISTERED",
+                "belief.state in (EstimateState.REMEMBERED, EstimateState.UNREACHABLE)",
             )
         ),
     ),
@@ -732,9 +770,9 @@
         "trials",
         lines(
             (
-                Beliefs._started,
-                "known is not None and known.failed",
-                "known is not None and known.state is State.CONTRADICTED",
+                MembershipEstimate._start_for_listing_us,
+                "known is not None and known.failure_count",
+                "known is not None and known.state is EstimateState.UNREACHABLE",
             )
         ),
     ),
@@ -742,6 +780,6 @@
         "refusal_forgotten_with_the_last_write",
         "belief",
         "trials",
-        lines((Beliefs._remember, "0 if known is None else known.failed", "0")),
+        lines((MembershipEstimate._merge_endpoint, "0 if known is None else known.failure_count", "0")),
     ),
 )
--- a/cresstray/pipeline/admission.py
+++ b/cresstray/pipeline/admission.py
@@ -9,7 +9,7 @@
 from cresstray.policy.controller import PolicyController
 
 if TYPE_CHECKING:
-    from cresstray.membership.recovery import Keep
+    from cresstray.membership.recovery import Membership
     from cresstray.pipeline.idempotency_checks import IdempotencyChecks
     from cresstray.sites.flow_control import Share
 
@@ -21,7 +21,7 @@
             None  # made with the port, which stands further down the chain
         )
         self.forwarding_quota: Share | None = None  # of what may cross to other halls, where there are any
-        self.membership: Keep | None = None  # where a list is kept on disk
+        self.membership: Membership | None = None  # where a list is kept on disk
         self.idempotency: IdempotencyChecks | None = None  # where marks are kept in a store
 
     def admit(self, context: RequestContext, now: int) -> None:
@@ -42,7 +42,7 @@
     def _refused(self, context: RequestContext, now: int) -> bool:
         """Nothing is known well enough yet to send it anywhere; who asks from another hall counts on us."""
         request = context.request
-        wait = None if request.is_forwarded_in else self.membership.refuses(request, now)
+        wait = None if request.is_forwarded_in else self.membership.retry_after_us(request, now)
         if wait is None:
             return False
         request.is_finished = True
--- a/cresstray/pipeline/response.py
+++ b/cresstray/pipeline/response.py
@@ -14,7 +14,7 @@
 from cresstray.policy.types import Attempt, EndpointState, Outcome, Request
 
 if TYPE_CHECKING:
-    from cresstray.membership.recovery import Keep
+    from cresstray.membership.recovery import Membership
     from cresstray.pipeline.idempotency_checks import IdempotencyChecks
     from cresstray.pipeline.replica_reads import ReplicaReads
 
@@ -34,7 +34,7 @@
         self._clock, self._counters, self._book = clock, counters, book
         self.controller: PolicyController | None = None
         self.replica_reads: ReplicaReads | None = None  # where the fleet's rules place shards
-        self.membership: Keep | None = None  # where a list is kept on disk
+        self.membership: Membership | None = None  # where a list is kept on disk
         self.idempotency: IdempotencyChecks | None = None  # where marks are kept in a store
         self.in_flight: dict[Attempt, InFlightRequest] = {}
         self._reports: dict[Attempt, dict[str, float]] = {}  # told with a first page, for the relay's end
@@ -125,7 +125,7 @@
         if self.replica_reads is not None:
             self.replica_reads.on_attempt_finished(attempt, report, now)
         if self.membership is not None:
-            self.membership.ended(attempt, ending, now)
+            self.membership.on_attempt_finished(attempt, ending, now)
         if self.idempotency is not None:
             self.idempotency.on_attempt_finished(attempt, ending, now)
         no_more = request.is_finished
--- a/cresstray/simulation/cold.py
+++ b/cresstray/simulation/cold.py
@@ -16,10 +16,10 @@
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.membership import learned_state as learnt
-from cresstray.membership.estimate import Beliefs, How, Source, State
-from cresstray.membership.guard import Guard
-from cresstray.membership.reconciliation import Tomb
-from cresstray.membership.snapshot import Tariff
+from cresstray.membership.estimate import ContactResult, EstimateState, EvidenceSource, MembershipEstimate
+from cresstray.membership.guard import AdmissionGuard
+from cresstray.membership.reconciliation import Tombstone
+from cresstray.membership.snapshot import LatencyEntry
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController, micros
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
@@ -213,11 +213,11 @@
 
 # What a relay's end says of a remembered engine, as kept/keep.py has it.
 _HOW = {
-    Outcome.SUCCEEDED: How.SERVED,
-    Outcome.UNREACHABLE: How.REFUSED,
-    Outcome.TIMED_OUT: How.SILENT,
-    Outcome.CONNECTION_LOST: How.SILENT,
-    Outcome.PROTOCOL_ERROR: How.SILENT,
+    Outcome.SUCCEEDED: ContactResult.SERVED,
+    Outcome.UNREACHABLE: ContactResult.REFUSED,
+    Outcome.TIMED_OUT: ContactResult.TIMED_OUT,
+    Outcome.CONNECTION_LOST: ContactResult.TIMED_OUT,
+    Outcome.PROTOCOL_ERROR: ContactResult.TIMED_OUT,
 }
 
 
@@ -229,9 +229,9 @@
         self.chance = Random(f"{world.seed} gateway {number}").random
         self.module = PolicyController(self, settings(world.gateways), world.seed * 1000 + number, world.now)
         self.route = Router(lambda label, address: Unlinked(address), self)
-        self.beliefs = Beliefs(GRACE, WAIT, self.chance, world.now) if listens else None
+        self.beliefs = MembershipEstimate(GRACE, WAIT, self.chance, world.now) if listens else None
         if listens:
-            self.module.admission_rules = Guard(self, self.module)  # which asks `on_trial` only
+            self.module.admission_rules = AdmissionGuard(self, self.module)  # which asks `on_trial` only
         self.gone: set[int] = set()  # told so, and not raised again
         self.ids: dict[Engine, int] = {}
         self.pending: dict[int, Endpoint] = {}
@@ -240,18 +240,22 @@
     # The list, and what is believed of it.
 
     def begin(
-        self, given: list[tuple[Endpoint, int]], tombs: list[Tomb], request_classes: list[Tariff], age: int
+        self,
+        given: list[tuple[Endpoint, int]],
+        tombs: list[Tombstone],
+        request_classes: list[LatencyEntry],
+        age: int,
     ) -> None:
-        self.beliefs.remembered(given, _NUMBER, tombs, Source.DISK, self.world.now)
+        self.beliefs.merge_remembered(given, _NUMBER, tombs, EvidenceSource.DISK, self.world.now)
         self.gone |= {tomb.id for tomb in tombs}
-        learnt.put_tariffs(self.module, [kind.name for kind in KINDS], request_classes, age)
+        learnt.restore_latencies(self.module, [kind.name for kind in KINDS], request_classes, age)
         self.world.after(int(100 * MS * self.chance()), self.step)
 
     def told(self, event: EndpointEvent) -> None:
         now = self.world.now
         older, self.last = event.index < max(self.last, _NUMBER * bool(self.beliefs)), event.index
         if self.beliefs:
-            event = self.beliefs.told(event, now)
+            event = self.beliefs.apply_event(event, now)
         named = {member.id for member in event.endpoints if member.state is not EndpointState.REMOVED}
         if not older:
             self.gone -= named
@@ -270,22 +274,22 @@
         self.route.cancel_unsent(event)
         for member in event.endpoints if self.beliefs else ():
             engine = self.route.engines.get(member.id)
-            if engine and engine.limiter is not before.get(member.id) and self.on_trial(engine):
-                learnt.on_trial(engine.limiter, self.chance, now)
+            if engine and engine.limiter is not before.get(member.id) and self.is_unproven(engine):
+                learnt.delay_first_turn(engine.limiter, self.chance, now)
 
-    def on_trial(self, engine: Engine) -> bool:
+    def is_unproven(self, engine: Engine) -> bool:
         number = self.ids.get(engine)
-        return number is not None and self.beliefs.state(number) is State.ON_TRIAL
+        return number is not None and self.beliefs.state_of(number) is EstimateState.PROBING
 
     def step(self) -> None:
         now = self.world.now
         if self.world.register_up:
-            self.beliefs.alive(now)
-        for member in self.beliefs.due(now):
+            self.beliefs.on_watch_frame(now)
+        for member in self.beliefs.start_due_probes(now):
             found = self.world.listens((member.host, member.port))
-            how = How.LISTENS if found else How.REFUSED
+            how = ContactResult.LISTENING if found else ContactResult.REFUSED
             self.world.after(2 * self.world.delay(), lambda one=member.id, how=how: self.answered(one, how))
-        settled = self.beliefs.settle(now)
+        settled = self.beliefs.settle_index(now)
         if settled is not None:
             self.pending.update((member.id, member) for member in settled.endpoints)
         members, self.pending = list(self.pending.values()), {}
@@ -293,8 +297,8 @@
             self.list(EndpointEvent(0, False, members))
         self.world.after(100 * MS, self.step)
 
-    def answered(self, number: int, how: How) -> None:
-        self.pending.update((one.id, one) for one in self.beliefs.answered(number, how, self.world.now))
+    def answered(self, number: int, how: ContactResult) -> None:
+        self.pending.update((one.id, one) for one in self.beliefs.on_contact(number, how, self.world.now))
 
     # Submissions, and the module's port.
 
@@ -306,7 +310,7 @@
             now + micros(KINDS[kind].hard * 1000),
             estimated_work_us=int(estimate * SECOND),
         )
-        if self.beliefs and self.beliefs.refuses(request_class.is_idempotent, now) is not None:
+        if self.beliefs and self.beliefs.retry_after_us(request_class.is_idempotent, now) is not None:
             return
         self.works[request] = work
         self.module.accept(request, now)
@@ -340,7 +344,12 @@
             if isinstance(there, _Engine):
                 there.drop(attempt)
         how = _HOW.get(ending)
-        if self.beliefs and number is not None and how and self.beliefs.state(number) is not State.TOLD:
+        if (
+            self.beliefs
+            and number is not None
+            and how
+            and self.beliefs.state_of(number) is not EstimateState.REGISTERED
+        ):
             self.answered(number, how)
         served = ending is Outcome.SUCCEEDED
         if served and not request.is_finished:
@@ -413,7 +422,7 @@
         self.fleet = [_Gateway(self, number, age is not None) for number in range(gateways)]
         # A warm life's usual times: an idle engine takes the work divided by the threads.
         usual = [(kind.name, kind.work / kind.threads * SECOND / heavier) for kind in KINDS]
-        request_classes = [Tariff(name, 200, time, time, 1.1) for name, time in usual]
+        request_classes = [LatencyEntry(name, 200, time, time, 1.1) for name, time in usual]
         for one in self.fleet if age is not None else ():
             one.begin([(member, age) for member in listed], tombs, request_classes, age)
         self.after(int(down * SECOND), lambda: self._returns(first))
@@ -422,7 +431,7 @@
 
     def _fleet(
         self, engines: int, changed: float
-    ) -> tuple[list[Endpoint], list[Tomb], EndpointEvent, EndpointEvent]:
+    ) -> tuple[list[Endpoint], list[Tombstone], EndpointEvent, EndpointEvent]:
         """The disk's list, its tombstones, and what the register tells first and then."""
         part, odd = round(changed * engines / 4), max(1, round(_ODD * engines))
         listed = [self._member(number) for number in range(1, engines + 1)]
@@ -448,7 +457,7 @@
         zombies = [self._member(engines * 20 + at) for at in range(odd)]
         for member in zombies:
             self.at[member.host, member.port] = _Engine(self)
-        tombs = [Tomb(member.id, member.started_us, _NUMBER - 10, 0) for member in zombies]
+        tombs = [Tombstone(member.id, member.started_us, _NUMBER - 10, 0) for member in zombies]
         first = EndpointEvent(_NUMBER - 20, True, [*listed, *zombies])
         taken_back, refusing = true[:odd], true[odd : 2 * odd]
         self._refusing = [(member.host, member.port) for member in refusing]
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -622,22 +622,24 @@
 
     def test_kept_records(self) -> None:
         @usually
-        @given(made(record.Record), some.integers(0, 2**64 - 1))
-        def round_trip(given: record.Record, serial: int) -> None:
+        @given(made(record.Snapshot), some.integers(0, 2**64 - 1))
+        def round_trip(given: record.Snapshot, serial: int) -> None:
             try:
-                data = record.encoded(given, serial)
-            except record.UnusableError:
+                data = record.encode(given, serial)
+            except record.UnusableSnapshotError:
                 return
-            self.assertEqual((serial, given), record.decoded(data, given.owner))
-            with self.assertRaises(record.UnusableError):
-                record.decoded(data[:-1], given.owner)
+            self.assertEqual((serial, given), record.decode(data, given.owner))
+            with self.assertRaises(record.UnusableSnapshotError):
+                record.decode(data[:-1], given.owner)
 
         @usually
-        @given(almost(made(record.Record).map(lambda one: record.encoded(one, 7))) | some.binary(max_size=60))
+        @given(
+            almost(made(record.Snapshot).map(lambda one: record.encode(one, 7))) | some.binary(max_size=60)
+        )
         def never_fails(data: bytes) -> None:
             try:
-                record.decoded(data, "n0")
-            except record.UnusableError as trouble:
+                record.decode(data, "n0")
+            except record.UnusableSnapshotError as trouble:
                 self.assertNotIn("\n", str(trouble))
 
         round_trip()
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -19,7 +19,7 @@
 from cresstray.emulators.coordinator import ZONES
 from cresstray.emulators.world import KINDS, Gateway, Hall, World
 from cresstray.membership import snapshot as record
-from cresstray.membership.snapshot import Tariff
+from cresstray.membership.snapshot import LatencyEntry
 from cresstray.simulation.cold import SECOND, Cold, to_ninety
 from tests import test_kept_join as join
 
@@ -28,17 +28,17 @@
 # Runs a gateway whose folder can't be written to, or whose machine has started anew with a clock set back.
 LAUNCH = {
     "read-only": """
-def opened(path, flags, mode=0o777, real=files.System.open):
+def opened(path, flags, mode=0o777, real=files.FileSystem.open):
     if flags & (os.O_WRONLY | os.O_RDWR):
         raise OSError(errno.EROFS, os.strerror(errno.EROFS))
     return real(path, flags, mode)
-files.System.open = staticmethod(opened)
+files.FileSystem.open = staticmethod(opened)
 """,
     "set back": """
-def moment(real=files.moment):
+def read_clocks(real=files.read_clocks):
     now = real()
-    return now._replace(wall=now.wall - 86_400_000_000, boot="another", ticked=5_000_000)
-files.moment = moment
+    return now._replace(wall_us=now.wall_us - 86_400_000_000, boot_id="another", uptime_us=5_000_000)
+files.read_clocks = read_clocks
 """,
 }
 
@@ -71,22 +71,22 @@
     """Two gateways, two dozen engines that fall when pushed, lists of some age, a register that returns."""
 
     def started(self, age: float | None, changed: float, seconds: float, **more: object) -> dict:
-        usual = [Tariff(kind.name, 50, *[kind.work / kind.threads * 1e6] * 2, 1.0) for kind in KINDS]
+        usual = [LatencyEntry(kind.name, 50, *[kind.work / kind.threads * 1e6] * 2, 1.0) for kind in KINDS]
         left = {
-            name: record.Record(
+            name: record.Snapshot(
                 owner=name,
-                wall=0,
-                boot="",
-                ticked=0,
-                number=0,
-                handed=False,
+                wall_us=0,
+                boot_id="",
+                uptime_us=0,
+                index=0,
+                is_handed_over=False,
                 zones=list(ZONES),
-                machines=["std"],
-                engines=[],
-                tombs=[],
-                tariffs=usual,
+                instance_types=["std"],
+                endpoints=[],
+                tombstones=[],
+                latencies=usual,
                 limits=[],
-                marks=[],
+                request_names=[],
             )
             for name in ("g0", "g1")
         }
@@ -196,8 +196,8 @@
     def age(self, file: Path) -> None:
         """As before a loss of power: by another boot's clock, and not handed over."""
         name = file.parent.name.removeprefix("kept-")
-        kept = cold_start.Folder(str(file.parent), name)
-        left = kept.read().record
+        kept = cold_start.SnapshotFolder(str(file.parent), name)
+        left = kept.read().snapshot
         self.assertTrue(kept.lock())
         kept.write(cold_start.msgspec.structs.replace(left, boot="before", handed=False, marks=[]))
         kept.unlock()
@@ -218,7 +218,8 @@
         self.assertEqual((0, 0), (told.fallen, told.known_gone))
         self.assertGreater(told.peak, 0)
         with mock.patch(
-            "cresstray.membership.estimate.Beliefs._started", lambda self, member, *_: member.started_us
+            "cresstray.membership.estimate.MembershipEstimate._start_for_listing_us",
+            lambda self, member, *_: member.started_us,
         ):
             self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4).fallen, 0)
 
@@ -311,8 +312,8 @@
                 stage.gateway = first
                 await stage.served(4, 5)
                 await stage.gateway.stop()
-                found = join.Folder(str(stage.kept), "g0").read()
-                self.assertEqual((True, []), (found.record.handed, found.skipped))
+                found = join.SnapshotFolder(str(stage.kept), "g0").read()
+                self.assertEqual((True, []), (found.snapshot.is_handed_over, found.skipped_lines))
             finally:
                 if first.lives():
                     first.kill()
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -24,14 +24,14 @@
 from cresstray.membership import probe_budget as trials
 from cresstray.membership import snapshot as record
 from cresstray.membership import snapshot_files as files
-from cresstray.membership.background_writer import Behind
-from cresstray.membership.confidence import OLDEST, Moment
-from cresstray.membership.connection_probe import knock
-from cresstray.membership.estimate import Beliefs, How, Source, State
-from cresstray.membership.guard import Guard
-from cresstray.membership.reconciliation import INSISTS, LIFE, Tomb
-from cresstray.membership.recovery import Keep
-from cresstray.membership.snapshot_files import Folder, System, Writer
+from cresstray.membership.background_writer import WriteSchedule
+from cresstray.membership.confidence import UNKNOWN_AGE_US, ClockReading
+from cresstray.membership.connection_probe import probe_connection
+from cresstray.membership.estimate import ContactResult, EstimateState, EvidenceSource, MembershipEstimate
+from cresstray.membership.guard import AdmissionGuard
+from cresstray.membership.reconciliation import INDEX_SETTLE_TIME_US, TOMBSTONE_LIFETIME_US, Tombstone
+from cresstray.membership.recovery import Membership
+from cresstray.membership.snapshot_files import FileSystem, SnapshotFolder, SnapshotWriter
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.routing import Router
 from cresstray.policy.types import EndpointState, Outcome
@@ -48,27 +48,29 @@
     return Endpoint(number, "127.0.0.1", port or 1000 + number, standing, 0, 0, 0, started)
 
 
-def beliefs(*given: Endpoint, age: int = SECOND, number: int = 50, seed: int = 1, **more: object) -> Beliefs:
-    made = Beliefs(GRACE, WAIT, random.Random(seed).random, START)
-    made.remembered([(one, age) for one in given], number, [], Source.DISK, START, **more)
+def beliefs(
+    *given: Endpoint, age: int = SECOND, number: int = 50, seed: int = 1, **more: object
+) -> MembershipEstimate:
+    made = MembershipEstimate(GRACE, WAIT, random.Random(seed).random, START)
+    made.merge_remembered([(one, age) for one in given], number, [], EvidenceSource.DISK, START, **more)
     return made
 
 
-def made_record(**more: object) -> record.Record:
-    plain = record.Record(
+def made_record(**more: object) -> record.Snapshot:
+    plain = record.Snapshot(
         owner="g1",
-        wall=START,
-        boot="b1",
-        ticked=70 * SECOND,
-        number=50,
-        handed=False,
+        wall_us=START,
+        boot_id="b1",
+        uptime_us=70 * SECOND,
+        index=50,
+        is_handed_over=False,
         zones=["here", "there"],
-        machines=["std"],
-        engines=[record.engine(member(n), SECOND) for n in range(3)],
-        tombs=[Tomb(9, 5, 49, 0)],
-        tariffs=[],
+        instance_types=["std"],
+        endpoints=[record.to_entry(member(n), SECOND) for n in range(3)],
+        tombstones=[Tombstone(9, 5, 49, 0)],
+        latencies=[],
         limits=[],
-        marks=[],
+        request_names=[],
     )
     return msgspec.structs.replace(plain, **more)
 
@@ -86,29 +88,29 @@
         "gone": ("told gone",),
     }
 
-    def does(self, one: Beliefs, event: str, now: int) -> list[Endpoint]:
+    def does(self, one: MembershipEstimate, event: str, now: int) -> list[Endpoint]:
         if event == "due":
-            one.due(now)
+            one.start_due_probes(now)
             return []
         if event.startswith("told"):
             standing = {"ready": READY, "draining": DRAINING, "gone": GONE}[event[5:]]
-            one.told(EndpointEvent(one.numbers.highest + 1, False, [member(1, standing)]), now)
+            one.apply_event(EndpointEvent(one.index_tracker.highest + 1, False, [member(1, standing)]), now)
             return []
         if event == "left out":
-            one.told(EndpointEvent(one.numbers.highest + 1, True, [member(2)]), now)
+            one.apply_event(EndpointEvent(one.index_tracker.highest + 1, True, [member(2)]), now)
             return []
         if event == "older list":  # a whole one of the register, without it
-            one.told(EndpointEvent(one.numbers.highest - 1, True, [member(2)]), now)
+            one.apply_event(EndpointEvent(one.index_tracker.highest - 1, True, [member(2)]), now)
             return []
         if event == "old list":
-            one.remembered([(member(1), 9 * SECOND)], 40, [], Source.PEER, now)
+            one.merge_remembered([(member(1), 9 * SECOND)], 40, [], EvidenceSource.PEER, now)
             return []
-        return one.answered(1, How(event), now)
+        return one.on_contact(1, ContactResult(event), now)
 
-    def name(self, one: Beliefs) -> str:
-        state = one.state(1)
-        listed = state is State.ON_TRIAL and one.engines[1].listed
-        return {State.ON_TRIAL: "listed" if listed else "asked"}.get(state, state.value)
+    def name(self, one: MembershipEstimate) -> str:
+        state = one.state_of(1)
+        listed = state is EstimateState.PROBING and one.endpoints[1].is_listed
+        return {EstimateState.PROBING: "listed" if listed else "asked"}.get(state, state.value)
 
     def test_every_cell_is_as_drawn(self) -> None:
         table = tomllib.loads((STORED.parent / "conformance/kept.toml").read_text())
@@ -129,52 +131,65 @@
 
 class BeliefTest(unittest.TestCase):
     def test_an_old_list_raises_nothing_that_is_gone(self) -> None:
-        one = Beliefs(GRACE, WAIT, random.Random(1).random, START)
-        one.remembered([(member(n), SECOND) for n in (1, 2, 3)], 50, [Tomb(2, 5, 50, 0)], Source.DISK, START)
-        self.assertEqual(one.state(2), State.GONE)
-        passed = one.told(EndpointEvent(40, True, [member(1), member(2)]), START)
+        one = MembershipEstimate(GRACE, WAIT, random.Random(1).random, START)
+        one.merge_remembered(
+            [(member(n), SECOND) for n in (1, 2, 3)], 50, [Tombstone(2, 5, 50, 0)], EvidenceSource.DISK, START
+        )
+        self.assertEqual(one.state_of(2), EstimateState.REMOVED)
+        passed = one.apply_event(EndpointEvent(40, True, [member(1), member(2)]), START)
         self.assertEqual((passed.is_complete, [m.id for m in passed.endpoints]), (False, [1]))
-        self.assertEqual(one.state(3), State.REMEMBERED)  # an older list can't say that it is gone
-        one.remembered([(member(2), 0)], 50, [], Source.PEER, START)
-        self.assertEqual(one.state(2), State.GONE)
-        passed = one.told(EndpointEvent(51, False, [member(2)]), START)  # later news can
-        self.assertEqual(([m.id for m in passed.endpoints], one.state(2)), ([2], State.TOLD))
-        one.told(EndpointEvent(52, False, [member(2, GONE)]), START)
-        one.told(EndpointEvent(30, False, [member(2, started=9)]), START)  # and so can a later start
-        self.assertEqual(one.state(2), State.TOLD)
+        self.assertEqual(one.state_of(3), EstimateState.REMEMBERED)  # an older list can't say that it is gone
+        one.merge_remembered([(member(2), 0)], 50, [], EvidenceSource.PEER, START)
+        self.assertEqual(one.state_of(2), EstimateState.REMOVED)
+        passed = one.apply_event(EndpointEvent(51, False, [member(2)]), START)  # later news can
+        self.assertEqual(([m.id for m in passed.endpoints], one.state_of(2)), ([2], EstimateState.REGISTERED))
+        one.apply_event(EndpointEvent(52, False, [member(2, GONE)]), START)
+        one.apply_event(EndpointEvent(30, False, [member(2, started=9)]), START)  # and so can a later start
+        self.assertEqual(one.state_of(2), EstimateState.REGISTERED)
 
     def test_tombs_last_a_week_of_running_time_however_clocks_are_set(self) -> None:
-        one = Beliefs(GRACE, WAIT, random.Random(1).random, START)
-        one.remembered([], 50, [Tomb(1, 5, 50, LIFE - 10 * SECOND), Tomb(2, 5, 50, 0)], Source.DISK, START)
-        self.assertEqual([tomb.lived for tomb in one.tombs.kept(START - 9 * SECOND)], [LIFE - 10 * SECOND, 0])
-        self.assertEqual([tomb.id for tomb in one.tombs.kept(START + 11 * SECOND)], [2])
+        one = MembershipEstimate(GRACE, WAIT, random.Random(1).random, START)
+        one.merge_remembered(
+            [],
+            50,
+            [Tombstone(1, 5, 50, TOMBSTONE_LIFETIME_US - 10 * SECOND), Tombstone(2, 5, 50, 0)],
+            EvidenceSource.DISK,
+            START,
+        )
+        self.assertEqual(
+            [tomb.known_for_us for tomb in one.tombstones.unexpired(START - 9 * SECOND)],
+            [TOMBSTONE_LIFETIME_US - 10 * SECOND, 0],
+        )
+        self.assertEqual([tomb.id for tomb in one.tombstones.unexpired(START + 11 * SECOND)], [2])
 
     def test_a_week_old_list_with_addresses_that_moved_and_were_given_to_others(self) -> None:
         one = beliefs(member(1), member(2), member(3), age=7 * 86_400 * SECOND)
-        self.assertEqual(len(one.due(START)), 3)
-        passed = one.told(
+        self.assertEqual(len(one.start_due_probes(START)), 3)
+        passed = one.apply_event(
             EndpointEvent(60, False, [member(1, port=2000, started=7), member(8, port=1002)]), START
         )
         self.assertEqual([m.port for m in passed.endpoints], [2000, 1002])
-        self.assertEqual((one.state(1), one.state(2)), (State.TOLD, State.GONE))  # 8 has the address of 2
-        self.assertEqual(one.due(START), [])
-        self.assertEqual(one.answered(3, How.OTHER, START), [])
-        self.assertEqual(one.state(3), State.GONE)
-        self.assertEqual([m.id for m, _ in one.kept(START)], [1, 8])
+        self.assertEqual(
+            (one.state_of(1), one.state_of(2)), (EstimateState.REGISTERED, EstimateState.REMOVED)
+        )  # 8 has the address of 2
+        self.assertEqual(one.start_due_probes(START), [])
+        self.assertEqual(one.on_contact(3, ContactResult.WRONG_IDENTITY, START), [])
+        self.assertEqual(one.state_of(3), EstimateState.REMOVED)
+        self.assertEqual([m.id for m, _ in one.evidence_ages(START)], [1, 8])
 
     def test_a_register_that_knows_nothing_of_a_restart_makes_no_engine_warm(self) -> None:
         one = beliefs(member(1, started=7), member(2, started=7), member(3, started=7), number=50)
-        one.due(START)
-        one.answered(1, How.LISTENS, START + 1)
-        one.answered(2, How.REFUSED, START + 1)
+        one.start_due_probes(START)
+        one.on_contact(1, ContactResult.LISTENING, START + 1)
+        one.on_contact(2, ContactResult.REFUSED, START + 1)
         # Behind, the same again, and news of somebody else: none of them has heard of a restart.
         for number in (40, 50, 51):
-            told = one.told(
+            told = one.apply_event(
                 EndpointEvent(number, True, [member(n, started=7) for n in (1, 2, 3)]), START + number
             )
             self.assertEqual([m.started_us for m in told.endpoints], [START + 1, START + 40, START + 40])
         # A later start counts, and an engine of which the register speaks first is as it says.
-        told = one.told(
+        told = one.apply_event(
             EndpointEvent(52, True, [member(1, started=START + 60), member(4, started=7)]), START + 70
         )
         self.assertEqual([m.started_us for m in told.endpoints], [START + 60, 7])
@@ -183,121 +198,135 @@
     def test_two_that_have_changed_places(self) -> None:
         one = beliefs(member(1, port=7), member(2, port=8))
         moved = [member(1, port=8, started=9), member(2, port=7, started=9)]
-        passed = one.told(EndpointEvent(60, False, moved), START)
+        passed = one.apply_event(EndpointEvent(60, False, moved), START)
         self.assertEqual([(m.id, m.port) for m in passed.endpoints], [(1, 8), (2, 7)])
-        self.assertEqual((one.standings().told, len(one.tombs)), (2, 0))
+        self.assertEqual((one.counts().registered, len(one.tombstones)), (2, 0))
 
     def test_two_of_one_address_on_disk_the_younger_word_counts(self) -> None:
-        one = Beliefs(GRACE, WAIT, random.Random(1).random, START)
-        one.remembered([(member(1, port=7), 9), (member(2, port=7), 3)], 5, [], Source.DISK, START)
-        self.assertEqual(list(one.engines), [2])
+        one = MembershipEstimate(GRACE, WAIT, random.Random(1).random, START)
+        one.merge_remembered(
+            [(member(1, port=7), 9), (member(2, port=7), 3)], 5, [], EvidenceSource.DISK, START
+        )
+        self.assertEqual(list(one.endpoints), [2])
 
     def test_a_listed_engine_is_cold_and_one_whose_address_was_taken_is_taken_off(self) -> None:
         one = beliefs(member(1), member(2))
-        one.due(START)
-        self.assertEqual(one.answered(1, How.LISTENS, START + 7)[0].started_us, START + 7)
-        passed = one.told(EndpointEvent(60, False, [member(8, port=1001)]), START)
+        one.start_due_probes(START)
+        self.assertEqual(one.on_contact(1, ContactResult.LISTENING, START + 7)[0].started_us, START + 7)
+        passed = one.apply_event(EndpointEvent(60, False, [member(8, port=1001)]), START)
         self.assertEqual([(m.id, m.state) for m in passed.endpoints], [(1, GONE), (8, READY)])
 
     def test_a_drain_on_disk_is_no_news_and_its_engine_waits_a_grace(self) -> None:
         one = beliefs(member(1, DRAINING))
-        self.assertEqual((one.due(START), one.grace_left(1, START)), ([], 0))
-        self.assertEqual(len(one.due(START + GRACE)), 1)
-        listed = one.answered(1, How.LISTENS, START + GRACE)[0]
+        self.assertEqual((one.start_due_probes(START), one.drain_grace_left_us(1, START)), ([], 0))
+        self.assertEqual(len(one.start_due_probes(START + GRACE)), 1)
+        listed = one.on_contact(1, ContactResult.LISTENING, START + GRACE)[0]
         self.assertEqual((listed.state, listed.started_us), (READY, START + GRACE))
         fresh = beliefs(member(1, DRAINING))
-        fresh.told(EndpointEvent(51, False, [member(1, READY, started=99)]), START)  # restarted since
-        self.assertEqual(fresh.engines[1].member.started_us, 99)
-        fresh.told(EndpointEvent(40, True, [member(1, DRAINING)]), START)  # the old drain, by an older list
-        self.assertEqual(fresh.engines[1].member.state, READY)
+        fresh.apply_event(EndpointEvent(51, False, [member(1, READY, started=99)]), START)  # restarted since
+        self.assertEqual(fresh.endpoints[1].endpoint.started_us, 99)
+        fresh.apply_event(
+            EndpointEvent(40, True, [member(1, DRAINING)]), START
+        )  # the old drain, by an older list
+        self.assertEqual(fresh.endpoints[1].endpoint.state, READY)
 
     def test_the_grace_counts_from_being_told_once(self) -> None:
         one = beliefs(member(1))
-        one.told(EndpointEvent(51, False, [member(1, DRAINING)]), START)
-        one.told(EndpointEvent(52, True, [member(1, DRAINING)]), START + 4 * SECOND)
-        self.assertEqual(one.grace_left(1, START + 4 * SECOND), GRACE - 4 * SECOND)
+        one.apply_event(EndpointEvent(51, False, [member(1, DRAINING)]), START)
+        one.apply_event(EndpointEvent(52, True, [member(1, DRAINING)]), START + 4 * SECOND)
+        self.assertEqual(one.drain_grace_left_us(1, START + 4 * SECOND), GRACE - 4 * SECOND)
 
     def test_a_register_that_stands_by_smaller_numbers_is_believed_in_the_end(self) -> None:
         one = beliefs(member(1), member(2), number=5000)
-        one.due(START)
-        one.answered(2, How.LISTENS, START)
-        one.told(EndpointEvent(12, True, [member(1)]), START)
-        for passed in range(0, INSISTS, SECOND):
-            one.alive(START + passed)
-            self.assertIsNone(one.settle(START + passed))
-        one.alive(START + INSISTS)
-        self.assertEqual([(m.id, m.state) for m in one.settle(START + INSISTS).endpoints], [(2, GONE)])
-        one.told(EndpointEvent(13, False, [member(2)]), START + INSISTS)  # its next word counts
-        self.assertEqual((one.state(2), one.numbers.highest), (State.TOLD, 13))
+        one.start_due_probes(START)
+        one.on_contact(2, ContactResult.LISTENING, START)
+        one.apply_event(EndpointEvent(12, True, [member(1)]), START)
+        for passed in range(0, INDEX_SETTLE_TIME_US, SECOND):
+            one.on_watch_frame(START + passed)
+            self.assertIsNone(one.settle_index(START + passed))
+        one.on_watch_frame(START + INDEX_SETTLE_TIME_US)
+        self.assertEqual(
+            [(m.id, m.state) for m in one.settle_index(START + INDEX_SETTLE_TIME_US).endpoints], [(2, GONE)]
+        )
+        one.apply_event(
+            EndpointEvent(13, False, [member(2)]), START + INDEX_SETTLE_TIME_US
+        )  # its next word counts
+        self.assertEqual((one.state_of(2), one.index_tracker.highest), (EstimateState.REGISTERED, 13))
 
     def test_a_list_from_the_start_alone_never_settles(self) -> None:
         one = beliefs(member(1), member(2), number=5000)
-        one.told(EndpointEvent(12, True, [member(1)]), START)
-        for passed in range(0, 3 * INSISTS, SECOND):
-            self.assertIsNone(one.settle(START + passed))
-        self.assertEqual(one.state(2), State.REMEMBERED)
+        one.apply_event(EndpointEvent(12, True, [member(1)]), START)
+        for passed in range(0, 3 * INDEX_SETTLE_TIME_US, SECOND):
+            self.assertIsNone(one.settle_index(START + passed))
+        self.assertEqual(one.state_of(2), EstimateState.REMEMBERED)
 
     def test_the_register_returns_breaks_and_returns(self) -> None:
         one = beliefs(member(1), member(2), member(3))
-        one.due(START)
+        one.start_due_probes(START)
         for number in (1, 2):
-            one.answered(number, How.LISTENS, START)
-            one.answered(number, How.SERVED, START)
-        first = one.told(EndpointEvent(51, True, [member(2), member(3)]), START)
+            one.on_contact(number, ContactResult.LISTENING, START)
+            one.on_contact(number, ContactResult.SERVED, START)
+        first = one.apply_event(EndpointEvent(51, True, [member(2), member(3)]), START)
         self.assertEqual(
-            (first.is_complete, one.state(1)), (True, State.GONE)
+            (first.is_complete, one.state_of(1)), (True, EstimateState.REMOVED)
         )  # it answers well, and is gone
-        for how in How:
-            self.assertEqual(one.answered(1, how, START) + one.answered(3, how, START), [])
-        self.assertEqual(one.state(3), State.TOLD)  # it refuses, and is ready: the module's doubt has it
-        again = one.told(EndpointEvent(52, True, [member(2), member(3)]), START + 9 * SECOND)
-        self.assertEqual((again.is_complete, one.standings().told), (True, 2))
+        for how in ContactResult:
+            self.assertEqual(one.on_contact(1, how, START) + one.on_contact(3, how, START), [])
+        self.assertEqual(
+            one.state_of(3), EstimateState.REGISTERED
+        )  # it refuses, and is ready: the module's doubt has it
+        again = one.apply_event(EndpointEvent(52, True, [member(2), member(3)]), START + 9 * SECOND)
+        self.assertEqual((again.is_complete, one.counts().registered), (True, 2))
 
     def test_writing_again_makes_nothing_younger(self) -> None:
         one = beliefs(member(1), age=3600 * SECOND)
-        self.assertEqual(one.kept(START + SECOND)[0][1], 3601 * SECOND)
-        one.told(EndpointEvent(51, False, [member(1)]), START)
-        one.alive(START + 50 * SECOND)
-        self.assertEqual(one.kept(START + 60 * SECOND)[0][1], 10 * SECOND)
+        self.assertEqual(one.evidence_ages(START + SECOND)[0][1], 3601 * SECOND)
+        one.apply_event(EndpointEvent(51, False, [member(1)]), START)
+        one.on_watch_frame(START + 50 * SECOND)
+        self.assertEqual(one.evidence_ages(START + 60 * SECOND)[0][1], 10 * SECOND)
 
     def test_trials_start_few_for_old_lists_grow_when_they_go_well_and_fall_when_not(self) -> None:
         many = [member(n) for n in range(1, 501)]
-        fresh, old = beliefs(*many), beliefs(*many, age=OLDEST)
-        self.assertEqual((len(fresh.due(START)), len(old.due(START))), (64, 8))
+        fresh, old = beliefs(*many), beliefs(*many, age=UNKNOWN_AGE_US)
+        self.assertEqual((len(fresh.start_due_probes(START)), len(old.start_due_probes(START))), (64, 8))
         rounds = 0
-        while old.standings().waiting and rounds < 50:
-            for engine in list(old.window.out):
-                old.answered(engine, How.LISTENS, START)
-            old.due(START)
+        while old.counts().unlisted and rounds < 50:
+            for engine in list(old.probe_budget.in_flight):
+                old.on_contact(engine, ContactResult.LISTENING, START)
+            old.start_due_probes(START)
             rounds += 1
-        self.assertEqual((old.standings().on_trial, rounds < 15), (500, True))
+        self.assertEqual((old.counts().listed_probing, rounds < 15), (500, True))
         half, rounds = beliefs(*many, age=7 * 86_400 * SECOND), 0
-        while half.standings().on_trial < 250:
-            for engine in [m.id for m in half.due(START)]:
-                half.answered(engine, How.LISTENS if engine % 2 else How.REFUSED, START)
+        while half.counts().listed_probing < 250:
+            for engine in [m.id for m in half.start_due_probes(START)]:
+                half.on_contact(
+                    engine, ContactResult.LISTENING if engine % 2 else ContactResult.REFUSED, START
+                )
             rounds += 1
         self.assertLess(rounds, 20)
         failing = beliefs(*many)
         for now in range(START, START + 8):
-            for engine in [m.id for m in failing.due(now)]:
-                failing.answered(engine, How.REFUSED, now)
-        self.assertEqual(failing.window.size, 8)
-        orders = {tuple(m.id for m in beliefs(*many, seed=seed).due(START)) for seed in range(20)}
+            for engine in [m.id for m in failing.start_due_probes(now)]:
+                failing.on_contact(engine, ContactResult.REFUSED, now)
+        self.assertEqual(failing.probe_budget.size, 8)
+        orders = {
+            tuple(m.id for m in beliefs(*many, seed=seed).start_due_probes(START)) for seed in range(20)
+        }
         self.assertEqual(len(orders), 20)
 
     def test_a_failed_trial_comes_again_later_each_time(self) -> None:
-        pauses = [trials.again(failed, lambda: 1.0) for failed in range(1, 12)]
+        pauses = [trials.retry_delay_us(failed, lambda: 1.0) for failed in range(1, 12)]
         self.assertEqual(pauses[:3], [SECOND // 2, SECOND, 2 * SECOND])
         self.assertEqual(max(pauses), 30 * SECOND)
         one = beliefs(member(1))
-        one.due(START)
-        self.assertEqual(one.due(START + 6 * SECOND), [])  # nobody answered: lost, and put off
-        self.assertEqual(one.state(1), State.CONTRADICTED)
+        one.start_due_probes(START)
+        self.assertEqual(one.start_due_probes(START + 6 * SECOND), [])  # nobody answered: lost, and put off
+        self.assertEqual(one.state_of(1), EstimateState.UNREACHABLE)
 
     def test_work_is_refused_rather_than_guessed_and_comes_back_spread(self) -> None:
         none = beliefs()
-        self.assertIsNone(none.refuses(True, START))
-        waits = [none.refuses(True, START + SECOND) for _ in range(1000)]
+        self.assertIsNone(none.retry_after_us(True, START))
+        waits = [none.retry_after_us(True, START + SECOND) for _ in range(1000)]
         self.assertTrue(WAIT / 4 <= min(waits) < 0.3 * WAIT and 0.95 * WAIT < max(waits) <= WAIT)
         tenths = [
             sum(WAIT * (0.25 + n * 0.075) <= wait < WAIT * (0.325 + n * 0.075) for wait in waits)
@@ -305,22 +334,22 @@
         ]
         self.assertTrue(60 < min(tenths) and max(tenths) < 140, tenths)
         one = beliefs(member(1))
-        one.due(START)
-        one.answered(1, How.LISTENS, START)
-        self.assertIsNone(one.refuses(True, START + SECOND))
-        self.assertIsNotNone(one.refuses(False, START + SECOND))
-        one.answered(1, How.SERVED, START)
-        self.assertIsNone(one.refuses(False, START + SECOND))
+        one.start_due_probes(START)
+        one.on_contact(1, ContactResult.LISTENING, START)
+        self.assertIsNone(one.retry_after_us(True, START + SECOND))
+        self.assertIsNotNone(one.retry_after_us(False, START + SECOND))
+        one.on_contact(1, ContactResult.SERVED, START)
+        self.assertIsNone(one.retry_after_us(False, START + SECOND))
 
     def test_whatever_comes_the_module_lists_what_is_believed(self) -> None:
         for seed in range(400):
             chance = random.Random(seed)
-            one, listed, now = Beliefs(GRACE, WAIT, chance.random, START), {}, START
+            one, listed, now = MembershipEstimate(GRACE, WAIT, chance.random, START), {}, START
             started = [5] * 5
             for _ in range(40):
                 now += chance.randrange(2 * SECOND)
                 engine, number = chance.randrange(5), chance.randrange(12)
-                tombs = one.tombs.kept(now)
+                tombs = one.tombstones.unexpired(now)
                 started[engine] += chance.random() < 0.1
                 some = [
                     member(
@@ -332,66 +361,78 @@
                     for n in range(5)
                     if chance.random() < 0.5
                 ]
-                act, highest = chance.randrange(6), one.numbers.highest
+                act, highest = chance.randrange(6), one.index_tracker.highest
                 if act == 0:
                     some = [(m, chance.randrange(9 * SECOND)) for m in some]
-                    one.remembered(some, number, [], chance.choice((Source.DISK, Source.PEER)), now)
+                    one.merge_remembered(
+                        some, number, [], chance.choice((EvidenceSource.DISK, EvidenceSource.PEER)), now
+                    )
                     out = EndpointEvent(0, False, [])
                 elif act == 1:
                     event = EndpointEvent(number, chance.random() < 0.5, some)
-                    out = one.told(event, now)
+                    out = one.apply_event(event, now)
                     self.assertFalse(out.is_complete and event.index < highest)
                 elif act == 2:
-                    one.due(now)
+                    one.start_due_probes(now)
                     out = EndpointEvent(0, False, [])
                 else:
-                    out = EndpointEvent(0, False, one.answered(engine, chance.choice(list(How)), now))
+                    out = EndpointEvent(
+                        0, False, one.on_contact(engine, chance.choice(list(ContactResult)), now)
+                    )
                 if out.is_complete:
                     listed = {}
                 for m in out.endpoints:
                     listed[m.id] = m.state
                 listed = {n: standing for n, standing in listed.items() if standing is not GONE}
                 believed = {
-                    n: belief.member.state if belief.state is State.TOLD else READY
-                    for n, belief in one.engines.items()
-                    if belief.listed
+                    n: belief.endpoint.state if belief.state is EstimateState.REGISTERED else READY
+                    for n, belief in one.endpoints.items()
+                    if belief.is_listed
                 }
                 self.assertEqual(listed, believed, seed)
                 # Only later news raises the dead.
                 self.assertTrue(
                     all(
-                        number > tomb.number or one.engines[tomb.id].member.started_us > tomb.started
+                        number > tomb.index or one.endpoints[tomb.id].endpoint.started_us > tomb.started_us
                         for tomb in tombs
-                        if tomb.id in one.engines
+                        if tomb.id in one.endpoints
                     ),
                     seed,
                 )
-                self.assertFalse([n for n in one.engines if n in one.tombs], seed)
-                self.assertEqual(one.standings(), one._count(), seed)
-                self.assertTrue(all(n in one.engines for n in one._at.values()), seed)
+                self.assertFalse([n for n in one.endpoints if n in one.tombstones], seed)
+                self.assertEqual(one.counts(), one._count_states(), seed)
+                self.assertTrue(all(n in one.endpoints for n in one._id_by_address.values()), seed)
 
 
 class AgeTest(unittest.TestCase):
     def test_ages_by_the_wall_clock_are_hints_and_unknown_is_oldest(self) -> None:
-        then = Moment(START, "b1", 100 * SECOND)
+        then = ClockReading(START, "b1", 100 * SECOND)
         day = 86_400 * SECOND
-        self.assertEqual(fade.age(then, Moment(START - day, "b1", 110 * SECOND)), 10 * SECOND)
-        self.assertEqual(fade.age(then, Moment(START + 60 * SECOND, "b2", SECOND)), 60 * SECOND)
-        self.assertEqual(fade.age(then, Moment(START - day, "b2", SECOND)), OLDEST)
-        self.assertEqual(fade.age(then, Moment(START, "b1", 99 * SECOND)), OLDEST)
-        self.assertEqual(fade.age(then, Moment(START + 99 * day, "", SECOND)), OLDEST)
+        self.assertEqual(fade.age_us(then, ClockReading(START - day, "b1", 110 * SECOND)), 10 * SECOND)
+        self.assertEqual(fade.age_us(then, ClockReading(START + 60 * SECOND, "b2", SECOND)), 60 * SECOND)
+        self.assertEqual(fade.age_us(then, ClockReading(START - day, "b2", SECOND)), UNKNOWN_AGE_US)
+        self.assertEqual(fade.age_us(then, ClockReading(START, "b1", 99 * SECOND)), UNKNOWN_AGE_US)
+        self.assertEqual(fade.age_us(then, ClockReading(START + 99 * day, "", SECOND)), UNKNOWN_AGE_US)
 
     def test_what_was_kept_fades_to_the_usual(self) -> None:
-        self.assertEqual([fade.faded(3.0, 1.0, age, fade.PACE) for age in (0, fade.PACE, OLDEST)], [3, 2, 1])
-        self.assertAlmostEqual(fade.faded_ratio(0.25, fade.LIMIT, fade.LIMIT), 0.5)
-        self.assertAlmostEqual(fade.faded_ratio(0.25, OLDEST, fade.LIMIT), 1.0)
+        self.assertEqual(
+            [
+                fade.decayed(3.0, 1.0, age, fade.SLOWDOWN_HALF_LIFE_US)
+                for age in (0, fade.SLOWDOWN_HALF_LIFE_US, UNKNOWN_AGE_US)
+            ],
+            [3, 2, 1],
+        )
+        self.assertAlmostEqual(
+            fade.decayed_ratio(0.25, fade.LIMIT_HALF_LIFE_US, fade.LIMIT_HALF_LIFE_US), 0.5
+        )
+        self.assertAlmostEqual(fade.decayed_ratio(0.25, UNKNOWN_AGE_US, fade.LIMIT_HALF_LIFE_US), 1.0)
 
 
 class Killed(BaseException):
     pass
 
 
-class Disk(System):
+class Disk(FileSystem):
     """A disk in memory, that loses what was not synced, and a process that is killed at its nth call."""
 
     def __init__(self, names: dict[str, bytes], kill_at: int = -1, after: bool = False) -> None:
@@ -467,7 +508,7 @@
     def lock(self, descriptor: int) -> None:
         self.call("lock")
 
-    def regular(self, descriptor: int) -> bool:
+    def is_regular_file(self, descriptor: int) -> bool:
         return True
 
     def crashed(self) -> list[dict[str, bytes]]:
@@ -484,8 +525,8 @@
 
 
 class FilesTest(unittest.TestCase):
-    def folder(self, disk: Disk) -> Folder:
-        folder = Folder("/kept", "g1", disk)
+    def folder(self, disk: Disk) -> SnapshotFolder:
+        folder = SnapshotFolder("/kept", "g1", disk)
         self.assertTrue(folder.lock())
         return folder
 
@@ -493,7 +534,7 @@
         disk = Disk({})
         folder = self.folder(disk)
         for number in numbers:
-            folder.write(made_record(number=number))
+            folder.write(made_record(index=number))
         return {name: bytes(data) for name, data in disk.now.items()}
 
     def killed(self, kill: int, after: bool, syncs: bool = True) -> tuple[Disk, int]:
@@ -504,7 +545,7 @@
         try:
             folder = self.folder(disk)
             for number in (1, 2, 3):
-                folder.write(made_record(number=number))
+                folder.write(made_record(index=number))
                 done = number
         except Killed:
             pass
@@ -515,13 +556,13 @@
         process = {name: bytes(data) for name, data in disk.now.items()}
         for state in [process, *disk.crashed()]:
             again = Disk(state)
-            found = Folder("/kept", "g1", again).read().record
-            number = found.number if found else 0
-            if number not in (done, done + 1) or found not in (None, made_record(number=number)):
+            found = SnapshotFolder("/kept", "g1", again).read().snapshot
+            number = found.index if found else 0
+            if number not in (done, done + 1) or found not in (None, made_record(index=number)):
                 return True
             # And the next write takes, whatever was left there.
-            self.folder(again).write(made_record(number=9))
-            self.assertEqual(Folder("/kept", "g1", again).read().record.number, 9)
+            self.folder(again).write(made_record(index=9))
+            self.assertEqual(SnapshotFolder("/kept", "g1", again).read().snapshot.index, 9)
         return False
 
     def test_killed_at_each_call_the_old_or_the_new_state_is_there_whole(self) -> None:
@@ -545,18 +586,20 @@
             folder = self.folder(disk)
             disk.fails[call] = number
             with self.assertRaises(OSError):
-                folder.write(made_record(number=3))
+                folder.write(made_record(index=3))
             disk.fails.clear()
-            self.assertEqual(Folder("/kept", "g1", disk).read().record.number, 2, call)
-            folder.write(made_record(number=4))
-            self.assertEqual(Folder("/kept", "g1", disk).read().record.number, 4, call)
+            self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 2, call)
+            folder.write(made_record(index=4))
+            self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 4, call)
         disk = Disk({})
         disk.fails["look"] = errno.EIO
-        self.assertEqual(len(Folder("/kept", "g1", disk).read().skipped), 2)
+        self.assertEqual(len(SnapshotFolder("/kept", "g1", disk).read().skipped_lines), 2)
 
     def test_any_damage_is_told_and_the_other_generation_taken(self) -> None:
         before, chance = self.written(range(1, 3)), random.Random(3)
-        newest = next(name for name in files.NAMES if record.decoded(before[name], "g1")[1].number == 2)
+        newest = next(
+            name for name in files.SNAPSHOT_FILE_NAMES if record.decode(before[name], "g1")[1].index == 2
+        )
         whole = before[newest]
         bad = [whole[:cut] for cut in range(len(whole))]
         for at in range(len(whole)):
@@ -564,19 +607,19 @@
             broken[at] ^= 1 << chance.randrange(8)
             bad.append(bytes(broken))
         for data in (*bad, whole + b"x", chance.randbytes(500), whole * 2):
-            found = Folder("/kept", "g1", Disk({**before, newest: data})).read()
-            self.assertEqual((found.record.number, len(found.skipped)), (1, 1))
-            self.assertNotIn("\n", found.skipped[0])
+            found = SnapshotFolder("/kept", "g1", Disk({**before, newest: data})).read()
+            self.assertEqual((found.snapshot.index, len(found.skipped_lines)), (1, 1))
+            self.assertNotIn("\n", found.skipped_lines[0])
 
     def test_stored_files_of_earlier_and_other_versions(self) -> None:
         """Stored once and never made anew: what lies on disks must stay readable."""
-        serial, first = record.decoded((STORED / "first.kept").read_bytes(), "g1")
+        serial, first = record.decode((STORED / "first.kept").read_bytes(), "g1")
         self.assertEqual(
-            (serial, first.number, [e.id for e in first.engines], first.engines[1].draining),
+            (serial, first.index, [e.id for e in first.endpoints], first.endpoints[1].is_draining),
             (41, 50, [1, 2, 3], True),
         )
-        self.assertEqual((first.tombs, first.handed, first.boot), ([], False, ""))
-        self.assertEqual(record.decoded(record.encoded(first, 42), "g1"), (42, first))
+        self.assertEqual((first.tombstones, first.is_handed_over, first.boot_id), ([], False, ""))
+        self.assertEqual(record.decode(record.encode(first, 42), "g1"), (42, first))
         for name, word in (
             ("half.kept", "no body of format 2"),
             ("future.kept", "of format 3"),
@@ -585,59 +628,59 @@
             ("other.kept", "kept by 'g2'"),
             ("port.kept", "no body of format 2"),
         ):
-            with self.assertRaisesRegex(record.UnusableError, word):
-                record.decoded((STORED / name).read_bytes(), "g1")
-        second = record.decoded((STORED / "second.kept").read_bytes(), "g1")
+            with self.assertRaisesRegex(record.UnusableSnapshotError, word):
+                record.decode((STORED / name).read_bytes(), "g1")
+        second = record.decode((STORED / "second.kept").read_bytes(), "g1")
         self.assertEqual(second, (7, made_record()))
 
     def test_a_later_builds_file_does_not_come_back_as_the_newest(self) -> None:
-        later = bytearray(record.encoded(made_record(number=77), 900))
+        later = bytearray(record.encode(made_record(index=77), 900))
         later[9] = 3
         disk = Disk({"engines.a": bytes(later), "engines.b": bytes(later)})
-        self.folder(disk).write(made_record(number=78))
+        self.folder(disk).write(made_record(index=78))
         later[9] = 2
         disk.now["engines.b"][:] = later
-        self.assertEqual(Folder("/kept", "g1", disk).read().record.number, 78)
+        self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 78)
 
     def test_another_gateways_files_are_not_written_over(self) -> None:
         disk = Disk(self.written(range(1, 3)))
-        folder = Folder("/kept", "g2", disk)
-        self.assertEqual((folder.lock(), folder.read().record), (True, None))
+        folder = SnapshotFolder("/kept", "g2", disk)
+        self.assertEqual((folder.lock(), folder.read().snapshot), (True, None))
         self.assertRaisesRegex(OSError, "another gateway", folder.write, made_record(owner="g2"))
-        self.assertEqual(Folder("/kept", "g1", disk).read().record.number, 2)
+        self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 2)
 
     def test_what_could_not_be_read_again_is_not_written(self) -> None:
         disk = Disk(self.written(range(1, 3)))
-        bad = made_record(limits=[record.Limit(1, 5, float("inf"), 1.0)])
-        self.assertRaises(record.UnusableError, self.folder(disk).write, bad)
-        self.assertEqual(Folder("/kept", "g1", disk).read().record.number, 2)
+        bad = made_record(limits=[record.LimitEntry(1, 5, float("inf"), 1.0)])
+        self.assertRaises(record.UnusableSnapshotError, self.folder(disk).write, bad)
+        self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 2)
         odd = [member(1), member(2, port=70_000), Endpoint(3, "h", 9, READY, 0, 0, 99_999, 5)]
-        self.assertEqual([record.fits(one) for one in odd], [True, False, False])
+        self.assertEqual([record.can_store(one) for one in odd], [True, False, False])
 
     def test_never_kept(self) -> None:
         told = {
             name
-            for kind in (record.Record, record.Engine, record.Limit, record.Tariff)
-            for name in kind.__struct_fields__
+            for kind in (record.Snapshot, record.EndpointEntry, record.LimitEntry, record.LatencyEntry)
+            for name in (*kind.__struct_fields__, *kind.__struct_encode_fields__)
         }
-        self.assertFalse(
-            told & {"permits", "out", "threads", "doubted", "mute", "drained", "full_until", "cold"}
-        )
+        never = {"permits", "out", "threads", "doubted", "mute", "drained", "full_until", "cold"}
+        never |= {"in_flight", "is_suspected", "is_unresponsive", "drain_began_us", "overloaded_until_us"}
+        self.assertFalse(told & never)
 
     def test_places_are_named(self) -> None:
         kept = made_record(
             zones=["a", "b"],
-            machines=["small", "big"],
-            engines=[record.engine(Endpoint(n, "h", 1, READY, n % 2, n % 2, 0, 0), 0) for n in range(2)],
+            instance_types=["small", "big"],
+            endpoints=[record.to_entry(Endpoint(n, "h", 1, READY, n % 2, n % 2, 0, 0), 0) for n in range(2)],
         )
-        moved = record.members(kept, ["b", "c"], ["big"])
+        moved = record.to_endpoints(kept, ["b", "c"], ["big"])
         self.assertEqual([(m.id, m.zone, m.instance_type) for m, _ in moved], [(1, 0, 0)])
 
     def test_two_processes_on_one_folder(self) -> None:
         with tempfile.TemporaryDirectory() as path:
             program = (
-                "import sys; from cresstray.membership.snapshot_files import Folder; "
-                "f = Folder(sys.argv[1], 'g1'); "
+                "import sys; from cresstray.membership.snapshot_files import SnapshotFolder; "
+                "f = SnapshotFolder(sys.argv[1], 'g1'); "
                 "print(f.lock(), flush=True); sys.stdin.read()"
             )
             with subprocess.Popen(
@@ -647,46 +690,46 @@
                 text=True,
             ) as other:
                 self.assertEqual(other.stdout.readline(), "True\n")
-                folder = Folder(path, "g1")
+                folder = SnapshotFolder(path, "g1")
                 self.assertFalse(folder.lock())
                 self.assertRaises(OSError, folder.write, made_record())
-                self.assertEqual(folder.read().skipped, [])
+                self.assertEqual(folder.read().skipped_lines, [])
                 other.stdin.close()
                 other.wait(10)
             self.assertTrue(folder.lock())
             self.assertGreater(folder.write(made_record()), 100)
             os.unlink(f"{path}/engines.a")
             os.mkfifo(f"{path}/engines.a")
-            self.assertEqual(len(Folder(path, "g1").read().skipped), 1)
+            self.assertEqual(len(SnapshotFolder(path, "g1").read().skipped_lines), 1)
 
 
 class BehindTest(unittest.TestCase):
     def test_writes_are_coalesced_and_a_slow_disk_is_left_alone(self) -> None:
-        one, writes = Behind(lambda: 1.0, START), 0
+        one, writes = WriteSchedule(lambda: 1.0, START), 0
         for now in range(START, START + 60 * SECOND, SECOND // 10):
-            one.changed(now)
-            if one.wants(now):
-                one.began(now)
-                one.ended(True, 2_000, now)
+            one.on_change(now)
+            if one.is_due(now):
+                one.on_write_started(now)
+                one.on_write_finished(True, 2_000, now)
                 writes += 1
         self.assertTrue(25 <= writes <= 30, writes)
-        one.changed(now)
+        one.on_change(now)
         now += 3 * SECOND
-        one.began(now)
-        self.assertFalse(one.wants(now + 99 * SECOND))
-        one.ended(True, 5 * SECOND, now + 5 * SECOND)
-        self.assertFalse(one.wants(now + 250 * SECOND))
-        self.assertTrue(one.wants(now + 256 * SECOND))
+        one.on_write_started(now)
+        self.assertFalse(one.is_due(now + 99 * SECOND))
+        one.on_write_finished(True, 5 * SECOND, now + 5 * SECOND)
+        self.assertFalse(one.is_due(now + 250 * SECOND))
+        self.assertTrue(one.is_due(now + 256 * SECOND))
 
     def test_a_disk_that_refuses_is_tried_again_ever_later(self) -> None:
-        one, now, tries = Behind(lambda: 1.0, START), START, []
-        one.changed(now)
+        one, now, tries = WriteSchedule(lambda: 1.0, START), START, []
+        one.on_change(now)
         while now < START + 3600 * SECOND:
             now += SECOND
-            if one.wants(now):
+            if one.is_due(now):
                 tries.append(now)
-                one.began(now)
-                one.ended(False, 0, now)
+                one.on_write_started(now)
+                one.on_write_finished(False, 0, now)
         gaps = [later - sooner for sooner, later in zip(tries, tries[1:])]
         self.assertEqual((gaps[0], gaps[-1]), (5 * SECOND, 300 * SECOND))
 
@@ -708,10 +751,10 @@
         for number, service in enumerate(self.given["Services"]):
             service["Name"] = f"t{number}"
         super().__init__(self.given, engines=0, seed=seed)
-        self.at, self.counters, self.said = Moment(wall, boot, ticked), Counters(), []
+        self.at, self.counters, self.said = ClockReading(wall, boot, ticked), Counters(), []
         self.route = Router(lambda label, address: Unlinked(address), None)
-        self.writer = Writer(Folder(path, owner))
-        self.keep = Keep(
+        self.writer = SnapshotWriter(SnapshotFolder(path, owner))
+        self.keep = Membership(
             self.writer,
             self.given,
             self.gateway,
@@ -721,20 +764,20 @@
             lambda: self.at,
             self.now,
         )
-        self.keep.begin(self.now)
+        self.keep.recover(self.now)
 
     def send_attempt(self, attempt: object, patience: int) -> None:
         self.sent = getattr(self, "sent", [])
         self.sent.append((self.now, attempt))
 
     def tell(self, event: EndpointEvent) -> None:
-        passed = self.keep.told(event, self.now)
+        passed = self.keep.on_endpoint_event(event, self.now)
         self.give(passed)
 
     def give(self, event: EndpointEvent) -> None:
         self.gateway.on_endpoints_updated(self.route.apply_event(event), event.is_complete, self.now)
         self.route.cancel_unsent(event)
-        self.keep.listed(event, self.route._engines, self.now)
+        self.keep.on_endpoints_listed(event, self.route._engines, self.now)
 
     def step(self) -> None:
         event = self.keep.step(self.now)
@@ -773,11 +816,11 @@
         again = Fleet(self.path)
         again.sent = []
         again.gateway.rules["WarmUp"] = 0
-        again.gateway.admission_rules = Guard(again.keep, again.gateway)
+        again.gateway.admission_rules = AdmissionGuard(again.keep, again.gateway)
         once = again.submit("once", left=20_000)
         once.request_class = dataclasses.replace(once.request_class, is_idempotent=False)
-        for one in again.keep.beliefs.due(again.now):
-            again.keep._answered(one.id, How.LISTENS, again.now)
+        for one in again.keep.estimate.start_due_probes(again.now):
+            again.keep._on_contact(one.id, ContactResult.LISTENING, again.now)
         again.step()
         self.assertEqual((again.sent, len(again.gateway.ready_engines)), ([], 2))
 
@@ -792,22 +835,22 @@
             (again.gateway.request_classes[0].latency.sample_count, list(again.gateway.ready_engines)),
             (149, []),
         )
-        asked = {m.id for m in again.keep.beliefs.due(again.now)}
+        asked = {m.id for m in again.keep.estimate.start_due_probes(again.now)}
         self.assertEqual(asked, {1, 2})  # the one that drained waits
         for number in (1, 2):
-            again.keep._answered(number, How.LISTENS, again.now)
+            again.keep._on_contact(number, ContactResult.LISTENING, again.now)
         again.step()
         one, two = again.engine(1).limiter, again.engine(2).limiter
         self.assertTrue(one.cold and two.cold)
         self.assertTrue(0.5 < one.limit / one.start < 0.6, one.limit)
         self.assertEqual(two.limit, two.start)  # of a life that is not known nothing raises a limit
         two.seen, two.pace = 40, 1.9
-        again.keep._answered(2, How.SERVED, again.now)
+        again.keep._on_contact(2, ContactResult.SERVED, again.now)
         again.tell(EndpointEvent(51, True, [member(2, started=7), member(4)]))
         # The same life: what was learnt stays, and so does its coldness, of which the register knows nothing.
         self.assertIs(again.engine(2).limiter, two)
         self.assertTrue(two.cold)
-        self.assertEqual({again.keep.beliefs.state(n) for n in (1, 3)}, {State.GONE})
+        self.assertEqual({again.keep.estimate.state_of(n) for n in (1, 3)}, {EstimateState.REMOVED})
         self.assertEqual(set(again.route._engines), {2, 4})
 
     def test_a_relay_that_finds_nobody_takes_its_engine_off_until_it_listens(self) -> None:
@@ -815,19 +858,21 @@
         fleet.written()
         fleet.keep.close()
         again = Fleet(self.path)
-        again.keep.beliefs.due(again.now)
-        again.keep._answered(1, How.LISTENS, again.now)
+        again.keep.estimate.start_due_probes(again.now)
+        again.keep._on_contact(1, ContactResult.LISTENING, again.now)
         again.step()
         again.run(5000)
         again.submit("first", left=20_000)
         again.run(5000)
         ((_, attempt),) = again.sent
-        again.keep.ended(attempt, Outcome.UNREACHABLE, again.now)
+        again.keep.on_attempt_finished(attempt, Outcome.UNREACHABLE, again.now)
         again.step()
-        self.assertEqual((again.gateway.ready_engines, again.keep.beliefs.state(1)), ([], State.CONTRADICTED))
+        self.assertEqual(
+            (again.gateway.ready_engines, again.keep.estimate.state_of(1)), ([], EstimateState.UNREACHABLE)
+        )
         again.run(1000)
-        self.assertIn(1, [m.id for m in again.keep.beliefs.due(again.now)])
-        again.keep._answered(1, How.LISTENS, again.now)
+        self.assertIn(1, [m.id for m in again.keep.estimate.start_due_probes(again.now)])
+        again.keep._on_contact(1, ContactResult.LISTENING, again.now)
         again.step()
         self.assertTrue(again.engine(1).limiter.cold)
 
@@ -839,8 +884,8 @@
         for seed in range(gateways):
             one = Fleet(self.path, wall=START + 5 * SECOND, boot="b2", seed=seed, gateways=gateways)
             one.gateway.request_classes[0].latency.mean_us = 100_000.0
-            for m in one.keep.beliefs.due(one.now):
-                one.keep._answered(m.id, How.LISTENS, one.now)
+            for m in one.keep.estimate.start_due_probes(one.now):
+                one.keep._on_contact(m.id, ContactResult.LISTENING, one.now)
             one.step()
             begun, ids = one.now, {one.engine(number): number for number in (1, 2)}
             firsts += [
@@ -854,7 +899,7 @@
                 one.submit(f"{n}", left=60_000)
                 one.run(50)
             for at, attempt in one.sent:
-                one.keep.ended(attempt, Outcome.SUCCEEDED, at)
+                one.keep.on_attempt_finished(attempt, Outcome.SUCCEEDED, at)
                 per_engine[ids[attempt.engine]].append(at - begun)
         # What nobody has vouched for begins within two turns, not one.
         self.assertTrue(1.2 < max(firsts) < 2 and min(firsts) < 0.4, firsts)
@@ -871,36 +916,36 @@
         # While the first ends, and with a clock that was set back by a day.
         successor = Fleet(self.path, wall=START - 86_400 * SECOND, ticked=101 * SECOND)
         self.assertEqual(successor.said, ["remembers 3 engines and 1 tariffs, 1 s old"])
-        successor.keep.behind.changed(successor.now)
+        successor.keep.write_schedule.on_change(successor.now)
         successor.written()
         self.assertIn("another process keeps this folder", successor.said[-1])
         fleet.keep.hand_over(["m1", "m2"], fleet.now)
         fleet.writer._thread.join(5)
         fleet.step()
-        self.assertTrue(fleet.keep.done)
+        self.assertTrue(fleet.keep.is_handed_over)
         fleet.keep.close()
         successor.written()
         self.assertIn("handed over", " ".join(successor.said))
-        self.assertEqual(successor.keep.marks, ["m1", "m2"])
+        self.assertEqual(successor.keep.recovered_request_names, ["m1", "m2"])
         started = [
-            successor.keep._answered(m.id, How.LISTENS, successor.now) or m.id
-            for m in successor.keep.beliefs.due(successor.now)
+            successor.keep._on_contact(m.id, ContactResult.LISTENING, successor.now) or m.id
+            for m in successor.keep.estimate.start_due_probes(successor.now)
         ]
         self.assertEqual(sorted(started), [1, 2])
         successor.step()
         self.assertEqual([bool(successor.engine(n).limiter.cold) for n in (1, 2)], [False, False])
-        self.assertIsNone(successor.keep.refuses(successor.submit("one"), successor.now))
+        self.assertIsNone(successor.keep.retry_after_us(successor.submit("one"), successor.now))
         successor.written()
         self.assertEqual(successor.counters.counts["kept: writes"], 2)
 
     def test_usual_times_of_any_known_age_are_known_and_move_soon(self) -> None:
         for days, seen, mean in ((0, 150, 90_000), (7, 5, 90_000), (29, 5, 90_000), (30, 0, 100_000)):
             request_classes = [
-                record.Tariff("t0", 150, 90_000.0, 0.0, 1.0),
-                record.Tariff("t1", 4, 1.0, 0.0, 1.0),
+                record.LatencyEntry("t0", 150, 90_000.0, 0.0, 1.0),
+                record.LatencyEntry("t1", 4, 1.0, 0.0, 1.0),
             ]
             gateway = Fleet(self.path).gateway
-            put = learnt.put_tariffs(gateway, ["t0", "t1"], request_classes, days * 86_400 * SECOND)
+            put = learnt.restore_latencies(gateway, ["t0", "t1"], request_classes, days * 86_400 * SECOND)
             usual = gateway.request_classes[0].latency
             self.assertEqual((put, usual.sample_count, usual.mean_us), (seen > 0, seen, mean), days)
             self.assertEqual(gateway.request_classes[1].latency.sample_count, 0)
@@ -917,11 +962,14 @@
 
     def test_a_disk_that_takes_seconds_holds_up_nothing(self) -> None:
         fleet = self.first()
-        fleet.writer.folder._system = slow = System()
+        fleet.writer.folder._system = slow = FileSystem()
         slow.fsync = lambda descriptor: time.sleep(0.3)
         fleet.now += 3 * SECOND
         begun, slowest = time.monotonic(), 0.0
-        while fleet.keep.behind.news is not None or fleet.keep.behind.writing is not None:
+        while (
+            fleet.keep.write_schedule.changed_at_us is not None
+            or fleet.keep.write_schedule.write_started_us is not None
+        ):
             stepped = time.monotonic()
             fleet.step()
             slowest = max(slowest, time.monotonic() - stepped)
@@ -936,11 +984,11 @@
         fleet.written()
         fleet.keep.close()
         again = Fleet(self.path)
-        guard = again.gateway.admission_rules = Guard(again.keep, again.gateway)
-        for m in again.keep.beliefs.due(again.now):
-            again.keep._answered(m.id, How.LISTENS, again.now)
+        guard = again.gateway.admission_rules = AdmissionGuard(again.keep, again.gateway)
+        for m in again.keep.estimate.start_due_probes(again.now):
+            again.keep._on_contact(m.id, ContactResult.LISTENING, again.now)
         again.step()
-        again.keep._answered(1, How.SERVED, again.now)
+        again.keep._on_contact(1, ContactResult.SERVED, again.now)
         once, twice = again.submit("once"), again.submit("twice")
         once.request_class = dataclasses.replace(once.request_class, is_idempotent=False)
         engines = [again.engine(1), again.engine(2)]
@@ -952,26 +1000,26 @@
     def test_operators_see_verify_and_forget(self) -> None:
         fleet = self.first()
         fleet.written()
-        fleet.keep.behind.changed(fleet.now)
+        fleet.keep.write_schedule.on_change(fleet.now)
         fleet.written()
-        folder = Folder(self.path, "g1")
+        folder = SnapshotFolder(self.path, "g1")
         self.assertRaises(BlockingIOError, operate.forget, folder, 1)
         self.assertFalse(fleet.keep.forget(1, fleet.now))  # the register names it
         self.assertEqual([one["state"] for one in fleet.keep.status(fleet.now)], ["told"] * 3)
         fleet.keep.close()
-        shown = operate.shown(folder.read().record, fleet.at)
+        shown = operate.report(folder.read().snapshot, fleet.at)
         self.assertEqual(
             [(one["id"], one["draining"]) for one in shown["engines"]],
             [("s-00000001", False), ("s-00000002", False), ("s-00000003", True)],
         )
         operate.forget(folder, 1)
-        self.assertEqual([whole for _, whole, _ in operate.verified(folder)], [True, True])
+        self.assertEqual([whole for _, whole, _ in operate.verify(folder)], [True, True])
         self.assertRaises(KeyError, operate.forget, folder, 1)
         folder.unlock()
         again = Fleet(self.path)
-        self.assertEqual(again.keep.beliefs.state(1), State.GONE)
+        self.assertEqual(again.keep.estimate.state_of(1), EstimateState.REMOVED)
         self.assertTrue(again.keep.forget(2, again.now))
-        self.assertEqual(again.keep.beliefs.state(2), State.GONE)
+        self.assertEqual(again.keep.estimate.state_of(2), EstimateState.REMOVED)
 
     def test_a_missing_folder_is_told_once(self) -> None:
         fleet = Fleet(f"{self.path}/none")
@@ -986,9 +1034,9 @@
     async def test_who_listens_and_who_does_not(self) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        self.assertIs(await knock("127.0.0.1", port, SECOND), How.LISTENS)
+        self.assertIs(await probe_connection("127.0.0.1", port, SECOND), ContactResult.LISTENING)
         await listener.aclose()
-        self.assertIs(await knock("127.0.0.1", port, SECOND), How.REFUSED)
+        self.assertIs(await probe_connection("127.0.0.1", port, SECOND), ContactResult.REFUSED)
 
 
 if __name__ == "__main__":
--- a/tests/test_kept_join.py
+++ b/tests/test_kept_join.py
@@ -25,9 +25,9 @@
 from cresstray.emulators.coordinator import Coordinator, Listed
 from cresstray.emulators.engine import Engine, Marks
 from cresstray.emulators.world import KINDS, Gateway, settings
-from cresstray.membership.estimate import How
-from cresstray.membership.recovery import AT_ONCE
-from cresstray.membership.snapshot_files import NAMES, Folder
+from cresstray.membership.estimate import ContactResult
+from cresstray.membership.recovery import MAX_PROBES_AT_ONCE
+from cresstray.membership.snapshot_files import SNAPSHOT_FILE_NAMES, SnapshotFolder
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from tests.desk import ClientStandIn
@@ -121,9 +121,9 @@
     async def on_disk(self, engines: list[int], gone: list[int]) -> None:
         with anyio.fail_after(8):
             while True:
-                found = Folder(str(self.kept), "g0").read().record
+                found = SnapshotFolder(str(self.kept), "g0").read().snapshot
                 if found and (
-                    [sorted(one.id for one in found.engines), sorted(one.id for one in found.tombs)]
+                    [sorted(one.id for one in found.endpoints), sorted(one.id for one in found.tombstones)]
                     == [engines, gone]
                 ):
                     return
@@ -270,7 +270,7 @@
         async def scene(stage: Stage) -> None:
             await stage.on_disk([1, 2, 3], [4])
             await stage.gateway.stop()
-            newest = stage.kept / Folder(str(stage.kept), "g0").read().name
+            newest = stage.kept / SnapshotFolder(str(stage.kept), "g0").read().file_name
             data = bytearray(newest.read_bytes())
             data[-5] ^= 0x10
             newest.write_bytes(data)
@@ -308,7 +308,7 @@
 
     def test_nothing_kept_and_nobody_to_ask(self) -> None:
         async def scene(stage: Stage) -> None:
-            for name in NAMES:
+            for name in SNAPSHOT_FILE_NAMES:
                 (stage.kept / name).write_bytes(b"no list")
             await stage.start()
             self.assertEqual(2, stage.log().count("skipped, not a kept list"))
@@ -329,22 +329,24 @@
             first.keep.close()
             fleet, asked = Fleet(folder), []
             keep = fleet.keep
-            self.assertTrue(keep.asks(fleet.now))
+            self.assertTrue(keep.queue_due_probes(fleet.now))
             tasks = SimpleNamespace(start_soon=lambda _, one, now: asked.append(one.id))
-            pieces = [keep.knocks(tasks, None) for _ in range(8 // AT_ONCE + 1)]
-            self.assertEqual([AT_ONCE] * (8 // AT_ONCE) + [0], pieces)
+            pieces = [keep.start_probes(tasks, None) for _ in range(8 // MAX_PROBES_AT_ONCE + 1)]
+            self.assertEqual([MAX_PROBES_AT_ONCE] * (8 // MAX_PROBES_AT_ONCE) + [0], pieces)
             self.assertEqual((8, fleet.counters.counts["kept: trials"]), (len(set(asked)), len(asked)))
             for number in asked:
-                keep._answered(number, How.LISTENS, fleet.now)
-            fleet.give(keep.look(fleet.now, 3))
+                keep._on_contact(number, ContactResult.LISTENING, fleet.now)
+            fleet.give(keep.take_changes(fleet.now, 3))
             gone = asked[0]
-            keep._answered(gone, How.REFUSED, fleet.now)
-            told = keep.look(fleet.now, 3)
+            keep._on_contact(gone, ContactResult.REFUSED, fleet.now)
+            told = keep.take_changes(fleet.now, 3)
             self.assertEqual(
                 (gone, 4), (told.endpoints[0].id, len(told.endpoints)), "what is gone has waited"
             )
-            self.assertTrue(keep.more)
-            self.assertEqual([2, None], [len(keep.look(fleet.now, 3).endpoints), keep.look(fleet.now, 3)])
+            self.assertTrue(keep.has_changes)
+            self.assertEqual(
+                [2, None], [len(keep.take_changes(fleet.now, 3).endpoints), keep.take_changes(fleet.now, 3)]
+            )
 
 
 class Older(unittest.TestCase):
--- a/tests/test_membership_files.py
+++ b/tests/test_membership_files.py
@@ -16,8 +16,8 @@
 
 from cresstray.cli import cli
 from cresstray.membership import inspection, snapshot
-from cresstray.membership.confidence import Moment
-from cresstray.membership.snapshot_files import Folder
+from cresstray.membership.confidence import ClockReading
+from cresstray.membership.snapshot_files import SnapshotFolder
 
 FIXTURES = Path(__file__).parent / "fixtures" / "membership"
 OWNER = "gateway-1"
@@ -49,9 +49,9 @@
         for file_name, serial in (("engines.a", SERIAL_A), ("engines.b", SERIAL_B), ("empty.snapshot", 1)):
             with self.subTest(file=file_name):
                 data = (FIXTURES / file_name).read_bytes()
-                found_serial, found = snapshot.decoded(data, OWNER)
+                found_serial, found = snapshot.decode(data, OWNER)
                 self.assertEqual(serial, found_serial)
-                self.assertEqual(data, snapshot.encoded(found, serial))
+                self.assertEqual(data, snapshot.encode(found, serial))
 
     def test_format_2_names_its_fields_as_it_always_did(self) -> None:
         body = msgspec.msgpack.decode((FIXTURES / "engines.a").read_bytes()[HEADER_BYTES:])
@@ -64,30 +64,30 @@
         self.assertEqual([1, 1_700_000_000_000_001, 0.5, 1.4], body["limits"][0])
 
     def test_format_1_is_read_and_written_again_as_format_2(self) -> None:
-        serial, found = snapshot.decoded((FIXTURES / "format1.snapshot").read_bytes(), OWNER)
+        serial, found = snapshot.decode((FIXTURES / "format1.snapshot").read_bytes(), OWNER)
         self.assertEqual(7, serial)
-        self.assertEqual((FIXTURES / "format1-migrated.snapshot").read_bytes(), snapshot.encoded(found, 8))
+        self.assertEqual((FIXTURES / "format1-migrated.snapshot").read_bytes(), snapshot.encode(found, 8))
 
     def test_the_folder_takes_the_newer_generation(self) -> None:
-        found = Folder(str(FIXTURES), OWNER).read()
-        self.assertEqual(("engines.a", SERIAL_A, []), (found.name, found.serial, found.skipped))
+        found = SnapshotFolder(str(FIXTURES), OWNER).read()
+        self.assertEqual(("engines.a", SERIAL_A, []), (found.file_name, found.serial, found.skipped_lines))
 
     def test_the_report_of_a_snapshot_is_as_it_was(self) -> None:
-        found = Folder(str(FIXTURES), OWNER).read().record
-        now = Moment(1_800_000_060_000_000, "boot-2", 5_000_000)
-        self.assertEqual(json.loads((FIXTURES / "report.json").read_text()), inspection.shown(found, now))
+        found = SnapshotFolder(str(FIXTURES), OWNER).read().snapshot
+        now = ClockReading(1_800_000_060_000_000, "boot-2", 5_000_000)
+        self.assertEqual(json.loads((FIXTURES / "report.json").read_text()), inspection.report(found, now))
 
     def test_a_folder_is_written_byte_for_byte(self) -> None:
         """The third write goes over the older generation, as the second file of the fixtures."""
         with tempfile.TemporaryDirectory() as path:
             for file_name in ("engines.a", "engines.b"):
                 (Path(path) / file_name).write_bytes((FIXTURES / file_name).read_bytes())
-            folder = Folder(path, OWNER)
+            folder = SnapshotFolder(path, OWNER)
             self.assertTrue(folder.lock())
-            written = folder.write(folder.read().record)
+            written = folder.write(folder.read().snapshot)
             folder.unlock()
-            expected = snapshot.encoded(
-                snapshot.decoded((FIXTURES / "engines.a").read_bytes(), OWNER)[1], SERIAL_A + 1
+            expected = snapshot.encode(
+                snapshot.decode((FIXTURES / "engines.a").read_bytes(), OWNER)[1], SERIAL_A + 1
             )
             self.assertEqual(expected, (Path(path) / "engines.b").read_bytes())
             self.assertEqual(len(expected), written)
