--- a/cresstray/cli/membership.py
+++ b/cresstray/cli/membership.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from cresstray.membership import inspection as operate
-from cresstray.membership.snapshot import UnusableSnapshotError
+from cresstray.membership.errors import UnusableSnapshotError
 from cresstray.membership.snapshot_files import SnapshotFolder, one_line, read_clocks
 
 
--- a/cresstray/gateway/service.py
+++ b/cresstray/gateway/service.py
@@ -352,7 +352,7 @@
                 keep.write_snapshots(now)
             else:
                 keep.hand_over(self._take_in.recent_names(), now)
-            return JobResult.DONE if keep.is_handed_over else JobResult.MORE
+            return JobResult.DONE if keep.is_handover_complete else JobResult.MORE
 
         self._know(keep)
         worker.does("listing", Priority.SAFETY, _TEND, lists, _TRIALS_AGAIN)
--- a/cresstray/membership/background_writer.py
+++ b/cresstray/membership/background_writer.py
@@ -1,4 +1,4 @@
-"""When what is kept is written: seldom enough to cost nothing, later where the disk is slow or refuses."""
+"""When a snapshot is written: seldom enough to cost nothing, later where the disk is slow or fails."""
 
 from __future__ import annotations
 
@@ -6,59 +6,78 @@
 
 from cresstray.membership.confidence import SECOND_US
 
-# News wait so long, so that a rollout of hundreds of engines is one write; what is learnt may wait longer.
-_NEWS, _LEARNT = 2 * SECOND_US, 30 * SECOND_US
-# Of the time, at most a fiftieth is spent writing: a disk that takes 5 s a sync is left alone for four
-# minutes.
-_SHARE = 50
-# A full or read-only disk is tried again after so long, doubled each time, and drawn from half of it on.
-# One that ends as planned lets go within some four seconds; asking costs a thread and three system calls.
-_LOCKED = SECOND_US
-_RETRY, _LONGEST = 5 * SECOND_US, 300 * SECOND_US
+# Changes of the list wait this long, so that a rollout of hundreds of engines is one write.
+_CHANGE_DELAY_US = 2 * SECOND_US
+# Learned state alone is written this often.
+_WRITE_INTERVAL_US = 30 * SECOND_US
+# Writing takes at most one part in so many of the time: after a sync of 5 s the disk rests for four minutes.
+_REST_FACTOR = 50
+# A predecessor that ends as planned releases the folder within some four seconds.
+_LOCK_RETRY_DELAY_US = SECOND_US
+# A full or read-only disk is tried again after so long, doubled each time.
+_MIN_RETRY_DELAY_US = 5 * SECOND_US
+_MAX_RETRY_DELAY_US = 300 * SECOND_US
+_MAX_DOUBLINGS = 6
+# Delays are drawn from this share of the full delay on, so that gateways don't retry together.
+_MIN_DELAY_SHARE = 0.5
 
 
 class WriteSchedule:
-    """What is unwritten and since when; one write at a time."""
+    """Decides when the next snapshot is due; one write runs at a time.
 
-    def __init__(self, chance: Callable[[], float], now: int) -> None:
+    Attributes:
+        changed_at_us: Since when the list differs from the disk; None where it does not.
+        last_write_us: When the last write that succeeded started.
+        write_started_us: When the running write started; None where none runs.
+    """
+
+    def __init__(self, chance: Callable[[], float], now_us: int) -> None:
         self._chance = chance
-        self.changed_at_us: int | None = None  # since when the list is newer than the disk
-        self.last_write_us = now  # when what was learnt was last written
+        self.changed_at_us: int | None = None
+        self.last_write_us = now_us
         self.write_started_us: int | None = None
-        self._rest, self._failed = now, 0
+        self._not_before_us = now_us
+        self._failure_count = 0
 
-    def on_change(self, now: int) -> None:
+    def on_change(self, now_us: int) -> None:
+        """Records that the list differs from the disk."""
         if self.changed_at_us is None:
-            self.changed_at_us = now
+            self.changed_at_us = now_us
 
-    def is_due(self, now: int) -> bool:
-        return (
-            self.write_started_us is None
-            and now >= self._rest
-            and (
-                self.changed_at_us is not None
-                and now - self.changed_at_us >= _NEWS
-                or now - self.last_write_us >= _LEARNT
-            )
-        )
+    def is_due(self, now_us: int) -> bool:
+        """Returns whether a write should start now."""
+        if self.write_started_us is not None or now_us < self._not_before_us:
+            return False
+        if self.changed_at_us is not None and now_us - self.changed_at_us >= _CHANGE_DELAY_US:
+            return True
+        return now_us - self.last_write_us >= _WRITE_INTERVAL_US
 
-    def on_write_started(self, now: int) -> None:
-        """All that is known until now goes; what changes from here on is news again."""
+    def on_write_started(self, now_us: int) -> None:
+        """Records that all known until now is being written; later changes need another write."""
         assert self.write_started_us is None, "two writes at once"
-        self.write_started_us, self.changed_at_us = now, None
+        self.write_started_us = now_us
+        self.changed_at_us = None
 
-    def on_folder_locked(self, now: int) -> None:
-        """Another process still keeps the folder, for some seconds if this one is its successor."""
-        self.changed_at_us, self.write_started_us, self._rest = self.write_started_us, None, now + _LOCKED
+    def on_folder_locked(self, now_us: int) -> None:
+        """Records that another process still holds the folder; the write is repeated soon."""
+        self.changed_at_us = self.write_started_us
+        self.write_started_us = None
+        self._not_before_us = now_us + _LOCK_RETRY_DELAY_US
 
-    def on_write_finished(self, well: bool, took: int, now: int) -> None:
-        """`took`: microseconds at the disk."""
-        assert self.write_started_us is not None, "a write ended that was not begun"
-        begun, self.write_started_us = self.write_started_us, None
-        if well:
-            self.last_write_us, self._failed, self._rest = begun, 0, now + _SHARE * took
+    def on_write_finished(self, is_success: bool, duration_us: int, now_us: int) -> None:
+        """Records the end of a write that kept the disk busy for `duration_us`."""
+        assert self.write_started_us is not None, "a write ended that had not started"
+        started_us = self.write_started_us
+        self.write_started_us = None
+        if is_success:
+            self.last_write_us = started_us
+            self._failure_count = 0
+            self._not_before_us = now_us + _REST_FACTOR * duration_us
             return
-        self.changed_at_us = begun if self.changed_at_us is None else min(begun, self.changed_at_us)
-        self._failed += 1
-        pause = min(_LONGEST, _RETRY << min(self._failed - 1, 6))
-        self._rest = now + max(_SHARE * took, int(pause * (0.5 + 0.5 * self._chance())))
+        self.changed_at_us = started_us if self.changed_at_us is None else min(started_us, self.changed_at_us)
+        self._failure_count += 1
+        delay_us = min(
+            _MAX_RETRY_DELAY_US, _MIN_RETRY_DELAY_US << min(self._failure_count - 1, _MAX_DOUBLINGS)
+        )
+        drawn_us = int(delay_us * (_MIN_DELAY_SHARE + (1 - _MIN_DELAY_SHARE) * self._chance()))
+        self._not_before_us = now_us + max(_REST_FACTOR * duration_us, drawn_us)
--- a/cresstray/membership/confidence.py
+++ b/cresstray/membership/confidence.py
@@ -1,52 +1,69 @@
-"""How trust in what was kept falls with its age. Safety never rests on an age: it only sets how fast."""
+"""How confidence in a snapshot decays with its age.
+
+No safety property depends on an age: it only decides how fast endpoints are probed and how much of the
+learned state is restored.
+"""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 SECOND_US = 1_000_000
-_MINUTE, _DAY = 60 * SECOND_US, 86_400 * SECOND_US
-# An age that is not known, and all beyond it: of engines kept for a month few are where they were.
-UNKNOWN_AGE_US = 30 * _DAY
-# Half of a list's engines still stand as listed: after some days of machines replaced a few at a time.
-LIST_HALF_LIFE_US = 5 * _DAY
-# Limits follow the load of the moment, paces the state of the fleet, usual times what clients ask for.
-LIMIT_HALF_LIFE_US, SLOWDOWN_HALF_LIFE_US, LATENCY_HALF_LIFE_US = 10 * _MINUTE, 5 * _MINUTE, _DAY
-# Younger than this and handed over on purpose: engines are taken as warm as they were. The longest planned
-# restart takes some four seconds, and an engine needs about as long to end and be up again.
+_MINUTE_US = 60 * SECOND_US
+_DAY_US = 86_400 * SECOND_US
+# Stands for an age that is not known and for all above it. Of the endpoints listed a month ago few remain.
+UNKNOWN_AGE_US = 30 * _DAY_US
+# After five days half of the endpoints are expected to be where the list has them.
+LIST_HALF_LIFE_US = 5 * _DAY_US
+# Limits follow the current load, slowdowns the state of the fleet, latencies what clients ask for.
+LIMIT_HALF_LIFE_US = 10 * _MINUTE_US
+SLOWDOWN_HALF_LIFE_US = 5 * _MINUTE_US
+LATENCY_HALF_LIFE_US = _DAY_US
+# A planned handover younger than this leaves endpoints as warm as they were. The longest planned restart
+# takes four seconds, and an engine needs about as long to end and start again.
 HANDOVER_VALIDITY_US = 10 * SECOND_US
 
 
 class ClockReading(NamedTuple):
-    """When, by all readings: `wall` Unix microseconds, `ticked` since the boot named `boot`."""
+    """One instant by all clocks.
+
+    Attributes:
+        wall_us: Unix time in microseconds.
+        boot_id: Identity of the machine's boot; empty where it is not known.
+        uptime_us: Microseconds since that boot, the time that the machine slept included.
+    """
 
     wall_us: int
     boot_id: str
     uptime_us: int
 
 
-def age_us(then: ClockReading, now: ClockReading) -> int:
-    """Microseconds since `then`; OLDEST where the readings contradict each other or tell nothing."""
-    if then.boot_id and then.boot_id == now.boot_id:
-        # The only reading that nobody sets. It counts while the machine sleeps, and starts anew with it.
-        passed = now.uptime_us - then.uptime_us
+def age_us(earlier: ClockReading, now: ClockReading) -> int:
+    """Returns microseconds since `earlier`; UNKNOWN_AGE_US where the clocks contradict each other."""
+    if earlier.boot_id and earlier.boot_id == now.boot_id:
+        # Nobody can set the uptime, so within one boot it is exact.
+        elapsed_us = now.uptime_us - earlier.uptime_us
     else:
-        # Danger: clocks are set. One set back makes a list look young, one that is set before it like news
-        # from the future. What looks young is tried as carefully as what is old, only sooner.
-        passed = now.wall_us - then.wall_us
-    return passed if 0 <= passed < UNKNOWN_AGE_US else UNKNOWN_AGE_US
+        # The wall clock may have been set, so this age is a hint only. A snapshot that looks young for it is
+        # probed as carefully as an old one, only sooner.
+        elapsed_us = now.wall_us - earlier.wall_us
+    return elapsed_us if 0 <= elapsed_us < UNKNOWN_AGE_US else UNKNOWN_AGE_US
 
 
-def confidence(age: int, half: int) -> float:
-    """What is left of 1.0 after so long, by half in each `half`; nothing for what is OLDEST."""
-    return 0.0 if age >= UNKNOWN_AGE_US else 0.5 ** (max(0, age) / half)
+def confidence(age_us: int, half_life_us: int) -> float:
+    """Returns 1.0 for age zero, halved in each half-life; 0.0 for an unknown age."""
+    if age_us >= UNKNOWN_AGE_US:
+        return 0.0
+    return float(0.5 ** (max(0, age_us) / half_life_us))
 
 
-def decayed(kept: float, usual: float, age: int, half: int) -> float:
-    """On the way from what was kept to what is usual."""
-    return usual + (kept - usual) * confidence(age, half)
+def decayed(stored: float, default: float, age_us: int, half_life_us: int) -> float:
+    """Returns a value between the stored one and the default, by the confidence in the stored one."""
+    return default + (stored - default) * confidence(age_us, half_life_us)
 
 
-def decayed_ratio(kept: float, age: int, half: int) -> float:
-    """The same for a factor, towards 1: twice and half are as far from it."""
-    return kept ** confidence(age, half) if kept > 0 else 1.0
+def decayed_ratio(stored: float, age_us: int, half_life_us: int) -> float:
+    """Returns a stored factor decayed towards 1.0, so that 2 and 0.5 decay alike; 1.0 for none above 0."""
+    if stored <= 0:
+        return 1.0
+    return float(stored ** confidence(age_us, half_life_us))
--- a/cresstray/membership/connection_probe.py
+++ b/cresstray/membership/connection_probe.py
@@ -1,20 +1,20 @@
-"""Whether anything listens where an engine was: a connection, made and closed. No work is risked for it."""
+"""Probes an endpoint by a connection that is closed at once, so that no request is risked."""
 
 from __future__ import annotations
 
 import anyio
 
-from cresstray.membership.estimate import ContactResult
+from cresstray.membership.estimate_states import ContactResult
 from cresstray.transport.streams import connect
 
 
-async def probe_connection(host: str, port: int, patience: int) -> ContactResult:
-    """`patience` in microseconds, as for a link that work waits for."""
-    with anyio.move_on_after(patience / 1e6):
+async def probe_connection(host: str, port: int, timeout_us: int) -> ContactResult:
+    """Returns LISTENING, REFUSED, or TIMED_OUT after `timeout_us` microseconds."""
+    with anyio.move_on_after(timeout_us / 1e6):
         try:
-            made = await connect(host, port)
+            connection = await connect(host, port)
         except OSError:
             return ContactResult.REFUSED
-        made.close()
+        connection.close()
         return ContactResult.LISTENING
     return ContactResult.TIMED_OUT
--- a/cresstray/membership/estimate.py
+++ b/cresstray/membership/estimate.py
@@ -1,481 +1,359 @@
-"""What a gateway believes of each engine, on whose word and since when. docs/kept.md draws the states.
-
-Engines are ids of the register here. What is to be listed for the module comes back as members of an event.
+"""The membership estimate: the state of each endpoint, by evidence from lists, probes and traffic.
+
+| state | probe starts | listening | served | refused | timed out | draining | wrong identity |
+| --- | --- | --- | --- | --- | --- | --- | --- |
+| REMEMBERED | PROBING | - | - | - | - | - | - |
+| PROBING, not listed | - | listed | listed | UNREACHABLE | UNREACHABLE | UNREACHABLE | REMOVED |
+| PROBING, listed | - | - | CONFIRMED | UNREACHABLE | UNREACHABLE | UNREACHABLE | REMOVED |
+| CONFIRMED | - | - | - | UNREACHABLE | - | UNREACHABLE | REMOVED |
+| UNREACHABLE | PROBING | - | - | - | - | - | - |
+| REGISTERED | - | - | - | - | - | - | - |
+| REMOVED | - | - | - | - | - | - | - |
+
+"-" changes nothing. Discovery makes any state REGISTERED by naming the endpoint, and REMOVED by removing it,
+or leaving it out of a complete list; a removed endpoint returns by news that is later than its removal. What
+leaves PROBING (listed) or CONFIRMED for UNREACHABLE or REMOVED is taken off the list. Snapshots change the
+states of endpoints only that neither discovery nor a contact of this process tells of.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from enum import Enum
-from typing import NamedTuple
 
 import msgspec
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
-from cresstray.membership import probe_budget as trials
 from cresstray.membership.confidence import (
     HANDOVER_VALIDITY_US,
-    LIST_HALF_LIFE_US,
     SECOND_US,
-    UNKNOWN_AGE_US,
-    confidence,
 )
-from cresstray.membership.reconciliation import IndexTracker, Tombstone, Tombstones
+from cresstray.membership.estimate_states import (
+    ContactResult,
+    EndpointEstimate,
+    EstimateState,
+    EvidenceSource,
+)
+from cresstray.membership.estimate_table import EstimateTable
+from cresstray.membership.probe_budget import retry_delay_us
+from cresstray.membership.reconciliation import Tombstone
+from cresstray.membership.remembered_list import apply_tombstones, merge_endpoints
 from cresstray.policy.types import EndpointState
 
-# A trial that nobody has answered: connecting is given up far sooner.
-_LOST = 5 * SECOND_US
-# The register sends an empty frame each second.
-_SILENT = 2 * SECOND_US
-# Danger: a register that names millions, or a folder that grew for years. Far beyond any fleet.
-MAX_ENDPOINTS = 20_000
-# Not heard of for a month, and so many trials of half a minute each: not worth a line any more.
-_HOPELESS = 20
-# While nothing is listed yet, work waits so long for the first trials; after that it is refused.
-_FIRST = SECOND_US // 2
-
-
-class EstimateState(Enum):
-    REMEMBERED = "remembered"
-    PROBING = "on trial"
-    CONFIRMED = "confirmed"
-    UNREACHABLE = "contradicted"
-    REGISTERED = "told"
-    REMOVED = "gone"
-
-
-class EvidenceSource(Enum):
-    REGISTER = "register"
-    PEER = "peer"
-    TRAFFIC = "traffic"
-    DISK = "disk"
-
+# A probe without a result after so long is lost: a connection attempt is given up far sooner.
+_PROBE_LOST_US = 5 * SECOND_US
+# Discovery sends an empty frame each second; without one for so long it is silent.
+_WATCH_SILENT_US = 2 * SECOND_US
+# While nothing is listed yet, requests wait so long for the first probes; after that they are rejected.
+_FIRST_PROBES_US = SECOND_US // 2
+# A rejected request is told to return after a time drawn from this share of the longest on.
+_MIN_RETRY_AFTER_SHARE = 0.25
 
-class ContactResult(Enum):
-    """What came of a trial, or of a relay."""
 
-    LISTENING = "listens"
-    SERVED = "served"
-    REFUSED = "refused"
-    TIMED_OUT = "silent"
-    DRAINING = "draining"
-    WRONG_IDENTITY = "other"  # it answers under another id
+class MembershipEstimate(EstimateTable):
+    """The estimates of all endpoints. Times are microseconds of one clock, ages microseconds.
 
+    What must be listed for requests as a result of a call is returned, as endpoints of an event.
 
-class EndpointEstimate(msgspec.Struct):
-    endpoint: Endpoint  # as it was last told or kept, its start too
-    state: EstimateState
-    source: EvidenceSource
-    evidence_us: int  # of the last evidence, by this process's clock; before its start for what is older
-    next_probe_us: int = 0  # when it may be tried
-    failure_count: int = 0  # trials in a row
-    is_listed: bool = False  # the module may send to it
-    listed_start_us: int = 0  # the start that it was listed with on no word but ours
-    drain_began_us: int = 0  # when its drain was first told to this process; 0: it was not
-
-
-class EstimateCounts(NamedTuple):
-    registered: int
-    confirmed: int
-    listed_probing: int
-    unlisted: int
-
-
-class MembershipEstimate:
-    """`grace`: how long an engine drains at the most, `most_wait`: what clients honour; both microseconds.
-
-    `handed`: the list is of a gateway that handed over to this one just now, see fade.HANDED.
+    Attributes:
+        started_us: When the process started.
+        is_handed_over: The snapshot is of a gateway that handed over to this one a moment ago.
     """
 
-    def __init__(self, grace: int, most_wait: int, chance: Callable[[], float], now: int) -> None:
-        self._grace, self._most_wait, self._chance = grace, most_wait, chance
-        self.endpoints: dict[int, EndpointEstimate] = {}
-        self._id_by_address: dict[tuple[str, int], int] = {}  # whose address it is
-        self.tombstones, self.index_tracker, self.probe_budget = (
-            Tombstones(),
-            IndexTracker(),
-            trials.ProbeBudget(),
-        )
-        self.started_us, self.is_handed_over = now, False
-        self._alive = now  # when the register was last heard, of whatever it has told
-        self._standings: EstimateCounts | None = None
-        self._order: list[int] = []  # of trials: drawn, so that gateways ask in different orders
+    def __init__(
+        self, drain_grace_us: int, max_retry_after_us: int, chance: Callable[[], float], now_us: int
+    ) -> None:
+        super().__init__(now_us)
+        self._drain_grace_us = drain_grace_us
+        self._max_retry_after_us = max_retry_after_us
+        self._chance = chance
+        self.started_us = now_us
+        self.is_handed_over = False
+        # Drawn, so that gateways probe in different orders.
+        self._probe_order: list[int] = []
 
-    def state_of(self, engine: int) -> EstimateState | None:
-        belief = self.endpoints.get(engine)
-        return belief.state if belief else EstimateState.REMOVED if engine in self.tombstones else None
-
-    # What lists of others than the register say: each engine with the age of what is known of it.
+    # Lists of others than discovery.
 
     def merge_remembered(
         self,
-        given: Iterable[tuple[Endpoint, int]],
-        number: int,
-        tombs: list[Tombstone],
+        remembered: Iterable[tuple[Endpoint, int]],
+        index: int,
+        tombstones: list[Tombstone],
         source: EvidenceSource,
-        now: int,
-        handed: bool = False,
+        now_us: int,
+        is_handed_over: bool = False,
     ) -> list[Endpoint]:
-        """`number`: the register's, when the list was made. What this process knows better stays.
-
-        What is to be listed because of it: who was listed on trial, and is gone by the word in it or has
-        started anew.
+        """Merges a snapshot or another gateway's list; what this process knows better stays.
+
+        Args:
+            remembered: Endpoints, each with the age of the evidence of it.
+            index: The index of discovery when the list was made.
+            tombstones: Removed endpoints, which count before what listens at their addresses.
+            source: Where the list comes from.
+            now_us: The present time.
+            is_handed_over: The list was written a moment ago by a gateway that ended as planned.
+
+        Returns:
+            Listed endpoints that the list names as removed, or as started since.
         """
-        listed = {
-            number: (belief.endpoint, belief.listed_start_us)
-            for number, belief in self.endpoints.items()
-            if belief.is_listed and belief.state is not EstimateState.REGISTERED
+        listed_before = {
+            endpoint_id: (estimate.endpoint, estimate.listed_start_us)
+            for endpoint_id, estimate in self.endpoints.items()
+            if estimate.is_listed and estimate.state is not EstimateState.REGISTERED
         }
-        for tomb in filter(self._is_superseded_by, tombs):
-            self._drop(tomb.id)
-            self.tombstones.add(tomb.id, tomb.started_us, tomb.index, now, tomb.known_for_us)
+        apply_tombstones(self, tombstones, now_us)
         if source is EvidenceSource.DISK:
-            self.index_tracker.highest = max(self.index_tracker.highest, number)
-            self.is_handed_over = handed
-        trust = taken = 0.0
-        for member, age in sorted(given, key=lambda one: (one[1], -one[0].started_us, one[0].id)):
-            if self._merge_endpoint(member, min(age, UNKNOWN_AGE_US), number, source, now):
-                taken, trust = taken + 1, trust + confidence(age, LIST_HALF_LIFE_US)
-        self.probe_budget.open(int(taken), trust / max(1.0, taken))
-        self._order = sorted(self.endpoints)
-        for last in range(len(self._order) - 1, 0, -1):
+            self.index_tracker.highest = max(self.index_tracker.highest, index)
+            self.is_handed_over = is_handed_over
+        merge_endpoints(self, remembered, index, source, self._drain_grace_us, now_us)
+        self._draw_probe_order()
+        return self._changed_since(listed_before)
+
+    def _draw_probe_order(self) -> None:
+        order = sorted(self.endpoints)
+        for last in range(len(order) - 1, 0, -1):
             other = int(self._chance() * (last + 1))
-            self._order[last], self._order[other] = self._order[other], self._order[last]
-        told = []
-        for number, (member, since) in listed.items():
-            belief = self.endpoints.get(number)
-            if belief is None:
-                told.append(_gone(member))
-            elif belief.listed_start_us > since:
-                told.append(
-                    msgspec.structs.replace(
-                        belief.endpoint, state=EndpointState.READY, started_us=belief.listed_start_us
-                    )
-                )
-        return told
-
-    def _is_superseded_by(self, tomb: Tombstone) -> bool:
-        # Danger: a successor lists by what the one before wrote last but one. The register's word in the last
-        # write, that an engine is gone, counts before whatever listens or serves there.
-        belief = self.endpoints.get(tomb.id)
-        return (
-            belief is None
-            or belief.state is not EstimateState.REGISTERED
-            and belief.endpoint.started_us <= tomb.started_us
-        )
-
-    def _merge_endpoint(
-        self, member: Endpoint, age: int, number: int, source: EvidenceSource, now: int
-    ) -> bool:
-        known = self.endpoints.get(member.id)
-        if (
-            known is not None
-            and known.state in (EstimateState.PROBING, EstimateState.CONFIRMED)
-            and member.started_us > known.endpoint.started_us
-        ):
-            # Danger: it is asked by what an earlier list said, and would be warm by its start of then.
-            known.endpoint = msgspec.structs.replace(known.endpoint, started_us=member.started_us)
-            known.listed_start_us = max(known.listed_start_us, member.started_us)
-        if (
-            member.state is EndpointState.REMOVED
-            or self.tombstones.forbids(member.id, member.started_us, number)
-            or known is not None
-            and (
-                known.state not in (EstimateState.REMEMBERED, EstimateState.UNREACHABLE)
-                or known.evidence_us >= now - age
-            )
-            or known is None
-            and len(self.endpoints) >= MAX_ENDPOINTS
-        ):
-            return False
-        owner = self._id_by_address.get((member.host, member.port), member.id)
-        if owner != member.id:
-            return False  # the address has gone to another one, of which more is known
-        # Danger: a drain of the list is over or not, nobody here knows. A grace after our start it is.
-        due = now + self._grace if member.state is EndpointState.DRAINING else now
-        # Danger: whoever wrote this saw it well, and this process has seen it refuse: it may start anew.
-        failed = 0 if known is None else known.failure_count
-        due = max(due, known.next_probe_us) if failed else due
-        self._put(EndpointEstimate(member, EstimateState.REMEMBERED, source, now - age, due, failed))
-        self.tombstones.discard(member.id)
-        return True
-
-    # The register's word, which counts before all others.
-
-    def apply_event(self, event: EndpointEvent, now: int) -> EndpointEvent:
-        """The event as the module may have it: what an old list would raise is left out of it.
-
-        A whole list that is older than what was kept becomes a partial one: it can't say who is gone.
+            order[last], order[other] = order[other], order[last]
+        self._probe_order = order
+
+    def _changed_since(self, listed_before: dict[int, tuple[Endpoint, int]]) -> list[Endpoint]:
+        changed = []
+        for endpoint_id, (endpoint, listed_start_us) in listed_before.items():
+            estimate = self.endpoints.get(endpoint_id)
+            if estimate is None:
+                changed.append(_removed(endpoint))
+            elif estimate.listed_start_us > listed_start_us:
+                changed.append(_ready(estimate.endpoint, estimate.listed_start_us))
+        return changed
+
+    # Events of discovery, which count before all other evidence.
+
+    def apply_event(self, event: EndpointEvent, now_us: int) -> EndpointEvent:
+        """Applies an event; returns it without what an older list would bring back.
+
+        A complete list with a smaller index than one known before becomes a partial one: it can't say which
+        endpoints are removed.
         """
-        whole = self.index_tracker.observe(event.index, event.is_complete, now)
-        named, members = {member.id for member in event.endpoints}, []
-        for member in event.endpoints:
-            if member.state is EndpointState.REMOVED:
-                self._bury(member.id, member.started_us, event.index, now)
-                members.append(member)
-            elif not (
-                self.tombstones.forbids(member.id, member.started_us, event.index)
-                or self._is_outdated(member, event.index)
-            ):
-                members += self._release_address(member, named, event.index, now)
-                started = self._start_for_listing_us(member, event.index, now)
-                self._put(self._told(member, started, now))
-                self.tombstones.discard(member.id)
-                members.append(msgspec.structs.replace(member, started_us=started))
-        if whole:
-            for engine in [engine for engine in self.endpoints if engine not in named]:
-                self._bury(engine, 0, event.index, now)
-            # Who is left out of a whole list is gone, links and all.
-            members = [member for member in members if member.state is not EndpointState.REMOVED]
-        return EndpointEvent(event.index, whole, members)
-
-    def _is_outdated(self, member: Endpoint, number: int) -> bool:
-        """An older list, on an engine that has started anew since."""
-        known = self.endpoints.get(member.id)
+        is_complete = self.index_tracker.observe(event.index, event.is_complete, now_us)
+        named = {endpoint.id for endpoint in event.endpoints}
+        endpoints: list[Endpoint] = []
+        for endpoint in event.endpoints:
+            if endpoint.state is EndpointState.REMOVED:
+                self.remove(endpoint.id, endpoint.started_us, event.index, now_us)
+                endpoints.append(endpoint)
+            elif not self._is_outdated(endpoint, event.index):
+                endpoints += self._register(endpoint, named, event.index, now_us)
+        if is_complete:
+            for endpoint_id in [engine for engine in self.endpoints if engine not in named]:
+                self.remove(endpoint_id, 0, event.index, now_us)
+            # A complete list removes by leaving out, connections included.
+            endpoints = [one for one in endpoints if one.state is not EndpointState.REMOVED]
+        return EndpointEvent(event.index, is_complete, endpoints)
+
+    def _is_outdated(self, endpoint: Endpoint, index: int) -> bool:
+        """Whether a later removal is known, or from an older list a later start."""
+        if self.tombstones.forbids(endpoint.id, endpoint.started_us, index):
+            return True
+        known = self.endpoints.get(endpoint.id)
         return (
-            number < self.index_tracker.highest
+            index < self.index_tracker.highest
             and known is not None
-            and known.endpoint.started_us > member.started_us
+            and known.endpoint.started_us > endpoint.started_us
         )
 
-    def _start_for_listing_us(self, member: Endpoint, number: int, now: int) -> int:
-        """Since when the module may take it to be up.
-
-        Danger: a register that was down, or is behind, names starts from before a loss of power. All gateways
-        hear of it at once, and would push engines that are still cold.
-        """
-        known = self.endpoints.get(member.id)
-        if known is not None and known.is_listed:
-            return max(member.started_us, known.listed_start_us)
-        # Danger: one that refused us is asked again by now, and still is as cold.
-        if number < self.index_tracker.highest or known is not None and known.failure_count:
-            return max(member.started_us, now)
-        return member.started_us
-
-    def _told(self, member: Endpoint, started: int, now: int) -> EndpointEstimate:
-        known, drained = self.endpoints.get(member.id), 0
-        if member.state is EndpointState.DRAINING:
-            # Said again, it is the same drain; its grace counts from when this process first heard of it.
-            same = (
-                known
-                and known.state is EstimateState.REGISTERED
-                and known.endpoint.started_us == member.started_us
-            )
-            drained = known.drain_began_us if same and known.drain_began_us else now
-        return EndpointEstimate(
-            member,
+    def _register(self, endpoint: Endpoint, named: set[int], index: int, now_us: int) -> list[Endpoint]:
+        changed = self._release_address(endpoint, named, index, now_us)
+        started_us = self._start_for_listing_us(endpoint, index, now_us)
+        estimate = EndpointEstimate(
+            endpoint,
             EstimateState.REGISTERED,
             EvidenceSource.REGISTER,
-            now,
+            now_us,
             is_listed=True,
-            drain_began_us=drained,
-            listed_start_us=started if started != member.started_us else 0,
+            drain_began_us=self._drain_began_us(endpoint, now_us),
+            listed_start_us=started_us if started_us != endpoint.started_us else 0,
         )
+        self.put(estimate)
+        self.tombstones.discard(endpoint.id)
+        return [*changed, msgspec.structs.replace(endpoint, started_us=started_us)]
 
-    def _release_address(self, member: Endpoint, named: set[int], number: int, now: int) -> list[Endpoint]:
-        """Whoever was believed at this address, and is not told of together with the one that has it now."""
-        owner = self._id_by_address.get((member.host, member.port), member.id)
-        if owner == member.id or owner in named:
+    def _release_address(
+        self, endpoint: Endpoint, named: set[int], index: int, now_us: int
+    ) -> list[Endpoint]:
+        """Removes the endpoint that had this address, unless the event names it as well."""
+        owner = self.id_by_address.get((endpoint.host, endpoint.port), endpoint.id)
+        if owner == endpoint.id or owner in named:
             return []
         known = self.endpoints[owner]
-        self._bury(owner, known.endpoint.started_us, number, now)
-        return [_gone(known.endpoint)] if known.is_listed else []
-
-    def drain_grace_left_us(self, engine: int, now: int) -> int:
-        """Of a drain that was told; 0 where none was, or it is over."""
-        belief = self.endpoints.get(engine)
-        return max(0, belief.drain_began_us + self._grace - now) if belief and belief.drain_began_us else 0
-
-    def on_watch_frame(self, now: int) -> None:
-        """The register's link brings frames: what it has told is as fresh as the last of them."""
-        self._alive = now
-
-    def settle_index(self, now: int) -> EndpointEvent | None:
-        """Once the register has stood by numbers below ours: those that it never named are gone."""
-        if now - self._alive > _SILENT:
-            self.index_tracker.on_watch_silent(now)  # what it once said is no word that it stands by
-        if not self.index_tracker.is_settled(now):
+        self.remove(owner, known.endpoint.started_us, index, now_us)
+        return [_removed(known.endpoint)] if known.is_listed else []
+
+    def _start_for_listing_us(self, endpoint: Endpoint, index: int, now_us: int) -> int:
+        """Returns since when the endpoint may be taken to be up.
+
+        Discovery that was down, or is behind, names starts from before a loss of power. All gateways hear of
+        it at once, and would send full load to engines that are still cold.
+        """
+        known = self.endpoints.get(endpoint.id)
+        if known is not None and known.is_listed:
+            return max(endpoint.started_us, known.listed_start_us)
+        # One that failed is probed again by now, and is still as cold.
+        has_failed = known is not None and known.failure_count > 0
+        if index < self.index_tracker.highest or has_failed:
+            return max(endpoint.started_us, now_us)
+        return endpoint.started_us
+
+    def _drain_began_us(self, endpoint: Endpoint, now_us: int) -> int:
+        if endpoint.state is not EndpointState.DRAINING:
+            return 0
+        known = self.endpoints.get(endpoint.id)
+        # Named again it is the same drain: its grace counts from when this process first heard of it.
+        if (
+            known is not None
+            and known.state is EstimateState.REGISTERED
+            and known.endpoint.started_us == endpoint.started_us
+            and known.drain_began_us
+        ):
+            return known.drain_began_us
+        return now_us
+
+    def drain_grace_left_us(self, endpoint_id: int, now_us: int) -> int:
+        """Returns what is left of the grace of a drain that discovery named; 0 where there is none."""
+        estimate = self.endpoints.get(endpoint_id)
+        if estimate is None or not estimate.drain_began_us:
+            return 0
+        return max(0, estimate.drain_began_us + self._drain_grace_us - now_us)
+
+    def on_watch_frame(self, now_us: int) -> None:
+        """Records a frame of the watch: what discovery has named is as fresh as that."""
+        self._last_frame_us = now_us
+
+    def settle_index(self, now_us: int) -> EndpointEvent | None:
+        """Accepts a smaller index that has stood for the settle time.
+
+        Returns:
+            The event that removes endpoints that discovery has not named; None while nothing is settled.
+        """
+        if now_us - self._last_frame_us > _WATCH_SILENT_US:
+            self.index_tracker.on_watch_silent(now_us)
+        if not self.index_tracker.is_settled(now_us):
             return None
         self.index_tracker.accept_last()
-        unnamed = [
-            belief for belief in self.endpoints.values() if belief.state is not EstimateState.REGISTERED
-        ]
-        for belief in unnamed:
-            self._bury(belief.endpoint.id, 0, self.index_tracker.last, now)
-        self.tombstones.rebase(self.index_tracker.last)
-        return EndpointEvent(0, False, [_gone(belief.endpoint) for belief in unnamed if belief.is_listed])
-
-    # Trials: a connection first, then work as a cold engine gets it, until it has served.
-
-    def start_due_probes(self, now: int) -> list[Endpoint]:
-        """The engines to be asked now, by a connection, each once; what comes of it goes to `answered`."""
-        for engine, since in list(self.probe_budget.in_flight.items()):
-            if now - since >= _LOST:
-                self.on_contact(engine, ContactResult.TIMED_OUT, now)
-        begun = []
-        if not self.counts().unlisted:
-            return begun
-        for engine in self._order if self.probe_budget.available() else ():
-            belief = self.endpoints.get(engine)
-            if (
-                belief is not None
-                and belief.state in (EstimateState.REMEMBERED, EstimateState.UNREACHABLE)
-                and belief.next_probe_us <= now
-            ):
-                belief.state, self._standings = EstimateState.PROBING, None
-                self.probe_budget.on_started(engine, now)
-                begun.append(belief.endpoint)
-                if not self.probe_budget.available():
-                    break
-        return begun
-
-    def on_contact(self, engine: int, how: ContactResult, now: int) -> list[Endpoint]:
-        """What came of a trial or of a relay; what is to be listed because of it."""
-        belief = self.endpoints.get(engine)
-        self.probe_budget.on_finished(engine, how in (ContactResult.LISTENING, ContactResult.SERVED))
-        if belief is None or belief.state not in (EstimateState.PROBING, EstimateState.CONFIRMED):
+        last_index = self.index_tracker.last
+        unnamed = [one for one in self.endpoints.values() if one.state is not EstimateState.REGISTERED]
+        for estimate in unnamed:
+            self.remove(estimate.endpoint.id, 0, last_index, now_us)
+        self.tombstones.rebase(last_index)
+        return EndpointEvent(0, False, [_removed(one.endpoint) for one in unnamed if one.is_listed])
+
+    # Probes: a connection first, then requests as a cold engine gets them, until it has served.
+
+    def start_due_probes(self, now_us: int) -> list[Endpoint]:
+        """Returns the endpoints to probe now, each once; results go to `on_contact`."""
+        for endpoint_id, started_us in list(self.probe_budget.in_flight.items()):
+            if now_us - started_us >= _PROBE_LOST_US:
+                self.on_contact(endpoint_id, ContactResult.TIMED_OUT, now_us)
+        started: list[Endpoint] = []
+        if not self.counts().unlisted or not self.probe_budget.available():
+            return started
+        for endpoint_id in self._probe_order:
+            estimate = self.endpoints.get(endpoint_id)
+            if estimate is None or estimate.next_probe_us > now_us:
+                continue
+            if estimate.state not in (EstimateState.REMEMBERED, EstimateState.UNREACHABLE):
+                continue
+            self.transition(estimate, EstimateState.PROBING)
+            self.probe_budget.on_started(endpoint_id, now_us)
+            started.append(estimate.endpoint)
+            if not self.probe_budget.available():
+                break
+        return started
+
+    def on_contact(self, endpoint_id: int, result: ContactResult, now_us: int) -> list[Endpoint]:
+        """Applies the result of a probe or of an attempt; returns what must be listed because of it."""
+        estimate = self.endpoints.get(endpoint_id)
+        is_success = result in (ContactResult.LISTENING, ContactResult.SERVED)
+        self.probe_budget.on_finished(endpoint_id, is_success)
+        if estimate is None or estimate.state not in (EstimateState.PROBING, EstimateState.CONFIRMED):
             return []
-        self._standings = None
-        if how is ContactResult.LISTENING or how is ContactResult.SERVED and not belief.is_listed:
-            return (
-                self._list_endpoint(belief, now)
-                if belief.state is EstimateState.PROBING and not belief.is_listed
-                else []
-            )
-        if how is ContactResult.SERVED:
-            belief.state, belief.source, belief.evidence_us, belief.failure_count = (
-                EstimateState.CONFIRMED,
-                EvidenceSource.TRAFFIC,
-                now,
-                0,
-            )
+        if is_success:
+            return self._on_success(estimate, result, now_us)
+        if result is ContactResult.TIMED_OUT and estimate.state is EstimateState.CONFIRMED:
+            return []  # heavy work takes long too; the policy's suspicion has this one
+        return self._on_failure(estimate, result, now_us)
+
+    def _on_success(self, estimate: EndpointEstimate, result: ContactResult, now_us: int) -> list[Endpoint]:
+        if result is ContactResult.SERVED and estimate.is_listed:
+            self.transition(estimate, EstimateState.CONFIRMED)
+            estimate.source = EvidenceSource.TRAFFIC
+            estimate.evidence_us = now_us
+            estimate.failure_count = 0
             return []
-        if how is ContactResult.TIMED_OUT and belief.state is EstimateState.CONFIRMED:
-            return []  # heavy work is silent too; the module's doubt has this one
-        listed, belief.is_listed = belief.is_listed, False
-        if how is ContactResult.WRONG_IDENTITY:
-            # It is somebody else's address now; that one is not ours to list until we are told of it.
-            self._bury(engine, belief.endpoint.started_us, self.index_tracker.highest, now)
+        if estimate.state is EstimateState.PROBING and not estimate.is_listed:
+            return self._list_endpoint(estimate, now_us)
+        return []
+
+    def _on_failure(self, estimate: EndpointEstimate, result: ContactResult, now_us: int) -> list[Endpoint]:
+        endpoint = estimate.endpoint
+        was_listed = estimate.is_listed
+        estimate.is_listed = False
+        if result is ContactResult.WRONG_IDENTITY:
+            # The address is another endpoint's now, which is not listed until a list names it.
+            self.remove(endpoint.id, endpoint.started_us, self.index_tracker.highest, now_us)
         else:
-            belief.state, belief.failure_count = EstimateState.UNREACHABLE, belief.failure_count + 1
-            belief.next_probe_us = now + (
-                self._grace
-                if how is ContactResult.DRAINING
-                else trials.retry_delay_us(belief.failure_count, self._chance)
-            )
-        return [_gone(belief.endpoint)] if listed else []
-
-    def forget(self, engine: int, now: int) -> list[Endpoint]:
-        """An operator says that it is gone; later news of the register may still raise it."""
-        belief = self.endpoints[engine]
-        self._bury(engine, belief.endpoint.started_us, self.index_tracker.highest, now)
-        return [_gone(belief.endpoint)] if belief.is_listed else []
-
-    def _list_endpoint(self, belief: EndpointEstimate, now: int) -> list[Endpoint]:
-        belief.is_listed = True
-        # Danger: it may have started at any time until now, alone or with all others. Cold from this moment
-        # on, unless it was seen warm a few seconds ago by the gateway that handed over.
-        warm = (
+            self.transition(estimate, EstimateState.UNREACHABLE)
+            estimate.failure_count += 1
+            if result is ContactResult.DRAINING:
+                estimate.next_probe_us = now_us + self._drain_grace_us
+            else:
+                estimate.next_probe_us = now_us + retry_delay_us(estimate.failure_count, self._chance)
+        return [_removed(endpoint)] if was_listed else []
+
+    def forget(self, endpoint_id: int, now_us: int) -> list[Endpoint]:
+        """Removes a known endpoint for an operator; later news of discovery may bring it back."""
+        estimate = self.endpoints[endpoint_id]
+        self.remove(endpoint_id, estimate.endpoint.started_us, self.index_tracker.highest, now_us)
+        return [_removed(estimate.endpoint)] if estimate.is_listed else []
+
+    def _list_endpoint(self, estimate: EndpointEstimate, now_us: int) -> list[Endpoint]:
+        estimate.is_listed = True
+        self._counts = None
+        # It may have started at any time until now, alone or with all others: it is cold from this moment on,
+        # unless the gateway that handed over saw it warm a few seconds ago.
+        is_warm = (
             self.is_handed_over
-            and now - self.started_us < HANDOVER_VALIDITY_US
-            and belief.failure_count == 0
-            and belief.endpoint.state is EndpointState.READY
+            and now_us - self.started_us < HANDOVER_VALIDITY_US
+            and estimate.failure_count == 0
+            and estimate.endpoint.state is EndpointState.READY
         )
-        belief.listed_start_us = belief.endpoint.started_us if warm else now
-        return [
-            msgspec.structs.replace(
-                belief.endpoint, state=EndpointState.READY, started_us=belief.listed_start_us
-            )
-        ]
-
-    # What it means for work.
-
-    def counts(self) -> EstimateCounts:
-        """How many may be sent to, on whose word, and how many wait for their trial or its end."""
-        if self._standings is None:
-            self._standings = self._count_states()
-        return self._standings
-
-    def _count_states(self) -> EstimateCounts:
-        told = confirmed = on_trial = waiting = 0
-        for belief in self.endpoints.values():
-            if belief.state is EstimateState.REGISTERED:
-                told += belief.endpoint.state is EndpointState.READY
-            elif belief.state is EstimateState.CONFIRMED:
-                confirmed += 1
-            elif belief.state is EstimateState.PROBING and belief.is_listed:
-                on_trial += 1
-            else:
-                waiting += 1
-        return EstimateCounts(told, confirmed, on_trial, waiting)
+        estimate.listed_start_us = estimate.endpoint.started_us if is_warm else now_us
+        return [_ready(estimate.endpoint, estimate.listed_start_us)]
 
-    def retry_after_us(self, repeatable: bool, now: int) -> int | None:
-        """None: take it in. Else when to come back, in microseconds: refused rather than sent on a guess."""
-        one = self.counts()
-        if one.registered or one.confirmed:
+    # What it means for requests.
+
+    def retry_after_us(self, can_repeat: bool, now_us: int) -> int | None:
+        """Returns None where a request is taken in, else after how long a client should retry.
+
+        Args:
+            can_repeat: The request may run more than once without harm.
+            now_us: The present time.
+        """
+        counts = self.counts()
+        if counts.registered or counts.confirmed:
             return None
-        # Danger: what may run once must not be the first thing that a remembered address hears of us.
-        if (
-            one.listed_probing
-            and (repeatable or self.is_handed_over)
-            or not one.listed_probing
-            and now - self.started_us < _FIRST
-        ):
+        if counts.listed_probing:
+            # A request that may run only once must not be the first that a remembered address gets.
+            if can_repeat or self.is_handed_over:
+                return None
+        elif now_us - self.started_us < _FIRST_PROBES_US:
             return None
-        # All gateways of a hall refuse at once, and engines warm up slowly: over all that clients honour.
-        return int(self._most_wait * (0.25 + 0.75 * self._chance()))
-
-    # What is kept, and how old each part of it is.
-
-    def evidence(self, now: int) -> list[tuple[Endpoint, int]]:
-        """All that is not gone, and when it was last known: writing it again makes nothing younger."""
-        told, alive = EstimateState.REGISTERED, self._alive
-        return [
-            (
-                belief.endpoint,
-                alive if belief.state is told and alive > belief.evidence_us else belief.evidence_us,
-            )
-            for belief in self.endpoints.values()
-            if belief.failure_count < _HOPELESS or now - belief.evidence_us < UNKNOWN_AGE_US
-        ]
-
-    def evidence_ages(self, now: int) -> list[tuple[Endpoint, int]]:
-        """The same with ages."""
-        return [(member, max(0, min(UNKNOWN_AGE_US, now - at))) for member, at in self.evidence(now)]
-
-    def _put(self, belief: EndpointEstimate) -> None:
-        self._drop(belief.endpoint.id)
-        self.endpoints[belief.endpoint.id] = belief
-        self._id_by_address[belief.endpoint.host, belief.endpoint.port] = belief.endpoint.id
-
-    def _drop(self, engine: int) -> EndpointEstimate | None:
-        self.probe_budget.in_flight.pop(engine, None)
-        self._standings = None
-        belief = self.endpoints.pop(engine, None)
-        if (
-            belief is not None
-            and self._id_by_address.get((belief.endpoint.host, belief.endpoint.port)) == engine
-        ):
-            del self._id_by_address[belief.endpoint.host, belief.endpoint.port]
-        return belief
+        # All gateways of a site reject at once, and engines warm up slowly: the delays are spread widely.
+        share = _MIN_RETRY_AFTER_SHARE + (1 - _MIN_RETRY_AFTER_SHARE) * self._chance()
+        return int(self._max_retry_after_us * share)
 
-    def _bury(self, engine: int, started: int, number: int, now: int) -> None:
-        belief = self._drop(engine)
-        self.tombstones.add(engine, max(started, belief.endpoint.started_us if belief else 0), number, now)
 
-    def fingerprint(self) -> tuple:
-        return (
-            tuple(
-                sorted(
-                    (engine, belief.state.value, belief.is_listed, belief.failure_count)
-                    for engine, belief in self.endpoints.items()
-                )
-            ),
-            tuple((tomb.id, tomb.started_us, tomb.index) for tomb in self.tombstones.unexpired(0)),
-            self.index_tracker.highest,
-            self.index_tracker.behind_since_us is not None,
-        )
+def _removed(endpoint: Endpoint) -> Endpoint:
+    return msgspec.structs.replace(endpoint, state=EndpointState.REMOVED)
 
 
-def _gone(member: Endpoint) -> Endpoint:
-    return msgspec.structs.replace(member, state=EndpointState.REMOVED)
+def _ready(endpoint: Endpoint, started_us: int) -> Endpoint:
+    return msgspec.structs.replace(endpoint, state=EndpointState.READY, started_us=started_us)
--- a/cresstray/membership/guard.py
+++ b/cresstray/membership/guard.py
@@ -1,21 +1,36 @@
-"""The module's hook beside the fleet's rules, if any: what may run once goes to no engine on trial."""
+"""The admission rule that keeps requests that may run only once off endpoints that have not served yet."""
 
 from __future__ import annotations
 
-from cresstray.membership.recovery import Membership
+from typing import Protocol
+
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.types import ChainedRules, Engine, Request
 
 
+class UnprovenEndpoints(Protocol):
+    """What the guard asks of the membership."""
+
+    def is_unproven(self, engine: Engine) -> bool:
+        """Returns whether neither discovery nor a served request vouches for the engine."""
+
+
 class AdmissionGuard(ChainedRules):
-    def __init__(self, keep: Membership, gateway: PolicyController) -> None:
-        super().__init__(gateway)
-        self._membership = keep
+    """Adds the rule on unproven endpoints to the rules that the controller had before."""
+
+    def __init__(self, membership: UnprovenEndpoints, controller: PolicyController) -> None:
+        super().__init__(controller)
+        self._membership = membership
 
     def allows(self, request: Request, engine: Engine, now: int) -> bool:
-        # Danger: the first that a remembered address hears of us may be heard by somebody else.
+        """Returns whether the request may be sent to the engine.
+
+        Another service may listen at a remembered address. A request that may run only once waits for an
+        endpoint that discovery names, or that has served.
+        """
+        request_class = request.request_class
         return (
-            request.request_class.is_idempotent
-            or request.request_class.is_deduplicated
+            request_class.is_idempotent
+            or request_class.is_deduplicated
             or not self._membership.is_unproven(engine)
         ) and super().allows(request, engine, now)
--- a/cresstray/membership/inspection.py
+++ b/cresstray/membership/inspection.py
@@ -1,88 +1,164 @@
-"""What operators see of what is kept, and how they take an engine out of it."""
+"""What operators see of a snapshot folder, and how they remove an endpoint from it."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
-from cresstray.membership import confidence as fade
-from cresstray.membership.confidence import ClockReading
+from cresstray.membership.confidence import (
+    LIST_HALF_LIFE_US,
+    SECOND_US,
+    UNKNOWN_AGE_US,
+    ClockReading,
+    age_us,
+    confidence,
+)
+from cresstray.membership.errors import FolderInUseError, UnknownEndpointError
+from cresstray.membership.estimate import MembershipEstimate
+from cresstray.membership.estimate_states import EstimateState
 from cresstray.membership.reconciliation import Tombstone
-from cresstray.membership.snapshot import Snapshot
+from cresstray.membership.snapshot import EndpointEntry, LatencyEntry, Snapshot
 from cresstray.membership.snapshot_files import SnapshotFolder, one_line
 
+_DAY_US = 86_400 * SECOND_US
 
-def report(record: Snapshot, now: ClockReading) -> dict[str, Any]:
-    """As plain maps, ages in seconds; an age of None is not known."""
-    age = fade.age_us(record.written_at, now)
 
-    def seconds(before: int) -> float | None:
-        return None if age + before >= fade.UNKNOWN_AGE_US else round((age + before) / 1e6, 1)
+# The states by the words that reports have always had.
+_REPORTED_STATES = {
+    EstimateState.REMEMBERED: "remembered",
+    EstimateState.PROBING: "on trial",
+    EstimateState.CONFIRMED: "confirmed",
+    EstimateState.UNREACHABLE: "contradicted",
+    EstimateState.REGISTERED: "told",
+    EstimateState.REMOVED: "gone",
+}
 
+
+class FileCheck(NamedTuple):
+    """Whether one file of a folder can be used, and a line that says so."""
+
+    file_name: str
+    is_usable: bool
+    line: str
+
+
+# The keys of the reports are what operators' scripts read; they keep the earlier terms.
+
+
+def report(snapshot: Snapshot, now: ClockReading) -> dict[str, Any]:
+    """Returns the snapshot as plain maps, ages in seconds; an age of None is not known."""
+    age = age_us(snapshot.written_at, now)
+    return {
+        "owner": snapshot.owner,
+        "age": _age_seconds(age),
+        "index": snapshot.index,
+        "handed_over": snapshot.is_handed_over,
+        "engines": [_endpoint_report(entry, age) for entry in snapshot.endpoints],
+        "gone": [_tombstone_report(tombstone) for tombstone in snapshot.tombstones],
+        "tariffs": [_latency_report(entry) for entry in snapshot.latencies],
+        "limits": len(snapshot.limits),
+    }
+
+
+def _age_seconds(age: int) -> float | None:
+    return None if age >= UNKNOWN_AGE_US else round(age / 1e6, 1)
+
+
+def _endpoint_report(entry: EndpointEntry, snapshot_age_us: int) -> dict[str, Any]:
+    age = snapshot_age_us + entry.age_us
+    return {
+        "id": endpoint_label(entry.id),
+        "address": f"{entry.host}:{entry.port}",
+        "draining": entry.is_draining,
+        "age": _age_seconds(age),
+        "trust": round(confidence(min(age, UNKNOWN_AGE_US), LIST_HALF_LIFE_US), 3),
+    }
+
+
+def _tombstone_report(tombstone: Tombstone) -> dict[str, Any]:
+    return {
+        "id": endpoint_label(tombstone.id),
+        "index": tombstone.index,
+        "days": round(tombstone.known_for_us / _DAY_US, 2),
+    }
+
+
+def _latency_report(entry: LatencyEntry) -> dict[str, Any]:
     return {
-        "owner": record.owner,
-        "age": seconds(0),
-        "index": record.index,
-        "handed_over": record.is_handed_over,
-        "engines": [
-            {
-                "id": f"s-{one.id:08x}",
-                "address": f"{one.host}:{one.port}",
-                "draining": one.is_draining,
-                "age": seconds(one.age_us),
-                "trust": round(
-                    fade.confidence(min(age + one.age_us, fade.UNKNOWN_AGE_US), fade.LIST_HALF_LIFE_US), 3
-                ),
-            }
-            for one in record.endpoints
-        ],
-        "gone": [
-            {"id": f"s-{one.id:08x}", "index": one.index, "days": round(one.known_for_us / 86_400e6, 2)}
-            for one in record.tombstones
-        ],
-        "tariffs": [
-            {"name": one.name, "answers": one.sample_count, "mean_ms": round(one.mean_us / 1000, 1)}
-            for one in record.latencies
-        ],
-        "limits": len(record.limits),
+        "name": entry.name,
+        "answers": entry.sample_count,
+        "mean_ms": round(entry.mean_us / 1000, 1),
     }
 
 
-def verify(folder: SnapshotFolder) -> list[tuple[str, bool, str]]:
-    """For each file that is there: its name, whether it can be used, and a line."""
+def endpoint_label(endpoint_id: int) -> str:
+    """Returns the label of an endpoint, as operators write it."""
+    return f"s-{endpoint_id:08x}"
+
+
+def status(estimate: MembershipEstimate, now_us: int) -> list[dict[str, Any]]:
+    """Returns the estimate of a running gateway, a plain map for each endpoint; ages in seconds."""
+    ages_us = {endpoint.id: age for endpoint, age in estimate.evidence_ages(now_us)}
     return [
-        (
-            name,
-            record is not None,
-            one_line(trouble)
-            if record is None
-            else f"whole, serial {serial}, {len(record.endpoints)} engines, index {record.index}",
-        )
-        for name, serial, record, trouble in folder.read_each()
+        {
+            "id": endpoint_label(endpoint_id),
+            "address": f"{one.endpoint.host}:{one.endpoint.port}",
+            "state": _REPORTED_STATES[one.state],
+            "source": one.source.value,
+            "listed": one.is_listed,
+            "age": _age_seconds(ages_us.get(endpoint_id, UNKNOWN_AGE_US)),
+            "failed": one.failure_count,
+        }
+        for endpoint_id, one in estimate.endpoints.items()
     ]
 
 
-def without_endpoint(record: Snapshot, engine: int) -> Snapshot:
-    """Without this engine, and with a tombstone that only later news of the register lifts. KeyError."""
-    known = next((one for one in record.endpoints if one.id == engine), None)
-    if known is None:
-        raise KeyError(engine)
+def verify(folder: SnapshotFolder) -> list[FileCheck]:
+    """Checks each file that is there."""
+    checks = []
+    for found in folder.read_each():
+        if found.snapshot is None:
+            line = one_line(found.error)
+        else:
+            count = len(found.snapshot.endpoints)
+            line = f"whole, serial {found.serial}, {count} engines, index {found.snapshot.index}"
+        checks.append(FileCheck(found.file_name, found.snapshot is not None, line))
+    return checks
+
+
+def without_endpoint(snapshot: Snapshot, endpoint_id: int) -> Snapshot:
+    """Returns the snapshot with a tombstone in place of the endpoint, which only later news lifts.
+
+    Raises:
+        UnknownEndpointError: The snapshot does not hold the endpoint.
+    """
+    removed = next((entry for entry in snapshot.endpoints if entry.id == endpoint_id), None)
+    if removed is None:
+        raise UnknownEndpointError(endpoint_id)
+    tombstone = Tombstone(endpoint_id, removed.started_us, snapshot.index, 0)
     return msgspec.structs.replace(
-        record,
-        endpoints=[one for one in record.endpoints if one.id != engine],
-        limits=[one for one in record.limits if one.id != engine],
-        tombstones=[*record.tombstones, Tombstone(engine, known.started_us, record.index, 0)],
+        snapshot,
+        endpoints=[entry for entry in snapshot.endpoints if entry.id != endpoint_id],
+        limits=[entry for entry in snapshot.limits if entry.id != endpoint_id],
+        tombstones=[*snapshot.tombstones, tombstone],
     )
 
 
-def forget(folder: SnapshotFolder, engine: int) -> None:
-    """On a stopped gateway. Both generations, or the older one would still name it. OSError, KeyError."""
+def forget(folder: SnapshotFolder, endpoint_id: int) -> None:
+    """Removes an endpoint from the folder of a stopped gateway.
+
+    Raises:
+        FolderInUseError: The gateway runs.
+        UnknownEndpointError: No snapshot holds the endpoint.
+        OSError, UnusableSnapshotError: The snapshot can't be written.
+    """
     if not folder.lock():
-        raise BlockingIOError(f"{folder.path}: its gateway runs; ask that one")
+        raise FolderInUseError(f"{folder.path}: its gateway runs; ask that one")
     found = folder.read().snapshot
     if found is None:
-        raise KeyError(engine)
-    record = without_endpoint(found, engine)
-    folder.write(record)
-    folder.write(record)
+        raise UnknownEndpointError(endpoint_id)
+    changed = without_endpoint(found, endpoint_id)
+    # Both generations are written: the older one would still name the endpoint.
+    folder.write(changed)
+    folder.write(changed)
--- a/cresstray/membership/learned_state.py
+++ b/cresstray/membership/learned_state.py
@@ -1,8 +1,9 @@
-"""What the module has learnt, taken out for the disk and put back into objects that are as new."""
+"""Takes learned latencies and limits out of the policy controller for a snapshot, and restores them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
+from typing import NamedTuple
 
 from cresstray.membership.confidence import (
     LATENCY_HALF_LIFE_US,
@@ -12,21 +13,36 @@
     decayed,
     decayed_ratio,
 )
-from cresstray.membership.estimate import EndpointEstimate
+from cresstray.membership.estimate_states import EndpointEstimate
 from cresstray.membership.snapshot import LatencyEntry, LimitEntry
 from cresstray.policy.controller import Limiter, PolicyController
 from cresstray.policy.types import Engine
 
-# Danger: a tariff with fewer than five known answers weighs its soft limit on a cold engine. With many
-# gateways that alone may be over our part: nothing at all would be sent until engines must be warm. Of an old
-# list as few as that count, so that if it has become heavy since, the first answers tell. Until they come a
-# listed engine gets half of our part, and bears work half as heavy again as it was: docs/kept.md.
-_KNOWN = 5
-# A remembered engine that nobody has spoken for gets its first work within two turns of a cold one, not one.
-_TRIAL_SHARE = 0.5
+# A request class with fewer known answers weighs its whole latency objective on an engine that warms up. With
+# many gateways that alone may be over this gateway's part, and nothing would be sent until engines are warm.
+# Latencies of an old snapshot count as no more than this, so the first answers correct them.
+_MIN_SAMPLE_COUNT = 5
+_MAX_SAMPLE_COUNT = 200
+# A limiter with fewer samples has learned nothing worth storing.
+_MIN_LIMIT_SAMPLES = 10
+# The bounds that the concurrency limit itself keeps to, as factors of what it starts with.
+_MIN_LIMIT_RATIO = 0.1
+_MAX_LIMIT_RATIO = 1.99
+# An endpoint that nobody has vouched for gets its first request within two turns of a cold one, not one.
+_UNPROVEN_SHARE = 0.5
 
 
-def collect_latencies(gateway: PolicyController, names: Iterable[str]) -> list[LatencyEntry]:
+class LearnedLimit(NamedTuple):
+    """The fields of a LimitEntry, gathered without the checks of its type."""
+
+    id: int
+    started_us: int
+    ratio: float
+    slowdown: float
+
+
+def collect_latencies(controller: PolicyController, names: Iterable[str]) -> list[LatencyEntry]:
+    """Returns the latencies of all request classes that have seen an answer; `names` are theirs, in order."""
     return [
         LatencyEntry(
             name,
@@ -35,80 +51,97 @@
             request_class.latency.mean_work_us,
             request_class.latency.work_factor,
         )
-        for name, request_class in zip(names, gateway.request_classes)
+        for name, request_class in zip(names, controller.request_classes)
         if request_class.latency.sample_count
     ]
 
 
 def collect_limits(
-    engines: Mapping[int, tuple[Engine, Limiter]], beliefs: Mapping[int, EndpointEstimate]
-) -> list[tuple[int, int, float, float]]:
-    """Of those that have learnt anything, as record.Limit has it."""
+    engines: Mapping[int, tuple[Engine, Limiter]], estimates: Mapping[int, EndpointEstimate]
+) -> list[LearnedLimit]:
+    """Returns the limits of all engines that have learned any, by endpoint id."""
     return [
-        (number, beliefs[number].endpoint.started_us, limiter.limit / limiter.start, limiter.pace)
-        for number, (_, limiter) in engines.items()
-        if limiter.seen >= 10 and number in beliefs
+        LearnedLimit(
+            endpoint_id,
+            estimates[endpoint_id].endpoint.started_us,
+            limiter.limit / limiter.start,
+            limiter.pace,
+        )
+        for endpoint_id, (_, limiter) in engines.items()
+        if limiter.seen >= _MIN_LIMIT_SAMPLES and endpoint_id in estimates
     ]
 
 
 def restore_latencies(
-    gateway: PolicyController, names: Iterable[str], kept: Iterable[LatencyEntry], age: int
+    controller: PolicyController, names: Iterable[str], entries: Iterable[LatencyEntry], age_us: int
 ) -> int:
-    """Into tariffs that have seen nothing yet, unless nobody knows how old they are; how many."""
-    of, put, left = {one.name: one for one in kept}, 0, confidence(age, LATENCY_HALF_LIFE_US)
-    for name, request_class in zip(names, gateway.request_classes):
-        usual, one = request_class.latency, of.get(name)
-        if one is None or usual.sample_count or one.sample_count < _KNOWN or not left:
-            continue
-        usual.mean_us, usual.mean_work_us = one.mean_us, one.mean_work_us
-        usual.work_factor = decayed_ratio(one.work_factor, age, LATENCY_HALF_LIFE_US)
-        # Fewer count for as much: what is answered from now on moves it sooner.
-        usual.sample_count = max(_KNOWN, int(min(one.sample_count, 200) * left))
-        put += 1
-    return put
+    """Restores latencies into request classes that have seen no answer; returns into how many.
 
-
-def restore_limit(limiter: Limiter, kept: LimitEntry, started: int | None, age: int) -> bool:
-    """Into a limiter that has seen nothing yet. `started`: as the register told it; None: nobody has.
-
-    What was learnt of one life of an engine says nothing of the next. Where its life is not known, only what
-    lowers a limit is kept: that is the safe side.
+    Nothing is restored where the age is not known.
+    """
+    entry_by_name = {entry.name: entry for entry in entries}
+    remaining = confidence(age_us, LATENCY_HALF_LIFE_US)
+    restored = 0
+    for name, request_class in zip(names, controller.request_classes):
+        latency = request_class.latency
+        entry = entry_by_name.get(name)
+        if entry is None or latency.sample_count or entry.sample_count < _MIN_SAMPLE_COUNT or not remaining:
+            continue
+        latency.mean_us = entry.mean_us
+        latency.mean_work_us = entry.mean_work_us
+        latency.work_factor = decayed_ratio(entry.work_factor, age_us, LATENCY_HALF_LIFE_US)
+        # The older the entry, the fewer samples it counts as, and the sooner new answers move it.
+        sample_count = int(min(entry.sample_count, _MAX_SAMPLE_COUNT) * remaining)
+        latency.sample_count = max(_MIN_SAMPLE_COUNT, sample_count)
+        restored += 1
+    return restored
+
+
+def restore_limit(limiter: Limiter, entry: LimitEntry, started_us: int | None, age_us: int) -> bool:
+    """Restores a limit into a limiter that has no samples; returns whether it did.
+
+    Args:
+        limiter: The limiter of the endpoint.
+        entry: What an earlier process learned.
+        started_us: The start of the endpoint as discovery names it; None where it has not been named.
+        age_us: The age of the entry in microseconds.
     """
-    if limiter.seen or started is not None and started != kept.started_us:
+    # What was learned before an engine restarted says nothing of it now.
+    has_restarted = started_us is not None and started_us != entry.started_us
+    if limiter.seen or has_restarted:
         return False
-    ratio = decayed_ratio(kept.ratio, age, LIMIT_HALF_LIFE_US)
-    if started is None:
+    ratio = decayed_ratio(entry.ratio, age_us, LIMIT_HALF_LIFE_US)
+    if started_us is None:
+        # It may have restarted: then only a lower limit is safe to restore.
         ratio = min(1.0, ratio)
-    limiter.limit = min(max(ratio, 0.1), 1.99) * limiter.start
-    limiter.pace = decayed(kept.slowdown, 1.0, age, SLOWDOWN_HALF_LIFE_US)
+    limiter.limit = min(max(ratio, _MIN_LIMIT_RATIO), _MAX_LIMIT_RATIO) * limiter.start
+    limiter.pace = decayed(entry.slowdown, 1.0, age_us, SLOWDOWN_HALF_LIFE_US)
     return True
 
 
 def copy_learned_state(old: Limiter, new: Limiter) -> None:
-    """From a limiter of this process to the one that took its place, where the engine's life is the same."""
+    """Copies what was learned to the limiter that replaces `old`, of an engine that has not restarted."""
     new.limit = old.limit / old.start * new.start
-    for name in (
-        "pace",
-        "seen",
-        "average",
-        "best",
-        "heard",
-        "lost",
-        "fails",
-        "answers",
-        "doubted",
-        "mute",
-        "trial_at",
-        "streak",
-        "signs",
-        "idle",
-        "full_until",
-        "blocked",
-    ):
-        setattr(new, name, getattr(old, name))
-
-
-def delay_first_turn(limiter: Limiter, chance: Callable[[], float], now: int) -> None:
-    """Its first turn is drawn over twice as long: half of our part of what a cold engine may get."""
-    if limiter.cold > now:
-        limiter.cold = now + int((limiter.cold - now) / _TRIAL_SHARE * (0.5 + 0.5 * chance()))
+    new.pace = old.pace
+    new.seen = old.seen
+    new.average = old.average
+    new.best = old.best
+    new.heard = old.heard
+    new.lost = old.lost
+    new.fails = old.fails
+    new.answers = old.answers
+    new.doubted = old.doubted
+    new.mute = old.mute
+    new.trial_at = old.trial_at
+    new.streak = old.streak
+    new.signs = old.signs
+    new.idle = old.idle
+    new.full_until = old.full_until
+    new.blocked = old.blocked
+
+
+def delay_first_turn(limiter: Limiter, chance: Callable[[], float], now_us: int) -> None:
+    """Draws the first turn of an unproven endpoint over twice the time of one that only warms up."""
+    if limiter.cold > now_us:
+        delay_us = int((limiter.cold - now_us) / _UNPROVEN_SHARE * (0.5 + 0.5 * chance()))
+        limiter.cold = now_us + delay_us
--- /dev/null
+++ b/cresstray/membership/persistence.py
@@ -0,0 +1,95 @@
+"""Writes snapshots in the background, and the last one for the successor of a gateway that ends."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from cresstray.membership.background_writer import WriteSchedule
+from cresstray.membership.snapshot import Snapshot
+from cresstray.membership.snapshot_files import ReadResult, SnapshotWriter, WriteResult
+from cresstray.observability.counters import Counters
+
+# Given the time, request names in use, and whether it is the last write: a function that makes the snapshot.
+PrepareSnapshot = Callable[[int, Sequence[str], bool], Callable[[], Snapshot]]
+
+
+class SnapshotPersistence:
+    """Starts writes as they are due, and reports their results.
+
+    Attributes:
+        schedule: When the next write is due.
+        is_complete: The last write, which hands over, has ended.
+    """
+
+    def __init__(
+        self,
+        writer: SnapshotWriter,
+        schedule: WriteSchedule,
+        counters: Counters,
+        notify: Callable[[str], None],
+        prepare: PrepareSnapshot,
+    ) -> None:
+        self.schedule = schedule
+        self.is_complete = False
+        self._writer = writer
+        self._counters = counters
+        self._notify = notify
+        self._prepare = prepare
+        # Set once the gateway ends, for the last write.
+        self._final_request_names: list[str] | None = None
+        self._is_final_write_started = False
+        self._last_error = ""
+
+    @property
+    def is_handing_over(self) -> bool:
+        """Whether the last write has been requested."""
+        return self._final_request_names is not None
+
+    def hand_over(self, request_names: Sequence[str]) -> None:
+        """Requests the last write, with the names in use of late."""
+        self._final_request_names = list(request_names)
+
+    def poll(self, now_us: int) -> ReadResult | None:
+        """Ends a write whose result is there; returns a newer snapshot that was found in its place."""
+        result = self._writer.poll()
+        if result is None:
+            return None
+        self._count(result, now_us)
+        self._report(result.error)
+        self.is_complete = self._is_final_write_started
+        return None if self.is_handing_over else result.newer
+
+    def start_due_write(self, now_us: int, read_serial: int) -> None:
+        """Starts a write if one is due; `read_serial`: of the newest snapshot that was applied."""
+        if self._final_request_names is None:
+            if self.schedule.is_due(now_us):
+                self._start(now_us, (), False, read_serial)
+        elif not self._is_final_write_started and self.schedule.write_started_us is None:
+            self._is_final_write_started = True
+            self._start(now_us, self._final_request_names, True, read_serial)
+
+    def close(self) -> None:
+        """Releases the folder for the successor; while a write hangs it stays with this process."""
+        if self.schedule.write_started_us is None:
+            self._writer.folder.unlock()
+
+    def _start(self, now_us: int, request_names: Sequence[str], is_final: bool, read_serial: int) -> None:
+        self.schedule.on_write_started(now_us)
+        self._writer.start(self._prepare(now_us, request_names, is_final), read_serial)
+
+    def _count(self, result: WriteResult, now_us: int) -> None:
+        if result.is_folder_busy:
+            self.schedule.on_folder_locked(now_us)
+            return
+        is_success = not result.error
+        self.schedule.on_write_finished(is_success, result.duration_us, now_us)
+        self._counters.add("kept: writes" if is_success else "kept: writes failed")
+        counts = self._counters.counts
+        counts["kept: bytes"] = result.size_bytes or counts["kept: bytes"]
+        counts["kept: slowest write us"] = max(result.duration_us, counts["kept: slowest write us"])
+
+    def _report(self, error: str) -> None:
+        if error == self._last_error:
+            return
+        self._last_error = error
+        self._notify(f"can't be written: {error}; tried again" if error else "written again")
--- a/cresstray/membership/reconciliation.py
+++ b/cresstray/membership/reconciliation.py
@@ -1,4 +1,4 @@
-"""What is known to be gone, so that no old list raises it; and a register whose numbers are behind ours."""
+"""Tombstones of removed endpoints, and a discovery service whose index is behind the one remembered."""
 
 from __future__ import annotations
 
@@ -6,18 +6,25 @@
 
 from cresstray.membership.confidence import SECOND_US
 
-# An id that is gone comes back under a new start, so a tombstone only has to outlive lists that still name
-# it: those on disks that come back from repair, and a register's backup. A week, counted while gateways run.
+# A removed id comes back under a later start, so a tombstone only has to outlive lists that still name it:
+# those on repaired disks, and a backup of the discovery service. Counted while gateways run.
 TOMBSTONE_LIFETIME_US = 7 * 86_400 * SECOND_US
-# Danger: engines come under new ids for years. With a tenth of 500 replaced a day, a week leaves 350.
+# Replacing a tenth of 500 engines a day leaves 350 tombstones in a week.
 MAX_TOMBSTONES = 4096
-# A register that returns with smaller numbers is behind, or was founded anew. One that is behind catches up
-# within a restart; one that stands by its numbers for five minutes is the register.
+# A discovery service with a smaller index is behind, or was set up anew. One that is behind catches up within
+# a restart; an index that stands for five minutes is accepted.
 INDEX_SETTLE_TIME_US = 300 * SECOND_US
 
 
 class Tombstone(msgspec.Struct, array_like=True):
-    """`number`: of the word that it is gone. `lived`: microseconds of running time that it is known for."""
+    """A removed endpoint. On disk it is an array of the fields in this order.
+
+    Attributes:
+        id: The endpoint.
+        started_us: The latest start of it that is known to be over.
+        index: The index at which it was removed.
+        known_for_us: For how long gateways have run with it, in microseconds.
+    """
 
     id: int
     started_us: int
@@ -26,73 +33,94 @@
 
 
 class Tombstones:
+    """Removed endpoints, so that no older list brings one back."""
+
     def __init__(self) -> None:
-        self._tombs: dict[int, tuple[Tombstone, int]] = {}  # and since when its running time counts
+        # With the time from which its running time still counts.
+        self._tombstones: dict[int, tuple[Tombstone, int]] = {}
 
-    def __contains__(self, engine: int) -> bool:
-        return engine in self._tombs
+    def __contains__(self, endpoint_id: int) -> bool:
+        return endpoint_id in self._tombstones
 
     def __len__(self) -> int:
-        return len(self._tombs)
-
-    def add(self, engine: int, started: int, number: int, now: int, lived: int = 0) -> None:
-        old = self._tombs.pop(engine, None)
-        if old is not None:
-            # What is known by both: of the later start and by the later word.
-            started, number = max(started, old[0].started_us), max(number, old[0].index)
-        self._tombs[engine] = (Tombstone(engine, started, number, lived), now)
-        while len(self._tombs) > MAX_TOMBSTONES:
-            del self._tombs[next(iter(self._tombs))]
-
-    def forbids(self, engine: int, started: int, number: int) -> bool:
-        """Whether a word of this number, on the engine as started then, is older than that it is gone."""
-        held = self._tombs.get(engine)
-        return held is not None and started <= held[0].started_us and number <= held[0].index
-
-    def discard(self, engine: int) -> None:
-        self._tombs.pop(engine, None)
-
-    def rebase(self, number: int) -> None:
-        """The register counts anew: what it says after this number is news."""
-        for tomb, _ in self._tombs.values():
-            tomb.index = min(tomb.index, number)
-
-    def unexpired(self, now: int) -> list[Tombstone]:
-        """All whose time is not over; the others are dropped."""
-        kept = [
-            Tombstone(tomb.id, tomb.started_us, tomb.index, tomb.known_for_us + max(0, now - since))
-            for tomb, since in self._tombs.values()
+        return len(self._tombstones)
+
+    def add(self, endpoint_id: int, started_us: int, index: int, now_us: int, known_for_us: int = 0) -> None:
+        """Adds a tombstone, or moves it to the later start and the later index; the oldest makes room."""
+        known = self._tombstones.pop(endpoint_id, None)
+        if known is not None:
+            started_us = max(started_us, known[0].started_us)
+            index = max(index, known[0].index)
+        self._tombstones[endpoint_id] = (Tombstone(endpoint_id, started_us, index, known_for_us), now_us)
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            del self._tombstones[next(iter(self._tombstones))]
+
+    def forbids(self, endpoint_id: int, started_us: int, index: int) -> bool:
+        """Returns whether a list of this index, that names this start, is older than the removal."""
+        known = self._tombstones.get(endpoint_id)
+        return known is not None and started_us <= known[0].started_us and index <= known[0].index
+
+    def discard(self, endpoint_id: int) -> None:
+        """Drops a tombstone, where there is one: later news names the endpoint again."""
+        self._tombstones.pop(endpoint_id, None)
+
+    def rebase(self, index: int) -> None:
+        """Follows an index that starts anew: whatever has a higher index than this one is later news."""
+        for tombstone, _ in self._tombstones.values():
+            tombstone.index = min(tombstone.index, index)
+
+    def unexpired(self, now_us: int) -> list[Tombstone]:
+        """Returns the tombstones whose lifetime is not over, oldest first, and drops the others."""
+        aged = [
+            Tombstone(
+                tombstone.id,
+                tombstone.started_us,
+                tombstone.index,
+                tombstone.known_for_us + max(0, now_us - since_us),
+            )
+            for tombstone, since_us in self._tombstones.values()
         ]
-        for tomb in kept:
-            if tomb.known_for_us >= TOMBSTONE_LIFETIME_US:
-                del self._tombs[tomb.id]
-        return [tomb for tomb in kept if tomb.known_for_us < TOMBSTONE_LIFETIME_US]
+        for tombstone in aged:
+            if tombstone.known_for_us >= TOMBSTONE_LIFETIME_US:
+                del self._tombstones[tombstone.id]
+        return [tombstone for tombstone in aged if tombstone.known_for_us < TOMBSTONE_LIFETIME_US]
 
 
 class IndexTracker:
-    """The register's numbers, against the highest one that was ever heard or kept."""
+    """Compares the index of the discovery service with the highest that was ever heard or stored.
+
+    Attributes:
+        highest: That index.
+        last: The index heard last.
+        behind_since_us: Since when complete lists have had a smaller index; None where they have not.
+    """
 
     def __init__(self) -> None:
         self.highest = 0
-        self.behind_since_us: int | None = None  # it has told a whole list that is older than ours
         self.last = 0
-
-    def observe(self, number: int, complete: bool, now: int) -> bool:
-        """Whether a whole list of this number speaks for engines that it does not name."""
-        self.last = number
-        if number >= self.highest:
-            self.highest, self.behind_since_us = number, None
-            return complete
-        if complete and self.behind_since_us is None:
-            self.behind_since_us = now
+        self.behind_since_us: int | None = None
+
+    def observe(self, index: int, is_complete: bool, now_us: int) -> bool:
+        """Takes the index of an event; returns whether what the event leaves out is removed."""
+        self.last = index
+        if index >= self.highest:
+            self.highest = index
+            self.behind_since_us = None
+            return is_complete
+        if is_complete and self.behind_since_us is None:
+            self.behind_since_us = now_us
         return False
 
-    def on_watch_silent(self, now: int) -> None:
+    def on_watch_silent(self, now_us: int) -> None:
+        """Restarts the settle time: a service that is silent does not confirm its index."""
         if self.behind_since_us is not None:
-            self.behind_since_us = now
+            self.behind_since_us = now_us
 
-    def is_settled(self, now: int) -> bool:
-        return self.behind_since_us is not None and now - self.behind_since_us >= INDEX_SETTLE_TIME_US
+    def is_settled(self, now_us: int) -> bool:
+        """Returns whether the service has kept to a smaller index for the settle time."""
+        return self.behind_since_us is not None and now_us - self.behind_since_us >= INDEX_SETTLE_TIME_US
 
     def accept_last(self) -> None:
-        self.highest, self.behind_since_us = self.last, None
+        """Takes the smaller index as the one in force."""
+        self.highest = self.last
+        self.behind_since_us = None
--- a/cresstray/membership/recovery.py
+++ b/cresstray/membership/recovery.py
@@ -1,29 +1,36 @@
-"""Joins beliefs, files and what was learnt to one gateway, as the service calls it."""
+"""The membership of one gateway: recovers it from a snapshot, and joins estimate, probes and snapshots."""
 
 from __future__ import annotations
 
 import time
 from collections import deque
 from collections.abc import Callable, Mapping, Sequence
+from functools import partial
 from typing import Any
 
 from anyio.abc import TaskGroup
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
-from cresstray.membership import learned_state as learnt
-from cresstray.membership import snapshot as record
+from cresstray.membership import inspection
 from cresstray.membership.background_writer import WriteSchedule
 from cresstray.membership.confidence import HANDOVER_VALIDITY_US, UNKNOWN_AGE_US, ClockReading, age_us
 from cresstray.membership.connection_probe import probe_connection
-from cresstray.membership.estimate import ContactResult, EstimateState, EvidenceSource, MembershipEstimate
-from cresstray.membership.snapshot_files import ReadResult, SnapshotWriter, WriteResult
+from cresstray.membership.estimate import MembershipEstimate
+from cresstray.membership.estimate_states import ContactResult, EstimateState, EvidenceSource
+from cresstray.membership.learned_state import collect_latencies, collect_limits, restore_latencies
+from cresstray.membership.listed_engines import ListedEngines
+from cresstray.membership.persistence import SnapshotPersistence
+from cresstray.membership.settings import from_settings
+from cresstray.membership.snapshot import Snapshot, newest_entries, to_endpoints
+from cresstray.membership.snapshot_builder import SnapshotContent
+from cresstray.membership.snapshot_files import ReadResult, SnapshotWriter
 from cresstray.observability.counters import Counters
-from cresstray.policy.controller import Limiter, PolicyController, micros
+from cresstray.policy.controller import PolicyController
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
-# What a relay's end says of a remembered engine. Faults of work say nothing: it runs work, so it is one. An
-# answer that can't be read may be another service's, which may be for a moment only.
-_HOW = {
+# What the outcome of an attempt says of its endpoint. A failed request was run, so an engine is there. An
+# answer that can't be read may be another service's, which may have the address for a moment only.
+_CONTACT_BY_OUTCOME = {
     Outcome.SUCCEEDED: ContactResult.SERVED,
     Outcome.OVERLOADED: ContactResult.SERVED,
     Outcome.FAILED: ContactResult.SERVED,
@@ -32,348 +39,317 @@
     Outcome.CONNECTION_LOST: ContactResult.TIMED_OUT,
     Outcome.PROTOCOL_ERROR: ContactResult.TIMED_OUT,
 }
-# Without a stated grace an engine is given so long to end.
-_GRACE = 10_000
-# Connections made and closed at once, and microseconds of the loop for each: a tick's budget of background
-# work. The 64 that a round may have took 6 ms of it in one piece, which live answers waited for.
-MAX_PROBES_AT_ONCE, PROBE_COST_US = 2, 100
-# Engines that are listed at once: a quarter of a millisecond for route and module, of which a half is for
-# those listed before.
+# Connections started in one turn of the event loop, and what each costs it: a tick's budget in all.
+MAX_PROBES_AT_ONCE = 2
+PROBE_COST_US = 100
+# Endpoints listed in one turn: a quarter of a millisecond for router and controller.
 MAX_LISTED_AT_ONCE = 8
-# Engines of which the record is made in one piece, some 80 us, and seconds for the loop in between.
-_PIECE, _BREATH = 50, 50e-6
 
 
 class Membership:
-    """`say` prints a line for operators; `moment` reads all clocks, `now` is the module's."""
+    """One gateway's endpoint list across restarts. Times are microseconds of the controller's clock.
+
+    Attributes:
+        estimate: The state of each endpoint.
+        recovered_request_names: Names that a predecessor had in use a few seconds ago, to be taken once.
+    """
 
     def __init__(
         self,
         writer: SnapshotWriter,
         settings: Mapping[str, Any],
-        gateway: PolicyController,
+        controller: PolicyController,
         chance: Callable[[], float],
         counters: Counters,
-        say: Callable[[str], None],
-        moment: Callable[[], ClockReading],
-        now: int,
+        notify: Callable[[str], None],
+        read_clocks: Callable[[], ClockReading],
+        now_us: int,
     ) -> None:
-        limits, safety = settings.get("Limits", {}), settings.get("Safety", {})
-        self._writer, self._gateway, self._chance, self._moment = writer, gateway, chance, moment
-        self._counters, self._say = counters, say
-        self._names = [service.get("Name", "") for service in settings.get("Services", [])]
-        self._zones, self._machines = settings.get("Localities", []), settings.get("Flavors", [])
-        self._patience = micros(limits.get("ConnectTimeout", 250))
+        """Makes the membership of a gateway.
+
+        Args:
+            writer: Writes to the gateway's folder.
+            settings: The settings of the module.
+            controller: Has what is learned of latencies and limits.
+            chance: Draws from 0 to 1.
+            counters: Counts what happens.
+            notify: Logs a line for operators.
+            read_clocks: Reads all clocks.
+            now_us: The present time.
+        """
+        self._settings = from_settings(settings)
+        self._folder = writer.folder
+        self._controller = controller
+        self._counters = counters
+        self._notify = notify
+        self._read_clocks = read_clocks
         self.estimate = MembershipEstimate(
-            micros(safety.get("DrainGrace", _GRACE)), micros(limits.get("MaxRetryAfter", 0)), chance, now
+            self._settings.drain_grace_us, self._settings.max_retry_after_us, chance, now_us
         )
-        self.write_schedule = WriteSchedule(chance, now)
-        self._pending: dict[int, Endpoint] = {}  # to be listed at the next step
-        self._queued_probes: deque[Endpoint] = deque()  # on trial, and still to be connected to
-        self._engines: dict[int, tuple[Engine, Limiter]] = {}
-        self._ids: dict[Engine, int] = {}
-        self._same: set[int] = set()  # told, in the life that they were remembered in
-        self._limits: dict[int, record.LimitEntry] = {}
-        self._age, self._begun, self._serial, self._frames = UNKNOWN_AGE_US, now, 0, 0
-        self._last: list[str] | None = None  # marks of the last write, once this gateway ends
-        self._final = False  # the last write has begun
-        self._trouble = ""
-        self.is_handed_over = False  # the last write is at its end
-        self.recovered_request_names: list[str] = []  # handed over: names that were in use a few seconds ago
-
-    # The start, and what another process leaves while it ends.
-
-    def recover(self, now: int) -> None:
-        self._apply_snapshot(self._writer.folder.read(), now)
-
-    def _apply_snapshot(self, found: ReadResult, now: int) -> None:
+        self._persistence = SnapshotPersistence(
+            writer, WriteSchedule(chance, now_us), counters, notify, self.snapshot_builder
+        )
+        self._listed_engines = ListedEngines(chance, now_us)
+        # To be listed, by endpoint id.
+        self._pending: dict[int, Endpoint] = {}
+        self._queued_probes: deque[Endpoint] = deque()
+        self._applied_serial = 0
+        self._watch_frames = 0
+        self.recovered_request_names: list[str] = []
+
+    # Recovery at the start, and from what a predecessor writes while it ends.
+
+    def recover(self, now_us: int) -> None:
+        """Applies the newest snapshot of the folder."""
+        self._apply_snapshot(self._folder.read(), now_us)
+
+    def _apply_snapshot(self, found: ReadResult, now_us: int) -> None:
         for line in found.skipped_lines:
             self._counters.add("kept files skipped")
-            self._say(line)
-        kept = found.snapshot
-        if kept is None or found.serial <= self._serial:
+            self._notify(line)
+        snapshot = found.snapshot
+        if snapshot is None or found.serial <= self._applied_serial:
             return
-        self._serial, self._age = found.serial, age_us(kept.written_at, self._moment())
-        members = [
-            (member, min(UNKNOWN_AGE_US, self._age + before))
-            for member, before in record.to_endpoints(kept, self._zones, self._machines)
+        self._applied_serial = found.serial
+        now = self._read_clocks()
+        snapshot_age_us = age_us(snapshot.written_at, now)
+        remembered = [
+            (endpoint, min(UNKNOWN_AGE_US, snapshot_age_us + entry_age_us))
+            for endpoint, entry_age_us in to_endpoints(
+                snapshot, self._settings.zones, self._settings.instance_types
+            )
         ]
-        # Danger: only the reading that nobody sets says that a few seconds are a few seconds.
-        handed = (
-            kept.is_handed_over
-            and kept.boot_id == self._moment().boot_id != ""
-            and self._age < HANDOVER_VALIDITY_US
+        is_handed_over = _is_fresh_handover(snapshot, snapshot_age_us, now)
+        changed = self.estimate.merge_remembered(
+            remembered, snapshot.index, snapshot.tombstones, EvidenceSource.DISK, now_us, is_handed_over
         )
-        told = self.estimate.merge_remembered(
-            members, kept.index, kept.tombstones, EvidenceSource.DISK, now, handed
+        self._add_pending(changed)
+        self._listed_engines.remember_limits(snapshot.limits, snapshot_age_us)
+        restored_count = restore_latencies(
+            self._controller, self._settings.request_class_names, snapshot.latencies, snapshot_age_us
         )
-        self._pending.update((member.id, member) for member in told)
-        self._limits = {one.id: one for one in kept.limits}
-        put = learnt.restore_latencies(self._gateway, self._names, kept.latencies, self._age)
-        self.recovered_request_names = kept.request_names if handed else []
-        self._say(
-            f"remembers {len(members)} engines and {put} tariffs, "
-            + ("of an unknown age" if self._age >= UNKNOWN_AGE_US else f"{self._age / 1e6:.0f} s old")
-            + (", handed over" if handed else "")
+        self.recovered_request_names = snapshot.request_names if is_handed_over else []
+        age_text = (
+            "of an unknown age" if snapshot_age_us >= UNKNOWN_AGE_US else f"{snapshot_age_us / 1e6:.0f} s old"
+        )
+        handover_text = ", handed over" if is_handed_over else ""
+        self._notify(
+            f"remembers {len(remembered)} engines and {restored_count} tariffs, {age_text}{handover_text}"
         )
 
-    # The list: before and after the module hears of it.
+    # Events of discovery.
 
-    def on_endpoint_event(self, event: EndpointEvent, now: int) -> EndpointEvent:
-        """The event as route and module may have it."""
-        before = {
-            member.id: belief.endpoint.started_us
-            for member in event.endpoints
-            if (belief := self.estimate.endpoints.get(member.id)) is not None
-            and belief.state in (EstimateState.PROBING, EstimateState.CONFIRMED)
+    def on_endpoint_event(self, event: EndpointEvent, now_us: int) -> EndpointEvent:
+        """Applies an event; returns it as router and controller may have it."""
+        started_before = {
+            endpoint.id: estimate.endpoint.started_us
+            for endpoint in event.endpoints
+            if (estimate := self.estimate.endpoints.get(endpoint.id)) is not None
+            and estimate.state in (EstimateState.PROBING, EstimateState.CONFIRMED)
         }
-        passed = self.estimate.apply_event(event, now)
-        self._same = {member.id for member in passed.endpoints if before.get(member.id) == member.started_us}
-        left_out = len(event.endpoints) - len(passed.endpoints)
-        if left_out:
-            self._counters.add("kept: members of old lists left out", left_out)
-        for member in passed.endpoints:
-            self._pending.pop(member.id, None)
+        passed = self.estimate.apply_event(event, now_us)
+        self._listed_engines.set_same_start(
+            {one.id for one in passed.endpoints if started_before.get(one.id) == one.started_us}
+        )
+        left_out_count = len(event.endpoints) - len(passed.endpoints)
+        if left_out_count:
+            self._counters.add("kept: members of old lists left out", left_out_count)
+        for endpoint in passed.endpoints:
+            self._pending.pop(endpoint.id, None)
         if passed.is_complete:
             self._pending.clear()
-        self.write_schedule.on_change(now)
+        self.write_schedule.on_change(now_us)
         return passed
 
-    def on_endpoints_listed(self, event: EndpointEvent, engines: Mapping[int, Engine], now: int) -> None:
-        """After the module has heard of `event`; `engines`: the route's, by id. Limits start as they were."""
-        for member in event.endpoints:
-            engine = engines.get(member.id)
-            if engine is None or engine.limiter is None:
-                continue
-            old = self._engines.get(member.id)
-            if old is None or old[0] is not engine or old[1] is not engine.limiter:
-                self._start(member, engine, old[1] if old and old[0] is engine else None, now)
-            self._engines[member.id], self._ids[engine] = (engine, engine.limiter), member.id
-        if len(self._engines) > len(engines):
-            self._engines = {number: held for number, held in self._engines.items() if number in engines}
-            self._ids = {held[0]: number for number, held in self._engines.items()}
-
-    def _start(self, member: Endpoint, engine: Engine, old: Limiter | None, now: int) -> None:
-        told = self.estimate.state_of(member.id) is EstimateState.REGISTERED
-        if old is not None and member.id in self._same:
-            learnt.copy_learned_state(old, engine.limiter)
-            return
-        kept = self._limits.get(member.id)
-        if kept is not None:
-            passed = min(UNKNOWN_AGE_US, self._age + max(0, now - self._begun))
-            learnt.restore_limit(engine.limiter, kept, member.started_us if told else None, passed)
-        if not told:
-            learnt.delay_first_turn(engine.limiter, self._chance, now)
-
-    # What happens meanwhile.
-
-    def on_attempt_finished(self, attempt: Attempt, ending: Outcome, now: int) -> None:
-        engine, how = self._ids.get(attempt.engine), _HOW.get(ending)
-        if (
-            engine is not None
-            and how is not None
-            and self.estimate.state_of(engine) is not EstimateState.REGISTERED
-        ):
-            self._on_contact(engine, how, now)
+    def on_endpoints_listed(self, event: EndpointEvent, engines: Mapping[int, Engine], now_us: int) -> None:
+        """Restores limits once the controller has applied `event`; `engines`: the router's, by id."""
+        self._listed_engines.on_listed(event, engines, self._is_registered, now_us)
+
+    def _is_registered(self, endpoint_id: int) -> bool:
+        return self.estimate.state_of(endpoint_id) is EstimateState.REGISTERED
+
+    def take_changes(self, now_us: int, limit: int | None = None) -> EndpointEvent | None:
+        """Returns what is to be listed now, if anything; called ten times a second.
+
+        Args:
+            now_us: The present time.
+            limit: How many endpoints that are not removed it may hold; the rest waits for the next call.
+        """
+        frames = self._counters.counts["coordinator frames"]
+        if frames != self._watch_frames:
+            self._watch_frames = frames
+            self.estimate.on_watch_frame(now_us)
+        settled = self.estimate.settle_index(now_us)
+        if settled is not None:
+            self._notify(
+                "the register stands by smaller numbers than those kept: what it has not named is gone"
+            )
+            self._add_pending(settled.endpoints)
+            self.write_schedule.on_change(now_us)
+        endpoints = list(self._pending.values())
+        if limit is not None and len(endpoints) > limit:
+            # Removed endpoints must not wait behind others.
+            removed = [one for one in endpoints if one.state is EndpointState.REMOVED]
+            others = [one for one in endpoints if one.state is not EndpointState.REMOVED]
+            endpoints = removed + others[:limit]
+        for endpoint in endpoints:
+            del self._pending[endpoint.id]
+        return EndpointEvent(0, False, endpoints) if endpoints else None
+
+    @property
+    def has_changes(self) -> bool:
+        """Whether anything is still to be listed."""
+        return bool(self._pending)
+
+    def _add_pending(self, endpoints: Sequence[Endpoint]) -> None:
+        self._pending.update((endpoint.id, endpoint) for endpoint in endpoints)
+
+    # Requests and their attempts.
 
-    def _on_contact(self, engine: int, how: ContactResult, now: int) -> None:
-        before = self.estimate.state_of(engine)
-        for member in self.estimate.on_contact(engine, how, now):
-            self._pending[member.id] = member
-        after = self.estimate.state_of(engine)
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, now_us: int) -> None:
+        """Takes the outcome of an attempt as evidence, unless discovery has named its endpoint."""
+        endpoint_id = self._listed_engines.id_of(attempt.engine)
+        result = _CONTACT_BY_OUTCOME.get(outcome)
+        if endpoint_id is not None and result is not None and not self._is_registered(endpoint_id):
+            self._on_contact(endpoint_id, result, now_us)
+
+    def _on_contact(self, endpoint_id: int, result: ContactResult, now_us: int) -> None:
+        before = self.estimate.state_of(endpoint_id)
+        self._add_pending(self.estimate.on_contact(endpoint_id, result, now_us))
+        after = self.estimate.state_of(endpoint_id)
         if before is not after and after is not None:
             self._counters.add(f"kept: engines {after.value}")
-            self.write_schedule.on_change(now)
+            self.write_schedule.on_change(now_us)
 
-    def retry_after_us(self, request: Request, now: int) -> int | None:
-        """When to come back, in microseconds, where nothing is known well enough to send this to."""
+    def retry_after_us(self, request: Request, now_us: int) -> int | None:
+        """Returns after how long a client should retry where no endpoint is known well enough; else None."""
         request_class = request.request_class
-        wait = self.estimate.retry_after_us(request_class.is_idempotent or request_class.is_deduplicated, now)
-        if wait is not None:
+        can_repeat = request_class.is_idempotent or request_class.is_deduplicated
+        delay_us = self.estimate.retry_after_us(can_repeat, now_us)
+        if delay_us is not None:
             self._counters.add("kept: refused rather than guessed")
-        return wait
+        return delay_us
 
     def is_unproven(self, engine: Engine) -> bool:
-        number = self._ids.get(engine)
-        if number is None:
-            # Danger: what is held may be sent while the module hears of it, before `listed` here.
+        """Returns whether neither discovery nor a served request vouches for the engine."""
+        endpoint_id = self._listed_engines.id_of(engine)
+        if endpoint_id is None:
+            # A queued request may be sent while the controller is told of it, before `on_endpoints_listed`.
             return engine.forwarding is None
-        # Danger: a relay that has just failed makes it contradicted, and the module sends on before it hears.
-        return self.estimate.state_of(number) not in (EstimateState.REGISTERED, EstimateState.CONFIRMED)
+        # An attempt that has just failed makes it unreachable, and the controller sends on before it is told.
+        return self.estimate.state_of(endpoint_id) not in (EstimateState.REGISTERED, EstimateState.CONFIRMED)
 
-    def forget(self, engine: int, now: int) -> bool:
-        """An operator's word that it is gone. False: the register names it, or nobody does."""
-        if self.estimate.state_of(engine) in (None, EstimateState.REGISTERED, EstimateState.REMOVED):
-            return False
-        self._pending.update((member.id, member) for member in self.estimate.forget(engine, now))
-        self.write_schedule.on_change(now)
-        return True
+    # Probes.
 
-    def status(self, now: int) -> list[dict[str, Any]]:
-        """What is believed, a plain map for each engine; ages in seconds."""
-        ages = {member.id: before for member, before in self.estimate.evidence_ages(now)}
-        return [
-            {
-                "id": f"s-{number:08x}",
-                "address": f"{one.endpoint.host}:{one.endpoint.port}",
-                "state": one.state.value,
-                "source": one.source.value,
-                "listed": one.is_listed,
-                "age": None
-                if ages.get(number, UNKNOWN_AGE_US) >= UNKNOWN_AGE_US
-                else round(ages[number] / 1e6, 1),
-                "failed": one.failure_count,
-            }
-            for number, one in self.estimate.endpoints.items()
-        ]
-
-    def queue_due_probes(self, now: int) -> bool:
-        """A round of trials: who is due is asked by `knocks`. Whether there is any to be asked."""
-        for member in self.estimate.start_due_probes(now):
+    def queue_due_probes(self, now_us: int) -> bool:
+        """Queues the probes of one round for `start_probes`; returns whether any is queued."""
+        for endpoint in self.estimate.start_due_probes(now_us):
             self._counters.add("kept: trials")
-            self._queued_probes.append(member)
+            self._queued_probes.append(endpoint)
         return bool(self._queued_probes)
 
-    def start_probes(self, tasks: TaskGroup, now: Callable[[], int]) -> int:
-        """Connects to some of them, each in a task that ends within a link's patience; to how many."""
-        begun = min(MAX_PROBES_AT_ONCE, len(self._queued_probes))
-        for _ in range(begun):
-            tasks.start_soon(self._probe, self._queued_probes.popleft(), now)
-        return begun
-
-    async def _probe(self, member: Endpoint, now: Callable[[], int]) -> None:
-        how = await probe_connection(member.host, member.port, self._patience)
-        belief = self.estimate.endpoints.get(member.id)
-        # It may have been told of meanwhile, at another address.
-        if belief is not None and (belief.endpoint.host, belief.endpoint.port) == (member.host, member.port):
-            self._on_contact(member.id, how, now())
-
-    def step(self, now: int) -> EndpointEvent | None:
-        """`look` and `write`, for all there is."""
-        event = self.take_changes(now)
-        self.write_snapshots(now)
-        return event
+    def start_probes(self, tasks: TaskGroup, clock: Callable[[], int]) -> int:
+        """Starts some of the queued probes, each in a task; returns how many."""
+        started_count = min(MAX_PROBES_AT_ONCE, len(self._queued_probes))
+        for _ in range(started_count):
+            tasks.start_soon(self._probe, self._queued_probes.popleft(), clock)
+        return started_count
+
+    async def _probe(self, endpoint: Endpoint, clock: Callable[[], int]) -> None:
+        result = await probe_connection(endpoint.host, endpoint.port, self._settings.probe_timeout_us)
+        estimate = self.estimate.endpoints.get(endpoint.id)
+        # Discovery may have named it meanwhile, at another address.
+        if estimate is not None and (estimate.endpoint.host, estimate.endpoint.port) == (
+            endpoint.host,
+            endpoint.port,
+        ):
+            self._on_contact(endpoint.id, result, clock())
 
-    def take_changes(self, now: int, most: int | None = None) -> EndpointEvent | None:
-        """What is to be listed, if anything, and what the register stands by; ten times a second.
+    # Operators.
 
-        `most`: engines in it that are not gone; the rest is for the next look, see `more`.
-        """
-        frames = self._counters.counts["coordinator frames"]
-        if frames != self._frames:
-            self._frames = frames
-            self.estimate.on_watch_frame(now)
-        settled = self.estimate.settle_index(now)
-        if settled is not None:
-            self._say("the register stands by smaller numbers than those kept: what it has not named is gone")
-            self._pending.update((member.id, member) for member in settled.endpoints)
-            self.write_schedule.on_change(now)
-        members = list(self._pending.values())
-        if most is not None and len(members) > most:
-            # Danger: what is gone must not wait behind others to be listed.
-            gone = [member for member in members if member.state is EndpointState.REMOVED]
-            members = (
-                gone + [member for member in members if member.state is not EndpointState.REMOVED][:most]
-            )
-        for member in members:
-            del self._pending[member.id]
-        return EndpointEvent(0, False, members) if members else None
+    def forget(self, endpoint_id: int, now_us: int) -> bool:
+        """Removes an endpoint for an operator; returns False where discovery names it, or nobody does."""
+        state = self.estimate.state_of(endpoint_id)
+        if state in (None, EstimateState.REGISTERED, EstimateState.REMOVED):
+            return False
+        self._add_pending(self.estimate.forget(endpoint_id, now_us))
+        self.write_schedule.on_change(now_us)
+        return True
+
+    def status(self, now_us: int) -> list[dict[str, Any]]:
+        """Returns the report of `inspection.status`."""
+        return inspection.status(self.estimate, now_us)
+
+    # Snapshots, and the handover to a successor.
 
     @property
-    def has_changes(self) -> bool:
-        """Whether anything is still to be listed."""
-        return bool(self._pending)
+    def write_schedule(self) -> WriteSchedule:
+        """When the next snapshot is due."""
+        return self._persistence.schedule
+
+    def step(self, now_us: int) -> EndpointEvent | None:
+        """Does `take_changes` without limit, and `write_snapshots`."""
+        event = self.take_changes(now_us)
+        self.write_snapshots(now_us)
+        return event
 
-    # Writing, and handing over.
-
-    def write_snapshots(self, now: int) -> None:
-        """Ends and begins writes; ten times a second, more often once the last one is under way."""
-        outcome = self._writer.poll()
-        if outcome is not None:
-            self._written(outcome, now)
-        if self._last is None:
-            if self.write_schedule.is_due(now):
-                self._begin_write(now, (), False)
-        elif not self._final and self.write_schedule.write_started_us is None:
-            self._final = True
-            self._begin_write(now, self._last, True)
-
-    def _written(self, outcome: WriteResult, now: int) -> None:
-        if outcome.is_folder_busy:
-            self.write_schedule.on_folder_locked(now)
-        else:
-            self.write_schedule.on_write_finished(not outcome.error, outcome.duration_us, now)
-            counts = self._counters.counts
-            self._counters.add("kept: writes failed" if outcome.error else "kept: writes")
-            counts["kept: bytes"] = outcome.size_bytes or counts["kept: bytes"]
-            counts["kept: slowest write us"] = max(outcome.duration_us, counts["kept: slowest write us"])
-        if outcome.error != self._trouble:
-            self._trouble = outcome.error
-            self._say(f"can't be written: {outcome.error}; tried again" if outcome.error else "written again")
-        if outcome.newer is not None and self._last is None:
-            self._apply_snapshot(outcome.newer, now)
-            self.write_schedule.on_change(now)
-        self.is_handed_over = self._final
-
-    def _begin_write(self, now: int, marks: Sequence[str], handed: bool) -> None:
-        self.write_schedule.on_write_started(now)
-        self._writer.start(self.snapshot_builder(now, marks, handed), self._serial)
+    def write_snapshots(self, now_us: int) -> None:
+        """Ends and starts writes; called ten times a second, and more often once the last one runs."""
+        newer = self._persistence.poll(now_us)
+        if newer is not None:
+            self._apply_snapshot(newer, now_us)
+            self.write_schedule.on_change(now_us)
+        self._persistence.start_due_write(now_us, self._applied_serial)
 
     def snapshot_builder(
-        self, now: int, marks: Sequence[str] = (), handed: bool = False
-    ) -> Callable[[], record.Snapshot]:
-        """All that is kept, as of now: gathered at once, and made by whoever calls what comes back."""
-        at, beliefs, folder = self._moment(), self.estimate, self._writer.folder
-        evidence, limits = beliefs.evidence(now), learnt.collect_limits(self._engines, beliefs.endpoints)
-        tombs, open_marks = record.newest_entries(beliefs.tombstones.unexpired(now), list(marks))
-        number, request_classes = (
-            beliefs.index_tracker.highest,
-            learnt.collect_latencies(self._gateway, self._names),
+        self, now_us: int, request_names: Sequence[str] = (), is_handed_over: bool = False
+    ) -> Callable[[], Snapshot]:
+        """Gathers all that is stored as of now; returns a function that makes the snapshot in any thread."""
+        tombstones, names = newest_entries(self.estimate.tombstones.unexpired(now_us), list(request_names))
+        content = SnapshotContent(
+            owner=self._folder.owner,
+            written_at=self._read_clocks(),
+            now_us=now_us,
+            discovery_index=self.estimate.index_tracker.highest,
+            is_handed_over=is_handed_over,
+            zones=self._settings.zones,
+            instance_types=self._settings.instance_types,
+            evidence=self.estimate.evidence(now_us),
+            tombstones=tombstones,
+            latencies=collect_latencies(self._controller, self._settings.request_class_names),
+            limits=collect_limits(self._listed_engines.by_id, self.estimate.endpoints),
+            request_names=names,
         )
+        return partial(content.build, time.sleep)
 
-        # Danger: made on the loop it would take a millisecond of it for 500 engines, at each write. So does a
-        # thread that holds the interpreter for as long.
-        def make() -> record.Snapshot:
-            engines: list[record.EndpointEntry] = []
-            for begin in range(0, len(evidence), _PIECE):
-                engines += [
-                    record.to_entry(member, max(0, min(UNKNOWN_AGE_US, now - known)))
-                    for member, known in evidence[begin : begin + _PIECE]
-                    if record.can_store(member)
-                ]
-                time.sleep(_BREATH)
-            return record.Snapshot(
-                owner=folder.owner,
-                wall_us=at.wall_us,
-                boot_id=at.boot_id,
-                uptime_us=at.uptime_us,
-                index=number,
-                is_handed_over=handed,
-                zones=list(self._zones),
-                instance_types=list(self._machines),
-                endpoints=engines,
-                tombstones=tombs,
-                latencies=request_classes,
-                limits=[record.LimitEntry(*limit) for limit in limits],
-                request_names=open_marks,
-            )
-
-        return make
+    def hand_over(self, request_names: Sequence[str], now_us: int) -> None:
+        """Starts the last write, for the successor, once no more requests are sent.
 
-    def hand_over(self, marks: Sequence[str], now: int) -> None:
-        """The last write, for the successor; `write` is still to be called until `done`, or the time is up.
+        `write_snapshots` is to be called until `is_handover_complete`, or the time is up.
 
-        `marks`: names in use of late. Once nothing more is sent, so that what is learnt is complete.
+        Args:
+            request_names: Names in use of late.
+            now_us: The present time.
         """
-        self._last = list(marks)
-        self.write_snapshots(now)
+        self._persistence.hand_over(request_names)
+        self.write_snapshots(now_us)
 
     @property
     def is_handing_over(self) -> bool:
-        """Whether the last write has been asked for."""
-        return self._last is not None
+        """Whether the last write has been requested."""
+        return self._persistence.is_handing_over
+
+    @property
+    def is_handover_complete(self) -> bool:
+        """Whether the last write has ended."""
+        return self._persistence.is_complete
 
     def close(self) -> None:
-        """Leaves the folder to the successor; while a write hangs it stays with this process."""
-        if self.write_schedule.write_started_us is None:
-            self._writer.folder.unlock()
+        """Releases the folder for the successor; while a write hangs it stays with this process."""
+        self._persistence.close()
+
+
+def _is_fresh_handover(snapshot: Snapshot, snapshot_age_us: int, now: ClockReading) -> bool:
+    # Only the clock that nobody sets says that a few seconds are a few seconds.
+    is_same_boot = snapshot.boot_id == now.boot_id and now.boot_id != ""
+    return snapshot.is_handed_over and is_same_boot and snapshot_age_us < HANDOVER_VALIDITY_US
--- a/cresstray/membership/snapshot_files.py
+++ b/cresstray/membership/snapshot_files.py
@@ -1,4 +1,4 @@
-"""The folder of what is kept: two generations, a lock, and a thread that writes. Not a crash, not a guess."""
+"""The folder of a gateway's snapshots: two generations, a lock, and a thread that writes."""
 
 from __future__ import annotations
 
@@ -12,81 +12,122 @@
 from typing import NamedTuple
 
 from cresstray.membership.confidence import ClockReading
-from cresstray.membership.snapshot import (
-    MAX_BODY_BYTES,
-    ForeignSnapshotError,
-    Snapshot,
-    UnusableSnapshotError,
-    decode,
-    encode,
-)
+from cresstray.membership.errors import ForeignSnapshotError, UnusableSnapshotError
+from cresstray.membership.snapshot import MAX_BODY_BYTES, Snapshot, decode, encode
 
 SNAPSHOT_FILE_NAMES = ("engines.a", "engines.b")
-_FRESH, _LOCK = "engines.new", "lock"
-# A piece of a write; a disk that is slow is given it in pieces, and so is a test that kills in between.
-_PIECE = 1 << 16
-# A damaged header's serial, not one that was ever counted up to.
-_MOST_SERIAL = 1 << 40
+_TEMPORARY_NAME = "engines.new"
+_LOCK_NAME = "lock"
+_FILE_MODE = 0o600
+# A slow disk gets a file in pieces.
+_WRITE_PIECE_BYTES = 1 << 16
+_READ_PIECE_BYTES = 1 << 20
+# Room for the header over the longest body.
+_MAX_FILE_BYTES = MAX_BODY_BYTES + 64
+# A serial above this is a damaged header's, not one that was ever counted up to.
+_MAX_SERIAL = 1 << 40
+_MAX_ERROR_LENGTH = 160
+_BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
 class FileSystem:
     """The calls to the disk, each one system call, so that a test can fail any of them."""
 
-    open, close, read, write = staticmethod(os.open), staticmethod(os.close), os.read, os.write
-    fsync, rename = staticmethod(os.fsync), staticmethod(os.rename)
+    open = staticmethod(os.open)
+    close = staticmethod(os.close)
+    read = staticmethod(os.read)
+    write = staticmethod(os.write)
+    fsync = staticmethod(os.fsync)
+    rename = staticmethod(os.rename)
 
     @staticmethod
     def lock(descriptor: int) -> None:
+        """Locks the file. BlockingIOError: another process holds the lock."""
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
     @staticmethod
     def is_regular_file(descriptor: int) -> bool:
+        """Returns whether it is a regular file."""
         return stat.S_ISREG(os.fstat(descriptor).st_mode)
 
 
+class FileResult(NamedTuple):
+    """One file: its snapshot, or the error for which it can't be used."""
+
+    file_name: str
+    serial: int
+    snapshot: Snapshot | None
+    error: Exception | None
+
+
 class ReadResult(NamedTuple):
-    """The newest list that is whole, its serial and its file; a line for each file that was skipped."""
+    """The newest snapshot of a folder that is whole.
+
+    Attributes:
+        snapshot: None where no file can be used.
+        serial: Its serial.
+        file_name: Its file.
+        skipped_lines: A line for each file that can't be used.
+        highest_serial: Of all files, those that can't be used included.
+        has_foreign_file: Another gateway's file is in the folder.
+    """
 
     snapshot: Snapshot | None
     serial: int
     file_name: str
     skipped_lines: list[str]
-    highest_serial: int = 0  # serial of any file, skipped ones too
-    has_foreign_file: bool = False  # another gateway's file stands there
+    highest_serial: int = 0
+    has_foreign_file: bool = False
 
 
 def read_clocks() -> ClockReading:
-    """Now, by all readings there are."""
+    """Returns the present time by all clocks."""
     try:
-        with open("/proc/sys/kernel/random/boot_id") as file:
-            boot = file.read().strip()
+        with open(_BOOT_ID_PATH) as file:
+            boot_id = file.read().strip()
     except OSError:
-        boot = ""
-    return ClockReading(time.time_ns() // 1000, boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000)
+        boot_id = ""
+    uptime_us = time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
+    return ClockReading(time.time_ns() // 1000, boot_id, uptime_us)
 
 
 class SnapshotFolder:
-    """One gateway's folder. Whoever holds its lock writes; anybody may read at any time.
+    """One gateway's folder. The holder of its lock writes; anybody may read at any time.
 
-    A file is written aside, synced, put in the older generation's place, and the folder synced: at any moment
-    at least the newer generation is whole under its name.
+    A file is written under a temporary name, synced, renamed over the older generation, and the folder is
+    synced. At any moment at least the newer generation is whole under its name.
+
+    Attributes:
+        path: The folder.
+        owner: The name of the gateway.
+        found_at_lock: What the folder held when the lock was taken.
     """
 
-    def __init__(self, path: str, owner: str, system: FileSystem | None = None) -> None:
-        self.path, self.owner, self._system = path, owner, system or FileSystem()
-        self._lock: int | None = None
-        self._serial, self._newest = 0, ""  # known once it was read under the lock
-        self.found_at_lock = ReadResult(None, 0, "", [])  # what stood there when the lock came
+    def __init__(self, path: str, owner: str, file_system: FileSystem | None = None) -> None:
+        self.path = path
+        self.owner = owner
+        self.found_at_lock = ReadResult(None, 0, "", [])
+        self._system = file_system or FileSystem()
+        self._lock_descriptor: int | None = None
+        # Of the newest file; known once it was read under the lock.
+        self._serial = 0
+        self._newest_name = ""
 
     @property
     def is_locked(self) -> bool:
-        return self._lock is not None
+        """Whether this process holds the lock."""
+        return self._lock_descriptor is not None
 
     def lock(self) -> bool:
-        """Whether this process may write; asked again while another one still ends. OSError: the disk's."""
-        if self._lock is not None:
+        """Takes the lock, if it is not held; returns whether this process may write.
+
+        Raises:
+            OSError: The disk's.
+        """
+        if self._lock_descriptor is not None:
             return True
-        descriptor = self._system.open(self._at(_LOCK), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
+        descriptor = self._system.open(self._path_of(_LOCK_NAME), flags, _FILE_MODE)
         try:
             self._system.lock(descriptor)
         except BlockingIOError:
@@ -95,147 +136,186 @@
         except BaseException:
             self._system.close(descriptor)
             raise
-        self._lock = descriptor
-        # Danger: the one that ended may have written since we read; that one must not be taken for the older.
+        self._lock_descriptor = descriptor
+        # The former holder may have written since the folder was read: its last write is not the older one.
         self.found_at_lock = self.read()
-        self._serial, self._newest = self.found_at_lock.highest_serial, self.found_at_lock.file_name
+        self._serial = self.found_at_lock.highest_serial
+        self._newest_name = self.found_at_lock.file_name
         return True
 
     def unlock(self) -> None:
-        if self._lock is not None:
-            self._system.close(self._lock)
-            self._lock = None
+        """Releases the lock, if it is held."""
+        if self._lock_descriptor is not None:
+            self._system.close(self._lock_descriptor)
+            self._lock_descriptor = None
 
     def read(self) -> ReadResult:
-        """Never raises for what a file or the disk is like."""
-        skipped: list[str] = []
-        best, highest, foreign = ReadResult(None, 0, "", skipped), 0, False
-        for name, serial, record, trouble in self.read_each():
-            # Danger: a later build's file is skipped, and would be the newest again once that build is back.
-            highest = max(highest, serial if serial < _MOST_SERIAL else 0)
-            if record is None:
-                skipped.append(f"{self._at(name)}: skipped, {one_line(trouble)}")
-                foreign = foreign or isinstance(trouble, ForeignSnapshotError)
-            elif serial > best.serial or best.snapshot is None:
-                best = ReadResult(record, serial, name, skipped)
-        return best._replace(highest_serial=highest, has_foreign_file=foreign)
-
-    def read_each(self) -> Iterator[tuple[str, int, Snapshot | None, Exception | None]]:
-        """Each file that is there: its name, its serial and content, or why it can't be used."""
-        for name in SNAPSHOT_FILE_NAMES:
+        """Returns the newest snapshot; never raises for the state of a file or of the disk."""
+        skipped_lines: list[str] = []
+        newest = ReadResult(None, 0, "", skipped_lines)
+        highest_serial = 0
+        has_foreign_file = False
+        for found in self.read_each():
+            # A later build's file counts as well: it would be the newest again once that build is back.
+            if found.serial < _MAX_SERIAL:
+                highest_serial = max(highest_serial, found.serial)
+            if found.snapshot is None:
+                skipped_lines.append(f"{self._path_of(found.file_name)}: skipped, {one_line(found.error)}")
+                has_foreign_file = has_foreign_file or isinstance(found.error, ForeignSnapshotError)
+            elif found.serial > newest.serial or newest.snapshot is None:
+                newest = ReadResult(found.snapshot, found.serial, found.file_name, skipped_lines)
+        return newest._replace(highest_serial=highest_serial, has_foreign_file=has_foreign_file)
+
+    def read_each(self) -> Iterator[FileResult]:
+        """Reads each file that is there."""
+        for file_name in SNAPSHOT_FILE_NAMES:
             try:
-                yield name, *decode(self._content(self._at(name)), self.owner), None
+                serial, snapshot = decode(self._read_file(self._path_of(file_name)), self.owner)
             except FileNotFoundError:
                 continue
-            except (UnusableSnapshotError, OSError) as trouble:
-                yield name, getattr(trouble, "serial", 0), None, trouble
+            except (UnusableSnapshotError, OSError) as error:
+                yield FileResult(file_name, getattr(error, "serial", 0), None, error)
+            else:
+                yield FileResult(file_name, serial, snapshot, None)
 
-    def _content(self, path: str) -> bytes:
-        # Danger: a pipe under this name would hold up the start for good.
+    def _read_file(self, path: str) -> bytes:
+        # Without O_NONBLOCK a pipe of this name would hold up the start for good.
         descriptor = self._system.open(path, os.O_RDONLY | os.O_CLOEXEC | os.O_NONBLOCK)
         try:
             if not self._system.is_regular_file(descriptor):
                 raise UnusableSnapshotError("not a file")
-            pieces, size = [], 0
-            while piece := self._system.read(descriptor, _PIECE * 16):
+            pieces: list[bytes] = []
+            size_bytes = 0
+            while piece := self._system.read(descriptor, _READ_PIECE_BYTES):
                 pieces.append(piece)
-                size += len(piece)
-                if size > MAX_BODY_BYTES + 64:
+                size_bytes += len(piece)
+                if size_bytes > _MAX_FILE_BYTES:
                     raise UnusableSnapshotError("longer than any kept list")
             return b"".join(pieces)
         finally:
             self._system.close(descriptor)
 
-    def write(self, record: Snapshot) -> int:
-        """Its size, once it is safe. OSError, UnusableError: the old list or the new one is there, whole."""
-        if self._lock is None:
+    def write(self, snapshot: Snapshot) -> int:
+        """Replaces the older generation; returns the size in bytes once the file is synced.
+
+        Raises:
+            OSError, UnusableSnapshotError: The write failed; the old snapshot or the new one is there, whole.
+        """
+        if self._lock_descriptor is None:
             raise OSError(errno.EBUSY, "another process keeps this folder")
         if self.found_at_lock.has_foreign_file:
             raise OSError(errno.EEXIST, "another gateway's files are in this folder")
-        data = encode(record, self._serial + 1)
-        name = SNAPSHOT_FILE_NAMES[1] if self._newest == SNAPSHOT_FILE_NAMES[0] else SNAPSHOT_FILE_NAMES[0]
-        descriptor = self._system.open(
-            self._at(_FRESH), os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600
-        )
+        data = encode(snapshot, self._serial + 1)
+        first_name, second_name = SNAPSHOT_FILE_NAMES
+        older_name = second_name if self._newest_name == first_name else first_name
+        self._write_file(self._path_of(_TEMPORARY_NAME), data)
+        self._system.rename(self._path_of(_TEMPORARY_NAME), self._path_of(older_name))
+        # From here on it is the newest for readers, synced or not; the next write goes over the other one.
+        self._serial += 1
+        self._newest_name = older_name
+        self._sync_folder()
+        return len(data)
+
+    def _write_file(self, path: str, data: bytes) -> None:
+        flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
+        descriptor = self._system.open(path, flags, _FILE_MODE)
         try:
-            left = memoryview(data)
-            while left:
-                left = left[self._system.write(descriptor, left[:_PIECE]) :]
-            # Danger: a rename may reach the disk before what it names.
+            remaining = memoryview(data)
+            while remaining:
+                written = self._system.write(descriptor, remaining[:_WRITE_PIECE_BYTES])
+                remaining = remaining[written:]
+            # Without the sync the rename may reach the disk before the content.
             self._system.fsync(descriptor)
         finally:
             self._system.close(descriptor)
-        self._system.rename(self._at(_FRESH), self._at(name))
-        # From here on it is the newest for whoever reads, synced or not; the next goes over the other one.
-        self._serial, self._newest = self._serial + 1, name
-        folder = self._system.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+
+    def _sync_folder(self) -> None:
+        descriptor = self._system.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            self._system.fsync(folder)
+            self._system.fsync(descriptor)
         finally:
-            self._system.close(folder)
-        return len(data)
+            self._system.close(descriptor)
 
-    def _at(self, name: str) -> str:
-        return os.path.join(self.path, name)
+    def _path_of(self, file_name: str) -> str:
+        return os.path.join(self.path, file_name)
 
 
-def one_line(trouble: Exception) -> str:
-    """In one line."""
-    text = (trouble.strerror or repr(trouble)) if isinstance(trouble, OSError) else str(trouble)
-    return " ".join(text.split())[:160]
+def one_line(error: Exception | None) -> str:
+    """Returns the error in one line of bounded length, without the path of an OSError."""
+    text = (error.strerror or repr(error)) if isinstance(error, OSError) else str(error)
+    return " ".join(text.split())[:_MAX_ERROR_LENGTH]
 
 
 class WriteResult(NamedTuple):
-    """`found`: with the lock came a newer list than the one that was read; nothing was written over it."""
+    """The result of one write.
+
+    Attributes:
+        error: One line; empty where the write succeeded.
+        duration_us: Microseconds that it took.
+        size_bytes: The size of the file.
+        is_folder_busy: Another process holds the lock.
+        newer: With the lock came a newer snapshot than the one that was read; it was not overwritten.
+    """
 
-    error: str  # "": none
-    duration_us: int  # microseconds
+    error: str
+    duration_us: int
     size_bytes: int
-    is_folder_busy: bool = False  # another process keeps the folder
+    is_folder_busy: bool = False
     newer: ReadResult | None = None
 
 
 class SnapshotWriter:
-    """One write at a time in a thread of its own, so that a disk that hangs holds up nothing.
+    """Writes one snapshot at a time in a thread, so that a disk that hangs holds up nothing.
 
-    Danger: a thread that the process waits for at its end would hold up a stop for as long as the disk does.
+    The thread is a daemon: the end of the process does not wait for it.
+
+    Attributes:
+        folder: Where it writes.
     """
 
     def __init__(self, folder: SnapshotFolder) -> None:
         self.folder = folder
-        self._outcome: WriteResult | None = None
+        self._result: WriteResult | None = None
         self._thread: threading.Thread | None = None
 
-    def start(self, make: Callable[[], Snapshot], read: int) -> None:
-        """`make` is called in the thread: what it reads must not change.
+    def start(self, build: Callable[[], Snapshot], read_serial: int) -> None:
+        """Starts a write.
 
-        `read`: the serial of the newest list that this process has taken in.
+        Args:
+            build: Makes the snapshot, in the thread; what it reads must not change.
+            read_serial: The serial of the newest snapshot that this process has applied.
         """
         assert self._thread is None, "two writes at once"
-        self._outcome = None
-        self._thread = threading.Thread(target=self._work, args=(make, read), name="kept", daemon=True)
+        self._result = None
+        self._thread = threading.Thread(
+            target=self._run, args=(build, read_serial), name="membership-snapshot", daemon=True
+        )
         self._thread.start()
 
-    def _work(self, make: Callable[[], Snapshot], read: int) -> None:
-        begun, trouble, size, busy, found = time.monotonic_ns(), "", 0, False, None
-        try:
-            fresh = not self.folder.is_locked
-            if not self.folder.lock():
-                trouble, busy = "another process keeps this folder", True
-            elif fresh and self.folder.found_at_lock.serial > read:
-                found = self.folder.found_at_lock
-            else:
-                size = self.folder.write(make())
-        except (OSError, UnusableSnapshotError) as fault:
-            trouble = one_line(fault)
-        except Exception as fault:  # Danger: a thread that dies unheard would write no more.
-            trouble = f"a fault of its own: {fault!r}"
-        self._outcome = WriteResult(trouble, (time.monotonic_ns() - begun) // 1000, size, busy, found)
-
     def poll(self) -> WriteResult | None:
-        """The outcome of the last write, told once."""
-        outcome = self._outcome
-        # Danger: the thread may set it at any moment; it is cleared only once it is set.
-        if outcome is not None:
-            self._outcome = self._thread = None
-        return outcome
+        """Returns the result of the last write, once."""
+        result = self._result
+        # The thread may set it at any moment, so it is cleared only once it was seen.
+        if result is not None:
+            self._result = None
+            self._thread = None
+        return result
+
+    def _run(self, build: Callable[[], Snapshot], read_serial: int) -> None:
+        started_ns = time.monotonic_ns()
+        try:
+            result = self._write(build, read_serial)
+        except (OSError, UnusableSnapshotError) as error:
+            result = WriteResult(one_line(error), 0, 0)
+        except Exception as error:  # a thread that ends unnoticed would write no more
+            result = WriteResult(f"a fault of its own: {error!r}", 0, 0)
+        duration_us = (time.monotonic_ns() - started_ns) // 1000
+        self._result = result._replace(duration_us=duration_us)
+
+    def _write(self, build: Callable[[], Snapshot], read_serial: int) -> WriteResult:
+        had_lock = self.folder.is_locked
+        if not self.folder.lock():
+            return WriteResult("another process keeps this folder", 0, 0, is_folder_busy=True)
+        if not had_lock and self.folder.found_at_lock.serial > read_serial:
+            return WriteResult("", 0, 0, newer=self.folder.found_at_lock)
+        return WriteResult("", 0, self.folder.write(build()))
--- a/cresstray/model_checking/beliefs.py
+++ b/cresstray/model_checking/beliefs.py
@@ -14,9 +14,11 @@
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.membership import recovery as keeping
+from cresstray.membership import remembered_list
 from cresstray.membership import snapshot as record
 from cresstray.membership.confidence import HANDOVER_VALIDITY_US, ClockReading
-from cresstray.membership.estimate import ContactResult, MembershipEstimate
+from cresstray.membership.estimate import MembershipEstimate
+from cresstray.membership.estimate_states import ContactResult
 from cresstray.membership.guard import AdmissionGuard
 from cresstray.membership.reconciliation import IndexTracker
 from cresstray.membership.recovery import Membership
@@ -648,8 +650,8 @@
         lines(
             (
                 Membership.snapshot_builder,
-                "record.newest_entries(beliefs.tombstones.unexpired(now), list(marks))",
-                "record.newest_entries([], list(marks))",
+                "newest_entries(self.estimate.tombstones.unexpired(now_us), list(request_names))",
+                "newest_entries([], list(request_names))",
             )
         ),
     ),
@@ -657,7 +659,7 @@
         "older_list_taken_as_newer",
         "belief",
         "belief",
-        lines((IndexTracker.observe, "if number >= self.highest:", "if True:")),
+        lines((IndexTracker.observe, "if index >= self.highest:", "if True:")),
     ),
     Mutant(
         "warm_though_not_handed_over",
@@ -666,7 +668,9 @@
         lines(
             (
                 MembershipEstimate._list_endpoint,
-                "self.is_handed_over\n        and now - self.started_us < HANDOVER_VALIDITY_US\n        and ",
+                "self.is_handed_over\n"
+                "        and now_us - self.started_us < HANDOVER_VALIDITY_US\n"
+                "        and ",
                 "",
             )
         ),
@@ -701,8 +705,8 @@
         "belief",
         lines(
             (
-                MembershipEstimate._merge_endpoint,
-                "and member.started_us > known.endpoint.started_us",
+                remembered_list._take_later_start,
+                "and endpoint.started_us > known.endpoint.started_us",
                 "and False",
             )
         ),
@@ -718,14 +722,16 @@
         "belief",
         "belief",
         lines(
-            (MembershipEstimate._is_outdated, "number < self.index_tracker.highest\n        and", "False and")
+            (MembershipEstimate._is_outdated, "index < self.index_tracker.highest\n        and", "False and")
         ),
     ),
     Mutant(
         "address_of_another_kept",
         "belief",
         "belief",
-        lines((MembershipEstimate._release_address, "if owner == member.id or owner in named:", "if True:")),
+        lines(
+            (MembershipEstimate._release_address, "if owner == endpoint.id or owner in named:", "if True:")
+        ),
     ),
     Mutant(
         "listed_though_told_gone",
@@ -734,7 +740,7 @@
         lines(
             (
                 Membership.on_endpoint_event,
-                "self._pending.pop(member.id, None)\n"
+                "self._pending.pop(endpoint.id, None)\n"
                 "    if passed.is_complete:\n        self._pending.clear()",
                 "pass",
             )
@@ -747,8 +753,8 @@
         lines(
             (
                 MembershipEstimate._start_for_listing_us,
-                "return max(member.started_us, known.listed_start_us)",
-                "return member.started_us",
+                "return max(endpoint.started_us, known.listed_start_us)",
+                "return endpoint.started_us",
             )
         ),
     ),
@@ -758,9 +764,9 @@
         "belief",
         lines(
             (
-                MembershipEstimate._is_superseded_by,
-                "belief.state is not EstimateState.REGISTERED",
-                "belief.state in (EstimateState.REMEMBERED, EstimateState.UNREACHABLE)",
+                remembered_list._is_superseded,
+                "estimate.state is not EstimateState.REGISTERED",
+                "estimate.state in (EstimateState.REMEMBERED, EstimateState.UNREACHABLE)",
             )
         ),
     ),
@@ -771,7 +777,7 @@
         lines(
             (
                 MembershipEstimate._start_for_listing_us,
-                "known is not None and known.failure_count",
+                "known is not None and known.failure_count > 0",
                 "known is not None and known.state is EstimateState.UNREACHABLE",
             )
         ),
@@ -780,6 +786,6 @@
         "refusal_forgotten_with_the_last_write",
         "belief",
         "trials",
-        lines((MembershipEstimate._merge_endpoint, "0 if known is None else known.failure_count", "0")),
+        lines((remembered_list._merge_endpoint, "0 if known is None else known.failure_count", "0")),
     ),
 )
--- a/cresstray/simulation/cold.py
+++ b/cresstray/simulation/cold.py
@@ -16,7 +16,8 @@
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.membership import learned_state as learnt
-from cresstray.membership.estimate import ContactResult, EstimateState, EvidenceSource, MembershipEstimate
+from cresstray.membership.estimate import MembershipEstimate
+from cresstray.membership.estimate_states import ContactResult, EstimateState, EvidenceSource
 from cresstray.membership.guard import AdmissionGuard
 from cresstray.membership.reconciliation import Tombstone
 from cresstray.membership.snapshot import LatencyEntry
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -199,7 +199,9 @@
         kept = cold_start.SnapshotFolder(str(file.parent), name)
         left = kept.read().snapshot
         self.assertTrue(kept.lock())
-        kept.write(cold_start.msgspec.structs.replace(left, boot="before", handed=False, marks=[]))
+        kept.write(
+            cold_start.msgspec.structs.replace(left, boot_id="before", is_handed_over=False, request_names=[])
+        )
         kept.unlock()
 
     def test_in_virtual_time_none_falls_and_nothing_goes_to_who_is_gone(self) -> None:
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -27,7 +27,8 @@
 from cresstray.membership.background_writer import WriteSchedule
 from cresstray.membership.confidence import UNKNOWN_AGE_US, ClockReading
 from cresstray.membership.connection_probe import probe_connection
-from cresstray.membership.estimate import ContactResult, EstimateState, EvidenceSource, MembershipEstimate
+from cresstray.membership.estimate import MembershipEstimate
+from cresstray.membership.estimate_states import ContactResult, EstimateState, EvidenceSource
 from cresstray.membership.guard import AdmissionGuard
 from cresstray.membership.reconciliation import INDEX_SETTLE_TIME_US, TOMBSTONE_LIFETIME_US, Tombstone
 from cresstray.membership.recovery import Membership
@@ -76,44 +77,45 @@
 
 
 class StatesTest(unittest.TestCase):
-    """docs/kept.md's table, every cell."""
+    """The table of transitions, every cell."""
 
     WAYS = {
         "remembered": (),
-        "asked": ("due",),
-        "listed": ("due", "listens"),
-        "confirmed": ("due", "listens", "served"),
-        "contradicted": ("due", "refused"),
-        "told": ("told ready",),
-        "gone": ("told gone",),
+        "probing": ("probe due",),
+        "listed": ("probe due", "listening"),
+        "confirmed": ("probe due", "listening", "served"),
+        "unreachable": ("probe due", "refused"),
+        "registered": ("registered ready",),
+        "removed": ("removed",),
     }
 
     def does(self, one: MembershipEstimate, event: str, now: int) -> list[Endpoint]:
-        if event == "due":
+        highest = one.index_tracker.highest
+        if event == "probe due":
             one.start_due_probes(now)
             return []
-        if event.startswith("told"):
-            standing = {"ready": READY, "draining": DRAINING, "gone": GONE}[event[5:]]
-            one.apply_event(EndpointEvent(one.index_tracker.highest + 1, False, [member(1, standing)]), now)
+        if event in ("registered ready", "registered draining", "removed"):
+            state = {"ready": READY, "draining": DRAINING, "removed": GONE}[event.split()[-1]]
+            one.apply_event(EndpointEvent(highest + 1, False, [member(1, state)]), now)
             return []
         if event == "left out":
-            one.apply_event(EndpointEvent(one.index_tracker.highest + 1, True, [member(2)]), now)
+            one.apply_event(EndpointEvent(highest + 1, True, [member(2)]), now)
             return []
-        if event == "older list":  # a whole one of the register, without it
-            one.apply_event(EndpointEvent(one.index_tracker.highest - 1, True, [member(2)]), now)
+        if event == "older list":  # a complete one of discovery, without it
+            one.apply_event(EndpointEvent(highest - 1, True, [member(2)]), now)
             return []
-        if event == "old list":
+        if event == "remembered list":
             one.merge_remembered([(member(1), 9 * SECOND)], 40, [], EvidenceSource.PEER, now)
             return []
         return one.on_contact(1, ContactResult(event), now)
 
     def name(self, one: MembershipEstimate) -> str:
         state = one.state_of(1)
-        listed = state is EstimateState.PROBING and one.endpoints[1].is_listed
-        return {EstimateState.PROBING: "listed" if listed else "asked"}.get(state, state.value)
+        is_listed = state is EstimateState.PROBING and one.endpoints[1].is_listed
+        return "listed" if is_listed else state.value
 
     def test_every_cell_is_as_drawn(self) -> None:
-        table = tomllib.loads((STORED.parent / "conformance/kept.toml").read_text())
+        table = tomllib.loads((STORED.parent / "conformance/membership.toml").read_text())
         self.assertEqual(set(table["states"]), set(self.WAYS))
         for state, row in table["states"].items():
             self.assertEqual(len(row), len(table["events"]))
@@ -401,7 +403,7 @@
                 )
                 self.assertFalse([n for n in one.endpoints if n in one.tombstones], seed)
                 self.assertEqual(one.counts(), one._count_states(), seed)
-                self.assertTrue(all(n in one.endpoints for n in one._id_by_address.values()), seed)
+                self.assertTrue(all(n in one.endpoints for n in one.id_by_address.values()), seed)
 
 
 class AgeTest(unittest.TestCase):
@@ -922,7 +924,7 @@
         fleet.keep.hand_over(["m1", "m2"], fleet.now)
         fleet.writer._thread.join(5)
         fleet.step()
-        self.assertTrue(fleet.keep.is_handed_over)
+        self.assertTrue(fleet.keep.is_handover_complete)
         fleet.keep.close()
         successor.written()
         self.assertIn("handed over", " ".join(successor.said))
--- a/tests/test_kept_join.py
+++ b/tests/test_kept_join.py
@@ -25,7 +25,7 @@
 from cresstray.emulators.coordinator import Coordinator, Listed
 from cresstray.emulators.engine import Engine, Marks
 from cresstray.emulators.world import KINDS, Gateway, settings
-from cresstray.membership.estimate import ContactResult
+from cresstray.membership.estimate_states import ContactResult
 from cresstray.membership.recovery import MAX_PROBES_AT_ONCE
 from cresstray.membership.snapshot_files import SNAPSHOT_FILE_NAMES, SnapshotFolder
 from cresstray.observability.counters import Counters
@@ -223,7 +223,7 @@
             await anyio.sleep(0.3)
             counts = stage.counts()
             self.assertEqual(1, counts["kept: members of old lists left out"])
-            self.assertGreaterEqual(counts["kept: engines contradicted"], 1)
+            self.assertGreaterEqual(counts["kept: engines unreachable"], 1)
             self.assertTrue(all(counts[f"background: {job} turns"] for job in ("knocks", "kept list")))
             self.assertFalse(any(amount for name, amount in counts.items() if name.endswith("failures")))
             tasks.cancel_scope.cancel()
