--- a/benchmarks/background.py
+++ b/benchmarks/background.py
@@ -321,8 +321,8 @@
             "wait_p99_us": round(waits[_DRAWN * 99 // 100]),
             "longest_turn_us": max(bench.turns[side]),
             "cpu_share": round(statistics.fmean(bench.cpu[side]), 4),
-            "trials": counts.get("kept: trials", 0),
-            "writes": counts.get("kept: writes", 0),
+            "trials": counts.get("membership: probes", 0),
+            "writes": counts.get("membership: snapshot writes", 0),
             "background": {
                 name.removeprefix("background: "): amount
                 for name, amount in counts.items()
--- a/cresstray/membership/persistence.py
+++ b/cresstray/membership/persistence.py
@@ -83,13 +83,17 @@
             return
         is_success = not result.error
         self.schedule.on_write_finished(is_success, result.duration_us, now_us)
-        self._counters.add("kept: writes" if is_success else "kept: writes failed")
+        self._counters.add(
+            "membership: snapshot writes" if is_success else "membership: snapshot writes failed"
+        )
         counts = self._counters.counts
-        counts["kept: bytes"] = result.size_bytes or counts["kept: bytes"]
-        counts["kept: slowest write us"] = max(result.duration_us, counts["kept: slowest write us"])
+        counts["membership: snapshot bytes"] = result.size_bytes or counts["membership: snapshot bytes"]
+        counts["membership: slowest snapshot write us"] = max(
+            result.duration_us, counts["membership: slowest snapshot write us"]
+        )
 
     def _report(self, error: str) -> None:
         if error == self._last_error:
             return
         self._last_error = error
-        self._notify(f"can't be written: {error}; tried again" if error else "written again")
+        self._notify(f"snapshot not written: {error}; retrying" if error else "snapshot written again")
--- a/cresstray/membership/recovery.py
+++ b/cresstray/membership/recovery.py
@@ -105,7 +105,7 @@
 
     def _apply_snapshot(self, found: ReadResult, now_us: int) -> None:
         for line in found.skipped_lines:
-            self._counters.add("kept files skipped")
+            self._counters.add("membership: snapshot files skipped")
             self._notify(line)
         snapshot = found.snapshot
         if snapshot is None or found.serial <= self._applied_serial:
@@ -129,13 +129,7 @@
             self._controller, self._settings.request_class_names, snapshot.latencies, snapshot_age_us
         )
         self.recovered_request_names = snapshot.request_names if is_handed_over else []
-        age_text = (
-            "of an unknown age" if snapshot_age_us >= UNKNOWN_AGE_US else f"{snapshot_age_us / 1e6:.0f} s old"
-        )
-        handover_text = ", handed over" if is_handed_over else ""
-        self._notify(
-            f"remembers {len(remembered)} engines and {restored_count} tariffs, {age_text}{handover_text}"
-        )
+        self._notify(_recovery_line(len(remembered), restored_count, snapshot_age_us, is_handed_over))
 
     # Events of discovery.
 
@@ -153,7 +147,7 @@
         )
         left_out_count = len(event.endpoints) - len(passed.endpoints)
         if left_out_count:
-            self._counters.add("kept: members of old lists left out", left_out_count)
+            self._counters.add("membership: outdated endpoints left out", left_out_count)
         for endpoint in passed.endpoints:
             self._pending.pop(endpoint.id, None)
         if passed.is_complete:
@@ -182,7 +176,7 @@
         settled = self.estimate.settle_index(now_us)
         if settled is not None:
             self._notify(
-                "the register stands by smaller numbers than those kept: what it has not named is gone"
+                "discovery keeps to a smaller index than the snapshot: endpoints it has not named are removed"
             )
             self._add_pending(settled.endpoints)
             self.write_schedule.on_change(now_us)
@@ -218,7 +212,7 @@
         self._add_pending(self.estimate.on_contact(endpoint_id, result, now_us))
         after = self.estimate.state_of(endpoint_id)
         if before is not after and after is not None:
-            self._counters.add(f"kept: engines {after.value}")
+            self._counters.add(f"membership: endpoints {after.value}")
             self.write_schedule.on_change(now_us)
 
     def retry_after_us(self, request: Request, now_us: int) -> int | None:
@@ -227,7 +221,7 @@
         can_repeat = request_class.is_idempotent or request_class.is_deduplicated
         delay_us = self.estimate.retry_after_us(can_repeat, now_us)
         if delay_us is not None:
-            self._counters.add("kept: refused rather than guessed")
+            self._counters.add("membership: requests rejected")
         return delay_us
 
     def is_unproven(self, engine: Engine) -> bool:
@@ -244,7 +238,7 @@
     def queue_due_probes(self, now_us: int) -> bool:
         """Queues the probes of one round for `start_probes`; returns whether any is queued."""
         for endpoint in self.estimate.start_due_probes(now_us):
-            self._counters.add("kept: trials")
+            self._counters.add("membership: probes")
             self._queued_probes.append(endpoint)
         return bool(self._queued_probes)
 
@@ -353,3 +347,15 @@
     # Only the clock that nobody sets says that a few seconds are a few seconds.
     is_same_boot = snapshot.boot_id == now.boot_id and now.boot_id != ""
     return snapshot.is_handed_over and is_same_boot and snapshot_age_us < HANDOVER_VALIDITY_US
+
+
+def _recovery_line(
+    endpoint_count: int, request_class_count: int, snapshot_age_us: int, is_handed_over: bool
+) -> str:
+    is_age_known = snapshot_age_us < UNKNOWN_AGE_US
+    age_text = f"{snapshot_age_us / 1e6:.0f} s old" if is_age_known else "of unknown age"
+    handover_text = ", handed over" if is_handed_over else ""
+    return (
+        f"recovered {endpoint_count} endpoints and {request_class_count} request classes"
+        f" from a snapshot, {age_text}{handover_text}"
+    )
--- a/cresstray/membership/snapshot.py
+++ b/cresstray/membership/snapshot.py
@@ -165,7 +165,7 @@
     """
     body = _encode_body(snapshot)
     if len(body) > MAX_BODY_BYTES:
-        raise UnusableSnapshotError(f"{len(body)} bytes, more than can be kept")
+        raise UnusableSnapshotError(f"{len(body)} bytes, more than a snapshot may have")
     try:
         # Bounds are checked by the decoder only.
         _decode_body(body)
@@ -189,20 +189,22 @@
     """
     if len(data) < _HEADER.size:
         is_torn = MAGIC.startswith(data[:8])
-        raise UnusableSnapshotError("torn: shorter than a header" if is_torn else "not a kept list")
+        raise UnusableSnapshotError("torn: shorter than a header" if is_torn else "not a snapshot")
     magic, version, serial, length, checksum = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise UnusableSnapshotError("not a kept list")
+        raise UnusableSnapshotError("not a snapshot")
     if version > FORMAT_VERSION or version < 1:
         raise UnusableSnapshotError(f"of format {version}; this build knows 1 to {FORMAT_VERSION}", serial)
     body = data[_HEADER.size :]
     if len(body) != length or length > MAX_BODY_BYTES:
         raise UnusableSnapshotError(f"torn: {len(body)} bytes of {length}", serial)
     if _checksum(version, serial, body) != checksum:
-        raise UnusableSnapshotError("damaged: its check sum is another", serial)
+        raise UnusableSnapshotError("damaged: its checksum differs", serial)
     snapshot = _decode_version(version, serial, body)
     if snapshot.owner != owner:
-        raise ForeignSnapshotError(f"kept by {snapshot.owner[:_MAX_OWNER_SHOWN]!r}, not by {owner!r}", serial)
+        raise ForeignSnapshotError(
+            f"written by {snapshot.owner[:_MAX_OWNER_SHOWN]!r}, not by {owner!r}", serial
+        )
     return serial, snapshot
 
 
--- a/cresstray/membership/snapshot_files.py
+++ b/cresstray/membership/snapshot_files.py
@@ -190,7 +190,7 @@
                 pieces.append(piece)
                 size_bytes += len(piece)
                 if size_bytes > _MAX_FILE_BYTES:
-                    raise UnusableSnapshotError("longer than any kept list")
+                    raise UnusableSnapshotError("longer than any snapshot")
             return b"".join(pieces)
         finally:
             self._system.close(descriptor)
@@ -202,7 +202,7 @@
             OSError, UnusableSnapshotError: The write failed; the old snapshot or the new one is there, whole.
         """
         if self._lock_descriptor is None:
-            raise OSError(errno.EBUSY, "another process keeps this folder")
+            raise OSError(errno.EBUSY, "another process holds this folder")
         if self.found_at_lock.has_foreign_file:
             raise OSError(errno.EEXIST, "another gateway's files are in this folder")
         data = encode(snapshot, self._serial + 1)
@@ -315,7 +315,7 @@
     def _write(self, build: Callable[[], Snapshot], read_serial: int) -> WriteResult:
         had_lock = self.folder.is_locked
         if not self.folder.lock():
-            return WriteResult("another process keeps this folder", 0, 0, is_folder_busy=True)
+            return WriteResult("another process holds this folder", 0, 0, is_folder_busy=True)
         if not had_lock and self.folder.found_at_lock.serial > read_serial:
             return WriteResult("", 0, 0, newer=self.folder.found_at_lock)
         return WriteResult("", 0, self.folder.write(build()))
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -182,7 +182,7 @@
                 for hall in halls.halls.values():
                     hall.coordinator.down()
             for gateway in gateways:
-                self.assertIn("remembers 4 engines", (folder / f"{gateway.name}.log").read_text())
+                self.assertIn("recovered 4 endpoints", (folder / f"{gateway.name}.log").read_text())
                 self.assertEqual(0, gateway.process.returncode)
 
         with (
@@ -281,8 +281,8 @@
             await anyio.sleep(2.5)  # beyond the first write
             await stage.served(1, 1)
             self.assertEqual(before, self.files(stage))
-            self.assertIn("can't be written: Read-only file system", stage.log())
-            self.assertIn("remembers 3 engines", stage.log())
+            self.assertIn("snapshot not written: Read-only file system", stage.log())
+            self.assertIn("recovered 3 endpoints", stage.log())
 
         self.play(scene)
 
@@ -293,7 +293,9 @@
             before = stage.got()
             await stage.served(12, 5)
             self.assertEqual(before[3], stage.got()[3], "a clock has raised the dead")
-            self.assertIn("remembers 3 engines and 0 tariffs, of an unknown age", stage.log())
+            self.assertIn(
+                "recovered 3 endpoints and 0 request classes from a snapshot, of unknown age", stage.log()
+            )
 
         self.play(scene)
 
@@ -305,7 +307,7 @@
                 await stage.start()
                 await stage.served(4, 5)
                 with anyio.fail_after(KEPT_WITHIN):
-                    while "another process keeps this folder" not in stage.log():
+                    while "another process holds this folder" not in stage.log():
                         await anyio.sleep(0.1)
                 self.assertTrue(first.lives())
                 before = self.files(stage)
@@ -335,7 +337,7 @@
             await anyio.sleep(max(0.0, begun + grace + 0.5 - time.monotonic()))
             await stage.served(24, 5)
             self.assertGreater(engine.got, before)
-            self.assertIn("remembers 3 engines", stage.log())
+            self.assertIn("recovered 3 endpoints", stage.log())
 
         self.play(scene, draining=True)
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -625,9 +625,9 @@
         for name, word in (
             ("half.kept", "no body of format 2"),
             ("future.kept", "of format 3"),
-            ("foreign.kept", "not a kept list"),
+            ("foreign.kept", "not a snapshot"),
             ("torn.kept", "torn"),
-            ("other.kept", "kept by 'g2'"),
+            ("other.kept", "written by 'g2'"),
             ("port.kept", "no body of format 2"),
         ):
             with self.assertRaisesRegex(record.UnusableSnapshotError, word):
@@ -829,10 +829,12 @@
     def test_a_restart_starts_from_what_was_kept_and_the_register_settles_it(self) -> None:
         fleet = self.first()
         fleet.written()
-        self.assertEqual(fleet.counters.counts["kept: writes"], 1)
+        self.assertEqual(fleet.counters.counts["membership: snapshot writes"], 1)
         fleet.keep.close()
         again = Fleet(self.path, wall=START + 60 * SECOND, boot="b2", ticked=SECOND)
-        self.assertEqual(again.said, ["remembers 3 engines and 1 tariffs, 60 s old"])
+        self.assertEqual(
+            again.said, ["recovered 3 endpoints and 1 request classes from a snapshot, 60 s old"]
+        )
         self.assertEqual(
             (again.gateway.request_classes[0].latency.sample_count, list(again.gateway.ready_engines)),
             (149, []),
@@ -917,10 +919,12 @@
         fleet.written()
         # While the first ends, and with a clock that was set back by a day.
         successor = Fleet(self.path, wall=START - 86_400 * SECOND, ticked=101 * SECOND)
-        self.assertEqual(successor.said, ["remembers 3 engines and 1 tariffs, 1 s old"])
+        self.assertEqual(
+            successor.said, ["recovered 3 endpoints and 1 request classes from a snapshot, 1 s old"]
+        )
         successor.keep.write_schedule.on_change(successor.now)
         successor.written()
-        self.assertIn("another process keeps this folder", successor.said[-1])
+        self.assertIn("another process holds this folder", successor.said[-1])
         fleet.keep.hand_over(["m1", "m2"], fleet.now)
         fleet.writer._thread.join(5)
         fleet.step()
@@ -938,7 +942,7 @@
         self.assertEqual([bool(successor.engine(n).limiter.cold) for n in (1, 2)], [False, False])
         self.assertIsNone(successor.keep.retry_after_us(successor.submit("one"), successor.now))
         successor.written()
-        self.assertEqual(successor.counters.counts["kept: writes"], 2)
+        self.assertEqual(successor.counters.counts["membership: snapshot writes"], 2)
 
     def test_usual_times_of_any_known_age_are_known_and_move_soon(self) -> None:
         for days, seen, mean in ((0, 150, 90_000), (7, 5, 90_000), (29, 5, 90_000), (30, 0, 100_000)):
@@ -979,7 +983,7 @@
             self.assertLess(time.monotonic() - begun, 5)
         self.assertGreater(time.monotonic() - begun, 0.3)
         self.assertLess(slowest, 0.2)
-        self.assertGreater(fleet.counters.counts["kept: slowest write us"], 500_000)
+        self.assertGreater(fleet.counters.counts["membership: slowest snapshot write us"], 500_000)
 
     def test_what_may_run_once_waits_for_an_engine_that_has_served(self) -> None:
         fleet = self.first()
@@ -1029,7 +1033,7 @@
             fleet.tell(EndpointEvent(50, True, [member(1)]))
             fleet.now += 60 * SECOND
             fleet.written()
-        self.assertEqual(fleet.said, ["can't be written: No such file or directory; tried again"])
+        self.assertEqual(fleet.said, ["snapshot not written: No such file or directory; retrying"])
 
 
 class KnockTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_kept_join.py
+++ b/tests/test_kept_join.py
@@ -188,7 +188,7 @@
             await stage.served(1, 5)
             self.assertLess(time.monotonic() - begun, 5)
             await stage.served(16, 5)
-            self.assertIn("remembers 3 engines", stage.log())
+            self.assertIn("recovered 3 endpoints", stage.log())
             self.assertEqual(before[2:], stage.got()[2:], "sent to one that is gone, or that refuses")
             self.assertTrue(all(now > old for now, old in zip(stage.got(), before[:2])), "one is left idle")
             self.assertIn("result", await stage.ask("ledger-post"))
@@ -222,8 +222,8 @@
             stage.gateway.process.send_signal(signal.SIGUSR1)
             await anyio.sleep(0.3)
             counts = stage.counts()
-            self.assertEqual(1, counts["kept: members of old lists left out"])
-            self.assertGreaterEqual(counts["kept: engines unreachable"], 1)
+            self.assertEqual(1, counts["membership: outdated endpoints left out"])
+            self.assertGreaterEqual(counts["membership: endpoints unreachable"], 1)
             self.assertTrue(all(counts[f"background: {job} turns"] for job in ("knocks", "kept list")))
             self.assertFalse(any(amount for name, amount in counts.items() if name.endswith("failures")))
             tasks.cancel_scope.cancel()
@@ -311,7 +311,7 @@
             for name in SNAPSHOT_FILE_NAMES:
                 (stage.kept / name).write_bytes(b"no list")
             await stage.start()
-            self.assertEqual(2, stage.log().count("skipped, not a kept list"))
+            self.assertEqual(2, stage.log().count("skipped, not a snapshot"))
             await anyio.sleep(0.5)
             begun = time.monotonic()
             self.assertGreater((await stage.ask())["error"]["data"]["holdoff"], 0)
@@ -333,7 +333,7 @@
             tasks = SimpleNamespace(start_soon=lambda _, one, now: asked.append(one.id))
             pieces = [keep.start_probes(tasks, None) for _ in range(8 // MAX_PROBES_AT_ONCE + 1)]
             self.assertEqual([MAX_PROBES_AT_ONCE] * (8 // MAX_PROBES_AT_ONCE) + [0], pieces)
-            self.assertEqual((8, fleet.counters.counts["kept: trials"]), (len(set(asked)), len(asked)))
+            self.assertEqual((8, fleet.counters.counts["membership: probes"]), (len(set(asked)), len(asked)))
             for number in asked:
                 keep._on_contact(number, ContactResult.LISTENING, fleet.now)
             fleet.give(keep.take_changes(fleet.now, 3))
