--- a/cresstray/cli/__init__.py
+++ b/cresstray/cli/__init__.py
@@ -12,17 +12,19 @@
     """Its commands, and those that are loaded only when they are typed."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), "kept", "placement"])
+        """Returns all names that help prints; `kept`, the earlier name of `membership`, is not among them."""
+        return sorted([*super().list_commands(ctx), "membership", "placement"])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Returns a command by its name, or by its earlier name; None for any other."""
         if cmd_name == "placement":
             from cresstray.cli import placement
 
             return placement.placement
-        if cmd_name == "kept":
-            from cresstray.cli import membership as kept
+        if cmd_name in ("membership", "kept"):
+            from cresstray.cli import membership
 
-            return kept.kept
+            return membership.membership
         return super().get_command(ctx, cmd_name)
 
 
--- a/cresstray/config/membership.py
+++ b/cresstray/config/membership.py
@@ -1,25 +1,32 @@
-"""What an operator's file sets of the list that a gateway keeps on disk."""
+"""The section of an operator's file on the stored endpoint list; its key is `kept`."""
 
 from __future__ import annotations
 
+from typing import Any
+
 import msgspec
 
 from cresstray.config.lines import Section, Sheet
 
-KNOWN: dict = {"kept": {}}
+# Sections by key, each with its further lines: there are none.
+KNOWN: dict[str, dict[str, Any]] = {"kept": {}}
 
 
 class Kept(msgspec.Struct, frozen=True):
-    """`folder`: of this gateway alone, see docs/operators/kept.md."""
+    """Where a gateway stores its endpoint list.
+
+    Attributes:
+        folder: An absolute path, of this gateway alone; see docs/operators/membership.md.
+    """
 
     folder: str
 
 
 def kept(sheet: Sheet, section: Section) -> Kept | None:
-    """None where there is a fault."""
+    """Parses the section; returns None and records a fault in the sheet where it is wrong."""
     folder = section.words[1]
     if not folder.startswith("/"):
-        # Danger: by another working directory another folder would be meant, and the list not be found.
+        # A relative path would mean another folder in another working directory, and the list not be found.
         sheet.fault(section.number, f"kept with a path from / on; this is {folder!r}")
         return None
     return Kept(folder)
--- a/tests/test_membership_files.py
+++ b/tests/test_membership_files.py
@@ -97,7 +97,9 @@
 
 
 class CommandTest(unittest.TestCase):
-    """What the commands print of the fixtures."""
+    """What the commands print of the fixtures, by their name and by the earlier one."""
+
+    NAMES = ("membership", "kept")
 
     def output(self, *words: str) -> tuple[int, str]:
         with contextlib.redirect_stdout(io.StringIO()) as out:
@@ -107,33 +109,46 @@
                 code = ended.code
         return code, out.getvalue()
 
-    def test_kept_verify(self) -> None:
-        code, out = self.output("kept", "verify", str(FIXTURES), "--name", OWNER)
-        self.assertEqual(0, code)
-        self.assertEqual(
-            "engines.a: whole, serial 12, 2 engines, index 5000\n"
-            "engines.b: whole, serial 11, 1 engines, index 4999\n",
-            out,
-        )
-
-    def test_kept_export_prints_the_keys_that_operators_read(self) -> None:
-        code, out = self.output("kept", "export", str(FIXTURES), "--name", OWNER)
-        self.assertEqual(0, code)
+    def test_verify(self) -> None:
+        for command in self.NAMES:
+            with self.subTest(command=command):
+                code, out = self.output(command, "verify", str(FIXTURES), "--name", OWNER)
+                self.assertEqual(0, code)
+                self.assertEqual(
+                    "engines.a: whole, serial 12, 2 engines, index 5000\n"
+                    "engines.b: whole, serial 11, 1 engines, index 4999\n",
+                    out,
+                )
+
+    def test_export_prints_the_keys_that_operators_read(self) -> None:
         stored = json.loads((FIXTURES / "report.json").read_text())
-        told = json.loads(out)
-        self.assertEqual(list(stored), list(told))
-        for part in ("engines", "gone", "tariffs"):
-            self.assertEqual(list(stored[part][0]), list(told[part][0]))
-
-    def test_kept_show(self) -> None:
-        code, out = self.output("kept", "show", str(FIXTURES), "--name", OWNER)
+        for command in self.NAMES:
+            with self.subTest(command=command):
+                code, out = self.output(command, "export", str(FIXTURES), "--name", OWNER)
+                self.assertEqual(0, code)
+                printed = json.loads(out)
+                self.assertEqual(list(stored), list(printed))
+                for part in ("engines", "gone", "tariffs"):
+                    self.assertEqual(list(stored[part][0]), list(printed[part][0]))
+
+    def test_show(self) -> None:
+        for command in self.NAMES:
+            with self.subTest(command=command):
+                code, out = self.output(command, "show", str(FIXTURES), "--name", OWNER)
+                self.assertEqual(0, code)
+                lines = out.splitlines()
+                self.assertEqual(5, len(lines))
+                self.assertRegex(lines[0], r"^gateway-1: .*, index 5000, 1 limits, handed over$")
+                self.assertRegex(lines[1], r"^engine s-00000001 10\.0\.0\.1:7001 .*, trust [0-9.]+$")
+                self.assertRegex(lines[2], r"^engine s-0000002a engine-42\.example:7002 .*, drained$")
+                self.assertEqual("gone s-00000009 by index 4321, for 0.04 days of running", lines[3])
+                self.assertEqual("tariff lookup 150 answers, 90 ms", lines[4])
+
+    def test_help_names_the_command_once(self) -> None:
+        code, out = self.output("--help")
         self.assertEqual(0, code)
-        lines = out.splitlines()
-        self.assertRegex(lines[0], r"^gateway-1: .*, index 5000, 1 limits, handed over$")
-        self.assertRegex(lines[1], r"^engine s-00000001 10\.0\.0\.1:7001 .*, trust [0-9.]+$")
-        self.assertRegex(lines[2], r"^engine s-0000002a engine-42\.example:7002 .*, drained$")
-        self.assertEqual("gone s-00000009 by index 4321, for 0.04 days of running", lines[3])
-        self.assertEqual("tariff lookup 150 answers, 90 ms", lines[4])
+        self.assertRegex(out, r"(?m)^  membership ")
+        self.assertNotRegex(out, r"(?m)^  kept ")
 
 
 if __name__ == "__main__":
