--- a/cresstray/config/membership.py
+++ b/cresstray/config/membership.py
@@ -12,7 +12,7 @@
 KNOWN: dict[str, dict[str, Any]] = {"kept": {}}
 
 
-class Kept(msgspec.Struct, frozen=True):
+class MembershipConfig(msgspec.Struct, frozen=True):
     """Where a gateway stores its endpoint list.
 
     Attributes:
@@ -22,11 +22,11 @@
     folder: str
 
 
-def kept(sheet: Sheet, section: Section) -> Kept | None:
+def parse_membership(sheet: Sheet, section: Section) -> MembershipConfig | None:
     """Parses the section; returns None and records a fault in the sheet where it is wrong."""
     folder = section.words[1]
     if not folder.startswith("/"):
         # A relative path would mean another folder in another working directory, and the list not be found.
         sheet.fault(section.number, f"kept with a path from / on; this is {folder!r}")
         return None
-    return Kept(folder)
+    return MembershipConfig(folder)
--- a/cresstray/config/operator.py
+++ b/cresstray/config/operator.py
@@ -13,7 +13,7 @@
 from cresstray.config.fleet import Engine, Fleet, Keeper
 from cresstray.config.idempotency import Store
 from cresstray.config.lines import Section, Sheet, UnusableError, one_of
-from cresstray.config.membership import Kept
+from cresstray.config.membership import MembershipConfig
 
 
 class Link(msgspec.Struct, frozen=True):
@@ -60,7 +60,7 @@
 
     halls: Halls | None = None
     fleet: Fleet | None = None
-    kept: Kept | None = None
+    kept: MembershipConfig | None = None
     store: Store | None = None
 
 
@@ -141,7 +141,7 @@
     if "tls" in found and not of_fleet and not keepers:
         of_halls.append("tls")
     halls = _halls(sheet, found, made, peers, tls) if of_halls or peers else None
-    kept = kepts.kept(sheet, found["kept"]) if "kept" in found else None
+    kept = kepts.parse_membership(sheet, found["kept"]) if "kept" in found else None
     store = stores.store(sheet, found["store"], made["store"]) if "store" in found else None
     sheet.finish()
     return Operator(halls, fleet, kept, store)
--- a/cresstray/model_checking/beliefs.py
+++ b/cresstray/model_checking/beliefs.py
@@ -235,7 +235,7 @@
         self.submission: Request | None = None
 
 
-class Believed(Copied):
+class MembershipWorld(Copied):
     """One gateway, its disk, its engines and the register. The world is the module's port as well."""
 
     def __init__(self, bounds: Bounds, faults: int, words: int, changes: int, steps: int) -> None:
@@ -638,8 +638,8 @@
 
 CONFIGURATIONS = {
     # What the register tells and what is read again; and engines that fail while it is heard of once.
-    "belief": lambda bounds: Believed(bounds, 0, 2, 1, 1),
-    "trials": lambda bounds: Believed(bounds, 1, 1, 0, 3),
+    "belief": lambda bounds: MembershipWorld(bounds, 0, 2, 1, 1),
+    "trials": lambda bounds: MembershipWorld(bounds, 1, 1, 0, 3),
 }
 
 MUTANTS = (
