--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Starts with nobody to ask, as processes: docs/kept.md's hard cases, and the power loss in virtual time."""
+"""Starts without discovery, as processes: docs/membership.md's hard cases, and a power loss in virtual time."""
 
 import subprocess
 import sys
@@ -21,7 +21,7 @@
 from cresstray.membership import snapshot as record
 from cresstray.membership.snapshot import LatencyEntry
 from cresstray.simulation.cold import SECOND, Cold, to_ninety
-from tests import test_kept_join as join
+from tests import test_membership_recovery as join
 
 DAY = 86_400
 KEPT_WITHIN = 8
--- a/tests/test_kept_join.py
+++ b/tests/test_membership_recovery.py
@@ -31,7 +31,7 @@
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from tests.desk import ClientStandIn
-from tests.test_kept import Fleet, member
+from tests.test_membership import Fleet, member
 
 FLEET = """fleet balancer
     beat 5ms
