--- a/cresstray/membership/recovery.py
+++ b/cresstray/membership/recovery.py
@@ -49,6 +49,8 @@
 class Membership:
     """One gateway's endpoint list across restarts. Times are microseconds of the controller's clock.
 
+    `chance` draws from 0 to 1, `notify` logs a line for operators, `read_clocks` reads all clocks.
+
     Attributes:
         estimate: The state of each endpoint.
         recovered_request_names: Names that a predecessor had in use a few seconds ago, to be taken once.
@@ -65,18 +67,7 @@
         read_clocks: Callable[[], ClockReading],
         now_us: int,
     ) -> None:
-        """Makes the membership of a gateway.
-
-        Args:
-            writer: Writes to the gateway's folder.
-            settings: The settings of the module.
-            controller: Has what is learned of latencies and limits.
-            chance: Draws from 0 to 1.
-            counters: Counts what happens.
-            notify: Logs a line for operators.
-            read_clocks: Reads all clocks.
-            now_us: The present time.
-        """
+        """See the class for `chance`, `notify` and `read_clocks`; `settings` are the module's."""
         self._settings = from_settings(settings)
         self._folder = writer.folder
         self._controller = controller
