--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -32,7 +32,7 @@
 from cresstray.membership import snapshot as record
 from cresstray.membership.reconciliation import Tombstone
 from cresstray.membership.snapshot_files import SnapshotFolder
-from cresstray.simulation.cold import to_ninety
+from cresstray.simulation.cold import seconds_to_target
 
 GATEWAYS, ENGINES, CORES = 4, 24, 4
 # What is asked for, as a share of all cores. A cold engine is planned for at three quarters of its cores, of
@@ -318,7 +318,7 @@
     return {
         "payoff": sum(got) / sum(asked),
         "pieces": [part / whole for part, whole in zip(got, asked)],
-        "to_ninety": to_ninety(got, [most * part for part in asked], _PIECE),
+        "to_ninety": seconds_to_target(got, [most * part for part in asked], _PIECE),
     }
 
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Starts without discovery, as processes: docs/membership.md's hard cases, and a power loss in virtual time."""
+"""Starts without discovery, as processes: the hard cases, and a power loss in virtual time."""
 
 import subprocess
 import sys
@@ -20,7 +20,8 @@
 from cresstray.emulators.world import KINDS, Gateway, Hall, World
 from cresstray.membership import snapshot as record
 from cresstray.membership.snapshot import LatencyEntry
-from cresstray.simulation.cold import SECOND, Cold, to_ninety
+from cresstray.simulation.cold import ColdStart, seconds_to_target
+from cresstray.simulation.cold_workload import SECOND_US as SECOND
 from tests import test_membership_recovery as join
 
 DAY = 86_400
@@ -205,38 +206,38 @@
         kept.unlock()
 
     def test_in_virtual_time_none_falls_and_nothing_goes_to_who_is_gone(self) -> None:
-        before = Cold(3, 10, 24, None, 0.5, 4.0).run(8)
-        after = [Cold(3, 10, 24, 7 * DAY * SECOND, 0.5, 4.0).run(8) for _ in range(2)]
+        before = ColdStart(3, 10, 24, None, 0.5, 4.0).run(8)
+        after = [ColdStart(3, 10, 24, 7 * DAY * SECOND, 0.5, 4.0).run(8) for _ in range(2)]
         self.assertEqual(*after)
-        self.assertEqual((0, 0), (after[0].known_gone, after[0].fallen))
+        self.assertEqual((0, 0), (after[0].known_removed, after[0].fallen))
         self.assertTrue(after[0].strangers > 0 and 0 < after[0].peak < 1.6)
         self.assertTrue(before.share < 0.5 < 0.8 < after[0].share <= after[0].share_bound, after[0])
         # Work that is half as heavy again as when it was learnt, and more of it than all can do.
-        self.assertEqual(0, Cold(3, 10, 24, 7 * DAY * SECOND, 0.0, 4.0, 1.2, 1.5).run(4).fallen)
+        self.assertEqual(0, ColdStart(3, 10, 24, 7 * DAY * SECOND, 0.0, 4.0, 1.2, 1.5).run(4).fallen)
 
     def test_a_register_that_is_behind_pushes_no_cold_engine(self) -> None:
         """Back in a second, with starts from before the loss of power; more is asked than all can do."""
-        told = Cold(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4)
-        self.assertEqual((0, 0), (told.fallen, told.known_gone))
+        told = ColdStart(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4)
+        self.assertEqual((0, 0), (told.fallen, told.known_removed))
         self.assertGreater(told.peak, 0)
         with mock.patch(
             "cresstray.membership.estimate.MembershipEstimate._start_for_listing_us",
             lambda self, member, *_: member.started_us,
         ):
-            self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4).fallen, 0)
+            self.assertGreater(ColdStart(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4).fallen, 0)
 
     def test_engines_fall_where_nobody_minds_that_they_are_cold(self) -> None:
         with mock.patch("cresstray.policy.controller.PolicyController._cold_room", lambda *_: True):
-            self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 4.0, load=2.0).run(3).fallen, 0)
+            self.assertGreater(ColdStart(3, 10, 24, 10 * SECOND, 0.0, 4.0, load=2.0).run(3).fallen, 0)
 
     def test_seconds_to_nine_tenths(self) -> None:
         could = [1.0] * 20
-        self.assertEqual(0.0, to_ninety(could, could, 0.5))
-        self.assertEqual(0.5, to_ninety([0.0, 0.6] + [1.0] * 18, could, 0.5))
+        self.assertEqual(0.0, seconds_to_target(could, could, 0.5))
+        self.assertEqual(0.5, seconds_to_target([0.0, 0.6] + [1.0] * 18, could, 0.5))
         # A dip of half a second is none in five; one of two seconds is.
-        self.assertEqual(0.0, to_ninety([1.0] * 10 + [0.1] + [1.0] * 9, could, 0.5))
-        self.assertEqual(4.0, to_ninety([1.0] * 6 + [0.5] * 4 + [1.0] * 10, could, 0.5))
-        self.assertIsNone(to_ninety([1.0] * 17 + [0.5] * 3, could, 0.5))
+        self.assertEqual(0.0, seconds_to_target([1.0] * 10 + [0.1] + [1.0] * 9, could, 0.5))
+        self.assertEqual(4.0, seconds_to_target([1.0] * 6 + [0.5] * 4 + [1.0] * 10, could, 0.5))
+        self.assertIsNone(seconds_to_target([1.0] * 17 + [0.5] * 3, could, 0.5))
 
 
 class Folders(unittest.TestCase):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -36,7 +36,7 @@
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.routing import Router
 from cresstray.policy.types import EndpointState, Outcome
-from cresstray.simulation.cold import Unlinked
+from cresstray.simulation.cold_engine import AddressOnly
 from tests.desk import Desk, settings
 
 SECOND, START = 1_000_000, 1_800_000_000_000_000
@@ -754,7 +754,7 @@
             service["Name"] = f"t{number}"
         super().__init__(self.given, engines=0, seed=seed)
         self.at, self.counters, self.said = ClockReading(wall, boot, ticked), Counters(), []
-        self.route = Router(lambda label, address: Unlinked(address), None)
+        self.route = Router(lambda label, address: AddressOnly(address), None)
         self.writer = SnapshotWriter(SnapshotFolder(path, owner))
         self.keep = Membership(
             self.writer,
