--- a/cresstray/membership/estimate.py
+++ b/cresstray/membership/estimate.py
@@ -1,428 +1,359 @@
-"""What a gateway believes of each engine, on whose word and since when. docs/kept.md draws the states.
-
-Engines are ids of the register here. What is to be listed for the module comes back as members of an event.
+"""The membership estimate: the state of each endpoint, by evidence from lists, probes and traffic.
+
+| state | probe starts | listening | served | refused | timed out | draining | wrong identity |
+| --- | --- | --- | --- | --- | --- | --- | --- |
+| REMEMBERED | PROBING | - | - | - | - | - | - |
+| PROBING, not listed | - | listed | listed | UNREACHABLE | UNREACHABLE | UNREACHABLE | REMOVED |
+| PROBING, listed | - | - | CONFIRMED | UNREACHABLE | UNREACHABLE | UNREACHABLE | REMOVED |
+| CONFIRMED | - | - | - | UNREACHABLE | - | UNREACHABLE | REMOVED |
+| UNREACHABLE | PROBING | - | - | - | - | - | - |
+| REGISTERED | - | - | - | - | - | - | - |
+| REMOVED | - | - | - | - | - | - | - |
+
+"-" changes nothing. Discovery makes any state REGISTERED by naming the endpoint, and REMOVED by removing it,
+or leaving it out of a complete list; a removed endpoint returns by news that is later than its removal. What
+leaves PROBING (listed) or CONFIRMED for UNREACHABLE or REMOVED is taken off the list. Snapshots change the
+states of endpoints only that neither discovery nor a contact of this process tells of.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from enum import Enum
-from typing import NamedTuple
 
 import msgspec
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
-from cresstray.membership import probe_budget as trials
-from cresstray.membership.confidence import HANDED, LIST, OLDEST, SECOND, weight
-from cresstray.membership.reconciliation import Numbers, Tomb, Tombs
+from cresstray.membership.confidence import (
+    HANDOVER_VALIDITY_US,
+    SECOND_US,
+)
+from cresstray.membership.estimate_states import (
+    ContactResult,
+    EndpointEstimate,
+    EstimateState,
+    EvidenceSource,
+)
+from cresstray.membership.estimate_table import EstimateTable
+from cresstray.membership.probe_budget import retry_delay_us
+from cresstray.membership.reconciliation import Tombstone
+from cresstray.membership.remembered_list import apply_tombstones, merge_endpoints
 from cresstray.policy.types import EndpointState
 
-# A trial that nobody has answered: connecting is given up far sooner.
-_LOST = 5 * SECOND
-# The register sends an empty frame each second.
-_SILENT = 2 * SECOND
-# Danger: a register that names millions, or a folder that grew for years. Far beyond any fleet.
-MOST = 20_000
-# Not heard of for a month, and so many trials of half a minute each: not worth a line any more.
-_HOPELESS = 20
-# While nothing is listed yet, work waits so long for the first trials; after that it is refused.
-_FIRST = SECOND // 2
-
-
-class State(Enum):
-    REMEMBERED = "remembered"
-    ON_TRIAL = "on trial"
-    CONFIRMED = "confirmed"
-    CONTRADICTED = "contradicted"
-    TOLD = "told"
-    GONE = "gone"
-
-
-class Source(Enum):
-    REGISTER = "register"
-    PEER = "peer"
-    TRAFFIC = "traffic"
-    DISK = "disk"
-
-
-class How(Enum):
-    """What came of a trial, or of a relay."""
-
-    LISTENS = "listens"
-    SERVED = "served"
-    REFUSED = "refused"
-    SILENT = "silent"
-    DRAINING = "draining"
-    OTHER = "other"  # it answers under another id
-
-
-class Belief(msgspec.Struct):
-    member: Endpoint  # as it was last told or kept, its start too
-    state: State
-    source: Source
-    at: int  # of the last evidence, by this process's clock; before its start for what is older
-    due: int = 0  # when it may be tried
-    failed: int = 0  # trials in a row
-    listed: bool = False  # the module may send to it
-    since: int = 0  # the start that it was listed with on no word but ours
-    drained: int = 0  # when its drain was first told to this process; 0: it was not
-
+# A probe without a result after so long is lost: a connection attempt is given up far sooner.
+_PROBE_LOST_US = 5 * SECOND_US
+# Discovery sends an empty frame each second; without one for so long it is silent.
+_WATCH_SILENT_US = 2 * SECOND_US
+# While nothing is listed yet, requests wait so long for the first probes; after that they are rejected.
+_FIRST_PROBES_US = SECOND_US // 2
+# A rejected request is told to return after a time drawn from this share of the longest on.
+_MIN_RETRY_AFTER_SHARE = 0.25
 
-class Standings(NamedTuple):
-    told: int
-    confirmed: int
-    on_trial: int
-    waiting: int
 
+class MembershipEstimate(EstimateTable):
+    """The estimates of all endpoints. Times are microseconds of one clock, ages microseconds.
 
-class Beliefs:
-    """`grace`: how long an engine drains at the most, `most_wait`: what clients honour; both microseconds.
+    What must be listed for requests as a result of a call is returned, as endpoints of an event.
 
-    `handed`: the list is of a gateway that handed over to this one just now, see fade.HANDED.
+    Attributes:
+        started_us: When the process started.
+        is_handed_over: The snapshot is of a gateway that handed over to this one a moment ago.
     """
 
-    def __init__(self, grace: int, most_wait: int, chance: Callable[[], float], now: int) -> None:
-        self._grace, self._most_wait, self._chance = grace, most_wait, chance
-        self.engines: dict[int, Belief] = {}
-        self._at: dict[tuple[str, int], int] = {}  # whose address it is
-        self.tombs, self.numbers, self.window = Tombs(), Numbers(), trials.Window()
-        self.begun, self.handed = now, False
-        self._alive = now  # when the register was last heard, of whatever it has told
-        self._standings: Standings | None = None
-        self._order: list[int] = []  # of trials: drawn, so that gateways ask in different orders
-
-    def state(self, engine: int) -> State | None:
-        belief = self.engines.get(engine)
-        return belief.state if belief else State.GONE if engine in self.tombs else None
-
-    # What lists of others than the register say: each engine with the age of what is known of it.
-
-    def remembered(
+    def __init__(
+        self, drain_grace_us: int, max_retry_after_us: int, chance: Callable[[], float], now_us: int
+    ) -> None:
+        super().__init__(now_us)
+        self._drain_grace_us = drain_grace_us
+        self._max_retry_after_us = max_retry_after_us
+        self._chance = chance
+        self.started_us = now_us
+        self.is_handed_over = False
+        # Drawn, so that gateways probe in different orders.
+        self._probe_order: list[int] = []
+
+    # Lists of others than discovery.
+
+    def merge_remembered(
         self,
-        given: Iterable[tuple[Endpoint, int]],
-        number: int,
-        tombs: list[Tomb],
-        source: Source,
-        now: int,
-        handed: bool = False,
+        remembered: Iterable[tuple[Endpoint, int]],
+        index: int,
+        tombstones: list[Tombstone],
+        source: EvidenceSource,
+        now_us: int,
+        is_handed_over: bool = False,
     ) -> list[Endpoint]:
-        """`number`: the register's, when the list was made. What this process knows better stays.
-
-        What is to be listed because of it: who was listed on trial, and is gone by the word in it or has
-        started anew.
+        """Merges a snapshot or another gateway's list; what this process knows better stays.
+
+        Args:
+            remembered: Endpoints, each with the age of the evidence of it.
+            index: The index of discovery when the list was made.
+            tombstones: Removed endpoints, which count before what listens at their addresses.
+            source: Where the list comes from.
+            now_us: The present time.
+            is_handed_over: The list was written a moment ago by a gateway that ended as planned.
+
+        Returns:
+            Listed endpoints that the list names as removed, or as started since.
         """
-        listed = {
-            number: (belief.member, belief.since)
-            for number, belief in self.engines.items()
-            if belief.listed and belief.state is not State.TOLD
+        listed_before = {
+            endpoint_id: (estimate.endpoint, estimate.listed_start_us)
+            for endpoint_id, estimate in self.endpoints.items()
+            if estimate.is_listed and estimate.state is not EstimateState.REGISTERED
         }
-        for tomb in filter(self._older, tombs):
-            self._drop(tomb.id)
-            self.tombs.bury(tomb.id, tomb.started, tomb.number, now, tomb.lived)
-        if source is Source.DISK:
-            self.numbers.highest = max(self.numbers.highest, number)
-            self.handed = handed
-        trust = taken = 0.0
-        for member, age in sorted(given, key=lambda one: (one[1], -one[0].started_us, one[0].id)):
-            if self._remember(member, min(age, OLDEST), number, source, now):
-                taken, trust = taken + 1, trust + weight(age, LIST)
-        self.window.open(int(taken), trust / max(1.0, taken))
-        self._order = sorted(self.engines)
-        for last in range(len(self._order) - 1, 0, -1):
+        apply_tombstones(self, tombstones, now_us)
+        if source is EvidenceSource.DISK:
+            self.index_tracker.highest = max(self.index_tracker.highest, index)
+            self.is_handed_over = is_handed_over
+        merge_endpoints(self, remembered, index, source, self._drain_grace_us, now_us)
+        self._draw_probe_order()
+        return self._changed_since(listed_before)
+
+    def _draw_probe_order(self) -> None:
+        order = sorted(self.endpoints)
+        for last in range(len(order) - 1, 0, -1):
             other = int(self._chance() * (last + 1))
-            self._order[last], self._order[other] = self._order[other], self._order[last]
-        told = []
-        for number, (member, since) in listed.items():
-            belief = self.engines.get(number)
-            if belief is None:
-                told.append(_gone(member))
-            elif belief.since > since:
-                told.append(
-                    msgspec.structs.replace(belief.member, state=EndpointState.READY, started_us=belief.since)
-                )
-        return told
-
-    def _older(self, tomb: Tomb) -> bool:
-        # Danger: a successor lists by what the one before wrote last but one. The register's word in the last
-        # write, that an engine is gone, counts before whatever listens or serves there.
-        belief = self.engines.get(tomb.id)
-        return belief is None or belief.state is not State.TOLD and belief.member.started_us <= tomb.started
-
-    def _remember(self, member: Endpoint, age: int, number: int, source: Source, now: int) -> bool:
-        known = self.engines.get(member.id)
-        if (
-            known is not None
-            and known.state in (State.ON_TRIAL, State.CONFIRMED)
-            and member.started_us > known.member.started_us
-        ):
-            # Danger: it is asked by what an earlier list said, and would be warm by its start of then.
-            known.member = msgspec.structs.replace(known.member, started_us=member.started_us)
-            known.since = max(known.since, member.started_us)
-        if (
-            member.state is EndpointState.REMOVED
-            or self.tombs.bars(member.id, member.started_us, number)
-            or known is not None
-            and (known.state not in (State.REMEMBERED, State.CONTRADICTED) or known.at >= now - age)
-            or known is None
-            and len(self.engines) >= MOST
-        ):
-            return False
-        owner = self._at.get((member.host, member.port), member.id)
-        if owner != member.id:
-            return False  # the address has gone to another one, of which more is known
-        # Danger: a drain of the list is over or not, nobody here knows. A grace after our start it is.
-        due = now + self._grace if member.state is EndpointState.DRAINING else now
-        # Danger: whoever wrote this saw it well, and this process has seen it refuse: it may start anew.
-        failed = 0 if known is None else known.failed
-        due = max(due, known.due) if failed else due
-        self._put(Belief(member, State.REMEMBERED, source, now - age, due, failed))
-        self.tombs.raised(member.id)
-        return True
-
-    # The register's word, which counts before all others.
-
-    def told(self, event: EndpointEvent, now: int) -> EndpointEvent:
-        """The event as the module may have it: what an old list would raise is left out of it.
-
-        A whole list that is older than what was kept becomes a partial one: it can't say who is gone.
+            order[last], order[other] = order[other], order[last]
+        self._probe_order = order
+
+    def _changed_since(self, listed_before: dict[int, tuple[Endpoint, int]]) -> list[Endpoint]:
+        changed = []
+        for endpoint_id, (endpoint, listed_start_us) in listed_before.items():
+            estimate = self.endpoints.get(endpoint_id)
+            if estimate is None:
+                changed.append(_removed(endpoint))
+            elif estimate.listed_start_us > listed_start_us:
+                changed.append(_ready(estimate.endpoint, estimate.listed_start_us))
+        return changed
+
+    # Events of discovery, which count before all other evidence.
+
+    def apply_event(self, event: EndpointEvent, now_us: int) -> EndpointEvent:
+        """Applies an event; returns it without what an older list would bring back.
+
+        A complete list with a smaller index than one known before becomes a partial one: it can't say which
+        endpoints are removed.
         """
-        whole = self.numbers.take(event.index, event.is_complete, now)
-        named, members = {member.id for member in event.endpoints}, []
-        for member in event.endpoints:
-            if member.state is EndpointState.REMOVED:
-                self._bury(member.id, member.started_us, event.index, now)
-                members.append(member)
-            elif not (
-                self.tombs.bars(member.id, member.started_us, event.index)
-                or self._outdated(member, event.index)
-            ):
-                members += self._claim(member, named, event.index, now)
-                started = self._started(member, event.index, now)
-                self._put(self._told(member, started, now))
-                self.tombs.raised(member.id)
-                members.append(msgspec.structs.replace(member, started_us=started))
-        if whole:
-            for engine in [engine for engine in self.engines if engine not in named]:
-                self._bury(engine, 0, event.index, now)
-            # Who is left out of a whole list is gone, links and all.
-            members = [member for member in members if member.state is not EndpointState.REMOVED]
-        return EndpointEvent(event.index, whole, members)
-
-    def _outdated(self, member: Endpoint, number: int) -> bool:
-        """An older list, on an engine that has started anew since."""
-        known = self.engines.get(member.id)
+        is_complete = self.index_tracker.observe(event.index, event.is_complete, now_us)
+        named = {endpoint.id for endpoint in event.endpoints}
+        endpoints: list[Endpoint] = []
+        for endpoint in event.endpoints:
+            if endpoint.state is EndpointState.REMOVED:
+                self.remove(endpoint.id, endpoint.started_us, event.index, now_us)
+                endpoints.append(endpoint)
+            elif not self._is_outdated(endpoint, event.index):
+                endpoints += self._register(endpoint, named, event.index, now_us)
+        if is_complete:
+            for endpoint_id in [engine for engine in self.endpoints if engine not in named]:
+                self.remove(endpoint_id, 0, event.index, now_us)
+            # A complete list removes by leaving out, connections included.
+            endpoints = [one for one in endpoints if one.state is not EndpointState.REMOVED]
+        return EndpointEvent(event.index, is_complete, endpoints)
+
+    def _is_outdated(self, endpoint: Endpoint, index: int) -> bool:
+        """Whether a later removal is known, or from an older list a later start."""
+        if self.tombstones.forbids(endpoint.id, endpoint.started_us, index):
+            return True
+        known = self.endpoints.get(endpoint.id)
         return (
-            number < self.numbers.highest
+            index < self.index_tracker.highest
             and known is not None
-            and known.member.started_us > member.started_us
+            and known.endpoint.started_us > endpoint.started_us
         )
 
-    def _started(self, member: Endpoint, number: int, now: int) -> int:
-        """Since when the module may take it to be up.
-
-        Danger: a register that was down, or is behind, names starts from before a loss of power. All gateways
-        hear of it at once, and would push engines that are still cold.
-        """
-        known = self.engines.get(member.id)
-        if known is not None and known.listed:
-            return max(member.started_us, known.since)
-        # Danger: one that refused us is asked again by now, and still is as cold.
-        if number < self.numbers.highest or known is not None and known.failed:
-            return max(member.started_us, now)
-        return member.started_us
-
-    def _told(self, member: Endpoint, started: int, now: int) -> Belief:
-        known, drained = self.engines.get(member.id), 0
-        if member.state is EndpointState.DRAINING:
-            # Said again, it is the same drain; its grace counts from when this process first heard of it.
-            same = known and known.state is State.TOLD and known.member.started_us == member.started_us
-            drained = known.drained if same and known.drained else now
-        return Belief(
-            member,
-            State.TOLD,
-            Source.REGISTER,
-            now,
-            listed=True,
-            drained=drained,
-            since=started if started != member.started_us else 0,
+    def _register(self, endpoint: Endpoint, named: set[int], index: int, now_us: int) -> list[Endpoint]:
+        changed = self._release_address(endpoint, named, index, now_us)
+        started_us = self._start_for_listing_us(endpoint, index, now_us)
+        estimate = EndpointEstimate(
+            endpoint,
+            EstimateState.REGISTERED,
+            EvidenceSource.REGISTER,
+            now_us,
+            is_listed=True,
+            drain_began_us=self._drain_began_us(endpoint, now_us),
+            listed_start_us=started_us if started_us != endpoint.started_us else 0,
         )
+        self.put(estimate)
+        self.tombstones.discard(endpoint.id)
+        return [*changed, msgspec.structs.replace(endpoint, started_us=started_us)]
 
-    def _claim(self, member: Endpoint, named: set[int], number: int, now: int) -> list[Endpoint]:
-        """Whoever was believed at this address, and is not told of together with the one that has it now."""
-        owner = self._at.get((member.host, member.port), member.id)
-        if owner == member.id or owner in named:
+    def _release_address(
+        self, endpoint: Endpoint, named: set[int], index: int, now_us: int
+    ) -> list[Endpoint]:
+        """Removes the endpoint that had this address, unless the event names it as well."""
+        owner = self.id_by_address.get((endpoint.host, endpoint.port), endpoint.id)
+        if owner == endpoint.id or owner in named:
             return []
-        known = self.engines[owner]
-        self._bury(owner, known.member.started_us, number, now)
-        return [_gone(known.member)] if known.listed else []
-
-    def grace_left(self, engine: int, now: int) -> int:
-        """Of a drain that was told; 0 where none was, or it is over."""
-        belief = self.engines.get(engine)
-        return max(0, belief.drained + self._grace - now) if belief and belief.drained else 0
-
-    def alive(self, now: int) -> None:
-        """The register's link brings frames: what it has told is as fresh as the last of them."""
-        self._alive = now
-
-    def settle(self, now: int) -> EndpointEvent | None:
-        """Once the register has stood by numbers below ours: those that it never named are gone."""
-        if now - self._alive > _SILENT:
-            self.numbers.unheard(now)  # what it once said is no word that it stands by
-        if not self.numbers.insists(now):
+        known = self.endpoints[owner]
+        self.remove(owner, known.endpoint.started_us, index, now_us)
+        return [_removed(known.endpoint)] if known.is_listed else []
+
+    def _start_for_listing_us(self, endpoint: Endpoint, index: int, now_us: int) -> int:
+        """Returns since when the endpoint may be taken to be up.
+
+        Discovery that was down, or is behind, names starts from before a loss of power. All gateways hear of
+        it at once, and would send full load to engines that are still cold.
+        """
+        known = self.endpoints.get(endpoint.id)
+        if known is not None and known.is_listed:
+            return max(endpoint.started_us, known.listed_start_us)
+        # One that failed is probed again by now, and is still as cold.
+        has_failed = known is not None and known.failure_count > 0
+        if index < self.index_tracker.highest or has_failed:
+            return max(endpoint.started_us, now_us)
+        return endpoint.started_us
+
+    def _drain_began_us(self, endpoint: Endpoint, now_us: int) -> int:
+        if endpoint.state is not EndpointState.DRAINING:
+            return 0
+        known = self.endpoints.get(endpoint.id)
+        # Named again it is the same drain: its grace counts from when this process first heard of it.
+        if (
+            known is not None
+            and known.state is EstimateState.REGISTERED
+            and known.endpoint.started_us == endpoint.started_us
+            and known.drain_began_us
+        ):
+            return known.drain_began_us
+        return now_us
+
+    def drain_grace_left_us(self, endpoint_id: int, now_us: int) -> int:
+        """Returns what is left of the grace of a drain that discovery named; 0 where there is none."""
+        estimate = self.endpoints.get(endpoint_id)
+        if estimate is None or not estimate.drain_began_us:
+            return 0
+        return max(0, estimate.drain_began_us + self._drain_grace_us - now_us)
+
+    def on_watch_frame(self, now_us: int) -> None:
+        """Records a frame of the watch: what discovery has named is as fresh as that."""
+        self._last_frame_us = now_us
+
+    def settle_index(self, now_us: int) -> EndpointEvent | None:
+        """Accepts a smaller index that has stood for the settle time.
+
+        Returns:
+            The event that removes endpoints that discovery has not named; None while nothing is settled.
+        """
+        if now_us - self._last_frame_us > _WATCH_SILENT_US:
+            self.index_tracker.on_watch_silent(now_us)
+        if not self.index_tracker.is_settled(now_us):
             return None
-        self.numbers.give_in()
-        unnamed = [belief for belief in self.engines.values() if belief.state is not State.TOLD]
-        for belief in unnamed:
-            self._bury(belief.member.id, 0, self.numbers.last, now)
-        self.tombs.rebase(self.numbers.last)
-        return EndpointEvent(0, False, [_gone(belief.member) for belief in unnamed if belief.listed])
-
-    # Trials: a connection first, then work as a cold engine gets it, until it has served.
-
-    def due(self, now: int) -> list[Endpoint]:
-        """The engines to be asked now, by a connection, each once; what comes of it goes to `answered`."""
-        for engine, since in list(self.window.out.items()):
-            if now - since >= _LOST:
-                self.answered(engine, How.SILENT, now)
-        begun = []
-        if not self.standings().waiting:
-            return begun
-        for engine in self._order if self.window.room() else ():
-            belief = self.engines.get(engine)
-            if (
-                belief is not None
-                and belief.state in (State.REMEMBERED, State.CONTRADICTED)
-                and belief.due <= now
-            ):
-                belief.state, self._standings = State.ON_TRIAL, None
-                self.window.begin(engine, now)
-                begun.append(belief.member)
-                if not self.window.room():
-                    break
-        return begun
-
-    def answered(self, engine: int, how: How, now: int) -> list[Endpoint]:
-        """What came of a trial or of a relay; what is to be listed because of it."""
-        belief = self.engines.get(engine)
-        self.window.went(engine, how in (How.LISTENS, How.SERVED))
-        if belief is None or belief.state not in (State.ON_TRIAL, State.CONFIRMED):
+        self.index_tracker.accept_last()
+        last_index = self.index_tracker.last
+        unnamed = [one for one in self.endpoints.values() if one.state is not EstimateState.REGISTERED]
+        for estimate in unnamed:
+            self.remove(estimate.endpoint.id, 0, last_index, now_us)
+        self.tombstones.rebase(last_index)
+        return EndpointEvent(0, False, [_removed(one.endpoint) for one in unnamed if one.is_listed])
+
+    # Probes: a connection first, then requests as a cold engine gets them, until it has served.
+
+    def start_due_probes(self, now_us: int) -> list[Endpoint]:
+        """Returns the endpoints to probe now, each once; results go to `on_contact`."""
+        for endpoint_id, started_us in list(self.probe_budget.in_flight.items()):
+            if now_us - started_us >= _PROBE_LOST_US:
+                self.on_contact(endpoint_id, ContactResult.TIMED_OUT, now_us)
+        started: list[Endpoint] = []
+        if not self.counts().unlisted or not self.probe_budget.available():
+            return started
+        for endpoint_id in self._probe_order:
+            estimate = self.endpoints.get(endpoint_id)
+            if estimate is None or estimate.next_probe_us > now_us:
+                continue
+            if estimate.state not in (EstimateState.REMEMBERED, EstimateState.UNREACHABLE):
+                continue
+            self.transition(estimate, EstimateState.PROBING)
+            self.probe_budget.on_started(endpoint_id, now_us)
+            started.append(estimate.endpoint)
+            if not self.probe_budget.available():
+                break
+        return started
+
+    def on_contact(self, endpoint_id: int, result: ContactResult, now_us: int) -> list[Endpoint]:
+        """Applies the result of a probe or of an attempt; returns what must be listed because of it."""
+        estimate = self.endpoints.get(endpoint_id)
+        is_success = result in (ContactResult.LISTENING, ContactResult.SERVED)
+        self.probe_budget.on_finished(endpoint_id, is_success)
+        if estimate is None or estimate.state not in (EstimateState.PROBING, EstimateState.CONFIRMED):
             return []
-        self._standings = None
-        if how is How.LISTENS or how is How.SERVED and not belief.listed:
-            return self._list(belief, now) if belief.state is State.ON_TRIAL and not belief.listed else []
-        if how is How.SERVED:
-            belief.state, belief.source, belief.at, belief.failed = State.CONFIRMED, Source.TRAFFIC, now, 0
+        if is_success:
+            return self._on_success(estimate, result, now_us)
+        if result is ContactResult.TIMED_OUT and estimate.state is EstimateState.CONFIRMED:
+            return []  # heavy work takes long too; the policy's suspicion has this one
+        return self._on_failure(estimate, result, now_us)
+
+    def _on_success(self, estimate: EndpointEstimate, result: ContactResult, now_us: int) -> list[Endpoint]:
+        if result is ContactResult.SERVED and estimate.is_listed:
+            self.transition(estimate, EstimateState.CONFIRMED)
+            estimate.source = EvidenceSource.TRAFFIC
+            estimate.evidence_us = now_us
+            estimate.failure_count = 0
             return []
-        if how is How.SILENT and belief.state is State.CONFIRMED:
-            return []  # heavy work is silent too; the module's doubt has this one
-        listed, belief.listed = belief.listed, False
-        if how is How.OTHER:
-            # It is somebody else's address now; that one is not ours to list until we are told of it.
-            self._bury(engine, belief.member.started_us, self.numbers.highest, now)
+        if estimate.state is EstimateState.PROBING and not estimate.is_listed:
+            return self._list_endpoint(estimate, now_us)
+        return []
+
+    def _on_failure(self, estimate: EndpointEstimate, result: ContactResult, now_us: int) -> list[Endpoint]:
+        endpoint = estimate.endpoint
+        was_listed = estimate.is_listed
+        estimate.is_listed = False
+        if result is ContactResult.WRONG_IDENTITY:
+            # The address is another endpoint's now, which is not listed until a list names it.
+            self.remove(endpoint.id, endpoint.started_us, self.index_tracker.highest, now_us)
         else:
-            belief.state, belief.failed = State.CONTRADICTED, belief.failed + 1
-            belief.due = now + (
-                self._grace if how is How.DRAINING else trials.again(belief.failed, self._chance)
-            )
-        return [_gone(belief.member)] if listed else []
-
-    def forget(self, engine: int, now: int) -> list[Endpoint]:
-        """An operator says that it is gone; later news of the register may still raise it."""
-        belief = self.engines[engine]
-        self._bury(engine, belief.member.started_us, self.numbers.highest, now)
-        return [_gone(belief.member)] if belief.listed else []
-
-    def _list(self, belief: Belief, now: int) -> list[Endpoint]:
-        belief.listed = True
-        # Danger: it may have started at any time until now, alone or with all others. Cold from this moment
-        # on, unless it was seen warm a few seconds ago by the gateway that handed over.
-        warm = (
-            self.handed
-            and now - self.begun < HANDED
-            and belief.failed == 0
-            and belief.member.state is EndpointState.READY
-        )
-        belief.since = belief.member.started_us if warm else now
-        return [msgspec.structs.replace(belief.member, state=EndpointState.READY, started_us=belief.since)]
-
-    # What it means for work.
-
-    def standings(self) -> Standings:
-        """How many may be sent to, on whose word, and how many wait for their trial or its end."""
-        if self._standings is None:
-            self._standings = self._count()
-        return self._standings
-
-    def _count(self) -> Standings:
-        told = confirmed = on_trial = waiting = 0
-        for belief in self.engines.values():
-            if belief.state is State.TOLD:
-                told += belief.member.state is EndpointState.READY
-            elif belief.state is State.CONFIRMED:
-                confirmed += 1
-            elif belief.state is State.ON_TRIAL and belief.listed:
-                on_trial += 1
+            self.transition(estimate, EstimateState.UNREACHABLE)
+            estimate.failure_count += 1
+            if result is ContactResult.DRAINING:
+                estimate.next_probe_us = now_us + self._drain_grace_us
             else:
-                waiting += 1
-        return Standings(told, confirmed, on_trial, waiting)
+                estimate.next_probe_us = now_us + retry_delay_us(estimate.failure_count, self._chance)
+        return [_removed(endpoint)] if was_listed else []
+
+    def forget(self, endpoint_id: int, now_us: int) -> list[Endpoint]:
+        """Removes a known endpoint for an operator; later news of discovery may bring it back."""
+        estimate = self.endpoints[endpoint_id]
+        self.remove(endpoint_id, estimate.endpoint.started_us, self.index_tracker.highest, now_us)
+        return [_removed(estimate.endpoint)] if estimate.is_listed else []
+
+    def _list_endpoint(self, estimate: EndpointEstimate, now_us: int) -> list[Endpoint]:
+        estimate.is_listed = True
+        self._counts = None
+        # It may have started at any time until now, alone or with all others: it is cold from this moment on,
+        # unless the gateway that handed over saw it warm a few seconds ago.
+        is_warm = (
+            self.is_handed_over
+            and now_us - self.started_us < HANDOVER_VALIDITY_US
+            and estimate.failure_count == 0
+            and estimate.endpoint.state is EndpointState.READY
+        )
+        estimate.listed_start_us = estimate.endpoint.started_us if is_warm else now_us
+        return [_ready(estimate.endpoint, estimate.listed_start_us)]
+
+    # What it means for requests.
+
+    def retry_after_us(self, can_repeat: bool, now_us: int) -> int | None:
+        """Returns None where a request is taken in, else after how long a client should retry.
 
-    def refuses(self, repeatable: bool, now: int) -> int | None:
-        """None: take it in. Else when to come back, in microseconds: refused rather than sent on a guess."""
-        one = self.standings()
-        if one.told or one.confirmed:
+        Args:
+            can_repeat: The request may run more than once without harm.
+            now_us: The present time.
+        """
+        counts = self.counts()
+        if counts.registered or counts.confirmed:
             return None
-        # Danger: what may run once must not be the first thing that a remembered address hears of us.
-        if one.on_trial and (repeatable or self.handed) or not one.on_trial and now - self.begun < _FIRST:
+        if counts.listed_probing:
+            # A request that may run only once must not be the first that a remembered address gets.
+            if can_repeat or self.is_handed_over:
+                return None
+        elif now_us - self.started_us < _FIRST_PROBES_US:
             return None
-        # All gateways of a hall refuse at once, and engines warm up slowly: over all that clients honour.
-        return int(self._most_wait * (0.25 + 0.75 * self._chance()))
-
-    # What is kept, and how old each part of it is.
-
-    def evidence(self, now: int) -> list[tuple[Endpoint, int]]:
-        """All that is not gone, and when it was last known: writing it again makes nothing younger."""
-        told, alive = State.TOLD, self._alive
-        return [
-            (belief.member, alive if belief.state is told and alive > belief.at else belief.at)
-            for belief in self.engines.values()
-            if belief.failed < _HOPELESS or now - belief.at < OLDEST
-        ]
-
-    def kept(self, now: int) -> list[tuple[Endpoint, int]]:
-        """The same with ages."""
-        return [(member, max(0, min(OLDEST, now - at))) for member, at in self.evidence(now)]
-
-    def _put(self, belief: Belief) -> None:
-        self._drop(belief.member.id)
-        self.engines[belief.member.id] = belief
-        self._at[belief.member.host, belief.member.port] = belief.member.id
-
-    def _drop(self, engine: int) -> Belief | None:
-        self.window.out.pop(engine, None)
-        self._standings = None
-        belief = self.engines.pop(engine, None)
-        if belief is not None and self._at.get((belief.member.host, belief.member.port)) == engine:
-            del self._at[belief.member.host, belief.member.port]
-        return belief
-
-    def _bury(self, engine: int, started: int, number: int, now: int) -> None:
-        belief = self._drop(engine)
-        self.tombs.bury(engine, max(started, belief.member.started_us if belief else 0), number, now)
-
-    def fingerprint(self) -> tuple:
-        return (
-            tuple(
-                sorted(
-                    (engine, belief.state.value, belief.listed, belief.failed)
-                    for engine, belief in self.engines.items()
-                )
-            ),
-            tuple((tomb.id, tomb.started, tomb.number) for tomb in self.tombs.kept(0)),
-            self.numbers.highest,
-            self.numbers.behind_since is not None,
-        )
+        # All gateways of a site reject at once, and engines warm up slowly: the delays are spread widely.
+        share = _MIN_RETRY_AFTER_SHARE + (1 - _MIN_RETRY_AFTER_SHARE) * self._chance()
+        return int(self._max_retry_after_us * share)
+
+
+def _removed(endpoint: Endpoint) -> Endpoint:
+    return msgspec.structs.replace(endpoint, state=EndpointState.REMOVED)
 
 
-def _gone(member: Endpoint) -> Endpoint:
-    return msgspec.structs.replace(member, state=EndpointState.REMOVED)
+def _ready(endpoint: Endpoint, started_us: int) -> Endpoint:
+    return msgspec.structs.replace(endpoint, state=EndpointState.READY, started_us=started_us)
--- a/cresstray/membership/recovery.py
+++ b/cresstray/membership/recovery.py
@@ -1,366 +1,352 @@
-"""Joins beliefs, files and what was learnt to one gateway, as the service calls it."""
+"""The membership of one gateway: recovers it from a snapshot, and joins estimate, probes and snapshots."""
 
 from __future__ import annotations
 
 import time
 from collections import deque
 from collections.abc import Callable, Mapping, Sequence
+from functools import partial
 from typing import Any
 
 from anyio.abc import TaskGroup
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
-from cresstray.membership import learned_state as learnt
-from cresstray.membership import snapshot as record
-from cresstray.membership.background_writer import Behind
-from cresstray.membership.confidence import HANDED, OLDEST, Moment, age
-from cresstray.membership.connection_probe import knock
-from cresstray.membership.estimate import Beliefs, How, Source, State
-from cresstray.membership.snapshot_files import Found, Writer, WriteResult
+from cresstray.membership import inspection
+from cresstray.membership.background_writer import WriteSchedule
+from cresstray.membership.confidence import HANDOVER_VALIDITY_US, UNKNOWN_AGE_US, ClockReading, age_us
+from cresstray.membership.connection_probe import probe_connection
+from cresstray.membership.estimate import MembershipEstimate
+from cresstray.membership.estimate_states import ContactResult, EstimateState, EvidenceSource
+from cresstray.membership.learned_state import collect_latencies, collect_limits, restore_latencies
+from cresstray.membership.listed_engines import ListedEngines
+from cresstray.membership.persistence import SnapshotPersistence
+from cresstray.membership.settings import from_settings
+from cresstray.membership.snapshot import Snapshot, newest_entries, to_endpoints
+from cresstray.membership.snapshot_builder import SnapshotContent
+from cresstray.membership.snapshot_files import ReadResult, SnapshotWriter
 from cresstray.observability.counters import Counters
-from cresstray.policy.controller import Limiter, PolicyController, micros
+from cresstray.policy.controller import PolicyController
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
-# What a relay's end says of a remembered engine. Faults of work say nothing: it runs work, so it is one. An
-# answer that can't be read may be another service's, which may be for a moment only.
-_HOW = {
-    Outcome.SUCCEEDED: How.SERVED,
-    Outcome.OVERLOADED: How.SERVED,
-    Outcome.FAILED: How.SERVED,
-    Outcome.UNREACHABLE: How.REFUSED,
-    Outcome.TIMED_OUT: How.SILENT,
-    Outcome.CONNECTION_LOST: How.SILENT,
-    Outcome.PROTOCOL_ERROR: How.SILENT,
+# What the outcome of an attempt says of its endpoint. A failed request was run, so an engine is there. An
+# answer that can't be read may be another service's, which may have the address for a moment only.
+_CONTACT_BY_OUTCOME = {
+    Outcome.SUCCEEDED: ContactResult.SERVED,
+    Outcome.OVERLOADED: ContactResult.SERVED,
+    Outcome.FAILED: ContactResult.SERVED,
+    Outcome.UNREACHABLE: ContactResult.REFUSED,
+    Outcome.TIMED_OUT: ContactResult.TIMED_OUT,
+    Outcome.CONNECTION_LOST: ContactResult.TIMED_OUT,
+    Outcome.PROTOCOL_ERROR: ContactResult.TIMED_OUT,
 }
-# Without a stated grace an engine is given so long to end.
-_GRACE = 10_000
-# Connections made and closed at once, and microseconds of the loop for each: a tick's budget of background
-# work. The 64 that a round may have took 6 ms of it in one piece, which live answers waited for.
-AT_ONCE, KNOCK = 2, 100
-# Engines that are listed at once: a quarter of a millisecond for route and module, of which a half is for
-# those listed before.
-LISTED_AT_ONCE = 8
-# Engines of which the record is made in one piece, some 80 us, and seconds for the loop in between.
-_PIECE, _BREATH = 50, 50e-6
+# Connections started in one turn of the event loop, and what each costs it: a tick's budget in all.
+MAX_PROBES_AT_ONCE = 2
+PROBE_COST_US = 100
+# Endpoints listed in one turn: a quarter of a millisecond for router and controller.
+MAX_LISTED_AT_ONCE = 8
 
 
-class Keep:
-    """`say` prints a line for operators; `moment` reads all clocks, `now` is the module's."""
+class Membership:
+    """One gateway's endpoint list across restarts. Times are microseconds of the controller's clock.
+
+    `chance` draws from 0 to 1, `notify` logs a line for operators, `read_clocks` reads all clocks.
+
+    Attributes:
+        estimate: The state of each endpoint.
+        recovered_request_names: Names that a predecessor had in use a few seconds ago, to be taken once.
+    """
 
     def __init__(
         self,
-        writer: Writer,
+        writer: SnapshotWriter,
         settings: Mapping[str, Any],
-        gateway: PolicyController,
+        controller: PolicyController,
         chance: Callable[[], float],
         counters: Counters,
-        say: Callable[[str], None],
-        moment: Callable[[], Moment],
-        now: int,
+        notify: Callable[[str], None],
+        read_clocks: Callable[[], ClockReading],
+        now_us: int,
     ) -> None:
-        limits, safety = settings.get("Limits", {}), settings.get("Safety", {})
-        self._writer, self._gateway, self._chance, self._moment = writer, gateway, chance, moment
-        self._counters, self._say = counters, say
-        self._names = [service.get("Name", "") for service in settings.get("Services", [])]
-        self._zones, self._machines = settings.get("Localities", []), settings.get("Flavors", [])
-        self._patience = micros(limits.get("ConnectTimeout", 250))
-        self.beliefs = Beliefs(
-            micros(safety.get("DrainGrace", _GRACE)), micros(limits.get("MaxRetryAfter", 0)), chance, now
+        """See the class for `chance`, `notify` and `read_clocks`; `settings` are the module's."""
+        self._settings = from_settings(settings)
+        self._folder = writer.folder
+        self._controller = controller
+        self._counters = counters
+        self._notify = notify
+        self._read_clocks = read_clocks
+        self.estimate = MembershipEstimate(
+            self._settings.drain_grace_us, self._settings.max_retry_after_us, chance, now_us
+        )
+        self._persistence = SnapshotPersistence(
+            writer, WriteSchedule(chance, now_us), counters, notify, self.snapshot_builder
         )
-        self.behind = Behind(chance, now)
-        self._pending: dict[int, Endpoint] = {}  # to be listed at the next step
-        self._asked: deque[Endpoint] = deque()  # on trial, and still to be connected to
-        self._engines: dict[int, tuple[Engine, Limiter]] = {}
-        self._ids: dict[Engine, int] = {}
-        self._same: set[int] = set()  # told, in the life that they were remembered in
-        self._limits: dict[int, record.Limit] = {}
-        self._age, self._begun, self._serial, self._frames = OLDEST, now, 0, 0
-        self._last: list[str] | None = None  # marks of the last write, once this gateway ends
-        self._final = False  # the last write has begun
-        self._trouble = ""
-        self.done = False  # the last write is at its end
-        self.marks: list[str] = []  # handed over: names that were in use a few seconds ago
-
-    # The start, and what another process leaves while it ends.
-
-    def begin(self, now: int) -> None:
-        self._take(self._writer.folder.read(), now)
-
-    def _take(self, found: Found, now: int) -> None:
-        for line in found.skipped:
-            self._counters.add("kept files skipped")
-            self._say(line)
-        kept = found.record
-        if kept is None or found.serial <= self._serial:
+        self._listed_engines = ListedEngines(chance, now_us)
+        # To be listed, by endpoint id.
+        self._pending: dict[int, Endpoint] = {}
+        self._queued_probes: deque[Endpoint] = deque()
+        self._applied_serial = 0
+        self._watch_frames = 0
+        self.recovered_request_names: list[str] = []
+
+    # Recovery at the start, and from what a predecessor writes while it ends.
+
+    def recover(self, now_us: int) -> None:
+        """Applies the newest snapshot of the folder."""
+        self._apply_snapshot(self._folder.read(), now_us)
+
+    def _apply_snapshot(self, found: ReadResult, now_us: int) -> None:
+        for line in found.skipped_lines:
+            self._counters.add("membership: snapshot files skipped")
+            self._notify(line)
+        snapshot = found.snapshot
+        if snapshot is None or found.serial <= self._applied_serial:
             return
-        self._serial, self._age = found.serial, age(kept.moment, self._moment())
-        members = [
-            (member, min(OLDEST, self._age + before))
-            for member, before in record.members(kept, self._zones, self._machines)
+        self._applied_serial = found.serial
+        now = self._read_clocks()
+        snapshot_age_us = age_us(snapshot.written_at, now)
+        remembered = [
+            (endpoint, min(UNKNOWN_AGE_US, snapshot_age_us + entry_age_us))
+            for endpoint, entry_age_us in to_endpoints(
+                snapshot, self._settings.zones, self._settings.instance_types
+            )
         ]
-        # Danger: only the reading that nobody sets says that a few seconds are a few seconds.
-        handed = kept.handed and kept.boot == self._moment().boot != "" and self._age < HANDED
-        told = self.beliefs.remembered(members, kept.number, kept.tombs, Source.DISK, now, handed)
-        self._pending.update((member.id, member) for member in told)
-        self._limits = {one.id: one for one in kept.limits}
-        put = learnt.put_tariffs(self._gateway, self._names, kept.tariffs, self._age)
-        self.marks = kept.marks if handed else []
-        self._say(
-            f"remembers {len(members)} engines and {put} tariffs, "
-            + ("of an unknown age" if self._age >= OLDEST else f"{self._age / 1e6:.0f} s old")
-            + (", handed over" if handed else "")
+        is_handed_over = _is_fresh_handover(snapshot, snapshot_age_us, now)
+        changed = self.estimate.merge_remembered(
+            remembered, snapshot.index, snapshot.tombstones, EvidenceSource.DISK, now_us, is_handed_over
         )
-
-    # The list: before and after the module hears of it.
-
-    def told(self, event: EndpointEvent, now: int) -> EndpointEvent:
-        """The event as route and module may have it."""
-        before = {
-            member.id: belief.member.started_us
-            for member in event.endpoints
-            if (belief := self.beliefs.engines.get(member.id)) is not None
-            and belief.state in (State.ON_TRIAL, State.CONFIRMED)
+        self._add_pending(changed)
+        self._listed_engines.remember_limits(snapshot.limits, snapshot_age_us)
+        restored_count = restore_latencies(
+            self._controller, self._settings.request_class_names, snapshot.latencies, snapshot_age_us
+        )
+        self.recovered_request_names = snapshot.request_names if is_handed_over else []
+        self._notify(_recovery_line(len(remembered), restored_count, snapshot_age_us, is_handed_over))
+
+    # Events of discovery.
+
+    def on_endpoint_event(self, event: EndpointEvent, now_us: int) -> EndpointEvent:
+        """Applies an event; returns it as router and controller may have it."""
+        started_before = {
+            endpoint.id: estimate.endpoint.started_us
+            for endpoint in event.endpoints
+            if (estimate := self.estimate.endpoints.get(endpoint.id)) is not None
+            and estimate.state in (EstimateState.PROBING, EstimateState.CONFIRMED)
         }
-        passed = self.beliefs.told(event, now)
-        self._same = {member.id for member in passed.endpoints if before.get(member.id) == member.started_us}
-        left_out = len(event.endpoints) - len(passed.endpoints)
-        if left_out:
-            self._counters.add("kept: members of old lists left out", left_out)
-        for member in passed.endpoints:
-            self._pending.pop(member.id, None)
+        passed = self.estimate.apply_event(event, now_us)
+        self._listed_engines.set_same_start(
+            {one.id for one in passed.endpoints if started_before.get(one.id) == one.started_us}
+        )
+        left_out_count = len(event.endpoints) - len(passed.endpoints)
+        if left_out_count:
+            self._counters.add("membership: outdated endpoints left out", left_out_count)
+        for endpoint in passed.endpoints:
+            self._pending.pop(endpoint.id, None)
         if passed.is_complete:
             self._pending.clear()
-        self.behind.changed(now)
+        self.write_schedule.on_change(now_us)
         return passed
 
-    def listed(self, event: EndpointEvent, engines: Mapping[int, Engine], now: int) -> None:
-        """After the module has heard of `event`; `engines`: the route's, by id. Limits start as they were."""
-        for member in event.endpoints:
-            engine = engines.get(member.id)
-            if engine is None or engine.limiter is None:
-                continue
-            old = self._engines.get(member.id)
-            if old is None or old[0] is not engine or old[1] is not engine.limiter:
-                self._start(member, engine, old[1] if old and old[0] is engine else None, now)
-            self._engines[member.id], self._ids[engine] = (engine, engine.limiter), member.id
-        if len(self._engines) > len(engines):
-            self._engines = {number: held for number, held in self._engines.items() if number in engines}
-            self._ids = {held[0]: number for number, held in self._engines.items()}
-
-    def _start(self, member: Endpoint, engine: Engine, old: Limiter | None, now: int) -> None:
-        told = self.beliefs.state(member.id) is State.TOLD
-        if old is not None and member.id in self._same:
-            learnt.carry(old, engine.limiter)
-            return
-        kept = self._limits.get(member.id)
-        if kept is not None:
-            passed = min(OLDEST, self._age + max(0, now - self._begun))
-            learnt.put_limit(engine.limiter, kept, member.started_us if told else None, passed)
-        if not told:
-            learnt.on_trial(engine.limiter, self._chance, now)
-
-    # What happens meanwhile.
-
-    def ended(self, attempt: Attempt, ending: Outcome, now: int) -> None:
-        engine, how = self._ids.get(attempt.engine), _HOW.get(ending)
-        if engine is not None and how is not None and self.beliefs.state(engine) is not State.TOLD:
-            self._answered(engine, how, now)
-
-    def _answered(self, engine: int, how: How, now: int) -> None:
-        before = self.beliefs.state(engine)
-        for member in self.beliefs.answered(engine, how, now):
-            self._pending[member.id] = member
-        after = self.beliefs.state(engine)
-        if before is not after and after is not None:
-            self._counters.add(f"kept: engines {after.value}")
-            self.behind.changed(now)
-
-    def refuses(self, request: Request, now: int) -> int | None:
-        """When to come back, in microseconds, where nothing is known well enough to send this to."""
-        request_class = request.request_class
-        wait = self.beliefs.refuses(request_class.is_idempotent or request_class.is_deduplicated, now)
-        if wait is not None:
-            self._counters.add("kept: refused rather than guessed")
-        return wait
-
-    def on_trial(self, engine: Engine) -> bool:
-        number = self._ids.get(engine)
-        if number is None:
-            # Danger: what is held may be sent while the module hears of it, before `listed` here.
-            return engine.forwarding is None
-        # Danger: a relay that has just failed makes it contradicted, and the module sends on before it hears.
-        return self.beliefs.state(number) not in (State.TOLD, State.CONFIRMED)
-
-    def forget(self, engine: int, now: int) -> bool:
-        """An operator's word that it is gone. False: the register names it, or nobody does."""
-        if self.beliefs.state(engine) in (None, State.TOLD, State.GONE):
-            return False
-        self._pending.update((member.id, member) for member in self.beliefs.forget(engine, now))
-        self.behind.changed(now)
-        return True
-
-    def status(self, now: int) -> list[dict[str, Any]]:
-        """What is believed, a plain map for each engine; ages in seconds."""
-        ages = {member.id: before for member, before in self.beliefs.kept(now)}
-        return [
-            {
-                "id": f"s-{number:08x}",
-                "address": f"{one.member.host}:{one.member.port}",
-                "state": one.state.value,
-                "source": one.source.value,
-                "listed": one.listed,
-                "age": None if ages.get(number, OLDEST) >= OLDEST else round(ages[number] / 1e6, 1),
-                "failed": one.failed,
-            }
-            for number, one in self.beliefs.engines.items()
-        ]
+    def on_endpoints_listed(self, event: EndpointEvent, engines: Mapping[int, Engine], now_us: int) -> None:
+        """Restores limits once the controller has applied `event`; `engines`: the router's, by id."""
+        self._listed_engines.on_listed(event, engines, self._is_registered, now_us)
 
-    def asks(self, now: int) -> bool:
-        """A round of trials: who is due is asked by `knocks`. Whether there is any to be asked."""
-        for member in self.beliefs.due(now):
-            self._counters.add("kept: trials")
-            self._asked.append(member)
-        return bool(self._asked)
-
-    def knocks(self, tasks: TaskGroup, now: Callable[[], int]) -> int:
-        """Connects to some of them, each in a task that ends within a link's patience; to how many."""
-        begun = min(AT_ONCE, len(self._asked))
-        for _ in range(begun):
-            tasks.start_soon(self._trial, self._asked.popleft(), now)
-        return begun
-
-    async def _trial(self, member: Endpoint, now: Callable[[], int]) -> None:
-        how = await knock(member.host, member.port, self._patience)
-        belief = self.beliefs.engines.get(member.id)
-        # It may have been told of meanwhile, at another address.
-        if belief is not None and (belief.member.host, belief.member.port) == (member.host, member.port):
-            self._answered(member.id, how, now())
-
-    def step(self, now: int) -> EndpointEvent | None:
-        """`look` and `write`, for all there is."""
-        event = self.look(now)
-        self.write(now)
-        return event
+    def _is_registered(self, endpoint_id: int) -> bool:
+        return self.estimate.state_of(endpoint_id) is EstimateState.REGISTERED
 
-    def look(self, now: int, most: int | None = None) -> EndpointEvent | None:
-        """What is to be listed, if anything, and what the register stands by; ten times a second.
+    def take_changes(self, now_us: int, limit: int | None = None) -> EndpointEvent | None:
+        """Returns what is to be listed now, if anything; called ten times a second.
 
-        `most`: engines in it that are not gone; the rest is for the next look, see `more`.
+        Args:
+            now_us: The present time.
+            limit: How many endpoints that are not removed it may hold; the rest waits for the next call.
         """
         frames = self._counters.counts["coordinator frames"]
-        if frames != self._frames:
-            self._frames = frames
-            self.beliefs.alive(now)
-        settled = self.beliefs.settle(now)
+        if frames != self._watch_frames:
+            self._watch_frames = frames
+            self.estimate.on_watch_frame(now_us)
+        settled = self.estimate.settle_index(now_us)
         if settled is not None:
-            self._say("the register stands by smaller numbers than those kept: what it has not named is gone")
-            self._pending.update((member.id, member) for member in settled.endpoints)
-            self.behind.changed(now)
-        members = list(self._pending.values())
-        if most is not None and len(members) > most:
-            # Danger: what is gone must not wait behind others to be listed.
-            gone = [member for member in members if member.state is EndpointState.REMOVED]
-            members = (
-                gone + [member for member in members if member.state is not EndpointState.REMOVED][:most]
+            self._notify(
+                "discovery keeps to a smaller index than the snapshot: endpoints it has not named are removed"
             )
-        for member in members:
-            del self._pending[member.id]
-        return EndpointEvent(0, False, members) if members else None
+            self._add_pending(settled.endpoints)
+            self.write_schedule.on_change(now_us)
+        endpoints = list(self._pending.values())
+        if limit is not None and len(endpoints) > limit:
+            # Removed endpoints must not wait behind others.
+            removed = [one for one in endpoints if one.state is EndpointState.REMOVED]
+            others = [one for one in endpoints if one.state is not EndpointState.REMOVED]
+            endpoints = removed + others[:limit]
+        for endpoint in endpoints:
+            del self._pending[endpoint.id]
+        return EndpointEvent(0, False, endpoints) if endpoints else None
 
     @property
-    def more(self) -> bool:
+    def has_changes(self) -> bool:
         """Whether anything is still to be listed."""
         return bool(self._pending)
 
-    # Writing, and handing over.
-
-    def write(self, now: int) -> None:
-        """Ends and begins writes; ten times a second, more often once the last one is under way."""
-        outcome = self._writer.poll()
-        if outcome is not None:
-            self._written(outcome, now)
-        if self._last is None:
-            if self.behind.wants(now):
-                self._begin_write(now, (), False)
-        elif not self._final and self.behind.writing is None:
-            self._final = True
-            self._begin_write(now, self._last, True)
-
-    def _written(self, outcome: WriteResult, now: int) -> None:
-        if outcome.busy:
-            self.behind.locked_out(now)
-        else:
-            self.behind.ended(not outcome.trouble, outcome.took, now)
-            counts = self._counters.counts
-            self._counters.add("kept: writes failed" if outcome.trouble else "kept: writes")
-            counts["kept: bytes"] = outcome.size or counts["kept: bytes"]
-            counts["kept: slowest write us"] = max(outcome.took, counts["kept: slowest write us"])
-        if outcome.trouble != self._trouble:
-            self._trouble = outcome.trouble
-            self._say(
-                f"can't be written: {outcome.trouble}; tried again" if outcome.trouble else "written again"
-            )
-        if outcome.found is not None and self._last is None:
-            self._take(outcome.found, now)
-            self.behind.changed(now)
-        self.done = self._final
-
-    def _begin_write(self, now: int, marks: Sequence[str], handed: bool) -> None:
-        self.behind.began(now)
-        self._writer.start(self.record(now, marks, handed), self._serial)
-
-    def record(
-        self, now: int, marks: Sequence[str] = (), handed: bool = False
-    ) -> Callable[[], record.Record]:
-        """All that is kept, as of now: gathered at once, and made by whoever calls what comes back."""
-        at, beliefs, folder = self._moment(), self.beliefs, self._writer.folder
-        evidence, limits = beliefs.evidence(now), learnt.limits(self._engines, beliefs.engines)
-        tombs, open_marks = record.bounded(beliefs.tombs.kept(now), list(marks))
-        number, request_classes = beliefs.numbers.highest, learnt.tariffs(self._gateway, self._names)
-
-        # Danger: made on the loop it would take a millisecond of it for 500 engines, at each write. So does a
-        # thread that holds the interpreter for as long.
-        def make() -> record.Record:
-            engines: list[record.Engine] = []
-            for begin in range(0, len(evidence), _PIECE):
-                engines += [
-                    record.engine(member, max(0, min(OLDEST, now - known)))
-                    for member, known in evidence[begin : begin + _PIECE]
-                    if record.fits(member)
-                ]
-                time.sleep(_BREATH)
-            return record.Record(
-                owner=folder.owner,
-                wall=at.wall,
-                boot=at.boot,
-                ticked=at.ticked,
-                number=number,
-                handed=handed,
-                zones=list(self._zones),
-                machines=list(self._machines),
-                engines=engines,
-                tombs=tombs,
-                tariffs=request_classes,
-                limits=[record.Limit(*limit) for limit in limits],
-                marks=open_marks,
-            )
+    def _add_pending(self, endpoints: Sequence[Endpoint]) -> None:
+        self._pending.update((endpoint.id, endpoint) for endpoint in endpoints)
+
+    # Requests and their attempts.
+
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, now_us: int) -> None:
+        """Takes the outcome of an attempt as evidence, unless discovery has named its endpoint."""
+        endpoint_id = self._listed_engines.id_of(attempt.engine)
+        result = _CONTACT_BY_OUTCOME.get(outcome)
+        if endpoint_id is not None and result is not None and not self._is_registered(endpoint_id):
+            self._on_contact(endpoint_id, result, now_us)
+
+    def _on_contact(self, endpoint_id: int, result: ContactResult, now_us: int) -> None:
+        before = self.estimate.state_of(endpoint_id)
+        self._add_pending(self.estimate.on_contact(endpoint_id, result, now_us))
+        after = self.estimate.state_of(endpoint_id)
+        if before is not after and after is not None:
+            self._counters.add(f"membership: endpoints {after.value}")
+            self.write_schedule.on_change(now_us)
+
+    def retry_after_us(self, request: Request, now_us: int) -> int | None:
+        """Returns after how long a client should retry where no endpoint is known well enough; else None."""
+        request_class = request.request_class
+        can_repeat = request_class.is_idempotent or request_class.is_deduplicated
+        delay_us = self.estimate.retry_after_us(can_repeat, now_us)
+        if delay_us is not None:
+            self._counters.add("membership: requests rejected")
+        return delay_us
+
+    def is_unproven(self, engine: Engine) -> bool:
+        """Returns whether neither discovery nor a served request vouches for the engine."""
+        endpoint_id = self._listed_engines.id_of(engine)
+        if endpoint_id is None:
+            # A queued request may be sent while the controller is told of it, before `on_endpoints_listed`.
+            return engine.forwarding is None
+        # An attempt that has just failed makes it unreachable, and the controller sends on before it is told.
+        return self.estimate.state_of(endpoint_id) not in (EstimateState.REGISTERED, EstimateState.CONFIRMED)
+
+    # Probes.
+
+    def queue_due_probes(self, now_us: int) -> bool:
+        """Queues the probes of one round for `start_probes`; returns whether any is queued."""
+        for endpoint in self.estimate.start_due_probes(now_us):
+            self._counters.add("membership: probes")
+            self._queued_probes.append(endpoint)
+        return bool(self._queued_probes)
+
+    def start_probes(self, tasks: TaskGroup, clock: Callable[[], int]) -> int:
+        """Starts some of the queued probes, each in a task; returns how many."""
+        started_count = min(MAX_PROBES_AT_ONCE, len(self._queued_probes))
+        for _ in range(started_count):
+            tasks.start_soon(self._probe, self._queued_probes.popleft(), clock)
+        return started_count
+
+    async def _probe(self, endpoint: Endpoint, clock: Callable[[], int]) -> None:
+        result = await probe_connection(endpoint.host, endpoint.port, self._settings.probe_timeout_us)
+        estimate = self.estimate.endpoints.get(endpoint.id)
+        # Discovery may have named it meanwhile, at another address.
+        if estimate is not None and (estimate.endpoint.host, estimate.endpoint.port) == (
+            endpoint.host,
+            endpoint.port,
+        ):
+            self._on_contact(endpoint.id, result, clock())
+
+    # Operators.
+
+    def forget(self, endpoint_id: int, now_us: int) -> bool:
+        """Removes an endpoint for an operator; returns False where discovery names it, or nobody does."""
+        state = self.estimate.state_of(endpoint_id)
+        if state in (None, EstimateState.REGISTERED, EstimateState.REMOVED):
+            return False
+        self._add_pending(self.estimate.forget(endpoint_id, now_us))
+        self.write_schedule.on_change(now_us)
+        return True
 
-        return make
+    def status(self, now_us: int) -> list[dict[str, Any]]:
+        """Returns the report of `inspection.status`."""
+        return inspection.status(self.estimate, now_us)
 
-    def hand_over(self, marks: Sequence[str], now: int) -> None:
-        """The last write, for the successor; `write` is still to be called until `done`, or the time is up.
+    # Snapshots, and the handover to a successor.
 
-        `marks`: names in use of late. Once nothing more is sent, so that what is learnt is complete.
+    @property
+    def write_schedule(self) -> WriteSchedule:
+        """When the next snapshot is due."""
+        return self._persistence.schedule
+
+    def step(self, now_us: int) -> EndpointEvent | None:
+        """Does `take_changes` without limit, and `write_snapshots`."""
+        event = self.take_changes(now_us)
+        self.write_snapshots(now_us)
+        return event
+
+    def write_snapshots(self, now_us: int) -> None:
+        """Ends and starts writes; called ten times a second, and more often once the last one runs."""
+        newer = self._persistence.poll(now_us)
+        if newer is not None:
+            self._apply_snapshot(newer, now_us)
+            self.write_schedule.on_change(now_us)
+        self._persistence.start_due_write(now_us, self._applied_serial)
+
+    def snapshot_builder(
+        self, now_us: int, request_names: Sequence[str] = (), is_handed_over: bool = False
+    ) -> Callable[[], Snapshot]:
+        """Gathers all that is stored as of now; returns a function that makes the snapshot in any thread."""
+        tombstones, names = newest_entries(self.estimate.tombstones.unexpired(now_us), list(request_names))
+        content = SnapshotContent(
+            owner=self._folder.owner,
+            written_at=self._read_clocks(),
+            now_us=now_us,
+            discovery_index=self.estimate.index_tracker.highest,
+            is_handed_over=is_handed_over,
+            zones=self._settings.zones,
+            instance_types=self._settings.instance_types,
+            evidence=self.estimate.evidence(now_us),
+            tombstones=tombstones,
+            latencies=collect_latencies(self._controller, self._settings.request_class_names),
+            limits=collect_limits(self._listed_engines.by_id, self.estimate.endpoints),
+            request_names=names,
+        )
+        return partial(content.build, time.sleep)
+
+    def hand_over(self, request_names: Sequence[str], now_us: int) -> None:
+        """Starts the last write, for the successor, once no more requests are sent.
+
+        `write_snapshots` is to be called until `is_handover_complete`, or the time is up.
+
+        Args:
+            request_names: Names in use of late.
+            now_us: The present time.
         """
-        self._last = list(marks)
-        self.write(now)
+        self._persistence.hand_over(request_names)
+        self.write_snapshots(now_us)
+
+    @property
+    def is_handing_over(self) -> bool:
+        """Whether the last write has been requested."""
+        return self._persistence.is_handing_over
 
     @property
-    def handing(self) -> bool:
-        """Whether the last write has been asked for."""
-        return self._last is not None
+    def is_handover_complete(self) -> bool:
+        """Whether the last write has ended."""
+        return self._persistence.is_complete
 
     def close(self) -> None:
-        """Leaves the folder to the successor; while a write hangs it stays with this process."""
-        if self.behind.writing is None:
-            self._writer.folder.unlock()
+        """Releases the folder for the successor; while a write hangs it stays with this process."""
+        self._persistence.close()
+
+
+def _is_fresh_handover(snapshot: Snapshot, snapshot_age_us: int, now: ClockReading) -> bool:
+    # Only the clock that nobody sets says that a few seconds are a few seconds.
+    is_same_boot = snapshot.boot_id == now.boot_id and now.boot_id != ""
+    return snapshot.is_handed_over and is_same_boot and snapshot_age_us < HANDOVER_VALIDITY_US
+
+
+def _recovery_line(
+    endpoint_count: int, request_class_count: int, snapshot_age_us: int, is_handed_over: bool
+) -> str:
+    is_age_known = snapshot_age_us < UNKNOWN_AGE_US
+    age_text = f"{snapshot_age_us / 1e6:.0f} s old" if is_age_known else "of unknown age"
+    handover_text = ", handed over" if is_handed_over else ""
+    return (
+        f"recovered {endpoint_count} endpoints and {request_class_count} request classes"
+        f" from a snapshot, {age_text}{handover_text}"
+    )
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Starts with nobody to ask, as processes: docs/kept.md's hard cases, and the power loss in virtual time."""
+"""Starts without discovery, as processes: the hard cases, and a power loss in virtual time."""
 
 import subprocess
 import sys
@@ -19,26 +19,27 @@
 from cresstray.emulators.coordinator import ZONES
 from cresstray.emulators.world import KINDS, Gateway, Hall, World
 from cresstray.membership import snapshot as record
-from cresstray.membership.snapshot import Tariff
-from cresstray.simulation.cold import SECOND, Cold, to_ninety
-from tests import test_kept_join as join
+from cresstray.membership.snapshot import LatencyEntry
+from cresstray.simulation.cold import ColdStart, seconds_to_target
+from cresstray.simulation.cold_workload import SECOND_US as SECOND
+from tests import test_membership_recovery as join
 
 DAY = 86_400
 KEPT_WITHIN = 8
 # Runs a gateway whose folder can't be written to, or whose machine has started anew with a clock set back.
 LAUNCH = {
     "read-only": """
-def opened(path, flags, mode=0o777, real=files.System.open):
+def opened(path, flags, mode=0o777, real=files.FileSystem.open):
     if flags & (os.O_WRONLY | os.O_RDWR):
         raise OSError(errno.EROFS, os.strerror(errno.EROFS))
     return real(path, flags, mode)
-files.System.open = staticmethod(opened)
+files.FileSystem.open = staticmethod(opened)
 """,
     "set back": """
-def moment(real=files.moment):
+def read_clocks(real=files.read_clocks):
     now = real()
-    return now._replace(wall=now.wall - 86_400_000_000, boot="another", ticked=5_000_000)
-files.moment = moment
+    return now._replace(wall_us=now.wall_us - 86_400_000_000, boot_id="another", uptime_us=5_000_000)
+files.read_clocks = read_clocks
 """,
 }
 
@@ -71,22 +72,22 @@
     """Two gateways, two dozen engines that fall when pushed, lists of some age, a register that returns."""
 
     def started(self, age: float | None, changed: float, seconds: float, **more: object) -> dict:
-        usual = [Tariff(kind.name, 50, *[kind.work / kind.threads * 1e6] * 2, 1.0) for kind in KINDS]
+        usual = [LatencyEntry(kind.name, 50, *[kind.work / kind.threads * 1e6] * 2, 1.0) for kind in KINDS]
         left = {
-            name: record.Record(
+            name: record.Snapshot(
                 owner=name,
-                wall=0,
-                boot="",
-                ticked=0,
-                number=0,
-                handed=False,
+                wall_us=0,
+                boot_id="",
+                uptime_us=0,
+                index=0,
+                is_handed_over=False,
                 zones=list(ZONES),
-                machines=["std"],
-                engines=[],
-                tombs=[],
-                tariffs=usual,
+                instance_types=["std"],
+                endpoints=[],
+                tombstones=[],
+                latencies=usual,
                 limits=[],
-                marks=[],
+                request_names=[],
             )
             for name in ("g0", "g1")
         }
@@ -182,7 +183,7 @@
                 for hall in halls.halls.values():
                     hall.coordinator.down()
             for gateway in gateways:
-                self.assertIn("remembers 4 engines", (folder / f"{gateway.name}.log").read_text())
+                self.assertIn("recovered 4 endpoints", (folder / f"{gateway.name}.log").read_text())
                 self.assertEqual(0, gateway.process.returncode)
 
         with (
@@ -196,44 +197,47 @@
     def age(self, file: Path) -> None:
         """As before a loss of power: by another boot's clock, and not handed over."""
         name = file.parent.name.removeprefix("kept-")
-        kept = cold_start.Folder(str(file.parent), name)
-        left = kept.read().record
+        kept = cold_start.SnapshotFolder(str(file.parent), name)
+        left = kept.read().snapshot
         self.assertTrue(kept.lock())
-        kept.write(cold_start.msgspec.structs.replace(left, boot="before", handed=False, marks=[]))
+        kept.write(
+            cold_start.msgspec.structs.replace(left, boot_id="before", is_handed_over=False, request_names=[])
+        )
         kept.unlock()
 
     def test_in_virtual_time_none_falls_and_nothing_goes_to_who_is_gone(self) -> None:
-        before = Cold(3, 10, 24, None, 0.5, 4.0).run(8)
-        after = [Cold(3, 10, 24, 7 * DAY * SECOND, 0.5, 4.0).run(8) for _ in range(2)]
+        before = ColdStart(3, 10, 24, None, 0.5, 4.0).run(8)
+        after = [ColdStart(3, 10, 24, 7 * DAY * SECOND, 0.5, 4.0).run(8) for _ in range(2)]
         self.assertEqual(*after)
-        self.assertEqual((0, 0), (after[0].known_gone, after[0].fallen))
+        self.assertEqual((0, 0), (after[0].known_removed, after[0].fallen))
         self.assertTrue(after[0].strangers > 0 and 0 < after[0].peak < 1.6)
         self.assertTrue(before.share < 0.5 < 0.8 < after[0].share <= after[0].share_bound, after[0])
         # Work that is half as heavy again as when it was learnt, and more of it than all can do.
-        self.assertEqual(0, Cold(3, 10, 24, 7 * DAY * SECOND, 0.0, 4.0, 1.2, 1.5).run(4).fallen)
+        self.assertEqual(0, ColdStart(3, 10, 24, 7 * DAY * SECOND, 0.0, 4.0, 1.2, 1.5).run(4).fallen)
 
     def test_a_register_that_is_behind_pushes_no_cold_engine(self) -> None:
         """Back in a second, with starts from before the loss of power; more is asked than all can do."""
-        told = Cold(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4)
-        self.assertEqual((0, 0), (told.fallen, told.known_gone))
+        told = ColdStart(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4)
+        self.assertEqual((0, 0), (told.fallen, told.known_removed))
         self.assertGreater(told.peak, 0)
         with mock.patch(
-            "cresstray.membership.estimate.Beliefs._started", lambda self, member, *_: member.started_us
+            "cresstray.membership.estimate.MembershipEstimate._start_for_listing_us",
+            lambda self, member, *_: member.started_us,
         ):
-            self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4).fallen, 0)
+            self.assertGreater(ColdStart(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4).fallen, 0)
 
     def test_engines_fall_where_nobody_minds_that_they_are_cold(self) -> None:
         with mock.patch("cresstray.policy.controller.PolicyController._cold_room", lambda *_: True):
-            self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 4.0, load=2.0).run(3).fallen, 0)
+            self.assertGreater(ColdStart(3, 10, 24, 10 * SECOND, 0.0, 4.0, load=2.0).run(3).fallen, 0)
 
     def test_seconds_to_nine_tenths(self) -> None:
         could = [1.0] * 20
-        self.assertEqual(0.0, to_ninety(could, could, 0.5))
-        self.assertEqual(0.5, to_ninety([0.0, 0.6] + [1.0] * 18, could, 0.5))
+        self.assertEqual(0.0, seconds_to_target(could, could, 0.5))
+        self.assertEqual(0.5, seconds_to_target([0.0, 0.6] + [1.0] * 18, could, 0.5))
         # A dip of half a second is none in five; one of two seconds is.
-        self.assertEqual(0.0, to_ninety([1.0] * 10 + [0.1] + [1.0] * 9, could, 0.5))
-        self.assertEqual(4.0, to_ninety([1.0] * 6 + [0.5] * 4 + [1.0] * 10, could, 0.5))
-        self.assertIsNone(to_ninety([1.0] * 17 + [0.5] * 3, could, 0.5))
+        self.assertEqual(0.0, seconds_to_target([1.0] * 10 + [0.1] + [1.0] * 9, could, 0.5))
+        self.assertEqual(4.0, seconds_to_target([1.0] * 6 + [0.5] * 4 + [1.0] * 10, could, 0.5))
+        self.assertIsNone(seconds_to_target([1.0] * 17 + [0.5] * 3, could, 0.5))
 
 
 class Folders(unittest.TestCase):
@@ -278,8 +282,8 @@
             await anyio.sleep(2.5)  # beyond the first write
             await stage.served(1, 1)
             self.assertEqual(before, self.files(stage))
-            self.assertIn("can't be written: Read-only file system", stage.log())
-            self.assertIn("remembers 3 engines", stage.log())
+            self.assertIn("snapshot not written: Read-only file system", stage.log())
+            self.assertIn("recovered 3 endpoints", stage.log())
 
         self.play(scene)
 
@@ -290,7 +294,9 @@
             before = stage.got()
             await stage.served(12, 5)
             self.assertEqual(before[3], stage.got()[3], "a clock has raised the dead")
-            self.assertIn("remembers 3 engines and 0 tariffs, of an unknown age", stage.log())
+            self.assertIn(
+                "recovered 3 endpoints and 0 request classes from a snapshot, of unknown age", stage.log()
+            )
 
         self.play(scene)
 
@@ -302,7 +308,7 @@
                 await stage.start()
                 await stage.served(4, 5)
                 with anyio.fail_after(KEPT_WITHIN):
-                    while "another process keeps this folder" not in stage.log():
+                    while "another process holds this folder" not in stage.log():
                         await anyio.sleep(0.1)
                 self.assertTrue(first.lives())
                 before = self.files(stage)
@@ -311,8 +317,8 @@
                 stage.gateway = first
                 await stage.served(4, 5)
                 await stage.gateway.stop()
-                found = join.Folder(str(stage.kept), "g0").read()
-                self.assertEqual((True, []), (found.record.handed, found.skipped))
+                found = join.SnapshotFolder(str(stage.kept), "g0").read()
+                self.assertEqual((True, []), (found.snapshot.is_handed_over, found.skipped_lines))
             finally:
                 if first.lives():
                     first.kill()
@@ -332,7 +338,7 @@
             await anyio.sleep(max(0.0, begun + grace + 0.5 - time.monotonic()))
             await stage.served(24, 5)
             self.assertGreater(engine.got, before)
-            self.assertIn("remembers 3 engines", stage.log())
+            self.assertIn("recovered 3 endpoints", stage.log())
 
         self.play(scene, draining=True)
 
--- a/tests/test_kept_join.py
+++ b/tests/test_membership_recovery.py
@@ -25,13 +25,13 @@
 from cresstray.emulators.coordinator import Coordinator, Listed
 from cresstray.emulators.engine import Engine, Marks
 from cresstray.emulators.world import KINDS, Gateway, settings
-from cresstray.membership.estimate import How
-from cresstray.membership.recovery import AT_ONCE
-from cresstray.membership.snapshot_files import NAMES, Folder
+from cresstray.membership.estimate_states import ContactResult
+from cresstray.membership.recovery import MAX_PROBES_AT_ONCE
+from cresstray.membership.snapshot_files import SNAPSHOT_FILE_NAMES, SnapshotFolder
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from tests.desk import ClientStandIn
-from tests.test_kept import Fleet, member
+from tests.test_membership import Fleet, member
 
 FLEET = """fleet balancer
     beat 5ms
@@ -121,9 +121,9 @@
     async def on_disk(self, engines: list[int], gone: list[int]) -> None:
         with anyio.fail_after(8):
             while True:
-                found = Folder(str(self.kept), "g0").read().record
+                found = SnapshotFolder(str(self.kept), "g0").read().snapshot
                 if found and (
-                    [sorted(one.id for one in found.engines), sorted(one.id for one in found.tombs)]
+                    [sorted(one.id for one in found.endpoints), sorted(one.id for one in found.tombstones)]
                     == [engines, gone]
                 ):
                     return
@@ -188,7 +188,7 @@
             await stage.served(1, 5)
             self.assertLess(time.monotonic() - begun, 5)
             await stage.served(16, 5)
-            self.assertIn("remembers 3 engines", stage.log())
+            self.assertIn("recovered 3 endpoints", stage.log())
             self.assertEqual(before[2:], stage.got()[2:], "sent to one that is gone, or that refuses")
             self.assertTrue(all(now > old for now, old in zip(stage.got(), before[:2])), "one is left idle")
             self.assertIn("result", await stage.ask("ledger-post"))
@@ -222,8 +222,8 @@
             stage.gateway.process.send_signal(signal.SIGUSR1)
             await anyio.sleep(0.3)
             counts = stage.counts()
-            self.assertEqual(1, counts["kept: members of old lists left out"])
-            self.assertGreaterEqual(counts["kept: engines contradicted"], 1)
+            self.assertEqual(1, counts["membership: outdated endpoints left out"])
+            self.assertGreaterEqual(counts["membership: endpoints unreachable"], 1)
             self.assertTrue(all(counts[f"background: {job} turns"] for job in ("knocks", "kept list")))
             self.assertFalse(any(amount for name, amount in counts.items() if name.endswith("failures")))
             tasks.cancel_scope.cancel()
@@ -270,7 +270,7 @@
         async def scene(stage: Stage) -> None:
             await stage.on_disk([1, 2, 3], [4])
             await stage.gateway.stop()
-            newest = stage.kept / Folder(str(stage.kept), "g0").read().name
+            newest = stage.kept / SnapshotFolder(str(stage.kept), "g0").read().file_name
             data = bytearray(newest.read_bytes())
             data[-5] ^= 0x10
             newest.write_bytes(data)
@@ -308,10 +308,10 @@
 
     def test_nothing_kept_and_nobody_to_ask(self) -> None:
         async def scene(stage: Stage) -> None:
-            for name in NAMES:
+            for name in SNAPSHOT_FILE_NAMES:
                 (stage.kept / name).write_bytes(b"no list")
             await stage.start()
-            self.assertEqual(2, stage.log().count("skipped, not a kept list"))
+            self.assertEqual(2, stage.log().count("skipped, not a snapshot"))
             await anyio.sleep(0.5)
             begun = time.monotonic()
             self.assertGreater((await stage.ask())["error"]["data"]["holdoff"], 0)
@@ -329,22 +329,24 @@
             first.keep.close()
             fleet, asked = Fleet(folder), []
             keep = fleet.keep
-            self.assertTrue(keep.asks(fleet.now))
+            self.assertTrue(keep.queue_due_probes(fleet.now))
             tasks = SimpleNamespace(start_soon=lambda _, one, now: asked.append(one.id))
-            pieces = [keep.knocks(tasks, None) for _ in range(8 // AT_ONCE + 1)]
-            self.assertEqual([AT_ONCE] * (8 // AT_ONCE) + [0], pieces)
-            self.assertEqual((8, fleet.counters.counts["kept: trials"]), (len(set(asked)), len(asked)))
+            pieces = [keep.start_probes(tasks, None) for _ in range(8 // MAX_PROBES_AT_ONCE + 1)]
+            self.assertEqual([MAX_PROBES_AT_ONCE] * (8 // MAX_PROBES_AT_ONCE) + [0], pieces)
+            self.assertEqual((8, fleet.counters.counts["membership: probes"]), (len(set(asked)), len(asked)))
             for number in asked:
-                keep._answered(number, How.LISTENS, fleet.now)
-            fleet.give(keep.look(fleet.now, 3))
+                keep._on_contact(number, ContactResult.LISTENING, fleet.now)
+            fleet.give(keep.take_changes(fleet.now, 3))
             gone = asked[0]
-            keep._answered(gone, How.REFUSED, fleet.now)
-            told = keep.look(fleet.now, 3)
+            keep._on_contact(gone, ContactResult.REFUSED, fleet.now)
+            told = keep.take_changes(fleet.now, 3)
             self.assertEqual(
                 (gone, 4), (told.endpoints[0].id, len(told.endpoints)), "what is gone has waited"
             )
-            self.assertTrue(keep.more)
-            self.assertEqual([2, None], [len(keep.look(fleet.now, 3).endpoints), keep.look(fleet.now, 3)])
+            self.assertTrue(keep.has_changes)
+            self.assertEqual(
+                [2, None], [len(keep.take_changes(fleet.now, 3).endpoints), keep.take_changes(fleet.now, 3)]
+            )
 
 
 class Older(unittest.TestCase):
