--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -24,7 +24,7 @@
 from cresstray.emulators.account import PROMISES
 from cresstray.emulators.clients import draw
 from cresstray.emulators.fleet.processes import HALL
-from cresstray.emulators.marks import MARKED, MarkedFleet, Shared, draw_again, payoff, ran_again
+from cresstray.emulators.marks import MARKED, MarkedFleet, SharedStore, draw_again, payoff, ran_again
 from cresstray.emulators.world import KINDS
 
 # A second: a third of what the engines can do, as repeats add three relays to each marked submission.
@@ -41,7 +41,7 @@
     """One scenario while it runs; `shared` None: the run without a store."""
 
     fleet: MarkedFleet
-    shared: Shared | None
+    shared: SharedStore | None
     memory: float
     bound: int = 0  # second runs that the note allows, by what the store lost
 
@@ -166,7 +166,7 @@
     drawn, mark_of = draw_again(_KINDS, _RATE, seconds, _REPEATS, memory, seed)
     with ExitStack() as stack:
         lag = None if scenario.lag is None else int(scenario.lag * memory * 1000)
-        shared = stack.enter_context(Shared(lag)) if with_store else None
+        shared = stack.enter_context(SharedStore(lag)) if with_store else None
         fleet = MarkedFleet(folder, shared, memory, store_lines=scenario.lines)
         fleet.mark_of = mark_of
         trial = Trial(fleet, shared, memory)
@@ -211,7 +211,7 @@
     """CPU of one gateway for each submission, none of which is asked again: all marked, then none."""
     told = {}
     with ExitStack() as stack:
-        shared = stack.enter_context(Shared()) if with_store else None
+        shared = stack.enter_context(SharedStore()) if with_store else None
         fleet = MarkedFleet(folder, shared, 20.0, gateways=1, cores=32)
         async with fleet.up():
             await anyio.sleep(_BEFORE)
--- a/cresstray/cli/__init__.py
+++ b/cresstray/cli/__init__.py
@@ -76,7 +76,7 @@
         if given.store is not None:
             from cresstray.idempotency import client
 
-            client.check(given.store)
+            client.check_files(given.store)
     except (UnusableError, OSError) as trouble:
         click.echo(str(trouble), err=True)
         sys.exit(2)
--- a/cresstray/emulators/marks.py
+++ b/cresstray/emulators/marks.py
@@ -84,7 +84,7 @@
         super().say(message)
 
 
-class Shared:
+class SharedStore:
     """One store as a process, over its ends and starts; a copy `lag` ms behind it, if that is told."""
 
     def __init__(self, lag: int | None = None) -> None:
@@ -95,7 +95,7 @@
             self.copy.tell(f"lag {lag}")
             self.copy.tell(f"follow 127.0.0.1:{self.primary.control}")
 
-    def __enter__(self) -> Shared:
+    def __enter__(self) -> SharedStore:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -137,7 +137,7 @@
     async def asked(self) -> list[tuple[str, str]]:
         """Each command that concerned a mark, with its key: the round trips of submissions and outcomes."""
         told = self._before + (await self.tell("account all"))["all"]
-        marks = codec.key("cresstray", b"").decode()
+        marks = codec.record_key("cresstray", b"").decode()
         return [(name, key) for _, _, name, key, _ in told if key.startswith(marks)]
 
 
@@ -150,7 +150,7 @@
     def __init__(
         self,
         folder: Path,
-        shared: Shared | None,
+        shared: SharedStore | None,
         memory: float,
         gateways: int = 3,
         engines: int = 3,
--- a/cresstray/emulators/store.py
+++ b/cresstray/emulators/store.py
@@ -421,10 +421,10 @@
     def _do_script(self, _: _Guest, what: bytes, *more: bytes) -> Any:
         what = what.upper()
         if what == b"LOAD":
-            if more[0] != codec.CAS:
+            if more[0] != codec.COMPARE_AND_SET_SCRIPT:
                 raise _Error("ERR this stand-in does not know the script")
-            self._scripts.add(codec.CAS_SHA)
-            return codec.CAS_SHA
+            self._scripts.add(codec.COMPARE_AND_SET_SHA)
+            return codec.COMPARE_AND_SET_SHA
         if what == b"EXISTS":
             return [int(one in self._scripts) for one in more]
         if what == b"FLUSH":
@@ -435,16 +435,16 @@
     def _do_evalsha(self, guest: _Guest, sha: bytes, *more: bytes) -> list:
         if sha.lower() not in self._scripts:
             raise _Error("NOSCRIPT No matching script. Please use EVAL.")
-        return self._do_eval(guest, codec.CAS, *more)
+        return self._do_eval(guest, codec.COMPARE_AND_SET_SCRIPT, *more)
 
     def _do_eval(
         self, _: _Guest, script: bytes, number: bytes, key: bytes, expected: bytes, new: bytes, px: bytes
     ) -> list:
         """What the text of codec.CAS means."""
-        if script != codec.CAS or number != b"1":
+        if script != codec.COMPARE_AND_SET_SCRIPT or number != b"1":
             raise _Error("ERR this stand-in does not know the script")
         self._writes()
-        self._scripts.add(codec.CAS_SHA)
+        self._scripts.add(codec.COMPARE_AND_SET_SHA)
         now, found = self.now(), self._value(key)
         if (found or b"") != expected:
             return [0, found, now]
--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -19,8 +19,22 @@
 
 from cresstray.clock import Clock, Timers
 from cresstray.idempotency import codec
-from cresstray.idempotency.codec import BrokenError, Command, Greeted, GreetError, Kind, Refused, Reply
-from cresstray.idempotency.in_flight import Asked, Flight, Pause, Places, Replies
+from cresstray.idempotency.codec import (
+    Command,
+    ErrorKind,
+    ErrorReply,
+    Handshake,
+    HandshakeError,
+    ProtocolError,
+    Reply,
+)
+from cresstray.idempotency.in_flight import (
+    CommandBatch,
+    CommandPipeline,
+    PrimaryTracker,
+    ReconnectBackoff,
+    Replies,
+)
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from cresstray.transport.streams import ENDED, SocketStream, connect, contained
@@ -74,21 +88,21 @@
         return self._context.wrap_bio(coming, going, server_side, self._host)
 
 
-class _Link:
+class StoreConnection:
     """One greeted connection to the primary."""
 
     def __init__(
         self, at: int, line: SocketStream, channel: _Channel, scope: anyio.CancelScope, now: int
     ) -> None:
         self.at, self.line, self.channel, self._scope, self.since = at, line, channel, scope, now
-        self.flight = Flight(_MOST_OUT)
+        self.flight = CommandPipeline(_MOST_OUT)
         self.open = self.counted = True
         self.why = ""
 
     def room(self) -> bool:
-        return self.open and self.flight.room() and len(self.line.unsent) < _MOST_UNWRITTEN
+        return self.open and self.flight.has_capacity() and len(self.line.unsent) < _MOST_UNWRITTEN
 
-    def write(self, message: bytes, fresh: Sequence[Asked] = ()) -> None:
+    def write(self, message: bytes, fresh: Sequence[CommandBatch] = ()) -> None:
         """What was begun, in one piece. Where none of it has left, the link ends."""
         # Danger: what is written to a link that the other side has closed is lost, and may have run.
         if len(self.flight) == len(fresh) and self.line.has_ended():
@@ -100,7 +114,7 @@
             left = True
             self.end("broken")
         for asked in fresh:
-            asked.written = left
+            asked.may_have_been_sent = left
 
     def has_ended(self) -> bool:
         """False where all of the client ends."""
@@ -112,7 +126,7 @@
         self._scope.cancel()
 
 
-def check(given: Store) -> None:
+def check_files(given: Store) -> None:
     """OSError where a file that it names can't be used."""
     if given.tls:
         _Names(given.tls, given.addresses[0][0])
@@ -122,10 +136,10 @@
                 raise OSError(f"no password in {given.password}")
 
 
-class Client:
+class StoreClient:
     """Asks the store; `look` is to be called once each `EVERY` microseconds while `run` runs."""
 
-    EVERY = 1_000_000
+    CHECK_INTERVAL_US = 1_000_000
 
     def __init__(
         self,
@@ -139,52 +153,54 @@
         """OSError where a file for TLS can't be used."""
         self._given, self._chance, self._clock, self._timers = given, chance, clock, timers
         self._counters, self._log = counters, log
-        self._places = Places(given.addresses)
+        self._places = PrimaryTracker(given.addresses)
         self._names = [_Names(given.tls, host) if given.tls else None for host, _ in given.addresses]
-        self._links: list[_Link] = []
-        self._waiting: deque[Asked] = deque()
+        self._links: list[StoreConnection] = []
+        self._waiting: deque[CommandBatch] = deque()
         self._bytes = 0  # of all that somebody waits for
         self._flushes = self._over = False
         self._trouble: dict[int, str] = {}  # by address, as last told
         self._tasks: TaskGroup
 
-    def ready(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether the primary is known and connected to."""
         return any(link.open for link in self._links)
 
-    def submit(self, commands: Sequence[Command], by: int, call: Callable[[Replies | None], None]) -> Asked:
+    def submit(
+        self, commands: Sequence[Command], by: int, call: Callable[[Replies | None], None]
+    ) -> CommandBatch:
         """`call` is made once, by `by` (the clock's time), never within this, with a reply for each command.
 
         Or with None: no reply came. Where `written` of what is returned is False by then, nothing of it has
         run, or will; else it is not known. The commands run in order, but for a script that the store had
         forgotten: it runs after those behind it.
         """
-        asked = Asked(commands, by, call)
+        asked = CommandBatch(commands, by, call)
         self._counters.add("store: submissions")
-        full = len(self._waiting) >= _MOST_WAITING or self._bytes + asked.size > _MOST_BYTES
-        self._bytes += asked.size
+        full = len(self._waiting) >= _MOST_WAITING or self._bytes + asked.size_bytes > _MOST_BYTES
+        self._bytes += asked.size_bytes
         if full or self._over:
             self._counters.add("store: refused, too much waits" if full else "store: refused at the end")
             asyncio.get_running_loop().call_soon(self._finish, asked, None)
             return asked
-        asked.due = self._timers.call_after(by - self._clock.now(), partial(self._late, asked))
+        asked.timeout = self._timers.call_after(by - self._clock.now(), partial(self._late, asked))
         self._waiting.append(asked)
         self._flush_soon()
         return asked
 
-    def look(self, now: int) -> None:
+    def check_connections(self, now: int) -> None:
         """Ends links that say nothing, and asks each for its role: a primary may have become a copy."""
         for link in list(self._links):
-            if len(link.flight) and now - link.flight.since > _SILENT:
+            if len(link.flight) and now - link.flight.last_progress_us > _SILENT:
                 self._counters.add("store: links silent")
                 link.end("silent")
             elif link.room():
-                asked = Asked([codec.role()], now + _SILENT, partial(self._role_told, link))
-                self._bytes += asked.size
-                link.write(link.flight.begin(asked, now), [asked])
+                asked = CommandBatch([codec.get_role()], now + _SILENT, partial(self._role_told, link))
+                self._bytes += asked.size_bytes
+                link.write(link.flight.start(asked, now), [asked])
 
-    def _role_told(self, link: _Link, replies: Replies | None) -> None:
-        if replies and type(replies[0]) is not Refused and not codec.is_primary(replies[0]):
+    def _role_told(self, link: StoreConnection, replies: Replies | None) -> None:
+        if replies and type(replies[0]) is not ErrorReply and not codec.is_primary(replies[0]):
             self._demoted(link, "a copy now")
 
     async def run(self) -> None:
@@ -207,51 +223,55 @@
         """What was submitted in one turn of the loop leaves in one piece for each link."""
         self._flushes = False
         now = self._clock.now()
-        begun: dict[_Link, list[Asked]] = {}
-        messages: dict[_Link, bytearray] = {}
+        begun: dict[StoreConnection, list[CommandBatch]] = {}
+        messages: dict[StoreConnection, bytearray] = {}
         while self._waiting:
-            link = min(filter(_Link.room, self._links), key=lambda one: len(one.flight), default=None)
+            link = min(
+                filter(StoreConnection.room, self._links), key=lambda one: len(one.flight), default=None
+            )
             if link is None:
                 break
             asked = self._waiting.popleft()
-            if asked.by > now:  # else its call is due
-                messages.setdefault(link, bytearray()).extend(link.flight.begin(asked, now))
+            if asked.deadline_us > now:  # else its call is due
+                messages.setdefault(link, bytearray()).extend(link.flight.start(asked, now))
                 begun.setdefault(link, []).append(asked)
         for link, fresh in begun.items():
             link.write(bytes(messages[link]), fresh)
 
-    def _late(self, asked: Asked, _now: int) -> None:
-        self._counters.add("store: no reply in time" if asked.written else "store: not sent in time")
-        if not asked.written and asked in self._waiting:
+    def _late(self, asked: CommandBatch, _now: int) -> None:
+        self._counters.add(
+            "store: no reply in time" if asked.may_have_been_sent else "store: not sent in time"
+        )
+        if not asked.may_have_been_sent and asked in self._waiting:
             self._waiting.remove(asked)
         self._finish(asked, None)
 
-    def _finish(self, asked: Asked, replies: Replies | None) -> None:
-        call = asked.call
+    def _finish(self, asked: CommandBatch, replies: Replies | None) -> None:
+        call = asked.on_done
         if call is None:
             return
-        if asked.due is not None:
-            asked.due.cancel()
-        self._bytes -= asked.size
-        asked.drop()
+        if asked.timeout is not None:
+            asked.timeout.cancel()
+        self._bytes -= asked.size_bytes
+        asked.release()
         with contained("a reply of the store", self._counters, self._log):
             call(replies)
 
     async def _hold(self) -> None:
         """One connection, made again for ever."""
-        pause = Pause(self._chance)
+        pause = ReconnectBackoff(self._chance)
         while True:
             lived = 0
-            for at in self._places.order():
+            for at in self._places.connection_order():
                 with contained("a link to the store", self._counters, self._log):
                     lived = await self._one(at)
                 if lived:
                     break
-            await anyio.sleep(pause.after(lived) / 1e6)
+            await anyio.sleep(pause.next_delay(lived) / 1e6)
 
     async def _one(self, at: int) -> int:
         """A connection to this address; for how many microseconds it was used, 0 where it was not."""
-        link: _Link | None = None
+        link: StoreConnection | None = None
         with anyio.CancelScope() as scope:
             try:
                 with anyio.fail_after(_GREETING):
@@ -264,14 +284,14 @@
                     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNDELIVERED_MS)
                     with anyio.fail_after(_GREETING):
                         channel, reader, greeted = await self._greet(at, line)
-                except (*ENDED, TimeoutError, BrokenError, GreetError) as trouble:
+                except (*ENDED, TimeoutError, ProtocolError, HandshakeError) as trouble:
                     self._counters.add("store: links refused")
                     self._tell(at, f"not greeted: {trouble!r}")
                     return 0
-                if not self._places.found(at, greeted.primary):
-                    self._tell(at, "a second primary" if greeted.primary else "a copy")
+                if not self._places.on_greeted(at, greeted.is_primary):
+                    self._tell(at, "a second primary" if greeted.is_primary else "a copy")
                     return 0
-                link = _Link(at, line, channel, scope, self._clock.now())
+                link = StoreConnection(at, line, channel, scope, self._clock.now())
                 await self._use(link, reader, greeted)
         if link is None:
             self._tell(at, "broken while it was greeted")
@@ -283,23 +303,26 @@
         found = await anyio.getaddrinfo(host, port, family=socket.AF_INET, type=socket.SOCK_STREAM)
         return await connect(*found[0][4])
 
-    async def _greet(self, at: int, line: SocketStream) -> tuple[_Channel, codec.Reader, Greeted]:
+    async def _greet(self, at: int, line: SocketStream) -> tuple[_Channel, codec.ReplyReader, Handshake]:
         channel: _Channel = line
         if self._names[at] is not None:
             from cresstray.sites.tls import Sealed
 
             channel = Sealed(line, self._names[at], False)
             await channel.shake_hands()
-        talk = codec.greeting(self._given.user, await self._password())
-        reader, commands = codec.Reader(), next(talk)
+        talk = codec.perform_handshake(self._given.user, await self._password())
+        reader, commands = codec.ReplyReader(), next(talk)
         while True:
-            channel.write(b"".join(codec.pack(command.words) for command in commands))
+            channel.write(b"".join(codec.pack_arguments(command.arguments) for command in commands))
             replies: Replies = []
             while len(replies) < len(commands):
                 replies += reader.feed(await channel.receive())
-            fit = [type(reply) is Refused or command.fits(reply) for command, reply in zip(commands, replies)]
+            fit = [
+                type(reply) is ErrorReply or command.accepts_reply(reply)
+                for command, reply in zip(commands, replies)
+            ]
             if len(replies) > len(commands) or not all(fit):
-                raise BrokenError(f"an answer to a greeting: {str(replies)[:60]}")
+                raise ProtocolError(f"an answer to a greeting: {str(replies)[:60]}")
             try:
                 commands = talk.send(replies)
             except StopIteration as over:
@@ -318,10 +341,10 @@
         # Danger: a disk that hangs would stop the loop, and the gateway's end.
         password = await anyio.to_thread.run_sync(first_line, abandon_on_cancel=True)
         if not password:
-            raise GreetError(f"no password in {path}")
+            raise HandshakeError(f"no password in {path}")
         return password
 
-    async def _use(self, link: _Link, reader: codec.Reader, greeted: Greeted) -> None:
+    async def _use(self, link: StoreConnection, reader: codec.ReplyReader, greeted: Handshake) -> None:
         if not self._links:
             self._log.log("store", f"{self._name(link.at)} is the primary, RESP{greeted.protocol}")
         self._trouble.clear()
@@ -336,7 +359,7 @@
                     self._took(link, reply, now)
                 if self._waiting:
                     self._flush_soon()
-        except BrokenError as trouble:
+        except ProtocolError as trouble:
             self._counters.add("store: links spoilt")
             link.end(f"dropped: {trouble}")
         except ENDED as trouble:
@@ -344,43 +367,45 @@
         finally:
             self._gone(link)
 
-    def _took(self, link: _Link, reply: Reply, now: int) -> None:
-        asked, more = link.flight.took(reply, now)
+    def _took(self, link: StoreConnection, reply: Reply, now: int) -> None:
+        asked, more = link.flight.on_reply(reply, now)
         if more:
             self._counters.add("store: scripts sent whole")
             link.write(more)
-        if type(reply) is Refused:
+        if type(reply) is ErrorReply:
             self._counters.add(f"store: {reply.kind.value}")
-            if reply.kind in (Kind.READONLY, Kind.LOADING):
+            if reply.kind in (ErrorKind.READONLY, ErrorKind.LOADING):
                 self._demoted(link, reply.text)
         if asked is not None:
             # Danger: a process that was stopped for long reads what has come before its timers run.
-            if now > asked.by:
+            if now > asked.deadline_us:
                 self._late(asked, now)
             else:
                 self._finish(asked, asked.replies)
 
-    def _demoted(self, link: _Link, why: str) -> None:
+    def _demoted(self, link: StoreConnection, why: str) -> None:
         """No primary any more, by its own word: all links to it end."""
-        if link.counted and self._places.demoted(link.at):
+        if link.counted and self._places.on_demoted(link.at):
             self._counters.add("store: primaries lost")
             for one in self._links:
                 one.counted = False
                 one.end(why)
 
-    def _gone(self, link: _Link) -> None:
+    def _gone(self, link: StoreConnection) -> None:
         link.open = False
         self._links.remove(link)
         if link.counted:
-            self._places.ended(link.at)
+            self._places.on_connection_closed(link.at)
         self._counters.add("store: links ended")
         if link.has_ended():
             self._tell(link.at, link.why or "broken")
-        left = link.flight.end()
+        left = link.flight.close()
         for asked in left:
-            if asked.written or asked.due is None:  # the latter: asks for the role of this link only
+            if (
+                asked.may_have_been_sent or asked.timeout is None
+            ):  # the latter: asks for the role of this link only
                 self._finish(asked, None)
-        self._waiting.extendleft(asked for asked in reversed(left) if asked.call is not None)
+        self._waiting.extendleft(asked for asked in reversed(left) if asked.on_done is not None)
         if self._waiting:
             self._flush_soon()
 
--- a/cresstray/idempotency/codec.py
+++ b/cresstray/idempotency/codec.py
@@ -20,14 +20,14 @@
 # Compare-and-set in one step of the store, with its time of that moment. 1: the key, 2: what it must hold,
 # empty for none, 3: what it is to hold, 4: for how many milliseconds. Arguments are strings, so nothing is
 # rounded.
-CAS = b"""local t = redis.call('TIME')
+COMPARE_AND_SET_SCRIPT = b"""local t = redis.call('TIME')
 local now = t[1] * 1000 + math.floor(t[2] / 1000)
 local found = redis.call('GET', KEYS[1])
 if (found or '') ~= ARGV[1] then return {0, found, now} end
 redis.call('SET', KEYS[1], ARGV[2], 'PX', ARGV[3])
 return {1, now}
 """
-CAS_SHA = sha1(CAS).hexdigest().encode()
+COMPARE_AND_SET_SHA = sha1(COMPARE_AND_SET_SCRIPT).hexdigest().encode()
 # Danger: a newer build that reads marks differently must not take an older one's for its own, nor spoil them
 # in a rolling upgrade. The number is that of the marks' form.
 _VERSION = b"m1"
@@ -43,11 +43,11 @@
 _NUMBER = re.compile(rb"-1|\d{1,9}")
 
 
-class BrokenError(Exception):
+class ProtocolError(Exception):
     """What came can't be a reply to what was asked; nothing behind it on this connection can be trusted."""
 
 
-class Kind(Enum):
+class ErrorKind(Enum):
     """Why the store refused; each means another thing for who asked."""
 
     LOADING = "LOADING"  # it starts, and has not read its data yet
@@ -62,19 +62,19 @@
 
 
 _KINDS = {
-    "ASK": Kind.MOVED,
-    "CLUSTERDOWN": Kind.MOVED,
-    "NOAUTH": Kind.DENIED,
-    "WRONGPASS": Kind.DENIED,
-    "NOPERM": Kind.DENIED,
-    **{kind.value: kind for kind in Kind if kind is not Kind.OTHER},
+    "ASK": ErrorKind.MOVED,
+    "CLUSTERDOWN": ErrorKind.MOVED,
+    "NOAUTH": ErrorKind.DENIED,
+    "WRONGPASS": ErrorKind.DENIED,
+    "NOPERM": ErrorKind.DENIED,
+    **{kind.value: kind for kind in ErrorKind if kind is not ErrorKind.OTHER},
 }
 
 
-class Refused(msgspec.Struct, frozen=True):
+class ErrorReply(msgspec.Struct, frozen=True):
     """An error reply. It was not carried out, but for OTHER, which a script may raise halfway."""
 
-    kind: Kind
+    kind: ErrorKind
     text: str
 
 
@@ -84,67 +84,73 @@
     `whole`: what is sent instead, once, where the store does not know the script.
     """
 
-    words: tuple[bytes, ...]
-    fits: Callable[[Reply], bool]
-    whole: tuple[bytes, ...] = ()
+    arguments: tuple[bytes, ...]
+    accepts_reply: Callable[[Reply], bool]
+    arguments_with_script: tuple[bytes, ...] = ()
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes, about."""
-        return sum(map(len, self.words)) + 16 * len(self.words)
+        return sum(map(len, self.arguments)) + 16 * len(self.arguments)
 
 
-def pack(words: Iterable[bytes]) -> bytes:
+def pack_arguments(words: Iterable[bytes]) -> bytes:
     return hiredis.pack_command(tuple(words))
 
 
-def key(namespace: str, digest: bytes) -> bytes:
+def record_key(namespace: str, digest: bytes) -> bytes:
     """Of the mark with this digest. Submissions' own keys are never sent."""
     return b"%s:%s:%s" % (namespace.encode(), _VERSION, digest.hex().encode())
 
 
-def cas(key: bytes, expected: bytes, new: bytes, px: int) -> Command:
+def compare_and_set(key: bytes, expected: bytes, new: bytes, px: int) -> Command:
     """`expected` b"": where there is none. The reply is for `swapped`."""
     if not new or px < 1:
         raise ValueError("a value that is not empty, for a millisecond at the least")
     rest = (b"1", key, expected, new, b"%d" % px)
-    return Command((b"EVALSHA", CAS_SHA, *rest), _fits_cas, (b"EVAL", CAS, *rest))
+    return Command(
+        (b"EVALSHA", COMPARE_AND_SET_SHA, *rest), _fits_cas, (b"EVAL", COMPARE_AND_SET_SCRIPT, *rest)
+    )
 
 
-def read(key: bytes) -> Command:
+def get_value(key: bytes) -> Command:
     """The reply: the value, or None."""
     return Command((b"GET", key), _fits_value)
 
 
-def now() -> Command:
+def get_time() -> Command:
     """The reply is for `time`."""
     return Command((b"TIME",), _fits_time)
 
 
-def ping(token: bytes) -> Command:
+def make_ping(token: bytes) -> Command:
     """Its reply is the token: who gets another is out of step."""
     return Command((b"PING", token), lambda reply: reply == token)
 
 
-def role() -> Command:
+def get_role() -> Command:
     """The reply is for `is_primary`."""
     return Command((b"ROLE",), _fits_role)
 
 
-class Swapped(NamedTuple):
+class CompareAndSetResult(NamedTuple):
     """`found`: what is there instead, None for nothing. `at`: the store's time, milliseconds of Unix time."""
 
-    done: bool
-    found: bytes | None
-    at: int
+    is_applied: bool
+    current_value: bytes | None
+    store_now_ms: int
 
 
-def swapped(reply: Reply) -> Swapped:
+def parse_compare_and_set(reply: Reply) -> CompareAndSetResult:
     """Of a reply to `cas` that is not Refused."""
-    return Swapped(True, None, reply[1]) if reply[0] == 1 else Swapped(False, reply[1], reply[2])
+    return (
+        CompareAndSetResult(True, None, reply[1])
+        if reply[0] == 1
+        else CompareAndSetResult(False, reply[1], reply[2])
+    )
 
 
-def time(reply: Reply) -> int:
+def parse_time_ms(reply: Reply) -> int:
     """Milliseconds of Unix time, of a reply to `now` that is not Refused."""
     return int(reply[0]) * 1000 + int(reply[1]) // 1000
 
@@ -179,7 +185,7 @@
     return type(reply) is list and bool(reply) and type(reply[0]) is bytes
 
 
-class Reader:
+class ReplyReader:
     """The replies in what is received, however it is cut; what the store pushes unasked is left out.
 
     Danger: hiredis reserves what an array claims before it comes, all memory for one of three billion parts,
@@ -203,7 +209,7 @@
             if not self._left:
                 whole = self._at
         if len(self._buffer) - whole > _MOST_BYTES:
-            raise BrokenError(f"a reply of more than {_MOST_BYTES} bytes")
+            raise ProtocolError(f"a reply of more than {_MOST_BYTES} bytes")
         if not whole:
             return []
         found = []
@@ -213,7 +219,7 @@
                 if not isinstance(reply, hiredis.PushNotification):
                     found.append(_refused(reply) if isinstance(reply, Exception) else reply)
         except (hiredis.HiredisError, ValueError, TypeError) as trouble:  # the last: a list as a key
-            raise BrokenError(f"no reply: {trouble}") from None
+            raise ProtocolError(f"no reply: {trouble}") from None
         del self._buffer[:whole]
         self._at -= whole
         return found
@@ -224,51 +230,51 @@
         end = buffer.find(b"\r\n", at, at + _LONGEST_LINE)
         if end < 0:
             if len(buffer) - at >= _LONGEST_LINE:
-                raise BrokenError(f"a line without an end: {bytes(buffer[at : at + 20])!r}")
+                raise ProtocolError(f"a line without an end: {bytes(buffer[at : at + 20])!r}")
             return False
         kind, past, parts = buffer[at : at + 1], end + 2, 0
         if kind in (b"$", b"="):
             size = self._number(at, end)
             if size > _LONGEST:
-                raise BrokenError(f"a string of {size} bytes")
+                raise ProtocolError(f"a string of {size} bytes")
             if size >= 0:
                 past += size + 2
                 if len(buffer) < past:
                     return False
                 if buffer[past - 2 : past] != b"\r\n":
-                    raise BrokenError("a string longer than its length")
+                    raise ProtocolError("a string longer than its length")
         elif kind in (b"*", b"~", b">", b"%"):
             parts = max(0, self._number(at, end)) * (2 if kind == b"%" else 1)
         elif kind not in (b"+", b"-", b":", b",", b"#", b"(", b"_"):
-            raise BrokenError(f"not the beginning of a reply: {bytes(buffer[at : at + 20])!r}")
+            raise ProtocolError(f"not the beginning of a reply: {bytes(buffer[at : at + 20])!r}")
         self._left = max(0, self._left - 1) + parts
         if self._left > _MOST_PARTS:
-            raise BrokenError(f"a reply of {self._left} parts")
+            raise ProtocolError(f"a reply of {self._left} parts")
         self._at = past
         return True
 
     def _number(self, at: int, end: int) -> int:
         number = bytes(self._buffer[at + 1 : end])
         if not _NUMBER.fullmatch(number):
-            raise BrokenError(f"not a length: {number[:20]!r}")
+            raise ProtocolError(f"not a length: {number[:20]!r}")
         return int(number)
 
 
-def _refused(trouble: Exception) -> Refused:
+def _refused(trouble: Exception) -> ErrorReply:
     text = str(trouble)[:200]
-    return Refused(_KINDS.get(text.partition(" ")[0], Kind.OTHER), text)
+    return ErrorReply(_KINDS.get(text.partition(" ")[0], ErrorKind.OTHER), text)
 
 
-class Greeted(NamedTuple):
+class Handshake(NamedTuple):
     protocol: int
-    primary: bool
+    is_primary: bool
 
 
-class GreetError(Exception):
+class HandshakeError(Exception):
     """The store does not take us, or not now."""
 
 
-def greeting(user: str, password: bytes) -> Generator[list[Command], list[Reply], Greeted]:
+def perform_handshake(user: str, password: bytes) -> Generator[list[Command], list[Reply], Handshake]:
     """What is said first on a connection, in turns: yields commands, is sent their replies. GreetError.
 
     RESP3, or RESP2 where the store knows no HELLO (before Redis 6) or not this one; its role, by ROLE or by
@@ -277,23 +283,26 @@
     words = (b"HELLO", b"3") + ((b"AUTH", user.encode(), password) if password else ())
     (hello,) = yield [Command(words, lambda reply: isinstance(reply, dict | list))]
     protocol = 3
-    if isinstance(hello, Refused):
+    if isinstance(hello, ErrorReply):
         if not hello.text.startswith(("ERR unknown command", "NOPROTO")):
-            raise GreetError(hello.text)
+            raise HandshakeError(hello.text)
         protocol = 2
         if password:
             # Users came with HELLO: an older store has a password only.
             named = () if user == "default" else (user.encode(),)
             (auth,) = yield [Command((b"AUTH", *named, password), lambda reply: reply == b"OK")]
-            if isinstance(auth, Refused):
-                raise GreetError(auth.text)
-    told, loaded = yield [role(), Command((b"SCRIPT", b"LOAD", CAS), lambda reply: reply == CAS_SHA)]
+            if isinstance(auth, ErrorReply):
+                raise HandshakeError(auth.text)
+    told, loaded = yield [
+        get_role(),
+        Command((b"SCRIPT", b"LOAD", COMPARE_AND_SET_SCRIPT), lambda reply: reply == COMPARE_AND_SET_SHA),
+    ]
     for reply in (told, loaded):
-        if isinstance(reply, Refused) and reply.kind in (Kind.LOADING, Kind.DENIED):
-            raise GreetError(reply.text)
-    if isinstance(told, Refused):
+        if isinstance(reply, ErrorReply) and reply.kind in (ErrorKind.LOADING, ErrorKind.DENIED):
+            raise HandshakeError(reply.text)
+    if isinstance(told, ErrorReply):
         (told,) = yield [Command((b"INFO", b"replication"), lambda reply: type(reply) is bytes)]
-        if isinstance(told, Refused):
-            raise GreetError(told.text)
-        return Greeted(protocol, re.search(rb"^role:master\r?$", told, re.MULTILINE) is not None)
-    return Greeted(protocol, is_primary(told))
+        if isinstance(told, ErrorReply):
+            raise HandshakeError(told.text)
+        return Handshake(protocol, re.search(rb"^role:master\r?$", told, re.MULTILINE) is not None)
+    return Handshake(protocol, is_primary(told))
--- a/cresstray/idempotency/coordinator.py
+++ b/cresstray/idempotency/coordinator.py
@@ -11,25 +11,25 @@
 
 from cresstray.idempotency import codec
 from cresstray.idempotency import records as marks
-from cresstray.idempotency.codec import Command, Refused, Reply
+from cresstray.idempotency.codec import Command, ErrorReply, Reply
 from cresstray.idempotency.execution_guard import (
     Claim,
+    ClaimHolder,
     Decision,
-    Deny,
-    Found,
-    Go,
-    Guard,
-    Guarded,
-    Holder,
-    Silence,
-    Times,
-    Unguarded,
+    ExecutionGuard,
+    GuardMode,
+    LookupResult,
+    Proceed,
+    ProceedUnguarded,
+    Reject,
+    RequestTiming,
+    StoreUnavailable,
     Wait,
-    guarded,
+    guard_mode_of,
 )
-from cresstray.idempotency.health import Health, StoreClock
-from cresstray.idempotency.records import Event, Kind, Mark, State
-from cresstray.idempotency.write_behind import Behind, Item
+from cresstray.idempotency.health import StoreClock, StoreHealth
+from cresstray.idempotency.records import EventKind, IdempotencyRecord, RecordEvent, RecordState
+from cresstray.idempotency.write_behind import PendingWrite, WriteBehindQueue
 from cresstray.observability.counters import Counters
 from cresstray.policy.types import Outcome, Request
 
@@ -57,7 +57,7 @@
 _TRIES = 4
 
 
-class Client(Protocol):
+class CommandClient(Protocol):
     """`call` is made once, by `by`, and never within `submit`; None: no answer, and it may have run."""
 
     def submit(
@@ -73,17 +73,17 @@
     def call_after(self, delay: int, call: Callable[[int], None]) -> object: ...
 
 
-class Desk(Protocol):
+class ClaimJournal(Protocol):
     """journal.Scribe, where there is a disk."""
 
-    trouble: str
+    last_error: str
 
-    def intend(self, digest: bytes, fence: int, tenant: int) -> int | None: ...
-    def settle(self, number: int) -> None: ...
-    def synced(self, number: int) -> bool | None: ...
+    def append_claim(self, digest: bytes, fence: int, tenant: int) -> int | None: ...
+    def append_settled(self, number: int) -> None: ...
+    def take_sync_result(self, number: int) -> bool | None: ...
 
 
-class Asked(Protocol):
+class RequestContext(Protocol):
     """What is used of an errand."""
 
     request: Request
@@ -92,7 +92,7 @@
     def query(self) -> Any: ...
 
 
-class _Held:
+class GuardedRequest:
     """One submission that needs a mark, until it has its answer and nothing of it is out."""
 
     __slots__ = (
@@ -124,15 +124,15 @@
         self,
         request: Request,
         name: str,
-        kind: Guarded,
-        times: Times,
+        kind: GuardMode,
+        times: RequestTiming,
         digest: bytes,
         call: Callable[[Decision], None],
     ) -> None:
         self.submission, self.name, self.kind, self.times, self.digest = request, name, kind, times, digest
         self.call: Callable[[Decision], None] | None = call  # None: it has been told
         self.by, self.tries = 0, 0
-        self.claimed: Event | None = None  # an intention that is in the store, or may be
+        self.claimed: RecordEvent | None = None  # an intention that is in the store, or may be
         self.until = 0  # of our clock: no relay goes out from then on
         self.seen, self.mark = b"", None  # of the mark: its bytes as last read or written, and what they say
         self.out, self.over = 0, False
@@ -143,12 +143,12 @@
         self.asking = self.again = False  # a question of it is out; one was asked again for want of an answer
 
 
-class Marks:
+class IdempotencyCoordinator:
     """`lines`: the operator's, as a plain map; `life`: this process, and no other that ever had this name."""
 
     def __init__(
         self,
-        client: Client,
+        client: CommandClient,
         lines: Mapping[str, Any],
         settings: Mapping[str, Any],
         request_classes: Sequence[Any],
@@ -158,12 +158,12 @@
         clock: Clock,
         timers: Timers,
         counters: Counters,
-        desk: Desk | None = None,
+        desk: ClaimJournal | None = None,
         say: Callable[[str], None] = lambda _: None,
     ) -> None:
         self._client, self._clock, self._timers, self._counters = client, clock, timers, counters
         self._desk, self._say = desk, say
-        self._holder = Holder(owner, life)
+        self._holder = ClaimHolder(owner, life)
         self._namespace = lines.get("namespace", "cresstray")
         self._kept = int(lines.get("kept_s", _KEPT_S) * 1000)
         self._largest = lines.get("answers", 0)
@@ -171,20 +171,20 @@
         honoured = int(limits.get("MaxRetryAfter", 0) * 1000) if limits.get("RetryAfter") else 0
         names = [service.get("Name", "") for service in settings.get("Services", [])]
         self._kinds = [
-            guarded(request_class, name, lines) for request_class, name in zip(request_classes, names)
+            guard_mode_of(request_class, name, lines) for request_class, name in zip(request_classes, names)
         ]
         self._names = names
         self._tenants = [str(tenant.get("Name", "")) for tenant in settings.get("Tenants", [])]
         now = clock.now()
-        self.health = Health(lines, chance, now)
+        self.health = StoreHealth(lines, chance, now)
         self.store_clock = StoreClock()
-        self.behind = Behind()
-        self._guard = Guard(lines, honoured, chance)
-        self._open: dict[Request, _Held] = {}
+        self.write_behind = WriteBehindQueue()
+        self._guard = ExecutionGuard(lines, honoured, chance)
+        self._open: dict[Request, GuardedRequest] = {}
         self._asking: Counter[int] = Counter()  # questions of submissions that are out, by tenant
         self._fence = 0  # of the last intention of this process
         self._writing = 0  # outcomes out at the store
-        self._returned: list[Item] = []
+        self._returned: list[PendingWrite] = []
         # Not a mark's key: it says of what age marks are doubted.
         self._clock_key = f"{self._namespace}:clock1".encode()
         self._warned, self._warning, self._looked = 0, False, 0
@@ -192,7 +192,7 @@
 
     # What the stages call.
 
-    def ask(self, context: Asked, now: int, call: Callable[[Decision], None]) -> bool:
+    def check(self, context: RequestContext, now: int, call: Callable[[Decision], None]) -> bool:
         """False: it needs no mark. Else `call` is made once, perhaps within this, as its slack allows.
 
         With Go or Unguarded it may be relayed; Deny, Abandon and Answer are its end.
@@ -200,7 +200,7 @@
         request = context.request
         kind, name = self._kinds[request.request_class.index], context.query.idempotency_key
         # One from another hall is asked for where it was accepted.
-        if kind is Guarded.FREE or not name or request.is_forwarded_in:
+        if kind is GuardMode.NOT_NEEDED or not name or request.is_forwarded_in:
             return False
         request_class = request.request_class
         expected = (
@@ -215,7 +215,7 @@
         stop = min(request.deadline_us - _MARGIN, soft_stop)
         leave_by = max(stop - expected, now + (request.deadline_us - now) // 10)
         beyond = _BEYOND + (request.deadline_us - now) // _FIFTIETH
-        times = Times(
+        times = RequestTiming(
             now,
             min(leave_by, request.deadline_us),
             request.deadline_us + beyond,
@@ -223,12 +223,12 @@
         )
         tenant = self._tenants[request.tenant] if request.tenant < len(self._tenants) else ""
         group = self._names[request_class.index] + "/" + request_class.dedup_scope
-        held = _Held(
+        held = GuardedRequest(
             request,
             self._names[request_class.index],
             kind,
             times,
-            marks.digest(self._namespace, tenant, group, name),
+            marks.digest_key(self._namespace, tenant, group, name),
             call,
         )
         self._open[request] = held
@@ -236,7 +236,7 @@
         self._look_up(held, now)
         return True
 
-    def may_send(self, request: Request, now: int) -> bool:
+    def may_dispatch(self, request: Request, now: int) -> bool:
         """Asked at the moment of sending, with the clock of that moment. False: nothing may go out, and the
         relay ends as one that no engine has seen."""
         held = self._open.get(request)
@@ -253,12 +253,12 @@
         self._counters.add("marks: intentions over before a relay")
         return False
 
-    def left(self, request: Request, now: int) -> int | None:
+    def remaining_us(self, request: Request, now: int) -> int | None:
         """For how long it may still be sent by whoever has it from here, as another hall. None: no matter."""
         held = self._open.get(request)
         return None if held is None else max(0, held.until - now)
 
-    def sent(self, request: Request, now: int) -> None:
+    def on_attempt_sent(self, request: Request, now: int) -> None:
         """A relay goes out; `relay_ended` is owed for it."""
         held = self._open.get(request)
         if held is None:
@@ -267,9 +267,9 @@
         if not held.first_sent:
             held.first_sent = self._since(now)
             if held.fresh:
-                self._behind(held, self._event(held, Kind.SENT), now)
+                self._behind(held, self._event(held, EventKind.DISPATCHED), now)
 
-    def relay_ended(self, request: Request, ending: Outcome, now: int) -> None:
+    def on_attempt_finished(self, request: Request, ending: Outcome, now: int) -> None:
         held = self._open.get(request)
         if held is None:
             return
@@ -278,7 +278,7 @@
         held.may_have_run = held.may_have_run or ending not in _UNRUN
         self._settle(held, now)
 
-    def ended(self, request: Request, how: str, result: bytes | None, now: int) -> None:
+    def on_request_finished(self, request: Request, how: str, result: bytes | None, now: int) -> None:
         """The final answer is out already, or its client has left; `how`: as the book counts it."""
         held = self._open.get(request)
         if held is None:
@@ -287,153 +287,161 @@
         held.until = 0
         if how == "succeeded":
             held.ran = True
-            held.outcome = marks.outcome_of(result, self._largest)
+            held.outcome = marks.make_outcome(result, self._largest)
         self._settle(held, now)
 
     # Asking. At most two round trips where nobody else has the mark.
 
-    def _look_up(self, held: _Held, now: int) -> None:
-        held.by = now + self.health.budget(held.times.leave_by - now, now)
+    def _look_up(self, held: GuardedRequest, now: int) -> None:
+        held.by = now + self.health.time_budget(held.times.latest_dispatch_us - now, now)
         if self._asking[held.submission.tenant] >= _OF_TENANT:
             self._silent(held, "too much of its tenant waits", now)
         elif held.by <= now:
-            self._silent(held, "it is away or slow" if self.health.open else "no time to ask", now)
-        elif not self.store_clock.known(now):
+            self._silent(held, "it is away or slow" if self.health.is_open else "no time to ask", now)
+        elif not self.store_clock.is_known(now):
             self._read(held, now)
         elif held.seen:
             self._read(held, now)
         else:
             # Nearly always nothing is there: the intention itself is the question.
-            at = self.store_clock.low(now)
-            claim = self._guard.claim(held.kind, None, self._holder, at, held.times, now)
+            at = self.store_clock.lower_bound(now)
+            claim = self._guard.make_claim(held.kind, None, self._holder, at, held.times, now)
             self._claim(held, b"", None, claim.event, now)
 
-    def _read(self, held: _Held, now: int) -> None:
-        key = codec.key(self._namespace, held.digest)
+    def _read(self, held: GuardedRequest, now: int) -> None:
+        key = codec.record_key(self._namespace, held.digest)
         self._begin(held)
-        self._submit([codec.read(key), codec.now()], held.by, partial(self._was_read, held), now)
+        self._submit([codec.get_value(key), codec.get_time()], held.by, partial(self._was_read, held), now)
 
-    def _begin(self, held: _Held) -> None:
+    def _begin(self, held: GuardedRequest) -> None:
         held.asking = True
         self._asking[held.submission.tenant] += 1
 
-    def _heard(self, held: _Held) -> None:
+    def _heard(self, held: GuardedRequest) -> None:
         held.asking = False
         self._asking[held.submission.tenant] -= 1
         if not self._asking[held.submission.tenant]:
             del self._asking[held.submission.tenant]
 
-    def _was_read(self, held: _Held, replies: list[Reply] | None, began: int, now: int) -> None:
+    def _was_read(self, held: GuardedRequest, replies: list[Reply] | None, began: int, now: int) -> None:
         self._heard(held)
         if replies is None:
             self._unheard(held, now)
             return
-        at = codec.time(replies[1])
-        self.store_clock.heard(at, began, now)
+        at = codec.parse_time_ms(replies[1])
+        self.store_clock.on_reading(at, began, now)
         self._found(held, replies[0], at, began, now)
 
-    def _claim(self, held: _Held, seen: bytes, mark: Mark | None, event: Event, now: int) -> None:
+    def _claim(
+        self, held: GuardedRequest, seen: bytes, mark: IdempotencyRecord | None, event: RecordEvent, now: int
+    ) -> None:
         # Danger: two submissions of one mark in the same millisecond would take one intention for that of
         # both.
         self._fence = max(event.fence, self._fence + 1)
         event = msgspec.structs.replace(event, fence=self._fence)
-        made = marks.step(mark, event, self.store_clock.low(now))
+        made = marks.apply_event(mark, event, self.store_clock.lower_bound(now))
         if made is None or held.tries >= _TRIES:
             self._silent(held, "others were always first", now)
             return
         held.tries += 1
         # From here on it may be in the store, whatever is heard of it.
         held.claimed = event
-        key, value = codec.key(self._namespace, held.digest), marks.encoded(made)
-        command = codec.cas(key, seen, value, marks.lasts(made, self._kept))
+        key, value = codec.record_key(self._namespace, held.digest), marks.encode_record(made)
+        command = codec.compare_and_set(key, seen, value, marks.retention_ms(made, self._kept))
         self._begin(held)
         self._submit([command], held.by, partial(self._was_claimed, held, made, value), now)
 
     def _was_claimed(
-        self, held: _Held, made: Mark, value: bytes, replies: list[Reply] | None, began: int, now: int
+        self,
+        held: GuardedRequest,
+        made: IdempotencyRecord,
+        value: bytes,
+        replies: list[Reply] | None,
+        began: int,
+        now: int,
     ) -> None:
         self._heard(held)
         if replies is None:
             self._unheard(held, now)
             return
-        swapped = codec.swapped(replies[0])
-        jumps = self.store_clock.jumps
-        self.store_clock.heard(swapped.at, began, now)
-        if not swapped.done:
-            held.claimed = None if swapped.found != value else held.claimed
-            self._found(held, swapped.found, swapped.at, began, now)
+        swapped = codec.parse_compare_and_set(replies[0])
+        jumps = self.store_clock.regressions
+        self.store_clock.on_reading(swapped.store_now_ms, began, now)
+        if not swapped.is_applied:
+            held.claimed = None if swapped.current_value != value else held.claimed
+            self._found(held, swapped.current_value, swapped.store_now_ms, began, now)
             return
         held.seen, held.mark, held.fresh = value, made, True
-        if self.store_clock.jumps > jumps:
+        if self.store_clock.regressions > jumps:
             # Danger: it was written by a time that is not the store's any more; others would take it for
             # young.
             self._silent(held, "its clock went back", now)
             return
-        self._go(held, made.fence, made.until, swapped.at, began, now)
+        self._go(held, made.fence, made.valid_until_ms, swapped.store_now_ms, began, now)
 
-    def _unheard(self, held: _Held, now: int) -> None:
+    def _unheard(self, held: GuardedRequest, now: int) -> None:
         """Asked once more what is there: a connection may have ended, and our intention be there or not."""
-        half = held.times.asked + (held.times.leave_by - held.times.asked) // 2
+        half = held.times.started_us + (held.times.latest_dispatch_us - held.times.started_us) // 2
         if held.call is not None and not held.again and now < half:
             held.again = True
-            held.by = now + self.health.budget(held.times.leave_by - now, now)
+            held.by = now + self.health.time_budget(held.times.latest_dispatch_us - now, now)
             if held.by > now:
                 self._read(held, now)
                 return
         self._silent(held, "it did not answer in time", now)
 
-    def _found(self, held: _Held, value: bytes | None, at: int, began: int, now: int) -> None:
+    def _found(self, held: GuardedRequest, value: bytes | None, at: int, began: int, now: int) -> None:
         if held.over:
             self._settle(held, now)
             return
-        mark = marks.decoded(value)
+        mark = marks.decode_record(value)
         held.seen, held.mark = value or b"", mark
         claimed = held.claimed
         if (
             claimed is not None
             and mark is not None
-            and mark.state is State.INTENDED
-            and ((mark.owner, mark.life, mark.fence) == (*self._holder, claimed.fence))
+            and mark.state is RecordState.CLAIMED
+            and ((mark.owner, mark.incarnation, mark.fence) == (*self._holder, claimed.fence))
         ):
             # Written after all, by a question whose answer was lost.
             held.fresh = True
-            self._go(held, mark.fence, mark.until, at, began, now)
+            self._go(held, mark.fence, mark.valid_until_ms, at, began, now)
             return
         # What the store has not heard of yet counts as well.
         known = mark
-        for item in self.behind.of(held.digest):
-            known = marks.step(known, item.event, at) or known
-        found = Found(known, at, self.store_clock.doubtful_before)
+        for item in self.write_behind.pending_for(held.digest):
+            known = marks.apply_event(known, item.event, at) or known
+        found = LookupResult(known, at, self.store_clock.age_unknown_before_ms)
         decision = self._guard.decide(held.kind, found, self._holder, held.times, now)
         if isinstance(decision, Claim):
             self._claim(held, held.seen, mark, decision.event, now)
         elif isinstance(decision, Wait):
             self._counters.add("marks: waits")
-            self._timers.call_after(decision.again_at - now, partial(self._again, held))
-        elif isinstance(decision, Go):
-            self._go(held, decision.fence, decision.until, at, began, now)
+            self._timers.call_after(decision.retry_at_us - now, partial(self._again, held))
+        elif isinstance(decision, Proceed):
+            self._go(held, decision.fence, decision.valid_until_ms, at, began, now)
         else:
             self._tell(held, decision, now)
 
-    def _again(self, held: _Held, now: int) -> None:
+    def _again(self, held: GuardedRequest, now: int) -> None:
         if not held.over:
             self._look_up(held, now)
 
-    def _go(self, held: _Held, fence: int, until: int, at: int, began: int, now: int) -> None:
+    def _go(self, held: GuardedRequest, fence: int, until: int, at: int, began: int, now: int) -> None:
         # By our own clock from when the question left: the store's may differ, and only spans are compared.
         held.until = began + (until - at) * 990
         if now >= held.until:
-            self._tell(held, Deny(self._guard.come_back(0)), now)
+            self._tell(held, Reject(self._guard.make_retry_after(0)), now)
             return
-        self._tell(held, Go(fence, until), now)
+        self._tell(held, Proceed(fence, until), now)
 
-    def _tell(self, held: _Held, decision: Decision, now: int) -> None:
+    def _tell(self, held: GuardedRequest, decision: Decision, now: int) -> None:
         call, held.call = held.call, None
         if call is None:
             self._settle(held, now)
             return
         self._counters.add(f"marks: {type(decision).__name__.lower()}")
-        if not isinstance(decision, Go | Unguarded):
+        if not isinstance(decision, Proceed | ProceedUnguarded):
             # It ends here; what was claimed for it is given back.
             held.over, held.until = True, 0
             self._settle(held, now)
@@ -441,7 +449,7 @@
 
     # Without the store.
 
-    def _silent(self, held: _Held, why: str, now: int) -> None:
+    def _silent(self, held: GuardedRequest, why: str, now: int) -> None:
         if held.call is None:
             self._settle(held, now)
             return
@@ -449,47 +457,51 @@
         if own is not None:
             self._tell(held, own, now)
             return
-        decision = self._guard.silent(Silence(why, self.health.silent_for(now)), held.name, now)
-        if isinstance(decision, Unguarded):
+        decision = self._guard.decide_without_store(
+            StoreUnavailable(why, self.health.unavailable_for(now)), held.name, now
+        )
+        if isinstance(decision, ProceedUnguarded):
             if self._desk is not None:
-                held.number = self._desk.intend(held.digest, 0, held.submission.tenant)
+                held.number = self._desk.append_claim(held.digest, 0, held.submission.tenant)
                 if held.number is not None:
                     # Its own budget, as the store's: what is not synced by then is denied.
-                    by = now + max(0, (held.times.leave_by - now) // 4)
+                    by = now + max(0, (held.times.latest_dispatch_us - now) // 4)
                     self._synced(held, decision, by, now)
                     return
-                decision = Deny(self._guard.come_back(0))
+                decision = Reject(self._guard.make_retry_after(0))
             else:
                 held.until = held.submission.deadline_us
         self._tell(held, decision, now)
 
-    def _own(self, held: _Held, now: int) -> Decision | None:
+    def _own(self, held: GuardedRequest, now: int) -> Decision | None:
         """By what this gateway itself did of late and the store has not heard."""
-        mark, grounded, at = None, True, self.store_clock.low(now)
-        for item in self.behind.of(held.digest):
+        mark, grounded, at = None, True, self.store_clock.lower_bound(now)
+        for item in self.write_behind.pending_for(held.digest):
             # By what the store was last known to have: from when the engines remember stands there.
-            there = marks.decoded(item.seen)
+            there = marks.decode_record(item.expected_value)
             grounded = grounded and there is not None
-            known = marks.step(there, item.event, at) or there
+            known = marks.apply_event(there, item.event, at) or there
             if known is not None and mark is not None:
-                ended = known if known.state is State.ENDED else mark
-                known = msgspec.structs.replace(ended, since=min(known.since, mark.since))
+                ended = known if known.state is RecordState.COMPLETED else mark
+                known = msgspec.structs.replace(
+                    ended, earliest_dispatch_ms=min(known.earliest_dispatch_ms, mark.earliest_dispatch_ms)
+                )
             mark = known or mark
-        if mark is None or mark.state not in (State.ENDED, State.UNKNOWN):
+        if mark is None or mark.state not in (RecordState.COMPLETED, RecordState.UNKNOWN):
             return None
         # The store's time is only guessed at here; the later it may be, the sooner a memory is over.
-        at = self.store_clock.high(now)
-        decision = self._guard.decide(held.kind, Found(mark, at), self._holder, held.times, now)
-        if isinstance(decision, Go):
+        at = self.store_clock.upper_bound(now)
+        decision = self._guard.decide(held.kind, LookupResult(mark, at), self._holder, held.times, now)
+        if isinstance(decision, Proceed):
             # Danger: what this gateway sent without the store's word may have been a repeat itself, of a run
             # that the engines forget sooner.
             if not grounded:
                 return None
-            held.until = now + (decision.until - at) * 990
+            held.until = now + (decision.valid_until_ms - at) * 990
         return decision
 
-    def _synced(self, held: _Held, decision: Decision, by: int, now: int) -> None:
-        done = self._desk.synced(held.number)
+    def _synced(self, held: GuardedRequest, decision: Decision, by: int, now: int) -> None:
+        done = self._desk.take_sync_result(held.number)
         if done is None and (now < by or held.call is None):
             self._timers.call_after(
                 _LOOK if now < by else 100 * _LOOK, partial(self._synced, held, decision, by)
@@ -504,139 +516,158 @@
             self._tell(held, decision, now)
         elif done is None:
             self._timers.call_after(100 * _LOOK, partial(self._synced, held, decision, by))
-            self._tell(held, Deny(self._guard.come_back(0)), now)
+            self._tell(held, Reject(self._guard.make_retry_after(0)), now)
         else:
             held.number = None
-            self._tell(held, Deny(self._guard.come_back(0)), now)
+            self._tell(held, Reject(self._guard.make_retry_after(0)), now)
 
     # What became of it: all of this is behind the final answer.
 
-    def _settle(self, held: _Held, now: int) -> None:
+    def _settle(self, held: GuardedRequest, now: int) -> None:
         if not held.over or held.out or held.asking or self._open.get(held.submission) is not held:
             return
         del self._open[held.submission]
-        kind = Kind.RAN if held.ran else Kind.UNKNOWN if held.may_have_run else Kind.UNRUN
+        kind = EventKind.UNKNOWN if held.may_have_run else EventKind.NOT_EXECUTED
+        if held.ran:
+            kind = EventKind.COMPLETED
         nothing = held.claimed is None and (
-            kind is Kind.UNRUN
+            kind is EventKind.NOT_EXECUTED
             or held.mark is not None
             and (
-                held.mark.state is State.ENDED
+                held.mark.state is RecordState.COMPLETED
                 and (held.mark.outcome or not held.outcome)
-                or held.mark.state is State.UNKNOWN
-                and kind is Kind.UNKNOWN
+                or held.mark.state is RecordState.UNKNOWN
+                and kind is EventKind.UNKNOWN
             )
         )
         if nothing:
             if held.number is not None:
-                self._desk.settle(held.number)
+                self._desk.append_settled(held.number)
             return
         self._behind(held, self._event(held, kind), now)
 
-    def _event(self, held: _Held, kind: Kind) -> Event:
+    def _event(self, held: GuardedRequest, kind: EventKind) -> RecordEvent:
         claimed = held.claimed
-        fence, until = (claimed.fence, claimed.until) if claimed is not None else (0, 0)
+        fence, until = (claimed.fence, claimed.valid_until_ms) if claimed is not None else (0, 0)
         since = held.first_sent
-        if not held.fresh or held.mark.doubted or not since:
+        if not held.fresh or held.mark.has_uncertain_predecessor or not since:
             # Danger: where another's relay may be out as well, or its own write is not known, it may have run
             # before our first relay.
             earlier = [
-                one.since
+                one.earliest_dispatch_ms
                 for one in (held.mark, claimed)
-                if one is not None and not (one is held.mark and one.state is State.UNSEEN)
+                if one is not None and not (one is held.mark and one.state is RecordState.ABSENT)
             ]
             since = min(earlier, default=since)
-        return Event(kind, *self._holder, fence, since, until, held.outcome if kind is Kind.RAN else b"")
+        return RecordEvent(
+            kind, *self._holder, fence, since, until, held.outcome if kind is EventKind.COMPLETED else b""
+        )
 
-    def _behind(self, held: _Held, event: Event, now: int) -> None:
+    def _behind(self, held: GuardedRequest, event: RecordEvent, now: int) -> None:
         numbers = () if held.number is None else (held.number,)
-        self.behind.add(
+        self.write_behind.add(
             held.digest, event, held.submission.tenant, now + self._kept * 1000, now, held.seen, numbers
         )
 
     def _since(self, now: int) -> int:
-        return max(1, self.store_clock.low(now)) if self.store_clock.known(now) else 0
+        return max(1, self.store_clock.lower_bound(now)) if self.store_clock.is_known(now) else 0
 
-    def writes_to(self, desk: Desk) -> None:
+    def use_journal(self, desk: ClaimJournal) -> None:
         """From here on; nothing is kept of what went before."""
         self._desk = desk
 
     def recover(self, entries: Iterable[Any], now: int) -> None:
         """What an earlier process intended and never settled, from the journal: it may have run."""
         for entry in entries:
-            event = Event(Kind.UNKNOWN, *self._holder, entry.fence)
+            event = RecordEvent(EventKind.UNKNOWN, *self._holder, entry.fence)
             self._counters.add("marks: unknown after a crash")
-            self.behind.add(
-                entry.digest, event, entry.tenant, now + self._kept * 1000, now, b"", (entry.number,)
+            self.write_behind.add(
+                entry.digest, event, entry.tenant, now + self._kept * 1000, now, b"", (entry.entry_id,)
             )
 
-    def step(self, now: int) -> bool:
+    def run_background_step(self, now: int) -> bool:
         """Background work, some fifty times a second while there is any; whether there is."""
         if self._returned:
             returned, self._returned = self._returned, []
-            self.behind.back(returned)
-        ticket = self.health.trial(now)
-        if ticket is None and not self.health.open and now - self._looked >= _BEAT:
-            ticket = self.health.began(now)
+            self.write_behind.put_back(returned)
+        ticket = self.health.start_probe(now)
+        if ticket is None and not self.health.is_open and now - self._looked >= _BEAT:
+            ticket = self.health.on_round_trip_started(now)
         if ticket is not None:
             self._looked = now
             self._client.submit(
-                [codec.now(), codec.read(self._clock_key)], now + _PATIENCE, partial(self._tried, ticket, now)
+                [codec.get_time(), codec.get_value(self._clock_key)],
+                now + _PATIENCE,
+                partial(self._tried, ticket, now),
             )
         self._tell_changes()
-        if self._warned < self.store_clock.doubtful_before and not self._warning and not self.health.open:
+        if (
+            self._warned < self.store_clock.age_unknown_before_ms
+            and not self._warning
+            and not self.health.is_open
+        ):
             self._warning = True
             self._warn(b"", _TRIES, now)
-        if not self.health.open and self._writing < _OUT:
-            for item in self.behind.take(_OUT - self._writing, now):
+        if not self.health.is_open and self._writing < _OUT:
+            for item in self.write_behind.take_due(_OUT - self._writing, now):
                 self._writing += 1
-                mark = marks.decoded(item.seen)
-                self._write(item, item.seen, mark, _TRIES, now)
+                mark = marks.decode_record(item.expected_value)
+                self._write(item, item.expected_value, mark, _TRIES, now)
         return (
-            len(self.behind) > 0
+            len(self.write_behind) > 0
             or self._writing > 0
             or bool(self._returned)
             or self._warning
-            or self.health.open
+            or self.health.is_open
         )
 
-    def last(self, now: int) -> bool:
+    def run_shutdown_step(self, now: int) -> bool:
         """As `step`, before the process ends: whether there is more that the store would take."""
-        return self.step(now) and not self.health.open
+        return self.run_background_step(now) and not self.health.is_open
 
     def _tried(self, ticket: int, began: int, replies: list[Reply] | None) -> None:
         now = self._clock.now()
-        well = replies is not None and not any(isinstance(reply, Refused) for reply in replies)
+        well = replies is not None and not any(isinstance(reply, ErrorReply) for reply in replies)
         if well:
-            self.store_clock.heard(codec.time(replies[0]), began, now)
-            self.store_clock.told(replies[1])
-        self.health.ended(ticket, well, now)
+            self.store_clock.on_reading(codec.parse_time_ms(replies[0]), began, now)
+            self.store_clock.on_published_regression(replies[1])
+        self.health.on_round_trip_finished(ticket, well, now)
 
     def _warn(self, seen: bytes, tries: int, now: int) -> None:
         """Leaves word in the store of when its clock went back, for gateways that start later."""
-        before = self.store_clock.doubtful_before
-        command = codec.cas(self._clock_key, seen, b"%d" % before, self._kept)
+        before = self.store_clock.age_unknown_before_ms
+        command = codec.compare_and_set(self._clock_key, seen, b"%d" % before, self._kept)
         self._submit([command], now + _PATIENCE, partial(self._was_warned, before, tries), now)
 
     def _was_warned(
         self, before: int, tries: int, replies: list[Reply] | None, _began: int, now: int
     ) -> None:
-        swapped = None if replies is None else codec.swapped(replies[0])
-        if swapped is not None and not swapped.done:
-            self.store_clock.told(swapped.found)
-            if self.store_clock.doubtful_before <= before and swapped.found != b"%d" % before and tries > 1:
-                self._warn(swapped.found or b"", tries - 1, now)
+        swapped = None if replies is None else codec.parse_compare_and_set(replies[0])
+        if swapped is not None and not swapped.is_applied:
+            self.store_clock.on_published_regression(swapped.current_value)
+            if (
+                self.store_clock.age_unknown_before_ms <= before
+                and swapped.current_value != b"%d" % before
+                and tries > 1
+            ):
+                self._warn(swapped.current_value or b"", tries - 1, now)
                 return
         if swapped is not None:
             self._warned = before
         self._warning = False
 
-    def _write(self, item: Item, seen: bytes, mark: Mark | None, tries: int, now: int) -> None:
-        made = marks.step(mark, item.event, self.store_clock.low(now))
-        if made is None and mark is None and seen == item.seen:
+    def _write(
+        self, item: PendingWrite, seen: bytes, mark: IdempotencyRecord | None, tries: int, now: int
+    ) -> None:
+        made = marks.apply_event(mark, item.event, self.store_clock.lower_bound(now))
+        if made is None and mark is None and seen == item.expected_value:
             # Not read yet, and nothing to write where nothing is: what is there must be read first.
-            key = codec.key(self._namespace, item.digest)
+            key = codec.record_key(self._namespace, item.digest)
             self._submit(
-                [codec.read(key), codec.now()], now + _PATIENCE, partial(self._read_for, item, tries), now
+                [codec.get_value(key), codec.get_time()],
+                now + _PATIENCE,
+                partial(self._read_for, item, tries),
+                now,
             )
             return
         if made is None:
@@ -645,50 +676,57 @@
         if not tries:
             self._put_back(item)
             return
-        key, value = codec.key(self._namespace, item.digest), marks.encoded(made)
-        command = codec.cas(key, seen, value, marks.lasts(made, self._kept))
+        key, value = codec.record_key(self._namespace, item.digest), marks.encode_record(made)
+        command = codec.compare_and_set(key, seen, value, marks.retention_ms(made, self._kept))
         self._submit([command], now + _PATIENCE, partial(self._was_written, item, tries, value), now)
 
-    def _read_for(self, item: Item, tries: int, replies: list[Reply] | None, began: int, now: int) -> None:
+    def _read_for(
+        self, item: PendingWrite, tries: int, replies: list[Reply] | None, began: int, now: int
+    ) -> None:
         if replies is None:
             self._put_back(item)
             return
-        self.store_clock.heard(codec.time(replies[1]), began, now)
-        mark = marks.decoded(replies[0])
+        self.store_clock.on_reading(codec.parse_time_ms(replies[1]), began, now)
+        mark = marks.decode_record(replies[0])
         if mark is None:
             self._written(item)  # nothing is there, and nothing is to be
         else:
             self._write(item, replies[0], mark, tries - 1, now)
 
     def _was_written(
-        self, item: Item, tries: int, value: bytes, replies: list[Reply] | None, began: int, now: int
+        self, item: PendingWrite, tries: int, value: bytes, replies: list[Reply] | None, began: int, now: int
     ) -> None:
         if replies is None:
             self._put_back(item)
             return
-        swapped = codec.swapped(replies[0])
-        self.store_clock.heard(swapped.at, began, now)
-        if swapped.done or swapped.found == value:
+        swapped = codec.parse_compare_and_set(replies[0])
+        self.store_clock.on_reading(swapped.store_now_ms, began, now)
+        if swapped.is_applied or swapped.current_value == value:
             self._counters.add("marks: written")
             self._written(item, value)
             return
-        if swapped.found is None and item.seen:
+        if swapped.current_value is None and item.expected_value:
             self._counters.add("marks: lost by the store")
-        if swapped.found is None and marks.step(None, item.event, swapped.at) is None:
+        if (
+            swapped.current_value is None
+            and marks.apply_event(None, item.event, swapped.store_now_ms) is None
+        ):
             self._written(item)
             return
-        self._write(item, swapped.found or b"", marks.decoded(swapped.found), tries - 1, now)
+        self._write(
+            item, swapped.current_value or b"", marks.decode_record(swapped.current_value), tries - 1, now
+        )
 
-    def _put_back(self, item: Item) -> None:
+    def _put_back(self, item: PendingWrite) -> None:
         # Danger: whether it was written is not known; what it is to find there is not, either.
         self._writing -= 1
         self._returned.append(item)
 
-    def _written(self, item: Item, value: bytes | None = None) -> None:
+    def _written(self, item: PendingWrite, value: bytes | None = None) -> None:
         self._writing -= 1
-        for number in item.numbers if self._desk is not None else ():
-            self._desk.settle(number)
-        if item.event.kind is Kind.SENT and value is not None:
+        for number in item.journal_ids if self._desk is not None else ():
+            self._desk.append_settled(number)
+        if item.event.kind is EventKind.DISPATCHED and value is not None:
             # Its outcome comes later, and finds this.
             for held in self._open.values():
                 if held.digest == item.digest and held.claimed and held.claimed.fence == item.event.fence:
@@ -699,7 +737,7 @@
     def _submit(
         self, commands: list[Command], by: int, then: Callable[[list[Reply] | None, int, int], None], now: int
     ) -> None:
-        ticket = self.health.began(now)
+        ticket = self.health.on_round_trip_started(now)
         self._counters.add("marks: round trips")
         self._client.submit(commands, by, partial(self._replied, ticket, now, then))
 
@@ -711,31 +749,33 @@
         replies: list[Reply] | None,
     ) -> None:
         now = self._clock.now()
-        refused = replies is not None and any(isinstance(reply, Refused) for reply in replies)
+        refused = replies is not None and any(isinstance(reply, ErrorReply) for reply in replies)
         if refused:
             self._counters.add("marks: refused by the store")
-        self.health.ended(ticket, replies is not None and not refused, now)
+        self.health.on_round_trip_finished(ticket, replies is not None and not refused, now)
         then(None if refused else replies, began, now)
 
     def _tell_changes(self) -> None:
         """Lines for operators, once a change."""
-        if self.health.open != self._told_open:
-            self._told_open = self.health.open
-            self._counters.add("marks: breaker opened" if self.health.open else "marks: breaker closed")
+        if self.health.is_open != self._told_open:
+            self._told_open = self.health.is_open
+            self._counters.add("marks: breaker opened" if self.health.is_open else "marks: breaker closed")
             self._say(
                 "the store is away or slow: nothing is asked of it until trials go well"
-                if self.health.open
-                else f"the store is asked again; {len(self.behind)} outcomes wait to be written"
+                if self.health.is_open
+                else f"the store is asked again; {len(self.write_behind)} outcomes wait to be written"
+            )
+        if self.store_clock.regressions > self._jumps:
+            self._counters.add(
+                "marks: clock of the store went back", self.store_clock.regressions - self._jumps
             )
-        if self.store_clock.jumps > self._jumps:
-            self._counters.add("marks: clock of the store went back", self.store_clock.jumps - self._jumps)
-            self._jumps = self.store_clock.jumps
+            self._jumps = self.store_clock.regressions
             self._say("the store's clock went back: older marks count as of unknown age")
-        if self.behind.dropped > self._dropped:
-            self._counters.add("marks: outcomes dropped", self.behind.dropped - self._dropped)
-            self._dropped = self.behind.dropped
-        if self._desk is not None and self._desk.trouble != self._trouble:
-            self._trouble = self._desk.trouble
+        if self.write_behind.dropped_count > self._dropped:
+            self._counters.add("marks: outcomes dropped", self.write_behind.dropped_count - self._dropped)
+            self._dropped = self.write_behind.dropped_count
+        if self._desk is not None and self._desk.last_error != self._trouble:
+            self._trouble = self._desk.last_error
             self._say(
                 f"the journal can't be written: {self._trouble}"
                 if self._trouble
--- a/cresstray/idempotency/execution_guard.py
+++ b/cresstray/idempotency/execution_guard.py
@@ -11,7 +11,13 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from cresstray.idempotency.records import Event, Kind, Mark, State, kept_result
+from cresstray.idempotency.records import (
+    EventKind,
+    IdempotencyRecord,
+    RecordEvent,
+    RecordState,
+    stored_result,
+)
 from cresstray.policy.sliding_window import SlidingWindow
 from cresstray.policy.types import RequestClass
 
@@ -29,100 +35,102 @@
 _LONGEST = 600_000_000
 
 
-class Guarded(Enum):
+class GuardMode(Enum):
     """What guards a tariff's submissions against a second run."""
 
-    FREE = "free"  # idempotent, or not named by the operator: needs no mark
-    SHARED = "shared"  # deduplicated, all engines share one memory: that, then the mark
-    APART = "apart"  # deduplicated, by zone or cell or without a memory: across gateways the mark alone
-    ONCE = "once"  # unrepeatable: the mark alone, where the client gives a name
+    NOT_NEEDED = "free"  # idempotent, or not named by the operator: needs no mark
+    SHARED_DEDUP_WINDOW = "shared"  # deduplicated, all engines share one memory: that, then the mark
+    SCOPED_DEDUP_WINDOW = (
+        "apart"  # deduplicated, by zone or cell or without a memory: across gateways the mark alone
+    )
+    AT_MOST_ONCE = "once"  # unrepeatable: the mark alone, where the client gives a name
 
 
-def guarded(request_class: RequestClass, name: str, lines: Mapping[str, Any]) -> Guarded:
+def guard_mode_of(request_class: RequestClass, name: str, lines: Mapping[str, Any]) -> GuardMode:
     """`lines["tariffs"]`: the names of the tariffs that the operator has marked."""
     if request_class.is_idempotent or name not in lines.get("tariffs", ()):
-        return Guarded.FREE
+        return GuardMode.NOT_NEEDED
     if not request_class.is_deduplicated:
-        return Guarded.ONCE
+        return GuardMode.AT_MOST_ONCE
     shared = request_class.dedup_scope == "all" and request_class.dedup_window_us > 2 * (_TRAVEL + _WORTH)
-    return Guarded.SHARED if shared else Guarded.APART
+    return GuardMode.SHARED_DEDUP_WINDOW if shared else GuardMode.SCOPED_DEDUP_WINDOW
 
 
-class Holder(NamedTuple):
+class ClaimHolder(NamedTuple):
     owner: str
-    life: str
+    incarnation: str
 
 
-class Times(NamedTuple):
+class RequestTiming(NamedTuple):
     """Of one submission, microseconds of this gateway's clock; `memory`: how long engines remember it.
 
     `hard_stop`: so long an intention must hold.
     """
 
-    asked: int
-    leave_by: int  # until then it can be sent and answered within its soft limit
-    hard_stop: int
-    memory: int
+    started_us: int
+    latest_dispatch_us: int  # until then it can be sent and answered within its soft limit
+    deadline_us: int
+    dedup_window_us: int
 
 
-class Found(NamedTuple):
+class LookupResult(NamedTuple):
     """`at`: ms of the store's clock; `doubtful_before`: marks from before it then are of unknown age."""
 
-    mark: Mark | None
-    at: int
-    doubtful_before: int = 0
+    record: IdempotencyRecord | None
+    store_now_ms: int
+    age_unknown_before_ms: int = 0
 
 
-class Silence(NamedTuple):
+class StoreUnavailable(NamedTuple):
     """`since`: for how long the store has not answered well, microseconds."""
 
-    why: str
-    since: int = 0
+    reason: str
+    unavailable_us: int = 0
 
 
 class Claim(NamedTuple):
     """The intention is to be written first; then what the store says decides."""
 
-    event: Event
+    event: RecordEvent
 
 
-class Go(NamedTuple):
+class Proceed(NamedTuple):
     """`until`: ms of the store's clock at which no relay may go out any more."""
 
     fence: int
-    until: int
+    valid_until_ms: int
 
 
 class Wait(NamedTuple):
-    again_at: int
+    retry_at_us: int
 
 
-class Deny(NamedTuple):
-    come_back: int  # microseconds
+class Reject(NamedTuple):
+    retry_after_us: int  # microseconds
 
 
-class Abandon(NamedTuple):
+class Fail(NamedTuple):
     """It has run, or may have: a repeat would not be discarded any more."""
 
-    why: str
+    reason: str
 
 
-class Answer(NamedTuple):
+class ReplayResult(NamedTuple):
     result: bytes
 
 
-class Unguarded(NamedTuple):
-    why: str
+class ProceedUnguarded(NamedTuple):
+    reason: str
 
 
-Decision = Claim | Go | Wait | Deny | Abandon | Answer | Unguarded
+Decision = Claim | Proceed | Wait | Reject | Fail | ReplayResult | ProceedUnguarded
 
 
-def margin(memory: int) -> int:
+def dedup_safety_margin_us(memory: int) -> int:
     return _TRAVEL + memory // _DRIFT
 
 
-class Guard:
+class ExecutionGuard:
     """`lines`: the operator's; `honoured`: microseconds that clients wait at most before they come back."""
 
     def __init__(self, lines: Mapping[str, Any], honoured: int, chance: Callable[[], float]) -> None:
@@ -132,69 +140,84 @@
         self._longest = int(lines.get("unguarded_s", 0) * 1_000_000)
         self._passed = {name: SlidingWindow(1_000_000, 10) for name in sorted(self._most)}
 
-    def claim(
-        self, kind: Guarded, mark: Mark | None, holder: Holder, at: int, times: Times, now: int
+    def make_claim(
+        self,
+        kind: GuardMode,
+        mark: IdempotencyRecord | None,
+        holder: ClaimHolder,
+        at: int,
+        times: RequestTiming,
+        now: int,
     ) -> Claim:
         """The intention for one that no other has, or, within the engines' memory, beside another's.
 
         `at`: no later than the store's time by now. Fences grow with that where nothing is left of the last.
         """
-        taken_over = mark is not None and mark.state is not State.UNSEEN
-        since = min(mark.since, at) if taken_over else at
-        until = at + min(_LONGEST, max(0, times.hard_stop - now)) // 1000
-        if kind is Guarded.SHARED:
+        taken_over = mark is not None and mark.state is not RecordState.ABSENT
+        since = min(mark.earliest_dispatch_ms, at) if taken_over else at
+        until = at + min(_LONGEST, max(0, times.deadline_us - now)) // 1000
+        if kind is GuardMode.SHARED_DEDUP_WINDOW:
             until = min(until, self._guarded_until(since, times))
         fence = at if mark is None else max(mark.fence + 1, at)
-        return Claim(Event(Kind.INTEND, *holder, fence, since, until))
-
-    def decide(self, kind: Guarded, found: Found, holder: Holder, times: Times, now: int) -> Decision:
-        assert kind is not Guarded.FREE, "asked for a tariff that needs no mark"
-        mark, at = found.mark, found.at
-        if mark is None or mark.state is State.UNSEEN:
-            return self.claim(kind, mark, holder, at, times, now)
-        if mark.state is State.ENDED:
-            result = kept_result(mark.outcome)
+        return Claim(RecordEvent(EventKind.CLAIM, *holder, fence, since, until))
+
+    def decide(
+        self, kind: GuardMode, found: LookupResult, holder: ClaimHolder, times: RequestTiming, now: int
+    ) -> Decision:
+        assert kind is not GuardMode.NOT_NEEDED, "asked for a tariff that needs no mark"
+        mark, at = found.record, found.store_now_ms
+        if mark is None or mark.state is RecordState.ABSENT:
+            return self.make_claim(kind, mark, holder, at, times, now)
+        if mark.state is RecordState.COMPLETED:
+            result = stored_result(mark.outcome)
             if result is not None:
-                return Answer(result)
-        until = self._guarded_until(mark.since, times) if kind is Guarded.SHARED else 0
-        if mark.since > at + _FUTURE or mark.since < found.doubtful_before:
+                return ReplayResult(result)
+        until = (
+            self._guarded_until(mark.earliest_dispatch_ms, times)
+            if kind is GuardMode.SHARED_DEDUP_WINDOW
+            else 0
+        )
+        if (
+            mark.earliest_dispatch_ms > at + _FUTURE
+            or mark.earliest_dispatch_ms < found.age_unknown_before_ms
+        ):
             until = 0
         guards = until - at > _WORTH // 1000
-        if mark.state in (State.ENDED, State.UNKNOWN):
+        if mark.state in (RecordState.COMPLETED, RecordState.UNKNOWN):
             # While the engines remember, they answer a repeat with what the first came to, or run what never
             # ran.
             if guards:
-                return Go(mark.fence, until)
-            return Abandon("it has run" if mark.state is State.ENDED else "it may have run")
-        if at < mark.until:
-            pause = min(_LATEST, max(_SOONEST, (now - times.asked) // 2))
+                return Proceed(mark.fence, until)
+            return Fail("it has run" if mark.state is RecordState.COMPLETED else "it may have run")
+        if at < mark.valid_until_ms:
+            pause = min(_LATEST, max(_SOONEST, (now - times.started_us) // 2))
             again_at = now + int(pause * (0.5 + 0.5 * self._chance()))
             # Half of the time there is: the other half is for a relay of our own, should its holder be gone.
-            if again_at < times.asked + (times.leave_by - times.asked) // 2:
+            if again_at < times.started_us + (times.latest_dispatch_us - times.started_us) // 2:
                 return Wait(again_at)
         if guards:
-            return self.claim(kind, mark, holder, at, times, now)
-        if at < mark.until:
-            return Deny(self.come_back((mark.until - at) * 1000))
-        return Abandon("its gateway is gone, and may have sent it")
+            return self.make_claim(kind, mark, holder, at, times, now)
+        if at < mark.valid_until_ms:
+            return Reject(self.make_retry_after((mark.valid_until_ms - at) * 1000))
+        return Fail("its gateway is gone, and may have sent it")
 
-    def silent(self, silence: Silence, name: str, now: int) -> Decision:
+    def decide_without_store(self, silence: StoreUnavailable, name: str, now: int) -> Decision:
         """Nothing is known of it. Danger: it may have run elsewhere, longer ago than the engines remember."""
         ring = self._passed.get(name)
         if (
             ring is not None
-            and silence.since <= self._longest
+            and silence.unavailable_us <= self._longest
             and ring.upper_bound(now) + 1 <= self._most[name]
         ):
             ring.add(now)
-            return Unguarded(silence.why)
-        return Deny(self.come_back(0))
+            return ProceedUnguarded(silence.reason)
+        return Reject(self.make_retry_after(0))
 
-    def come_back(self, at_least: int) -> int:
+    def make_retry_after(self, at_least: int) -> int:
         """Spread, so that those denied together do not return together; within what clients honour."""
         least = max(self._honoured // 2, min(at_least, 3 * self._honoured // 4))
         return least + int((self._honoured - least) * self._chance())
 
-    def _guarded_until(self, since: int, times: Times) -> int:
+    def _guarded_until(self, since: int, times: RequestTiming) -> int:
         """Until when the engines surely remember what was sent no sooner than `since`; ms of the store."""
-        return since + max(0, times.memory - margin(times.memory)) // 1000
+        return since + max(0, times.dedup_window_us - dedup_safety_margin_us(times.dedup_window_us)) // 1000
--- a/cresstray/idempotency/health.py
+++ b/cresstray/idempotency/health.py
@@ -32,7 +32,7 @@
 _FAR = 86_400_000
 
 
-class Health:
+class StoreHealth:
     """`lines`: `ask_most_ms`, the longest that a submission may ask; `slow_ms`, what counts as a fault."""
 
     def __init__(self, lines: Mapping[str, Any], chance: Callable[[], float], now: int) -> None:
@@ -43,25 +43,25 @@
         self._tickets: dict[int, int] = {}  # when each began
         self._number = 0
         # It begins open: nothing is known of it before it has answered.
-        self.open, self._streak, self._failed, self._needed = True, 0, 0, 1
+        self.is_open, self._streak, self._failed, self._needed = True, 0, 0, 1
         self._trial: int | None = None  # the ticket of the one that is out
         self._trial_at, self._well_at = now, now
 
-    def budget(self, slack: int, now: int) -> int:
+    def time_budget(self, slack: int, now: int) -> int:
         """Microseconds that may be spent asking, of `slack`; 0: go on without. Never all that is left."""
-        if self.open or len(self._tickets) >= _MOST_OUT:
+        if self.is_open or len(self._tickets) >= _MOST_OUT:
             return 0
         count = self._count.lower_bound(now)
         usual = self._sum.lower_bound(now) / count if count else 0.0
         budget = min(self._most, slack // _SHARE, max(self._slow, int(_TRIPS * usual)))
         return budget if budget > usual else 0
 
-    def began(self, now: int) -> int:
+    def on_round_trip_started(self, now: int) -> int:
         self._number += 1
         self._tickets[self._number] = now
         return self._number
 
-    def ended(self, ticket: int, well: bool, now: int) -> None:
+    def on_round_trip_finished(self, ticket: int, well: bool, now: int) -> None:
         """`well`: it answered, and what was asked for."""
         begun = self._tickets.pop(ticket, None)
         assert begun is not None, "a round trip ended that was not begun"
@@ -78,15 +78,15 @@
             return
         self._faults.add(now)
         faults = self._faults.upper_bound(now)
-        if not self.open and faults >= _FAULTS and faults >= _HALF * self._count.upper_bound(now):
-            self.open, self._streak, self._failed, self._needed = True, 0, 0, _TRIALS
+        if not self.is_open and faults >= _FAULTS and faults >= _HALF * self._count.upper_bound(now):
+            self.is_open, self._streak, self._failed, self._needed = True, 0, 0, _TRIALS
             self._rest(now)
 
-    def trial(self, now: int) -> int | None:
+    def start_probe(self, now: int) -> int | None:
         """A ticket for the one trial that is due, if one is: never a submission's own question."""
-        if not self.open or self._trial is not None or now < self._trial_at:
+        if not self.is_open or self._trial is not None or now < self._trial_at:
             return None
-        self._trial = self.began(now)
+        self._trial = self.on_round_trip_started(now)
         return self._trial
 
     def _tried(self, well: bool, now: int) -> None:
@@ -96,7 +96,7 @@
             # The next after a good one comes soon, within a second all told.
             self._rest(now)
             return
-        self.open, self._well_at = False, now
+        self.is_open, self._well_at = False, now
         # What it was like before it opened says nothing of what it is like now.
         self._sum, self._count, self._faults = (SlidingWindow(_SPAN, _PARTS) for _ in range(3))
 
@@ -105,7 +105,7 @@
         pause = min(_LONGEST_PAUSE, _PAUSE << min(self._failed, 4))
         self._trial_at = now + int(pause * (0.5 + 0.5 * self._chance()))
 
-    def silent_for(self, now: int) -> int:
+    def unavailable_for(self, now: int) -> int:
         """Microseconds since it last answered well."""
         return max(0, now - self._well_at)
 
@@ -118,37 +118,37 @@
 
     def __init__(self) -> None:
         self._at, self._sent, self._heard = 0, 0, 0  # its ms, between these two moments of ours
-        self.doubtful_before = 0  # ms: what is from before that may be older than it looks
-        self.jumps = 0
+        self.age_unknown_before_ms = 0  # ms: what is from before that may be older than it looks
+        self.regressions = 0
 
-    def known(self, now: int) -> bool:
+    def is_known(self, now: int) -> bool:
         """Well enough to draw fences by: a minute's drift is under a second."""
         return self._at > 0 and now - self._heard < 60_000_000
 
-    def low(self, now: int) -> int:
+    def lower_bound(self, now: int) -> int:
         """It is at least that late there, in ms."""
         passed = now - self._heard
         return self._at + int(passed * (0.99 if passed > 0 else 1.01)) // 1000
 
-    def high(self, now: int) -> int:
+    def upper_bound(self, now: int) -> int:
         passed = now - self._sent
         return self._at + int(passed * (1.01 if passed > 0 else 0.99)) // 1000 + 1
 
-    def told(self, value: bytes | None) -> None:
+    def on_published_regression(self, value: bytes | None) -> None:
         """What another gateway has left in the store of the last time that it saw the clock go back."""
         if value is not None and value.isdigit() and len(value) <= 15:
             # Danger: a value that is wrong would leave all marks without an age, for good.
             before = int(value)
             if before < self._at + _FAR:
-                self.doubtful_before = max(self.doubtful_before, before)
+                self.age_unknown_before_ms = max(self.age_unknown_before_ms, before)
 
-    def heard(self, at: int, sent: int, now: int) -> None:
+    def on_reading(self, at: int, sent: int, now: int) -> None:
         """It said `at`, asked at `sent` and heard now."""
         # Danger: a store that has failed over to another machine, or was set back, makes marks look young.
         # All that may be from before that moment is of unknown age.
-        if self._at and at + _BACK < self.low(sent):
-            self.jumps += 1
-            self.doubtful_before = max(self.doubtful_before, self.high(now))
+        if self._at and at + _BACK < self.lower_bound(sent):
+            self.regressions += 1
+            self.age_unknown_before_ms = max(self.age_unknown_before_ms, self.upper_bound(now))
         elif at <= self._at:
             return  # answers that overtook each other say no more
         self._at, self._sent, self._heard = at, sent, now
--- a/cresstray/idempotency/in_flight.py
+++ b/cresstray/idempotency/in_flight.py
@@ -6,48 +6,58 @@
 from collections.abc import Callable, Sequence
 
 from cresstray.idempotency import codec
-from cresstray.idempotency.codec import BrokenError, Command, Kind, Refused, Reply
+from cresstray.idempotency.codec import Command, ErrorKind, ErrorReply, ProtocolError, Reply
 
 Replies = list[Reply]
 # What refuses a PING as well.
-_REFUSE_ALL = (Kind.LOADING, Kind.BUSY, Kind.DENIED)
+_REFUSE_ALL = (ErrorKind.LOADING, ErrorKind.BUSY, ErrorKind.DENIED)
 # Microseconds between two tries of all addresses: doubled each time, and spread by a half. As halls have it.
 _PAUSE, _PAUSE_MOST = 50_000, 1_000_000
 # A connection that lived so long worked; one that did not is made again later and later.
 _WORKED = 2_000_000
 
 
-class Asked:
+class CommandBatch:
     """One submission of commands, from when it was made until its caller has heard of it."""
 
-    __slots__ = ("commands", "by", "call", "size", "written", "replies", "due")
+    __slots__ = (
+        "commands",
+        "deadline_us",
+        "on_done",
+        "size_bytes",
+        "may_have_been_sent",
+        "replies",
+        "timeout",
+    )
 
     def __init__(self, commands: Sequence[Command], by: int, call: Callable[[Replies | None], None]) -> None:
-        self.commands, self.by = tuple(commands), by
-        self.call: Callable[[Replies | None], None] | None = call
-        self.size = sum(command.size for command in commands)
-        self.written = False  # whether any of it may have left; False at the end: nothing of it ran
+        self.commands, self.deadline_us = tuple(commands), by
+        self.on_done: Callable[[Replies | None], None] | None = call
+        self.size_bytes = sum(command.size_bytes for command in commands)
+        self.may_have_been_sent = (
+            False  # whether any of it may have left; False at the end: nothing of it ran
+        )
         self.replies: Replies = [None] * len(self.commands)
-        self.due = None  # the call at its time limit
+        self.timeout = None  # the call at its time limit
 
-    def drop(self) -> None:
+    def release(self) -> None:
         """Nobody waits for it any more. What still comes is counted off, and not kept."""
-        self.call, self.commands, self.replies = None, (), []
+        self.on_done, self.commands, self.replies = None, (), []
 
 
-class _Turn:
+class _WrittenGroup:
     """What was written of one submission in one piece: these commands of it, then a PING with a number."""
 
     __slots__ = ("asked", "at", "fits", "token", "again", "got", "refused")
 
-    def __init__(self, asked: Asked, at: Sequence[int], token: bytes, again: bool) -> None:
+    def __init__(self, asked: CommandBatch, at: Sequence[int], token: bytes, again: bool) -> None:
         self.asked, self.at, self.token, self.again = asked, at, token, again
-        self.fits = [asked.commands[index].fits for index in at]
+        self.fits = [asked.commands[index].accepts_reply for index in at]
         self.got: Replies = []
         self.refused = True  # all of it so far
 
 
-class Flight:
+class CommandPipeline:
     """All that is out on one connection.
 
     Danger: replies have no names. One too many, and each command would get the reply of the one before: a
@@ -58,50 +68,50 @@
     def __init__(self, most: int) -> None:
         """`most`: submissions that may be out, those that nobody waits for any more among them."""
         self._most, self._number = most, 0
-        self._out: deque[_Turn] = deque()
-        self.since = 0  # when the last whole reply came, or the first of those that are out left
+        self._out: deque[_WrittenGroup] = deque()
+        self.last_progress_us = 0  # when the last whole reply came, or the first of those that are out left
 
     def __len__(self) -> int:
         return len(self._out)
 
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         return len(self._out) < self._most
 
-    def begin(self, asked: Asked, now: int) -> bytes:
+    def start(self, asked: CommandBatch, now: int) -> bytes:
         """What is to be written."""
         return self._begin(asked, range(len(asked.commands)), False, now)
 
-    def _begin(self, asked: Asked, at: Sequence[int], again: bool, now: int) -> bytes:
+    def _begin(self, asked: CommandBatch, at: Sequence[int], again: bool, now: int) -> bytes:
         self._number += 1
-        turn = _Turn(asked, at, b"%d" % self._number, again)
+        turn = _WrittenGroup(asked, at, b"%d" % self._number, again)
         if not self._out:
-            self.since = now
+            self.last_progress_us = now
         self._out.append(turn)
         commands = [asked.commands[index] for index in at]
-        words = [command.whole if again else command.words for command in commands]
-        return b"".join(map(codec.pack, (*words, codec.ping(turn.token).words)))
+        words = [command.arguments_with_script if again else command.arguments for command in commands]
+        return b"".join(map(codec.pack_arguments, (*words, codec.make_ping(turn.token).arguments)))
 
-    def took(self, reply: Reply, now: int) -> tuple[Asked | None, bytes]:
+    def on_reply(self, reply: Reply, now: int) -> tuple[CommandBatch | None, bytes]:
         """A submission that is over now, and what is to be written. BrokenError where it can't be its reply.
 
         It stays an error of this connection only where replies are too many or too few, not both at once.
         """
         if not self._out:
-            raise BrokenError("a reply that nobody has asked for")
-        self.since, turn = now, self._out[0]
+            raise ProtocolError("a reply that nobody has asked for")
+        self.last_progress_us, turn = now, self._out[0]
         if len(turn.got) < len(turn.fits):
-            refused = type(reply) is Refused
+            refused = type(reply) is ErrorReply
             if not refused and not turn.fits[len(turn.got)](reply):
-                raise BrokenError(f"out of step: {str(reply)[:60]}")
+                raise ProtocolError(f"out of step: {str(reply)[:60]}")
             turn.refused = turn.refused and refused
-            turn.got.append(None if turn.asked.call is None else reply)
+            turn.got.append(None if turn.asked.on_done is None else reply)
             return None, b""
-        refuses_all = type(reply) is Refused and reply.kind in _REFUSE_ALL and turn.refused
+        refuses_all = type(reply) is ErrorReply and reply.kind in _REFUSE_ALL and turn.refused
         if reply != turn.token and not refuses_all:
-            raise BrokenError(f"out of step: {str(reply)[:60]} where number {turn.token.decode()} belongs")
+            raise ProtocolError(f"out of step: {str(reply)[:60]} where number {turn.token.decode()} belongs")
         self._out.popleft()
         asked = turn.asked
-        if asked.call is None:
+        if asked.on_done is None:
             return None, b""
         for index, one in zip(turn.at, turn.got):
             asked.replies[index] = one
@@ -112,18 +122,20 @@
             else [
                 index
                 for index, one in zip(turn.at, turn.got)
-                if type(one) is Refused and one.kind is Kind.NOSCRIPT and asked.commands[index].whole
+                if type(one) is ErrorReply
+                and one.kind is ErrorKind.NOSCRIPT
+                and asked.commands[index].arguments_with_script
             ]
         )
         return (None, self._begin(asked, again, True, now)) if again else (asked, b"")
 
-    def end(self) -> list[Asked]:
+    def close(self) -> list[CommandBatch]:
         """The connection has ended: those that somebody waits for."""
         left, self._out = [turn.asked for turn in self._out], deque()
-        return [asked for asked in left if asked.call is not None]
+        return [asked for asked in left if asked.on_done is not None]
 
 
-class Places:
+class PrimaryTracker:
     """The store's addresses, and which of them is the primary by its own word.
 
     Danger: with a connection to each of two that both call themselves primary, a mark set in one would not be
@@ -137,13 +149,13 @@
         self._last = 0  # the primary of before
         self._held = 0  # connections to the primary
 
-    def order(self) -> list[int]:
+    def connection_order(self) -> list[int]:
         """In which order they are tried now."""
         if self.primary is not None:
             return [self.primary]
         return [self._last, *(at for at in range(len(self.addresses)) if at != self._last)]
 
-    def found(self, at: int, primary: bool) -> bool:
+    def on_greeted(self, at: int, primary: bool) -> bool:
         """What a greeting has told: whether this connection is to be used. Then `ended` is to follow."""
         if not primary or self.primary not in (None, at):
             return False
@@ -151,14 +163,14 @@
         self._held += 1
         return True
 
-    def ended(self, at: int) -> None:
+    def on_connection_closed(self, at: int) -> None:
         """A connection that was used."""
         if at == self.primary:
             self._held -= 1
             if not self._held:
                 self.primary = None
 
-    def demoted(self, at: int) -> bool:
+    def on_demoted(self, at: int) -> bool:
         """It is no primary any more: its connections are to end. False where that is known."""
         if at != self.primary:
             return False
@@ -166,13 +178,13 @@
         return True
 
 
-class Pause:
+class ReconnectBackoff:
     """How long to wait, in microseconds, before the addresses are tried again."""
 
     def __init__(self, chance: Callable[[], float]) -> None:
         self._chance, self._next = chance, _PAUSE
 
-    def after(self, lived: int) -> int:
+    def next_delay(self, lived: int) -> int:
         # Danger: all gateways lose the store at once, and would all come back at once.
         if lived >= _WORKED:
             self._next = _PAUSE
--- a/cresstray/model_checking/marked.py
+++ b/cresstray/model_checking/marked.py
@@ -17,8 +17,15 @@
 from cresstray.idempotency import execution_guard as guard
 from cresstray.idempotency import records as marks
 from cresstray.idempotency.codec import Command
-from cresstray.idempotency.coordinator import Marks
-from cresstray.idempotency.execution_guard import Answer, Decision, Deny, Go, Guard, Unguarded
+from cresstray.idempotency.coordinator import IdempotencyCoordinator
+from cresstray.idempotency.execution_guard import (
+    Decision,
+    ExecutionGuard,
+    Proceed,
+    ProceedUnguarded,
+    Reject,
+    ReplayResult,
+)
 from cresstray.model_checking.patching import Mutant, lines
 from cresstray.model_checking.world import (
     Bounds,
@@ -65,18 +72,18 @@
         if self.decided is not None:
             world.breaks("one_answer", f"{self.gate.name} is told twice what to do")
             return
-        self.decided = isinstance(decision, Go | Unguarded)
-        self.unguarded = isinstance(decision, Unguarded)
+        self.decided = isinstance(decision, Proceed | ProceedUnguarded)
+        self.unguarded = isinstance(decision, ProceedUnguarded)
         if not self.decided:
             self.over = True
-            if isinstance(decision, Deny) and not 0 <= decision.come_back <= 1_000 * MILLI:
-                world.breaks("sound", f"{self.gate.name} denies until {decision.come_back}")
-            if isinstance(decision, Answer) and not world.runs:
+            if isinstance(decision, Reject) and not 0 <= decision.retry_after_us <= 1_000 * MILLI:
+                world.breaks("sound", f"{self.gate.name} denies until {decision.retry_after_us}")
+            if isinstance(decision, ReplayResult) and not world.runs:
                 world.breaks("own_name", f"{self.gate.name} answers from what never ran")
 
     def end(self, how: str, result: bytes | None = None) -> None:
         self.over = True
-        self.gate.marks.ended(self.request, how, result, self.gate.world.clock.at)
+        self.gate.marks.on_request_finished(self.request, how, result, self.gate.world.clock.at)
 
 
 class Question(NamedTuple):
@@ -101,7 +108,7 @@
         self.timers = VirtualTimers(world.clock)
         self.stopped = False
         self.asked: Asked | None = None
-        self.marks = Marks(
+        self.marks = IdempotencyCoordinator(
             self,
             _LINES,
             _SETTINGS,
@@ -117,7 +124,7 @@
         )
 
     def submit(self, commands: list[Command], by: int, call: Callable[[list | None], None]) -> None:
-        world, words = self.world, tuple(command.words for command in commands)
+        world, words = self.world, tuple(command.arguments for command in commands)
         if words[0][0] == b"TIME":
             # Trials and looks at the clock go well: no submission waits for them.
             self.timers.call_after(0, lambda _: call([world.execute(one) for one in words]))
@@ -299,7 +306,7 @@
         if what == "is asked":
             self.asks -= 1
             gate.asked = asked = Asked(gate, self.tariff, now)
-            if not gate.marks.ask(asked, now, asked.told):
+            if not gate.marks.check(asked, now, asked.told):
                 self.breaks("sound", f"{gate.name} asks for no mark")
         elif what.startswith("sends"):
             self._send(gate, asked, what == "sends")
@@ -315,11 +322,11 @@
 
     def _send(self, gate: Gate, asked: Asked, runs: bool) -> None:
         now = self.clock.at
-        if not gate.marks.may_send(asked.request, now):
+        if not gate.marks.may_dispatch(asked.request, now):
             asked.end("denied")
             return
         asked.sent = True
-        gate.marks.sent(asked.request, now)
+        gate.marks.on_attempt_sent(asked.request, now)
         if not runs:
             self._back(gate, Outcome.OVERLOADED)
             return
@@ -332,7 +339,7 @@
         """As the passage has it: the relay's end first, then the answer. Nothing is sent again here."""
         asked, now = gate.asked, self.clock.at
         asked.back = True
-        gate.marks.relay_ended(asked.request, ending, now)
+        gate.marks.on_attempt_finished(asked.request, ending, now)
         if not asked.over:
             how = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}.get(ending, "failed")
             asked.end(how, b"r" if ending is Outcome.SUCCEEDED else None)
@@ -374,7 +381,7 @@
         """What is done behind: steps of what waits to be written, and calls of this moment."""
         if gate.stopped:
             return
-        gate.marks.step(self.clock.at)
+        gate.marks.run_background_step(self.clock.at)
         while gate.timers.line and gate.timers.line[0].due_us <= self.clock.at and gate.life:
             gate.timers.run_due()
 
@@ -405,9 +412,9 @@
         "marks",
         lines(
             (
-                Marks.ask,
+                IdempotencyCoordinator.check,
                 "self._look_up(held, now)",
-                "held.until = held.times.hard_stop; self._tell(held, Go(0, 0), now)",
+                "held.until = held.times.deadline_us; self._tell(held, Proceed(0, 0), now)",
             )
         ),
     ),
@@ -417,8 +424,8 @@
         "marks",
         lines(
             (
-                marks._holds,
-                "(mark.fence, mark.owner, mark.life) == (event.fence, event.owner, event.life)",
+                marks._is_holder,
+                "(mark.fence, mark.owner, mark.incarnation) == (event.fence, event.owner, event.incarnation)",
                 "True",
             )
         ),
@@ -427,34 +434,56 @@
         "lease_by_timer_alone",
         "deduplicated",
         "marks",
-        lines((Marks.may_send, "and now < held.until", "")),
+        lines((IdempotencyCoordinator.may_dispatch, "and now < held.until", "")),
     ),
     Mutant(
         "unknown_is_unrun",
         "deduplicated",
         "marks",
-        lines((Marks._settle, "Kind.UNKNOWN if held.may_have_run else Kind.UNRUN", "Kind.UNRUN")),
+        lines(
+            (
+                IdempotencyCoordinator._settle,
+                "EventKind.UNKNOWN if held.may_have_run else EventKind.NOT_EXECUTED",
+                "EventKind.NOT_EXECUTED",
+            )
+        ),
     ),
     Mutant(
         "set_for_compare_and_set",
         "deduplicated",
         "marks",
-        lines((codec.cas, '(b"EVALSHA", CAS_SHA, *rest)', '(b"SET", CAS_SHA, *rest)')),
+        lines(
+            (
+                codec.compare_and_set,
+                '(b"EVALSHA", COMPARE_AND_SET_SHA, *rest)',
+                '(b"SET", COMPARE_AND_SET_SHA, *rest)',
+            )
+        ),
     ),
     Mutant(
         "takeover_forgets_the_first",
         "deduplicated",
         "marks",
         lines(
-            (Guard.claim, "min(mark.since, at) if taken_over else at", "at"),
-            (marks._intended, "min(mark.since, event.since) if taken_over else event.since", "event.since"),
+            (ExecutionGuard.make_claim, "min(mark.earliest_dispatch_ms, at) if taken_over else at", "at"),
+            (
+                marks._on_claim,
+                "min(mark.earliest_dispatch_ms, event.earliest_dispatch_ms)",
+                "event.earliest_dispatch_ms",
+            ),
         ),
     ),
     Mutant(
         "doubt_is_cleared",
         "deduplicated",
         "marks",
-        lines((marks.step, "State.UNKNOWN if mark.doubted else State.UNSEEN", "State.UNSEEN")),
+        lines(
+            (
+                marks.apply_event,
+                "RecordState.UNKNOWN if mark.has_uncertain_predecessor else RecordState.ABSENT",
+                "RecordState.ABSENT",
+            )
+        ),
     ),
     Mutant(
         "asked_until_the_hard_stop",
@@ -462,9 +491,9 @@
         "marks",
         lines(
             (
-                Marks._look_up,
-                "held.by = now + self.health.budget(held.times.leave_by - now, now)",
-                "held.by = held.times.hard_stop",
+                IdempotencyCoordinator._look_up,
+                "held.by = now + self.health.time_budget(held.times.latest_dispatch_us - now, now)",
+                "held.by = held.times.deadline_us",
             )
         ),
     ),
@@ -472,6 +501,6 @@
         "memory_without_its_margin",
         "deduplicated",
         "marks",
-        lines((guard.margin, "_TRAVEL + memory // _DRIFT", "-2 * memory")),
+        lines((guard.dedup_safety_margin_us, "_TRAVEL + memory // _DRIFT", "-2 * memory")),
     ),
 )
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -18,10 +18,10 @@
 from cresstray.background.worker import Worker
 from cresstray.clock import Clock, Timers
 from cresstray.config.idempotency import Store
-from cresstray.idempotency.client import Client
-from cresstray.idempotency.coordinator import Marks
-from cresstray.idempotency.execution_guard import Abandon, Answer, Decision, Deny
-from cresstray.idempotency.journal import BusyError, Journal, Scribe, UnusableError
+from cresstray.idempotency.client import StoreClient
+from cresstray.idempotency.coordinator import IdempotencyCoordinator
+from cresstray.idempotency.execution_guard import Decision, Fail, Reject, ReplayResult
+from cresstray.idempotency.journal import Journal, JournalFormatError, JournalLockedError, JournalWriter
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from cresstray.pipeline.accounting import RequestAccounting
@@ -35,19 +35,19 @@
 _LOCKED = 1.0
 
 
-class Shut:
+class UnavailableJournal:
     """A journal that can't be written yet, or at all: nothing goes out on the strength of it."""
 
     def __init__(self, trouble: str) -> None:
-        self.trouble = trouble
+        self.last_error = trouble
 
-    def intend(self, digest: bytes, fence: int, tenant: int) -> int | None:
+    def append_claim(self, digest: bytes, fence: int, tenant: int) -> int | None:
         return None
 
-    def settle(self, number: int) -> None:
+    def append_settled(self, number: int) -> None:
         pass
 
-    def synced(self, number: int) -> bool | None:
+    def take_sync_result(self, number: int) -> bool | None:
         return False
 
 
@@ -69,14 +69,14 @@
         worker: Worker,
     ) -> None:
         self._given, self._clock, self._book, self._log, self._worker = given, clock, book, log, worker
-        self._scribe: Scribe | None = None
+        self._scribe: JournalWriter | None = None
         self._waiting: set[Request] = set()  # the module has not heard of these yet
         # Seeds are new with each start; the clock parts two starts that an operator gave the same one.
         life = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
         chance = random.Random(f"{seed}{clock.now()}").random
-        self._client = Client(given, chance, clock, timers, counters, log)
-        desk = Shut("") if given.journal else None
-        self.records = Marks(
+        self._client = StoreClient(given, chance, clock, timers, counters, log)
+        desk = UnavailableJournal("") if given.journal else None
+        self.records = IdempotencyCoordinator(
             self._client,
             given.lines(),
             settings,
@@ -90,7 +90,9 @@
             desk,
             lambda text: log.log("marks", text),
         )
-        worker.does("store links", Priority.SERVICE, Client.EVERY, self._client.look)
+        worker.does(
+            "store links", Priority.SERVICE, StoreClient.CHECK_INTERVAL_US, self._client.check_connections
+        )
         self._writing = worker.does("marks", Priority.STATE, 0, self._step, last=self._ends)
         worker.wake(self._writing)
         gateway.admission_rules = _Guard(self.records, gateway, clock.now)
@@ -106,28 +108,28 @@
             journal = Journal(path)
             try:
                 entries = await anyio.to_thread.run_sync(journal.open, abandon_on_cancel=True)
-            except BusyError as trouble:
-                self.records.writes_to(Shut(str(trouble)))
+            except JournalLockedError as trouble:
+                self.records.use_journal(UnavailableJournal(str(trouble)))
                 await anyio.sleep(_LOCKED)
                 continue
-            except (UnusableError, OSError) as trouble:
-                self.records.writes_to(Shut(str(trouble)))
+            except (JournalFormatError, OSError) as trouble:
+                self.records.use_journal(UnavailableJournal(str(trouble)))
                 return
-            for line in journal.told:
+            for line in journal.warnings:
                 self._log.log("marks", line)
-            self._scribe = Scribe(journal)
-            self.records.writes_to(self._scribe)
+            self._scribe = JournalWriter(journal)
+            self.records.use_journal(self._scribe)
             self.records.recover(entries, self._clock.now())
             return
 
     # Behind submissions.
 
     def _step(self, now: int) -> None:
-        self._worker.later(self._writing, _BUSY if self.records.step(now) else _QUIET)
+        self._worker.later(self._writing, _BUSY if self.records.run_background_step(now) else _QUIET)
 
     def _ends(self, now: int) -> JobResult:
         """Before this process goes: what the store and the disk take of it within the time there is."""
-        if self.records.last(now):
+        if self.records.run_shutdown_step(now):
             return JobResult.MORE
         if self._scribe is None:
             return JobResult.DONE
@@ -140,7 +142,7 @@
         """Whether it is to be asked for; `onward` is called once it may be relayed, if it may."""
         request = context.request
         self._waiting.add(request)
-        asked = self.records.ask(context, now, partial(self._told, request, onward))
+        asked = self.records.check(context, now, partial(self._told, request, onward))
         if not asked:
             self._waiting.discard(request)
         return asked
@@ -157,49 +159,51 @@
         if request not in self._waiting:
             return  # its client has left
         self._waiting.discard(request)
-        if isinstance(decision, Deny | Abandon | Answer):
+        if isinstance(decision, Reject | Fail | ReplayResult):
             request.is_finished = True
-        if isinstance(decision, Deny):
-            self._book.reject(request, decision.come_back)
-        elif isinstance(decision, Abandon):
+        if isinstance(decision, Reject):
+            self._book.reject(request, decision.retry_after_us)
+        elif isinstance(decision, Fail):
             self._book.fail(request)
-        elif isinstance(decision, Answer):
+        elif isinstance(decision, ReplayResult):
             self._book.succeed(request, decision.result)
         else:
             onward(self._clock.now())
 
     def may_send(self, request: Request) -> bool:
         # Danger: a process that was stopped in the middle of a turn still holds the time from before.
-        return self.records.may_send(request, self._clock.now())
+        return self.records.may_dispatch(request, self._clock.now())
 
     def latest_send_us(self, request: Request) -> int | None:
         """When nothing of it may leave any more; None: no mark sets a time."""
         now = self._clock.now()
-        left = self.records.left(request, now)
+        left = self.records.remaining_us(request, now)
         return None if left is None else now + left
 
     def on_attempt_sent(self, request: Request) -> None:
-        self.records.sent(request, self._clock.now())
+        self.records.on_attempt_sent(request, self._clock.now())
 
     def on_attempt_finished(self, attempt: Attempt, ending: Outcome, now: int) -> None:
-        self.records.relay_ended(attempt.request, ending, now)
+        self.records.on_attempt_finished(attempt.request, ending, now)
 
     def on_request_finished(self, request: Request, how: str, result: bytes | None = None) -> None:
         """Its final answer is out, or its client has left."""
-        self.records.ended(request, how, result, self._clock.now())
-        if len(self.records.behind):
+        self.records.on_request_finished(request, how, result, self._clock.now())
+        if len(self.records.write_behind):
             self._worker.later(self._writing, _BUSY)
 
 
 class _Guard(ChainedRules):
     """Nothing is sent, or crosses to another hall, for longer than its mark is ours."""
 
-    def __init__(self, marks: Marks, gateway: PolicyController, now: Callable[[], int]) -> None:
+    def __init__(
+        self, marks: IdempotencyCoordinator, gateway: PolicyController, now: Callable[[], int]
+    ) -> None:
         super().__init__(gateway)
         self._marks, self._now = marks, now
 
     def allows(self, request: Request, engine: Engine, now: int) -> bool:
-        left = self._marks.left(request, self._now())
+        left = self._marks.remaining_us(request, self._now())
         # Danger: another hall relays it until its hard stop, and knows nothing of our intention's end.
         if left is not None and left < (request.deadline_us - now if engine.forwarding is not None else 1):
             return False
--- a/tests/test_idempotency_formats.py
+++ b/tests/test_idempotency_formats.py
@@ -1,7 +1,7 @@
 """Stored data of idempotency records keeps its form: journal file, record values, keys, scripts.
 
-The fixtures were written before the package took the names of the field. WRITE_FIXTURES=1 writes them anew, which
-is right only where a form changes on purpose and both builds can read it.
+The fixtures were written before the package took the names of the field. WRITE_FIXTURES=1 writes them anew,
+which is right only where a form changes on purpose and both builds can read it.
 """
 
 from __future__ import annotations
@@ -13,53 +13,59 @@
 from pathlib import Path
 
 from cresstray.idempotency import codec, records
-from cresstray.idempotency.journal import Entry, Journal, What
-from cresstray.idempotency.records import Mark, State
+from cresstray.idempotency.journal import EntryKind, Journal, JournalEntry
+from cresstray.idempotency.records import IdempotencyRecord, RecordState
 
 FIXTURES = Path(__file__).parent / "fixtures" / "idempotency"
-DIGESTS = [records.digest("cresstray", "tenant", "load/all", name) for name in ("first", "second", "third")]
+DIGESTS = [
+    records.digest_key("cresstray", "tenant", "load/all", name) for name in ("first", "second", "third")
+]
 RECORDS = {
-    "absent, fence kept": Mark(State.UNSEEN, "g1", "0000000100000000000001", 1_800_000_000_000),
-    "claimed": Mark(
-        State.INTENDED,
+    "absent, fence kept": IdempotencyRecord(
+        RecordState.ABSENT, "g1", "0000000100000000000001", 1_800_000_000_000
+    ),
+    "claimed": IdempotencyRecord(
+        RecordState.CLAIMED,
         "g1",
         "0000000100000000000001",
         1_800_000_000_001,
         1_800_000_003_000,
         1_800_000_000_000,
     ),
-    "dispatched": Mark(State.SENT, "g2", "2", 7, 1_800_000_003_000, 1_800_000_000_500, True),
-    "completed": Mark(State.ENDED, "g1", "1", 3, 0, 1_800_000_000_500),
-    "completed, with its result": Mark(
-        State.ENDED, "g1", "1", 3, 0, 5, False, records.outcome_of(b"\x00r", 64)
+    "dispatched": IdempotencyRecord(
+        RecordState.DISPATCHED, "g2", "2", 7, 1_800_000_003_000, 1_800_000_000_500, True
+    ),
+    "completed": IdempotencyRecord(RecordState.COMPLETED, "g1", "1", 3, 0, 1_800_000_000_500),
+    "completed, with its result": IdempotencyRecord(
+        RecordState.COMPLETED, "g1", "1", 3, 0, 5, False, records.make_outcome(b"\x00r", 64)
     ),
-    "unknown": Mark(State.UNKNOWN, "", "", 0, 0, 0, True),
+    "unknown": IdempotencyRecord(RecordState.UNKNOWN, "", "", 0, 0, 0, True),
 }
 CLAIMS = [
-    Entry(What.INTENDED, 1, DIGESTS[0], 1_800_000_000_001, 0),
-    Entry(What.INTENDED, 2, DIGESTS[1], 0, 3),
-    Entry(What.INTENDED, 3, DIGESTS[2], 9, 4_294_967_295),
+    JournalEntry(EntryKind.CLAIMED, 1, DIGESTS[0], 1_800_000_000_001, 0),
+    JournalEntry(EntryKind.CLAIMED, 2, DIGESTS[1], 0, 3),
+    JournalEntry(EntryKind.CLAIMED, 3, DIGESTS[2], 9, 4_294_967_295),
 ]
-SETTLED = Entry(What.SETTLED, 2, b"", 0, 0)
+SETTLED = JournalEntry(EntryKind.SETTLED, 2, b"", 0, 0)
 
 
 def stored() -> dict[str, object]:
     """Every kind of data in the store, as hexadecimal digits."""
-    key = codec.key("cresstray", DIGESTS[0])
-    command = codec.cas(key, b"", b"new", 60_000)
+    key = codec.record_key("cresstray", DIGESTS[0])
+    command = codec.compare_and_set(key, b"", b"new", 60_000)
     return {
-        "records": {name: records.encoded(record).hex() for name, record in RECORDS.items()},
+        "records": {name: records.encode_record(record).hex() for name, record in RECORDS.items()},
         "keys": {
             "digest": DIGESTS[0].hex(),
-            "digest, other namespace": records.digest("other", "tenant", "load/all", "first").hex(),
+            "digest, other namespace": records.digest_key("other", "tenant", "load/all", "first").hex(),
             "record": key.decode(),
-            "record, other namespace": codec.key("other", DIGESTS[1]).decode(),
+            "record, other namespace": codec.record_key("other", DIGESTS[1]).decode(),
         },
         "commands": {
-            "script": codec.CAS.decode(),
-            "compare and set": [word.hex() for word in command.words],
-            "compare and set, with its script": [word.hex() for word in command.whole],
-            "packed": codec.pack(command.words).hex(),
+            "script": codec.COMPARE_AND_SET_SCRIPT.decode(),
+            "compare and set": [word.hex() for word in command.arguments],
+            "compare and set, with its script": [word.hex() for word in command.arguments_with_script],
+            "packed": codec.pack_arguments(command.arguments).hex(),
         },
     }
 
@@ -89,7 +95,7 @@
         Path(self.path).write_bytes(fixture)
         journal = Journal(self.path)
         self.assertEqual([CLAIMS[0], CLAIMS[2]], journal.open())
-        self.assertEqual([], journal.told)
+        self.assertEqual([], journal.warnings)
         journal.close()
         self.assertEqual(fixture, Path(self.path).read_bytes())
 
@@ -100,9 +106,9 @@
         kept = json.loads((FIXTURES / "stored.json").read_text())["records"]
         for name, value in kept.items():
             with self.subTest(name):
-                record = records.decoded(bytes.fromhex(value))
+                record = records.decode_record(bytes.fromhex(value))
                 self.assertEqual(RECORDS[name], record)
-                self.assertEqual(value, records.encoded(record).hex())
+                self.assertEqual(value, records.encode_record(record).hex())
 
 
 if os.environ.get("WRITE_FIXTURES"):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -23,105 +23,119 @@
 from cresstray.idempotency import codec, journal
 from cresstray.idempotency import coordinator as joined
 from cresstray.idempotency import records as marks
-from cresstray.idempotency.coordinator import Marks
+from cresstray.idempotency.coordinator import IdempotencyCoordinator
 from cresstray.idempotency.execution_guard import (
-    Abandon,
-    Answer,
     Claim,
-    Deny,
-    Found,
-    Go,
-    Guard,
-    Guarded,
-    Holder,
-    Silence,
-    Times,
-    Unguarded,
+    ClaimHolder,
+    ExecutionGuard,
+    Fail,
+    GuardMode,
+    LookupResult,
+    Proceed,
+    ProceedUnguarded,
+    Reject,
+    ReplayResult,
+    RequestTiming,
+    StoreUnavailable,
     Wait,
-    guarded,
+    guard_mode_of,
 )
-from cresstray.idempotency.health import Health, StoreClock
-from cresstray.idempotency.journal import BusyError, Entry, Journal, Scribe, System, UnusableError, What
-from cresstray.idempotency.records import Event, Kind, Mark, State, step
-from cresstray.idempotency.write_behind import Behind
+from cresstray.idempotency.health import StoreClock, StoreHealth
+from cresstray.idempotency.journal import (
+    DiskCalls,
+    EntryKind,
+    Journal,
+    JournalEntry,
+    JournalFormatError,
+    JournalLockedError,
+    JournalWriter,
+)
+from cresstray.idempotency.records import EventKind, IdempotencyRecord, RecordEvent, RecordState, apply_event
+from cresstray.idempotency.write_behind import WriteBehindQueue
 from cresstray.observability.counters import Counters
 from cresstray.policy.types import Outcome, Request, RequestClass
 
 SECOND, START = 1_000_000, 1_800_000_000_000_000
 MEMORY = 20 * SECOND
 TABLE = tomllib.loads((Path(__file__).parent / "conformance" / "marks.toml").read_text())
-A, B = Holder("a", "1"), Holder("b", "1")
+A, B = ClaimHolder("a", "1"), ClaimHolder("b", "1")
 
 
 # The table of docs/store.md: every state with every event.
 
 
-def state(name: str) -> Mark | None:
+def state(name: str) -> IdempotencyRecord | None:
     words = name.split()
     if words[0] == "none":
         return None
     if words[0] == "unreadable":
-        return marks.UNREADABLE
-    kind = State[words[0].upper()]
-    held = kind in (State.INTENDED, State.SENT)
-    outcome = b"+r" if "kept" in words else b""
-    return Mark(kind, *A, 10, 3000 if held else 0, 1000, "doubted" in words, outcome)
+        return marks.UNREADABLE_RECORD
+    kind = RecordState[words[0].upper()]
+    held = kind in (RecordState.CLAIMED, RecordState.DISPATCHED)
+    outcome = b"+r" if "stored" in words else b""
+    return IdempotencyRecord(kind, *A, 10, 3000 if held else 0, 1000, "uncertain" in words, outcome)
 
 
-def event(name: str) -> tuple[Event, int]:
+def event(name: str) -> tuple[RecordEvent, int]:
     """And the store's time. `older` and `newer` by the fence; `since` of an older one is before that."""
     what, _, who = name.partition(", ")
-    if what.startswith("hand"):
+    if what.startswith("operator"):
         fence, at = (9 if who == "of another fence" else 10), (2000 if who == "early" else 4000)
-        return Event(Kind["HAND_RAN" if what == "hand ran" else "HAND_UNRUN"], "", "", fence, until=3500), at
+        return RecordEvent(EventKind[what.upper().replace(" ", "_")], "", "", fence, valid_until_ms=3500), at
     holder, fence, since = {
         "holder": (A, 10, 1500),
         "older": (B, 5, 500),
         "newer": (B, 20, 1500),
         "same fence": (B, 10, 1500),
     }[who]
-    return Event(Kind[what.upper()], *holder, fence, since, 5000, b"+r" if what == "ran" else b""), 2000
+    return RecordEvent(
+        EventKind[what.upper()], *holder, fence, since, 5000, b"+r" if what == "completed" else b""
+    ), 2000
 
 
-def told(mark: Mark | None) -> str:
+def told(mark: IdempotencyRecord | None) -> str:
     if mark is None:
         return "-"
-    words = [mark.state.name.lower(), mark.owner, str(mark.fence), str(mark.since)]
-    return " ".join(words + ["doubted"] * mark.doubted + ["kept"] * bool(mark.outcome))
+    words = [mark.state.name.lower(), mark.owner, str(mark.fence), str(mark.earliest_dispatch_ms)]
+    return " ".join(words + ["uncertain"] * mark.has_uncertain_predecessor + ["stored"] * bool(mark.outcome))
 
 
 class Life(unittest.TestCase):
     def test_every_state_with_every_event(self) -> None:
-        states = ["none", "unseen", "unreadable", "ended", "ended kept"] + [
-            f"{one}{more}" for one in ("intended", "sent", "unknown") for more in ("", " doubted")
+        states = ["none", "absent", "unreadable", "completed", "completed stored"] + [
+            f"{one}{more}" for one in ("claimed", "dispatched", "unknown") for more in ("", " uncertain")
         ]
         self.assertEqual(sorted(states), sorted(TABLE["states"]))
         for name, row in TABLE["states"].items():
-            self.assertEqual(row, [told(step(state(name), *event(one))) for one in TABLE["events"]], name)
+            self.assertEqual(
+                row, [told(apply_event(state(name), *event(one))) for one in TABLE["events"]], name
+            )
 
     def test_fences_grow_and_what_may_have_run_is_not_cleared(self) -> None:
         chance, cleared = random.Random(5), 0
         for _ in range(300):
             mark, may_have_run = None, False
-            for kind in chance.choices([kind for kind in Kind if kind < Kind.HAND_RAN], k=12):
+            for kind in chance.choices(
+                [kind for kind in EventKind if kind < EventKind.OPERATOR_COMPLETED], k=12
+            ):
                 holder = chance.choice((A, B))
                 fence = (mark.fence if mark else 1) + chance.choice((-1, 0, 1, 3))
                 if mark is not None and chance.random() < 0.4:
-                    holder, fence = Holder(mark.owner, mark.life), mark.fence
-                after = step(mark, Event(kind, *holder, fence, 1000, 9000), 2000)
+                    holder, fence = ClaimHolder(mark.owner, mark.incarnation), mark.fence
+                after = apply_event(mark, RecordEvent(kind, *holder, fence, 1000, 9000), 2000)
                 if after is None:
                     continue
                 self.assertNotEqual(after, mark, "a change that changes nothing")
-                self.assertGreaterEqual(after.fence - (kind is Kind.INTEND), mark.fence if mark else -1)
-                may_have_run = may_have_run or kind in (Kind.RAN, Kind.UNKNOWN)
-                self.assertFalse(may_have_run and after.state is State.UNSEEN, (mark, kind, after))
-                cleared += after.state is State.UNSEEN
+                self.assertGreaterEqual(after.fence - (kind is EventKind.CLAIM), mark.fence if mark else -1)
+                may_have_run = may_have_run or kind in (EventKind.COMPLETED, EventKind.UNKNOWN)
+                self.assertFalse(may_have_run and after.state is RecordState.ABSENT, (mark, kind, after))
+                cleared += after.state is RecordState.ABSENT
                 mark = after
         self.assertGreater(cleared, 0)
 
     def test_digests_and_bytes(self) -> None:
         made = {
-            marks.digest(*parts)
+            marks.digest_key(*parts)
             for parts in (
                 ("n", "t", "g", "ab"),
                 ("n", "ta", "g", "b"),
@@ -131,13 +145,15 @@
             )
         }
         self.assertEqual(4, len(made))
-        mark = Mark(State.SENT, "a", "1", 7, 8, 9, True, b"+x")
-        self.assertEqual(mark, marks.decoded(marks.encoded(mark)))
+        mark = IdempotencyRecord(RecordState.DISPATCHED, "a", "1", 7, 8, 9, True, b"+x")
+        self.assertEqual(mark, marks.decode_record(marks.encode_record(mark)))
         later = msgspec.msgpack.encode([9, "a", "1", 7])
         for value in (b"\xff", b"no mark", later, msgspec.msgpack.encode([1, "a", "1", -4])):
-            self.assertIs(marks.UNREADABLE, marks.decoded(value))
-        self.assertEqual((None, b""), (marks.kept_result(b""), marks.kept_result(marks.outcome_of(b"", 1))))
-        self.assertEqual(b"", marks.outcome_of(b"12", 1))
+            self.assertIs(marks.UNREADABLE_RECORD, marks.decode_record(value))
+        self.assertEqual(
+            (None, b""), (marks.stored_result(b""), marks.stored_result(marks.make_outcome(b"", 1)))
+        )
+        self.assertEqual(b"", marks.make_outcome(b"12", 1))
 
 
 # The guard.
@@ -153,64 +169,96 @@
 
 class Guarding(unittest.TestCase):
     def setUp(self) -> None:
-        self.guard = Guard({"unguarded": {"load": 2}, "unguarded_s": 10}, 2 * SECOND, random.Random(3).random)
-        self.times = Times(START, START + SECOND, START + 3 * SECOND, MEMORY)
+        self.guard = ExecutionGuard(
+            {"unguarded": {"load": 2}, "unguarded_s": 10}, 2 * SECOND, random.Random(3).random
+        )
+        self.times = RequestTiming(START, START + SECOND, START + 3 * SECOND, MEMORY)
 
     def decide(
-        self, kind: Guarded, mark: Mark | None, at: int = 10_000, now: int = START, before: int = 0
+        self,
+        kind: GuardMode,
+        mark: IdempotencyRecord | None,
+        at: int = 10_000,
+        now: int = START,
+        before: int = 0,
     ) -> Any:
-        return self.guard.decide(kind, Found(mark, at, before), B, self.times, now)
+        return self.guard.decide(kind, LookupResult(mark, at, before), B, self.times, now)
 
     def test_who_needs_a_mark(self) -> None:
         kinds = [
-            guarded(one, "load", {"tariffs": ["load"]})
+            guard_mode_of(one, "load", {"tariffs": ["load"]})
             for one in (tariff(), tariff(group="cell"), tariff(False), tariff(False, idempotent=True))
         ]
-        self.assertEqual([Guarded.SHARED, Guarded.APART, Guarded.ONCE, Guarded.FREE], kinds)
-        self.assertIs(Guarded.FREE, guarded(tariff(), "load", {}))
+        self.assertEqual(
+            [
+                GuardMode.SHARED_DEDUP_WINDOW,
+                GuardMode.SCOPED_DEDUP_WINDOW,
+                GuardMode.AT_MOST_ONCE,
+                GuardMode.NOT_NEEDED,
+            ],
+            kinds,
+        )
+        self.assertIs(GuardMode.NOT_NEEDED, guard_mode_of(tariff(), "load", {}))
 
     def test_each_doubt_by_kind(self) -> None:
         """The table of doubts in docs/store.md: what is there, how old it is, and what each kind does."""
-        ran, kept = Mark(State.ENDED, *A, 4, 0, 5000), Mark(State.ENDED, *A, 4, 0, 5000, False, b"+r")
-        unknown, held = Mark(State.UNKNOWN, *A, 4, 0, 5000), Mark(State.INTENDED, *A, 4, 11_000, 5000)
+        ran, kept = (
+            IdempotencyRecord(RecordState.COMPLETED, *A, 4, 0, 5000),
+            IdempotencyRecord(RecordState.COMPLETED, *A, 4, 0, 5000, False, b"+r"),
+        )
+        unknown, held = (
+            IdempotencyRecord(RecordState.UNKNOWN, *A, 4, 0, 5000),
+            IdempotencyRecord(RecordState.CLAIMED, *A, 4, 11_000, 5000),
+        )
         late, past = START + 600_000, 5000 + 19_700  # half of the slack is over; the memory, but for a margin
         rows = [
             (None, 10_000, START, Claim, Claim),
-            (Mark(State.UNSEEN, *A, 4), 10_000, START, Claim, Claim),
-            (kept, 10_000, START, Answer, Answer),
-            (kept, past, START, Answer, Answer),
-            (ran, 10_000, START, Go, Abandon),
-            (ran, past, START, Abandon, Abandon),
-            (unknown, 10_000, START, Go, Abandon),
-            (unknown, past, START, Abandon, Abandon),
+            (IdempotencyRecord(RecordState.ABSENT, *A, 4), 10_000, START, Claim, Claim),
+            (kept, 10_000, START, ReplayResult, ReplayResult),
+            (kept, past, START, ReplayResult, ReplayResult),
+            (ran, 10_000, START, Proceed, Fail),
+            (ran, past, START, Fail, Fail),
+            (unknown, 10_000, START, Proceed, Fail),
+            (unknown, past, START, Fail, Fail),
             (held, 10_000, START, Wait, Wait),
-            (held, 10_000, late, Claim, Deny),
-            (held, 11_000, START, Claim, Abandon),
-            (held, past, START, Abandon, Abandon),
-            (marks.UNREADABLE, past, START, Abandon, Abandon),
+            (held, 10_000, late, Claim, Reject),
+            (held, 11_000, START, Claim, Fail),
+            (held, past, START, Fail, Fail),
+            (marks.UNREADABLE_RECORD, past, START, Fail, Fail),
         ]
         for mark, at, now, shared, other in rows:
             with self.subTest(mark=mark, at=at, now=now - START):
                 found = [
                     type(self.decide(kind, mark, at, now))
-                    for kind in (Guarded.SHARED, Guarded.APART, Guarded.ONCE)
+                    for kind in (
+                        GuardMode.SHARED_DEDUP_WINDOW,
+                        GuardMode.SCOPED_DEDUP_WINDOW,
+                        GuardMode.AT_MOST_ONCE,
+                    )
                 ]
                 self.assertEqual([shared, other, other], found)
-        ahead = msgspec.structs.replace(ran, since=12_000)
-        self.assertIsInstance(self.decide(Guarded.SHARED, ahead), Abandon)
-        self.assertIsInstance(self.decide(Guarded.SHARED, ran, before=5_001), Abandon)
+        ahead = msgspec.structs.replace(ran, earliest_dispatch_ms=12_000)
+        self.assertIsInstance(self.decide(GuardMode.SHARED_DEDUP_WINDOW, ahead), Fail)
+        self.assertIsInstance(self.decide(GuardMode.SHARED_DEDUP_WINDOW, ran, before=5_001), Fail)
 
     def test_a_takeover_keeps_the_first_time(self) -> None:
-        held = Mark(State.SENT, *A, 40_000, 9_000, 5000)
-        claim = self.decide(Guarded.SHARED, held).event
-        self.assertEqual((40_001, 5000, 13_000), (claim.fence, claim.since, claim.until))
-        claim = self.decide(Guarded.SHARED, held, 24_000).event
-        self.assertEqual(5000 + 19_700, claim.until)
-        self.assertEqual(10_000, self.decide(Guarded.SHARED, Mark(State.UNSEEN, *A, 4)).event.fence)
+        held = IdempotencyRecord(RecordState.DISPATCHED, *A, 40_000, 9_000, 5000)
+        claim = self.decide(GuardMode.SHARED_DEDUP_WINDOW, held).event
+        self.assertEqual(
+            (40_001, 5000, 13_000), (claim.fence, claim.earliest_dispatch_ms, claim.valid_until_ms)
+        )
+        claim = self.decide(GuardMode.SHARED_DEDUP_WINDOW, held, 24_000).event
+        self.assertEqual(5000 + 19_700, claim.valid_until_ms)
+        self.assertEqual(
+            10_000,
+            self.decide(
+                GuardMode.SHARED_DEDUP_WINDOW, IdempotencyRecord(RecordState.ABSENT, *A, 4)
+            ).event.fence,
+        )
 
     def test_without_the_store(self) -> None:
         def silent(name: str, since: int = 0, now: int = START) -> Any:
-            return self.guard.silent(Silence("away", since), name, now)
+            return self.guard.decide_without_store(StoreUnavailable("away", since), name, now)
 
         found = [type(silent("load")) for _ in range(4)] + [
             type(one)
@@ -220,8 +268,10 @@
                 silent("load", SECOND, START + 2 * SECOND),
             )
         ]
-        self.assertEqual([Unguarded, Unguarded, Deny, Deny, Deny, Deny, Unguarded], found)
-        waits = [self.guard.come_back(least) for least in (0, SECOND, 9 * SECOND) for _ in range(50)]
+        self.assertEqual(
+            [ProceedUnguarded, ProceedUnguarded, Reject, Reject, Reject, Reject, ProceedUnguarded], found
+        )
+        waits = [self.guard.make_retry_after(least) for least in (0, SECOND, 9 * SECOND) for _ in range(50)]
         self.assertTrue(all(SECOND <= wait <= 2 * SECOND for wait in waits))
         self.assertGreater(max(waits[100:]) - min(waits[100:]), 400_000)
 
@@ -231,37 +281,37 @@
 
 class Limiting(unittest.TestCase):
     def setUp(self) -> None:
-        self.health, self.now = Health({}, random.Random(1).random, START), START
+        self.health, self.now = StoreHealth({}, random.Random(1).random, START), START
 
     def trip(self, took: int, well: bool = True) -> None:
-        ticket = self.health.began(self.now)
+        ticket = self.health.on_round_trip_started(self.now)
         self.now += took
-        self.health.ended(ticket, well, self.now)
+        self.health.on_round_trip_finished(ticket, well, self.now)
 
     def close(self) -> int:
         """Trials until it is closed; one is out at a time."""
         tries = 0
-        while self.health.open:
-            ticket = self.health.trial(self.now)
+        while self.health.is_open:
+            ticket = self.health.start_probe(self.now)
             if ticket is not None:
-                self.assertIsNone(self.health.trial(self.now))
-                self.health.ended(ticket, True, self.now + 500)
+                self.assertIsNone(self.health.start_probe(self.now))
+                self.health.on_round_trip_finished(ticket, True, self.now + 500)
                 tries += 1
             self.now += 10_000
         return tries
 
     def test_budget(self) -> None:
-        self.assertEqual(0, self.health.budget(SECOND, self.now), "nothing is known of it yet")
+        self.assertEqual(0, self.health.time_budget(SECOND, self.now), "nothing is known of it yet")
         self.assertEqual(1, self.close())
-        budgets = [self.health.budget(slack, self.now) for slack in (SECOND, 20_000, 0)]
+        budgets = [self.health.time_budget(slack, self.now) for slack in (SECOND, 20_000, 0)]
         self.assertEqual([50_000, 5_000, 0], budgets)
         for _ in range(10):
             self.trip(20_000)
-        self.assertEqual(80_000, self.health.budget(SECOND, self.now))
-        self.assertEqual(0, self.health.budget(70_000, self.now), "less than one usual round trip")
+        self.assertEqual(80_000, self.health.time_budget(SECOND, self.now))
+        self.assertEqual(0, self.health.time_budget(70_000, self.now), "less than one usual round trip")
         for _ in range(1000):
-            self.health.began(self.now)
-        self.assertEqual(0, self.health.budget(SECOND, self.now))
+            self.health.on_round_trip_started(self.now)
+        self.assertEqual(0, self.health.time_budget(SECOND, self.now))
 
     def test_breaker(self) -> None:
         for took, well, opens in ((500, False, 5), (60_000, True, 5), (500, True, 50), (40_000, True, 50)):
@@ -269,22 +319,22 @@
                 self.setUp()
                 self.close()
                 after = 0
-                while not self.health.open and after < 50:
+                while not self.health.is_open and after < 50:
                     self.trip(took, well)
                     after += 1
                 self.assertEqual(opens, after)
                 if opens < 50:
-                    self.assertEqual(0, self.health.budget(SECOND, self.now))
+                    self.assertEqual(0, self.health.time_budget(SECOND, self.now))
                     self.assertEqual(3, self.close())
 
     def test_failed_trials_come_seldom_and_spread(self) -> None:
         def found(seed: int) -> list[int]:
-            health, times, now = Health({}, random.Random(seed).random, START), [], START
+            health, times, now = StoreHealth({}, random.Random(seed).random, START), [], START
             while len(times) < 6:
-                ticket = health.trial(now)
+                ticket = health.start_probe(now)
                 if ticket is not None:
                     times.append(now)
-                    health.ended(ticket, False, now)
+                    health.on_round_trip_finished(ticket, False, now)
                 now += 1_000
             return times
 
@@ -294,65 +344,67 @@
 
     def test_a_clock_that_goes_back(self) -> None:
         clock = StoreClock()
-        self.assertFalse(clock.known(START))
-        clock.heard(50_000, START, START + 2_000)
-        self.assertTrue(clock.low(START + 2_000) <= 50_000 <= clock.high(START + 2_000))
-        clock.heard(50_990, START + SECOND, START + SECOND + 1_000)
-        self.assertEqual((0, 0), (clock.jumps, clock.doubtful_before))
-        clock.heard(49_000, START + 2 * SECOND, START + 2 * SECOND)
-        self.assertEqual(1, clock.jumps)
-        self.assertGreaterEqual(clock.doubtful_before, 51_990)
+        self.assertFalse(clock.is_known(START))
+        clock.on_reading(50_000, START, START + 2_000)
+        self.assertTrue(clock.lower_bound(START + 2_000) <= 50_000 <= clock.upper_bound(START + 2_000))
+        clock.on_reading(50_990, START + SECOND, START + SECOND + 1_000)
+        self.assertEqual((0, 0), (clock.regressions, clock.age_unknown_before_ms))
+        clock.on_reading(49_000, START + 2 * SECOND, START + 2 * SECOND)
+        self.assertEqual(1, clock.regressions)
+        self.assertGreaterEqual(clock.age_unknown_before_ms, 51_990)
 
 
 class WritingBehind(unittest.TestCase):
     def add(
         self,
-        behind: Behind,
+        behind: WriteBehindQueue,
         number: int,
-        kind: Kind,
+        kind: EventKind,
         tenant: int = 0,
         fence: int = 1,
         now: int = START,
         **more: Any,
     ) -> bool:
-        return behind.add(b"%d" % number, Event(kind, *A, fence, **more), tenant, now + 60 * SECOND, now)
+        return behind.add(
+            b"%d" % number, RecordEvent(kind, *A, fence, **more), tenant, now + 60 * SECOND, now
+        )
 
     def test_bounds(self) -> None:
-        behind = Behind(most=6, most_of_tenant=4)
-        kinds = [Kind.RAN, Kind.SENT, Kind.UNRUN, Kind.UNKNOWN]
+        behind = WriteBehindQueue(most=6, most_of_tenant=4)
+        kinds = [EventKind.COMPLETED, EventKind.DISPATCHED, EventKind.NOT_EXECUTED, EventKind.UNKNOWN]
         for number, kind in enumerate(kinds):
             self.assertTrue(self.add(behind, number, kind))
-        self.assertTrue(self.add(behind, 4, Kind.UNKNOWN, fence=0))
-        self.assertFalse(self.add(behind, 5, Kind.SENT), "it is needed least itself")
-        self.assertTrue(self.add(behind, 6, Kind.RAN))
+        self.assertTrue(self.add(behind, 4, EventKind.UNKNOWN, fence=0))
+        self.assertFalse(self.add(behind, 5, EventKind.DISPATCHED), "it is needed least itself")
+        self.assertTrue(self.add(behind, 6, EventKind.COMPLETED))
         for number in (7, 8):
-            self.assertTrue(self.add(behind, number, Kind.RAN, tenant=1))
-        self.assertTrue(self.add(behind, 9, Kind.RAN, tenant=1), "the flood gives way")
-        left = [int(item.digest) for item in behind.take(9, START + SECOND)]
-        self.assertEqual(([3, 4, 6, 7, 8, 9], 4), (left, behind.dropped))
+            self.assertTrue(self.add(behind, number, EventKind.COMPLETED, tenant=1))
+        self.assertTrue(self.add(behind, 9, EventKind.COMPLETED, tenant=1), "the flood gives way")
+        left = [int(item.digest) for item in behind.take_due(9, START + SECOND)]
+        self.assertEqual(([3, 4, 6, 7, 8, 9], 4), (left, behind.dropped_count))
 
     def test_order_and_merging(self) -> None:
-        behind = Behind()
-        self.add(behind, 1, Kind.SENT, since=5)
-        self.add(behind, 2, Kind.UNKNOWN, since=7)
-        ripe = [int(item.digest) for item in behind.take(9, START)]
+        behind = WriteBehindQueue()
+        self.add(behind, 1, EventKind.DISPATCHED, earliest_dispatch_ms=5)
+        self.add(behind, 2, EventKind.UNKNOWN, earliest_dispatch_ms=7)
+        ripe = [int(item.digest) for item in behind.take_due(9, START)]
         self.assertEqual([2], ripe, "what is sent is not ripe")
-        self.add(behind, 1, Kind.RAN, since=6, outcome=b"+r")
-        self.add(behind, 3, Kind.UNRUN)
-        taken, merged = behind.take(1, START), Event(Kind.RAN, *A, 1, 5, 0, b"+r")
+        self.add(behind, 1, EventKind.COMPLETED, earliest_dispatch_ms=6, outcome=b"+r")
+        self.add(behind, 3, EventKind.NOT_EXECUTED)
+        taken, merged = behind.take_due(1, START), RecordEvent(EventKind.COMPLETED, *A, 1, 5, 0, b"+r")
         self.assertEqual(merged, taken[0].event)
-        self.add(behind, 1, Kind.UNKNOWN, since=6)
-        behind.back(taken)
-        self.assertEqual([merged], [item.event for item in behind.of(b"1")])
-        self.assertEqual([1, 3], [int(item.digest) for item in behind.take(9, START)])
-        self.add(behind, 4, Kind.RAN)
-        self.assertEqual(([], 0), (behind.take(9, START + 61 * SECOND), len(behind)), "no longer needed")
+        self.add(behind, 1, EventKind.UNKNOWN, earliest_dispatch_ms=6)
+        behind.put_back(taken)
+        self.assertEqual([merged], [item.event for item in behind.pending_for(b"1")])
+        self.assertEqual([1, 3], [int(item.digest) for item in behind.take_due(9, START)])
+        self.add(behind, 4, EventKind.COMPLETED)
+        self.assertEqual(([], 0), (behind.take_due(9, START + 61 * SECOND), len(behind)), "no longer needed")
 
 
 # The journal.
 
 
-class Disk(System):
+class Disk(DiskCalls):
     """Fails the call with that number, counted over all calls; writes half of it first."""
 
     def __init__(self, fails: int = -1) -> None:
@@ -385,7 +437,7 @@
         self.addCleanup(folder.cleanup)
         self.path = f"{folder.name}/marks"
 
-    def opened(self, system: System | None = None) -> Journal:
+    def opened(self, system: DiskCalls | None = None) -> Journal:
         made = Journal(self.path, system)
         self.addCleanup(made.close)
         made.open()
@@ -393,36 +445,40 @@
 
     def again(self) -> tuple[list[int], list[str]]:
         made = Journal(self.path)
-        numbers = sorted(entry.number for entry in made.open())
+        numbers = sorted(entry.entry_id for entry in made.open())
         made.close()
-        return numbers, [line.partition(": ")[2] for line in made.told]
+        return numbers, [line.partition(": ")[2] for line in made.warnings]
 
     @staticmethod
-    def intended(number: int) -> Entry:
-        return Entry(What.INTENDED, number, b"d" * 20, 0, 1)
+    def intended(number: int) -> JournalEntry:
+        return JournalEntry(EntryKind.CLAIMED, number, b"d" * 20, 0, 1)
 
     @staticmethod
-    def settled(number: int) -> Entry:
-        return Entry(What.SETTLED, number, b"", 0, 0)
+    def settled(number: int) -> JournalEntry:
+        return JournalEntry(EntryKind.SETTLED, number, b"", 0, 0)
 
     def test_what_is_not_settled_is_unknown(self) -> None:
         made = self.opened()
         made.append(map(self.intended, (1, 2, 3)))
         made.append([self.settled(2)])
-        with self.assertRaises(BusyError):
+        with self.assertRaises(JournalLockedError):
             Journal(self.path).open()
         made.close()
         self.assertEqual(([1, 3], []), self.again())
         entry = self.intended(1)
         self.assertEqual(
-            (Kind.UNKNOWN, 0), (journal.unknown(entry, "a", "2").kind, journal.unknown(entry, "a", "2").since)
+            (EventKind.UNKNOWN, 0),
+            (
+                journal.make_unknown_event(entry, "a", "2").kind,
+                journal.make_unknown_event(entry, "a", "2").earliest_dispatch_ms,
+            ),
         )
 
     def test_tails_and_damage(self) -> None:
         made = self.opened()
         made.append(map(self.intended, (1, 2, 3)))
         made.close()
-        whole, size = Path(self.path).read_bytes(), journal.SIZE
+        whole, size = Path(self.path).read_bytes(), journal.ENTRY_SIZE
         for length in range(len(whole) + 1):
             Path(self.path).write_bytes(whole[:length])
             kept = max(0, length // size - 1)
@@ -439,7 +495,7 @@
             damaged = f"1 damaged records left out, the first at {2 * size}; what they intended is not known"
             self.assertEqual(([1, 3], [damaged]), self.again())
         Path(self.path).write_bytes(b"x" + whole[1:])
-        with self.assertRaises(UnusableError):
+        with self.assertRaises(JournalFormatError):
             self.again()
 
     def test_every_failing_call(self) -> None:
@@ -463,36 +519,36 @@
             self.assertTrue(kept <= found and len(found - kept) <= 1, (fails, kept, found))
 
     def test_compaction(self) -> None:
-        with patch.object(journal, "_COMPACT", 40 * journal.SIZE):
+        with patch.object(journal, "_COMPACT", 40 * journal.ENTRY_SIZE):
             made = self.opened()
             for number in range(1, 500):
                 made.append([self.intended(number)])
                 if number % 100:
                     made.append([self.settled(number)])
-            self.assertLess(os.path.getsize(self.path), 60 * journal.SIZE)
+            self.assertLess(os.path.getsize(self.path), 60 * journal.ENTRY_SIZE)
             made.close()
         self.assertEqual(([100, 200, 300, 400], []), self.again())
 
     def test_the_thread(self) -> None:
         disk = Disk()
         made = self.opened(disk)
-        scribe = Scribe(made)
-        first, second = scribe.intend(b"d" * 20, 0, 1), scribe.intend(b"e" * 20, 0, 1)
+        scribe = JournalWriter(made)
+        first, second = scribe.append_claim(b"d" * 20, 0, 1), scribe.append_claim(b"e" * 20, 0, 1)
         self.assertTrue(self.told_of(scribe, first) and self.told_of(scribe, second))
-        scribe.settle(first)
+        scribe.append_settled(first)
         # The settlement may be one with the failed write; it then goes with the next.
         disk.fails = disk.calls + 2
-        while scribe.trouble == "":
-            self.told_of(scribe, scribe.intend(b"f" * 20, 0, 1))
-        self.assertTrue(self.told_of(scribe, scribe.intend(b"g" * 20, 0, 1)))
+        while scribe.last_error == "":
+            self.told_of(scribe, scribe.append_claim(b"f" * 20, 0, 1))
+        self.assertTrue(self.told_of(scribe, scribe.append_claim(b"g" * 20, 0, 1)))
         scribe.stop()
         self.assertTrue(scribe.join(5))
         numbers = self.again()[0]
         self.assertTrue(second in numbers and first not in numbers, numbers)
 
     @staticmethod
-    def told_of(scribe: Scribe, number: int | None) -> bool:
-        while (outcome := scribe.synced(number)) is None:
+    def told_of(scribe: JournalWriter, number: int | None) -> bool:
+        while (outcome := scribe.take_sync_result(number)) is None:
             os.sched_yield()
         return outcome
 
@@ -531,7 +587,7 @@
     # The store.
 
     def execute(self, command: codec.Command) -> Any:
-        words, ms = command.words, self.now // 1000 + self.skew
+        words, ms = command.arguments, self.now // 1000 + self.skew
         if words[0] == b"TIME":
             return [b"%d" % (ms // 1000), b"%06d" % (ms % 1000 * 1000)]
         key = words[1] if words[0] == b"GET" else words[3]
@@ -571,7 +627,7 @@
         service = {"Name": "load", "Effect": "deduplicated"}
         settings = {"Limits": {"RetryAfter": True, "MaxRetryAfter": 1000}, "Services": [service]}
         self.counters = Counters()
-        self.marks = Marks(
+        self.marks = IdempotencyCoordinator(
             self,
             {"tariffs": ["load"], "answers": 64} | world.faults.get("lines", {}),
             settings,
@@ -614,7 +670,7 @@
                 call()
 
     def steps(self) -> None:
-        self.does(50_000 if self.marks.step(self.now()) else 250_000, self.steps)
+        self.does(50_000 if self.marks.run_background_step(self.now()) else 250_000, self.steps)
 
     def submit(self, commands: list[codec.Command], by: int, call: Callable[[Any], None]) -> None:
         world, chance, heard = self.world, self.world.chance, []
@@ -650,15 +706,15 @@
             world.counts[type(decision).__name__] += 1
             world.counts["decisions"] += 1
             world.counts["late"] += self.now() > now + SECOND and self.paused < now
-            if isinstance(decision, Go | Unguarded):
+            if isinstance(decision, Proceed | ProceedUnguarded):
                 self.does(hold, send)
 
         def send() -> None:
-            if not self.marks.may_send(request, self.now()):
+            if not self.marks.may_dispatch(request, self.now()):
                 world.counts["held back"] += 1
-                self.marks.ended(request, "denied", None, self.now())
+                self.marks.on_request_finished(request, "denied", None, self.now())
                 return
-            self.marks.sent(request, self.now())
+            self.marks.on_attempt_sent(request, self.now())
             if ending is not Outcome.OVERLOADED:
                 world.at(10_000, lambda: world.arrive(mark))
             self.does(work, back)
@@ -666,13 +722,13 @@
         send.sends = True
 
         def back() -> None:
-            self.marks.relay_ended(request, ending, self.now())
+            self.marks.on_attempt_finished(request, ending, self.now())
             how = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}.get(ending, "failed")
-            self.marks.ended(request, how, b"r" * self.world.faults.get("size", 50), self.now())
+            self.marks.on_request_finished(request, how, b"r" * self.world.faults.get("size", 50), self.now())
 
         context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key=mark))
         world.counts["asked"] += 1
-        world.counts["unmarked"] += not self.marks.ask(context, now, told)
+        world.counts["unmarked"] += not self.marks.check(context, now, told)
 
 
 def restart(world: World, at: int) -> None:
@@ -748,12 +804,12 @@
     return sum(walk(seed, **faults).second_runs() for seed in seeds)
 
 
-def marked_after(self: Marks, context: Any, now: int, call: Callable[[Any], None]) -> bool:
+def marked_after(self: IdempotencyCoordinator, context: Any, now: int, call: Callable[[Any], None]) -> bool:
     kept, self._look_up = (
         self._look_up,
         lambda held, now: (
-            setattr(held, "until", held.times.hard_stop),
-            self._tell(held, Unguarded("later"), now),
+            setattr(held, "until", held.times.deadline_us),
+            self._tell(held, ProceedUnguarded("later"), now),
         ),
     )
     try:
@@ -762,44 +818,60 @@
         self._look_up = kept
 
 
-def go_by_timer(self: Marks, held: Any, fence: int, until: int, at: int, began: int, now: int) -> None:
+def go_by_timer(
+    self: IdempotencyCoordinator, held: Any, fence: int, until: int, at: int, began: int, now: int
+) -> None:
     go(self, held, fence, until, at, began, now)
     ends, held.until = held.until, held.until and 1 << 62
     self._timers.call_after(ends - now, lambda _: setattr(held, "until", 0))
 
 
-def since_anew(mark: Mark | None, event: Event, at: int) -> Mark | None:
-    made = step(mark, event, at)
-    return made and event.kind is Kind.INTEND and msgspec.structs.replace(made, since=event.since) or made
+def since_anew(mark: IdempotencyRecord | None, event: RecordEvent, at: int) -> IdempotencyRecord | None:
+    made = apply_event(mark, event, at)
+    return (
+        made
+        and event.kind is EventKind.CLAIM
+        and msgspec.structs.replace(made, earliest_dispatch_ms=event.earliest_dispatch_ms)
+        or made
+    )
 
 
 def set_only(key: bytes, expected: bytes, new: bytes, px: int) -> codec.Command:
     return codec.Command((b"SET", b"", b"1", key, expected, new, b"%d" % px), lambda _: True)
 
 
-ask, go, claim = Marks.ask, Marks._go, Guard.claim
+ask, go, claim = IdempotencyCoordinator.check, IdempotencyCoordinator._go, ExecutionGuard.make_claim
 
 
-def claim_anew(self: Guard, kind: Guarded, mark: Mark | None, *more: Any) -> Claim:
+def claim_anew(self: ExecutionGuard, kind: GuardMode, mark: IdempotencyRecord | None, *more: Any) -> Claim:
     """Takes over as if nobody could have sent it yet."""
     fence = 0 if mark is None else mark.fence + 1
-    return claim(self, kind, mark and Mark(State.UNSEEN, "", "", fence), *more)
+    return claim(self, kind, mark and IdempotencyRecord(RecordState.ABSENT, "", "", fence), *more)
 
 
 @contextmanager
 def forgotten() -> Iterator[None]:
-    with patch.object(marks, "step", since_anew), patch.object(Guard, "claim", claim_anew):
+    with (
+        patch.object(marks, "apply_event", since_anew),
+        patch.object(ExecutionGuard, "make_claim", claim_anew),
+    ):
         yield
 
 
 BROKEN = {
-    "the mark written after the relay": ("well", lambda: patch.object(Marks, "ask", marked_after)),
+    "the mark written after the relay": (
+        "well",
+        lambda: patch.object(IdempotencyCoordinator, "check", marked_after),
+    ),
     "the lease checked by a timer alone": (
         "killed and stopped",
-        lambda: patch.object(Marks, "_go", go_by_timer),
+        lambda: patch.object(IdempotencyCoordinator, "_go", go_by_timer),
     ),
     "unknown counted as unrun": ("no outcomes", lambda: patch.object(joined, "_UNRUN", tuple(Outcome)[1:])),
-    "set in place of compare-and-set": ("killed and stopped", lambda: patch.object(codec, "cas", set_only)),
+    "set in place of compare-and-set": (
+        "killed and stopped",
+        lambda: patch.object(codec, "compare_and_set", set_only),
+    ),
     "a takeover that forgets the first time": ("no outcomes", forgotten),
 }
 
@@ -807,20 +879,20 @@
 class Scribbling:
     """A desk whose disk syncs after some time, or never."""
 
-    trouble = ""
+    last_error = ""
 
     def __init__(self, world: World, takes: int) -> None:
         self.world, self.takes, self.lines, self.due = world, takes, [], {}
 
-    def intend(self, digest: bytes, fence: int, tenant: int) -> int:
+    def append_claim(self, digest: bytes, fence: int, tenant: int) -> int:
         self.lines.append("intend")
         self.due[len(self.due) + 1] = self.world.now + self.takes
         return len(self.due)
 
-    def settle(self, number: int) -> None:
+    def append_settled(self, number: int) -> None:
         self.lines.append(f"settle {number}")
 
-    def synced(self, number: int) -> bool | None:
+    def take_sync_result(self, number: int) -> bool | None:
         return self.world.now >= self.due[number] or None
 
 
@@ -847,13 +919,13 @@
         for kind, foreign in ((tariff(idempotent=True), False), (tariff(), True)):
             request = Request(kind, world.now, world.now + SECOND, is_forwarded_in=foreign)
             context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key="m"))
-            gate.marks._kinds = [guarded(kind, "load", {"tariffs": ["load"]})]
-            self.assertFalse(gate.marks.ask(context, world.now, self.fail))
-            self.assertTrue(gate.marks.may_send(request, world.now))
+            gate.marks._kinds = [guard_mode_of(kind, "load", {"tariffs": ["load"]})]
+            self.assertFalse(gate.marks.check(context, world.now, self.fail))
+            self.assertTrue(gate.marks.may_dispatch(request, world.now))
         self.assertEqual(before, trips["marks: round trips"])
 
     def test_one_mark_at_three_gateways_with_one_killed(self) -> None:
-        served, lost = ("Go", "Answer"), ("Abandon",)
+        served, lost = ("Proceed", "ReplayResult"), ("Fail",)
         for killed, again, decisions, runs in (
             (0.5, 5, served, 1),
             (0.5, 25, lost, 0),
@@ -901,12 +973,12 @@
 
     def test_a_late_release_clears_nothing(self) -> None:
         self.assertEqual(1, self.late_release())
-        with patch.object(marks, "_holds", lambda mark, event: True):
+        with patch.object(marks, "_is_holder", lambda mark, event: True):
             self.assertEqual(2, self.late_release())
 
     def test_without_the_store(self) -> None:
         lines = {"unguarded": {"load": 1}, "unguarded_s": 60}
-        for takes, decision in ((5_000, "Unguarded"), (60 * SECOND, "Deny")):
+        for takes, decision in ((5_000, "ProceedUnguarded"), (60 * SECOND, "Reject")):
             world = self.world(lines=lines)
             gate, desk = world.gates[0], Scribbling(world, takes)
             gate.marks._desk, world.down = desk, True
@@ -923,9 +995,9 @@
             gate.ask("m")  # this gateway knows what it did
             world.down = False
             world.run(10)
-            if decision == "Unguarded":
+            if decision == "ProceedUnguarded":
                 self.assertEqual((1, "settle"), (world.runs["m"], desk.lines[1].split()[0]))
-            self.assertEqual(({}, 0), (gate.marks._open, len(gate.marks.behind)))
+            self.assertEqual(({}, 0), (gate.marks._open, len(gate.marks.write_behind)))
 
     def test_who_starts_later_hears_of_a_clock_that_went_back(self) -> None:
         world = self.world()
@@ -934,16 +1006,16 @@
         world.run(5)
         restart(world, 0)
         world.run(1)
-        told = [gate.marks.store_clock.doubtful_before - before for gate in world.gates]
+        told = [gate.marks.store_clock.age_unknown_before_ms - before for gate in world.gates]
         self.assertTrue(all(0 < one < 5_000 for one in told), told)
-        self.assertEqual(0, world.gates[0].marks.store_clock.jumps)
+        self.assertEqual(0, world.gates[0].marks.store_clock.regressions)
 
     def test_a_flood_of_one_tenant(self) -> None:
         world = self.world()
         gate = world.gates[0]
         for n in range(2_000):
             gate.ask(f"f{n}")
-        self.assertEqual(1_750, world.counts["Deny"])
+        self.assertEqual(1_750, world.counts["Reject"])
         gate.ask("m", tenant=1)
         world.run(30)
         self.assertEqual((1, {}, 0), (world.runs["m"], gate.marks._open, len(gate.marks._asking)))
@@ -952,13 +1024,13 @@
         world = self.world()
         gate, desk = world.gates[0], Scribbling(world, 0)
         gate.marks._desk = desk
-        digest = marks.digest("cresstray", "", "load/all", "m")
-        gate.marks.recover([Entry(What.INTENDED, 7, digest, 0, 0)], world.now)
+        digest = marks.digest_key("cresstray", "", "load/all", "m")
+        gate.marks.recover([JournalEntry(EntryKind.CLAIMED, 7, digest, 0, 0)], world.now)
         world.run(1)
         self.assertEqual(["settle 7"], desk.lines)
         world.gates[1].ask("m")
         world.run(1)
-        self.assertEqual((1, 0), (world.counts["Abandon"], world.runs["m"]))
+        self.assertEqual((1, 0), (world.counts["Fail"], world.runs["m"]))
 
 
 class Walks(unittest.TestCase):
@@ -974,9 +1046,9 @@
                         self.assertEqual(world.counts["asked"], world.counts["decisions"])
                     self.assertEqual(0, world.counts["late"], "a decision beyond its slack")
                     for gate in world.gates:
-                        kept = gate.marks._open, len(gate.marks.behind), gate.marks._writing
+                        kept = gate.marks._open, len(gate.marks.write_behind), gate.marks._writing
                         self.assertEqual(({}, 0, 0), kept)
-            for what in ("Go", "Abandon"):
+            for what in ("Proceed", "Fail"):
                 self.assertGreater(totals[what], 0, f"{name}: never {what}")
 
     def test_a_store_that_loses_is_counted(self) -> None:
@@ -987,7 +1059,7 @@
         faults = {"set back": 1.0, "size": 1000}
         self.assertEqual(0, second_runs(faults, range(25)))
         unseen = property(lambda self: 0, lambda self, value: None)
-        with patch.object(StoreClock, "doubtful_before", unseen, create=True):
+        with patch.object(StoreClock, "age_unknown_before_ms", unseen, create=True):
             self.assertGreater(second_runs(faults, range(25)), 0)
 
     def test_broken_variants_are_caught(self) -> None:
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -20,9 +20,9 @@
 from cresstray.config.idempotency import Store, StoreTls
 from cresstray.emulators.store import StoreProcess, encode
 from cresstray.idempotency import codec
-from cresstray.idempotency.client import Client, _Link
-from cresstray.idempotency.codec import BrokenError, GreetError, Kind, Refused
-from cresstray.idempotency.in_flight import Asked, Flight, Pause, Places
+from cresstray.idempotency.client import StoreClient, StoreConnection
+from cresstray.idempotency.codec import ErrorKind, ErrorReply, HandshakeError, ProtocolError
+from cresstray.idempotency.in_flight import CommandBatch, CommandPipeline, PrimaryTracker, ReconnectBackoff
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 
@@ -36,17 +36,17 @@
     def test_replies_however_they_are_cut(self) -> None:
         for protocol in (2, 3):
             stream = b"".join(encode(reply, protocol) for reply in self.REPLIES) + b"-OOM no\r\n"
-            expected = [*self.REPLIES, Refused(Kind.OOM, "OOM no")]
+            expected = [*self.REPLIES, ErrorReply(ErrorKind.OOM, "OOM no")]
             if protocol == 2:
                 expected[5] = [b"proto", 3]
             for size in range(1, 40):
-                reader, found = codec.Reader(), []
+                reader, found = codec.ReplyReader(), []
                 for at in range(0, len(stream), size):
                     found += reader.feed(stream[at : at + size])
                 self.assertEqual(expected, found)
 
     def test_what_is_pushed_is_left_out(self) -> None:
-        self.assertEqual([b"x"], codec.Reader().feed(b">2\r\n+invalidate\r\n*0\r\n$1\r\nx\r\n"))
+        self.assertEqual([b"x"], codec.ReplyReader().feed(b">2\r\n+invalidate\r\n*0\r\n$1\r\nx\r\n"))
 
     def test_malformed_replies_take_no_room(self) -> None:
         tracemalloc.start()
@@ -65,55 +65,55 @@
             b"%1\r\n*0\r\n+a\r\n",
             long,
         ):
-            with self.assertRaises(BrokenError, msg=wrong[:20]):
-                codec.Reader().feed(wrong)
+            with self.assertRaises(ProtocolError, msg=wrong[:20]):
+                codec.ReplyReader().feed(wrong)
         self.assertLess(tracemalloc.get_traced_memory()[1], 5_000_000)
         tracemalloc.stop()
 
     def greet(self, password: bytes, *told: list) -> tuple[list, object]:
-        talk, said = codec.greeting("default", password), []
+        talk, said = codec.perform_handshake("default", password), []
         try:
             commands = next(talk)
             for replies in told:
-                said += [command.words[:2] for command in commands]
+                said += [command.arguments[:2] for command in commands]
                 commands = talk.send(replies)
         except StopIteration as over:
             return said, over.value
-        except GreetError as trouble:
+        except HandshakeError as trouble:
             return said, str(trouble)
         return said, None
 
     def test_greetings(self) -> None:
-        unknown, master = Refused(Kind.OTHER, "ERR unknown command 'HELLO'"), [b"master", 0, []]
-        loaded, loading = codec.CAS_SHA, Refused(Kind.LOADING, "LOADING")
+        unknown, master = ErrorReply(ErrorKind.OTHER, "ERR unknown command 'HELLO'"), [b"master", 0, []]
+        loaded, loading = codec.COMPARE_AND_SET_SHA, ErrorReply(ErrorKind.LOADING, "LOADING")
         self.assertEqual((3, True), self.greet(b"", [{}], [master, loaded])[1])
         self.assertEqual((3, False), self.greet(b"", [{}], [[b"slave"], loaded])[1])
         info = b"# Replication\r\nrole:master\r\n"
         said, told = self.greet(b"x", [unknown], [b"OK"], [unknown, loaded], [info])
         self.assertEqual(((2, True), (b"AUTH", b"x")), (told, said[1]))
         self.assertEqual("LOADING", self.greet(b"", [{}], [master, loading])[1])
-        self.assertEqual("WRONGPASS", self.greet(b"x", [Refused(Kind.DENIED, "WRONGPASS")])[1])
+        self.assertEqual("WRONGPASS", self.greet(b"x", [ErrorReply(ErrorKind.DENIED, "WRONGPASS")])[1])
 
 
 class Order(unittest.TestCase):
     def play(self, seed: int, faulty: bool) -> tuple[int, bool]:
         """Reads of keys of their own, answered in order with the key; `faulty`: some too many or too few."""
-        chance, flight = random.Random(seed), Flight(50)
+        chance, flight = random.Random(seed), CommandPipeline(50)
         many = chance.random() < 0.5
         told: dict[int, list] = {}
         replies: list = []
-        asked: list[Asked] = []
+        asked: list[CommandBatch] = []
         delivered, spoilt = 0, False
         for step in range(400):
-            if chance.random() < 0.5 and flight.room():
+            if chance.random() < 0.5 and flight.has_capacity():
                 names = [b"%d.%d" % (step, one) for one in range(chance.randint(1, 3))]
-                made = Asked([codec.read(name) for name in names], 0, lambda _: None)
+                made = CommandBatch([codec.get_value(name) for name in names], 0, lambda _: None)
                 asked.append(made)
                 told[id(made)] = names
-                flight.begin(made, step)
+                flight.start(made, step)
                 replies += [*names, b"%d" % len(asked)]
             elif asked and chance.random() < 0.2:
-                chance.choice(asked).drop()
+                chance.choice(asked).release()
             elif replies:
                 reply = replies.pop(0)
                 if faulty and chance.random() < 0.03:
@@ -121,8 +121,8 @@
                         continue
                     replies[:0] = chance.choice(([reply], [b"other"]))
                 try:
-                    over, _ = flight.took(reply, step)
-                except BrokenError:
+                    over, _ = flight.on_reply(reply, step)
+                except ProtocolError:
                     spoilt = True
                     break
                 if over is not None:
@@ -138,38 +138,38 @@
         self.assertGreater(sum(delivered for delivered, _ in found), 1000)
 
     def test_reply_of_another_shape(self) -> None:
-        swap = codec.cas(b"a", b"", b"b", 1)
+        swap = codec.compare_and_set(b"a", b"", b"b", 1)
         for command, reply in (
-            (codec.now(), b"1"),
-            (codec.now(), [b"1"]),
-            (codec.read(b"a"), 1),
-            (codec.role(), []),
+            (codec.get_time(), b"1"),
+            (codec.get_time(), [b"1"]),
+            (codec.get_value(b"a"), 1),
+            (codec.get_role(), []),
             (swap, [0, 1]),
             (swap, [1, None, 1]),
         ):
-            flight = Flight(1)
-            flight.begin(Asked([command], 0, lambda _: None), 0)
-            self.assertFalse(flight.room())
-            with self.assertRaises(BrokenError):
-                flight.took(reply, 0)
+            flight = CommandPipeline(1)
+            flight.start(CommandBatch([command], 0, lambda _: None), 0)
+            self.assertFalse(flight.has_capacity())
+            with self.assertRaises(ProtocolError):
+                flight.on_reply(reply, 0)
 
     def test_primary_and_pauses(self) -> None:
-        places = Places([("a", 1), ("b", 2)])
-        self.assertEqual([0, 1], places.order())
-        self.assertFalse(places.found(0, False))
-        self.assertTrue(places.found(1, True) and places.found(1, True))
-        self.assertFalse(places.found(0, True), "a second primary")
-        places.ended(1)
-        self.assertEqual([1], places.order())
-        self.assertTrue(places.demoted(1))
-        self.assertFalse(places.demoted(1))
-        self.assertEqual([1, 0], places.order())
-        pause = Pause(lambda: 0.5)
+        places = PrimaryTracker([("a", 1), ("b", 2)])
+        self.assertEqual([0, 1], places.connection_order())
+        self.assertFalse(places.on_greeted(0, False))
+        self.assertTrue(places.on_greeted(1, True) and places.on_greeted(1, True))
+        self.assertFalse(places.on_greeted(0, True), "a second primary")
+        places.on_connection_closed(1)
+        self.assertEqual([1], places.connection_order())
+        self.assertTrue(places.on_demoted(1))
+        self.assertFalse(places.on_demoted(1))
+        self.assertEqual([1, 0], places.connection_order())
+        pause = ReconnectBackoff(lambda: 0.5)
         self.assertEqual(
             [50_000, 100_000, 200_000, 400_000, 800_000, 1_000_000, 1_000_000],
-            [pause.after(0) for _ in range(7)],
+            [pause.next_delay(0) for _ in range(7)],
         )
-        self.assertEqual(50_000, pause.after(2_000_000))
+        self.assertEqual(50_000, pause.next_delay(2_000_000))
 
 
 class Desk:
@@ -183,11 +183,11 @@
             tariffs=("manifest-load",),
             **more,
         )
-        self.client = Client(
+        self.client = StoreClient(
             given, random.Random(7).random, self.clock, self.timers, self.counters, Log("n0", self.clock)
         )
         self.calls: list[tuple[int, int, object]] = []  # how often, how late in us, replies
-        self.asked: list[Asked] = []
+        self.asked: list[CommandBatch] = []
         self.said = io.StringIO()
         self.stalled = 0  # by how much the loop was late at the most, in us
 
@@ -209,12 +209,14 @@
         return self.calls[number][2]
 
     async def swap(self, name: bytes, expected: bytes, new: bytes) -> object:
-        replies = await self.answer([codec.cas(name, expected, new, 60_000)])
-        return replies and (replies[0] if type(replies[0]) is Refused else codec.swapped(replies[0]))
+        replies = await self.answer([codec.compare_and_set(name, expected, new, 60_000)])
+        return replies and (
+            replies[0] if type(replies[0]) is ErrorReply else codec.parse_compare_and_set(replies[0])
+        )
 
     async def ready(self, within: float = 5) -> None:
         with anyio.fail_after(within):
-            while not self.client.ready():
+            while not self.client.is_connected():
                 await anyio.sleep(0.005)
 
     async def _beat(self) -> None:
@@ -226,7 +228,7 @@
     async def _look(self) -> None:
         while True:
             await anyio.sleep(0.2)
-            self.client.look(self.clock.now())
+            self.client.check_connections(self.clock.now())
 
     def run(self, scene: Callable[[], Awaitable[None]]) -> str:
         """What was logged."""
@@ -283,13 +285,13 @@
                     if step == 35:
                         self.store.tell(healed)
                     name = b"%d.%d" % (turn, step)
-                    swap = codec.cas(name, b"", b"of " + name, 60_000)
-                    desk.submit([swap, codec.read(name), codec.now()], 50_000)
+                    swap = codec.compare_and_set(name, b"", b"of " + name, 60_000)
+                    desk.submit([swap, codec.get_value(name), codec.get_time()], 50_000)
                     await anyio.sleep(0.005)
                 await anyio.sleep(0.11)
                 seen[fault] = self.outcomes(turn, desk.calls[first:])
                 with anyio.fail_after(5):
-                    while await desk.answer([codec.read(b"x")], 200_000) != [None]:
+                    while await desk.answer([codec.get_value(b"x")], 200_000) != [None]:
                         await anyio.sleep(0.02)
                 self.assertGreater(seen[fault][0], 5, fault)
                 if fault != "slow uniform 1 30":
@@ -309,7 +311,7 @@
         for step, (_, _, replies) in enumerate(calls):
             if replies is None:
                 found[2] += 1
-            elif any(type(reply) is Refused for reply in replies):
+            elif any(type(reply) is ErrorReply for reply in replies):
                 found[1] += 1
             else:
                 found[0] += 1
@@ -323,7 +325,7 @@
             self.store.process.send_signal(signal.SIGSTOP)
             tracemalloc.start()
             for number in range(10_000):
-                desk.submit([codec.cas(b"%d" % number, b"", b"x" * 1000, 60_000)], 2_000_000)
+                desk.submit([codec.compare_and_set(b"%d" % number, b"", b"x" * 1000, 60_000)], 2_000_000)
                 if number % 500 == 499:
                     await anyio.sleep(0.005)
             self.assertLess(tracemalloc.get_traced_memory()[1], 24_000_000)
@@ -346,23 +348,23 @@
         async def scene() -> None:
             await desk.ready()
             self.store.tell("mute")
-            desk.submit([codec.cas(b"muted", b"", b"x", 60_000)])
+            desk.submit([codec.compare_and_set(b"muted", b"", b"x", 60_000)])
             await anyio.sleep(0.15)
             self.store.tell("refuse")
             await anyio.sleep(0.05)
-            desk.submit([codec.cas(b"refused", b"", b"x", 60_000)])
+            desk.submit([codec.compare_and_set(b"refused", b"", b"x", 60_000)])
             await anyio.sleep(0.15)
 
         desk = Desk(self.store.port)
         desk.run(scene)
         self.assertEqual([None, None], self.check(desk))
-        self.assertEqual([True, False], [asked.written for asked in desk.asked])
+        self.assertEqual([True, False], [asked.may_have_been_sent for asked in desk.asked])
         held = {bytes.fromhex(one["key"]) for one in self.store.tell("copy")}
         line = mock.Mock(unsent=b"", **{"has_ended.return_value": False, "write.return_value": False})
-        link = _Link(0, line, line, mock.Mock(), 0)
-        asked = Asked([codec.now()], 0, lambda _: None)
-        link.write(link.flight.begin(asked, 0), [asked])
-        self.assertFalse(asked.written, "on a broken connection")
+        link = StoreConnection(0, line, line, mock.Mock(), 0)
+        asked = CommandBatch([codec.get_time()], 0, lambda _: None)
+        link.write(link.flight.start(asked, 0), [asked])
+        self.assertFalse(asked.may_have_been_sent, "on a broken connection")
         self.assertEqual({b"muted"}, held)
 
     def test_connections_that_the_store_has_closed_get_nothing(self) -> None:
@@ -370,7 +372,7 @@
             await desk.ready()
             self.store.tell("close")
             time.sleep(0.1)  # their end has come, and this loop has not looked yet
-            self.assertTrue((await desk.swap(b"a", b"", b"1")).done, "it was lost, not moved")
+            self.assertTrue((await desk.swap(b"a", b"", b"1")).is_applied, "it was lost, not moved")
 
         desk = Desk(self.store.port)
         desk.run(scene)
@@ -380,7 +382,7 @@
 
         async def scene() -> None:
             await desk.ready()
-            desk.submit([codec.now()], 50_000)
+            desk.submit([codec.get_time()], 50_000)
             await anyio.sleep(0)
             time.sleep(0.1)
             await anyio.sleep(0.05)
@@ -397,7 +399,7 @@
             self.assertEqual((False, b"1"), (await desk.swap(b"a", b"", b"2"))[:2])
             self.assertEqual((True, None), (await desk.swap(b"a", b"1", b"2"))[:2])
             self.store.tell("spoil b")
-            self.assertEqual(Kind.WRONGTYPE, (await desk.swap(b"b", b"", b"2")).kind)
+            self.assertEqual(ErrorKind.WRONGTYPE, (await desk.swap(b"b", b"", b"2")).kind)
 
         desk = Desk(self.store.port)
         desk.run(scene)
@@ -410,7 +412,7 @@
             await desk.ready()
             self.store.process.send_signal(signal.SIGSTOP)
             for _ in range(20):
-                desk.submit([codec.now()], 60_000_000)
+                desk.submit([codec.get_time()], 60_000_000)
             await anyio.sleep(0.05)
             self.ended = time.monotonic()
 
@@ -421,7 +423,7 @@
 
     def test_ends_without_a_store(self) -> None:
         async def scene() -> None:
-            desk.submit([codec.now()], 60_000_000)
+            desk.submit([codec.get_time()], 60_000_000)
             await anyio.sleep(0.02)
 
         self.store.kill()
@@ -436,7 +438,7 @@
                 self.assertEqual(b"b", other.get("a"))
                 self.assertTrue(0 < other.pttl("a") <= 60_000)
                 self.assertIsNone(other.set("a", "c", nx=True))
-                swap = other.register_script(codec.CAS)
+                swap = other.register_script(codec.COMPARE_AND_SET_SCRIPT)
                 self.assertEqual([0, b"b"], swap(["a"], [b"x", b"n", 50])[:2])
                 self.assertEqual(1, swap(["a"], [b"b", b"n", 50])[0])
                 time.sleep(0.06)
@@ -455,16 +457,16 @@
         async def scene() -> None:
             await desk.ready()
             for number in range(40):
-                self.assertTrue((await desk.swap(b"%d" % number, b"", b"x")).done)
+                self.assertTrue((await desk.swap(b"%d" % number, b"", b"x")).is_applied)
                 await anyio.sleep(0.01)
             first.kill()
             lost = second.tell("promote")["lost"]
             begun = time.monotonic()
             while (done := await desk.swap(b"40", b"", b"x")) is None:
                 await anyio.sleep(0.01)
-            self.assertTrue(done.done)
+            self.assertTrue(done.is_applied)
             self.assertLess(time.monotonic() - begun, 2)
-            there = [await desk.answer([codec.read(b"%d" % number)]) for number in range(40)]
+            there = [await desk.answer([codec.get_value(b"%d" % number)]) for number in range(40)]
             gone = there.count([None])
             self.assertEqual(lost, gone)
             self.assertTrue(5 <= gone < 40, gone)
@@ -477,9 +479,9 @@
             second.tell(f"follow 127.0.0.1:{first.control}")
             first.tell("promote")
             with anyio.fail_after(3):
-                while not (done := await desk.swap(b"41", b"", b"x")) or type(done) is Refused:
+                while not (done := await desk.swap(b"41", b"", b"x")) or type(done) is ErrorReply:
                     await anyio.sleep(0.01)
-            self.assertEqual(b"x", (await desk.answer([codec.read(b"40")]))[0])
+            self.assertEqual(b"x", (await desk.answer([codec.get_value(b"40")]))[0])
 
         with StoreProcess() as first, StoreProcess() as second:
             second.tell("lag 200")
@@ -501,7 +503,9 @@
             self.assertIsNone(await desk.swap(b"away", b"", b"x"))
             store.start(copy)
             await desk.ready()
-            self.assertEqual([b"x", None], (await desk.answer([codec.read(b"old"), codec.read(b"new")])))
+            self.assertEqual(
+                [b"x", None], (await desk.answer([codec.get_value(b"old"), codec.get_value(b"new")]))
+            )
 
         with StoreProcess() as store:
             desk = Desk(store.port)
@@ -521,10 +525,10 @@
             with anyio.fail_after(5):
                 while "WRONGPASS" not in desk.said.getvalue():
                     await anyio.sleep(0.01)
-            self.assertFalse(desk.client.ready())
+            self.assertFalse(desk.client.is_connected())
             path.write_text("right\n")  # read again for each connection
             await desk.ready()
-            self.assertTrue((await desk.swap(b"a", b"", b"1")).done)
+            self.assertTrue((await desk.swap(b"a", b"", b"1")).is_applied)
 
         path.write_text("wrong\n")
         desk = Desk(port, password=str(path))
@@ -541,7 +545,7 @@
             async def scene() -> None:
                 with anyio.move_on_after(0.5):
                     await desk.ready()
-                ready.append(desk.client.ready() and (await desk.swap(b"a", b"", b"1")).done)
+                ready.append(desk.client.is_connected() and (await desk.swap(b"a", b"", b"1")).is_applied)
 
             ready: list[bool] = []
             here = "localhost"
--- a/tests/test_store_processes.py
+++ b/tests/test_store_processes.py
@@ -21,13 +21,13 @@
     MARKED,
     MarkClient,
     MarkedFleet,
-    Shared,
+    SharedStore,
     draw_again,
     payoff,
     ran_again,
 )
 from cresstray.idempotency import records as marks
-from cresstray.idempotency.records import Mark, State
+from cresstray.idempotency.records import IdempotencyRecord, RecordState
 
 MEMORY = 2.0
 LOOKUP, LOAD = replace(world.KINDS[0], work=0.01), replace(world.KINDS[2], work=0.05)
@@ -36,7 +36,7 @@
 
 
 def key(mark: str, tenant: str = "office") -> str:
-    return f"cresstray:m1:{marks.digest('cresstray', tenant, MARKED + '/all', mark).hex()}"
+    return f"cresstray:m1:{marks.digest_key('cresstray', tenant, MARKED + '/all', mark).hex()}"
 
 
 async def until(what: Callable[[], Awaitable[object]]) -> object:
@@ -49,7 +49,7 @@
 class Scene:
     """What a case asks of a fleet that is up."""
 
-    def __init__(self, fleet: MarkedFleet, shared: Shared) -> None:
+    def __init__(self, fleet: MarkedFleet, shared: SharedStore) -> None:
         self.fleet, self.shared = fleet, shared
         self._numbers = itertools.count(1)
         self._clients: dict[int, MarkClient] = {}
@@ -75,10 +75,10 @@
         """Whether it has, to its end, whoever has heard of it."""
         return any(run.effect and run.ended for run in (await self.fleet.runs()).get(asked.name, ()))
 
-    async def mark(self, name: str) -> Mark | None:
+    async def mark(self, name: str) -> IdempotencyRecord | None:
         """As the store has it."""
         held = {bytes.fromhex(one["key"]).decode(): one for one in await self.shared.tell("copy")}
-        return marks.decoded(bytes.fromhex(held[key(name)]["value"])) if key(name) in held else None
+        return marks.decode_record(bytes.fromhex(held[key(name)]["value"])) if key(name) in held else None
 
 
 class Counting(unittest.TestCase):
@@ -113,7 +113,7 @@
             self.assertEqual({}, {name: count for name, count in broken.items() if count})
             self.assertEqual(second_runs, ran_again(scene.fleet.account, scene.fleet.mark_of))
 
-        with tempfile.TemporaryDirectory() as folder, Shared() as shared:
+        with tempfile.TemporaryDirectory() as folder, SharedStore() as shared:
             scene = Scene(MarkedFleet(Path(folder), shared, **({"memory": MEMORY} | given)), shared)
             anyio.run(main)
             self.counters = scene.fleet.counters()
@@ -165,7 +165,7 @@
 
             async def unknown() -> bool:
                 mark = await scene.mark("a")
-                return mark is not None and mark.state is State.UNKNOWN
+                return mark is not None and mark.state is RecordState.UNKNOWN
 
             await until(unknown)
             await anyio.sleep(max(0.0, asked.asked + 1.1 * MEMORY - anyio.current_time()))
@@ -293,7 +293,7 @@
 
                 async def there(mark: str = one.name * 2) -> bool:
                     found = await scene.mark(mark)
-                    return found is not None and found.state is State.ENDED
+                    return found is not None and found.state is RecordState.COMPLETED
 
                 await until(there)
             await anyio.sleep(0.5)
@@ -307,7 +307,7 @@
 class MarkedHalls(world.World):
     """Two halls whose gateways share one store."""
 
-    def __init__(self, folder: Path, shared: Shared) -> None:
+    def __init__(self, folder: Path, shared: SharedStore) -> None:
         self._shared, self.mark_of = shared, {}
         super().__init__(folder, gateways=1, engines=2, link="link\n    heal 1s\n")
 
@@ -327,7 +327,7 @@
 
 class Halls(unittest.TestCase):
     def test_7_store_and_link_cut_at_once(self) -> None:
-        async def main(halls: MarkedHalls, shared: Shared) -> None:
+        async def main(halls: MarkedHalls, shared: SharedStore) -> None:
             drawn, halls.mark_of = draw_again([replace(LOAD, hard=1.5)], 12.0, 2.0, 2, 1.0, 3)
             async with halls.up():
                 await anyio.sleep(1.5)
@@ -348,7 +348,11 @@
             self.assertEqual({"fulfilled", "denied", "abandoned"}, how)
             self.assertLess(5, halls.counters().get("crossings offered", 0))
 
-        with tempfile.TemporaryDirectory() as folder, Shared() as shared, patch.object(world, "_MEMORY", 2.0):
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            SharedStore() as shared,
+            patch.object(world, "_MEMORY", 2.0),
+        ):
             anyio.run(main, MarkedHalls(Path(folder), shared), shared)
 
 
