--- a/cresstray/config/operator.py
+++ b/cresstray/config/operator.py
@@ -11,7 +11,7 @@
 from cresstray.config import lines
 from cresstray.config import membership as kepts
 from cresstray.config.fleet import Engine, Fleet, Keeper
-from cresstray.config.idempotency import Store
+from cresstray.config.idempotency import StoreSettings
 from cresstray.config.lines import Section, Sheet, UnusableError, one_of
 from cresstray.config.membership import Kept
 
@@ -61,7 +61,7 @@
     halls: Halls | None = None
     fleet: Fleet | None = None
     kept: Kept | None = None
-    store: Store | None = None
+    store: StoreSettings | None = None
 
 
 def read(path: str) -> Operator:
@@ -92,7 +92,7 @@
     "peer": {},
     **fleets.KNOWN,
     **kepts.KNOWN,
-    **stores.KNOWN,
+    **stores.SECTION_READERS,
 }
 # Those that have a word of their own behind the keyword.
 _NAMED = {"hall": "its name", "fleet": "its name", "member": "its name", "folder": "a path", "kept": "a path"}
@@ -136,13 +136,15 @@
     if of_fleet or keepers or engines:
         fleet = fleets.fleet(sheet, found, made, keepers, engines, tls)
     of_halls = [
-        keyword for keyword in found if keyword not in {*fleets.KNOWN, *kepts.KNOWN, *stores.KNOWN, "tls"}
+        keyword
+        for keyword in found
+        if keyword not in {*fleets.KNOWN, *kepts.KNOWN, *stores.SECTION_READERS, "tls"}
     ]
     if "tls" in found and not of_fleet and not keepers:
         of_halls.append("tls")
     halls = _halls(sheet, found, made, peers, tls) if of_halls or peers else None
     kept = kepts.kept(sheet, found["kept"]) if "kept" in found else None
-    store = stores.store(sheet, found["store"], made["store"]) if "store" in found else None
+    store = stores.read_store_section(sheet, found["store"], made["store"]) if "store" in found else None
     sheet.finish()
     return Operator(halls, fleet, kept, store)
 
--- a/cresstray/gateway/service.py
+++ b/cresstray/gateway/service.py
@@ -33,7 +33,7 @@
     from cresstray.background.schedule import JobResult
     from cresstray.background.worker import Worker
     from cresstray.config.fleet import Fleet
-    from cresstray.config.idempotency import Store
+    from cresstray.config.idempotency import StoreSettings
     from cresstray.config.operator import Halls, Operator
     from cresstray.gateway.fleet_member import FleetMember
     from cresstray.membership.recovery import Keep
@@ -269,7 +269,7 @@
         return keep
 
     def _make_marked(
-        self, name: str, given: Store, settings: Mapping[str, Any], seed: int
+        self, name: str, given: StoreSettings, settings: Mapping[str, Any], seed: int
     ) -> IdempotencyChecks:
         """After the other rules, which it asks as well."""
         from cresstray.pipeline.idempotency_checks import IdempotencyChecks
--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -40,7 +40,7 @@
 from cresstray.transport.streams import ENDED, SocketStream, connect, contained
 
 if TYPE_CHECKING:
-    from cresstray.config.idempotency import Store, StoreTls
+    from cresstray.config.idempotency import StoreSettings, StoreTlsFiles
 
 # One that is cut or waits for a lost packet leaves the other; a gateway's marks fit on one.
 _CONNECTIONS = 2
@@ -69,14 +69,14 @@
 class _Names:
     """The store's certificate is verified against its authority and its host's name. For halls.tls.Sealed."""
 
-    def __init__(self, files: StoreTls, host: str) -> None:
+    def __init__(self, files: StoreTlsFiles, host: str) -> None:
         """OSError where a file can't be used."""
         self._host = host
         try:
-            self._context = ssl.create_default_context(cafile=files.authority)
+            self._context = ssl.create_default_context(cafile=files.authority_path)
             self._context.minimum_version = ssl.TLSVersion.TLSv1_2  # what managed stores still offer
-            if files.certificate:
-                self._context.load_cert_chain(files.certificate, files.key)
+            if files.certificate_path:
+                self._context.load_cert_chain(files.certificate_path, files.key_path)
         except OSError as trouble:
             raise OSError(f"keys of the store, one of {files}: {trouble}") from None
 
@@ -126,14 +126,14 @@
         self._scope.cancel()
 
 
-def check_files(given: Store) -> None:
+def check_files(given: StoreSettings) -> None:
     """OSError where a file that it names can't be used."""
     if given.tls:
         _Names(given.tls, given.addresses[0][0])
-    if given.password:
-        with open(given.password, "rb") as file:
+    if given.password_path:
+        with open(given.password_path, "rb") as file:
             if not file.readline(4096).strip():
-                raise OSError(f"no password in {given.password}")
+                raise OSError(f"no password in {given.password_path}")
 
 
 class StoreClient:
@@ -143,7 +143,7 @@
 
     def __init__(
         self,
-        given: Store,
+        given: StoreSettings,
         chance: Callable[[], float],
         clock: Clock,
         timers: Timers,
@@ -330,7 +330,7 @@
 
     async def _password(self) -> bytes:
         """Read for each connection, so that it can be changed."""
-        path = self._given.password
+        path = self._given.password_path
         if not path:
             return b""
 
--- a/cresstray/idempotency/coordinator.py
+++ b/cresstray/idempotency/coordinator.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from functools import partial
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 import msgspec
 
@@ -33,10 +33,11 @@
 from cresstray.observability.counters import Counters
 from cresstray.policy.types import Outcome, Request
 
+if TYPE_CHECKING:
+    from cresstray.config.idempotency import IdempotencySettings
+
 # Endings that prove a relay never ran, as the module has them.
 _UNRUN = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.EXPIRED_BEFORE_SEND)
-# Marks are kept so long unless the operator says else: clients that ask again after an hour ask anew.
-_KEPT_S = 3_600
 # As the module does: what ends within this of the hard stop is ended by the sweep.
 _MARGIN = 200_000
 # Danger: what crosses to another hall may be relayed there until its hard stop; an intention that ends
@@ -149,7 +150,7 @@
     def __init__(
         self,
         client: CommandClient,
-        lines: Mapping[str, Any],
+        operator_settings: IdempotencySettings,
         settings: Mapping[str, Any],
         request_classes: Sequence[Any],
         owner: str,
@@ -164,22 +165,23 @@
         self._client, self._clock, self._timers, self._counters = client, clock, timers, counters
         self._desk, self._say = desk, say
         self._holder = ClaimHolder(owner, life)
-        self._namespace = lines.get("namespace", "cresstray")
-        self._kept = int(lines.get("kept_s", _KEPT_S) * 1000)
-        self._largest = lines.get("answers", 0)
+        self._namespace = operator_settings.namespace
+        self._kept = operator_settings.retention_ms
+        self._largest = operator_settings.max_result_bytes
         limits = settings.get("Limits", {})
         honoured = int(limits.get("MaxRetryAfter", 0) * 1000) if limits.get("RetryAfter") else 0
         names = [service.get("Name", "") for service in settings.get("Services", [])]
         self._kinds = [
-            guard_mode_of(request_class, name, lines) for request_class, name in zip(request_classes, names)
+            guard_mode_of(request_class, name, operator_settings)
+            for request_class, name in zip(request_classes, names)
         ]
         self._names = names
         self._tenants = [str(tenant.get("Name", "")) for tenant in settings.get("Tenants", [])]
         now = clock.now()
-        self.health = StoreHealth(lines, chance, now)
+        self.health = StoreHealth(operator_settings, chance, now)
         self.store_clock = StoreClock()
         self.write_behind = WriteBehindQueue()
-        self._guard = ExecutionGuard(lines, honoured, chance)
+        self._guard = ExecutionGuard(operator_settings, honoured, chance)
         self._open: dict[Request, GuardedRequest] = {}
         self._asking: Counter[int] = Counter()  # questions of submissions that are out, by tenant
         self._fence = 0  # of the last intention of this process
--- a/cresstray/idempotency/execution_guard.py
+++ b/cresstray/idempotency/execution_guard.py
@@ -1,15 +1,16 @@
-"""What to do with one submission by what the store said of its mark, or while the store is silent. Pure.
+"""Decides about one request from its idempotency record, or without it while the store is unavailable. Pure.
 
-Two things guard a deduplicated submission against a second run: the engines' memory, for some seconds, and
-the mark, which keeps any relay from going out once that memory may be over. So while the memory surely holds,
-another gateway's intention is waited for out of thrift only; from then on nobody sends what may have run.
+Two things protect a deduplicated request against a second execution: the engines' deduplication window, for
+some seconds, and the record, which keeps any attempt from being sent once that window may have ended. While
+the window surely holds, another gateway's claim is waited for only to save work; after it nobody sends what
+may have run.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from enum import Enum
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from cresstray.idempotency.records import (
     EventKind,
@@ -21,60 +22,76 @@
 from cresstray.policy.sliding_window import SlidingWindow
 from cresstray.policy.types import RequestClass
 
-# Danger: an engine gets a relay later than it was sent, and clocks run at different speeds. A repeat is sent
-# no later than this before the memory of the first is over: a hundredth of it is more than any two clocks
-# differ by.
-_TRAVEL, _DRIFT = 100_000, 100
-# What is left of a memory must do for more than the way to an engine, or it is not worth a relay.
-_WORTH = 50_000
-# Danger: a mark from the future was written by another clock than this one; its age is not known.
-_FUTURE = 1_000
-# Another's intention is looked at again after half of what was waited so far, in these bounds.
-_SOONEST, _LATEST = 20_000, 200_000
-# An intention that no memory bounds: longer than any submission lives, so that its time can be told at all.
-_LONGEST = 600_000_000
+if TYPE_CHECKING:
+    from cresstray.config.idempotency import IdempotencySettings
+
+# An engine receives an attempt later than it was sent, and clocks run at different speeds. A repeated
+# request is sent no later than this before the window of the first ends.
+_TRANSFER_MARGIN_US = 100_000
+# One hundredth of the window: more than any two clocks differ by.
+_CLOCK_DRIFT_DIVISOR = 100
+# Less than this left of a window is not worth an attempt.
+_MIN_WINDOW_LEFT_US = 50_000
+# A record dated further in the future was written by another clock; its age is unknown.
+_MAX_FUTURE_MS = 1_000
+# Another gateway's claim is read again after half of the time waited so far, within these bounds.
+_MIN_WAIT_US = 20_000
+_MAX_WAIT_US = 200_000
+# A claim that no window bounds: longer than any request lives.
+_MAX_CLAIM_US = 600_000_000
+_UNGUARDED_WINDOW_US = 1_000_000
+_UNGUARDED_WINDOW_BUCKETS = 10
 
 
 class GuardMode(Enum):
-    """What guards a tariff's submissions against a second run."""
+    """What protects the requests of a class against a second execution."""
 
-    NOT_NEEDED = "free"  # idempotent, or not named by the operator: needs no mark
-    SHARED_DEDUP_WINDOW = "shared"  # deduplicated, all engines share one memory: that, then the mark
-    SCOPED_DEDUP_WINDOW = (
-        "apart"  # deduplicated, by zone or cell or without a memory: across gateways the mark alone
-    )
-    AT_MOST_ONCE = "once"  # unrepeatable: the mark alone, where the client gives a name
+    NOT_NEEDED = "free"  # idempotent, or not named by the operator
+    SHARED_DEDUP_WINDOW = "shared"  # all engines share one deduplication window: that, then the record
+    SCOPED_DEDUP_WINDOW = "apart"  # window by zone or cell, or none: across gateways the record alone
+    AT_MOST_ONCE = "once"  # the record alone, where the client gives a key
 
 
-def guard_mode_of(request_class: RequestClass, name: str, lines: Mapping[str, Any]) -> GuardMode:
-    """`lines["tariffs"]`: the names of the tariffs that the operator has marked."""
-    if request_class.is_idempotent or name not in lines.get("tariffs", ()):
+def guard_mode_of(request_class: RequestClass, name: str, settings: IdempotencySettings) -> GuardMode:
+    """Returns the mode of a request class with this name."""
+    if request_class.is_idempotent or name not in settings.request_classes:
         return GuardMode.NOT_NEEDED
     if not request_class.is_deduplicated:
         return GuardMode.AT_MOST_ONCE
-    shared = request_class.dedup_scope == "all" and request_class.dedup_window_us > 2 * (_TRAVEL + _WORTH)
-    return GuardMode.SHARED_DEDUP_WINDOW if shared else GuardMode.SCOPED_DEDUP_WINDOW
+    min_window_us = 2 * (_TRANSFER_MARGIN_US + _MIN_WINDOW_LEFT_US)
+    if request_class.dedup_scope == "all" and request_class.dedup_window_us > min_window_us:
+        return GuardMode.SHARED_DEDUP_WINDOW
+    return GuardMode.SCOPED_DEDUP_WINDOW
 
 
 class ClaimHolder(NamedTuple):
+    """A gateway process: its name, and which of its starts this is."""
+
     owner: str
     incarnation: str
 
 
 class RequestTiming(NamedTuple):
-    """Of one submission, microseconds of this gateway's clock; `memory`: how long engines remember it.
+    """Times of one request in microseconds of this gateway's clock.
 
-    `hard_stop`: so long an intention must hold.
+    Attributes:
+        started_us: When the record was first asked for.
+        latest_dispatch_us: Until then it can be sent and answered within its latency objective.
+        deadline_us: For so long a claim must hold.
+        dedup_window_us: For how long engines remember the request.
     """
 
     started_us: int
-    latest_dispatch_us: int  # until then it can be sent and answered within its soft limit
+    latest_dispatch_us: int
     deadline_us: int
     dedup_window_us: int
 
 
 class LookupResult(NamedTuple):
-    """`at`: ms of the store's clock; `doubtful_before`: marks from before it then are of unknown age."""
+    """What the store holds, at `store_now_ms` of its clock.
+
+    Records from before `age_unknown_before_ms` may be older than they look.
+    """
 
     record: IdempotencyRecord | None
     store_now_ms: int
@@ -82,142 +99,200 @@
 
 
 class StoreUnavailable(NamedTuple):
-    """`since`: for how long the store has not answered well, microseconds."""
+    """Why nothing is known, and for how many microseconds the store has not answered well."""
 
     reason: str
     unavailable_us: int = 0
 
 
 class Claim(NamedTuple):
-    """The intention is to be written first; then what the store says decides."""
+    """The claim is to be written first; the store's reply then decides."""
 
     event: RecordEvent
 
 
 class Proceed(NamedTuple):
-    """`until`: ms of the store's clock at which no relay may go out any more."""
+    """The request may be dispatched until `valid_until_ms` of the store's clock."""
 
     fence: int
     valid_until_ms: int
 
 
 class Wait(NamedTuple):
+    """The record is to be read again at `retry_at_us` of this gateway's clock."""
+
     retry_at_us: int
 
 
 class Reject(NamedTuple):
-    retry_after_us: int  # microseconds
+    """The client is to try again after `retry_after_us`."""
+
+    retry_after_us: int
 
 
 class Fail(NamedTuple):
-    """It has run, or may have: a repeat would not be discarded any more."""
+    """It has run, or may have: engines would no longer discard a repeated request."""
 
     reason: str
 
 
 class ReplayResult(NamedTuple):
+    """The stored result of the first execution answers the request."""
+
     result: bytes
 
 
 class ProceedUnguarded(NamedTuple):
+    """The request may be dispatched without the store's word, within the operator's allowance."""
+
     reason: str
 
 
 Decision = Claim | Proceed | Wait | Reject | Fail | ReplayResult | ProceedUnguarded
 
 
-def dedup_safety_margin_us(memory: int) -> int:
-    return _TRAVEL + memory // _DRIFT
+def dedup_safety_margin_us(dedup_window_us: int) -> int:
+    """Returns how long before the end of a deduplication window it counts as over."""
+    return _TRANSFER_MARGIN_US + dedup_window_us // _CLOCK_DRIFT_DIVISOR
 
 
 class ExecutionGuard:
-    """`lines`: the operator's; `honoured`: microseconds that clients wait at most before they come back."""
+    """Decides whether a request may be executed."""
+
+    def __init__(
+        self, settings: IdempotencySettings, max_retry_after_us: int, chance: Callable[[], float]
+    ) -> None:
+        """`max_retry_after_us`.
 
-    def __init__(self, lines: Mapping[str, Any], honoured: int, chance: Callable[[], float]) -> None:
-        self._honoured, self._chance = honoured, chance
-        # Off where the operator does not name a tariff: its promise is worth more than its payoff.
-        self._most = {name: float(most) for name, most in lines.get("unguarded", {}).items()}
-        self._longest = int(lines.get("unguarded_s", 0) * 1_000_000)
-        self._passed = {name: SlidingWindow(1_000_000, 10) for name in sorted(self._most)}
+        The longest that clients wait before they come back; `chance` is in [0, 1).
+        """
+        self._max_retry_after_us = max_retry_after_us
+        self._chance = chance
+        # Off for classes that the operator does not name: no second execution is worth more than an answer.
+        self._unguarded_rates = {name: float(rate) for name, rate in settings.unguarded_rates.items()}
+        self._max_unguarded_us = settings.max_unguarded_us
+        self._unguarded_counts = {
+            name: SlidingWindow(_UNGUARDED_WINDOW_US, _UNGUARDED_WINDOW_BUCKETS)
+            for name in sorted(self._unguarded_rates)
+        }
 
     def make_claim(
         self,
-        kind: GuardMode,
-        mark: IdempotencyRecord | None,
+        mode: GuardMode,
+        record: IdempotencyRecord | None,
         holder: ClaimHolder,
-        at: int,
-        times: RequestTiming,
-        now: int,
+        store_now_ms: int,
+        timing: RequestTiming,
+        now_us: int,
     ) -> Claim:
-        """The intention for one that no other has, or, within the engines' memory, beside another's.
+        """Returns a claim on a free record, or, within the engines' window, one beside another holder's.
 
-        `at`: no later than the store's time by now. Fences grow with that where nothing is left of the last.
+        `store_now_ms` must not be later than the store's time. Fences grow with it where the last one was
+        lost.
         """
-        taken_over = mark is not None and mark.state is not RecordState.ABSENT
-        since = min(mark.earliest_dispatch_ms, at) if taken_over else at
-        until = at + min(_LONGEST, max(0, times.deadline_us - now)) // 1000
-        if kind is GuardMode.SHARED_DEDUP_WINDOW:
-            until = min(until, self._guarded_until(since, times))
-        fence = at if mark is None else max(mark.fence + 1, at)
-        return Claim(RecordEvent(EventKind.CLAIM, *holder, fence, since, until))
+        is_takeover = record is not None and record.state is not RecordState.ABSENT
+        earliest_dispatch_ms = store_now_ms
+        if is_takeover and record is not None:
+            earliest_dispatch_ms = min(record.earliest_dispatch_ms, store_now_ms)
+        time_left_us = max(0, timing.deadline_us - now_us)
+        valid_until_ms = store_now_ms + min(_MAX_CLAIM_US, time_left_us) // 1000
+        if mode is GuardMode.SHARED_DEDUP_WINDOW:
+            valid_until_ms = min(valid_until_ms, _window_end_ms(earliest_dispatch_ms, timing))
+        fence = store_now_ms if record is None else max(record.fence + 1, store_now_ms)
+        return Claim(RecordEvent(EventKind.CLAIM, *holder, fence, earliest_dispatch_ms, valid_until_ms))
 
     def decide(
-        self, kind: GuardMode, found: LookupResult, holder: ClaimHolder, times: RequestTiming, now: int
+        self, mode: GuardMode, lookup: LookupResult, holder: ClaimHolder, timing: RequestTiming, now_us: int
     ) -> Decision:
-        assert kind is not GuardMode.NOT_NEEDED, "asked for a tariff that needs no mark"
-        mark, at = found.record, found.store_now_ms
-        if mark is None or mark.state is RecordState.ABSENT:
-            return self.make_claim(kind, mark, holder, at, times, now)
-        if mark.state is RecordState.COMPLETED:
-            result = stored_result(mark.outcome)
+        """Returns what to do with a request whose record was read."""
+        assert mode is not GuardMode.NOT_NEEDED, "looked up a request that needs no record"
+        record = lookup.record
+        if record is None or record.state is RecordState.ABSENT:
+            return self.make_claim(mode, record, holder, lookup.store_now_ms, timing, now_us)
+        window_end_ms = self._known_window_end_ms(mode, record, lookup, timing)
+        if record.state in (RecordState.COMPLETED, RecordState.UNKNOWN):
+            return self._decide_finished(record, lookup, window_end_ms)
+        return self._decide_claimed(mode, record, lookup, holder, timing, window_end_ms, now_us)
+
+    def _known_window_end_ms(
+        self, mode: GuardMode, record: IdempotencyRecord, lookup: LookupResult, timing: RequestTiming
+    ) -> int:
+        """Returns until when all engines surely remember the request; 0 if that is not known."""
+        if mode is not GuardMode.SHARED_DEDUP_WINDOW:
+            return 0
+        is_from_the_future = record.earliest_dispatch_ms > lookup.store_now_ms + _MAX_FUTURE_MS
+        if is_from_the_future or record.earliest_dispatch_ms < lookup.age_unknown_before_ms:
+            return 0
+        return _window_end_ms(record.earliest_dispatch_ms, timing)
+
+    def _decide_finished(
+        self, record: IdempotencyRecord, lookup: LookupResult, window_end_ms: int
+    ) -> Decision:
+        is_completed = record.state is RecordState.COMPLETED
+        if is_completed:
+            result = stored_result(record.outcome)
             if result is not None:
                 return ReplayResult(result)
-        until = (
-            self._guarded_until(mark.earliest_dispatch_ms, times)
-            if kind is GuardMode.SHARED_DEDUP_WINDOW
-            else 0
-        )
-        if (
-            mark.earliest_dispatch_ms > at + _FUTURE
-            or mark.earliest_dispatch_ms < found.age_unknown_before_ms
-        ):
-            until = 0
-        guards = until - at > _WORTH // 1000
-        if mark.state in (RecordState.COMPLETED, RecordState.UNKNOWN):
-            # While the engines remember, they answer a repeat with what the first came to, or run what never
-            # ran.
-            if guards:
-                return Proceed(mark.fence, until)
-            return Fail("it has run" if mark.state is RecordState.COMPLETED else "it may have run")
-        if at < mark.valid_until_ms:
-            pause = min(_LATEST, max(_SOONEST, (now - times.started_us) // 2))
-            again_at = now + int(pause * (0.5 + 0.5 * self._chance()))
-            # Half of the time there is: the other half is for a relay of our own, should its holder be gone.
-            if again_at < times.started_us + (times.latest_dispatch_us - times.started_us) // 2:
-                return Wait(again_at)
-        if guards:
-            return self.make_claim(kind, mark, holder, at, times, now)
-        if at < mark.valid_until_ms:
-            return Reject(self.make_retry_after((mark.valid_until_ms - at) * 1000))
+        if _has_window_left(lookup.store_now_ms, window_end_ms):
+            # The engines answer a repeated request with the first result, or run what never ran.
+            return Proceed(record.fence, window_end_ms)
+        return Fail("it has run" if is_completed else "it may have run")
+
+    def _decide_claimed(
+        self,
+        mode: GuardMode,
+        record: IdempotencyRecord,
+        lookup: LookupResult,
+        holder: ClaimHolder,
+        timing: RequestTiming,
+        window_end_ms: int,
+        now_us: int,
+    ) -> Decision:
+        is_claim_valid = lookup.store_now_ms < record.valid_until_ms
+        if is_claim_valid:
+            retry_at_us = self._retry_at_us(timing, now_us)
+            # The other half of the time is for an attempt of this gateway, should the holder have died.
+            if retry_at_us < half_time_us(timing):
+                return Wait(retry_at_us)
+        if _has_window_left(lookup.store_now_ms, window_end_ms):
+            return self.make_claim(mode, record, holder, lookup.store_now_ms, timing, now_us)
+        if is_claim_valid:
+            return Reject(self.make_retry_after((record.valid_until_ms - lookup.store_now_ms) * 1000))
         return Fail("its gateway is gone, and may have sent it")
 
-    def decide_without_store(self, silence: StoreUnavailable, name: str, now: int) -> Decision:
-        """Nothing is known of it. Danger: it may have run elsewhere, longer ago than the engines remember."""
-        ring = self._passed.get(name)
-        if (
-            ring is not None
-            and silence.unavailable_us <= self._longest
-            and ring.upper_bound(now) + 1 <= self._most[name]
-        ):
-            ring.add(now)
-            return ProceedUnguarded(silence.reason)
-        return Reject(self.make_retry_after(0))
-
-    def make_retry_after(self, at_least: int) -> int:
-        """Spread, so that those denied together do not return together; within what clients honour."""
-        least = max(self._honoured // 2, min(at_least, 3 * self._honoured // 4))
-        return least + int((self._honoured - least) * self._chance())
-
-    def _guarded_until(self, since: int, times: RequestTiming) -> int:
-        """Until when the engines surely remember what was sent no sooner than `since`; ms of the store."""
-        return since + max(0, times.dedup_window_us - dedup_safety_margin_us(times.dedup_window_us)) // 1000
+    def _retry_at_us(self, timing: RequestTiming, now_us: int) -> int:
+        wait_us = min(_MAX_WAIT_US, max(_MIN_WAIT_US, (now_us - timing.started_us) // 2))
+        return now_us + int(wait_us * (0.5 + 0.5 * self._chance()))
+
+    def decide_without_store(self, unavailable: StoreUnavailable, class_name: str, now_us: int) -> Decision:
+        """Returns what to do while nothing is known.
+
+        It may have run elsewhere, outside the engines' window.
+        """
+        passed = self._unguarded_counts.get(class_name)
+        if passed is None or unavailable.unavailable_us > self._max_unguarded_us:
+            return Reject(self.make_retry_after(0))
+        if passed.upper_bound(now_us) + 1 > self._unguarded_rates[class_name]:
+            return Reject(self.make_retry_after(0))
+        passed.add(now_us)
+        return ProceedUnguarded(unavailable.reason)
+
+    def make_retry_after(self, min_us: int) -> int:
+        """Returns a wait in microseconds, spread so that clients rejected together do not return together."""
+        least_us = max(self._max_retry_after_us // 2, min(min_us, 3 * self._max_retry_after_us // 4))
+        return least_us + int((self._max_retry_after_us - least_us) * self._chance())
+
+
+def half_time_us(timing: RequestTiming) -> int:
+    """Returns when half of the time between the first lookup and the latest dispatch has passed."""
+    return timing.started_us + (timing.latest_dispatch_us - timing.started_us) // 2
+
+
+def _has_window_left(store_now_ms: int, window_end_ms: int) -> bool:
+    return window_end_ms - store_now_ms > _MIN_WINDOW_LEFT_US // 1000
+
+
+def _window_end_ms(earliest_dispatch_ms: int, timing: RequestTiming) -> int:
+    """Returns until when engines surely remember what was sent no sooner than `earliest_dispatch_ms`."""
+    margin_us = dedup_safety_margin_us(timing.dedup_window_us)
+    return earliest_dispatch_ms + max(0, timing.dedup_window_us - margin_us) // 1000
--- a/cresstray/idempotency/health.py
+++ b/cresstray/idempotency/health.py
@@ -1,154 +1,200 @@
-"""The limiter on the store itself, and what is known of its clock. Pure.
+"""Circuit breaker, concurrency limit and time budget of the shared store, and bounds of its clock. Pure.
 
-The store helps; it must never be what a submission waits for. What may be spent on it comes out of a
-submission's slack, and when it fails or is slow nothing is asked until a trial went well.
+The store is an aid that requests must never hang on. Time spent on it is taken from a request's slack, and
+while it fails or is slow nothing is asked of it until a probe has succeeded.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
-from typing import Any
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from cresstray.policy.sliding_window import SlidingWindow
 
-_SPAN, _PARTS = 2_000_000, 10
-# Of a submission's slack at most a quarter goes to the store, whatever it asks there.
-_SHARE = 4
-# Four usual round trips: two that are needed, and as much again for spread. What counts as slow is waited for
-# in any case: a loop that was busy for some milliseconds is no fault of the store.
-_TRIPS = 4
-# Faults of late that open it, if they are half of the answers as well: fewer are stray, and more would cost
-# the slack of that many submissions.
-_FAULTS, _HALF = 5, 0.5
-# Trials that must go well in a row: one may by luck. At the start one will do, as nothing speaks against it.
-_TRIALS = 3
-_PAUSE, _LONGEST_PAUSE = 250_000, 4_000_000
-# Danger: requests pile up at a store that has just stopped, in memory, until its round trips tell.
-_MOST_OUT = 1_000
-# Milliseconds by which a clock that is kept right is set back; the guard's margin is fifteen of these for a
-# memory of 20 s.
-_BACK = 20
-# A clock that is a day wrong is set right by people who look after what else hangs on it.
-_FAR = 86_400_000
+if TYPE_CHECKING:
+    from cresstray.config.idempotency import IdempotencySettings
+
+_WINDOW_US = 2_000_000
+_WINDOW_BUCKETS = 10
+# At most this part of a request's slack goes to the store, whatever it asks there.
+_SLACK_DIVISOR = 4
+# Usual round trips that a lookup may take: two that it needs, and as much again for variation. The
+# threshold for slow replies is always allowed, because an event loop that was busy for some milliseconds is
+# no fault of the store.
+_BUDGET_ROUND_TRIPS = 4
+# Faults in the window that open the breaker, if they are this part of all replies too. Fewer are
+# accidental, and more would cost the slack of that many requests.
+_MIN_FAULTS = 5
+_MIN_FAULT_RATIO = 0.5
+# Probes that must succeed in a row, because one may by chance.
+_PROBES_TO_CLOSE = 3
+# At the start one is enough, as nothing speaks against the store.
+_PROBES_TO_CLOSE_AT_START = 1
+_PROBE_PAUSE_US = 250_000
+_MAX_PROBE_PAUSE_US = 4_000_000
+_MAX_PAUSE_DOUBLINGS = 4
+# Requests accumulate in memory at a store that has just stopped, until its round trips show it.
+_MAX_ROUND_TRIPS = 1_000
+# A well-kept clock is set back by less; the guard's margin is fifteen of these for a window of 20 s.
+_CLOCK_TOLERANCE_MS = 20
+# A clock that is a day off is corrected by people, who also look after what depends on it.
+_MAX_REGRESSION_AHEAD_MS = 86_400_000
+_MAX_REGRESSION_DIGITS = 15
+_MAX_READING_AGE_US = 60_000_000
 
 
 class StoreHealth:
-    """`lines`: `ask_most_ms`, the longest that a submission may ask; `slow_ms`, what counts as a fault."""
+    """Circuit breaker of the store. It starts open: nothing is known of the store before its first reply."""
 
-    def __init__(self, lines: Mapping[str, Any], chance: Callable[[], float], now: int) -> None:
-        self._most = int(lines.get("ask_most_ms", 250) * 1000)
-        self._slow = int(lines.get("slow_ms", 50) * 1000)
+    def __init__(self, settings: IdempotencySettings, chance: Callable[[], float], now_us: int) -> None:
+        """`chance` returns numbers in [0, 1)."""
+        self._max_lookup_us = settings.max_lookup_us
+        self._slow_us = settings.slow_us
         self._chance = chance
-        self._sum, self._count, self._faults = (SlidingWindow(_SPAN, _PARTS) for _ in range(3))
-        self._tickets: dict[int, int] = {}  # when each began
-        self._number = 0
-        # It begins open: nothing is known of it before it has answered.
-        self.is_open, self._streak, self._failed, self._needed = True, 0, 0, 1
-        self._trial: int | None = None  # the ticket of the one that is out
-        self._trial_at, self._well_at = now, now
-
-    def time_budget(self, slack: int, now: int) -> int:
-        """Microseconds that may be spent asking, of `slack`; 0: go on without. Never all that is left."""
-        if self.is_open or len(self._tickets) >= _MOST_OUT:
+        self._round_trip_sum = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
+        self._round_trip_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
+        self._fault_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
+        self._started_us: dict[int, int] = {}  # by ticket
+        self._last_ticket = 0
+        self.is_open = True
+        self._successes_in_row = 0
+        self._failures_in_row = 0
+        self._successes_needed = _PROBES_TO_CLOSE_AT_START
+        self._probe_ticket: int | None = None
+        self._next_probe_us = now_us
+        self._last_success_us = now_us
+
+    def time_budget(self, slack_us: int, now_us: int) -> int:
+        """Returns how many microseconds of a slack a lookup may take; 0: go on without the store."""
+        if self.is_open or len(self._started_us) >= _MAX_ROUND_TRIPS:
             return 0
-        count = self._count.lower_bound(now)
-        usual = self._sum.lower_bound(now) / count if count else 0.0
-        budget = min(self._most, slack // _SHARE, max(self._slow, int(_TRIPS * usual)))
-        return budget if budget > usual else 0
-
-    def on_round_trip_started(self, now: int) -> int:
-        self._number += 1
-        self._tickets[self._number] = now
-        return self._number
-
-    def on_round_trip_finished(self, ticket: int, well: bool, now: int) -> None:
-        """`well`: it answered, and what was asked for."""
-        begun = self._tickets.pop(ticket, None)
-        assert begun is not None, "a round trip ended that was not begun"
-        if begun is None:
+        count = self._round_trip_count.lower_bound(now_us)
+        mean_us = self._round_trip_sum.lower_bound(now_us) / count if count else 0.0
+        usual_need_us = max(self._slow_us, int(_BUDGET_ROUND_TRIPS * mean_us))
+        budget_us = min(self._max_lookup_us, slack_us // _SLACK_DIVISOR, usual_need_us)
+        return budget_us if budget_us > mean_us else 0
+
+    def on_round_trip_started(self, now_us: int) -> int:
+        """Returns the ticket to be handed to `on_round_trip_finished`."""
+        self._last_ticket += 1
+        self._started_us[self._last_ticket] = now_us
+        return self._last_ticket
+
+    def on_round_trip_finished(self, ticket: int, has_succeeded: bool, now_us: int) -> None:
+        """Records a reply, or its absence; may open or close the breaker."""
+        started_us = self._started_us.pop(ticket, None)
+        assert started_us is not None, "a round trip finished that was not started"
+        if started_us is None:
             return
-        well = well and now - begun <= self._slow
-        if ticket == self._trial:
-            self._tried(well, now)
+        duration_us = now_us - started_us
+        is_good = has_succeeded and duration_us <= self._slow_us
+        if ticket == self._probe_ticket:
+            self._on_probe_finished(is_good, now_us)
             return
-        self._sum.add(now, now - begun)
-        self._count.add(now)
-        if well:
-            self._well_at = now
+        self._round_trip_sum.add(now_us, duration_us)
+        self._round_trip_count.add(now_us)
+        if is_good:
+            self._last_success_us = now_us
             return
-        self._faults.add(now)
-        faults = self._faults.upper_bound(now)
-        if not self.is_open and faults >= _FAULTS and faults >= _HALF * self._count.upper_bound(now):
-            self.is_open, self._streak, self._failed, self._needed = True, 0, 0, _TRIALS
-            self._rest(now)
-
-    def start_probe(self, now: int) -> int | None:
-        """A ticket for the one trial that is due, if one is: never a submission's own question."""
-        if not self.is_open or self._trial is not None or now < self._trial_at:
+        self._on_fault(now_us)
+
+    def _on_fault(self, now_us: int) -> None:
+        self._fault_count.add(now_us)
+        faults = self._fault_count.upper_bound(now_us)
+        if self.is_open or faults < _MIN_FAULTS:
+            return
+        if faults >= _MIN_FAULT_RATIO * self._round_trip_count.upper_bound(now_us):
+            self.is_open = True
+            self._successes_in_row = 0
+            self._failures_in_row = 0
+            self._successes_needed = _PROBES_TO_CLOSE
+            self._schedule_probe(now_us)
+
+    def start_probe(self, now_us: int) -> int | None:
+        """Returns a ticket for a probe if one is due; a probe is never a request's own lookup."""
+        if not self.is_open or self._probe_ticket is not None or now_us < self._next_probe_us:
             return None
-        self._trial = self.on_round_trip_started(now)
-        return self._trial
-
-    def _tried(self, well: bool, now: int) -> None:
-        self._trial = None
-        self._streak, self._failed = (self._streak + 1, 0) if well else (0, self._failed + 1)
-        if self._streak < self._needed:
-            # The next after a good one comes soon, within a second all told.
-            self._rest(now)
+        self._probe_ticket = self.on_round_trip_started(now_us)
+        return self._probe_ticket
+
+    def _on_probe_finished(self, is_good: bool, now_us: int) -> None:
+        self._probe_ticket = None
+        if is_good:
+            self._successes_in_row += 1
+            self._failures_in_row = 0
+        else:
+            self._successes_in_row = 0
+            self._failures_in_row += 1
+        if self._successes_in_row < self._successes_needed:
+            self._schedule_probe(now_us)
             return
-        self.is_open, self._well_at = False, now
-        # What it was like before it opened says nothing of what it is like now.
-        self._sum, self._count, self._faults = (SlidingWindow(_SPAN, _PARTS) for _ in range(3))
+        self.is_open = False
+        self._last_success_us = now_us
+        # What the store was like before the breaker opened says nothing about the present.
+        self._round_trip_sum = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
+        self._round_trip_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
+        self._fault_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
 
-    def _rest(self, now: int) -> None:
-        # Danger: hundreds of gateways find it gone at once, and would all try it at once.
-        pause = min(_LONGEST_PAUSE, _PAUSE << min(self._failed, 4))
-        self._trial_at = now + int(pause * (0.5 + 0.5 * self._chance()))
+    def _schedule_probe(self, now_us: int) -> None:
+        # Hundreds of gateways lose the store at once; their probes are spread.
+        doublings = min(self._failures_in_row, _MAX_PAUSE_DOUBLINGS)
+        pause_us = min(_MAX_PROBE_PAUSE_US, _PROBE_PAUSE_US << doublings)
+        self._next_probe_us = now_us + int(pause_us * (0.5 + 0.5 * self._chance()))
 
-    def unavailable_for(self, now: int) -> int:
-        """Microseconds since it last answered well."""
-        return max(0, now - self._well_at)
+    def unavailable_for(self, now_us: int) -> int:
+        """Returns the microseconds since the last good reply."""
+        return max(0, now_us - self._last_success_us)
 
 
 class StoreClock:
-    """Bounds of the store's time, from its answers; and whether it went back.
+    """Bounds of the store's time, from its replies, and whether that time went back.
 
-    A clock here and one there may differ by anything, and in speed by a hundredth.
+    The two clocks may differ by anything, and in speed by a hundredth.
     """
 
     def __init__(self) -> None:
-        self._at, self._sent, self._heard = 0, 0, 0  # its ms, between these two moments of ours
-        self.age_unknown_before_ms = 0  # ms: what is from before that may be older than it looks
+        # The last reading in ms, and between which two moments of this gateway's clock it was taken.
+        self._reading_ms = 0
+        self._asked_us = 0
+        self._received_us = 0
+        self.age_unknown_before_ms = 0  # what is from before that may be older than it looks
         self.regressions = 0
 
-    def is_known(self, now: int) -> bool:
-        """Well enough to draw fences by: a minute's drift is under a second."""
-        return self._at > 0 and now - self._heard < 60_000_000
+    def is_known(self, now_us: int) -> bool:
+        """Returns whether fences can be drawn from it; the drift in the time allowed is under a second."""
+        return self._reading_ms > 0 and now_us - self._received_us < _MAX_READING_AGE_US
 
-    def lower_bound(self, now: int) -> int:
-        """It is at least that late there, in ms."""
-        passed = now - self._heard
-        return self._at + int(passed * (0.99 if passed > 0 else 1.01)) // 1000
+    def lower_bound(self, now_us: int) -> int:
+        """Returns the earliest that the store's time may be, in ms."""
+        passed_us = now_us - self._received_us
+        return self._reading_ms + int(passed_us * (0.99 if passed_us > 0 else 1.01)) // 1000
 
-    def upper_bound(self, now: int) -> int:
-        passed = now - self._sent
-        return self._at + int(passed * (1.01 if passed > 0 else 0.99)) // 1000 + 1
+    def upper_bound(self, now_us: int) -> int:
+        """Returns the latest that the store's time may be, in ms."""
+        passed_us = now_us - self._asked_us
+        return self._reading_ms + int(passed_us * (1.01 if passed_us > 0 else 0.99)) // 1000 + 1
 
     def on_published_regression(self, value: bytes | None) -> None:
-        """What another gateway has left in the store of the last time that it saw the clock go back."""
-        if value is not None and value.isdigit() and len(value) <= 15:
-            # Danger: a value that is wrong would leave all marks without an age, for good.
-            before = int(value)
-            if before < self._at + _FAR:
-                self.age_unknown_before_ms = max(self.age_unknown_before_ms, before)
-
-    def on_reading(self, at: int, sent: int, now: int) -> None:
-        """It said `at`, asked at `sent` and heard now."""
-        # Danger: a store that has failed over to another machine, or was set back, makes marks look young.
-        # All that may be from before that moment is of unknown age.
-        if self._at and at + _BACK < self.lower_bound(sent):
+        """Takes over what another gateway has left in the store when it saw the clock go back."""
+        if value is None or not value.isdigit() or len(value) > _MAX_REGRESSION_DIGITS:
+            return
+        before_ms = int(value)
+        # A wrong value far ahead would leave all records without an age for good.
+        if before_ms < self._reading_ms + _MAX_REGRESSION_AHEAD_MS:
+            self.age_unknown_before_ms = max(self.age_unknown_before_ms, before_ms)
+
+    def on_reading(self, store_now_ms: int, asked_us: int, now_us: int) -> None:
+        """Takes a reading that was asked for at `asked_us` and received now."""
+        has_gone_back = self._reading_ms > 0 and store_now_ms + _CLOCK_TOLERANCE_MS < self.lower_bound(
+            asked_us
+        )
+        if has_gone_back:
+            # After a failover to another machine, or a change of its clock, records look younger than they
+            # are. All that may be from before that moment is of unknown age.
             self.regressions += 1
-            self.age_unknown_before_ms = max(self.age_unknown_before_ms, self.upper_bound(now))
-        elif at <= self._at:
-            return  # answers that overtook each other say no more
-        self._at, self._sent, self._heard = at, sent, now
+            self.age_unknown_before_ms = max(self.age_unknown_before_ms, self.upper_bound(now_us))
+        elif store_now_ms <= self._reading_ms:
+            return  # a reply that was overtaken by a later one
+        self._reading_ms = store_now_ms
+        self._asked_us = asked_us
+        self._received_us = now_us
--- a/cresstray/idempotency/records.py
+++ b/cresstray/idempotency/records.py
@@ -1,6 +1,27 @@
-"""A mark as the store has it, and its life: each change is one step, made by compare-and-set. Pure.
-
-Times in a mark are milliseconds of the store's clock. Nothing here compares them with one of this machine.
+"""Idempotency records and their transitions. Pure: no I/O, no clock.
+
+A record is changed one event at a time, by compare-and-set in the shared store. All times in a record are
+milliseconds of the store's clock; nothing here compares them with a clock of this machine.
+
+The store holds a record as a MessagePack array, so that field names are not encoded, only their order and
+the numbers of states. Names that earlier builds and documents used for them:
+
+    position  earlier    field
+    0         state      state
+    1         owner      owner
+    2         life       incarnation
+    3         fence      fence
+    4         until      valid_until_ms
+    5         since      earliest_dispatch_ms
+    6         doubted    has_uncertain_predecessor
+    7         outcome    outcome
+
+    number    earlier    state
+    0         UNSEEN     ABSENT
+    1         INTENDED   CLAIMED
+    2         SENT       DISPATCHED
+    3         ENDED      COMPLETED
+    4         UNKNOWN    UNKNOWN
 """
 
 from __future__ import annotations
@@ -11,32 +32,43 @@
 
 import msgspec
 
-# A clean-up leaves the fence for so long: more than any estimate of the store's time, by which the next one
-# is drawn, is off.
-_FENCE_KEPT = 60_000
-# 160 bits: no two of a fleet's marks meet, and a key stays short.
-_DIGEST = 20
+# After a release the record stays for this long, because its fence must outlast any error in the estimate
+# of the store's time, from which the next fence is drawn.
+_FENCE_RETENTION_MS = 60_000
+# 160 bits: collisions are out of the question in one fleet, and keys stay short.
+_DIGEST_BYTES = 20
+_MAX_NAMESPACE_BYTES = 64
+# Precedes a stored result, so that an empty result differs from none.
+_RESULT_PREFIX = b"+"
 
 
 class RecordState(IntEnum):
-    """What is known of a mark's work. No key in the store is UNSEEN, and so is one that has expired."""
+    """What is known about the work behind one idempotency key."""
 
-    ABSENT = 0  # none has run, or none is known
-    CLAIMED = 1  # its holder may relay it until `until`
-    DISPATCHED = 2  # a relay has gone out
-    COMPLETED = 3  # it has run
-    UNKNOWN = 4  # it may have run, and nobody will tell
+    ABSENT = 0  # no execution is known; the same as no key, or an expired one
+    CLAIMED = 1  # its holder may dispatch it until `valid_until_ms`
+    DISPATCHED = 2  # an attempt was sent
+    COMPLETED = 3  # it was executed
+    UNKNOWN = 4  # it may have been executed, and no report is to be expected
 
 
 class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """`fence` grows with each intention; `since`: no relay that may have run was sent before, 0: not known.
-
-    `doubted`: one of an earlier holder may have run as well. `outcome`: see `kept_result`.
+    """One record as the store holds it.
+
+    Attributes:
+        state: What is known about the work.
+        owner: Name of the gateway that wrote the claim or the report.
+        incarnation: Start of that gateway's process; an earlier one's claims are not its own.
+        fence: Grows with each claim.
+        valid_until_ms: End of the claim; 0 without one.
+        earliest_dispatch_ms: No attempt that may have run was sent before; 0 if unknown.
+        has_uncertain_predecessor: An attempt of an earlier holder may have run as well.
+        outcome: The stored result, see `stored_result`.
     """
 
     state: RecordState
     owner: str
-    incarnation: str  # of the process: what an earlier one of that name intended is not this one's
+    incarnation: str
     fence: int
     valid_until_ms: int = 0
     earliest_dispatch_ms: int = 0
@@ -45,19 +77,22 @@
 
 
 class EventKind(IntEnum):
+    """What happened to a claim."""
+
     CLAIM = 1
     DISPATCHED = 2
     COMPLETED = 3
     UNKNOWN = 4
-    NOT_EXECUTED = 5  # its holder has ended it and surely ran nothing
-    OPERATOR_COMPLETED = 6  # an operator's word, of the mark with this fence
+    NOT_EXECUTED = 5  # the holder has finished, and nothing was executed for it
+    OPERATOR_COMPLETED = 6  # an operator's decision on the record with this fence
     OPERATOR_NOT_EXECUTED = 7
 
 
 class RecordEvent(msgspec.Struct, frozen=True, array_like=True):
-    """What a holder tells of its intention. Fence 0: it never had one in the store.
+    """A claim, or a holder's report on its claim. Fence 0: it never had a claim in the store.
 
-    `until` of HAND_UNRUN: no sooner than that, by when no engine's memory lets a gateway send it again.
+    For OPERATOR_NOT_EXECUTED, `valid_until_ms` is the earliest time at which it may be applied: by then no
+    engine's deduplication window allows a gateway to send the request again.
     """
 
     kind: EventKind
@@ -69,185 +104,202 @@
     outcome: bytes = b""
 
 
-_HELD = (RecordState.CLAIMED, RecordState.DISPATCHED)
+_ACTIVE_STATES = (RecordState.CLAIMED, RecordState.DISPATCHED)
+_STATE_AFTER_REPORT = {
+    EventKind.DISPATCHED: RecordState.DISPATCHED,
+    EventKind.COMPLETED: RecordState.COMPLETED,
+    EventKind.UNKNOWN: RecordState.UNKNOWN,
+}
 
 
 def apply_event(
-    mark: IdempotencyRecord | None, event: RecordEvent, store_now: int
+    record: IdempotencyRecord | None, event: RecordEvent, store_now_ms: int
 ) -> IdempotencyRecord | None:
-    """The mark after this event; None: not allowed, or it changes nothing. `store_now`: the store's ms."""
-    if mark is UNREADABLE_RECORD:
+    """Returns the record after the event, or None if the event is not allowed or changes nothing."""
+    if record is UNREADABLE_RECORD:
         return None
-    state = RecordState.ABSENT if mark is None else mark.state
     if event.kind is EventKind.CLAIM:
-        return _on_claim(mark, event, state)
+        return _on_claim(record, event)
     if event.kind is EventKind.NOT_EXECUTED:
-        # Danger: whoever was late would clear the way while the next holder's relay is out.
-        if state not in _HELD or not _is_holder(mark, event):
-            return None
-        return _replace_state(
-            mark, RecordState.UNKNOWN if mark.has_uncertain_predecessor else RecordState.ABSENT
-        )
+        return _on_not_executed(record, event)
     if event.kind in (EventKind.OPERATOR_COMPLETED, EventKind.OPERATOR_NOT_EXECUTED):
-        return _on_operator_decision(mark, event, state, store_now)
-    return _on_execution_news(mark, event, state)
+        return _on_operator_decision(record, event, store_now_ms)
+    return _on_report(record, event)
 
 
-def _on_claim(
-    mark: IdempotencyRecord | None, event: RecordEvent, state: RecordState
-) -> IdempotencyRecord | None:
-    if (
-        state in (RecordState.COMPLETED, RecordState.UNKNOWN)
-        or mark is not None
-        and event.fence <= mark.fence
-    ):
-        return None
-    # Danger: a relay of the holder before may be out; the engines' memory counts from its time, not from
-    # ours.
-    taken_over = state in _HELD
-    since = (
-        min(mark.earliest_dispatch_ms, event.earliest_dispatch_ms)
-        if taken_over
-        else event.earliest_dispatch_ms
-    )
+def _on_claim(record: IdempotencyRecord | None, event: RecordEvent) -> IdempotencyRecord | None:
+    earliest_dispatch_ms = event.earliest_dispatch_ms
+    is_takeover = False
+    if record is not None:
+        is_final = record.state in (RecordState.COMPLETED, RecordState.UNKNOWN)
+        if is_final or event.fence <= record.fence:
+            return None
+        is_takeover = record.state in _ACTIVE_STATES
+        if is_takeover:
+            # The previous holder's attempt may be running; the engines' deduplication window counts from
+            # its start.
+            earliest_dispatch_ms = min(record.earliest_dispatch_ms, event.earliest_dispatch_ms)
     return IdempotencyRecord(
         RecordState.CLAIMED,
         event.owner,
         event.incarnation,
         event.fence,
         event.valid_until_ms,
-        since,
-        taken_over,
+        earliest_dispatch_ms,
+        is_takeover,
     )
 
 
-def _on_execution_news(
-    mark: IdempotencyRecord | None, event: RecordEvent, state: RecordState
-) -> IdempotencyRecord | None:
-    """A relay went out, has run, or may have. It is true whoever holds the mark by now."""
-    if state is RecordState.ABSENT:
-        # What its holder wrote was lost, or cleared by hand. What it tells is as true.
-        fence = event.fence if mark is None else max(mark.fence, event.fence)
+def _on_not_executed(record: IdempotencyRecord | None, event: RecordEvent) -> IdempotencyRecord | None:
+    # A late report of an earlier holder must not release the claim under which the present one dispatches.
+    if record is None or record.state not in _ACTIVE_STATES or not _is_holder(record, event):
+        return None
+    released = RecordState.UNKNOWN if record.has_uncertain_predecessor else RecordState.ABSENT
+    return _replace_state(record, released)
+
+
+def _on_report(record: IdempotencyRecord | None, event: RecordEvent) -> IdempotencyRecord | None:
+    """Applies DISPATCHED, COMPLETED or UNKNOWN. Such a report is true whoever holds the record by now."""
+    if record is None:
+        return _make_record(event, event.fence, event.earliest_dispatch_ms, False)
+    fence = max(record.fence, event.fence)
+    if record.state is RecordState.ABSENT:
+        # The claim was lost, or cleared by an operator; the report is as true.
         return _make_record(event, fence, event.earliest_dispatch_ms, False)
-    since, fence = min(mark.earliest_dispatch_ms, event.earliest_dispatch_ms), max(mark.fence, event.fence)
+    earliest_dispatch_ms = min(record.earliest_dispatch_ms, event.earliest_dispatch_ms)
     if event.kind is EventKind.COMPLETED:
-        if state is RecordState.COMPLETED and (mark.outcome or not event.outcome):
+        has_nothing_to_add = bool(record.outcome) or not event.outcome
+        if record.state is RecordState.COMPLETED and has_nothing_to_add:
             return None
-        return _make_record(event, fence, since, mark.has_uncertain_predecessor)
-    if state is RecordState.COMPLETED:
+        return _make_record(event, fence, earliest_dispatch_ms, record.has_uncertain_predecessor)
+    if record.state is RecordState.COMPLETED:
         return None
-    if state is RecordState.UNKNOWN:
-        return (
-            None
-            if since == mark.earliest_dispatch_ms
-            else _replace_state(mark, state, earliest_dispatch_ms=since)
-        )
-    if _is_holder(mark, event):
-        # From when its relay went out the engines remember; until then, from when it was intended.
-        if event.kind is EventKind.DISPATCHED:
-            return (
-                None
-                if state is RecordState.DISPATCHED
-                else _replace_state(
-                    mark,
-                    RecordState.DISPATCHED,
-                    earliest_dispatch_ms=mark.earliest_dispatch_ms
-                    if mark.has_uncertain_predecessor
-                    else max(mark.earliest_dispatch_ms, event.earliest_dispatch_ms),
-                )
-            )
-        return _replace_state(mark, RecordState.UNKNOWN)
-    if event.fence < mark.fence:
-        # Danger: where the store lost the earlier intention, the present holder does not know of its relay.
-        return (
-            None
-            if mark.has_uncertain_predecessor and since == mark.earliest_dispatch_ms
-            else _replace_state(mark, state, earliest_dispatch_ms=since, has_uncertain_predecessor=True)
-        )
-    return _make_record(event, fence, since, True)
+    if record.state is RecordState.UNKNOWN:
+        return _with_earlier_dispatch(record, earliest_dispatch_ms)
+    if _is_holder(record, event):
+        return _on_holder_report(record, event)
+    if event.fence < record.fence:
+        # Where the store lost the earlier claim, the present holder does not know of that holder's attempt.
+        return _with_uncertain_predecessor(record, earliest_dispatch_ms)
+    return _make_record(event, fence, earliest_dispatch_ms, True)
+
+
+def _on_holder_report(record: IdempotencyRecord, event: RecordEvent) -> IdempotencyRecord | None:
+    if event.kind is not EventKind.DISPATCHED:
+        return _replace_state(record, RecordState.UNKNOWN)
+    if record.state is RecordState.DISPATCHED:
+        return None
+    # The engines' window starts with the dispatch; until that is known, with the claim.
+    earliest_dispatch_ms = record.earliest_dispatch_ms
+    if not record.has_uncertain_predecessor:
+        earliest_dispatch_ms = max(record.earliest_dispatch_ms, event.earliest_dispatch_ms)
+    return _replace_state(record, RecordState.DISPATCHED, earliest_dispatch_ms=earliest_dispatch_ms)
+
+
+def _with_earlier_dispatch(record: IdempotencyRecord, earliest_dispatch_ms: int) -> IdempotencyRecord | None:
+    if earliest_dispatch_ms == record.earliest_dispatch_ms:
+        return None
+    return _replace_state(record, record.state, earliest_dispatch_ms=earliest_dispatch_ms)
+
+
+def _with_uncertain_predecessor(
+    record: IdempotencyRecord, earliest_dispatch_ms: int
+) -> IdempotencyRecord | None:
+    if record.has_uncertain_predecessor and earliest_dispatch_ms == record.earliest_dispatch_ms:
+        return None
+    return _replace_state(
+        record, record.state, earliest_dispatch_ms=earliest_dispatch_ms, has_uncertain_predecessor=True
+    )
 
 
 def _on_operator_decision(
-    mark: IdempotencyRecord | None, event: RecordEvent, state: RecordState, store_now: int
+    record: IdempotencyRecord | None, event: RecordEvent, store_now_ms: int
 ) -> IdempotencyRecord | None:
-    # Danger: an operator settles what was looked at, not what another gateway has made of it since; and none
-    # is run again by hand whose holder may still send it, or which is known to have run.
-    if mark is None or event.fence != mark.fence or state in (RecordState.ABSENT, RecordState.COMPLETED):
+    # The decision holds for the record that the operator looked at, not for what a gateway has made of it
+    # since.
+    if record is None or event.fence != record.fence:
+        return None
+    if record.state in (RecordState.ABSENT, RecordState.COMPLETED):
         return None
     if event.kind is EventKind.OPERATOR_COMPLETED:
-        return _replace_state(mark, RecordState.COMPLETED)
-    return (
-        None
-        if store_now < max(mark.valid_until_ms, event.valid_until_ms)
-        else _replace_state(mark, RecordState.ABSENT)
-    )
+        return _replace_state(record, RecordState.COMPLETED)
+    # A holder that may still dispatch the request must not be joined by a second one.
+    if store_now_ms < max(record.valid_until_ms, event.valid_until_ms):
+        return None
+    return _replace_state(record, RecordState.ABSENT)
 
 
-def _is_holder(mark: IdempotencyRecord, event: RecordEvent) -> bool:
-    return (mark.fence, mark.owner, mark.incarnation) == (event.fence, event.owner, event.incarnation)
+def _is_holder(record: IdempotencyRecord, event: RecordEvent) -> bool:
+    return (record.fence, record.owner, record.incarnation) == (event.fence, event.owner, event.incarnation)
 
 
-def _make_record(event: RecordEvent, fence: int, since: int, doubted: bool) -> IdempotencyRecord:
-    state = {
-        EventKind.DISPATCHED: RecordState.DISPATCHED,
-        EventKind.COMPLETED: RecordState.COMPLETED,
-        EventKind.UNKNOWN: RecordState.UNKNOWN,
-    }[event.kind]
-    until = event.valid_until_ms if state is RecordState.DISPATCHED else 0
+def _make_record(
+    event: RecordEvent, fence: int, earliest_dispatch_ms: int, has_uncertain_predecessor: bool
+) -> IdempotencyRecord:
+    state = _STATE_AFTER_REPORT[event.kind]
+    valid_until_ms = event.valid_until_ms if state is RecordState.DISPATCHED else 0
     return IdempotencyRecord(
-        state, event.owner, event.incarnation, fence, until, since, doubted, event.outcome
+        state,
+        event.owner,
+        event.incarnation,
+        fence,
+        valid_until_ms,
+        earliest_dispatch_ms,
+        has_uncertain_predecessor,
+        event.outcome,
     )
 
 
-def _replace_state(mark: IdempotencyRecord, state: RecordState, **other: Any) -> IdempotencyRecord:
-    if state not in _HELD:
-        other |= {
-            "valid_until_ms": 0,
-            "has_uncertain_predecessor": state is not RecordState.ABSENT and mark.has_uncertain_predecessor,
-        }
-    return msgspec.structs.replace(mark, state=state, **other)
+def _replace_state(record: IdempotencyRecord, state: RecordState, **changes: Any) -> IdempotencyRecord:
+    if state not in _ACTIVE_STATES:
+        changes["valid_until_ms"] = 0
+        changes["has_uncertain_predecessor"] = (
+            state is not RecordState.ABSENT and record.has_uncertain_predecessor
+        )
+    return msgspec.structs.replace(record, state=state, **changes)
 
 
-def retention_ms(mark: IdempotencyRecord, kept: int) -> int:
-    """Milliseconds that the store is to keep it, of `kept` for what may have run."""
-    return min(kept, _FENCE_KEPT) if mark.state is RecordState.ABSENT else kept
+def retention_ms(record: IdempotencyRecord, configured_ms: int) -> int:
+    """Returns for how long the store keeps the record; `configured_ms` holds for what may have run."""
+    return min(configured_ms, _FENCE_RETENTION_MS) if record.state is RecordState.ABSENT else configured_ms
 
 
-def digest_key(namespace: str, tenant: str, group: str, name: str) -> bytes:
-    """What stands for a client's mark in the store: no raw key leaves the gateway."""
-    # Danger: parts that are only joined let one tenant make up the mark of another.
-    parts = msgspec.msgpack.encode((tenant, group, name))
-    return blake2b(parts, digest_size=_DIGEST, key=namespace.encode()[:64]).digest()
+def digest_key(namespace: str, tenant: str, scope: str, idempotency_key: str) -> bytes:
+    """Returns the digest that stands for a client's key in the store; no raw key leaves the gateway."""
+    # Parts that were only joined would let one tenant construct the digest of another's key.
+    parts = msgspec.msgpack.encode((tenant, scope, idempotency_key))
+    namespace_key = namespace.encode()[:_MAX_NAMESPACE_BYTES]
+    return blake2b(parts, digest_size=_DIGEST_BYTES, key=namespace_key).digest()
 
 
 _decoder = msgspec.msgpack.Decoder(IdempotencyRecord)
-# Of a later build, or not a mark: nothing is known but that something is there. It is never written over.
+# Stands for a value of a later build, or for one that is no record. It is never overwritten.
 UNREADABLE_RECORD = IdempotencyRecord(RecordState.UNKNOWN, "", "", 1 << 62)
 
 
-def encode_record(mark: IdempotencyRecord) -> bytes:
-    return msgspec.msgpack.encode(mark)
+def encode_record(record: IdempotencyRecord) -> bytes:
+    """Returns the value that the store holds for the record."""
+    return msgspec.msgpack.encode(record)
 
 
 def decode_record(value: bytes | None) -> IdempotencyRecord | None:
+    """Returns the record in a stored value; None for no value, UNREADABLE_RECORD for an unknown form."""
     if not value:
         return None
     try:
-        mark = _decoder.decode(value)
+        record = _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return UNREADABLE_RECORD
-    return (
-        mark
-        if 0 <= mark.fence < UNREADABLE_RECORD.fence and mark.earliest_dispatch_ms >= 0
-        else UNREADABLE_RECORD
-    )
+    is_plausible = 0 <= record.fence < UNREADABLE_RECORD.fence and record.earliest_dispatch_ms >= 0
+    return record if is_plausible else UNREADABLE_RECORD
 
 
 def stored_result(outcome: bytes) -> bytes | None:
-    """The result in a mark's outcome; None: none is kept, which an empty result is not."""
-    return outcome[1:] if outcome else None
+    """Returns the result in a record's outcome; None if none is stored."""
+    return outcome[len(_RESULT_PREFIX) :] if outcome else None
 
 
-def make_outcome(result: bytes | None, most: int) -> bytes:
-    """`most`: bytes of a result that is kept; 0: none is."""
-    return b"+" + result if result is not None and 0 < most and len(result) <= most else b""
+def make_outcome(result: bytes | None, max_result_bytes: int) -> bytes:
+    """Returns the outcome to store; empty if there is no result, or if it is longer than allowed."""
+    is_stored = result is not None and 0 < max_result_bytes and len(result) <= max_result_bytes
+    return _RESULT_PREFIX + result if is_stored and result is not None else b""
--- a/cresstray/idempotency/write_behind.py
+++ b/cresstray/idempotency/write_behind.py
@@ -1,4 +1,7 @@
-"""Outcomes that wait to be written: bounded in all and by tenant, the least needed dropped first. Pure."""
+"""Queue of record updates that wait to be written, bounded in all and by tenant. Pure.
+
+Beyond its bounds the least important update of a tenant is dropped first.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +13,33 @@
 
 from cresstray.idempotency.records import EventKind, RecordEvent
 
-# Some 300 bytes each: 5 MB in all, and what ten minutes of a store's absence bring at ten outcomes a second.
-MAX_PENDING, MAX_PENDING_PER_TENANT = 10_000, 2_500
-# An outcome of most relays is there before it: then the two are one write.
-_UNRIPE = 250_000
+# Some 300 bytes each: 5 MB in all, and what ten minutes without the store bring at ten updates a second.
+MAX_PENDING = 10_000
+MAX_PENDING_PER_TENANT = 2_500
+# Most attempts finish sooner; the report of the dispatch and that of its outcome are then one write.
+_DISPATCH_DELAY_US = 250_000
+# Importance of an update, least first.
+_REPEATS_THE_CLAIM = 0
+_RELEASES_THE_CLAIM = 1
+_ADDS_TO_THE_CLAIM = 2
+_HAS_NO_CLAIM = 3
+_IMPORTANCE_LEVELS = 4
 
 
 @dataclass(slots=True, eq=False)
 class PendingWrite:
-    """`seen`: what the store is believed to have, as bytes. `numbers`: its entries in the journal."""
+    """One update of a record.
+
+    Attributes:
+        digest: Of the idempotency key.
+        event: What is to be applied to the record.
+        tenant: Index of the tenant.
+        expires_us: From then on the update is of no use.
+        due_us: Not to be written before.
+        sequence: Position in the order of arrival.
+        expected_value: What the store is believed to hold.
+        journal_ids: Entries of the journal that are settled once this is written.
+    """
 
     digest: bytes
     event: RecordEvent
@@ -31,135 +52,160 @@
 
     @property
     def importance(self) -> int:
-        """0: the intention in the store says as much. 1: it clears the way. 2: it says more. 3: none is."""
+        """Higher for updates whose loss would say more."""
         if self.event.kind is EventKind.DISPATCHED:
-            return 0
+            return _REPEATS_THE_CLAIM
         if self.event.kind is EventKind.NOT_EXECUTED:
-            return 1
-        return 2 if self.event.fence else 3
+            return _RELEASES_THE_CLAIM
+        return _ADDS_TO_THE_CLAIM if self.event.fence else _HAS_NO_CLAIM
 
 
 class WriteBehindQueue:
-    def __init__(self, most: int = MAX_PENDING, most_of_tenant: int = MAX_PENDING_PER_TENANT) -> None:
-        self._most, self._most_of_tenant = most, most_of_tenant
-        self._items: OrderedDict[tuple[bytes, int], PendingWrite] = OrderedDict()
-        self._of: dict[
-            int, tuple[OrderedDict[PendingWrite, None], ...]
-        ] = {}  # by tenant and need, the oldest first
-        self._counts: dict[int, int] = {}
-        self._by_digest: dict[bytes, dict[int, PendingWrite]] = {}
-        self._order = 0
+    """Updates in order of arrival, at most one for each claim."""
+
+    def __init__(
+        self, max_pending: int = MAX_PENDING, max_pending_per_tenant: int = MAX_PENDING_PER_TENANT
+    ) -> None:
+        self._max_pending = max_pending
+        self._max_pending_per_tenant = max_pending_per_tenant
+        self._writes: OrderedDict[tuple[bytes, int], PendingWrite] = OrderedDict()  # by digest and fence
+        # By tenant and importance, the oldest first.
+        self._by_tenant: dict[int, tuple[OrderedDict[PendingWrite, None], ...]] = {}
+        self._tenant_counts: dict[int, int] = {}
+        self._by_digest: dict[bytes, dict[int, PendingWrite]] = {}  # then by fence
+        self._last_sequence = 0
         self.dropped_count = 0
 
     def __len__(self) -> int:
-        return len(self._items)
+        return len(self._writes)
 
     def add(
         self,
         digest: bytes,
         event: RecordEvent,
         tenant: int,
-        needed_until: int,
-        now: int,
-        seen: bytes = b"",
-        numbers: tuple[int, ...] = (),
+        expires_us: int,
+        now_us: int,
+        expected_value: bytes = b"",
+        journal_ids: tuple[int, ...] = (),
     ) -> bool:
-        """Whether it is kept; what is kept already of the same intention becomes one with it."""
-        self._order += 1
-        ripe = now + _UNRIPE if event.kind is EventKind.DISPATCHED else now
-        return self._put(PendingWrite(digest, event, tenant, needed_until, ripe, self._order, seen, numbers))
-
-    def take_due(self, most: int, now: int) -> list[PendingWrite]:
-        """The oldest that are due, in order; they are the caller's from here on."""
-        found, over = [], []
-        for item in self._items.values():
-            if item.expires_us <= now:
-                over.append(item)
-            elif item.due_us <= now:
-                found.append(item)
-                if len(found) == most:
+        """Merges the update with one of the same claim; returns whether it is kept."""
+        self._last_sequence += 1
+        due_us = now_us + _DISPATCH_DELAY_US if event.kind is EventKind.DISPATCHED else now_us
+        return self._put(
+            PendingWrite(
+                digest, event, tenant, expires_us, due_us, self._last_sequence, expected_value, journal_ids
+            )
+        )
+
+    def take_due(self, max_count: int, now_us: int) -> list[PendingWrite]:
+        """Removes and returns the oldest updates that are due, in order; drops expired ones on the way."""
+        due: list[PendingWrite] = []
+        expired: list[PendingWrite] = []
+        for write in self._writes.values():
+            if write.expires_us <= now_us:
+                expired.append(write)
+            elif write.due_us <= now_us:
+                due.append(write)
+                if len(due) == max_count:
                     break
-        for item in (*found, *over):
-            self._remove(item)
-        return found
-
-    def put_back(self, items: Iterable[PendingWrite]) -> None:
-        """Not written, or not known to be: they go before what came since."""
-        for item in sorted(items, key=lambda item: -item.sequence):
-            key = item.digest, item.event.fence
-            if self._put(item):
-                item = self._items[key]
-                self._items.move_to_end(key, last=False)
-                self._of[item.tenant][item.importance].move_to_end(item, last=False)
+        for write in (*due, *expired):
+            self._remove(write)
+        return due
+
+    def put_back(self, writes: Iterable[PendingWrite]) -> None:
+        """Returns updates that were not written, or may not be, to before those that came since."""
+        for write in sorted(writes, key=lambda write: -write.sequence):
+            key = write.digest, write.event.fence
+            if self._put(write):
+                kept = self._writes[key]
+                self._writes.move_to_end(key, last=False)
+                self._by_tenant[kept.tenant][kept.importance].move_to_end(kept, last=False)
 
     def pending_for(self, digest: bytes) -> list[PendingWrite]:
-        """What the store has not heard yet of one mark."""
+        """Returns the updates of one record."""
         return list(self._by_digest.get(digest, {}).values())
 
-    def _put(self, item: PendingWrite) -> bool:
-        there = self._items.get((item.digest, item.event.fence))
-        if there is not None:
-            # It keeps its place in the order.
-            item = _merged(there, item)
-            del self._of[there.tenant][there.importance][there]
-            self._of[there.tenant][item.importance][item] = None
-            self._items[item.digest, item.event.fence] = item
-            self._by_digest[item.digest][item.event.fence] = item
+    def _put(self, write: PendingWrite) -> bool:
+        key = write.digest, write.event.fence
+        present = self._writes.get(key)
+        if present is not None:
+            self._replace(present, _merge(present, write))
             return True
-        if item.tenant not in self._of:
-            self._of[item.tenant] = tuple(OrderedDict() for _ in range(4))
-            self._counts[item.tenant] = 0
-        self._items[item.digest, item.event.fence] = item
-        self._of[item.tenant][item.importance][item] = None
-        self._counts[item.tenant] += 1
-        self._by_digest.setdefault(item.digest, {})[item.event.fence] = item
-        # Danger: a flood of one tenant's marks would push out those of all others, or the gateway's memory.
-        if self._counts[item.tenant] > self._most_of_tenant:
-            self._drop(item.tenant)
-        elif len(self._items) > self._most:
-            self._drop(max(self._counts, key=lambda tenant: (self._counts[tenant], -tenant)))
-        return (item.digest, item.event.fence) in self._items
-
-    def _drop(self, tenant: int) -> None:
-        self._remove(next(item for kind in self._of[tenant] for item in kind))
+        self._insert(write)
+        # One tenant's flood must push out neither the updates of others nor the gateway's memory.
+        if self._tenant_counts[write.tenant] > self._max_pending_per_tenant:
+            self._drop_from(write.tenant)
+        elif len(self._writes) > self._max_pending:
+            largest = max(self._tenant_counts, key=lambda tenant: (self._tenant_counts[tenant], -tenant))
+            self._drop_from(largest)
+        return key in self._writes
+
+    def _insert(self, write: PendingWrite) -> None:
+        if write.tenant not in self._by_tenant:
+            self._by_tenant[write.tenant] = tuple(OrderedDict() for _ in range(_IMPORTANCE_LEVELS))
+            self._tenant_counts[write.tenant] = 0
+        self._writes[write.digest, write.event.fence] = write
+        self._by_tenant[write.tenant][write.importance][write] = None
+        self._tenant_counts[write.tenant] += 1
+        self._by_digest.setdefault(write.digest, {})[write.event.fence] = write
+
+    def _replace(self, present: PendingWrite, merged: PendingWrite) -> None:
+        """The merged update takes the place of the present one in the order."""
+        del self._by_tenant[present.tenant][present.importance][present]
+        self._by_tenant[present.tenant][merged.importance][merged] = None
+        self._writes[merged.digest, merged.event.fence] = merged
+        self._by_digest[merged.digest][merged.event.fence] = merged
+
+    def _drop_from(self, tenant: int) -> None:
+        least_important = next(write for level in self._by_tenant[tenant] for write in level)
+        self._remove(least_important)
         self.dropped_count += 1
 
-    def _remove(self, item: PendingWrite) -> None:
-        del self._items[item.digest, item.event.fence]
-        del self._of[item.tenant][item.importance][item]
-        self._counts[item.tenant] -= 1
-        if not self._counts[item.tenant]:
-            del self._counts[item.tenant], self._of[item.tenant]
-        of = self._by_digest[item.digest]
-        del of[item.event.fence]
-        if not of:
-            del self._by_digest[item.digest]
-
-
-# What says more of one intention. UNRUN after UNKNOWN never comes: what may have run is not taken back.
-_SAYS = {EventKind.DISPATCHED: 0, EventKind.NOT_EXECUTED: 1, EventKind.UNKNOWN: 2, EventKind.COMPLETED: 3}
-
-
-def _merged(one: PendingWrite, other: PendingWrite) -> PendingWrite:
-    older, newer = sorted((one, other), key=lambda item: item.sequence)
-    most = max((older, newer), key=lambda item: (_SAYS[item.event.kind], item.sequence))
-    event = most.event
+    def _remove(self, write: PendingWrite) -> None:
+        del self._writes[write.digest, write.event.fence]
+        del self._by_tenant[write.tenant][write.importance][write]
+        self._tenant_counts[write.tenant] -= 1
+        if not self._tenant_counts[write.tenant]:
+            del self._tenant_counts[write.tenant]
+            del self._by_tenant[write.tenant]
+        of_digest = self._by_digest[write.digest]
+        del of_digest[write.event.fence]
+        if not of_digest:
+            del self._by_digest[write.digest]
+
+
+# How much a report says about its claim. NOT_EXECUTED never follows UNKNOWN: what may have run is not taken
+# back.
+_STRENGTH = {
+    EventKind.DISPATCHED: 0,
+    EventKind.NOT_EXECUTED: 1,
+    EventKind.UNKNOWN: 2,
+    EventKind.COMPLETED: 3,
+}
+
+
+def _merge(first: PendingWrite, second: PendingWrite) -> PendingWrite:
+    older, newer = sorted((first, second), key=lambda write: write.sequence)
+    strongest = max((older, newer), key=lambda write: (_STRENGTH[write.event.kind], write.sequence))
+    event = strongest.event
     if event.kind is not EventKind.NOT_EXECUTED:
         event = msgspec.structs.replace(
             event,
             earliest_dispatch_ms=min(older.event.earliest_dispatch_ms, newer.event.earliest_dispatch_ms),
             outcome=event.outcome or older.event.outcome or newer.event.outcome,
         )
-    numbers = older.journal_ids + tuple(
-        number for number in newer.journal_ids if number not in older.journal_ids
-    )
+    due_us = strongest.due_us
+    if event.kind is EventKind.DISPATCHED:
+        due_us = min(older.due_us, strongest.due_us)
+    added_ids = tuple(entry_id for entry_id in newer.journal_ids if entry_id not in older.journal_ids)
     return PendingWrite(
         older.digest,
         event,
         older.tenant,
         max(older.expires_us, newer.expires_us),
-        min(older.due_us, most.due_us) if event.kind is EventKind.DISPATCHED else most.due_us,
+        due_us,
         older.sequence,
         newer.expected_value or older.expected_value,
-        numbers,
+        older.journal_ids + added_ids,
     )
--- a/cresstray/model_checking/marked.py
+++ b/cresstray/model_checking/marked.py
@@ -13,6 +13,7 @@
 from sys import intern
 from typing import Any, NamedTuple
 
+from cresstray.config.idempotency import IdempotencySettings
 from cresstray.idempotency import codec
 from cresstray.idempotency import execution_guard as guard
 from cresstray.idempotency import records as marks
@@ -44,7 +45,7 @@
 MILLI = 1_000
 # Short ones, so that memories end within few choices; a slack of 100 ms bounds what may be asked and waited.
 _MEMORY, _SOFT, _HARD, _MARGIN = 2_000 * MILLI, 120 * MILLI, 1_000 * MILLI, 200 * MILLI
-_LINES = {"tariffs": ["load"], "answers": 64}
+_OPERATOR_SETTINGS = IdempotencySettings(request_classes=("load",), max_result_bytes=64)
 _SETTINGS = {
     "Limits": {"RetryAfter": True, "MaxRetryAfter": 1000},
     "Services": [{"Name": "load", "Effect": "deduplicated"}],
@@ -110,7 +111,7 @@
         self.asked: Asked | None = None
         self.marks = IdempotencyCoordinator(
             self,
-            _LINES,
+            _OPERATOR_SETTINGS,
             _SETTINGS,
             [world.tariff],
             self.name,
@@ -425,7 +426,8 @@
         lines(
             (
                 marks._is_holder,
-                "(mark.fence, mark.owner, mark.incarnation) == (event.fence, event.owner, event.incarnation)",
+                "(record.fence, record.owner, record.incarnation) "
+                "== (event.fence, event.owner, event.incarnation)",
                 "True",
             )
         ),
@@ -465,10 +467,10 @@
         "deduplicated",
         "marks",
         lines(
-            (ExecutionGuard.make_claim, "min(mark.earliest_dispatch_ms, at) if taken_over else at", "at"),
+            (ExecutionGuard.make_claim, "min(record.earliest_dispatch_ms, store_now_ms)", "store_now_ms"),
             (
                 marks._on_claim,
-                "min(mark.earliest_dispatch_ms, event.earliest_dispatch_ms)",
+                "min(record.earliest_dispatch_ms, event.earliest_dispatch_ms)",
                 "event.earliest_dispatch_ms",
             ),
         ),
@@ -479,8 +481,8 @@
         "marks",
         lines(
             (
-                marks.apply_event,
-                "RecordState.UNKNOWN if mark.has_uncertain_predecessor else RecordState.ABSENT",
+                marks._on_not_executed,
+                "RecordState.UNKNOWN if record.has_uncertain_predecessor else RecordState.ABSENT",
                 "RecordState.ABSENT",
             )
         ),
@@ -501,6 +503,12 @@
         "memory_without_its_margin",
         "deduplicated",
         "marks",
-        lines((guard.dedup_safety_margin_us, "_TRAVEL + memory // _DRIFT", "-2 * memory")),
+        lines(
+            (
+                guard.dedup_safety_margin_us,
+                "_TRANSFER_MARGIN_US + dedup_window_us // _CLOCK_DRIFT_DIVISOR",
+                "-2 * dedup_window_us",
+            )
+        ),
     ),
 )
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -17,7 +17,7 @@
 from cresstray.background.schedule import JobResult, Priority
 from cresstray.background.worker import Worker
 from cresstray.clock import Clock, Timers
-from cresstray.config.idempotency import Store
+from cresstray.config.idempotency import StoreSettings
 from cresstray.idempotency.client import StoreClient
 from cresstray.idempotency.coordinator import IdempotencyCoordinator
 from cresstray.idempotency.execution_guard import Decision, Fail, Reject, ReplayResult
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        given: Store,
+        given: StoreSettings,
         settings: Mapping[str, Any],
         name: str,
         seed: int,
@@ -75,10 +75,10 @@
         life = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
         chance = random.Random(f"{seed}{clock.now()}").random
         self._client = StoreClient(given, chance, clock, timers, counters, log)
-        desk = UnavailableJournal("") if given.journal else None
+        desk = UnavailableJournal("") if given.journal_path else None
         self.records = IdempotencyCoordinator(
             self._client,
-            given.lines(),
+            given.to_coordinator_settings(),
             settings,
             gateway.request_classes,
             name,
@@ -99,8 +99,8 @@
 
     def start(self, tasks: TaskGroup) -> None:
         tasks.start_soon(self._client.run)
-        if self._given.journal:
-            tasks.start_soon(self._open, self._given.journal)
+        if self._given.journal_path:
+            tasks.start_soon(self._open, self._given.journal_path)
 
     async def _open(self, path: str) -> None:
         """In a thread: a disk that hangs holds up nobody, and until then nothing goes out unguarded."""
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,6 +20,7 @@
 
 import msgspec
 
+from cresstray.config.idempotency import IdempotencySettings
 from cresstray.idempotency import codec, journal
 from cresstray.idempotency import coordinator as joined
 from cresstray.idempotency import records as marks
@@ -169,9 +170,8 @@
 
 class Guarding(unittest.TestCase):
     def setUp(self) -> None:
-        self.guard = ExecutionGuard(
-            {"unguarded": {"load": 2}, "unguarded_s": 10}, 2 * SECOND, random.Random(3).random
-        )
+        settings = IdempotencySettings(unguarded_rates={"load": 2}, max_unguarded_us=10 * SECOND)
+        self.guard = ExecutionGuard(settings, 2 * SECOND, random.Random(3).random)
         self.times = RequestTiming(START, START + SECOND, START + 3 * SECOND, MEMORY)
 
     def decide(
@@ -186,7 +186,7 @@
 
     def test_who_needs_a_mark(self) -> None:
         kinds = [
-            guard_mode_of(one, "load", {"tariffs": ["load"]})
+            guard_mode_of(one, "load", IdempotencySettings(request_classes=("load",)))
             for one in (tariff(), tariff(group="cell"), tariff(False), tariff(False, idempotent=True))
         ]
         self.assertEqual(
@@ -198,7 +198,7 @@
             ],
             kinds,
         )
-        self.assertIs(GuardMode.NOT_NEEDED, guard_mode_of(tariff(), "load", {}))
+        self.assertIs(GuardMode.NOT_NEEDED, guard_mode_of(tariff(), "load", IdempotencySettings()))
 
     def test_each_doubt_by_kind(self) -> None:
         """The table of doubts in docs/store.md: what is there, how old it is, and what each kind does."""
@@ -281,7 +281,7 @@
 
 class Limiting(unittest.TestCase):
     def setUp(self) -> None:
-        self.health, self.now = StoreHealth({}, random.Random(1).random, START), START
+        self.health, self.now = StoreHealth(IdempotencySettings(), random.Random(1).random, START), START
 
     def trip(self, took: int, well: bool = True) -> None:
         ticket = self.health.on_round_trip_started(self.now)
@@ -329,7 +329,11 @@
 
     def test_failed_trials_come_seldom_and_spread(self) -> None:
         def found(seed: int) -> list[int]:
-            health, times, now = StoreHealth({}, random.Random(seed).random, START), [], START
+            health, times, now = (
+                StoreHealth(IdempotencySettings(), random.Random(seed).random, START),
+                [],
+                START,
+            )
             while len(times) < 6:
                 ticket = health.start_probe(now)
                 if ticket is not None:
@@ -370,7 +374,7 @@
         )
 
     def test_bounds(self) -> None:
-        behind = WriteBehindQueue(most=6, most_of_tenant=4)
+        behind = WriteBehindQueue(max_pending=6, max_pending_per_tenant=4)
         kinds = [EventKind.COMPLETED, EventKind.DISPATCHED, EventKind.NOT_EXECUTED, EventKind.UNKNOWN]
         for number, kind in enumerate(kinds):
             self.assertTrue(self.add(behind, number, kind))
@@ -629,7 +633,9 @@
         self.counters = Counters()
         self.marks = IdempotencyCoordinator(
             self,
-            {"tariffs": ["load"], "answers": 64} | world.faults.get("lines", {}),
+            IdempotencySettings(
+                request_classes=("load",), max_result_bytes=64, **world.faults.get("settings", {})
+            ),
             settings,
             [tariff()],
             name,
@@ -919,7 +925,7 @@
         for kind, foreign in ((tariff(idempotent=True), False), (tariff(), True)):
             request = Request(kind, world.now, world.now + SECOND, is_forwarded_in=foreign)
             context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key="m"))
-            gate.marks._kinds = [guard_mode_of(kind, "load", {"tariffs": ["load"]})]
+            gate.marks._kinds = [guard_mode_of(kind, "load", IdempotencySettings(request_classes=("load",)))]
             self.assertFalse(gate.marks.check(context, world.now, self.fail))
             self.assertTrue(gate.marks.may_dispatch(request, world.now))
         self.assertEqual(before, trips["marks: round trips"])
@@ -977,9 +983,9 @@
             self.assertEqual(2, self.late_release())
 
     def test_without_the_store(self) -> None:
-        lines = {"unguarded": {"load": 1}, "unguarded_s": 60}
+        settings = {"unguarded_rates": {"load": 1}, "max_unguarded_us": 60 * SECOND}
         for takes, decision in ((5_000, "ProceedUnguarded"), (60 * SECOND, "Reject")):
-            world = self.world(lines=lines)
+            world = self.world(settings=settings)
             gate, desk = world.gates[0], Scribbling(world, takes)
             gate.marks._desk, world.down = desk, True
             for n in range(8):  # until the breaker is open
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -17,7 +17,7 @@
 
 from cresstray.cli import authority
 from cresstray.clock import Clock, Timers
-from cresstray.config.idempotency import Store, StoreTls
+from cresstray.config.idempotency import StoreSettings, StoreTlsFiles
 from cresstray.emulators.store import StoreProcess, encode
 from cresstray.idempotency import codec
 from cresstray.idempotency.client import StoreClient, StoreConnection
@@ -178,9 +178,9 @@
     def __init__(self, *ports: int, **more: object) -> None:
         self.clock = Clock()
         self.timers, self.counters = Timers(self.clock), Counters()
-        given = Store(
+        given = StoreSettings(
             addresses=tuple((str(more.pop("host", "127.0.0.1")), port) for port in ports),
-            tariffs=("manifest-load",),
+            request_classes=("manifest-load",),
             **more,
         )
         self.client = StoreClient(
@@ -531,7 +531,7 @@
             self.assertTrue((await desk.swap(b"a", b"", b"1")).is_applied)
 
         path.write_text("wrong\n")
-        desk = Desk(port, password=str(path))
+        desk = Desk(port, password_path=str(path))
         return desk.run(scene)
 
     def test_tls(self) -> None:
@@ -556,7 +556,7 @@
                 ("keys", here, "127.0.0.1"),
             ):
                 with StoreProcess("--tls", *files(keys, name)) as store:
-                    desk = Desk(store.port, host=host, tls=StoreTls(*files("keys", "ga0")))
+                    desk = Desk(store.port, host=host, tls=StoreTlsFiles(*files("keys", "ga0")))
                     desk.run(scene)
             # Its own name and our authority; another's name, another's authority, a host it does not name.
             self.assertEqual([True, False, False, False], ready)
