--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -1,7 +1,6 @@
-"""Connections to the store of marks: a few, to its primary, made again and again; each pipelined.
+"""Client of the shared store: a few pipelined connections to its primary, made again whenever they end.
 
-The only file of this package with sockets. Nothing is sent twice by itself, but a script that the store does
-not know. Every submission has its time limit, and its caller hears once, by then.
+The sockets of this package are here; `connection_pool` has what waits and is in flight.
 """
 
 from __future__ import annotations
@@ -9,28 +8,21 @@
 import asyncio
 import socket
 import ssl
-from collections import deque
 from collections.abc import Callable, Sequence
-from functools import partial
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, Any, cast
 
 import anyio
+import anyio.to_thread
 from anyio.abc import TaskGroup
 
 from cresstray.clock import Clock, Timers
 from cresstray.idempotency import codec
-from cresstray.idempotency.codec import (
-    Command,
-    ErrorKind,
-    ErrorReply,
-    Handshake,
-    HandshakeError,
-    ProtocolError,
-    Reply,
-)
+from cresstray.idempotency.codec import Command, ErrorReply, Handshake, HandshakeError, ProtocolError
+from cresstray.idempotency.connection import Channel, StoreConnection
+from cresstray.idempotency.connection_pool import ConnectionPool
 from cresstray.idempotency.in_flight import (
     CommandBatch,
-    CommandPipeline,
+    OnDone,
     PrimaryTracker,
     ReconnectBackoff,
     Replies,
@@ -42,377 +34,254 @@
 if TYPE_CHECKING:
     from cresstray.config.idempotency import StoreSettings, StoreTlsFiles
 
-# One that is cut or waits for a lost packet leaves the other; a gateway's marks fit on one.
+# One that is cut, or waits for a lost packet, leaves the other; a gateway's load fits on one.
 _CONNECTIONS = 2
-# Submissions out on one: a store that takes 1 ms a round trip serves 256,000 a second so.
-_MOST_OUT = 256
-# Submissions that wait for a connection, and bytes of all that somebody waits for.
-# Danger: while the store is away each would be kept until its time is over.
-_MOST_WAITING, _MOST_BYTES = 1024, 2 * 1024 * 1024
-# Bytes that the kernel did not take yet; a connection with more gets nothing until they have left.
-_MOST_UNWRITTEN = 256 * 1024
-# Microseconds. No submission is open longer, so whoever waited for what is out has gone: nothing is to be had
-# of a connection that has said nothing for so long.
-_SILENT = 3_000_000
-# Seconds: a connection, TLS and the greeting, each at the longest round trip that is of any use to a
-# submission.
-_GREETING = 1.0
-# What the network has taken and not delivered for so long is lost; without this the kernel tries for minutes.
-_UNDELIVERED_MS = 2000
-
-
-class _Channel(Protocol):
-    def write(self, message: bytes) -> object: ...
-    async def receive(self) -> bytes: ...
-
-
-class _Names:
-    """The store's certificate is verified against its authority and its host's name. For halls.tls.Sealed."""
+# Each for a connection, and for TLS with the handshake: the longest round trips that are of use to a request.
+_HANDSHAKE_TIMEOUT_S = 1.0
+# What the network has taken and not delivered for so long is lost; otherwise the kernel retries for minutes.
+_TCP_USER_TIMEOUT_MS = 2000
+_MAX_PASSWORD_BYTES = 4096
+
+
+class StoreTlsContext:
+    """Verifies the store's certificate against its authority and the host's name. For sites.tls."""
 
     def __init__(self, files: StoreTlsFiles, host: str) -> None:
-        """OSError where a file can't be used."""
+        """Raises OSError where a file cannot be used."""
         self._host = host
         try:
             self._context = ssl.create_default_context(cafile=files.authority_path)
             self._context.minimum_version = ssl.TLSVersion.TLSv1_2  # what managed stores still offer
             if files.certificate_path:
                 self._context.load_cert_chain(files.certificate_path, files.key_path)
-        except OSError as trouble:
-            raise OSError(f"keys of the store, one of {files}: {trouble}") from None
+        except OSError as error:
+            raise OSError(f"keys of the store, one of {files}: {error}") from None
 
     @property
-    def near(self) -> _Names:
+    def near(self) -> StoreTlsContext:
+        """This side's context, as sites.tls looks for it."""
         return self
 
-    def wrap_bio(self, coming: ssl.MemoryBIO, going: ssl.MemoryBIO, server_side: bool) -> ssl.SSLObject:
-        return self._context.wrap_bio(coming, going, server_side, self._host)
-
-
-class StoreConnection:
-    """One greeted connection to the primary."""
-
-    def __init__(
-        self, at: int, line: SocketStream, channel: _Channel, scope: anyio.CancelScope, now: int
-    ) -> None:
-        self.at, self.line, self.channel, self._scope, self.since = at, line, channel, scope, now
-        self.flight = CommandPipeline(_MOST_OUT)
-        self.open = self.counted = True
-        self.why = ""
-
-    def room(self) -> bool:
-        return self.open and self.flight.has_capacity() and len(self.line.unsent) < _MOST_UNWRITTEN
-
-    def write(self, message: bytes, fresh: Sequence[CommandBatch] = ()) -> None:
-        """What was begun, in one piece. Where none of it has left, the link ends."""
-        # Danger: what is written to a link that the other side has closed is lost, and may have run.
-        if len(self.flight) == len(fresh) and self.line.has_ended():
-            self.end("closed by the store")
-            return
-        try:
-            left = self.channel.write(message) is not False
-        except OSError:  # of TLS: some of it may have left
-            left = True
-            self.end("broken")
-        for asked in fresh:
-            asked.may_have_been_sent = left
+    def wrap_bio(self, incoming: ssl.MemoryBIO, outgoing: ssl.MemoryBIO, server_side: bool) -> ssl.SSLObject:
+        """Returns a TLS connection over these buffers."""
+        return self._context.wrap_bio(incoming, outgoing, server_side, self._host)
 
-    def has_ended(self) -> bool:
-        """False where all of the client ends."""
-        return self._scope.cancel_called
 
-    def end(self, why: str) -> None:
-        """Only the first reason is told."""
-        self.open, self.why = False, self.why or why
-        self._scope.cancel()
+def check_files(settings: StoreSettings) -> None:
+    """Raises OSError where a file that the settings name cannot be used."""
+    if settings.tls:
+        StoreTlsContext(settings.tls, settings.addresses[0][0])
+    if settings.password_path and not _read_password(settings.password_path):
+        raise OSError(f"no password in {settings.password_path}")
 
 
-def check_files(given: StoreSettings) -> None:
-    """OSError where a file that it names can't be used."""
-    if given.tls:
-        _Names(given.tls, given.addresses[0][0])
-    if given.password_path:
-        with open(given.password_path, "rb") as file:
-            if not file.readline(4096).strip():
-                raise OSError(f"no password in {given.password_path}")
+def _read_password(path: str) -> bytes:
+    with open(path, "rb") as file:
+        return file.readline(_MAX_PASSWORD_BYTES).strip()
 
 
 class StoreClient:
-    """Asks the store; `look` is to be called once each `EVERY` microseconds while `run` runs."""
+    """Submits commands to the store's primary.
+
+    `check_connections` is to be called once every CHECK_INTERVAL_US while `run` runs.
+    """
 
     CHECK_INTERVAL_US = 1_000_000
 
     def __init__(
         self,
-        given: StoreSettings,
+        settings: StoreSettings,
         chance: Callable[[], float],
         clock: Clock,
         timers: Timers,
         counters: Counters,
         log: Log,
     ) -> None:
-        """OSError where a file for TLS can't be used."""
-        self._given, self._chance, self._clock, self._timers = given, chance, clock, timers
-        self._counters, self._log = counters, log
-        self._places = PrimaryTracker(given.addresses)
-        self._names = [_Names(given.tls, host) if given.tls else None for host, _ in given.addresses]
-        self._links: list[StoreConnection] = []
-        self._waiting: deque[CommandBatch] = deque()
-        self._bytes = 0  # of all that somebody waits for
-        self._flushes = self._over = False
-        self._trouble: dict[int, str] = {}  # by address, as last told
+        """Raises OSError where a file for TLS cannot be used."""
+        self._settings = settings
+        self._chance = chance
+        self._clock = clock
+        self._counters = counters
+        self._log = log
+        self._tracker = PrimaryTracker(settings.addresses)
+        self._tls_contexts = [
+            StoreTlsContext(settings.tls, host) if settings.tls else None for host, _ in settings.addresses
+        ]
+        self._pool = ConnectionPool(self._tracker, clock, timers, counters, log, _run_soon)
+        self._last_errors: dict[int, str] = {}  # by address, as last logged
         self._tasks: TaskGroup
 
     def is_connected(self) -> bool:
-        """Whether the primary is known and connected to."""
-        return any(link.open for link in self._links)
+        """Returns whether the primary is known and connected to."""
+        return self._pool.is_connected()
+
+    def pending_bytes(self) -> int:
+        """Returns the size of all commands that somebody waits for."""
+        return self._pool.pending_bytes
 
-    def submit(
-        self, commands: Sequence[Command], by: int, call: Callable[[Replies | None], None]
-    ) -> CommandBatch:
-        """`call` is made once, by `by` (the clock's time), never within this, with a reply for each command.
+    def submit(self, commands: Sequence[Command], deadline_us: int, on_done: OnDone) -> CommandBatch:
+        """Calls `on_done` once, by the deadline, never within this, with a reply to each command.
 
-        Or with None: no reply came. Where `written` of what is returned is False by then, nothing of it has
-        run, or will; else it is not known. The commands run in order, but for a script that the store had
-        forgotten: it runs after those behind it.
+        Or with None: no reply came. Where `may_have_been_sent` of the returned batch is False by then,
+        nothing of it has run or will; else that is unknown. The commands run in order, except that a script
+        the store did not know runs after those behind it.
         """
-        asked = CommandBatch(commands, by, call)
-        self._counters.add("store: submissions")
-        full = len(self._waiting) >= _MOST_WAITING or self._bytes + asked.size_bytes > _MOST_BYTES
-        self._bytes += asked.size_bytes
-        if full or self._over:
-            self._counters.add("store: refused, too much waits" if full else "store: refused at the end")
-            asyncio.get_running_loop().call_soon(self._finish, asked, None)
-            return asked
-        asked.timeout = self._timers.call_after(by - self._clock.now(), partial(self._late, asked))
-        self._waiting.append(asked)
-        self._flush_soon()
-        return asked
-
-    def check_connections(self, now: int) -> None:
-        """Ends links that say nothing, and asks each for its role: a primary may have become a copy."""
-        for link in list(self._links):
-            if len(link.flight) and now - link.flight.last_progress_us > _SILENT:
-                self._counters.add("store: links silent")
-                link.end("silent")
-            elif link.room():
-                asked = CommandBatch([codec.get_role()], now + _SILENT, partial(self._role_told, link))
-                self._bytes += asked.size_bytes
-                link.write(link.flight.start(asked, now), [asked])
-
-    def _role_told(self, link: StoreConnection, replies: Replies | None) -> None:
-        if replies and type(replies[0]) is not ErrorReply and not codec.is_primary(replies[0]):
-            self._demoted(link, "a copy now")
+        return self._pool.submit(commands, deadline_us, on_done)
+
+    def check_connections(self, now_us: int) -> None:
+        """Closes silent connections, and those to a primary that has become a replica."""
+        self._pool.check_connections(now_us)
 
     async def run(self) -> None:
-        """Until it is cancelled; all that wait then hear None."""
+        """Keeps the connections until it is cancelled; all callers that still wait then get None."""
         try:
             async with anyio.create_task_group() as self._tasks:
                 for _ in range(_CONNECTIONS):
-                    self._tasks.start_soon(self._hold)
+                    self._tasks.start_soon(self._keep_connected)
         finally:
-            self._over = True
-            while self._waiting:
-                self._finish(self._waiting.popleft(), None)
-
-    def _flush_soon(self) -> None:
-        if not self._flushes:
-            self._flushes = True
-            asyncio.get_running_loop().call_soon(self._flush)
-
-    def _flush(self) -> None:
-        """What was submitted in one turn of the loop leaves in one piece for each link."""
-        self._flushes = False
-        now = self._clock.now()
-        begun: dict[StoreConnection, list[CommandBatch]] = {}
-        messages: dict[StoreConnection, bytearray] = {}
-        while self._waiting:
-            link = min(
-                filter(StoreConnection.room, self._links), key=lambda one: len(one.flight), default=None
-            )
-            if link is None:
-                break
-            asked = self._waiting.popleft()
-            if asked.deadline_us > now:  # else its call is due
-                messages.setdefault(link, bytearray()).extend(link.flight.start(asked, now))
-                begun.setdefault(link, []).append(asked)
-        for link, fresh in begun.items():
-            link.write(bytes(messages[link]), fresh)
-
-    def _late(self, asked: CommandBatch, _now: int) -> None:
-        self._counters.add(
-            "store: no reply in time" if asked.may_have_been_sent else "store: not sent in time"
-        )
-        if not asked.may_have_been_sent and asked in self._waiting:
-            self._waiting.remove(asked)
-        self._finish(asked, None)
-
-    def _finish(self, asked: CommandBatch, replies: Replies | None) -> None:
-        call = asked.on_done
-        if call is None:
-            return
-        if asked.timeout is not None:
-            asked.timeout.cancel()
-        self._bytes -= asked.size_bytes
-        asked.release()
-        with contained("a reply of the store", self._counters, self._log):
-            call(replies)
-
-    async def _hold(self) -> None:
-        """One connection, made again for ever."""
-        pause = ReconnectBackoff(self._chance)
+            self._pool.close()
+
+    async def _keep_connected(self) -> None:
+        backoff = ReconnectBackoff(self._chance)
         while True:
-            lived = 0
-            for at in self._places.connection_order():
-                with contained("a link to the store", self._counters, self._log):
-                    lived = await self._one(at)
-                if lived:
+            lifetime_us = 0
+            for index in self._tracker.connection_order():
+                with contained("a connection to the store", self._counters, self._log):
+                    lifetime_us = await self._connect_and_use(index)
+                if lifetime_us:
                     break
-            await anyio.sleep(pause.next_delay(lived) / 1e6)
+            await anyio.sleep(backoff.next_delay(lifetime_us) / 1e6)
 
-    async def _one(self, at: int) -> int:
-        """A connection to this address; for how many microseconds it was used, 0 where it was not."""
-        link: StoreConnection | None = None
+    async def _connect_and_use(self, index: int) -> int:
+        """Returns for how many microseconds a connection to this address was used; 0 if it was not."""
+        connection: StoreConnection | None = None
         with anyio.CancelScope() as scope:
-            try:
-                with anyio.fail_after(_GREETING):
-                    made = await self._connect(*self._given.addresses[at])
-            except (OSError, TimeoutError) as trouble:
-                self._tell(at, f"can't be reached: {trouble!r}")
+            connected = await self._open_socket(index)
+            if connected is None:
                 return 0
-            with SocketStream(made, self._tasks, scope.cancel) as line:
-                try:
-                    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNDELIVERED_MS)
-                    with anyio.fail_after(_GREETING):
-                        channel, reader, greeted = await self._greet(at, line)
-                except (*ENDED, TimeoutError, ProtocolError, HandshakeError) as trouble:
-                    self._counters.add("store: links refused")
-                    self._tell(at, f"not greeted: {trouble!r}")
+            with SocketStream(connected, self._tasks, scope.cancel) as stream:
+                opened = await self._open_channel(index, connected, stream)
+                if opened is None:
                     return 0
-                if not self._places.on_greeted(at, greeted.is_primary):
-                    self._tell(at, "a second primary" if greeted.is_primary else "a copy")
+                channel, reader, handshake = opened
+                if not self._tracker.on_greeted(index, handshake.is_primary):
+                    self._log_error(index, "a second primary" if handshake.is_primary else "a replica")
                     return 0
-                link = StoreConnection(at, line, channel, scope, self._clock.now())
-                await self._use(link, reader, greeted)
-        if link is None:
-            self._tell(at, "broken while it was greeted")
+                connection = StoreConnection(index, stream, channel, scope, self._clock.now())
+                await self._use(connection, reader, handshake)
+        if connection is None:
+            self._log_error(index, "broken in the handshake")
             return 0
-        return max(1, self._clock.now() - link.since)
+        return max(1, self._clock.now() - connection.opened_us)
+
+    async def _open_socket(self, index: int) -> socket.socket | None:
+        try:
+            with anyio.fail_after(_HANDSHAKE_TIMEOUT_S):
+                return await self._connect(*self._settings.addresses[index])
+        except (OSError, TimeoutError) as error:
+            self._log_error(index, f"can't be reached: {error!r}")
+            return None
 
     async def _connect(self, host: str, port: int) -> socket.socket:
-        # Danger: a name is looked up by the kernel's resolver, for seconds at times, and would stop the loop.
+        # The kernel's resolver may take seconds for a name; it must not stop the loop.
         found = await anyio.getaddrinfo(host, port, family=socket.AF_INET, type=socket.SOCK_STREAM)
-        return await connect(*found[0][4])
+        host_address, port_number = found[0][4][:2]
+        return await connect(str(host_address), int(port_number))
 
-    async def _greet(self, at: int, line: SocketStream) -> tuple[_Channel, codec.ReplyReader, Handshake]:
-        channel: _Channel = line
-        if self._names[at] is not None:
-            from cresstray.sites.tls import Sealed
-
-            channel = Sealed(line, self._names[at], False)
-            await channel.shake_hands()
-        talk = codec.perform_handshake(self._given.user, await self._password())
-        reader, commands = codec.ReplyReader(), next(talk)
+    async def _open_channel(
+        self, index: int, connected: socket.socket, stream: SocketStream
+    ) -> tuple[Channel, codec.ReplyReader, Handshake] | None:
+        try:
+            connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS)
+            with anyio.fail_after(_HANDSHAKE_TIMEOUT_S):
+                channel = await self._secure(index, stream)
+                reader = codec.ReplyReader()
+                handshake = await self._perform_handshake(channel, reader)
+                return channel, reader, handshake
+        except (*ENDED, TimeoutError, ProtocolError, HandshakeError) as error:
+            self._counters.add("store: handshakes failed")
+            self._log_error(index, f"handshake failed: {error!r}")
+            return None
+
+    async def _secure(self, index: int, stream: SocketStream) -> Channel:
+        context = self._tls_contexts[index]
+        if context is None:
+            return stream
+        from cresstray.sites.tls import Sealed
+
+        # Sealed takes any object with these two members in place of its own contexts.
+        sealed = Sealed(stream, cast(Any, context), False)
+        await sealed.shake_hands()
+        return sealed
+
+    async def _perform_handshake(self, channel: Channel, reader: codec.ReplyReader) -> Handshake:
+        steps = codec.perform_handshake(self._settings.user, await self._password())
+        commands = next(steps)
         while True:
             channel.write(b"".join(codec.pack_arguments(command.arguments) for command in commands))
             replies: Replies = []
             while len(replies) < len(commands):
                 replies += reader.feed(await channel.receive())
-            fit = [
-                type(reply) is ErrorReply or command.accepts_reply(reply)
-                for command, reply in zip(commands, replies)
-            ]
-            if len(replies) > len(commands) or not all(fit):
-                raise ProtocolError(f"an answer to a greeting: {str(replies)[:60]}")
+            _check_handshake_replies(commands, replies)
             try:
-                commands = talk.send(replies)
-            except StopIteration as over:
-                return channel, reader, over.value
+                commands = steps.send(replies)
+            except StopIteration as finished:
+                handshake: Handshake = finished.value
+                return handshake
 
     async def _password(self) -> bytes:
-        """Read for each connection, so that it can be changed."""
-        path = self._given.password_path
+        """Reads it for each connection, so that it can be changed, and in a thread: a disk may hang."""
+        path = self._settings.password_path
         if not path:
             return b""
-
-        def first_line() -> bytes:
-            with open(path, "rb") as file:
-                return file.readline(4096).strip()
-
-        # Danger: a disk that hangs would stop the loop, and the gateway's end.
-        password = await anyio.to_thread.run_sync(first_line, abandon_on_cancel=True)
+        password = await anyio.to_thread.run_sync(_read_password, path, abandon_on_cancel=True)
         if not password:
             raise HandshakeError(f"no password in {path}")
         return password
 
-    async def _use(self, link: StoreConnection, reader: codec.ReplyReader, greeted: Handshake) -> None:
-        if not self._links:
-            self._log.log("store", f"{self._name(link.at)} is the primary, RESP{greeted.protocol}")
-        self._trouble.clear()
-        self._counters.add("store: links made")
-        self._links.append(link)
-        self._flush_soon()
+    async def _use(
+        self, connection: StoreConnection, reader: codec.ReplyReader, handshake: Handshake
+    ) -> None:
+        index = connection.address_index
+        if not self._pool.connections:
+            self._log.log("store", f"{self._address(index)} is the primary, RESP{handshake.protocol}")
+        self._last_errors.clear()
+        self._pool.add(connection)
         try:
             while True:
-                replies = reader.feed(await link.channel.receive())
-                now = self._clock.now()
-                for reply in replies:
-                    self._took(link, reply, now)
-                if self._waiting:
-                    self._flush_soon()
-        except ProtocolError as trouble:
-            self._counters.add("store: links spoilt")
-            link.end(f"dropped: {trouble}")
-        except ENDED as trouble:
-            link.end(repr(trouble))
+                self._pool.on_replies(connection, reader.feed(await connection.channel.receive()))
+        except ProtocolError as error:
+            self._counters.add("store: protocol errors")
+            connection.close(f"dropped: {error}")
+        except ENDED as error:
+            connection.close(repr(error))
         finally:
-            self._gone(link)
-
-    def _took(self, link: StoreConnection, reply: Reply, now: int) -> None:
-        asked, more = link.flight.on_reply(reply, now)
-        if more:
-            self._counters.add("store: scripts sent whole")
-            link.write(more)
-        if type(reply) is ErrorReply:
-            self._counters.add(f"store: {reply.kind.value}")
-            if reply.kind in (ErrorKind.READONLY, ErrorKind.LOADING):
-                self._demoted(link, reply.text)
-        if asked is not None:
-            # Danger: a process that was stopped for long reads what has come before its timers run.
-            if now > asked.deadline_us:
-                self._late(asked, now)
-            else:
-                self._finish(asked, asked.replies)
-
-    def _demoted(self, link: StoreConnection, why: str) -> None:
-        """No primary any more, by its own word: all links to it end."""
-        if link.counted and self._places.on_demoted(link.at):
-            self._counters.add("store: primaries lost")
-            for one in self._links:
-                one.counted = False
-                one.end(why)
-
-    def _gone(self, link: StoreConnection) -> None:
-        link.open = False
-        self._links.remove(link)
-        if link.counted:
-            self._places.on_connection_closed(link.at)
-        self._counters.add("store: links ended")
-        if link.has_ended():
-            self._tell(link.at, link.why or "broken")
-        left = link.flight.close()
-        for asked in left:
-            if (
-                asked.may_have_been_sent or asked.timeout is None
-            ):  # the latter: asks for the role of this link only
-                self._finish(asked, None)
-        self._waiting.extendleft(asked for asked in reversed(left) if asked.on_done is not None)
-        if self._waiting:
-            self._flush_soon()
-
-    def _name(self, at: int) -> str:
-        return "{}:{}".format(*self._given.addresses[at])
-
-    def _tell(self, at: int, why: str) -> None:
-        if self._trouble.get(at) != why:
-            self._trouble[at] = why
-            self._log.log("store", f"{self._name(at)}: {why}")
+            self._on_ended(connection)
+
+    def _on_ended(self, connection: StoreConnection) -> None:
+        self._pool.remove(connection)
+        if connection.was_closed():
+            self._log_error(connection.address_index, connection.close_reason or "broken")
+        self._pool.return_unsent(connection)
+
+    def _address(self, index: int) -> str:
+        host, port = self._settings.addresses[index]
+        return f"{host}:{port}"
+
+    def _log_error(self, index: int, error: str) -> None:
+        """Logs an error of an address once, until it changes or a connection is made."""
+        if self._last_errors.get(index) != error:
+            self._last_errors[index] = error
+            self._log.log("store", f"{self._address(index)}: {error}")
+
+
+def _check_handshake_replies(commands: Sequence[Command], replies: Replies) -> None:
+    fits = [
+        type(reply) is ErrorReply or command.accepts_reply(reply) for command, reply in zip(commands, replies)
+    ]
+    if len(replies) > len(commands) or not all(fits):
+        raise ProtocolError(f"an answer to a greeting: {str(replies)[:60]}")
+
+
+def _run_soon(call: Callable[..., object], *arguments: object) -> None:
+    asyncio.get_running_loop().call_soon(call, *arguments)
--- a/cresstray/idempotency/codec.py
+++ b/cresstray/idempotency/codec.py
@@ -1,6 +1,6 @@
-"""The Redis protocol as the store of marks speaks it: commands and replies as values, RESP3 or RESP2.
+"""Codec of the Redis protocol (RESP3, RESP2) for the shared store: commands and replies as values.
 
-Knows no socket and decides nothing. What a mark's bytes mean is not known here.
+It has no socket and decides nothing, and does not know what a record's bytes mean.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 import hiredis
 import msgspec
 
-# What a reply may be: bytes, int, float, bool, None, a list or dict of such, or Refused.
+# What a reply may be: bytes, int, float, bool, None, a list or dict of such, or ErrorReply.
 Reply = Any
 
-# Compare-and-set in one step of the store, with its time of that moment. 1: the key, 2: what it must hold,
-# empty for none, 3: what it is to hold, 4: for how many milliseconds. Arguments are strings, so nothing is
-# rounded.
+# Compare-and-set in one step of the store, with its time of that moment. KEYS[1]: the key; ARGV[1]: the
+# expected value, empty for none; ARGV[2]: the new value; ARGV[3]: its lifetime in ms. Arguments are
+# strings, so that nothing is rounded.
 COMPARE_AND_SET_SCRIPT = b"""local t = redis.call('TIME')
 local now = t[1] * 1000 + math.floor(t[2] / 1000)
 local found = redis.call('GET', KEYS[1])
@@ -28,40 +28,53 @@
 return {1, now}
 """
 COMPARE_AND_SET_SHA = sha1(COMPARE_AND_SET_SCRIPT).hexdigest().encode()
-# Danger: a newer build that reads marks differently must not take an older one's for its own, nor spoil them
-# in a rolling upgrade. The number is that of the marks' form.
-_VERSION = b"m1"
-# Bytes of one string: a mark with the largest outcome that the operator's file lets keep (64 kB), and as much
-# again.
-_LONGEST = 128 * 1024
-# Bytes of a line that is no string: errors with their text.
-_LONGEST_LINE = 4096
-# Parts of one reply still to come: a page of a scan, or ROLE with some hundred copies.
-_MOST_PARTS = 1024
-# Bytes of one reply: a page of a scan with long keys, and far more than any other.
-_MOST_BYTES = 1024 * 1024
-_NUMBER = re.compile(rb"-1|\d{1,9}")
+# Version of the form of records, part of each key: in a rolling upgrade a build that reads records
+# differently neither takes an older build's for its own nor overwrites them.
+_RECORD_VERSION = b"m1"
+# A record with the largest result that the operator's file allows (64 kB), and as much again.
+_MAX_STRING_BYTES = 128 * 1024
+# A line that is no string: errors with their text.
+_MAX_LINE_BYTES = 4096
+# Elements of one reply still to come: a page of a scan, or ROLE with some hundred replicas.
+_MAX_PENDING_ELEMENTS = 1024
+# A page of a scan with long keys, and far more than any other reply.
+_MAX_REPLY_BYTES = 1024 * 1024
+_MAX_ERROR_CHARACTERS = 200
+_LENGTH = re.compile(rb"-1|\d{1,9}")
+_LINE_END = b"\r\n"
+_STRING_TYPES = (b"$", b"=")
+_AGGREGATE_TYPES = (b"*", b"~", b">", b"%")
+_MAP_TYPE = b"%"
+_SCALAR_TYPES = (b"+", b"-", b":", b",", b"#", b"(", b"_")
 
 
-class ProtocolError(Exception):
-    """What came can't be a reply to what was asked; nothing behind it on this connection can be trusted."""
+class StoreProtocolError(Exception):
+    """Base of the errors of the store's protocol."""
+
+
+class ProtocolError(StoreProtocolError):
+    """The bytes cannot be a reply to what was asked; nothing after them on this connection can be trusted."""
+
+
+class HandshakeError(StoreProtocolError):
+    """The store does not accept this client, or not now."""
 
 
 class ErrorKind(Enum):
-    """Why the store refused; each means another thing for who asked."""
+    """Why the store refused a command."""
 
-    LOADING = "LOADING"  # it starts, and has not read its data yet
-    READONLY = "READONLY"  # a copy, not the primary
+    LOADING = "LOADING"  # it is starting and has not read its data yet
+    READONLY = "READONLY"  # a replica, not the primary
     OOM = "OOM"  # no memory for a write
-    WRONGTYPE = "WRONGTYPE"  # something else than a mark is kept under this key
-    NOSCRIPT = "NOSCRIPT"  # it has forgotten the script; nothing ran
-    BUSY = "BUSY"  # another's script runs for long
-    MOVED = "MOVED"  # one of a cluster, which is not supported
-    DENIED = "DENIED"  # no password, a wrong one, or no right to this command
+    WRONGTYPE = "WRONGTYPE"  # the key holds something other than a string
+    NOSCRIPT = "NOSCRIPT"  # the script is not cached; nothing ran
+    BUSY = "BUSY"  # another client's script is running for long
+    MOVED = "MOVED"  # a node of a cluster, which is not supported
+    DENIED = "DENIED"  # no password, a wrong one, or no permission for this command
     OTHER = "OTHER"
 
 
-_KINDS = {
+_KIND_BY_PREFIX = {
     "ASK": ErrorKind.MOVED,
     "CLUSTERDOWN": ErrorKind.MOVED,
     "NOAUTH": ErrorKind.DENIED,
@@ -72,16 +85,19 @@
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """An error reply. It was not carried out, but for OTHER, which a script may raise halfway."""
+    """An error reply. The command was not executed, except for OTHER, which a script may raise halfway."""
 
     kind: ErrorKind
     text: str
 
 
 class Command(NamedTuple):
-    """`words` as they are sent. `fits`: whether a reply, other than Refused, can be one to this.
+    """A command with what is known of its reply.
 
-    `whole`: what is sent instead, once, where the store does not know the script.
+    Attributes:
+        arguments: What is sent.
+        accepts_reply: Whether a reply, other than ErrorReply, can be one to this command.
+        arguments_with_script: Sent instead, once, where the store does not know the script.
     """
 
     arguments: tuple[bytes, ...]
@@ -90,51 +106,59 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes, about."""
+        """Approximate size on the wire."""
         return sum(map(len, self.arguments)) + 16 * len(self.arguments)
 
 
-def pack_arguments(words: Iterable[bytes]) -> bytes:
-    return hiredis.pack_command(tuple(words))
+def pack_arguments(arguments: Iterable[bytes]) -> bytes:
+    """Returns a command in its form on the wire."""
+    # The stubs of hiredis declare a tuple of one element.
+    packed: bytes = hiredis.pack_command(tuple(arguments))  # type: ignore[arg-type]
+    return packed
 
 
 def record_key(namespace: str, digest: bytes) -> bytes:
-    """Of the mark with this digest. Submissions' own keys are never sent."""
-    return b"%s:%s:%s" % (namespace.encode(), _VERSION, digest.hex().encode())
+    """Returns the key of the record with this digest. Clients' own keys are never sent."""
+    return b"%s:%s:%s" % (namespace.encode(), _RECORD_VERSION, digest.hex().encode())
 
 
-def compare_and_set(key: bytes, expected: bytes, new: bytes, px: int) -> Command:
-    """`expected` b"": where there is none. The reply is for `swapped`."""
-    if not new or px < 1:
+def compare_and_set(key: bytes, expected: bytes, new: bytes, lifetime_ms: int) -> Command:
+    """Returns a command whose reply `parse_compare_and_set` reads; `expected` is b"" for no value."""
+    if not new or lifetime_ms < 1:
         raise ValueError("a value that is not empty, for a millisecond at the least")
-    rest = (b"1", key, expected, new, b"%d" % px)
+    rest = (b"1", key, expected, new, b"%d" % lifetime_ms)
     return Command(
-        (b"EVALSHA", COMPARE_AND_SET_SHA, *rest), _fits_cas, (b"EVAL", COMPARE_AND_SET_SCRIPT, *rest)
+        (b"EVALSHA", COMPARE_AND_SET_SHA, *rest),
+        _is_compare_and_set_reply,
+        (b"EVAL", COMPARE_AND_SET_SCRIPT, *rest),
     )
 
 
 def get_value(key: bytes) -> Command:
-    """The reply: the value, or None."""
-    return Command((b"GET", key), _fits_value)
+    """Returns a command whose reply is the value, or None."""
+    return Command((b"GET", key), _is_value)
 
 
 def get_time() -> Command:
-    """The reply is for `time`."""
-    return Command((b"TIME",), _fits_time)
+    """Returns a command whose reply `parse_time_ms` reads."""
+    return Command((b"TIME",), _is_time)
 
 
 def make_ping(token: bytes) -> Command:
-    """Its reply is the token: who gets another is out of step."""
+    """Returns a command whose reply is the token; any other reply means that replies are out of step."""
     return Command((b"PING", token), lambda reply: reply == token)
 
 
 def get_role() -> Command:
-    """The reply is for `is_primary`."""
-    return Command((b"ROLE",), _fits_role)
+    """Returns a command whose reply `is_primary` reads."""
+    return Command((b"ROLE",), _is_role)
 
 
 class CompareAndSetResult(NamedTuple):
-    """`found`: what is there instead, None for nothing. `at`: the store's time, milliseconds of Unix time."""
+    """What became of a compare-and-set, at `store_now_ms` of Unix time.
+
+    `current_value` is what the key holds instead of the expected value, None for nothing.
+    """
 
     is_applied: bool
     current_value: bytes | None
@@ -142,167 +166,203 @@
 
 
 def parse_compare_and_set(reply: Reply) -> CompareAndSetResult:
-    """Of a reply to `cas` that is not Refused."""
-    return (
-        CompareAndSetResult(True, None, reply[1])
-        if reply[0] == 1
-        else CompareAndSetResult(False, reply[1], reply[2])
-    )
+    """Reads a reply to `compare_and_set` that is no ErrorReply."""
+    if reply[0] == 1:
+        return CompareAndSetResult(True, None, reply[1])
+    return CompareAndSetResult(False, reply[1], reply[2])
 
 
 def parse_time_ms(reply: Reply) -> int:
-    """Milliseconds of Unix time, of a reply to `now` that is not Refused."""
+    """Reads a reply to `get_time` that is no ErrorReply: milliseconds of Unix time."""
     return int(reply[0]) * 1000 + int(reply[1]) // 1000
 
 
 def is_primary(reply: Reply) -> bool:
-    return reply[0] == b"master"
+    """Reads a reply to `get_role` that is no ErrorReply."""
+    return bool(reply[0] == b"master")
 
 
 def _is_count(reply: Reply) -> bool:
     return type(reply) is int and reply >= 0
 
 
-def _fits_cas(reply: Reply) -> bool:
-    if type(reply) is not list or len(reply) not in (2, 3):
+def _is_compare_and_set_reply(reply: Reply) -> bool:
+    if type(reply) is not list or len(reply) not in (2, 3) or not _is_count(reply[-1]):
         return False
-    return (
-        reply[0] == 1 and len(reply) == 2 or reply[0] == 0 and len(reply) == 3 and _fits_value(reply[1])
-    ) and _is_count(reply[-1])
+    if len(reply) == 2:
+        return bool(reply[0] == 1)
+    return reply[0] == 0 and _is_value(reply[1])
 
 
-def _fits_value(reply: Reply) -> bool:
+def _is_value(reply: Reply) -> bool:
     return reply is None or type(reply) is bytes
 
 
-def _fits_time(reply: Reply) -> bool:
-    return (
-        type(reply) is list and len(reply) == 2 and all(type(one) is bytes and one.isdigit() for one in reply)
-    )
+def _is_time(reply: Reply) -> bool:
+    if type(reply) is not list or len(reply) != 2:
+        return False
+    return all(type(part) is bytes and part.isdigit() for part in reply)
 
 
-def _fits_role(reply: Reply) -> bool:
+def _is_role(reply: Reply) -> bool:
     return type(reply) is list and bool(reply) and type(reply[0]) is bytes
 
 
 class ReplyReader:
-    """The replies in what is received, however it is cut; what the store pushes unasked is left out.
+    """Parses the replies in received bytes, however they are cut; unrequested push messages are left out.
 
-    Danger: hiredis reserves what an array claims before it comes, all memory for one of three billion parts,
-    and keeps a string of any length. So each reply is measured first, and only whole ones are handed to it.
+    hiredis reserves what an array announces before it arrives, all memory for one of three billion
+    elements, and keeps a string of any length. So each reply is measured first, and only complete ones are
+    handed to it.
     """
 
-    _NOTHING = object()
+    _INCOMPLETE = object()
 
     def __init__(self) -> None:
-        # RESP3's false is a reply as well.
-        self._reader = hiredis.Reader(notEnoughData=self._NOTHING)
+        # RESP3's false is a reply as well, so that a marker of its own stands for none.
+        self._reader = hiredis.Reader(notEnoughData=self._INCOMPLETE)
         self._buffer = bytearray()
-        self._at = 0  # up to here it has been measured
-        self._left = 0  # parts of the reply that are still to come
+        self._measured_bytes = 0
+        self._pending_elements = 0  # of the reply that is being measured
 
     def feed(self, data: bytes) -> list[Reply]:
-        """BrokenError where it can't be replies."""
+        """Returns the replies that are complete now.
+
+        Raises:
+            ProtocolError: The bytes cannot be replies.
+        """
         self._buffer += data
-        whole = 0
-        while self._part():
-            if not self._left:
-                whole = self._at
-        if len(self._buffer) - whole > _MOST_BYTES:
-            raise ProtocolError(f"a reply of more than {_MOST_BYTES} bytes")
-        if not whole:
+        complete_bytes = 0
+        while self._measure_element():
+            if not self._pending_elements:
+                complete_bytes = self._measured_bytes
+        if len(self._buffer) - complete_bytes > _MAX_REPLY_BYTES:
+            raise ProtocolError(f"a reply of more than {_MAX_REPLY_BYTES} bytes")
+        if not complete_bytes:
             return []
-        found = []
+        replies = self._parse(bytes(self._buffer[:complete_bytes]))
+        del self._buffer[:complete_bytes]
+        self._measured_bytes -= complete_bytes
+        return replies
+
+    def _parse(self, data: bytes) -> list[Reply]:
+        replies = []
         try:
-            self._reader.feed(bytes(self._buffer[:whole]))
-            while (reply := self._reader.gets()) is not self._NOTHING:
+            self._reader.feed(data)
+            while (reply := self._reader.gets()) is not self._INCOMPLETE:
                 if not isinstance(reply, hiredis.PushNotification):
-                    found.append(_refused(reply) if isinstance(reply, Exception) else reply)
-        except (hiredis.HiredisError, ValueError, TypeError) as trouble:  # the last: a list as a key
-            raise ProtocolError(f"no reply: {trouble}") from None
-        del self._buffer[:whole]
-        self._at -= whole
-        return found
-
-    def _part(self) -> bool:
-        """Measures one more part. False: it has not come whole."""
-        buffer, at = self._buffer, self._at
-        end = buffer.find(b"\r\n", at, at + _LONGEST_LINE)
-        if end < 0:
-            if len(buffer) - at >= _LONGEST_LINE:
-                raise ProtocolError(f"a line without an end: {bytes(buffer[at : at + 20])!r}")
+                    replies.append(_to_error_reply(reply) if isinstance(reply, Exception) else reply)
+        except (hiredis.HiredisError, ValueError, TypeError) as error:  # the last: a list as a key
+            raise ProtocolError(f"no reply: {error}") from None
+        return replies
+
+    def _measure_element(self) -> bool:
+        """Measures one more element. Returns False if it has not arrived completely."""
+        start = self._measured_bytes
+        line_end = self._buffer.find(_LINE_END, start, start + _MAX_LINE_BYTES)
+        if line_end < 0:
+            if len(self._buffer) - start >= _MAX_LINE_BYTES:
+                raise ProtocolError(f"a line without an end: {self._excerpt(start)!r}")
             return False
-        kind, past, parts = buffer[at : at + 1], end + 2, 0
-        if kind in (b"$", b"="):
-            size = self._number(at, end)
-            if size > _LONGEST:
-                raise ProtocolError(f"a string of {size} bytes")
-            if size >= 0:
-                past += size + 2
-                if len(buffer) < past:
-                    return False
-                if buffer[past - 2 : past] != b"\r\n":
-                    raise ProtocolError("a string longer than its length")
-        elif kind in (b"*", b"~", b">", b"%"):
-            parts = max(0, self._number(at, end)) * (2 if kind == b"%" else 1)
-        elif kind not in (b"+", b"-", b":", b",", b"#", b"(", b"_"):
-            raise ProtocolError(f"not the beginning of a reply: {bytes(buffer[at : at + 20])!r}")
-        self._left = max(0, self._left - 1) + parts
-        if self._left > _MOST_PARTS:
-            raise ProtocolError(f"a reply of {self._left} parts")
-        self._at = past
+        element_type = bytes(self._buffer[start : start + 1])
+        element_end = line_end + len(_LINE_END)
+        children = 0
+        if element_type in _STRING_TYPES:
+            string_end = self._string_end(start, line_end)
+            if string_end is None:
+                return False
+            element_end = string_end
+        elif element_type in _AGGREGATE_TYPES:
+            per_entry = 2 if element_type == _MAP_TYPE else 1
+            children = max(0, self._length(start, line_end)) * per_entry
+        elif element_type not in _SCALAR_TYPES:
+            raise ProtocolError(f"not the beginning of a reply: {self._excerpt(start)!r}")
+        self._pending_elements = max(0, self._pending_elements - 1) + children
+        if self._pending_elements > _MAX_PENDING_ELEMENTS:
+            raise ProtocolError(f"a reply of {self._pending_elements} parts")
+        self._measured_bytes = element_end
         return True
 
-    def _number(self, at: int, end: int) -> int:
-        number = bytes(self._buffer[at + 1 : end])
-        if not _NUMBER.fullmatch(number):
-            raise ProtocolError(f"not a length: {number[:20]!r}")
-        return int(number)
+    def _string_end(self, start: int, line_end: int) -> int | None:
+        """Returns where a string that starts here ends, or None if it has not arrived completely."""
+        data_start = line_end + len(_LINE_END)
+        size = self._length(start, line_end)
+        if size > _MAX_STRING_BYTES:
+            raise ProtocolError(f"a string of {size} bytes")
+        if size < 0:
+            return data_start
+        string_end = data_start + size + len(_LINE_END)
+        if len(self._buffer) < string_end:
+            return None
+        if self._buffer[string_end - len(_LINE_END) : string_end] != _LINE_END:
+            raise ProtocolError("a string longer than its length")
+        return string_end
+
+    def _length(self, start: int, line_end: int) -> int:
+        digits = bytes(self._buffer[start + 1 : line_end])
+        if not _LENGTH.fullmatch(digits):
+            raise ProtocolError(f"not a length: {digits[:20]!r}")
+        return int(digits)
 
+    def _excerpt(self, start: int) -> bytes:
+        return bytes(self._buffer[start : start + 20])
 
-def _refused(trouble: Exception) -> ErrorReply:
-    text = str(trouble)[:200]
-    return ErrorReply(_KINDS.get(text.partition(" ")[0], ErrorKind.OTHER), text)
+
+def _to_error_reply(error: Exception) -> ErrorReply:
+    text = str(error)[:_MAX_ERROR_CHARACTERS]
+    return ErrorReply(_KIND_BY_PREFIX.get(text.partition(" ")[0], ErrorKind.OTHER), text)
 
 
 class Handshake(NamedTuple):
+    """What a handshake has found: the protocol's version, and the store's role."""
+
     protocol: int
     is_primary: bool
 
 
-class HandshakeError(Exception):
-    """The store does not take us, or not now."""
+HandshakeSteps = Generator[list[Command], list[Reply], Handshake]
+
 
+def perform_handshake(user: str, password: bytes) -> HandshakeSteps:
+    """Yields the commands that open a connection, step by step, and is sent their replies.
 
-def perform_handshake(user: str, password: bytes) -> Generator[list[Command], list[Reply], Handshake]:
-    """What is said first on a connection, in turns: yields commands, is sent their replies. GreetError.
+    RESP3 is used, or RESP2 where the store does not know HELLO (before Redis 6) or this version; the role
+    comes from ROLE or INFO. The script is loaded, so that commands need not carry it.
 
-    RESP3, or RESP2 where the store knows no HELLO (before Redis 6) or not this one; its role, by ROLE or by
-    INFO. The script is loaded, so that commands need not carry it.
+    Raises:
+        HandshakeError: The store does not accept this client, or not now.
     """
-    words = (b"HELLO", b"3") + ((b"AUTH", user.encode(), password) if password else ())
-    (hello,) = yield [Command(words, lambda reply: isinstance(reply, dict | list))]
-    protocol = 3
-    if isinstance(hello, ErrorReply):
-        if not hello.text.startswith(("ERR unknown command", "NOPROTO")):
-            raise HandshakeError(hello.text)
-        protocol = 2
-        if password:
-            # Users came with HELLO: an older store has a password only.
-            named = () if user == "default" else (user.encode(),)
-            (auth,) = yield [Command((b"AUTH", *named, password), lambda reply: reply == b"OK")]
-            if isinstance(auth, ErrorReply):
-                raise HandshakeError(auth.text)
-    told, loaded = yield [
+    protocol = yield from _negotiate(user, password)
+    role, loaded = yield [
         get_role(),
         Command((b"SCRIPT", b"LOAD", COMPARE_AND_SET_SCRIPT), lambda reply: reply == COMPARE_AND_SET_SHA),
     ]
-    for reply in (told, loaded):
+    for reply in (role, loaded):
         if isinstance(reply, ErrorReply) and reply.kind in (ErrorKind.LOADING, ErrorKind.DENIED):
             raise HandshakeError(reply.text)
-    if isinstance(told, ErrorReply):
-        (told,) = yield [Command((b"INFO", b"replication"), lambda reply: type(reply) is bytes)]
-        if isinstance(told, ErrorReply):
-            raise HandshakeError(told.text)
-        return Handshake(protocol, re.search(rb"^role:master\r?$", told, re.MULTILINE) is not None)
-    return Handshake(protocol, is_primary(told))
+    if not isinstance(role, ErrorReply):
+        return Handshake(protocol, is_primary(role))
+    (info,) = yield [Command((b"INFO", b"replication"), lambda reply: type(reply) is bytes)]
+    if isinstance(info, ErrorReply):
+        raise HandshakeError(info.text)
+    has_primary_role = re.search(rb"^role:master\r?$", info, re.MULTILINE) is not None
+    return Handshake(protocol, has_primary_role)
+
+
+def _negotiate(user: str, password: bytes) -> Generator[list[Command], list[Reply], int]:
+    """Agrees on the protocol and authenticates; returns the protocol's version."""
+    arguments: tuple[bytes, ...] = (b"HELLO", b"3")
+    if password:
+        arguments += (b"AUTH", user.encode(), password)
+    (hello,) = yield [Command(arguments, lambda reply: isinstance(reply, dict | list))]
+    if not isinstance(hello, ErrorReply):
+        return 3
+    if not hello.text.startswith(("ERR unknown command", "NOPROTO")):
+        raise HandshakeError(hello.text)
+    if password:
+        # Users came with HELLO: an older store has a password only.
+        named = () if user == "default" else (user.encode(),)
+        (auth,) = yield [Command((b"AUTH", *named, password), lambda reply: reply == b"OK")]
+        if isinstance(auth, ErrorReply):
+            raise HandshakeError(auth.text)
+    return 2
--- a/cresstray/idempotency/in_flight.py
+++ b/cresstray/idempotency/in_flight.py
@@ -1,24 +1,44 @@
-"""What is out on one connection to the store, in order; which address is the primary. Free of I/O."""
+"""Commands in flight on one connection to the store, in order, and which address is the primary. No I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Sequence
+from typing import Protocol
 
 from cresstray.idempotency import codec
 from cresstray.idempotency.codec import Command, ErrorKind, ErrorReply, ProtocolError, Reply
 
 Replies = list[Reply]
-# What refuses a PING as well.
-_REFUSE_ALL = (ErrorKind.LOADING, ErrorKind.BUSY, ErrorKind.DENIED)
-# Microseconds between two tries of all addresses: doubled each time, and spread by a half. As halls have it.
-_PAUSE, _PAUSE_MOST = 50_000, 1_000_000
-# A connection that lived so long worked; one that did not is made again later and later.
-_WORKED = 2_000_000
+OnDone = Callable[[Replies | None], None]
+# Errors that the store gives to a PING as well.
+_REFUSES_ALL_COMMANDS = (ErrorKind.LOADING, ErrorKind.BUSY, ErrorKind.DENIED)
+# Pause between two rounds over all addresses: doubled each time, and spread by a half.
+_MIN_BACKOFF_US = 50_000
+_MAX_BACKOFF_US = 1_000_000
+# A connection that lived so long has worked and resets the pause.
+_STABLE_CONNECTION_US = 2_000_000
+
+
+class Cancellable(Protocol):
+    """A timer that can be cancelled."""
+
+    def cancel(self) -> None:
+        """Prevents the call."""
 
 
 class CommandBatch:
-    """One submission of commands, from when it was made until its caller has heard of it."""
+    """Commands that are answered together, from their submission until the caller has been called.
+
+    Attributes:
+        commands: What is asked; empty once nobody waits for it.
+        deadline_us: When the caller is called at the latest.
+        on_done: The caller's handler; None once nobody waits.
+        size_bytes: Approximate size on the wire.
+        may_have_been_sent: Whether any byte may have left; False at the end: nothing of it ran.
+        replies: One for each command.
+        timeout: The timer of the deadline.
+    """
 
     __slots__ = (
         "commands",
@@ -30,163 +50,204 @@
         "timeout",
     )
 
-    def __init__(self, commands: Sequence[Command], by: int, call: Callable[[Replies | None], None]) -> None:
-        self.commands, self.deadline_us = tuple(commands), by
-        self.on_done: Callable[[Replies | None], None] | None = call
+    def __init__(self, commands: Sequence[Command], deadline_us: int, on_done: OnDone) -> None:
+        self.commands = tuple(commands)
+        self.deadline_us = deadline_us
+        self.on_done: OnDone | None = on_done
         self.size_bytes = sum(command.size_bytes for command in commands)
-        self.may_have_been_sent = (
-            False  # whether any of it may have left; False at the end: nothing of it ran
-        )
+        self.may_have_been_sent = False
         self.replies: Replies = [None] * len(self.commands)
-        self.timeout = None  # the call at its time limit
+        self.timeout: Cancellable | None = None
 
     def release(self) -> None:
-        """Nobody waits for it any more. What still comes is counted off, and not kept."""
-        self.on_done, self.commands, self.replies = None, (), []
+        """Nobody waits for it any more. Replies that still come are counted, not kept."""
+        self.on_done = None
+        self.commands = ()
+        self.replies = []
 
 
 class _WrittenGroup:
-    """What was written of one submission in one piece: these commands of it, then a PING with a number."""
+    """Commands of one batch that were written in one piece, followed by a PING with a token."""
 
-    __slots__ = ("asked", "at", "fits", "token", "again", "got", "refused")
+    __slots__ = ("batch", "indexes", "acceptors", "token", "carries_script", "replies", "has_only_errors")
 
-    def __init__(self, asked: CommandBatch, at: Sequence[int], token: bytes, again: bool) -> None:
-        self.asked, self.at, self.token, self.again = asked, at, token, again
-        self.fits = [asked.commands[index].accepts_reply for index in at]
-        self.got: Replies = []
-        self.refused = True  # all of it so far
+    def __init__(
+        self, batch: CommandBatch, indexes: Sequence[int], token: bytes, carries_script: bool
+    ) -> None:
+        self.batch = batch
+        self.indexes = indexes
+        self.token = token
+        self.carries_script = carries_script
+        self.acceptors = [batch.commands[index].accepts_reply for index in indexes]
+        self.replies: Replies = []
+        self.has_only_errors = True
 
 
 class CommandPipeline:
-    """All that is out on one connection.
+    """All that is in flight on one connection.
 
-    Danger: replies have no names. One too many, and each command would get the reply of the one before: a
-    mark that is there would be taken for one that is not. So a number goes behind each submission, and
-    nothing of it is passed on before that number has come back at its place.
+    Replies carry no names. With one too many, each command would get the reply to the one before, and a
+    record that is present would be taken for an absent one. So each batch is followed by a token, and none
+    of its replies is passed on before the token has come back at its place.
     """
 
-    def __init__(self, most: int) -> None:
-        """`most`: submissions that may be out, those that nobody waits for any more among them."""
-        self._most, self._number = most, 0
-        self._out: deque[_WrittenGroup] = deque()
-        self.last_progress_us = 0  # when the last whole reply came, or the first of those that are out left
+    def __init__(self, max_groups: int) -> None:
+        """`max_groups` counts those that nobody waits for any more too."""
+        self._max_groups = max_groups
+        self._last_number = 0
+        self._groups: deque[_WrittenGroup] = deque()
+        # When the last complete reply came, or the first of those in flight left.
+        self.last_progress_us = 0
 
     def __len__(self) -> int:
-        return len(self._out)
+        return len(self._groups)
 
     def has_capacity(self) -> bool:
-        return len(self._out) < self._most
-
-    def start(self, asked: CommandBatch, now: int) -> bytes:
-        """What is to be written."""
-        return self._begin(asked, range(len(asked.commands)), False, now)
-
-    def _begin(self, asked: CommandBatch, at: Sequence[int], again: bool, now: int) -> bytes:
-        self._number += 1
-        turn = _WrittenGroup(asked, at, b"%d" % self._number, again)
-        if not self._out:
-            self.last_progress_us = now
-        self._out.append(turn)
-        commands = [asked.commands[index] for index in at]
-        words = [command.arguments_with_script if again else command.arguments for command in commands]
-        return b"".join(map(codec.pack_arguments, (*words, codec.make_ping(turn.token).arguments)))
-
-    def on_reply(self, reply: Reply, now: int) -> tuple[CommandBatch | None, bytes]:
-        """A submission that is over now, and what is to be written. BrokenError where it can't be its reply.
-
-        It stays an error of this connection only where replies are too many or too few, not both at once.
+        """Returns whether another batch may be started."""
+        return len(self._groups) < self._max_groups
+
+    def start(self, batch: CommandBatch, now_us: int) -> bytes:
+        """Returns what is to be written."""
+        return self._start(batch, range(len(batch.commands)), False, now_us)
+
+    def _start(self, batch: CommandBatch, indexes: Sequence[int], carries_script: bool, now_us: int) -> bytes:
+        self._last_number += 1
+        group = _WrittenGroup(batch, indexes, b"%d" % self._last_number, carries_script)
+        if not self._groups:
+            self.last_progress_us = now_us
+        self._groups.append(group)
+        arguments = []
+        for index in indexes:
+            command = batch.commands[index]
+            arguments.append(command.arguments_with_script if carries_script else command.arguments)
+        arguments.append(codec.make_ping(group.token).arguments)
+        return b"".join(map(codec.pack_arguments, arguments))
+
+    def on_reply(self, reply: Reply, now_us: int) -> tuple[CommandBatch | None, bytes]:
+        """Returns a batch that is complete now, and what is to be written.
+
+        Raises:
+            ProtocolError: The reply is not one to what was asked. An error of this connection is noticed
+            only if
+                replies are too many or too few, not both at once.
         """
-        if not self._out:
+        if not self._groups:
             raise ProtocolError("a reply that nobody has asked for")
-        self.last_progress_us, turn = now, self._out[0]
-        if len(turn.got) < len(turn.fits):
-            refused = type(reply) is ErrorReply
-            if not refused and not turn.fits[len(turn.got)](reply):
-                raise ProtocolError(f"out of step: {str(reply)[:60]}")
-            turn.refused = turn.refused and refused
-            turn.got.append(None if turn.asked.on_done is None else reply)
-            return None, b""
-        refuses_all = type(reply) is ErrorReply and reply.kind in _REFUSE_ALL and turn.refused
-        if reply != turn.token and not refuses_all:
-            raise ProtocolError(f"out of step: {str(reply)[:60]} where number {turn.token.decode()} belongs")
-        self._out.popleft()
-        asked = turn.asked
-        if asked.on_done is None:
+        self.last_progress_us = now_us
+        group = self._groups[0]
+        if len(group.replies) < len(group.acceptors):
+            self._on_command_reply(group, reply)
             return None, b""
-        for index, one in zip(turn.at, turn.got):
-            asked.replies[index] = one
-        # The store has forgotten the script, and nothing of these ran. They go out whole, once.
-        again = (
-            []
-            if turn.again
-            else [
-                index
-                for index, one in zip(turn.at, turn.got)
-                if type(one) is ErrorReply
-                and one.kind is ErrorKind.NOSCRIPT
-                and asked.commands[index].arguments_with_script
-            ]
+        self._check_token(group, reply)
+        self._groups.popleft()
+        return self._complete(group, now_us)
+
+    @staticmethod
+    def _on_command_reply(group: _WrittenGroup, reply: Reply) -> None:
+        is_error = type(reply) is ErrorReply
+        if not is_error and not group.acceptors[len(group.replies)](reply):
+            raise ProtocolError(f"out of step: {str(reply)[:60]}")
+        group.has_only_errors = group.has_only_errors and is_error
+        group.replies.append(None if group.batch.on_done is None else reply)
+
+    @staticmethod
+    def _check_token(group: _WrittenGroup, reply: Reply) -> None:
+        refuses_all = (
+            type(reply) is ErrorReply and reply.kind in _REFUSES_ALL_COMMANDS and group.has_only_errors
         )
-        return (None, self._begin(asked, again, True, now)) if again else (asked, b"")
+        if reply != group.token and not refuses_all:
+            place = f"where number {group.token.decode()} belongs"
+            raise ProtocolError(f"out of step: {str(reply)[:60]} {place}")
+
+    def _complete(self, group: _WrittenGroup, now_us: int) -> tuple[CommandBatch | None, bytes]:
+        batch = group.batch
+        if batch.on_done is None:
+            return None, b""
+        for index, reply in zip(group.indexes, group.replies):
+            batch.replies[index] = reply
+        # The store does not know the script, and nothing of these ran. They are sent once more, with the
+        # script.
+        unknown_scripts = [] if group.carries_script else _find_unknown_scripts(group)
+        if unknown_scripts:
+            return None, self._start(batch, unknown_scripts, True, now_us)
+        return batch, b""
 
     def close(self) -> list[CommandBatch]:
-        """The connection has ended: those that somebody waits for."""
-        left, self._out = [turn.asked for turn in self._out], deque()
-        return [asked for asked in left if asked.on_done is not None]
+        """The connection has ended. Returns the batches that somebody waits for."""
+        batches = [group.batch for group in self._groups]
+        self._groups = deque()
+        return [batch for batch in batches if batch.on_done is not None]
+
+
+def _find_unknown_scripts(group: _WrittenGroup) -> list[int]:
+    found = []
+    for index, reply in zip(group.indexes, group.replies):
+        is_unknown = type(reply) is ErrorReply and reply.kind is ErrorKind.NOSCRIPT
+        if is_unknown and group.batch.commands[index].arguments_with_script:
+            found.append(index)
+    return found
 
 
 class PrimaryTracker:
     """The store's addresses, and which of them is the primary by its own word.
 
-    Danger: with a connection to each of two that both call themselves primary, a mark set in one would not be
-    found in the other. All connections go to one: to the first found, until it says otherwise or the last of
-    them has ended.
+    With connections to two servers that both call themselves primary, a record written to one would not be
+    found in the other. All connections go to the first primary found, until it says otherwise or its last
+    connection ends.
     """
 
     def __init__(self, addresses: Sequence[tuple[str, int]]) -> None:
         self.addresses = tuple(addresses)
-        self.primary: int | None = None
-        self._last = 0  # the primary of before
-        self._held = 0  # connections to the primary
+        self.primary: int | None = None  # index of an address
+        self._last_primary = 0
+        self._connections = 0  # to the primary
 
     def connection_order(self) -> list[int]:
-        """In which order they are tried now."""
+        """Returns the indexes of the addresses to try now, in order."""
         if self.primary is not None:
             return [self.primary]
-        return [self._last, *(at for at in range(len(self.addresses)) if at != self._last)]
+        others = [index for index in range(len(self.addresses)) if index != self._last_primary]
+        return [self._last_primary, *others]
 
-    def on_greeted(self, at: int, primary: bool) -> bool:
-        """What a greeting has told: whether this connection is to be used. Then `ended` is to follow."""
-        if not primary or self.primary not in (None, at):
+    def on_greeted(self, index: int, is_primary: bool) -> bool:
+        """Returns whether the connection is to be used; if so, `on_connection_closed` must follow."""
+        if not is_primary or self.primary not in (None, index):
             return False
-        self.primary = self._last = at
-        self._held += 1
+        self.primary = index
+        self._last_primary = index
+        self._connections += 1
         return True
 
-    def on_connection_closed(self, at: int) -> None:
-        """A connection that was used."""
-        if at == self.primary:
-            self._held -= 1
-            if not self._held:
+    def on_connection_closed(self, index: int) -> None:
+        """A connection that was used has ended."""
+        if index == self.primary:
+            self._connections -= 1
+            if not self._connections:
                 self.primary = None
 
-    def on_demoted(self, at: int) -> bool:
-        """It is no primary any more: its connections are to end. False where that is known."""
-        if at != self.primary:
+    def on_demoted(self, index: int) -> bool:
+        """Returns whether this is news; the connections to the address are then to be closed."""
+        if index != self.primary:
             return False
-        self.primary, self._held = None, 0
+        self.primary = None
+        self._connections = 0
         return True
 
 
 class ReconnectBackoff:
-    """How long to wait, in microseconds, before the addresses are tried again."""
+    """Pauses before the addresses are tried again."""
 
     def __init__(self, chance: Callable[[], float]) -> None:
-        self._chance, self._next = chance, _PAUSE
-
-    def next_delay(self, lived: int) -> int:
-        # Danger: all gateways lose the store at once, and would all come back at once.
-        if lived >= _WORKED:
-            self._next = _PAUSE
-        pause, self._next = self._next, min(2 * self._next, _PAUSE_MOST)
-        return int(pause * (0.5 + self._chance()))
+        self._chance = chance
+        self._next_us = _MIN_BACKOFF_US
+
+    def next_delay(self, lifetime_us: int) -> int:
+        """Returns microseconds to wait after a connection that lived so long.
+
+        The pauses are spread, because all gateways lose the store at once.
+        """
+        if lifetime_us >= _STABLE_CONNECTION_US:
+            self._next_us = _MIN_BACKOFF_US
+        pause_us = self._next_us
+        self._next_us = min(2 * self._next_us, _MAX_BACKOFF_US)
+        return int(pause_us * (0.5 + self._chance()))
--- a/cresstray/idempotency/journal.py
+++ b/cresstray/idempotency/journal.py
@@ -1,9 +1,8 @@
-"""Intentions on a local disk, synced before a relay goes out while the store is away. The only file with disk
-calls.
+"""Journal of claims on a local disk, synced before an attempt is sent while the store is unavailable.
 
-What was intended and not settled when the process ended is unknown to the next one. Records are of one
-length, each with its own check sum: a torn tail is cut, a damaged one in the middle is left out, and both are
-told.
+A claim that was not settled when the process ended is unknown to the next one. A torn end of the file is
+cut, a damaged entry in the middle is left out, and both are reported. `journal_codec` has the form of the
+file.
 """
 
 from __future__ import annotations
@@ -11,80 +10,76 @@
 import errno
 import fcntl
 import os
-import struct
 import threading
 from collections.abc import Iterable
-from enum import IntEnum
-from typing import NamedTuple
-from zlib import crc32
 
+from cresstray.idempotency import journal_codec
+from cresstray.idempotency.journal_codec import ENTRY_SIZE, HEADER, EntryKind, JournalEntry
 from cresstray.idempotency.records import EventKind, RecordEvent
 
-# Kind, number, digest, fence, tenant; a check sum behind it. 20 bytes are a digest's, marks.py has why.
-_BODY = struct.Struct(">BQ20sQI")
-_SUM = struct.Struct(">I")
-ENTRY_SIZE = _BODY.size + _SUM.size
-# What it is, and of which form; as long as a record.
-_HEAD = b"cresstray marks 1\n".ljust(ENTRY_SIZE, b"\0")
-# Written anew once it is so long and mostly settled: 16,000 records, a few milliseconds of a disk.
-_COMPACT = 16_000 * ENTRY_SIZE
-# Danger: a file of any length would hold up the start. So many are a day of one a second, none settled.
-_MOST = 100_000 * ENTRY_SIZE
+# Rewritten once it is so long and mostly settled: 16,000 entries, a few milliseconds of a disk.
+_COMPACTION_BYTES = 16_000 * ENTRY_SIZE
+# A file of any length would delay the start. So many entries are a day of one a second, none settled.
+_MAX_BYTES = 100_000 * ENTRY_SIZE
+_READ_BYTES = 1 << 20
+# A file that is rewritten once less than this part of it counts.
+_MIN_UNSETTLED_DIVISOR = 4
+_MAX_ERROR_CHARACTERS = 160
 
 
-class EntryKind(IntEnum):
-    CLAIMED = 1
-    SETTLED = 2
+class JournalError(Exception):
+    """Base of the journal's errors."""
 
 
-class JournalEntry(NamedTuple):
-    """`number`: its own among this file's, so that two intentions of one mark are two."""
-
-    kind: EntryKind
-    entry_id: int
-    digest: bytes
-    fence: int
-    tenant: int
-
-
-class JournalLockedError(Exception):
+class JournalLockedError(JournalError):
     """Another process has this journal."""
 
 
-class JournalFormatError(ValueError):
-    """No journal of ours, or of another form; one line that says why."""
+class JournalFormatError(JournalError, ValueError):
+    """The file is no journal, or one of another form; a line that says why."""
 
 
 class DiskCalls:
-    """The calls to the disk, so that a test can fail any of them."""
+    """The calls to the disk, so that a test can make any of them fail."""
 
-    open, close, read, write = staticmethod(os.open), staticmethod(os.close), os.read, os.write
-    fsync, rename = staticmethod(os.fsync), staticmethod(os.rename)
+    open = staticmethod(os.open)
+    close = staticmethod(os.close)
+    read = staticmethod(os.read)
+    write = staticmethod(os.write)
+    fsync = staticmethod(os.fsync)
+    rename = staticmethod(os.rename)
 
 
 class Journal:
-    """One process's file. `open` may take long; `append` and `compact` sync, and belong in a thread."""
+    """One process's file. `open` may take long; `append` syncs. Both belong in a thread."""
 
-    def __init__(self, path: str, system: DiskCalls | None = None) -> None:
-        self.path, self._system = path, system or DiskCalls()
+    def __init__(self, path: str, disk: DiskCalls | None = None) -> None:
+        self.path = path
+        self._disk = disk or DiskCalls()
         self._lock: int | None = None
         self._file: int | None = None
-        self._size = 0  # of what is whole and synced
-        self._spoilt = False  # what the disk has of the file is not known any more
-        self.unsettled_entries: dict[int, JournalEntry] = {}  # intended, not settled; by number
-        self.warnings: list[str] = []  # what was wrong with it, in lines
+        self._synced_bytes = 0
+        self._is_tail_uncertain = False  # what the disk has of the file's end is unknown
+        self.unsettled_entries: dict[int, JournalEntry] = {}  # by id
+        self.warnings: list[str] = []  # what was wrong with the file
 
     def open(self) -> list[JournalEntry]:
-        """What was intended before and never settled. BusyError, UnusableError, OSError."""
-        # The lock is a file of its own: the journal's is replaced as it is compacted.
-        lock = self._system.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        """Returns the claims of earlier processes that were never settled.
+
+        Raises:
+            JournalLockedError: Another process has it.
+            JournalFormatError: The file is no journal of this form.
+            OSError: From the disk.
+        """
+        # The lock is a file of its own, because the journal's file is replaced when it is compacted.
+        lock = self._disk.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            self._system.close(lock)
+            self._disk.close(lock)
             raise JournalLockedError(f"{self.path}: another process has it") from None
         except BaseException:
-            self._system.close(lock)
+            self._disk.close(lock)
             raise
         self._lock = lock
         try:
@@ -95,212 +90,218 @@
         return list(self.unsettled_entries.values())
 
     def _replay(self) -> None:
-        # Danger: a pipe under this name would hold up the start for good.
-        self._file = self._system.open(
-            self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NONBLOCK, 0o600
-        )
-        pieces, size = [], 0
-        while piece := self._system.read(self._file, 1 << 20):
+        data = self._read_file()
+        header = data[:ENTRY_SIZE]
+        if len(header) < ENTRY_SIZE and HEADER.startswith(header):
+            # New, or its first write was torn: it never held a claim.
+            if header:
+                self.warnings.append(f"{self.path}: torn in its first record; begun anew")
+            self._rewrite(())
+            return
+        if header != HEADER:
+            raise JournalFormatError(f"{self.path}: not a journal of claims, or one of another build")
+        replayed = journal_codec.replay(data)
+        self.unsettled_entries = replayed.unsettled
+        self._report_damage(replayed, len(data))
+        is_torn = replayed.intact_bytes < len(data)
+        if is_torn or replayed.damaged_at or len(data) > _COMPACTION_BYTES:
+            self._rewrite(self.unsettled_entries.values())
+        else:
+            self._synced_bytes = len(data)
+
+    def _read_file(self) -> bytes:
+        # Not blocking: a named pipe under this path would hold up the start for good.
+        flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NONBLOCK
+        self._file = self._disk.open(self.path, flags, 0o600)
+        pieces = []
+        size = 0
+        while piece := self._disk.read(self._file, _READ_BYTES):
             pieces.append(piece)
             size += len(piece)
-            if size > _MOST:
+            if size > _MAX_BYTES:
                 raise JournalFormatError(f"{self.path}: longer than any journal")
-        data = b"".join(pieces)
-        head, size = data[:ENTRY_SIZE], len(data)
-        if len(head) < ENTRY_SIZE and _HEAD.startswith(head):
-            # New, or its first write was torn: nothing was ever intended by it.
-            if head:
-                self.warnings.append(f"{self.path}: torn in its first record; begun anew")
-            self._anew(())
-            return
-        if head != _HEAD:
-            raise JournalFormatError(f"{self.path}: not a journal of marks, or one of another build")
-        damaged = []
-        for at in range(ENTRY_SIZE, size - ENTRY_SIZE + 1, ENTRY_SIZE):
-            entry = _entry(data[at : at + ENTRY_SIZE])
-            if entry is None:
-                damaged.append(at)
-            elif entry.kind is EntryKind.CLAIMED:
-                self.unsettled_entries[entry.entry_id] = entry
-            else:
-                self.unsettled_entries.pop(entry.entry_id, None)
-        # Danger: after a crash the file may be as long as it should be, with zeros where nothing was written
-        # yet.
-        tail = size
-        while damaged and damaged[-1] == (tail - ENTRY_SIZE) // ENTRY_SIZE * ENTRY_SIZE:
-            tail = damaged.pop()
-        tail = min(tail, tail // ENTRY_SIZE * ENTRY_SIZE)
-        if tail < size:
-            self.warnings.append(f"{self.path}: a torn tail, {size - tail} bytes cut at {tail}")
-        if damaged:
+        return b"".join(pieces)
+
+    def _report_damage(self, replayed: journal_codec.ReplayedFile, size: int) -> None:
+        cut_bytes = size - replayed.intact_bytes
+        if cut_bytes:
             self.warnings.append(
-                f"{self.path}: {len(damaged)} damaged records left out, the first at "
-                f"{damaged[0]}; what they intended is not known"
+                f"{self.path}: a torn tail, {cut_bytes} bytes cut at {replayed.intact_bytes}"
+            )
+        if replayed.damaged_at:
+            self.warnings.append(
+                f"{self.path}: {len(replayed.damaged_at)} damaged records left out, the first at "
+                f"{replayed.damaged_at[0]}; what they claimed is not known"
             )
-        if tail < size or damaged or size > _COMPACT:
-            self._anew(self.unsettled_entries.values())
-        else:
-            self._size = size
 
     def append(self, entries: Iterable[JournalEntry]) -> None:
-        """All of them, synced. OSError: none of them counts, and what was there before is kept."""
+        """Writes and syncs all of them.
+
+        Raises:
+            OSError: None of them counts, and what was there before is kept.
+        """
         entries = list(entries)
-        kept = self._after(entries)
-        if self._spoilt or self._size > _COMPACT and self._size > 4 * ENTRY_SIZE * (1 + len(kept)):
-            self._anew(kept.values())
+        unsettled = journal_codec.apply_entries(self.unsettled_entries, entries)
+        if self._is_tail_uncertain or self._is_compaction_due(len(unsettled)):
+            self._rewrite(unsettled.values())
         else:
-            self._append(b"".join(map(_record, entries)))
-        self.unsettled_entries = kept
+            self._append(b"".join(map(journal_codec.encode_entry, entries)))
+        self.unsettled_entries = unsettled
 
-    def _after(self, entries: list[JournalEntry]) -> dict[int, JournalEntry]:
-        kept = dict(self.unsettled_entries)
-        for entry in entries:
-            if entry.kind is EntryKind.CLAIMED:
-                kept[entry.entry_id] = entry
-            else:
-                kept.pop(entry.entry_id, None)
-        return kept
+    def _is_compaction_due(self, unsettled_count: int) -> bool:
+        needed_bytes = ENTRY_SIZE * (1 + unsettled_count)
+        is_mostly_settled = self._synced_bytes > _MIN_UNSETTLED_DIVISOR * needed_bytes
+        return self._synced_bytes > _COMPACTION_BYTES and is_mostly_settled
 
     def _append(self, data: bytes) -> None:
-        if self._size + len(data) > _MOST:
+        assert self._file is not None, "the journal is not open"
+        if self._synced_bytes + len(data) > _MAX_BYTES:
             raise OSError(errno.EFBIG, "the journal is full of what was never settled")
-        # Danger: after a sync that failed, the next may say that all is well, and what was lost stays lost.
-        # Nothing is appended to such a file: all that counts is written anew.
-        self._spoilt = True
-        self._whole(self._file, data)
-        self._system.fsync(self._file)
-        self._size, self._spoilt = self._size + len(data), False
-
-    def _anew(self, entries: Iterable[JournalEntry]) -> None:
-        """Written aside, synced, put in its place, and the folder synced."""
-        data, fresh = _HEAD + b"".join(map(_record, entries)), f"{self.path}.new"
-        file = self._system.open(fresh, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        # After a failed sync the next may report success although data was lost. Nothing is appended to
+        # such a file: all that counts is written anew.
+        self._is_tail_uncertain = True
+        self._write_all(self._file, data)
+        self._disk.fsync(self._file)
+        self._synced_bytes += len(data)
+        self._is_tail_uncertain = False
+
+    def _rewrite(self, entries: Iterable[JournalEntry]) -> None:
+        """Writes a new file aside, syncs it, puts it in place, and syncs the directory."""
+        data = journal_codec.encode_file(entries)
+        new_path = f"{self.path}.new"
+        file = self._disk.open(new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            self._whole(file, data)
-            self._system.fsync(file)
-            self._system.rename(fresh, self.path)
+            self._write_all(file, data)
+            self._disk.fsync(file)
+            self._disk.rename(new_path, self.path)
         except BaseException:
-            self._system.close(file)
+            self._disk.close(file)
             raise
         if self._file is not None:
-            self._system.close(self._file)
-        self._file, self._size, self._spoilt = file, len(data), True
-        folder = self._system.open(
-            os.path.dirname(os.path.abspath(self.path)), os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC
-        )
+            self._disk.close(self._file)
+        self._file = file
+        self._synced_bytes = len(data)
+        self._is_tail_uncertain = True
+        self._sync_directory()
+        self._is_tail_uncertain = False
+
+    def _sync_directory(self) -> None:
+        path = os.path.dirname(os.path.abspath(self.path))
+        directory = self._disk.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            self._system.fsync(folder)
+            self._disk.fsync(directory)
         finally:
-            self._system.close(folder)
-        self._spoilt = False
+            self._disk.close(directory)
 
-    def _whole(self, file: int, data: bytes) -> None:
-        left = memoryview(data)
-        while left:
-            left = left[self._system.write(file, left) :]
+    def _write_all(self, file: int, data: bytes) -> None:
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[self._disk.write(file, remaining) :]
 
     def close(self) -> None:
+        """Closes the file and releases its lock."""
         for descriptor in (self._file, self._lock):
             if descriptor is not None:
-                self._system.close(descriptor)
-        self._file = self._lock = None
-
-
-def _record(entry: JournalEntry) -> bytes:
-    body = _BODY.pack(*entry)
-    return body + _SUM.pack(crc32(body))
-
-
-def _entry(record: bytes) -> JournalEntry | None:
-    body = record[: _BODY.size]
-    if _SUM.unpack(record[_BODY.size :])[0] != crc32(body) or body[0] not in (
-        EntryKind.CLAIMED,
-        EntryKind.SETTLED,
-    ):
-        return None
-    what, *rest = _BODY.unpack(body)
-    return JournalEntry(EntryKind(what), *rest)
+                self._disk.close(descriptor)
+        self._file = None
+        self._lock = None
 
 
-def make_unknown_event(entry: JournalEntry, owner: str, life: str) -> RecordEvent:
-    """What a mark is to say of an intention that a crash cut off: when it was sent nobody can tell."""
-    return RecordEvent(EventKind.UNKNOWN, owner, life, entry.fence)
+def make_unknown_event(entry: JournalEntry, owner: str, incarnation: str) -> RecordEvent:
+    """Returns the report on a claim that a crash interrupted: when it was dispatched is unknown."""
+    return RecordEvent(EventKind.UNKNOWN, owner, incarnation, entry.fence)
 
 
 class JournalWriter:
-    """Appends in a thread of its own, all that waits in one sync, so that a disk that hangs holds up nothing.
+    """Appends in a thread of its own, all that waits in one sync, so that a disk that hangs delays nothing.
 
-    Danger: a thread that the process waits for at its end would hold up a stop for as long as the disk does.
+    The thread is a daemon, because a process that waited for it at its end would hang for as long as the
+    disk.
     """
 
     # Beyond this the disk does not keep up; what would wait behind it would be late.
     MAX_WAITING = 1_000
+    # Settlements may wait longer: nobody depends on them.
+    _MAX_WAITING_SETTLED = 4 * MAX_WAITING
 
     def __init__(self, journal: Journal) -> None:
+        """Takes over a journal that is open."""
         self._journal = journal
-        # Numbers go on behind those that the file has open.
-        self._number = max(journal.unsettled_entries, default=0)
+        # Ids go on after those that the file has open.
+        self._last_id = max(journal.unsettled_entries, default=0)
         self._waiting: list[JournalEntry] = []
-        self._later: list[JournalEntry] = []  # settled, and not written: to go with what is written next
-        self._outcomes: dict[int, bool] = {}
+        self._unwritten_settled: list[JournalEntry] = []  # of a failed write: go with the next
+        self._sync_results: dict[int, bool] = {}
         self._changed = threading.Condition()
-        self._stopped = False
-        self.last_error = ""  # of the last write; "": none
-        self._thread = threading.Thread(target=self._work, name="marks", daemon=True)
+        self._is_stopped = False
+        self.last_error = ""  # of the last write; "" for none
+        self._thread = threading.Thread(target=self._run, name="idempotency journal", daemon=True)
         self._thread.start()
 
     def append_claim(self, digest: bytes, fence: int, tenant: int) -> int | None:
-        """Its number; `synced` tells what became of it. None: too many wait."""
+        """Returns the entry's id, for `take_sync_result`; None if too many wait."""
         with self._changed:
-            if self._stopped or len(self._waiting) >= self.MAX_WAITING:
+            if self._is_stopped or len(self._waiting) >= self.MAX_WAITING:
                 return None
-            self._number += 1
-            self._waiting.append(JournalEntry(EntryKind.CLAIMED, self._number, digest, fence, tenant))
+            self._last_id += 1
+            self._waiting.append(JournalEntry(EntryKind.CLAIMED, self._last_id, digest, fence, tenant))
             self._changed.notify()
-            return self._number
+            return self._last_id
 
-    def append_settled(self, number: int) -> None:
+    def append_settled(self, entry_id: int) -> None:
+        """The claim with this id needs no report any more."""
         with self._changed:
-            if not self._stopped and len(self._waiting) < 4 * self.MAX_WAITING:
-                self._waiting.append(JournalEntry(EntryKind.SETTLED, number, b"", 0, 0))
+            if not self._is_stopped and len(self._waiting) < self._MAX_WAITING_SETTLED:
+                self._waiting.append(JournalEntry(EntryKind.SETTLED, entry_id, b"", 0, 0))
                 self._changed.notify()
 
-    def take_sync_result(self, number: int) -> bool | None:
-        """Told once: True, it is on the disk; False, it is not; None, not known yet."""
+    def take_sync_result(self, entry_id: int) -> bool | None:
+        """Returns once whether the entry is on the disk; None while that is unknown."""
         with self._changed:
-            return self._outcomes.pop(number, None)
+            return self._sync_results.pop(entry_id, None)
 
     def stop(self) -> None:
-        """No more is taken; what waits is still written, if the disk lets it."""
+        """Accepts no more; what waits is still written, if the disk allows it."""
         with self._changed:
-            self._stopped = True
+            self._is_stopped = True
             self._changed.notify()
 
-    def join(self, seconds: float) -> bool:
-        """Whether all is written and the file is closed."""
-        self._thread.join(seconds)
+    def join(self, timeout_s: float) -> bool:
+        """Returns whether all is written and the file is closed."""
+        self._thread.join(timeout_s)
         return not self._thread.is_alive()
 
-    def _work(self) -> None:
-        while True:
+    def _run(self) -> None:
+        while entries := self._take_waiting():
+            error = self._write(entries)
             with self._changed:
-                while not (self._waiting or self._stopped):
-                    self._changed.wait()
-                entries, self._waiting, self._later = self._later + self._waiting, [], []
-                if not entries:
-                    break
-            trouble = ""
-            try:
-                self._journal.append(entries)
-            except OSError as fault:
-                trouble = " ".join((fault.strerror or repr(fault)).split())[:160]
-            except Exception as fault:  # Danger: a thread that dies unheard would sync no more.
-                trouble = f"a fault of its own: {fault!r}"
-            with self._changed:
-                self.last_error = trouble
-                for entry in entries:
-                    if entry.kind is EntryKind.CLAIMED:
-                        self._outcomes[entry.entry_id] = not trouble
-                    elif trouble and not self._stopped:
-                        self._later.append(entry)
+                self._on_written(entries, error)
         self._journal.close()
+
+    def _take_waiting(self) -> list[JournalEntry]:
+        """Blocks until there is something to write; returns nothing at the end."""
+        with self._changed:
+            while not (self._waiting or self._is_stopped):
+                self._changed.wait()
+            entries = self._unwritten_settled + self._waiting
+            self._waiting = []
+            self._unwritten_settled = []
+            return entries
+
+    def _write(self, entries: list[JournalEntry]) -> str:
+        """Returns what went wrong; "" for nothing."""
+        try:
+            self._journal.append(entries)
+        except OSError as error:
+            return " ".join((error.strerror or repr(error)).split())[:_MAX_ERROR_CHARACTERS]
+        except Exception as error:  # A thread that ended unnoticed would sync nothing any more.
+            return f"a fault of its own: {error!r}"
+        return ""
+
+    def _on_written(self, entries: list[JournalEntry], error: str) -> None:
+        self.last_error = error
+        for entry in entries:
+            if entry.kind is EntryKind.CLAIMED:
+                self._sync_results[entry.entry_id] = not error
+            elif error and not self._is_stopped:
+                self._unwritten_settled.append(entry)
--- /dev/null
+++ b/cresstray/idempotency/journal_codec.py
@@ -0,0 +1,113 @@
+"""Form of the journal file of claims: entries of one length, each with its own checksum. Pure.
+
+The file begins with a header as long as an entry. The numbers of the kinds and the order of the fields are
+fixed by files on disk. Names that earlier builds used:
+
+    earlier    here
+    what       kind: INTENDED 1 > CLAIMED, SETTLED 2
+    number     entry_id
+    digest     digest
+    fence      fence
+    tenant     tenant
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Iterable
+from enum import IntEnum
+from typing import NamedTuple
+from zlib import crc32
+
+# Kind, entry id, digest of 20 bytes, fence, tenant; then a checksum of these.
+_BODY = struct.Struct(">BQ20sQI")
+_CHECKSUM = struct.Struct(">I")
+ENTRY_SIZE = _BODY.size + _CHECKSUM.size
+HEADER = b"cresstray marks 1\n".ljust(ENTRY_SIZE, b"\0")
+
+
+class EntryKind(IntEnum):
+    """What an entry says."""
+
+    CLAIMED = 1
+    SETTLED = 2
+
+
+class JournalEntry(NamedTuple):
+    """One entry. `entry_id` is its own among this file's, so that two claims of one key are two.
+
+    An entry that settles a claim has its id; the other fields are empty.
+    """
+
+    kind: EntryKind
+    entry_id: int
+    digest: bytes
+    fence: int
+    tenant: int
+
+
+class ReplayedFile(NamedTuple):
+    """Content of a file: claims that were not settled, by id, and where it is damaged.
+
+    Attributes:
+        unsettled: Claims in the order of the file.
+        damaged_at: Offsets of damaged entries before the end.
+        intact_bytes: Where the file is to be cut.
+    """
+
+    unsettled: dict[int, JournalEntry]
+    damaged_at: list[int]
+    intact_bytes: int
+
+
+def encode_entry(entry: JournalEntry) -> bytes:
+    """Returns the entry as it stands in the file."""
+    body = _BODY.pack(*entry)
+    return body + _CHECKSUM.pack(crc32(body))
+
+
+def encode_file(entries: Iterable[JournalEntry]) -> bytes:
+    """Returns a whole file with these entries."""
+    return HEADER + b"".join(map(encode_entry, entries))
+
+
+def decode_entry(data: bytes) -> JournalEntry | None:
+    """Returns the entry, or None if it is damaged."""
+    body = data[: _BODY.size]
+    (checksum,) = _CHECKSUM.unpack(data[_BODY.size :])
+    if checksum != crc32(body) or body[0] not in (EntryKind.CLAIMED, EntryKind.SETTLED):
+        return None
+    kind, entry_id, digest, fence, tenant = _BODY.unpack(body)
+    return JournalEntry(EntryKind(kind), entry_id, digest, fence, tenant)
+
+
+def apply_entries(
+    unsettled: dict[int, JournalEntry], entries: Iterable[JournalEntry]
+) -> dict[int, JournalEntry]:
+    """Returns the claims that are not settled after these entries."""
+    remaining = dict(unsettled)
+    for entry in entries:
+        if entry.kind is EntryKind.CLAIMED:
+            remaining[entry.entry_id] = entry
+        else:
+            remaining.pop(entry.entry_id, None)
+    return remaining
+
+
+def replay(data: bytes) -> ReplayedFile:
+    """Reads a file whose header was checked."""
+    size = len(data)
+    intact: list[JournalEntry] = []
+    damaged_at: list[int] = []
+    for offset in range(ENTRY_SIZE, size - ENTRY_SIZE + 1, ENTRY_SIZE):
+        entry = decode_entry(data[offset : offset + ENTRY_SIZE])
+        if entry is None:
+            damaged_at.append(offset)
+        else:
+            intact.append(entry)
+    # After a crash the file may have its full length, with zeros where nothing was written yet.
+    intact_bytes = size
+    while damaged_at and damaged_at[-1] == (intact_bytes - ENTRY_SIZE) // ENTRY_SIZE * ENTRY_SIZE:
+        intact_bytes = damaged_at.pop()
+    intact_bytes = min(intact_bytes, intact_bytes // ENTRY_SIZE * ENTRY_SIZE)
+    return ReplayedFile(apply_entries({}, intact), damaged_at, intact_bytes)
--- a/tests/test_idempotency_formats.py
+++ b/tests/test_idempotency_formats.py
@@ -13,7 +13,8 @@
 from pathlib import Path
 
 from cresstray.idempotency import codec, records
-from cresstray.idempotency.journal import EntryKind, Journal, JournalEntry
+from cresstray.idempotency.journal import Journal
+from cresstray.idempotency.journal_codec import EntryKind, JournalEntry
 from cresstray.idempotency.records import IdempotencyRecord, RecordState
 
 FIXTURES = Path(__file__).parent / "fixtures" / "idempotency"
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -44,13 +44,12 @@
 from cresstray.idempotency.health import StoreClock, StoreHealth
 from cresstray.idempotency.journal import (
     DiskCalls,
-    EntryKind,
     Journal,
-    JournalEntry,
     JournalFormatError,
     JournalLockedError,
     JournalWriter,
 )
+from cresstray.idempotency.journal_codec import ENTRY_SIZE, EntryKind, JournalEntry
 from cresstray.idempotency.records import EventKind, IdempotencyRecord, RecordEvent, RecordState, apply_event
 from cresstray.idempotency.write_behind import WriteBehindQueue
 from cresstray.observability.counters import Counters
@@ -482,7 +481,7 @@
         made = self.opened()
         made.append(map(self.intended, (1, 2, 3)))
         made.close()
-        whole, size = Path(self.path).read_bytes(), journal.ENTRY_SIZE
+        whole, size = Path(self.path).read_bytes(), ENTRY_SIZE
         for length in range(len(whole) + 1):
             Path(self.path).write_bytes(whole[:length])
             kept = max(0, length // size - 1)
@@ -496,7 +495,7 @@
         self.assertEqual(([1, 2, 3], [f"a torn tail, {2 * size} bytes cut at {4 * size}"]), self.again())
         for at in range(2 * size, 3 * size):
             Path(self.path).write_bytes(whole[:at] + bytes([whole[at] ^ 4]) + whole[at + 1 :])
-            damaged = f"1 damaged records left out, the first at {2 * size}; what they intended is not known"
+            damaged = f"1 damaged records left out, the first at {2 * size}; what they claimed is not known"
             self.assertEqual(([1, 3], [damaged]), self.again())
         Path(self.path).write_bytes(b"x" + whole[1:])
         with self.assertRaises(JournalFormatError):
@@ -523,13 +522,13 @@
             self.assertTrue(kept <= found and len(found - kept) <= 1, (fails, kept, found))
 
     def test_compaction(self) -> None:
-        with patch.object(journal, "_COMPACT", 40 * journal.ENTRY_SIZE):
+        with patch.object(journal, "_COMPACTION_BYTES", 40 * ENTRY_SIZE):
             made = self.opened()
             for number in range(1, 500):
                 made.append([self.intended(number)])
                 if number % 100:
                     made.append([self.settled(number)])
-            self.assertLess(os.path.getsize(self.path), 60 * journal.ENTRY_SIZE)
+            self.assertLess(os.path.getsize(self.path), 60 * ENTRY_SIZE)
             made.close()
         self.assertEqual(([100, 200, 300, 400], []), self.again())
 
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -20,8 +20,9 @@
 from cresstray.config.idempotency import StoreSettings, StoreTlsFiles
 from cresstray.emulators.store import StoreProcess, encode
 from cresstray.idempotency import codec
-from cresstray.idempotency.client import StoreClient, StoreConnection
+from cresstray.idempotency.client import StoreClient
 from cresstray.idempotency.codec import ErrorKind, ErrorReply, HandshakeError, ProtocolError
+from cresstray.idempotency.connection import StoreConnection
 from cresstray.idempotency.in_flight import CommandBatch, CommandPipeline, PrimaryTracker, ReconnectBackoff
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
@@ -302,7 +303,7 @@
         desk, seen = Desk(self.store.port), {}
         desk.run(scene)
         self.check(desk)
-        self.assertGreater(desk.counters.counts["store: links spoilt"], 1)
+        self.assertGreater(desk.counters.counts["store: protocol errors"], 1)
         self.assertGreater(desk.counters.counts["store: primaries lost"], 0)
 
     def outcomes(self, turn: int, calls: list) -> list[int]:
@@ -340,9 +341,9 @@
         desk = Desk(self.store.port)
         desk.run(scene)
         replies = self.check(desk)
-        self.assertGreater(desk.counters.counts["store: refused, too much waits"], 7000)
+        self.assertGreater(desk.counters.counts["store: rejected, queue full"], 7000)
         self.assertGreater(replies.count(None), 9_000)
-        self.assertEqual(0, desk.client._bytes)
+        self.assertEqual(0, desk.client.pending_bytes())
 
     def test_what_was_not_written_is_told_apart(self) -> None:
         async def scene() -> None:
@@ -363,7 +364,7 @@
         line = mock.Mock(unsent=b"", **{"has_ended.return_value": False, "write.return_value": False})
         link = StoreConnection(0, line, line, mock.Mock(), 0)
         asked = CommandBatch([codec.get_time()], 0, lambda _: None)
-        link.write(link.flight.start(asked, 0), [asked])
+        link.write(link.pipeline.start(asked, 0), [asked])
         self.assertFalse(asked.may_have_been_sent, "on a broken connection")
         self.assertEqual({b"muted"}, held)
 
