--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -189,7 +189,7 @@
         "second_runs": ran_again(fleet.account, mark_of),
         "bound": trial.bound,
         "commands": commands,
-        "unguarded": counters.get("marks: unguarded", 0),
+        "unguarded": counters.get("idempotency: proceed unguarded", 0),
         "payoff": payoff(fleet.account, mark_of),
         "promises": fleet.account.promises(until),
         "faults": counters.get("faults", 0),
--- /dev/null
+++ b/cresstray/idempotency/store_fallback.py
@@ -0,0 +1,157 @@
+"""Decisions while the store gives no answer: from what this gateway itself knows, or within an allowance."""
+
+from __future__ import annotations
+
+from functools import partial
+
+import msgspec
+
+from cresstray.idempotency import records
+from cresstray.idempotency.execution_guard import (
+    ClaimHolder,
+    Decision,
+    ExecutionGuard,
+    LookupResult,
+    Proceed,
+    ProceedUnguarded,
+    Reject,
+    StoreUnavailable,
+)
+from cresstray.idempotency.guarded_request import GuardedRequest
+from cresstray.idempotency.health import StoreClock, StoreHealth
+from cresstray.idempotency.open_requests import OpenRequests
+from cresstray.idempotency.ports import JournalSlot, Timers
+from cresstray.idempotency.records import IdempotencyRecord, RecordState
+from cresstray.idempotency.write_behind import WriteBehindQueue
+
+# The disk is polled so often while a claim waits for its sync; 1 to 10 ms are usual.
+_SYNC_POLL_US = 1_000
+_LATE_SYNC_POLL_US = 100 * _SYNC_POLL_US
+# Part of the time left that a sync may take.
+_SYNC_BUDGET_DIVISOR = 4
+# Microseconds of this gateway's clock for a millisecond of the store's, with a margin for their speeds.
+US_PER_STORE_MS = 990
+
+
+class StoreFallback:
+    """Decides about requests whose record could not be read or claimed."""
+
+    def __init__(
+        self,
+        holder: ClaimHolder,
+        guard: ExecutionGuard,
+        open_requests: OpenRequests,
+        write_behind: WriteBehindQueue,
+        health: StoreHealth,
+        store_clock: StoreClock,
+        journal_slot: JournalSlot,
+        timers: Timers,
+    ) -> None:
+        self._holder = holder
+        self._guard = guard
+        self._open_requests = open_requests
+        self._write_behind = write_behind
+        self._health = health
+        self._store_clock = store_clock
+        self._journal_slot = journal_slot
+        self._timers = timers
+
+    def decide(self, guarded: GuardedRequest, reason: str, now_us: int) -> None:
+        """Decides without the store's word; `reason` is why there is none."""
+        if guarded.on_decision is None:
+            self._open_requests.settle(guarded, now_us)
+            return
+        own_decision = self._decide_from_own_reports(guarded, now_us)
+        if own_decision is not None:
+            self._open_requests.deliver(guarded, own_decision, now_us)
+            return
+        unavailable = StoreUnavailable(reason, self._health.unavailable_for(now_us))
+        decision = self._guard.decide_without_store(unavailable, guarded.class_name, now_us)
+        journal = self._journal_slot.journal
+        if not isinstance(decision, ProceedUnguarded):
+            self._open_requests.deliver(guarded, decision, now_us)
+        elif journal is None:
+            guarded.dispatch_until_us = guarded.request.deadline_us
+            self._open_requests.deliver(guarded, decision, now_us)
+        else:
+            guarded.journal_id = journal.append_claim(guarded.digest, 0, guarded.request.tenant)
+            if guarded.journal_id is None:
+                self._reject(guarded, now_us)
+                return
+            # It has its own time budget, as the store has: what is not synced by then is rejected.
+            time_left_us = max(0, guarded.timing.latest_dispatch_us - now_us)
+            sync_deadline_us = now_us + time_left_us // _SYNC_BUDGET_DIVISOR
+            self._await_sync(guarded, decision, sync_deadline_us, now_us)
+
+    def _decide_from_own_reports(self, guarded: GuardedRequest, now_us: int) -> Decision | None:
+        """Decides by what this gateway did of late and the store has not heard.
+
+        None if that is not enough.
+        """
+        record, is_dispatch_time_certain = self._merge_own_reports(guarded, now_us)
+        if record is None or record.state not in (RecordState.COMPLETED, RecordState.UNKNOWN):
+            return None
+        # The store's time is an estimate here; the later it may be, the sooner a window is over.
+        store_now_ms = self._store_clock.upper_bound(now_us)
+        lookup = LookupResult(record, store_now_ms)
+        decision = self._guard.decide(guarded.mode, lookup, self._holder, guarded.timing, now_us)
+        if isinstance(decision, Proceed):
+            # What this gateway sent without the store's word may have been a repeated request itself, of an
+            # execution that the engines forget sooner.
+            if not is_dispatch_time_certain:
+                return None
+            guarded.dispatch_until_us = now_us + (decision.valid_until_ms - store_now_ms) * US_PER_STORE_MS
+        return decision
+
+    def _merge_own_reports(
+        self, guarded: GuardedRequest, now_us: int
+    ) -> tuple[IdempotencyRecord | None, bool]:
+        """Returns what the queued reports come to, and whether the store held a record before each."""
+        merged: IdempotencyRecord | None = None
+        is_dispatch_time_certain = True
+        store_now_ms = self._store_clock.lower_bound(now_us)
+        for write in self._write_behind.pending_for(guarded.digest):
+            # By what the store was last known to hold: the time of the first dispatch stands there.
+            stored = records.decode_record(write.expected_value)
+            is_dispatch_time_certain = is_dispatch_time_certain and stored is not None
+            updated = records.apply_event(stored, write.event, store_now_ms) or stored
+            if updated is not None and merged is not None:
+                stronger = updated if updated.state is RecordState.COMPLETED else merged
+                earliest_ms = min(updated.earliest_dispatch_ms, merged.earliest_dispatch_ms)
+                updated = msgspec.structs.replace(stronger, earliest_dispatch_ms=earliest_ms)
+            merged = updated or merged
+        return merged, is_dispatch_time_certain
+
+    def _await_sync(
+        self, guarded: GuardedRequest, decision: Decision, sync_deadline_us: int, now_us: int
+    ) -> None:
+        """Delivers the decision once the journal has the claim, or a rejection at the deadline."""
+        journal = self._journal_slot.journal
+        assert journal is not None and guarded.journal_id is not None, "waits for no sync"
+        is_synced = journal.take_sync_result(guarded.journal_id)
+        is_late = now_us >= sync_deadline_us
+        if is_synced is None and (not is_late or guarded.on_decision is None):
+            poll_us = _LATE_SYNC_POLL_US if is_late else _SYNC_POLL_US
+            self._poll_again(guarded, decision, sync_deadline_us, poll_us)
+            return
+        if guarded.on_decision is None:
+            # Rejected already, or its client has left: the disk has the entry by now, or never will.
+            self._open_requests.settle(guarded, now_us)
+            return
+        if is_synced:
+            guarded.dispatch_until_us = guarded.request.deadline_us
+            self._open_requests.deliver(guarded, decision, now_us)
+        elif is_synced is None:
+            self._poll_again(guarded, decision, sync_deadline_us, _LATE_SYNC_POLL_US)
+            self._reject(guarded, now_us)
+        else:
+            guarded.journal_id = None
+            self._reject(guarded, now_us)
+
+    def _poll_again(
+        self, guarded: GuardedRequest, decision: Decision, sync_deadline_us: int, delay_us: int
+    ) -> None:
+        self._timers.call_after(delay_us, partial(self._await_sync, guarded, decision, sync_deadline_us))
+
+    def _reject(self, guarded: GuardedRequest, now_us: int) -> None:
+        self._open_requests.deliver(guarded, Reject(self._guard.make_retry_after(0)), now_us)
--- /dev/null
+++ b/cresstray/idempotency/store_monitor.py
@@ -0,0 +1,148 @@
+"""Watches the store beside requests: probes, its clock, and what operators are told of changes."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from cresstray.idempotency import codec
+from cresstray.idempotency.codec import Reply
+from cresstray.idempotency.ports import Clock, JournalSlot
+from cresstray.idempotency.record_writer import MAX_WRITE_ATTEMPTS
+from cresstray.idempotency.store_session import BACKGROUND_TIMEOUT_US, StoreSession, has_errors
+from cresstray.idempotency.write_behind import WriteBehindQueue
+from cresstray.observability.counters import Counters
+
+# A clock that goes back while this gateway asks nothing would go unnoticed. Each gateway reads it so often:
+# a fleet of hundreds asks a hundred times a second so, in one command of a few bytes.
+_CLOCK_READ_INTERVAL_US = 3_000_000
+
+
+class StoreMonitor:
+    """Probes the store while the breaker is open, reads its clock, and logs changes."""
+
+    def __init__(
+        self,
+        session: StoreSession,
+        namespace: str,
+        retention_ms: int,
+        write_behind: WriteBehindQueue,
+        journal_slot: JournalSlot,
+        clock: Clock,
+        counters: Counters,
+        log: Callable[[str], None],
+    ) -> None:
+        """`log` takes lines for operators."""
+        self._session = session
+        # Not a record's key. Its value: from which time on the age of records is known.
+        self._regression_key = f"{namespace}:clock1".encode()
+        self._retention_ms = retention_ms
+        self._write_behind = write_behind
+        self._journal_slot = journal_slot
+        self._clock = clock
+        self._counters = counters
+        self._log = log
+        self._last_clock_read_us = 0
+        self._published_before_ms = 0
+        self.is_publishing = False
+        # What was logged last.
+        self._was_open = True
+        self._logged_regressions = 0
+        self._logged_drops = 0
+        self._logged_journal_error = ""
+
+    def start_probe(self, now_us: int) -> None:
+        """Starts a probe if one is due, or a reading of the clock."""
+        health = self._session.health
+        ticket = health.start_probe(now_us)
+        is_reading_due = now_us - self._last_clock_read_us >= _CLOCK_READ_INTERVAL_US
+        if ticket is None and not health.is_open and is_reading_due:
+            ticket = health.on_round_trip_started(now_us)
+        if ticket is not None:
+            self._last_clock_read_us = now_us
+            commands = [codec.get_time(), codec.get_value(self._regression_key)]
+            self._session.submit_probe(commands, partial(self._on_probe_reply, ticket, now_us), now_us)
+
+    def _on_probe_reply(self, ticket: int, started_us: int, replies: list[Reply] | None) -> None:
+        now_us = self._clock.now()
+        has_succeeded = replies is not None and not has_errors(replies)
+        if replies is not None and has_succeeded:
+            time, regression = replies
+            store_clock = self._session.store_clock
+            store_clock.on_reading(codec.parse_time_ms(time), started_us, now_us)
+            store_clock.on_published_regression(regression)
+        self._session.health.on_round_trip_finished(ticket, has_succeeded, now_us)
+
+    def publish_regression(self, now_us: int) -> None:
+        """Leaves in the store when its clock went back, for gateways that start later."""
+        has_news = self._published_before_ms < self._session.store_clock.age_unknown_before_ms
+        if has_news and not self.is_publishing and not self._session.health.is_open:
+            self.is_publishing = True
+            self._publish(b"", MAX_WRITE_ATTEMPTS, now_us)
+
+    def _publish(self, stored_value: bytes, attempts_left: int, now_us: int) -> None:
+        before_ms = self._session.store_clock.age_unknown_before_ms
+        command = codec.compare_and_set(
+            self._regression_key, stored_value, b"%d" % before_ms, self._retention_ms
+        )
+        on_published = partial(self._on_published, before_ms, attempts_left)
+        self._session.submit([command], now_us + BACKGROUND_TIMEOUT_US, on_published, now_us)
+
+    def _on_published(
+        self,
+        before_ms: int,
+        attempts_left: int,
+        replies: list[Reply] | None,
+        _started_us: int,
+        now_us: int,
+    ) -> None:
+        if replies is not None:
+            result = codec.parse_compare_and_set(replies[0])
+            if not result.is_applied:
+                store_clock = self._session.store_clock
+                store_clock.on_published_regression(result.current_value)
+                is_newest = store_clock.age_unknown_before_ms <= before_ms
+                is_present = result.current_value == b"%d" % before_ms
+                if is_newest and not is_present and attempts_left > 1:
+                    self._publish(result.current_value or b"", attempts_left - 1, now_us)
+                    return
+            self._published_before_ms = before_ms
+        self.is_publishing = False
+
+    def log_changes(self) -> None:
+        """Writes a line for each change since the last call."""
+        self._log_breaker()
+        regressions = self._session.store_clock.regressions
+        if regressions > self._logged_regressions:
+            self._counters.add(
+                "idempotency: clock of the store went back", regressions - self._logged_regressions
+            )
+            self._logged_regressions = regressions
+            self._log("the store's clock went back: older records count as of unknown age")
+        dropped = self._write_behind.dropped_count
+        if dropped > self._logged_drops:
+            self._counters.add("idempotency: reports dropped", dropped - self._logged_drops)
+            self._logged_drops = dropped
+        self._log_journal()
+
+    def _log_breaker(self) -> None:
+        is_open = self._session.health.is_open
+        if is_open == self._was_open:
+            return
+        self._was_open = is_open
+        if is_open:
+            self._counters.add("idempotency: breaker opened")
+            self._log("the store is away or slow: nothing is asked of it until probes succeed")
+        else:
+            self._counters.add("idempotency: breaker closed")
+            self._log(f"the store is asked again; {len(self._write_behind)} reports wait to be written")
+
+    def _log_journal(self) -> None:
+        journal = self._journal_slot.journal
+        if journal is None or journal.last_error == self._logged_journal_error:
+            return
+        self._logged_journal_error = journal.last_error
+        if journal.last_error:
+            self._log(f"the journal can't be written: {journal.last_error}")
+        else:
+            self._log("the journal is written again")
--- a/cresstray/model_checking/marked.py
+++ b/cresstray/model_checking/marked.py
@@ -27,6 +27,8 @@
     Reject,
     ReplayResult,
 )
+from cresstray.idempotency.open_requests import OpenRequests
+from cresstray.idempotency.record_lookup import RecordLookup
 from cresstray.model_checking.patching import Mutant, lines
 from cresstray.model_checking.world import (
     Bounds,
@@ -413,9 +415,10 @@
         "marks",
         lines(
             (
-                IdempotencyCoordinator.check,
-                "self._look_up(held, now)",
-                "held.until = held.times.deadline_us; self._tell(held, Proceed(0, 0), now)",
+                RecordLookup.start,
+                "health = self._session.health",
+                "guarded.dispatch_until_us = guarded.timing.deadline_us; "
+                "self._open_requests.deliver(guarded, Proceed(0, 0), now_us); return",
             )
         ),
     ),
@@ -436,7 +439,7 @@
         "lease_by_timer_alone",
         "deduplicated",
         "marks",
-        lines((IdempotencyCoordinator.may_dispatch, "and now < held.until", "")),
+        lines((OpenRequests.may_dispatch, "and now_us < guarded.dispatch_until_us", "")),
     ),
     Mutant(
         "unknown_is_unrun",
@@ -444,8 +447,8 @@
         "marks",
         lines(
             (
-                IdempotencyCoordinator._settle,
-                "EventKind.UNKNOWN if held.may_have_run else EventKind.NOT_EXECUTED",
+                OpenRequests.settle,
+                "EventKind.UNKNOWN if guarded.may_have_run else EventKind.NOT_EXECUTED",
                 "EventKind.NOT_EXECUTED",
             )
         ),
@@ -493,9 +496,9 @@
         "marks",
         lines(
             (
-                IdempotencyCoordinator._look_up,
-                "held.by = now + self.health.time_budget(held.times.latest_dispatch_us - now, now)",
-                "held.by = held.times.deadline_us",
+                RecordLookup.start,
+                "now_us + health.time_budget(slack_us, now_us)",
+                "guarded.timing.deadline_us",
             )
         ),
     ),
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,8 +21,7 @@
 import msgspec
 
 from cresstray.config.idempotency import IdempotencySettings
-from cresstray.idempotency import codec, journal
-from cresstray.idempotency import coordinator as joined
+from cresstray.idempotency import codec, journal, open_requests
 from cresstray.idempotency import records as marks
 from cresstray.idempotency.coordinator import IdempotencyCoordinator
 from cresstray.idempotency.execution_guard import (
@@ -41,6 +40,7 @@
     Wait,
     guard_mode_of,
 )
+from cresstray.idempotency.guarded_request import GuardedRequest
 from cresstray.idempotency.health import StoreClock, StoreHealth
 from cresstray.idempotency.journal import (
     DiskCalls,
@@ -50,6 +50,7 @@
     JournalWriter,
 )
 from cresstray.idempotency.journal_codec import ENTRY_SIZE, EntryKind, JournalEntry
+from cresstray.idempotency.record_lookup import RecordLookup
 from cresstray.idempotency.records import EventKind, IdempotencyRecord, RecordEvent, RecordState, apply_event
 from cresstray.idempotency.write_behind import WriteBehindQueue
 from cresstray.observability.counters import Counters
@@ -809,26 +810,17 @@
     return sum(walk(seed, **faults).second_runs() for seed in seeds)
 
 
-def marked_after(self: IdempotencyCoordinator, context: Any, now: int, call: Callable[[Any], None]) -> bool:
-    kept, self._look_up = (
-        self._look_up,
-        lambda held, now: (
-            setattr(held, "until", held.times.deadline_us),
-            self._tell(held, ProceedUnguarded("later"), now),
-        ),
-    )
-    try:
-        return ask(self, context, now, call)
-    finally:
-        self._look_up = kept
+def marked_after(self: RecordLookup, guarded: GuardedRequest, now: int) -> None:
+    guarded.dispatch_until_us = guarded.timing.deadline_us
+    self._open_requests.deliver(guarded, ProceedUnguarded("later"), now)
 
 
 def go_by_timer(
-    self: IdempotencyCoordinator, held: Any, fence: int, until: int, at: int, began: int, now: int
+    self: RecordLookup, guarded: GuardedRequest, decision: Proceed, at: int, began: int, now: int
 ) -> None:
-    go(self, held, fence, until, at, began, now)
-    ends, held.until = held.until, held.until and 1 << 62
-    self._timers.call_after(ends - now, lambda _: setattr(held, "until", 0))
+    proceed(self, guarded, decision, at, began, now)
+    ends, guarded.dispatch_until_us = guarded.dispatch_until_us, guarded.dispatch_until_us and 1 << 62
+    self._timers.call_after(ends - now, lambda _: setattr(guarded, "dispatch_until_us", 0))
 
 
 def since_anew(mark: IdempotencyRecord | None, event: RecordEvent, at: int) -> IdempotencyRecord | None:
@@ -845,7 +837,7 @@
     return codec.Command((b"SET", b"", b"1", key, expected, new, b"%d" % px), lambda _: True)
 
 
-ask, go, claim = IdempotencyCoordinator.check, IdempotencyCoordinator._go, ExecutionGuard.make_claim
+proceed, claim = RecordLookup._proceed, ExecutionGuard.make_claim
 
 
 def claim_anew(self: ExecutionGuard, kind: GuardMode, mark: IdempotencyRecord | None, *more: Any) -> Claim:
@@ -866,13 +858,16 @@
 BROKEN = {
     "the mark written after the relay": (
         "well",
-        lambda: patch.object(IdempotencyCoordinator, "check", marked_after),
+        lambda: patch.object(RecordLookup, "start", marked_after),
     ),
     "the lease checked by a timer alone": (
         "killed and stopped",
-        lambda: patch.object(IdempotencyCoordinator, "_go", go_by_timer),
+        lambda: patch.object(RecordLookup, "_proceed", go_by_timer),
+    ),
+    "unknown counted as unrun": (
+        "no outcomes",
+        lambda: patch.object(open_requests, "_NOT_EXECUTED", tuple(Outcome)[1:]),
     ),
-    "unknown counted as unrun": ("no outcomes", lambda: patch.object(joined, "_UNRUN", tuple(Outcome)[1:])),
     "set in place of compare-and-set": (
         "killed and stopped",
         lambda: patch.object(codec, "compare_and_set", set_only),
@@ -915,19 +910,21 @@
             ("m", Outcome.SUCCEEDED, 2),
             ("n", Outcome.SUCCEEDED, 1),
         ):
-            before = trips["marks: round trips"]
+            before = trips["idempotency: round trips"]
             gate.ask(mark, hold=200_000, ending=ending)
             world.run(0.1)
-            self.assertEqual(most, trips["marks: round trips"] - before)
+            self.assertEqual(most, trips["idempotency: round trips"] - before)
             world.run(1)
-        before = trips["marks: round trips"]
+        before = trips["idempotency: round trips"]
         for kind, foreign in ((tariff(idempotent=True), False), (tariff(), True)):
             request = Request(kind, world.now, world.now + SECOND, is_forwarded_in=foreign)
             context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key="m"))
-            gate.marks._kinds = [guard_mode_of(kind, "load", IdempotencySettings(request_classes=("load",)))]
+            gate.marks.guard_modes = [
+                guard_mode_of(kind, "load", IdempotencySettings(request_classes=("load",)))
+            ]
             self.assertFalse(gate.marks.check(context, world.now, self.fail))
             self.assertTrue(gate.marks.may_dispatch(request, world.now))
-        self.assertEqual(before, trips["marks: round trips"])
+        self.assertEqual(before, trips["idempotency: round trips"])
 
     def test_one_mark_at_three_gateways_with_one_killed(self) -> None:
         served, lost = ("Proceed", "ReplayResult"), ("Fail",)
@@ -986,7 +983,8 @@
         for takes, decision in ((5_000, "ProceedUnguarded"), (60 * SECOND, "Reject")):
             world = self.world(settings=settings)
             gate, desk = world.gates[0], Scribbling(world, takes)
-            gate.marks._desk, world.down = desk, True
+            gate.marks.use_journal(desk)
+            world.down = True
             for n in range(8):  # until the breaker is open
                 gate.ask(f"x{n}")
                 world.run(0.1)
@@ -1002,7 +1000,7 @@
             world.run(10)
             if decision == "ProceedUnguarded":
                 self.assertEqual((1, "settle"), (world.runs["m"], desk.lines[1].split()[0]))
-            self.assertEqual(({}, 0), (gate.marks._open, len(gate.marks.write_behind)))
+            self.assertEqual(({}, 0), (gate.marks.open_requests.by_request, len(gate.marks.write_behind)))
 
     def test_who_starts_later_hears_of_a_clock_that_went_back(self) -> None:
         world = self.world()
@@ -1023,12 +1021,19 @@
         self.assertEqual(1_750, world.counts["Reject"])
         gate.ask("m", tenant=1)
         world.run(30)
-        self.assertEqual((1, {}, 0), (world.runs["m"], gate.marks._open, len(gate.marks._asking)))
+        self.assertEqual(
+            (1, {}, 0),
+            (
+                world.runs["m"],
+                gate.marks.open_requests.by_request,
+                len(gate.marks.open_requests.lookups_by_tenant),
+            ),
+        )
 
     def test_what_a_crash_cut_off_is_unknown(self) -> None:
         world = self.world()
         gate, desk = world.gates[0], Scribbling(world, 0)
-        gate.marks._desk = desk
+        gate.marks.use_journal(desk)
         digest = marks.digest_key("cresstray", "", "load/all", "m")
         gate.marks.recover([JournalEntry(EntryKind.CLAIMED, 7, digest, 0, 0)], world.now)
         world.run(1)
@@ -1051,7 +1056,11 @@
                         self.assertEqual(world.counts["asked"], world.counts["decisions"])
                     self.assertEqual(0, world.counts["late"], "a decision beyond its slack")
                     for gate in world.gates:
-                        kept = gate.marks._open, len(gate.marks.write_behind), gate.marks._writing
+                        kept = (
+                            gate.marks.open_requests.by_request,
+                            len(gate.marks.write_behind),
+                            gate.marks.writer.writes_in_flight,
+                        )
                         self.assertEqual(({}, 0, 0), kept)
             for what in ("Proceed", "Fail"):
                 self.assertGreater(totals[what], 0, f"{name}: never {what}")
--- a/tests/test_store_processes.py
+++ b/tests/test_store_processes.py
@@ -301,7 +301,7 @@
                 self.assertEqual("abandoned", await scene.answer(one.name * 2, 1))
 
         self.play(script, gateways=2, cores=64, store_lines=f"    unguarded {MARKED} 5000\n")
-        self.assertEqual(flood - 2_500, self.counters["marks: outcomes dropped"])
+        self.assertEqual(flood - 2_500, self.counters["idempotency: reports dropped"])
 
 
 class MarkedHalls(world.World):
