--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,9 +1,9 @@
-"""Marks in a shared store under faults: python -m benchmarks.store [--seed N] [--only NAME] [--json].
+"""Idempotency records in a shared store under faults: python -m benchmarks.store [--seed N] [--only NAME] [--json].
 
-Each scenario starts three gateways, engines with a memory of marks and a store as processes, and plays a
-load in which each mark is asked for four times, at any gateway, within six times the memory. The same load
-and the same faults of gateways are played beside it without a store. The engines' memory is 3 s here in place
-of the users' 20 (`--memory`). `--cost` measures a submission's CPU instead. docs/store.md tells what is seen.
+Each scenario starts three gateways, engines with a deduplication window and a store as processes, and plays a load
+in which each idempotency key is used four times, at any gateway, within six windows. The same load and the same
+faults of gateways are played beside it without a store. The engines' window is 3 s here in place of the users' 20
+(`--memory`). `--cost` measures a request's CPU instead. docs/idempotency.md describes what is seen.
 """
 
 from __future__ import annotations
@@ -24,7 +24,14 @@
 from cresstray.emulators.account import PROMISES
 from cresstray.emulators.clients import draw
 from cresstray.emulators.fleet.processes import HALL
-from cresstray.emulators.marks import MARKED, MarkedFleet, SharedStore, draw_again, payoff, ran_again
+from cresstray.emulators.idempotent_fleet import (
+    MARKED,
+    MarkedFleet,
+    SharedStore,
+    draw_again,
+    payoff,
+    ran_again,
+)
 from cresstray.emulators.world import KINDS
 
 # A second: a third of what the engines can do, as repeats add three relays to each marked submission.
@@ -193,7 +200,7 @@
         "payoff": payoff(fleet.account, mark_of),
         "promises": fleet.account.promises(until),
         "faults": counters.get("faults", 0),
-        "marks": {line: count for line, count in counters.items() if line.startswith("marks")},
+        "marks": {line: count for line, count in counters.items() if line.startswith("idempotency")},
         "took": {
             name: asked[name].answers[0][0] - asked[name].asked
             for name in firsts
--- a/tests/test_store.py
+++ b/tests/test_idempotency.py
@@ -58,11 +58,11 @@
 
 SECOND, START = 1_000_000, 1_800_000_000_000_000
 MEMORY = 20 * SECOND
-TABLE = tomllib.loads((Path(__file__).parent / "conformance" / "marks.toml").read_text())
+TABLE = tomllib.loads((Path(__file__).parent / "conformance" / "idempotency_records.toml").read_text())
 A, B = ClaimHolder("a", "1"), ClaimHolder("b", "1")
 
 
-# The table of docs/store.md: every state with every event.
+# The table of docs/idempotency.md: every state with every event.
 
 
 def state(name: str) -> IdempotencyRecord | None:
@@ -201,7 +201,7 @@
         self.assertIs(GuardMode.NOT_NEEDED, guard_mode_of(tariff(), "load", IdempotencySettings()))
 
     def test_each_doubt_by_kind(self) -> None:
-        """The table of doubts in docs/store.md: what is there, how old it is, and what each kind does."""
+        """The table of decisions in docs/idempotency.md: what is found, how old it is, and each mode."""
         ran, kept = (
             IdempotencyRecord(RecordState.COMPLETED, *A, 4, 0, 5000),
             IdempotencyRecord(RecordState.COMPLETED, *A, 4, 0, 5000, False, b"+r"),
--- a/tests/test_store_processes.py
+++ b/tests/test_idempotency_processes.py
@@ -17,7 +17,7 @@
 from cresstray.emulators.account import Account, Asked
 from cresstray.emulators.clients import Drawn, Kind, draw
 from cresstray.emulators.fleet.processes import HALL
-from cresstray.emulators.marks import (
+from cresstray.emulators.idempotent_fleet import (
     MARKED,
     MarkClient,
     MarkedFleet,
