--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,9 +1,12 @@
-"""Idempotency records in a shared store under faults: python -m benchmarks.store [--seed N] [--only NAME] [--json].
+"""Idempotency records in a shared store under faults.
 
-Each scenario starts three gateways, engines with a deduplication window and a store as processes, and plays a load
-in which each idempotency key is used four times, at any gateway, within six windows. The same load and the same
-faults of gateways are played beside it without a store. The engines' window is 3 s here in place of the users' 20
-(`--memory`). `--cost` measures a request's CPU instead. docs/idempotency.md describes what is seen.
+    python -m benchmarks.store [--seed N] [--only NAME] [--json]
+
+Each scenario starts three gateways, engines with a deduplication window and a store as processes, and plays a
+load in which each idempotency key is used four times, at any gateway, within six windows. The same load and
+the same faults of gateways are played beside it without a store. The engines' window is 3 s here in place
+of the users' 20 (`--memory`). `--cost` measures a request's CPU instead. docs/idempotency.md describes what
+is seen.
 """
 
 from __future__ import annotations
--- a/cresstray/model_checking/marked.py
+++ b/cresstray/model_checking/marked.py
@@ -1,22 +1,21 @@
-"""Two gateways, a store of marks that they share, and one deduplicated submission that is asked for twice.
+"""Model of idempotency records: two gateways, a store that they share, and a deduplicated request sent twice.
 
-Marks with their guard, limiter, write-behind and steps are the real ones; the store acts on a question and
-answers it, acts and loses the answer, never hears it, hears it late, or fails over to an older copy. Gateways
-are stopped and woken, or killed and started again. What is between a decision and an answer is a model of the
-passage: it sends what may go, once, and ends it by its hard stop. Engines remember a mark from its first run
-for two seconds.
+Coordinator, guard, circuit breaker, write-behind queue and records are the real ones. The store executes
+commands and replies, executes and loses the reply, never receives them, receives them late, or fails over
+to an older copy. Gateways are stopped and woken, or killed and started again. Between a decision and an
+answer stands a model of the pipeline: it sends what may be sent, once, and ends it by its deadline. Engines
+remember an idempotency key for two seconds from its first execution.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from sys import intern
 from typing import Any, NamedTuple
 
 from cresstray.config.idempotency import IdempotencySettings
-from cresstray.idempotency import codec
+from cresstray.idempotency import codec, records
 from cresstray.idempotency import execution_guard as guard
-from cresstray.idempotency import records as marks
 from cresstray.idempotency.codec import Command
 from cresstray.idempotency.coordinator import IdempotencyCoordinator
 from cresstray.idempotency.execution_guard import (
@@ -42,82 +41,107 @@
 )
 from cresstray.policy.types import Outcome, Request, RequestClass
 
-# The first moment: a multiple of all widths of rings, so that their buckets turn with the ticks.
+# The first moment: a multiple of the widths of all sliding windows, so that their buckets turn with the
+# ticks.
 START = 1_000_000_000_000
 MILLI = 1_000
-# Short ones, so that memories end within few choices; a slack of 100 ms bounds what may be asked and waited.
-_MEMORY, _SOFT, _HARD, _MARGIN = 2_000 * MILLI, 120 * MILLI, 1_000 * MILLI, 200 * MILLI
+# Short ones, so that windows end within few choices; a slack of 100 ms bounds lookups and waits.
+_DEDUP_WINDOW_US = 2_000 * MILLI
+_LATENCY_OBJECTIVE_US = 120 * MILLI
+_DEADLINE_US = 1_000 * MILLI
+_DEADLINE_MARGIN_US = 200 * MILLI
+_MAX_RETRY_AFTER_US = 1_000 * MILLI
 _OPERATOR_SETTINGS = IdempotencySettings(request_classes=("load",), max_result_bytes=64)
-_SETTINGS = {
+_DEPLOYMENT_SETTINGS = {
     "Limits": {"RetryAfter": True, "MaxRetryAfter": 1000},
     "Services": [{"Name": "load", "Effect": "deduplicated"}],
 }
-# Ways in which what has been sent may come back; `cut` may have run.
-_ENDS = {"serve": Outcome.SUCCEEDED, "cut off": Outcome.CONNECTION_LOST}
+# How an attempt may end by the choice's words; what is cut off may have run.
+_OUTCOMES = {"serve": Outcome.SUCCEEDED, "cut off": Outcome.CONNECTION_LOST}
+_HOW_FINISHED = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}
 
 
 class Query:
+    """The client's query, as far as it matters."""
+
     idempotency_key = "m"
 
 
-class Asked:
-    """One asking at one gateway, as its passage has it. `decided`: None until Marks has told."""
+class ModelRequest:
+    """One request at one gateway, and what its pipeline knows of it."""
 
-    def __init__(self, gate: Gate, request_class: RequestClass, now: int) -> None:
-        self.gate = gate
-        self.request = Request(request_class, now, now + _HARD)
+    def __init__(self, gateway: ModelGateway, request_class: RequestClass, now_us: int) -> None:
+        self.gateway = gateway
+        self.request = Request(request_class, now_us, now_us + _DEADLINE_US)
         self.query = Query()
-        self.decided: bool | None = None  # whether it may go
-        self.unguarded = self.sent = self.back = self.over = self.slept = False
-
-    def told(self, decision: Decision) -> None:
-        world = self.gate.world
-        if self.decided is not None:
-            world.breaks("one_answer", f"{self.gate.name} is told twice what to do")
+        self.may_be_sent: bool | None = None  # None until there is a decision
+        self.is_unguarded = False
+        self.is_sent = False
+        self.has_returned = False
+        self.is_finished = False
+        self.was_stopped = False  # its gateway was, while it was open
+
+    def on_decision(self, decision: Decision) -> None:
+        """Takes the coordinator's decision, and checks that it is the only one and a sound one."""
+        world = self.gateway.world
+        name = self.gateway.name
+        if self.may_be_sent is not None:
+            world.breaks("one_answer", f"{name} is told twice what to do")
+            return
+        self.may_be_sent = isinstance(decision, Proceed | ProceedUnguarded)
+        self.is_unguarded = isinstance(decision, ProceedUnguarded)
+        if self.may_be_sent:
             return
-        self.decided = isinstance(decision, Proceed | ProceedUnguarded)
-        self.unguarded = isinstance(decision, ProceedUnguarded)
-        if not self.decided:
-            self.over = True
-            if isinstance(decision, Reject) and not 0 <= decision.retry_after_us <= 1_000 * MILLI:
-                world.breaks("sound", f"{self.gate.name} denies until {decision.retry_after_us}")
-            if isinstance(decision, ReplayResult) and not world.runs:
-                world.breaks("own_name", f"{self.gate.name} answers from what never ran")
+        self.is_finished = True
+        if isinstance(decision, Reject) and not 0 <= decision.retry_after_us <= _MAX_RETRY_AFTER_US:
+            world.breaks("sound", f"{name} denies until {decision.retry_after_us}")
+        if isinstance(decision, ReplayResult) and not world.executions:
+            world.breaks("own_name", f"{name} answers from what never ran")
+
+    def finish(self, how: str, result: bytes | None = None) -> None:
+        """Its final answer is out."""
+        self.is_finished = True
+        self.gateway.coordinator.on_request_finished(self.request, how, result, self.gateway.world.clock.at)
+
+    def is_idle(self) -> bool:
+        """Whether the client may ask again at this gateway."""
+        return self.is_finished and (not self.is_sent or self.has_returned)
 
-    def end(self, how: str, result: bytes | None = None) -> None:
-        self.over = True
-        self.gate.marks.on_request_finished(self.request, how, result, self.gate.world.clock.at)
 
+class StoreCall(NamedTuple):
+    """Commands at the store.
 
-class Question(NamedTuple):
-    """What is out at the store. `heard`: its replies, once it has acted;
-    `due`: the time limit of who asked."""
+    `on_done` is None where nobody waits any more; `replies` is None until the store has executed them;
+    `timeout` is the caller's time limit.
+    """
 
     number: int
-    gate: int
-    life: int
-    words: tuple[tuple[bytes, ...], ...]
-    call: Callable[[list | None], None] | None  # None: nobody waits for it any more
-    heard: tuple | None
-    due: VirtualDue
+    gateway: int
+    incarnation: int
+    commands: tuple[tuple[bytes, ...], ...]
+    on_done: Callable[[list[Any] | None], None] | None
+    replies: tuple[Any, ...] | None
+    timeout: VirtualDue
 
 
-class Gate:
-    """One gateway: its marks, its timers, and its client to the store."""
+class ModelGateway:
+    """One gateway: its coordinator, its timers, and its client to the store."""
 
-    def __init__(self, world: Marked, number: int, life: int) -> None:
-        self.world, self.number, self.life = world, number, life
+    def __init__(self, world: IdempotencyWorld, number: int, incarnation: int) -> None:
+        self.world = world
+        self.number = number
+        self.incarnation = incarnation
         self.name = intern(f"g{number}")
         self.timers = VirtualTimers(world.clock)
-        self.stopped = False
-        self.asked: Asked | None = None
-        self.marks = IdempotencyCoordinator(
+        self.is_stopped = False
+        self.current: ModelRequest | None = None
+        self.coordinator = IdempotencyCoordinator(
             self,
             _OPERATOR_SETTINGS,
-            _SETTINGS,
-            [world.tariff],
+            _DEPLOYMENT_SETTINGS,
+            [world.request_class],
             self.name,
-            str(life),
+            str(incarnation),
             fixed,
             world.clock,
             self.timers,
@@ -126,287 +150,364 @@
             untold,
         )
 
-    def submit(self, commands: list[Command], by: int, call: Callable[[list | None], None]) -> None:
-        world, words = self.world, tuple(command.arguments for command in commands)
-        if words[0][0] == b"TIME":
-            # Trials and looks at the clock go well: no submission waits for them.
-            self.timers.call_after(0, lambda _: call([world.execute(one) for one in words]))
+    def submit(
+        self, commands: Sequence[Command], deadline_us: int, on_done: Callable[[list[Any] | None], None]
+    ) -> None:
+        """Hands commands to the store's model; as idempotency.client."""
+        world = self.world
+        arguments = tuple(command.arguments for command in commands)
+        if arguments[0][0] == b"TIME":
+            # Probes and readings of the clock succeed: no request waits for them.
+            self.timers.call_after(0, lambda _: on_done([world.execute(one) for one in arguments]))
             return
-        number = min({*range(len(world.questions) + 1)} - {one.number for one in world.questions})
-        due = self.timers.call_after(
-            by - world.clock.at, lambda _: world.unheard(number, self.number, self.life)
+        number = min({*range(len(world.calls) + 1)} - {call.number for call in world.calls})
+        timeout = self.timers.call_after(
+            deadline_us - world.clock.at, lambda _: world.on_timeout(number, self.number, self.incarnation)
+        )
+        world.calls.append(
+            StoreCall(number, self.number, self.incarnation, arguments, on_done, None, timeout)
         )
-        world.questions.append(Question(number, self.number, self.life, words, call, None, due))
 
 
-class Marked(Copied):
+class IdempotencyWorld(Copied):
     """Both gateways, the store and the engines."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.clock = VirtualClock(START)
         self.broken: list[str] = []
-        self.tariff = RequestClass(0, 1, _SOFT, 0.0, 1.0, 0.0, False, True, "all", _MEMORY, False, None, None)
-        self.faults = 1 if bounds.faults is None else bounds.faults  # of the store
-        self.lives = 1 if bounds.leaves is None else bounds.leaves  # stops and kills
-        self.fail_overs = 0 if bounds.words is None else bounds.words
-        self.asks = 2 if bounds.submissions is None else bounds.submissions
+        self.request_class = RequestClass(
+            0,
+            1,
+            _LATENCY_OBJECTIVE_US,
+            0.0,
+            1.0,
+            0.0,
+            False,
+            True,
+            "all",
+            _DEDUP_WINDOW_US,
+            False,
+            None,
+            None,
+        )
+        self.store_faults_left = 1 if bounds.faults is None else bounds.faults
+        self.gateway_faults_left = 1 if bounds.leaves is None else bounds.leaves  # stops and kills
+        self.fail_overs_left = 0 if bounds.words is None else bounds.words
+        self.requests_left = 2 if bounds.submissions is None else bounds.submissions
         self.data: dict[bytes, bytes] = {}
-        self.copy: dict[bytes, bytes] = {}  # as it was before the last write
-        self.lost = False  # what was acknowledged
-        self.questions: list[Question] = []
-        self.runs, self.since = 0, 0  # of the engines: how often it ran, and when last
-        self.gates = [Gate(self, number, 1) for number in (1, 2)]
-        for gate in self.gates:
-            self._settle(gate)
+        self.replica: dict[bytes, bytes] = {}  # as the data was before the last write
+        self.has_lost_writes = False  # that were acknowledged
+        self.calls: list[StoreCall] = []
+        self.executions = 0
+        self.last_executed_us = 0
+        self.gateways = [ModelGateway(self, number, 1) for number in (1, 2)]
+        for gateway in self.gateways:
+            self._settle(gateway)
         self._settle_all()
 
     def breaks(self, name: str, seen: str) -> None:
+        """Notes that a property is violated."""
         self.broken.append(f"{name}: {seen}")
 
     # The store.
 
-    def execute(self, words: tuple[bytes, ...]) -> Any:
-        at = self.clock.at // MILLI
-        if words[0] == b"TIME":
-            return [b"%d" % (at // 1000), b"%06d" % (at % 1000 * 1000)]
-        if words[0] == b"GET":
-            return self.data.get(words[1])
-        # What is kept an hour outlives all schedules, and what is kept a minute does as well.
-        key, expected, new = words[3:6]
-        found = self.data.get(key)
-        if words[0] != b"SET" and (found or b"") != expected:
-            return [0, found, at]
-        self.copy = dict(self.data)
+    def execute(self, arguments: tuple[bytes, ...]) -> Any:
+        """Executes one command."""
+        now_ms = self.clock.at // MILLI
+        if arguments[0] == b"TIME":
+            return [b"%d" % (now_ms // 1000), b"%06d" % (now_ms % 1000 * 1000)]
+        if arguments[0] == b"GET":
+            return self.data.get(arguments[1])
+        # No expiry: what is kept for an hour or a minute outlives all schedules.
+        key, expected, new = arguments[3:6]
+        current = self.data.get(key)
+        if arguments[0] != b"SET" and (current or b"") != expected:
+            return [0, current, now_ms]
+        self.replica = dict(self.data)
         self.data[key] = new
-        return [1, at]
-
-    def unheard(self, number: int, gate: int, life: int) -> None:
-        """The time limit of a question: who asked is told that nothing was heard."""
-        for place, one in enumerate(self.questions):
-            if (one.number, one.gate, one.life) == (number, gate, life) and one.call is not None:
-                if one.heard is None:
-                    self.questions[place] = one._replace(call=None)
-                else:
-                    del self.questions[place]
-                one.call(None)
-                return
+        return [1, now_ms]
+
+    def on_timeout(self, number: int, gateway: int, incarnation: int) -> None:
+        """Tells the caller of a call that no reply came in time."""
+        for place, call in enumerate(self.calls):
+            if (call.number, call.gateway, call.incarnation) != (number, gateway, incarnation):
+                continue
+            if call.on_done is None:
+                continue
+            if call.replies is None:
+                self.calls[place] = call._replace(on_done=None)
+            else:
+                del self.calls[place]
+            call.on_done(None)
+            return
 
     # Choices.
 
     def choices(self) -> list[str]:
-        if not self.asks and all(
-            gate.asked is None or gate.asked.over or gate.asked.sent for gate in self.gates
-        ):
-            return []  # nothing can be sent any more
+        """Returns what may happen next."""
+        if not self.requests_left and all(map(_has_nothing_to_send, self.gateways)):
+            return []
         found = []
-        for gate in self.gates:
-            found += self._of(gate)
-        for one in self.questions:
-            name = f"{_name(one)}"
-            stopped = self._gate(one).stopped
-            if one.call is None:
-                found.append(f"store hears {name} late")
-            elif one.heard is not None:
-                found += [f"store answers {name} late"] * (not stopped)
-            else:
-                found += [f"store does {name}"] * (not stopped)
-                found += [f"store hears {name}"] * (self.faults > 0 or stopped)
-        if self.fail_overs and self.copy != self.data:
+        for gateway in self.gateways:
+            found += self._gateway_choices(gateway)
+        for call in self.calls:
+            found += self._call_choices(call)
+        if self.fail_overs_left and self.replica != self.data:
             found.append("store fails over")
-        # Time that passes while a question waits is a fault of the store.
-        waits = any(
-            one.call is not None and not self._gate(one).stopped and one.heard is None
-            for one in self.questions
-        )
-        if self._moment() is not None and (self.faults or not waits):
+        # Time that passes while a call waits is a fault of the store.
+        if self._next_moment_us() is not None and (self.store_faults_left or not self._is_call_waiting()):
             found.append("time passes")
         return found
 
-    def _of(self, gate: Gate) -> list[str]:
-        name, asked, found = gate.name, gate.asked, []
-        if gate.stopped:
-            return [f"{name} wakes"] + [f"{name} is killed"] * (self.lives > 0)
-        if (
-            self.asks
-            and (asked is None or asked.over and (not asked.sent or asked.back))
-            and (gate.number == 1 or self.gates[0].asked is not None or self.gates[0].life > 1)
-        ):
-            # The two are alike: the first that is asked is g1.
+    def _call_choices(self, call: StoreCall) -> list[str]:
+        name = _call_name(call)
+        is_stopped = self._gateway_of(call).is_stopped
+        if call.on_done is None:
+            return [f"store hears {name} late"]
+        if call.replies is not None:
+            return [] if is_stopped else [f"store answers {name} late"]
+        found = [] if is_stopped else [f"store does {name}"]
+        if self.store_faults_left > 0 or is_stopped:
+            found.append(f"store hears {name}")
+        return found
+
+    def _is_call_waiting(self) -> bool:
+        return any(
+            call.on_done is not None and not self._gateway_of(call).is_stopped and call.replies is None
+            for call in self.calls
+        )
+
+    def _gateway_choices(self, gateway: ModelGateway) -> list[str]:
+        name = gateway.name
+        current = gateway.current
+        if gateway.is_stopped:
+            return [f"{name} wakes"] + [f"{name} is killed"] * (self.gateway_faults_left > 0)
+        found = []
+        is_idle = current is None or current.is_idle()
+        if self.requests_left and is_idle and self._may_be_asked(gateway):
             found.append(f"{name} is asked")
-        if asked is not None:
-            if asked.decided and not asked.sent and not asked.over:
-                found += [f"{name} sends", f"{name} sends and is refused"]
-            if asked.sent and not asked.back:
-                found += [f"engines {how} {name}" for how in _ENDS]
-        if any(due.due_us <= self.clock.at for due in gate.timers.line):
+        if current is not None:
+            found += _request_choices(name, current)
+        if any(due.due_us <= self.clock.at for due in gateway.timers.line):
             found.append(f"{name} due")
-        if self.lives and (asked is not None or gate.life > 1):
-            found += [f"{name} is killed"] + [f"{name} is stopped"] * (not (asked.over if asked else True))
+        if self.gateway_faults_left and (current is not None or gateway.incarnation > 1):
+            is_open = current is not None and not current.is_finished
+            found += [f"{name} is killed"] + [f"{name} is stopped"] * is_open
         return found
 
-    def _gate(self, one: Question) -> Gate:
-        return self.gates[one.gate - 1]
-
-    def _moment(self) -> int | None:
-        """When something is due next: a timer, the end of a submission, or of the engines' memory."""
-        now = self.clock.at
-        # Between the end of a first submission and that of the memory others come as well.
-        found = [self.since + _MEMORY * 3 // 4, self.since + _MEMORY] if self.runs else []
-        for gate in self.gates:
-            asked = gate.asked
-            if not gate.stopped:
-                found += [due.due_us for due in gate.timers.line]
-            if asked is not None and not asked.over:
-                found.append(asked.request.deadline_us - _MARGIN * (not gate.stopped))
-        return min((at for at in found if at > now), default=None)
+    def _may_be_asked(self, gateway: ModelGateway) -> bool:
+        """The two gateways are alike: the first that is asked is g1."""
+        first = self.gateways[0]
+        return gateway.number == 1 or first.current is not None or first.incarnation > 1
+
+    def _gateway_of(self, call: StoreCall) -> ModelGateway:
+        return self.gateways[call.gateway - 1]
+
+    def _next_moment_us(self) -> int | None:
+        """Returns when something is due next: a timer, the end of a request, or of the engines' window."""
+        now_us = self.clock.at
+        moments = []
+        if self.executions:
+            # Between the end of a first request and that of the window others come as well.
+            moments += [
+                self.last_executed_us + _DEDUP_WINDOW_US * 3 // 4,
+                self.last_executed_us + _DEDUP_WINDOW_US,
+            ]
+        for gateway in self.gateways:
+            current = gateway.current
+            if not gateway.is_stopped:
+                moments += [due.due_us for due in gateway.timers.line]
+            if current is not None and not current.is_finished:
+                margin_us = 0 if gateway.is_stopped else _DEADLINE_MARGIN_US
+                moments.append(current.request.deadline_us - margin_us)
+        return min((moment for moment in moments if moment > now_us), default=None)
 
     def do(self, choice: str) -> None:
-        """One step. What leaves the code as an exception is a breach as well."""
+        """Takes one step. An exception that leaves the code under test is a violation as well."""
         try:
             self._do(choice.split(" "))
             self._settle_all()
-        except Exception as trouble:
-            frame = trouble.__traceback__
-            while frame.tb_next is not None:
+        except Exception as error:
+            frame = error.__traceback__
+            while frame is not None and frame.tb_next is not None:
                 frame = frame.tb_next
-            self.breaks("sound", f"{type(trouble).__name__} in {frame.tb_frame.f_code.co_qualname}")
+            where = frame.tb_frame.f_code.co_qualname if frame is not None else "?"
+            self.breaks("sound", f"{type(error).__name__} in {where}")
 
     def _do(self, parts: list[str]) -> None:
         who, verb = parts[:2]
         if who == "time":
             self._pass_time()
         elif verb == "fails":
-            self.fail_overs -= 1
-            self.data, self.copy, self.lost = self.copy, dict(self.copy), True
+            self._fail_over()
         elif who == "store":
-            self._store(verb, parts[2], parts[-1] == "late")
+            self._store_does(verb, parts[2], parts[-1] == "late")
         elif who == "engines":
-            gate = self.gates[int(parts[-1][1:]) - 1]
-            self._back(gate, _ENDS[" ".join(parts[1:-1])])
+            gateway = self.gateways[int(parts[-1][1:]) - 1]
+            self._on_attempt_finished(gateway, _OUTCOMES[" ".join(parts[1:-1])])
         else:
-            self._gate_does(self.gates[int(who[1:]) - 1], " ".join(parts[1:]))
+            self._gateway_does(self.gateways[int(who[1:]) - 1], " ".join(parts[1:]))
+
+    def _fail_over(self) -> None:
+        self.fail_overs_left -= 1
+        self.data = self.replica
+        self.replica = dict(self.replica)
+        self.has_lost_writes = True
 
-    def _store(self, verb: str, name: str, late: bool) -> None:
-        place = next(place for place, one in enumerate(self.questions) if _name(one) == name)
-        one = self.questions[place]
+    def _store_does(self, verb: str, name: str, is_late: bool) -> None:
+        place = next(place for place, call in enumerate(self.calls) if _call_name(call) == name)
+        call = self.calls[place]
         if verb == "answers":
-            del self.questions[place]
-            one.due.cancel()
-            one.call(list(one.heard))
+            del self.calls[place]
+            _reply(call, call.replies or ())
             return
-        replies = tuple(self.execute(words) for words in one.words)
-        if late or verb == "does":
-            del self.questions[place]
-            if not late:
-                one.due.cancel()
-                one.call(list(replies))
+        replies = tuple(self.execute(arguments) for arguments in call.commands)
+        if is_late or verb == "does":
+            del self.calls[place]
+            if not is_late:
+                _reply(call, replies)
             return
-        self.faults -= not self._gate(one).stopped
-        self.questions[place] = one._replace(heard=replies)
+        self.store_faults_left -= not self._gateway_of(call).is_stopped
+        self.calls[place] = call._replace(replies=replies)
 
-    def _gate_does(self, gate: Gate, what: str) -> None:
-        now, asked = self.clock.at, gate.asked
+    def _gateway_does(self, gateway: ModelGateway, what: str) -> None:
+        now_us = self.clock.at
         if what == "is asked":
-            self.asks -= 1
-            gate.asked = asked = Asked(gate, self.tariff, now)
-            if not gate.marks.check(asked, now, asked.told):
-                self.breaks("sound", f"{gate.name} asks for no mark")
+            self.requests_left -= 1
+            gateway.current = current = ModelRequest(gateway, self.request_class, now_us)
+            if not gateway.coordinator.check(current, now_us, current.on_decision):
+                self.breaks("sound", f"{gateway.name} asks for no mark")
         elif what.startswith("sends"):
-            self._send(gate, asked, what == "sends")
+            self._send(gateway, what == "sends")
         elif what == "due":
-            gate.timers.run_due()
+            gateway.timers.run_due()
         elif what == "is stopped":
-            self.lives -= 1
-            gate.stopped = asked.slept = True
+            self.gateway_faults_left -= 1
+            gateway.is_stopped = True
+            _current(gateway).was_stopped = True
         elif what == "wakes":
-            gate.stopped = False
+            gateway.is_stopped = False
         else:
-            self._kill(gate)
+            self._kill(gateway)
 
-    def _send(self, gate: Gate, asked: Asked, runs: bool) -> None:
-        now = self.clock.at
-        if not gate.marks.may_dispatch(asked.request, now):
-            asked.end("denied")
+    def _send(self, gateway: ModelGateway, is_executed: bool) -> None:
+        now_us = self.clock.at
+        current = _current(gateway)
+        if not gateway.coordinator.may_dispatch(current.request, now_us):
+            current.finish("denied")
             return
-        asked.sent = True
-        gate.marks.on_attempt_sent(asked.request, now)
-        if not runs:
-            self._back(gate, Outcome.OVERLOADED)
+        current.is_sent = True
+        gateway.coordinator.on_attempt_sent(current.request, now_us)
+        if not is_executed:
+            self._on_attempt_finished(gateway, Outcome.OVERLOADED)
             return
-        if now >= self.since + _MEMORY:
-            self.runs, self.since = self.runs + 1, now
-            if self.runs > 1 and not self.lost and not asked.unguarded:
-                self.breaks("deduplicated", f"{gate.name} runs it again, {self.runs} times in all")
-
-    def _back(self, gate: Gate, ending: Outcome) -> None:
-        """As the passage has it: the relay's end first, then the answer. Nothing is sent again here."""
-        asked, now = gate.asked, self.clock.at
-        asked.back = True
-        gate.marks.on_attempt_finished(asked.request, ending, now)
-        if not asked.over:
-            how = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}.get(ending, "failed")
-            asked.end(how, b"r" if ending is Outcome.SUCCEEDED else None)
-
-    def _kill(self, gate: Gate) -> None:
-        self.lives -= 1
+        if now_us >= self.last_executed_us + _DEDUP_WINDOW_US:
+            self.executions += 1
+            self.last_executed_us = now_us
+            if self.executions > 1 and not self.has_lost_writes and not current.is_unguarded:
+                self.breaks("deduplicated", f"{gateway.name} runs it again, {self.executions} times in all")
+
+    def _on_attempt_finished(self, gateway: ModelGateway, outcome: Outcome) -> None:
+        """As the pipeline has it: the attempt's end first, then the answer. Nothing is retried here."""
+        current = _current(gateway)
+        current.has_returned = True
+        gateway.coordinator.on_attempt_finished(current.request, outcome, self.clock.at)
+        if not current.is_finished:
+            result = b"r" if outcome is Outcome.SUCCEEDED else None
+            current.finish(_HOW_FINISHED.get(outcome, "failed"), result)
+
+    def _kill(self, gateway: ModelGateway) -> None:
+        self.gateway_faults_left -= 1
         # What it has asked may still reach the store.
-        self.questions = [
-            one._replace(call=None) if one.gate == gate.number else one
-            for one in self.questions
-            if one.gate != gate.number or one.heard is None
+        self.calls = [
+            call._replace(on_done=None) if call.gateway == gateway.number else call
+            for call in self.calls
+            if call.gateway != gateway.number or call.replies is None
         ]
-        self.gates[gate.number - 1] = gate = Gate(self, gate.number, gate.life + 1)
-        self._settle(gate)
+        successor = ModelGateway(self, gateway.number, gateway.incarnation + 1)
+        self.gateways[gateway.number - 1] = successor
+        self._settle(successor)
 
     def _pass_time(self) -> None:
-        waits = any(
-            one.call is not None and not self._gate(one).stopped and one.heard is None
-            for one in self.questions
-        )
-        self.faults -= waits
-        self.clock.at = now = self._moment()
-        for gate in self.gates:
-            if gate.stopped:
-                continue
-            gate.timers.run_due()
-            asked = gate.asked
-            if asked is None or asked.over or now < asked.request.deadline_us - _MARGIN:
-                continue
-            if asked.decided is None and not asked.slept:
-                # The slack is over long before.
-                self.breaks("by_hard_stop", f"{gate.name} still waits for the store")
-            if asked.sent:
-                self._back(gate, Outcome.TIMED_OUT)
-            else:
-                asked.end("denied")
+        self.store_faults_left -= self._is_call_waiting()
+        next_us = self._next_moment_us()
+        assert next_us is not None, "time passes to nothing"
+        self.clock.at = next_us
+        for gateway in self.gateways:
+            if not gateway.is_stopped:
+                gateway.timers.run_due()
+                self._end_at_deadline(gateway)
+
+    def _end_at_deadline(self, gateway: ModelGateway) -> None:
+        current = gateway.current
+        if current is None or current.is_finished:
+            return
+        if self.clock.at < current.request.deadline_us - _DEADLINE_MARGIN_US:
+            return
+        if current.may_be_sent is None and not current.was_stopped:
+            # Its slack is over long before.
+            self.breaks("by_hard_stop", f"{gateway.name} still waits for the store")
+        if current.is_sent:
+            self._on_attempt_finished(gateway, Outcome.TIMED_OUT)
+        else:
+            current.finish("denied")
 
-    def _settle(self, gate: Gate) -> None:
-        """What is done behind: steps of what waits to be written, and calls of this moment."""
-        if gate.stopped:
+    def _settle(self, gateway: ModelGateway) -> None:
+        """Does background work: steps of the write-behind queue, and timers of this moment."""
+        if gateway.is_stopped:
             return
-        gate.marks.run_background_step(self.clock.at)
-        while gate.timers.line and gate.timers.line[0].due_us <= self.clock.at and gate.life:
-            gate.timers.run_due()
+        gateway.coordinator.run_background_step(self.clock.at)
+        timers = gateway.timers
+        while timers.line and timers.line[0].due_us <= self.clock.at:
+            timers.run_due()
 
     def _settle_all(self) -> None:
-        for gate in self.gates:
-            self._settle(gate)
+        for gateway in self.gateways:
+            self._settle(gateway)
 
     # States.
 
     def quiet(self) -> bool:
-        return not self.questions and all(gate.asked is None or gate.asked.over for gate in self.gates)
+        """Returns whether nothing is open."""
+        return not self.calls and all(
+            gateway.current is None or gateway.current.is_finished for gateway in self.gateways
+        )
 
     def moment(self) -> float:
-        """Milliseconds since the start, for traces."""
+        """Returns milliseconds since the start, for traces."""
         return (self.clock.at - START) / MILLI
 
 
-def _name(one: Question) -> str:
-    return f"g{one.gate}/{one.number}"
+def _has_nothing_to_send(gateway: ModelGateway) -> bool:
+    current = gateway.current
+    return current is None or current.is_finished or current.is_sent
+
+
+def _request_choices(name: str, current: ModelRequest) -> list[str]:
+    found = []
+    if current.may_be_sent and not current.is_sent and not current.is_finished:
+        found += [f"{name} sends", f"{name} sends and is refused"]
+    if current.is_sent and not current.has_returned:
+        found += [f"engines {how} {name}" for how in _OUTCOMES]
+    return found
+
+
+def _current(gateway: ModelGateway) -> ModelRequest:
+    assert gateway.current is not None, "no request at this gateway"
+    return gateway.current
+
+
+def _reply(call: StoreCall, replies: tuple[Any, ...]) -> None:
+    assert call.on_done is not None, "nobody waits for it"
+    call.timeout.cancel()
+    call.on_done(list(replies))
+
+
+def _call_name(call: StoreCall) -> str:
+    return f"g{call.gateway}/{call.number}"
 
 
-CONFIGURATIONS = {"marks": Marked}
+CONFIGURATIONS = {"marks": IdempotencyWorld}
 
 MUTANTS = (
     Mutant(
@@ -428,7 +529,7 @@
         "marks",
         lines(
             (
-                marks._is_holder,
+                records._is_holder,
                 "(record.fence, record.owner, record.incarnation) "
                 "== (event.fence, event.owner, event.incarnation)",
                 "True",
@@ -472,7 +573,7 @@
         lines(
             (ExecutionGuard.make_claim, "min(record.earliest_dispatch_ms, store_now_ms)", "store_now_ms"),
             (
-                marks._on_claim,
+                records._on_claim,
                 "min(record.earliest_dispatch_ms, event.earliest_dispatch_ms)",
                 "event.earliest_dispatch_ms",
             ),
@@ -484,7 +585,7 @@
         "marks",
         lines(
             (
-                marks._on_not_executed,
+                records._on_not_executed,
                 "RecordState.UNKNOWN if record.has_uncertain_predecessor else RecordState.ABSENT",
                 "RecordState.ABSENT",
             )
