--- a/cresstray/emulators/idempotent_fleet.py
+++ b/cresstray/emulators/idempotent_fleet.py
@@ -18,7 +18,7 @@
 from cresstray.emulators.clients import Client, Drawn, Kind, draw
 from cresstray.emulators.coordinator import Listed
 from cresstray.emulators.fleet.processes import HALL, Fleet
-from cresstray.emulators.store import StoreProcess
+from cresstray.emulators.store_process import StoreProcess
 from cresstray.idempotency import codec
 
 MARKED = "manifest-load"
--- a/tests/test_idempotency_client.py
+++ b/tests/test_idempotency_client.py
@@ -18,7 +18,8 @@
 from cresstray.cli import authority
 from cresstray.clock import Clock, Timers
 from cresstray.config.idempotency import StoreSettings, StoreTlsFiles
-from cresstray.emulators.store import StoreProcess, encode
+from cresstray.emulators.store_commands import encode
+from cresstray.emulators.store_process import StoreProcess
 from cresstray.idempotency import codec
 from cresstray.idempotency.client import StoreClient
 from cresstray.idempotency.codec import ErrorKind, ErrorReply, HandshakeError, ProtocolError
