--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,9 +1,12 @@
-"""Marks in a shared store under faults: python -m benchmarks.store [--seed N] [--only NAME] [--json].
+"""Idempotency records in a shared store under faults.
 
-Each scenario starts three gateways, engines with a memory of marks and a store as processes, and plays a
-load in which each mark is asked for four times, at any gateway, within six times the memory. The same load
-and the same faults of gateways are played beside it without a store. The engines' memory is 3 s here in place
-of the users' 20 (`--memory`). `--cost` measures a submission's CPU instead. docs/store.md tells what is seen.
+    python -m benchmarks.store [--seed N] [--only NAME] [--json]
+
+Each scenario starts three gateways, engines with a deduplication window and a store as processes, and plays a
+load in which each idempotency key is used four times, at any gateway, within six windows. The same load and
+the same faults of gateways are played beside it without a store. The engines' window is 3 s here in place
+of the users' 20 (`--memory`). `--cost` measures a request's CPU instead. docs/idempotency.md describes what
+is seen.
 """
 
 from __future__ import annotations
@@ -24,7 +27,14 @@
 from cresstray.emulators.account import PROMISES
 from cresstray.emulators.clients import draw
 from cresstray.emulators.fleet.processes import HALL
-from cresstray.emulators.marks import MARKED, MarkedFleet, Shared, draw_again, payoff, ran_again
+from cresstray.emulators.idempotent_fleet import (
+    MARKED,
+    MarkedFleet,
+    SharedStore,
+    draw_again,
+    payoff,
+    ran_again,
+)
 from cresstray.emulators.world import KINDS
 
 # A second: a third of what the engines can do, as repeats add three relays to each marked submission.
@@ -41,7 +51,7 @@
     """One scenario while it runs; `shared` None: the run without a store."""
 
     fleet: MarkedFleet
-    shared: Shared | None
+    shared: SharedStore | None
     memory: float
     bound: int = 0  # second runs that the note allows, by what the store lost
 
@@ -166,7 +176,7 @@
     drawn, mark_of = draw_again(_KINDS, _RATE, seconds, _REPEATS, memory, seed)
     with ExitStack() as stack:
         lag = None if scenario.lag is None else int(scenario.lag * memory * 1000)
-        shared = stack.enter_context(Shared(lag)) if with_store else None
+        shared = stack.enter_context(SharedStore(lag)) if with_store else None
         fleet = MarkedFleet(folder, shared, memory, store_lines=scenario.lines)
         fleet.mark_of = mark_of
         trial = Trial(fleet, shared, memory)
@@ -189,11 +199,11 @@
         "second_runs": ran_again(fleet.account, mark_of),
         "bound": trial.bound,
         "commands": commands,
-        "unguarded": counters.get("marks: unguarded", 0),
+        "unguarded": counters.get("idempotency: proceed unguarded", 0),
         "payoff": payoff(fleet.account, mark_of),
         "promises": fleet.account.promises(until),
         "faults": counters.get("faults", 0),
-        "marks": {line: count for line, count in counters.items() if line.startswith("marks")},
+        "marks": {line: count for line, count in counters.items() if line.startswith("idempotency")},
         "took": {
             name: asked[name].answers[0][0] - asked[name].asked
             for name in firsts
@@ -211,7 +221,7 @@
     """CPU of one gateway for each submission, none of which is asked again: all marked, then none."""
     told = {}
     with ExitStack() as stack:
-        shared = stack.enter_context(Shared()) if with_store else None
+        shared = stack.enter_context(SharedStore()) if with_store else None
         fleet = MarkedFleet(folder, shared, 20.0, gateways=1, cores=32)
         async with fleet.up():
             await anyio.sleep(_BEFORE)
