--- a/cresstray/clients/codec.py
+++ b/cresstray/clients/codec.py
@@ -10,7 +10,7 @@
 REJECTED, FAILED = -32000, -32001
 
 
-class MalformedError(Exception):
+class MalformedMessageError(Exception):
     """A message that can't be taken in; `number` is the id to answer under, if one could be read."""
 
     def __init__(self, code: int, text: str, number: int | None = None) -> None:
@@ -76,16 +76,16 @@
     try:
         envelope = _envelope.decode(line)
     except msgspec.ValidationError as trouble:
-        raise MalformedError(INVALID_REQUEST, str(trouble), _id_of(line)) from None
+        raise MalformedMessageError(INVALID_REQUEST, str(trouble), _id_of(line)) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise MalformedError(PARSE_ERROR, str(trouble)) from None
+        raise MalformedMessageError(PARSE_ERROR, str(trouble)) from None
     number, method = envelope.id, envelope.method
     if envelope.jsonrpc != "2.0":
-        raise MalformedError(INVALID_REQUEST, "the version must be 2.0", number)
+        raise MalformedMessageError(INVALID_REQUEST, "the version must be 2.0", number)
     try:
         if method in request_classes:
             if number is None:
-                raise MalformedError(INVALID_REQUEST, "a request needs an id")
+                raise MalformedMessageError(INVALID_REQUEST, "a request needs an id")
             query = _query.decode(envelope.params)
             query.class_name = method
             return number, query
@@ -94,8 +94,8 @@
         if method == "status":
             return number, Status()
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise MalformedError(INVALID_PARAMS, str(trouble), number) from None
-    raise MalformedError(UNKNOWN_METHOD, "no such method", number)
+        raise MalformedMessageError(INVALID_PARAMS, str(trouble), number) from None
+    raise MalformedMessageError(UNKNOWN_METHOD, "no such method", number)
 
 
 def _id_of(line: bytes) -> int | None:
--- a/cresstray/clients/listener.py
+++ b/cresstray/clients/listener.py
@@ -137,7 +137,7 @@
                     await anyio.wait_readable(listener)
                     if not self._accept(listener):
                         # Who waits is turned to again once others have been answered.
-                        self.log("door", "no room for a client, all others have requests open")
+                        self.log("listener", "no room for a client, all others have requests open")
                         await anyio.sleep(0.02)
                 except BlockingIOError:
                     continue
@@ -145,7 +145,7 @@
                     return
                 except OSError as trouble:
                     # Danger: out of descriptors for a moment must not end the service.
-                    self.log("door", f"can't accept: {trouble!r}")
+                    self.log("listener", f"can't accept: {trouble!r}")
                     await anyio.sleep(0.02)
 
     def stop_listening(self) -> None:
--- a/cresstray/clients/session.py
+++ b/cresstray/clients/session.py
@@ -113,7 +113,7 @@
         self._faults = max(self._faults, _MOST_FAULTS)
         if not self._closing:
             self._closing = True
-            self._house.counters.add("clients turned out")
+            self._house.counters.add("clients banned")
 
     def _answer(self, number: int, line: bytes) -> None:
         del self.open[number]
@@ -213,7 +213,7 @@
             return
         try:
             number, message = codec.decode(line, house.class_names)
-        except codec.MalformedError as trouble:
+        except codec.MalformedMessageError as trouble:
             if self.is_banned():
                 self._in_vain += 1
             else:
--- a/cresstray/discovery/codec.py
+++ b/cresstray/discovery/codec.py
@@ -5,7 +5,7 @@
 import struct
 from ipaddress import IPv4Address
 
-from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent, MalformedError
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent, MalformedEventError
 from cresstray.policy.types import EndpointState
 
 _LENGTH, _HEAD, _RECORD = struct.Struct(">I"), struct.Struct(">QB"), struct.Struct(">IIHBBBHIQ")
@@ -15,7 +15,7 @@
 _LONGEST = 4_000_000
 
 
-def hello(last: int) -> bytes:
+def encode_subscription(last: int) -> bytes:
     """What a gateway writes first: the number of the last event that it has."""
     return struct.pack(">Q", last)
 
@@ -36,7 +36,7 @@
             while (length := self._length()) is not None:
                 found.append(self._event(bytes(self._buffer[4 : 4 + length])))
                 del self._buffer[: 4 + length]
-        except MalformedError:
+        except MalformedEventError:
             # Danger: a drain before it must be told. On the next link it would come with the bad one again.
             if not found:
                 raise
@@ -48,7 +48,7 @@
             return None
         (length,) = _LENGTH.unpack_from(self._buffer)
         if not _HEAD.size <= length <= _LONGEST:
-            raise MalformedError(f"a frame of {length} bytes")
+            raise MalformedEventError(f"a frame of {length} bytes")
         return length if len(self._buffer) >= _LENGTH.size + length else None
 
     def _event(self, frame: bytes) -> EndpointEvent | None:
@@ -57,7 +57,7 @@
             return None
         records = frame[_HEAD.size :]
         if kind not in (_WHOLE, _CHANGES) or len(records) % _RECORD.size:
-            raise MalformedError(f"a frame of kind {kind} with {len(records)} bytes")
+            raise MalformedEventError(f"a frame of kind {kind} with {len(records)} bytes")
         return EndpointEvent(
             number, kind == _WHOLE, [self._member(*one) for one in _RECORD.iter_unpack(records)]
         )
@@ -77,7 +77,7 @@
         # Danger: a fleet grows into zones and kinds that this gateway's settings do not name yet; refused,
         # they would take the whole list with them, and for good. They are zones and kinds like any other.
         if state not in _STANDINGS:
-            raise MalformedError(f"a record of state {state}")
+            raise MalformedEventError(f"a record of state {state}")
         return Endpoint(
             number, str(IPv4Address(address)), port, _STANDINGS[state], zone, machine, cell, started * 1000
         )
--- a/cresstray/discovery/endpoint_list.py
+++ b/cresstray/discovery/endpoint_list.py
@@ -11,7 +11,7 @@
 from cresstray.policy.types import EndpointState
 
 
-class MalformedError(Exception):
+class MalformedEventError(Exception):
     """An event that does not follow the coordinator's page."""
 
 
@@ -70,7 +70,7 @@
 _NUMBERS = 2**64  # what a frame holds of an event's number, and of a start
 
 
-def address_of(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """host:port as a connection takes it; ValueError that names what can't be one."""
     host, _, port = text.rpartition(":")
     number = int(port)
@@ -91,7 +91,7 @@
     for update in known.updates:
         # Danger: the last is told to the coordinator in eight bytes.
         if not 0 <= update.index < _NUMBERS:
-            raise MalformedError(f"an event of the number {update.index}")
+            raise MalformedEventError(f"an event of the number {update.index}")
     return [
         EndpointEvent(
             update.index,
@@ -126,7 +126,7 @@
             raise ValueError(f"a start at {given.up_since_ms}")
         return Endpoint(
             int(given.id[2:], 16),
-            *address_of(given.host_port),
+            *parse_address(given.host_port),
             _STANDINGS[given.phase],
             zones[given.locality],
             machines[given.flavor],
@@ -134,7 +134,7 @@
             int(given.up_since_ms * 1000),
         )
     except (ValueError, KeyError) as trouble:
-        raise MalformedError(f"engine {given.id}: {trouble}") from None
+        raise MalformedEventError(f"engine {given.id}: {trouble}") from None
 
 
 def apply_final_states(events: Sequence[EndpointEvent]) -> list[EndpointEvent]:
--- a/cresstray/discovery/resolver.py
+++ b/cresstray/discovery/resolver.py
@@ -8,7 +8,7 @@
 from cresstray.policy.types import EndpointState
 
 # An address, and the start of the engine that was told to be there.
-Place = tuple[tuple[str, int], int]
+Placement = tuple[tuple[str, int], int]
 _HARSHNESS = {EndpointState.READY: 0, EndpointState.DRAINING: 1, EndpointState.REMOVED: 2}
 
 
@@ -16,9 +16,11 @@
     """Engines that lost their address to another, until they are told gone or have come back."""
 
     def __init__(self) -> None:
-        self._lost: dict[int, Place] = {}
+        self._lost: dict[int, Placement] = {}
 
-    def resolve(self, event: EndpointEvent, known: Mapping[int, Place]) -> tuple[list[Endpoint], list[int]]:
+    def resolve(
+        self, event: EndpointEvent, known: Mapping[int, Placement]
+    ) -> tuple[list[Endpoint], list[int]]:
         """The records that hold, one an engine in the event's order; and engines that are as good as gone.
 
         These have lost their address, now or before. `known`: the engines in use before the event.
@@ -55,7 +57,7 @@
     return member.host, member.port
 
 
-def _stays(number: int, place: Place, named: Mapping[int, Endpoint], event: EndpointEvent) -> bool:
+def _stays(number: int, place: Placement, named: Mapping[int, Endpoint], event: EndpointEvent) -> bool:
     """Whether the engine is neither gone nor elsewhere after the event."""
     member = named.get(number)
     if member is None:
--- a/cresstray/discovery/watch.py
+++ b/cresstray/discovery/watch.py
@@ -7,8 +7,13 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.discovery.codec import EventDecoder, hello
-from cresstray.discovery.endpoint_list import EndpointEvent, MalformedError, address_of, apply_final_states
+from cresstray.discovery.codec import EventDecoder, encode_subscription
+from cresstray.discovery.endpoint_list import (
+    EndpointEvent,
+    MalformedEventError,
+    apply_final_states,
+    parse_address,
+)
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from cresstray.transport.streams import ENDED, SocketStream, connect, contained
@@ -111,7 +116,7 @@
         with contained("the watch on the list of engines", self._counters, self._log):
             try:
                 await self._follow(tasks, host, port)
-            except (*ENDED, MalformedError, TimeoutError) as trouble:
+            except (*ENDED, MalformedEventError, TimeoutError) as trouble:
                 self._counters.add("coordinator links ended")
                 self._log.log("coordinator", f"link ended, made again: {trouble!r}")
 
@@ -120,7 +125,7 @@
             made = await connect(host, port)
         # What breaks it while it is written to is heard of in the reading.
         with SocketStream(made, tasks, lambda: None) as line:
-            line.write(hello(self.last_index))
+            line.write(encode_subscription(self.last_index))
             self._line, self._heard, self._at_rest = line, anyio.current_time(), False
             try:
                 await self._listen(line)
@@ -168,4 +173,4 @@
 
 
 def _parts(address: str | None) -> tuple[str, int] | None:
-    return address_of(address) if address else None
+    return parse_address(address) if address else None
--- a/cresstray/engines/codec.py
+++ b/cresstray/engines/codec.py
@@ -24,7 +24,7 @@
 _POSITIONS = frozenset(("shard", "epoch", "applied", "head"))
 
 
-class BrokenError(Exception):
+class EngineProtocolError(Exception):
     """What came can't be an engine's answer; nothing behind it on this connection can be trusted."""
 
 
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._broken: BrokenError | None = None
+        self._broken: EngineProtocolError | None = None
 
     def has_partial_answer(self) -> bool:
         """Whether part of an answer has come, and the rest has not."""
@@ -65,7 +65,7 @@
             while (whole := self._whole(at)) is not None:
                 parts, at = whole
                 found.append(_answer(*parts))
-        except BrokenError as trouble:
+        except EngineProtocolError as trouble:
             # Danger: an answer that came whole before noise would be lost, and its work run again.
             if not found:
                 raise
@@ -78,29 +78,29 @@
         if not buffer.startswith(b"*4\r\n", at):
             if b"*4\r\n".startswith(buffer[at : at + 4]):
                 return None
-            raise BrokenError(f"not an array of four strings: {bytes(buffer[at : at + 20])!r}")
+            raise EngineProtocolError(f"not an array of four strings: {bytes(buffer[at : at + 20])!r}")
         at += 4
         for longest in _LONGEST:
             length = _LENGTH.match(buffer, at)
             if length is None:
                 if len(buffer) - at < 7 and buffer.find(b"\n", at) < 0:
                     return None
-                raise BrokenError(f"not the length of a string: {bytes(buffer[at : at + 20])!r}")
+                raise EngineProtocolError(f"not the length of a string: {bytes(buffer[at : at + 20])!r}")
             start, size = length.end(), int(length[1])
             if size > longest:
-                raise BrokenError(f"a string of {size} bytes")
+                raise EngineProtocolError(f"a string of {size} bytes")
             at = start + size + 2
             if len(buffer) < at:
                 return None
             if buffer[at - 2 : at] != b"\r\n":
-                raise BrokenError("a string longer than its length")
+                raise EngineProtocolError("a string longer than its length")
             parts.append(bytes(buffer[start : at - 2]))
         return parts, at
 
 
 def _answer(name: bytes, word: bytes, fields: bytes, body: bytes) -> Answer:
     if word not in WORDS:
-        raise BrokenError(f"unknown word {word!r}")
+        raise EngineProtocolError(f"unknown word {word!r}")
     pages, page, report = 1, 0, {}
     if fields != b"-":
         try:
@@ -113,9 +113,9 @@
                 elif key == "load":
                     report = _report(value)
         except ValueError:
-            raise BrokenError(f"fields that can't be used: {fields[:80]!r}") from None
+            raise EngineProtocolError(f"fields that can't be used: {fields[:80]!r}") from None
     if pages < 1 or page < 0 or (word == b"rows" and page < 1):
-        raise BrokenError(f"no such page: {fields[:80]!r}")
+        raise EngineProtocolError(f"no such page: {fields[:80]!r}")
     return Answer(name, word, pages, page, report, body)
 
 
@@ -130,20 +130,20 @@
     return report
 
 
-def ask(name: bytes, request_class: str, patience: int, mark: str, statement: bytes) -> bytes:
+def encode_request(name: bytes, request_class: str, patience: int, mark: str, statement: bytes) -> bytes:
     """`patience` in whole milliseconds."""
     fields = f"c={request_class},w={patience}" + (f",i={mark}" if mark else "")
     return hiredis.pack_command((b"ASK", name, fields.encode(), statement))
 
 
-def quit_(name: bytes) -> bytes:
+def encode_cancellation(name: bytes) -> bytes:
     return hiredis.pack_command((b"QUIT", name))
 
 
-def next_pages(name: bytes, pages: int) -> bytes:
+def encode_page_requests(name: bytes, pages: int) -> bytes:
     """Asks for all pages behind the first at once."""
     return b"".join(hiredis.pack_command((b"NEXT", name, b"%d" % page)) for page in range(1, pages))
 
 
-def free(name: bytes) -> bytes:
+def encode_release(name: bytes) -> bytes:
     return hiredis.pack_command((b"FREE", name))
--- a/cresstray/engines/connection.py
+++ b/cresstray/engines/connection.py
@@ -51,7 +51,7 @@
                 await self._read(line)
             except ENDED as trouble:
                 self.pool.log.log("link", f"a link to {self.pool.label} ended: {trouble!r}")
-            except codec.BrokenError as trouble:
+            except codec.EngineProtocolError as trouble:
                 self.is_corrupt = True
                 self.pool.counters.add("links spoilt")
                 self.pool.log.log("link", f"a link to {self.pool.label} is dropped: {trouble}")
--- a/cresstray/engines/connection_pool.py
+++ b/cresstray/engines/connection_pool.py
@@ -44,8 +44,8 @@
         self.is_out_of_descriptors = False  # there was no descriptor for it: that says nothing of its engine
         self.is_outdated = False  # its engine has another address by now, or has started anew
         self.idle_since = 0
-        self.line: Transport | None = None  # once it is up
-        self._answers, self._due = codec.AnswerDecoder(), 0
+        self.transport: Transport | None = None  # once it is up
+        self._answers, self.answer_deadline_us = codec.AnswerDecoder(), 0
         self._leaving: InFlightRequest | None = None  # the last one written, if part of it had to wait
         self._behind = 0  # bytes put behind what waits
 
@@ -55,22 +55,24 @@
 
     def has_room_for(self, name: bytes) -> bool:
         # Danger: behind what its engine does not read, a request would leave when nothing is as it was.
-        return self.in_flight.has_room_for(name) and not (self.line is not None and self.line.unsent)
+        return self.in_flight.has_room_for(name) and not (
+            self.transport is not None and self.transport.unsent
+        )
 
     def start(self, exchange: InFlightRequest) -> bool:
         """False where the link proves dead, or its engine reads nothing: nothing of the exchange has left."""
         # Danger: what is written to a link that the other side has closed is lost, and may have run.
-        if self.line is not None and not self.in_flight.open and self.line.has_ended():
+        if self.transport is not None and not self.in_flight.open and self.transport.has_ended():
             self.close()
             return False
         exchange.connection = self
         self.pool.quota.idle.pop(self, None)
         self.in_flight.begin(exchange)
-        return self.line is None or self._write(exchange)
+        return self.transport is None or self._write(exchange)
 
     def _write(self, exchange: InFlightRequest) -> bool:
         """False where nothing of it has left, since the engine reads nothing: the link takes no more."""
-        line = self.line
+        line = self.transport
         if not line.unsent:
             left = line.write(exchange.message)
             if not line.unsent or len(line.unsent) < len(exchange.message):
@@ -86,14 +88,14 @@
 
     def _is_leaving(self, exchange: InFlightRequest) -> bool:
         """Whether part of its message still waits to be written."""
-        return exchange is self._leaving and len(self.line.unsent) > self._behind
+        return exchange is self._leaving and len(self.transport.unsent) > self._behind
 
     def send(self, message: bytes) -> None:
         if self.in_flight.is_closed:
             # Danger: behind a request that was cut short it would be read as the rest of that. That the link
             # closes tells the engine.
             return
-        if not self.line.unsent:
+        if not self.transport.unsent:
             self._leaving, self._behind = None, 0
         else:
             self._behind += len(message)
@@ -101,7 +103,7 @@
                 self.pool.counters.add("links never read")
                 self.close()
                 return
-        self.line.write(message)
+        self.transport.write(message)
 
     def finish(self, exchange: InFlightRequest) -> None:
         """All that was to come has come."""
@@ -154,14 +156,14 @@
     def close(self) -> None:
         self.in_flight.is_closed = True
         self.pool.quota.idle.pop(self, None)
-        if self.line is not None:
-            self.line.unsent.clear()  # none of it leaves before the connection has ended
+        if self.transport is not None:
+            self.transport.unsent.clear()  # none of it leaves before the connection has ended
         self.abort()
 
     # What its connection says.
 
     def on_connected(self, line: Transport) -> None:
-        self.line = line
+        self.transport = line
         self.pool.for_each(self.in_flight.unwritten(), self._write_late)
 
     def _write_late(self, exchange: InFlightRequest) -> None:
@@ -179,15 +181,19 @@
 
     def seconds_left(self) -> float | None:
         """Seconds in which the rest of an answer is to come; None where none has begun."""
-        return max(0.0, (self._due - self.pool.now()) / 1e6) if self._answers.has_partial_answer() else None
+        return (
+            max(0.0, (self.answer_deadline_us - self.pool.now()) / 1e6)
+            if self._answers.has_partial_answer()
+            else None
+        )
 
     def on_received(self, data: bytes) -> None:
         """Hands on the answers in it; BrokenError where it can't be one."""
         self.in_flight.received_count += 1
         if not self._answers.has_partial_answer():
-            self._due = self.pool.now() + _HALF_WAY
+            self.answer_deadline_us = self.pool.now() + _HALF_WAY
         while answers := self._answers.feed(data):
-            data, self._due = b"", self.pool.now() + _HALF_WAY
+            data, self.answer_deadline_us = b"", self.pool.now() + _HALF_WAY
             for answer in answers:
                 self._answered(answer)
 
@@ -195,23 +201,23 @@
         exchange = self.in_flight.open.get(answer.name)
         if exchange is not None and self._is_leaving(exchange):
             # Danger: taken for a refusal, it would be sent again, and its rest here be run as well.
-            raise codec.BrokenError("an answer to what has not been asked whole")
+            raise codec.EngineProtocolError("an answer to what has not been asked whole")
         if exchange is not None and not exchange.is_written:
             exchange = None
         if exchange is not None and answer.kind not in _OF_RESULTS:
-            self.in_flight.on_refused(exchange)
+            self.in_flight.on_rejected(exchange)
         if exchange is None or not exchange.listener.on_answer(exchange, answer):
             # A second copy, or an answer that comes after its time: no fault of what else is open.
             self.pool.counters.add("answers not awaited")
 
     def on_stalled(self) -> None:
         """The rest has not come in time."""
-        raise codec.BrokenError("it stopped within an answer")
+        raise codec.EngineProtocolError("it stopped within an answer")
 
     def on_end_of_stream(self) -> None:
         """The connection has ended; BrokenError where part of an answer had come."""
         if self._answers.has_partial_answer():
-            raise codec.BrokenError("it ended within an answer")
+            raise codec.EngineProtocolError("it ended within an answer")
 
     def on_closed(self) -> None:
         """Nothing more comes of it."""
@@ -220,7 +226,7 @@
         self.pool.on_removed(self)
         if self.is_out_of_descriptors:
             self.pool.quota.close_idle()
-        self.pool.for_each(self.in_flight.on_connection_closed(self.line is not None), self._end)
+        self.pool.for_each(self.in_flight.on_connection_closed(self.transport is not None), self._end)
 
     def _end(self, ended: tuple[InFlightRequest, Disposition]) -> None:
         exchange, fate = ended
--- a/cresstray/engines/in_flight.py
+++ b/cresstray/engines/in_flight.py
@@ -80,7 +80,7 @@
         self.abandoned: set[bytes] = set()
         # Danger: a second copy of a refusal would be taken for the answer to the next relay of that name,
         # which runs, and may be denied or sent again for it. That one takes another link.
-        self.refused: dict[bytes, None] = {}
+        self.rejected: dict[bytes, None] = {}
         self.is_closed = self.is_retired = False
         self.received_count = 0  # how often something was received
 
@@ -91,7 +91,7 @@
             or len(self.open) >= self._streams
             or name in self.open
             or name in self.abandoned
-            or name in self.refused
+            or name in self.rejected
         )
 
     def begin(self, exchange: InFlightRequest) -> None:
@@ -111,11 +111,11 @@
         """All that was to come has come, or nothing has left."""
         del self.open[exchange.name]
 
-    def on_refused(self, exchange: InFlightRequest) -> None:
+    def on_rejected(self, exchange: InFlightRequest) -> None:
         """The engine's answer is no result; its keeper is still to be told."""
-        self.refused[exchange.name] = None
-        if len(self.refused) > _MOST_REFUSED:
-            del self.refused[next(iter(self.refused))]
+        self.rejected[exchange.name] = None
+        if len(self.rejected) > _MOST_REFUSED:
+            del self.rejected[next(iter(self.rejected))]
 
     def abandon(self, exchange: InFlightRequest) -> bytes | None:
         """What tells the engine; None where it has never heard of it. What still comes is dropped."""
@@ -132,7 +132,11 @@
             or self.received_count == exchange.received_before
             or len(self.abandoned) >= _MOST_GIVEN_UP
         )
-        return codec.quit_(exchange.name) if exchange.pages is None else codec.free(exchange.name)
+        return (
+            codec.encode_cancellation(exchange.name)
+            if exchange.pages is None
+            else codec.encode_release(exchange.name)
+        )
 
     def on_connection_closed(self, came_up: bool) -> list[tuple[InFlightRequest, Disposition]]:
         """The link has ended; what that means for each that was open. `came_up`: whether it ever was up."""
--- a/cresstray/engines/result_pages.py
+++ b/cresstray/engines/result_pages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cresstray.engines.codec import BrokenError
+from cresstray.engines.codec import EngineProtocolError
 
 # A result holds 48,000 bytes at most; in pages of some hundred it is still to be had.
 _MOST_PAGES, _LONGEST = 512, 48_000
@@ -18,7 +18,7 @@
 
     def __init__(self, count: int, first: bytes) -> None:
         if count > _MOST_PAGES:
-            raise BrokenError(f"a result of {count} pages")
+            raise EngineProtocolError(f"a result of {count} pages")
         self._pages: list[bytes | None] = [None] * count
         self._missing, self._size = count, 0
         self.add(0, first)
@@ -26,12 +26,12 @@
     def add(self, number: int, body: bytes) -> bool:
         """Whether it is new; a second copy is left alone."""
         if not 0 <= number < len(self._pages):
-            raise BrokenError(f"page {number} of {len(self._pages)}")
+            raise EngineProtocolError(f"page {number} of {len(self._pages)}")
         if self._pages[number] is not None:
             return False
         self._size += len(body)
         if self._size > _LONGEST or not _are_rows(body):
-            raise BrokenError(f"no rows, or too many: {body[:40]!r}")
+            raise EngineProtocolError(f"no rows, or too many: {body[:40]!r}")
         self._pages[number] = body
         self._missing -= 1
         return True
--- a/cresstray/gateway/startup.py
+++ b/cresstray/gateway/startup.py
@@ -199,7 +199,7 @@
             operator,
             operator_file,
         )
-    except (OSError, ValueError, known.MalformedError) as trouble:
+    except (OSError, ValueError, known.MalformedEventError) as trouble:
         raise UnusableError(str(trouble)) from None
     except (TypeError, AttributeError, LookupError, ArithmeticError) as trouble:
         # What is wrong with the settings beyond their kinds.
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -19,7 +19,7 @@
 import hiredis
 
 from cresstray.clients.session import ClientSession, ConnectionRegistry, NextAction
-from cresstray.engines.codec import BrokenError
+from cresstray.engines.codec import EngineProtocolError
 from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota, EngineConnection
 from cresstray.engines.in_flight import InFlightRequests
 from cresstray.model_checking.patching import Mutant, lines
@@ -428,10 +428,10 @@
         found, name = [], link.name
         if link.hung_up:
             # What has come may still be read before the end is seen.
-            if link.told and link.line is not None:
+            if link.told and link.transport is not None:
                 found.append(f"{name} is read")
             return [*found, f"{name} is gone"], True
-        if link.line is None:
+        if link.transport is None:
             found.append(f"{name} is up")
             if self.faults:
                 found.append(f"{name} is not reached")
@@ -467,7 +467,7 @@
         if self.module.queue:
             at.append(self.module.due())
         at += [
-            link._due
+            link.answer_deadline_us
             for link in self.pool.connections
             if link._answers.has_partial_answer() and not link.told
         ]
@@ -497,7 +497,11 @@
         if who == "clock":
             self.clock.at = self._next()
             for link in list(self.pool.connections):
-                if link._answers.has_partial_answer() and not link.told and self.clock.at >= link._due:
+                if (
+                    link._answers.has_partial_answer()
+                    and not link.told
+                    and self.clock.at >= link.answer_deadline_us
+                ):
                     self._read(link, None)
             self.module.tidy(self.clock.at)
             if self.talk is not None and self.talk.idle_overdue_us(self.clock.at) >= 0:
@@ -696,7 +700,7 @@
                 link.on_received(data)
             else:
                 link.on_end_of_stream()
-        except BrokenError:
+        except EngineProtocolError:
             link.is_corrupt = True
             self._lost(link)
             link.on_closed()
@@ -863,7 +867,7 @@
         "second_copy_of_a_refusal",
         "one_outstanding",
         "exchange",
-        lines((InFlightRequests.has_room_for, " or name in self.refused", "")),
+        lines((InFlightRequests.has_room_for, " or name in self.rejected", "")),
     ),
     Mutant(
         "taken_in_after_the_close",
--- a/cresstray/pipeline/dispatch.py
+++ b/cresstray/pipeline/dispatch.py
@@ -27,7 +27,7 @@
         self, attempt: Attempt, context: RequestContext, pool: SocketConnectionPool, patience: int
     ) -> None:
         query, name = context.query, context.query.name.encode()
-        message = codec.ask(
+        message = codec.encode_request(
             name, query.class_name, max(1, patience // 1000), query.idempotency_key, query.statement
         )
         exchange = InFlightRequest(name, message, self._back, attempt)
--- a/cresstray/pipeline/response.py
+++ b/cresstray/pipeline/response.py
@@ -47,7 +47,7 @@
             self._reports[attempt] = answer.report
             if answer.pages > 1:
                 # All at once: a round trip for each would hold the permit and the client that much longer.
-                exchange.connection.send(codec.next_pages(exchange.name, answer.pages))
+                exchange.connection.send(codec.encode_page_requests(exchange.name, answer.pages))
         elif answer.kind == b"rows" and exchange.pages is not None:
             if not exchange.pages.add(answer.page, answer.body):
                 return False
--- a/cresstray/pipeline/routing.py
+++ b/cresstray/pipeline/routing.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
-from cresstray.discovery.resolver import AddressResolver, Place
+from cresstray.discovery.resolver import AddressResolver, Placement
 from cresstray.engines.connection import SocketConnectionPool
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.policy.types import Attempt, EndpointState, Engine
@@ -105,7 +105,7 @@
         for pool in pools:
             pool.cancel_unwritten()
 
-    def _places(self) -> dict[int, Place]:
+    def _places(self) -> dict[int, Placement]:
         return {
             number: (self._pools[engine].address, engine.started_us)
             for number, engine in self._engines.items()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -136,7 +136,7 @@
         return [link for pool in self.pools for link in pool.made]
 
     def heard(self) -> list[str]:
-        return [line for link in self.links() if link.line is not None for line in link.wire.heard()]
+        return [line for link in self.links() if link.transport is not None for line in link.wire.heard()]
 
     def ends(self) -> dict[str, int]:
         """How relays have ended."""
@@ -405,7 +405,7 @@
                 self.assertEqual([] if again else ["a abandoned"], made.client.answers)
 
     def _spoils(self, link: FakeLink) -> None:
-        with self.assertRaises(links.codec.BrokenError):
+        with self.assertRaises(links.codec.EngineProtocolError):
             link.answer("a", "served", "sheets=1", "\0")
         link.is_corrupt = True
         link.on_closed()
@@ -463,7 +463,7 @@
             made.ask("a", "post")
             link = made.links()[0]
             link.come_up()
-            with self.assertRaises(links.codec.BrokenError):
+            with self.assertRaises(links.codec.EngineProtocolError):
                 link.answer("a", "served", first, "x\ty\tz\n")
                 link.answer("a", "rows", second, "x\ty\tz\n")
             link.is_corrupt = True
@@ -504,7 +504,7 @@
             made.ask(f"n{turn}", patience=60_000)
             for _ in range(83):
                 for attempt, exchange in list(made.back.in_flight.items()):
-                    if exchange.connection.line is None:
+                    if exchange.connection.transport is None:
                         exchange.connection.come_up()
                     sent += [attempt.sent_us] if attempt.number else []
                     word = "served" if attempt.number else "nobody"
@@ -659,9 +659,9 @@
                 server.settimeout(5)
                 accepted = (await anyio.to_thread.run_sync(server.accept))[0]
                 pool = next(iter(stage.service._route._pools.values()))
-                while not (pool.connections and pool.connections[0].line):
+                while not (pool.connections and pool.connections[0].transport):
                     await anyio.sleep(0.001)
-                waits = len(pool.connections[0].line.unsent)
+                waits = len(pool.connections[0].transport.unsent)
                 await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
                 with anyio.fail_after(5):
                     while pool.connections:
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -85,7 +85,7 @@
             try:
                 number, message = rpc.decode(line, frozenset(("report",)))
                 lines.append(f"{text}: {number} {message}")
-            except rpc.MalformedError as trouble:
+            except rpc.MalformedMessageError as trouble:
                 lines.append(f"{text}: {trouble.code} to {trouble.number}")
         self.check("rpc_lines", lines)
 
@@ -146,7 +146,7 @@
             ("a report beyond all bounds", array(b"q", b"served", b"load=util:1e300", b"")),
             ("a report below none", array(b"q", b"served", b"load=util:-1", b"")),
         ]:
-            with self.assertRaises(resp.BrokenError, msg=text) as caught:
+            with self.assertRaises(resp.EngineProtocolError, msg=text) as caught:
                 resp.AnswerDecoder().feed(data)
             lines.append(f"{text}: {caught.exception}")
         self.check("resp_malformed", lines)
@@ -155,7 +155,7 @@
         answers, good = resp.AnswerDecoder(), array(b"q", b"served", b"-", b"a\tb\tc\n")
         self.assertEqual([b"q"], [one.name for one in answers.feed(good + b"noise\r\n" + good)])
         for _ in range(2):
-            with self.assertRaises(resp.BrokenError):
+            with self.assertRaises(resp.EngineProtocolError):
                 answers.feed(b"")
 
     def test_requests(self) -> None:
@@ -164,11 +164,11 @@
             [
                 repr(message)
                 for message in (
-                    resp.ask(b"9b1f", "report", 1500, "", b"select 1"),
-                    resp.ask(b"9b1f", "load", 1500, "5c0f", b"\r\n"),
-                    resp.next_pages(b"9b1f", 3),
-                    resp.quit_(b"9b1f"),
-                    resp.free(b"9b1f"),
+                    resp.encode_request(b"9b1f", "report", 1500, "", b"select 1"),
+                    resp.encode_request(b"9b1f", "load", 1500, "5c0f", b"\r\n"),
+                    resp.encode_page_requests(b"9b1f", 3),
+                    resp.encode_cancellation(b"9b1f"),
+                    resp.encode_release(b"9b1f"),
                 )
             ],
         )
@@ -191,7 +191,7 @@
             try:
                 kind = "new" if pages.add(number, body) else "a copy"
                 lines.append(f"page {number}: {kind}, {pages.assemble()}")
-            except resp.BrokenError as trouble:
+            except resp.EngineProtocolError as trouble:
                 lines.append(str(trouble))
         lines.append(f"a single page: {ResultPages(1, b'').assemble()}")
         self.check("pages", lines)
@@ -248,14 +248,14 @@
             ("a record cut short", struct.pack(">IQB", 12, 1, 2) + b"abc"),
             ("an unknown state", frame(1, 2, (1, 1, 1, 3, 0, 0, 0, 0, 0))),
         ]:
-            with self.assertRaises(known.MalformedError, msg=text) as caught:
+            with self.assertRaises(known.MalformedEventError, msg=text) as caught:
                 frames.EventDecoder().feed(data)
             lines.append(f"{text}: {caught.exception}")
         for name, change in [("id", "x"), ("host_port", "10.1.0.9"), ("phase", "asleep")]:
             member = known._Member("s-1", "10.1.0.9:7001", "east", "std")
             setattr(member, name, change)
             given = known.InitialList(1, [known._Update(1, known._Endpoints(True, [member]))])
-            with self.assertRaises(known.MalformedError, msg=name) as caught:
+            with self.assertRaises(known.MalformedEventError, msg=name) as caught:
                 known.initial_events(given, self.SETTINGS)
             lines.append(f"{name} {change}: {caught.exception}")
         self.check("events_malformed", lines)
@@ -494,7 +494,7 @@
         def never_fails(line: bytes) -> None:
             try:
                 rpc.decode(line, frozenset(("report",)))
-            except rpc.MalformedError as trouble:
+            except rpc.MalformedMessageError as trouble:
                 self.assertTrue(trouble.number is None or trouble.number >= 1)
 
         @usually
@@ -556,15 +556,17 @@
         @given(almost(some.lists(ANSWERS, max_size=3).map(b"".join)) | some.binary(max_size=60), CUTS)
         def never_fails(data: bytes, sizes: list[int]) -> None:
             reader = resp.AnswerDecoder()
-            self.read(reader.feed, data, sizes, resp.BrokenError, lambda: len(reader._buffer), most)
+            self.read(reader.feed, data, sizes, resp.EngineProtocolError, lambda: len(reader._buffer), most)
 
         @usually
         @given(some.lists(ANSWERS, max_size=3), CUTS)
         def any_cut(answers: list[bytes], sizes: list[int]) -> None:
             data = b"".join(answers)
             whole, pieces = resp.AnswerDecoder(), resp.AnswerDecoder()
-            found = self.read(whole.feed, data, [], resp.BrokenError, lambda: len(whole._buffer), 0)
-            told = self.read(pieces.feed, data, sizes, resp.BrokenError, lambda: len(pieces._buffer), most)
+            found = self.read(whole.feed, data, [], resp.EngineProtocolError, lambda: len(whole._buffer), 0)
+            told = self.read(
+                pieces.feed, data, sizes, resp.EngineProtocolError, lambda: len(pieces._buffer), most
+            )
             self.assertEqual(found, told)
             if found is not None:
                 self.assertEqual((len(answers), False), (len(found), pieces.has_partial_answer()))
@@ -577,7 +579,9 @@
         @given(almost(some.lists(EVENTS, max_size=3).map(b"".join)) | some.binary(max_size=60), CUTS)
         def never_fails(data: bytes, sizes: list[int]) -> None:
             reader = frames.EventDecoder()
-            self.read(reader.feed, data, sizes, known.MalformedError, lambda: len(reader._buffer), 4_000_004)
+            self.read(
+                reader.feed, data, sizes, known.MalformedEventError, lambda: len(reader._buffer), 4_000_004
+            )
 
         @usually
         @given(some.lists(EVENTS, max_size=3), CUTS)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,7 +6,7 @@
 
 from cresstray.clock import Timers
 from cresstray.engines import codec
-from cresstray.engines.codec import BrokenError
+from cresstray.engines.codec import EngineProtocolError
 from cresstray.engines.connection_pool import _MOST_BEHIND, ConnectionPool, DescriptorQuota, EngineConnection
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.model_checking.world import VirtualClock
@@ -353,7 +353,7 @@
         pool = self.pool(share=1)
         link = self.busy(pool, 10)
         self.start(pool, "partly")
-        with self.assertRaises(BrokenError):
+        with self.assertRaises(EngineProtocolError):
             link.answer("partly", "overload")
         link.is_corrupt = True
         link.on_closed()
@@ -430,7 +430,7 @@
         self.start(pool, "idle")
         pool.made[0].come_up()
         pool.made[0].answer("idle", "served")
-        pool.made[0].line.unsent += b"QUIT"
+        pool.made[0].transport.unsent += b"QUIT"
         self.start(pool, "one")
         pool.made[1].is_out_of_descriptors = True
         pool.made[1].on_closed()
@@ -481,7 +481,7 @@
         self.clock.at += 250_000
         self.assertEqual(0.0, pool.made[1].seconds_left())
         for ends in (pool.made[1].on_stalled, pool.made[1].on_end_of_stream):
-            with self.assertRaises(BrokenError):
+            with self.assertRaises(EngineProtocolError):
                 ends()
 
     def test_an_idle_link_that_its_engine_has_closed_is_not_written_to(self) -> None:
@@ -500,7 +500,7 @@
         for number in range(600):
             exchange = self.start(pool, f"{number}")
             link = exchange.connection
-            if link.line is None:
+            if link.transport is None:
                 link.come_up()
             link.in_flight.received_count += 1  # the engine lives
             link.abandon(exchange)
--- a/tests/test_placement_moves.py
+++ b/tests/test_placement_moves.py
@@ -20,7 +20,7 @@
 
 from cresstray.cli import placement as typed
 from cresstray.emulators.shards import Held, RefusedError, Shelf, passed_on
-from cresstray.engines.codec import Answer, AnswerDecoder, ask
+from cresstray.engines.codec import Answer, AnswerDecoder, encode_request
 from cresstray.fleet_config import documents
 from cresstray.fleet_config import state as rules
 from cresstray.observability.counters import Counters
@@ -667,7 +667,7 @@
     def test_statements_on_shards(self) -> None:
         def told(engine: str, statement: str) -> Answer:
             with socket.create_connection(("127.0.0.1", self.ports[engine]), 5) as made:
-                made.sendall(ask(b"q", "t", 1000, "", statement.encode()))
+                made.sendall(encode_request(b"q", "t", 1000, "", statement.encode()))
                 answers = AnswerDecoder()
                 while not (found := answers.feed(made.recv(65536))):
                     pass
@@ -687,7 +687,7 @@
         self.assertEqual(asked(self.ports["a1"], "DROP", "1", "MOVE", "4"), {"refused": "older"})
         # A read that is open keeps its copy.
         with socket.create_connection(("127.0.0.1", self.ports["a1"]), 5) as made:
-            made.sendall(ask(b"q", "t", 1000, "", b"run 400 1 1 from sales_1.orders"))
+            made.sendall(encode_request(b"q", "t", 1000, "", b"run 400 1 1 from sales_1.orders"))
             time.sleep(0.1)
             self.assertEqual(asked(self.ports["a1"], "DROP", "1", "MOVE", "6"), {"refused": "busy"})
             self.assertIn(b"served", made.recv(65536))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -197,7 +197,7 @@
             del stage.engines[0].lines[2:]
 
         stage = self.play("scene_strangers", scene)
-        self.assertEqual(1, stage.service.counters.counts["clients turned out"])
+        self.assertEqual(1, stage.service.counters.counts["clients banned"])
 
     def test_engine_faults(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
@@ -439,7 +439,7 @@
             "has_ended": lambda self: False,
             "unsent": bytearray(),
         }
-        link.line = type("Line", (), stand_in)()
+        link.transport = type("Line", (), stand_in)()
         keeper = type("Keeper", (), {"on_sent": lambda self, exchange: None})()
         for name in (b"first", b"second"):
             link.start(InFlightRequest(name, b"", keeper, None))
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -5,7 +5,7 @@
 
 from cresstray.clients.session import ClientSession, ConnectionRegistry, NextAction
 from cresstray.engines import codec
-from cresstray.engines.codec import BrokenError
+from cresstray.engines.codec import EngineProtocolError
 from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota, EngineConnection
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.observability.counters import Counters
@@ -300,7 +300,7 @@
         for word, same in ((b"overload", False), (b"crashed", False), (b"served", True)):
             first, second = Told(b"one"), Told(b"one")
             pool.start(first)
-            if first.connection.line is None:
+            if first.connection.transport is None:
                 first.connection.on_connected(pool)
             first.connection.on_received(
                 b"*4\r\n$3\r\none\r\n$%d\r\n%b\r\n$1\r\n-\r\n$0\r\n\r\n" % (len(word), word)
@@ -314,11 +314,11 @@
     def test_refused_names_are_bounded(self) -> None:
         link = PipePool([]).connect()
         for number in range(1000):
-            link.in_flight.on_refused(Told(b"%d" % number))
+            link.in_flight.on_rejected(Told(b"%d" % number))
         self.assertEqual(
             (200, False, True),
             (
-                len(link.in_flight.refused),
+                len(link.in_flight.rejected),
                 link.in_flight.has_room_for(b"999"),
                 link.in_flight.has_room_for(b"1"),
             ),
@@ -335,7 +335,7 @@
         link.on_received(b"*4\r\n$3\r\n")
         self.assertEqual(0.25, link.seconds_left())
         for end in (link.on_end_of_stream, link.on_stalled):
-            with self.assertRaises(BrokenError):
+            with self.assertRaises(EngineProtocolError):
                 end()
         pool.ended = True
         link.in_flight.finish(exchange)
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -21,7 +21,7 @@
 from cresstray.discovery import endpoint_list as known
 from cresstray.discovery import watch as feeds
 from cresstray.discovery.codec import EventDecoder
-from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent, MalformedError, apply_final_states
+from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent, MalformedEventError, apply_final_states
 from cresstray.discovery.watch import EndpointWatch
 from cresstray.gateway import service as services
 from cresstray.gateway.service import Service
@@ -346,7 +346,7 @@
         said = watch.play(scene)
         self.assertEqual([(2 + turn, {turn: "draining"}) for turn in range(len(bad))], watch.told)
         self.assertEqual(0, watch.counters.counts["faults"])
-        self.assertIn("MalformedError", said)
+        self.assertIn("MalformedEventError", said)
 
     def test_away_at_the_start_and_back_later(self) -> None:
         self.coordinator.close()
@@ -600,7 +600,7 @@
         frames = EventDecoder()
         self.assertEqual([2], [event.index for event in frames.feed(frame(2, 2) + frame(3, 9))])
         for _ in range(2):
-            with self.assertRaises(MalformedError):
+            with self.assertRaises(MalformedEventError):
                 frames.feed(b"")
 
 
