--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -18,7 +18,8 @@
 
 import hiredis
 
-from cresstray.clients.session import ClientSession, ConnectionRegistry, NextAction
+from cresstray.clients.connection_registry import ConnectionRegistry
+from cresstray.clients.session import ClientSession, NextAction
 from cresstray.engines.codec import EngineProtocolError
 from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota, EngineConnection
 from cresstray.engines.in_flight import InFlightRequests
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -8,7 +8,7 @@
 import anyio
 import anyio.to_thread
 
-from cresstray.clients import listener as connections
+from cresstray.clients import client_connection
 from tests.scripted import Stage, all_of, hear, on_stage, request, reset, status, turns, until, withdrawal
 
 BIG = b"x" * 4_000_000
@@ -197,7 +197,7 @@
             await until(lambda: stage.door.leaving)
             await until(lambda: not stage.door.leaving)
 
-        with mock.patch.object(connections, "_DRAIN", 0.05):
+        with mock.patch.object(client_connection, "_DRAIN", 0.05):
             on_stage(scene)
 
     def test_what_waits_is_written_before_the_end(self) -> None:
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -12,7 +12,8 @@
 from hypothesis import strategies as some
 
 from cresstray.clients import codec as rpc
-from cresstray.clients.session import ClientSession, ConnectionRegistry, NextAction
+from cresstray.clients.connection_registry import ConnectionRegistry
+from cresstray.clients.session import ClientSession, NextAction
 from cresstray.config import lines as conf_lines
 from cresstray.config import operator
 from cresstray.consensus import codec as consensus
