--- a/cresstray/clients/__init__.py
+++ b/cresstray/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: the JSON-RPC codec and the connections that speak it."""
+"""The clients' side: the JSON-RPC codec, the sessions of connected clients and the socket they connect to."""
--- a/cresstray/clients/client_connection.py
+++ b/cresstray/clients/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's socket: read, shut, closed. What is read and when to end is decided by its session."""
+"""One client's socket: read, shut down, closed. Its session decides what is done and when it ends."""
 
 from __future__ import annotations
 
@@ -11,70 +11,78 @@
 from cresstray.clients.session import ClientSession, NextAction
 from cresstray.transport.streams import ENDED, SocketStream
 
-# Readings in one go: what is behind a request may be its client's end.
-_MOST_READINGS = 16
-# Between two turns of a flood, in seconds: the others' time.
-_PACE = 0.002
-# What a client still sends when we have shut the connection is thrown away for so long, and so many times. It
-# has read our end within a round trip; one that has not by then gets a reset.
-_DRAIN, _MOST_DRAINED = 1.0, 500
+# Reads ahead of one handling: the client's end may come right behind a request.
+_MAX_READS_AHEAD = 16
+# Pause between two turns of a client that sends much, for the other connections.
+_TURN_PAUSE_S = 0.002
+# After its sending side is shut, a connection discards what comes for so long, and so many reads. A client
+# has read the end within a round trip; one that has not by then gets a reset.
+_DRAIN_TIMEOUT_S = 1.0
+_MAX_DRAIN_READS = 500
 
 
 class ClientConnection:
-    """One client's socket, with its life in `talk`."""
+    """One client's socket, with the `session` that it serves."""
 
-    def __init__(self, house: ConnectionRegistry, accepted: socket.socket, tasks: TaskGroup) -> None:
-        self._counters = house.counters
-        self._reading = anyio.CancelScope()  # until it is to end
-        self._line = SocketStream(accepted, tasks, self._stop_reading)
-        self.session = ClientSession(house, self._line)
+    def __init__(self, registry: ConnectionRegistry, accepted: socket.socket, tasks: TaskGroup) -> None:
+        self._counters = registry.counters
+        self._read_scope = anyio.CancelScope()  # cancelled when the session is to end
+        self._stream = SocketStream(accepted, tasks, self._stop_reading)
+        self.session = ClientSession(registry, self._stream)
 
     def _stop_reading(self) -> None:
-        self._reading.cancel()
+        self._read_scope.cancel()
 
     async def run(self) -> None:
+        """Serves the client until its connection has ended."""
         self._counters.add("clients connected")
         try:
-            with self._line:
+            with self._stream:
                 try:
-                    if await self._live():
+                    if await self._serve():
                         await self._drain()
                 except ENDED:
                     self._counters.add("clients ended")
         finally:
             self.session.on_disconnected()
 
-    async def _live(self) -> bool:
-        """Serves until the end; whether that is ours, and our sending side is shut."""
+    async def _serve(self) -> bool:
+        """Serves until the end; whether this side ends it, and its sending side is shut."""
         while True:
-            with self._reading:
+            with self._read_scope:
                 await self._read()
-            if self._line.is_broken or not self._reading.cancel_called:
+            if self._stream.is_broken or not self._read_scope.cancel_called:
                 return False
-            self._reading = anyio.CancelScope()
-            if self._may_shut():
-                self._line.shutdown_write()
+            self._read_scope = anyio.CancelScope()
+            if self._can_shut_down():
+                self._stream.shutdown_write()
                 return True
 
     async def _read(self) -> None:
-        """Until the connection is cut off; EndOfStream once its client has gone."""
-        talk = self.session
+        """Reads until the connection is to be cut off.
+
+        Raises:
+            anyio.EndOfStream: the client has disconnected.
+        """
+        session = self.session
         while True:
-            data = b"" if talk.has_buffered_lines else await self._line.receive()
-            data, ended = self._read_on(data)
-            then = talk.receive(data, ended)
+            data = b"" if session.has_buffered_lines else await self._stream.receive()
+            data, ended = self._read_ahead(data)
+            action = session.receive(data, ended)
             if ended:
                 raise anyio.EndOfStream
-            if then is NextAction.CLOSE:
+            if action is NextAction.CLOSE:
                 return
-            if talk.has_buffered_lines or talk.is_banned():
-                await anyio.sleep(_PACE)
-
-    def _read_on(self, data: bytes) -> tuple[bytes, bool]:
-        """What has come behind it as well, and whether the client's end has."""
-        # Danger: a client may write much and go; what is taken in before its end is read would be sent on.
-        for _ in range(_MOST_READINGS):
-            more = self._line.take() if self.session.can_read_ahead() else None
+            if session.has_buffered_lines or session.is_banned():
+                await anyio.sleep(_TURN_PAUSE_S)
+
+    def _read_ahead(self, data: bytes) -> tuple[bytes, bool]:
+        """Returns `data` with what has come behind it, and whether the client's end has.
+
+        A client may send much and disconnect: what is handled before its end is read would be sent on.
+        """
+        for _ in range(_MAX_READS_AHEAD):
+            more = self._stream.take() if self.session.can_read_ahead() else None
             if more is None:
                 break
             if not more:
@@ -82,21 +90,21 @@
             data += more
         return data, False
 
-    def _may_shut(self) -> bool:
+    def _can_shut_down(self) -> bool:
         """Reads what has come before the sending side is shut; whether it may be."""
-        talk = self.session
-        data, ended = self._read_on(b"")
-        then = talk.receive(data, ended) if data else NextAction.READ
-        if ended or then is NextAction.CLOSE:
+        session = self.session
+        data, ended = self._read_ahead(b"")
+        action = session.receive(data, ended) if data else NextAction.READ
+        if ended or action is NextAction.CLOSE:
             raise anyio.EndOfStream
-        if self._line.has_more():
-            talk.resume()
+        if self._stream.has_more():
+            session.resume()
             return False
-        return talk.can_shut_down(came=bool(data))
+        return session.can_shut_down(has_received=bool(data))
 
     async def _drain(self) -> None:
-        # Danger: a close over unread bytes resets the connection, and takes along what was written last.
-        with anyio.move_on_after(_DRAIN):
-            for _ in range(_MOST_DRAINED):
-                await self._line.receive()
-                await anyio.sleep(_PACE)
+        """Discards what still comes: closing over unread bytes would reset it and lose the last responses."""
+        with anyio.move_on_after(_DRAIN_TIMEOUT_S):
+            for _ in range(_MAX_DRAIN_READS):
+                await self._stream.receive()
+                await anyio.sleep(_TURN_PAUSE_S)
--- a/cresstray/clients/codec.py
+++ b/cresstray/clients/codec.py
@@ -1,4 +1,26 @@
-"""JSON-RPC 2.0 as the clients speak it, one message a line. Knows no socket and decides nothing."""
+"""JSON-RPC 2.0 as the clients speak it, one message a line. Knows no socket and decides nothing.
+
+The names of the protocol, which appear nowhere behind this module:
+
+| protocol                       | here                                     |
+| ------------------------------ | ---------------------------------------- |
+| `id`                           | `request_id`                             |
+| `method` (any but the two below) | `Query.class_name`, a request class    |
+| `method: withdraw`             | `Cancellation`                           |
+| `method: status`               | `Status`                                 |
+| `req`                          | `name`, of a request on all connections  |
+| `timeout`                      | `timeout_ms`                             |
+| `owner`                        | `tenant`                                 |
+| `opkey`                        | `idempotency_key`                        |
+| `ms`                           | `estimated_work_ms`                      |
+| `est_mb`                       | `memory_mb`                              |
+| `data` (of a request)          | `statement`                              |
+| `data` (of a result)           | `result`                                 |
+| `at` (of a result)             | `position`, how far a read has seen      |
+| `pass` (of a result)           | the response to `Status`                 |
+| `refused`, `holdoff`           | a rejection, `retry_after_ms`            |
+| `failed`                       | a failed request                         |
+"""
 
 from __future__ import annotations
 
@@ -6,16 +28,33 @@
 
 import msgspec
 
-PARSE_ERROR, INVALID_REQUEST, UNKNOWN_METHOD, INVALID_PARAMS = -32700, -32600, -32601, -32602
-REJECTED, FAILED = -32000, -32001
+PARSE_ERROR = -32700
+INVALID_REQUEST = -32600
+UNKNOWN_METHOD = -32601
+INVALID_PARAMS = -32602
+REJECTED = -32000
+FAILED = -32001
+
+_JSON_RPC_VERSION = "2.0"
+_MAX_REQUEST_ID = 2**63 - 1
+_NUMBER_LIMIT = 1e9  # of milliseconds and of megabytes
+_UNDECODABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 
 class MalformedMessageError(Exception):
-    """A message that can't be taken in; `number` is the id to answer under, if one could be read."""
+    """A message that cannot be accepted.
+
+    Attributes:
+        code: the JSON-RPC error code.
+        text: what is wrong with the message.
+        request_id: the id to respond under; None if none could be read.
+    """
 
-    def __init__(self, code: int, text: str, number: int | None = None) -> None:
+    def __init__(self, code: int, text: str, request_id: int | None = None) -> None:
         super().__init__(text)
-        self.code, self.text, self.number = code, text, number
+        self.code = code
+        self.text = text
+        self.request_id = request_id
 
 
 class Query(
@@ -30,35 +69,38 @@
         "statement": "data",
     },
 ):
-    """What a client asks for; times in milliseconds. `tariff` is the method, `mark` tells repeats apart."""
+    """A request. `class_name` is the method, `idempotency_key` tells that two requests are the same."""
 
+    # The patterns end in \Z, as `$` also matches before a trailing line feed, which would reach the engine.
     name: Annotated[str, msgspec.Meta(pattern=r"\A[0-9a-f]{16}\Z")]
-    timeout_ms: Annotated[float, msgspec.Meta(gt=0, lt=1e9)]
+    timeout_ms: Annotated[float, msgspec.Meta(gt=0, lt=_NUMBER_LIMIT)]
     statement: Annotated[bytes, msgspec.Meta(min_length=1)]
     tenant: str = ""
-    # Danger: `$` matches before a last line feed as well, and it would go on to the engine; so do `req`'s.
-    # Danger: a mark goes into a list of fields; a comma in it would make another field of the rest.
+    # The engines take the key in a list of fields: a comma in it would start another field.
     idempotency_key: Annotated[str, msgspec.Meta(pattern=r"\A[0-9A-Za-z_.:-]{0,128}\Z")] = ""
-    estimated_work_ms: Annotated[float, msgspec.Meta(ge=0, lt=1e9)] = 0.0
-    memory_mb: Annotated[float, msgspec.Meta(ge=0, lt=1e9)] = 0.0
+    estimated_work_ms: Annotated[float, msgspec.Meta(ge=0, lt=_NUMBER_LIMIT)] = 0.0
+    memory_mb: Annotated[float, msgspec.Meta(ge=0, lt=_NUMBER_LIMIT)] = 0.0
     class_name: str = ""
 
 
 class Cancellation(msgspec.Struct, rename={"name": "req"}):
-    """The client no longer waits, for the request of this id on its connection or of this name."""
+    """The client no longer waits for a request: that of this id on its connection, or of this name."""
 
     id: int | None = None
     name: str | None = None
 
 
 class Status(msgspec.Struct):
-    pass
+    """The client asks whether the gateway responds."""
+
+
+Message = Query | Cancellation | Status
 
 
 class _Envelope(msgspec.Struct):
     jsonrpc: str
     method: str
-    id: Annotated[int, msgspec.Meta(ge=1, le=2**63 - 1)] | None = None
+    id: Annotated[int, msgspec.Meta(ge=1, le=_MAX_REQUEST_ID)] | None = None
     params: msgspec.Raw = msgspec.Raw(b"{}")
 
 
@@ -66,63 +108,75 @@
     id: Any = None
 
 
-_envelope, _id = msgspec.json.Decoder(_Envelope), msgspec.json.Decoder(_Id)
-_withdrawal, _query = msgspec.json.Decoder(Cancellation), msgspec.json.Decoder(Query)
+_envelope_decoder = msgspec.json.Decoder(_Envelope)
+_id_decoder = msgspec.json.Decoder(_Id)
+_cancellation_decoder = msgspec.json.Decoder(Cancellation)
+_query_decoder = msgspec.json.Decoder(Query)
 _encode = msgspec.json.Encoder().encode
 
 
-def decode(line: bytes, request_classes: frozenset[str]) -> tuple[int | None, Query | Cancellation | Status]:
-    """One line as its id and a typed value, or MalformedError with the standard code."""
+def decode(line: bytes, request_classes: frozenset[str]) -> tuple[int | None, Message]:
+    """Decodes one line to its id and its message. A Query always has an id.
+
+    Raises:
+        MalformedMessageError: with the code of JSON-RPC for what is wrong.
+    """
     try:
-        envelope = _envelope.decode(line)
-    except msgspec.ValidationError as trouble:
-        raise MalformedMessageError(INVALID_REQUEST, str(trouble), _id_of(line)) from None
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise MalformedMessageError(PARSE_ERROR, str(trouble)) from None
-    number, method = envelope.id, envelope.method
-    if envelope.jsonrpc != "2.0":
-        raise MalformedMessageError(INVALID_REQUEST, "the version must be 2.0", number)
+        envelope = _envelope_decoder.decode(line)
+    except msgspec.ValidationError as error:
+        raise MalformedMessageError(INVALID_REQUEST, str(error), _request_id_of(line)) from None
+    except _UNDECODABLE as error:
+        raise MalformedMessageError(PARSE_ERROR, str(error)) from None
+    if envelope.jsonrpc != _JSON_RPC_VERSION:
+        raise MalformedMessageError(INVALID_REQUEST, "the version must be 2.0", envelope.id)
     try:
-        if method in request_classes:
-            if number is None:
-                raise MalformedMessageError(INVALID_REQUEST, "a request needs an id")
-            query = _query.decode(envelope.params)
-            query.class_name = method
-            return number, query
-        if method == "withdraw":
-            return number, _withdrawal.decode(envelope.params)
-        if method == "status":
-            return number, Status()
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise MalformedMessageError(INVALID_PARAMS, str(trouble), number) from None
-    raise MalformedMessageError(UNKNOWN_METHOD, "no such method", number)
-
-
-def _id_of(line: bytes) -> int | None:
+        return envelope.id, _decode_params(envelope, request_classes)
+    except _UNDECODABLE as error:
+        raise MalformedMessageError(INVALID_PARAMS, str(error), envelope.id) from None
+
+
+def _decode_params(envelope: _Envelope, request_classes: frozenset[str]) -> Message:
+    method = envelope.method
+    if method in request_classes:
+        if envelope.id is None:
+            raise MalformedMessageError(INVALID_REQUEST, "a request needs an id")
+        query = _query_decoder.decode(envelope.params)
+        query.class_name = method
+        return query
+    if method == "withdraw":
+        return _cancellation_decoder.decode(envelope.params)
+    if method == "status":
+        return Status()
+    raise MalformedMessageError(UNKNOWN_METHOD, "no such method", envelope.id)
+
+
+def _request_id_of(line: bytes) -> int | None:
     try:
-        number = _id.decode(line).id
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
+        request_id = _id_decoder.decode(line).id
+    except _UNDECODABLE:
         return None
-    return number if type(number) is int and number >= 1 else None
+    return request_id if type(request_id) is int and request_id >= 1 else None
 
 
-def encode_success(number: int, result: bytes, at: str | None = None) -> bytes:
-    """`at`: how far a hinted read has seen, for the client to hand back."""
-    told = {"data": result} if at is None else {"data": result, "at": at}
-    return _encode({"jsonrpc": "2.0", "id": number, "result": told}) + b"\n"
+def encode_success(request_id: int, result: bytes, position: str | None = None) -> bytes:
+    """Encodes a result; `position` is how far a read has seen, for the client to send back."""
+    content = {"data": result} if position is None else {"data": result, "at": position}
+    return _encode({"jsonrpc": "2.0", "id": request_id, "result": content}) + b"\n"
 
 
-def encode_status(number: int) -> bytes:
-    return _encode({"jsonrpc": "2.0", "id": number, "result": {"pass": True}}) + b"\n"
+def encode_status(request_id: int) -> bytes:
+    """Encodes the response to a Status."""
+    return _encode({"jsonrpc": "2.0", "id": request_id, "result": {"pass": True}}) + b"\n"
 
 
-def encode_rejection(number: int, come_back: int) -> bytes:
-    """`come_back` in milliseconds; 0 tells nothing of it."""
-    error: dict = {"code": REJECTED, "message": "refused"}
-    if come_back:
-        error["data"] = {"holdoff": come_back}
-    return _encode({"jsonrpc": "2.0", "id": number, "error": error}) + b"\n"
+def encode_rejection(request_id: int, retry_after_ms: int) -> bytes:
+    """Encodes a rejection; with `retry_after_ms` 0 the client is not told when to retry."""
+    error: dict[str, object] = {"code": REJECTED, "message": "refused"}
+    if retry_after_ms:
+        error["data"] = {"holdoff": retry_after_ms}
+    return _encode({"jsonrpc": "2.0", "id": request_id, "error": error}) + b"\n"
 
 
-def encode_error(number: int | None, code: int, text: str) -> bytes:
-    return _encode({"jsonrpc": "2.0", "id": number, "error": {"code": code, "message": text}}) + b"\n"
+def encode_error(request_id: int | None, code: int, text: str) -> bytes:
+    """Encodes an error; `request_id` is None for a message whose id could not be read."""
+    return _encode({"jsonrpc": "2.0", "id": request_id, "error": {"code": code, "message": text}}) + b"\n"
--- a/cresstray/clients/listener.py
+++ b/cresstray/clients/listener.py
@@ -1,4 +1,4 @@
-"""Clients' sockets: accepted, read, shut, closed. What is read and when to end is talk.py's."""
+"""The socket on which clients connect: accepts them, makes room for them, ends all in order."""
 
 from __future__ import annotations
 
@@ -15,33 +15,37 @@
 from cresstray.observability.log import Log
 from cresstray.transport.streams import contained
 
-_SWEEP = 0.2
-# Some ten milliseconds of accepting: what a busy loop takes for a turn anyway.
-_MOST_A_TURN = 64
-# Danger: a listener that is closed resets who waits in its queue: all are accepted first, and these are more.
-_LONGEST_QUEUE = 4096
+_SWEEP_INTERVAL_S = 0.2
+# How long to leave connections waiting after one could not be accepted.
+_ACCEPT_RETRY_S = 0.02
+# Connections accepted in one turn: some ten milliseconds, what a busy event loop takes for a turn anyway. A
+# client's time runs whether it is accepted or not: one in each turn would leave the last of a hundred waiting
+# for 0.3 s, all in one turn would keep the other clients waiting.
+_MAX_ACCEPTS_PER_TURN = 64
+# More than the backlog of the socket ever holds.
+_MAX_BACKLOG = 4096
 
 
 class Listener(ConnectionRegistry):
-    """Where clients connect."""
+    """Accepts clients on one socket. The arguments are those of ConnectionRegistry."""
 
     def __init__(
         self,
-        request_classes: frozenset[str],
-        front: RequestHandler,
-        most: Callable[[], int],
-        many: int,
+        class_names: frozenset[str],
+        handler: RequestHandler,
+        max_connections: Callable[[], int],
+        idle_close_threshold: int,
         now: Callable[[], int],
         counters: Counters,
         log: Log,
     ) -> None:
-        super().__init__(request_classes, front, most, many, now, counters, log.log)
+        super().__init__(class_names, handler, max_connections, idle_close_threshold, now, counters, log.log)
         self._log = log
         self._listener: socket.socket | None = None
         self._tasks: TaskGroup
 
     async def run(self, listener: socket.socket) -> None:
-        """Accepts until it is told to stop; what it accepted lives on until it is cancelled."""
+        """Accepts until `stop_listening`; serves what it accepted until it is cancelled."""
         self._listener = listener
         async with anyio.create_task_group() as self._tasks:
             self._tasks.start_soon(self._sweep)
@@ -49,26 +53,29 @@
                 try:
                     await anyio.wait_readable(listener)
                     if not self._accept(listener):
-                        # Who waits is turned to again once others have been answered.
+                        # Those that wait are tried again once other clients have been answered.
                         self.log("listener", "no room for a client, all others have requests open")
-                        await anyio.sleep(0.02)
+                        await anyio.sleep(_ACCEPT_RETRY_S)
                 except BlockingIOError:
                     continue
                 except anyio.ClosedResourceError:
                     return
-                except OSError as trouble:
-                    # Danger: out of descriptors for a moment must not end the service.
-                    self.log("listener", f"can't accept: {trouble!r}")
-                    await anyio.sleep(0.02)
+                except OSError as error:
+                    # Being out of descriptors for a moment must not end the gateway.
+                    self.log("listener", f"can't accept: {error!r}")
+                    await anyio.sleep(_ACCEPT_RETRY_S)
 
     def stop_listening(self) -> None:
-        """Takes in who waits and no more. What is asked from here on, by whomever, is denied at once."""
+        """Accepts those that wait and no more. All requests from here on are rejected.
+
+        A socket that is closed resets the connections of its backlog, so all of them are accepted first.
+        """
         self.is_closing = True
         listener = self._listener
         if listener is None:
             return
         try:
-            for _ in range(_LONGEST_QUEUE // _MOST_A_TURN):
+            for _ in range(_MAX_BACKLOG // _MAX_ACCEPTS_PER_TURN):
                 self._accept(listener)
         except OSError:
             pass  # none waits any more, or there is no descriptor
@@ -76,18 +83,16 @@
         listener.close()
 
     def close(self) -> None:
-        """Ends all connections in order."""
-        for connection in list(self.connections):
-            connection.close()
+        """Ends all connections once their open requests are answered."""
+        for session in list(self.connections):
+            session.close()
 
     def _accept(self, listener: socket.socket) -> bool:
-        """Takes in who waits; False where there is no room."""
-        first_to_go = self.eviction_order()
-        # Danger: a client's time runs, accepted or not. One connection a turn of a busy loop leaves the last
-        # of a crowd waiting for 0.3 s; all the crowd at once keeps the others waiting.
-        for _ in range(_MOST_A_TURN):
+        """Accepts those that wait, up to the limit of a turn; False where there is no room for one."""
+        eviction_order = self.eviction_order()
+        for _ in range(_MAX_ACCEPTS_PER_TURN):
             accepted = listener.accept()[0]
-            if not self._has_room(first_to_go):
+            if not self._has_room(eviction_order):
                 accepted.close()
                 return False
             connection = ClientConnection(self, accepted, self._tasks)
@@ -95,13 +100,13 @@
             self._tasks.start_soon(self._serve, connection)
         return True
 
-    def _has_room(self, first_to_go: Iterator[ClientSession]) -> bool:
-        """For one more, whoever has to make way for it."""
+    def _has_room(self, eviction_order: Iterator[ClientSession]) -> bool:
+        """Whether there is room for one more, after evicting in this order as far as needed."""
         while self.excess_connections() >= 0:
-            one = next(first_to_go, None)
-            if one is None:
+            session = next(eviction_order, None)
+            if session is None:
                 return False
-            one.try_evict()
+            session.try_evict()
         return True
 
     async def _serve(self, connection: ClientConnection) -> None:
@@ -110,6 +115,6 @@
 
     async def _sweep(self) -> None:
         while True:
-            await anyio.sleep(_SWEEP)
+            await anyio.sleep(_SWEEP_INTERVAL_S)
             with contained("the sweep of the connections", self.counters, self._log):
                 self.close_idle()
--- a/cresstray/clients/session.py
+++ b/cresstray/clients/session.py
@@ -1,7 +1,7 @@
-"""The life of clients' connections: what they ask, what they are owed, and who makes room. Free of I/O.
+"""The state of one client's connection: what it has sent, what it is owed, when it ends. Free of I/O.
 
-A connection hands in what it read, and is told whether to read on; what goes out are straight calls on its
-wire. `House` has what all connections of one door share.
+The connection passes in what it has read and is told whether to go on reading; what is sent are direct calls
+on its transport. ConnectionRegistry has what all connections of one listener share.
 """
 
 from __future__ import annotations
@@ -14,324 +14,382 @@
 if TYPE_CHECKING:
     from cresstray.clients.connection_registry import ConnectionRegistry
 
-# A statement is some kilobytes, and a line that is longer by far than any has no end that can be found.
-_LONGEST_LINE = 256 * 1024
-# Danger: lines that never end, on all connections at once, would fill the memory.
-_MOST_UNFINISHED = 2 * 1024 * 1024
-# What a client may leave unread before what it asks is refused: some whole results.
-_MOST_UNREAD = 256 * 1024
-# Open requests on a connection, as the protocol has it.
-_MOST_OPEN = 32
-# One mistake may happen to any client; whoever makes ten on a connection does not speak the protocol.
-_MOST_FAULTS = 10
-# Lines taken in one turn of the loop: some milliseconds of work, then it is the others' turn.
-_MOST_A_TURN = 100
-# What may be read ahead on one connection, to see whether its client is still there behind it.
-_MOST_AHEAD = 1024 * 1024
-# What is sent in vain, as it is refused anyway, before the connection ends: some times what a client has
-# open, again and again. Its answers may take 200 kB.
-_MOST_IN_VAIN = 2000
-# A client that has not said a whole line by then is owed a close within three seconds of connecting. One that
-# has been answered closes after four seconds by itself, so ours does not cross its next request.
-_SILENT, _IDLE = 2_200_000, 5_000_000
-# What is answered and still waits after so long is not read any more: three times the longest time limit.
-_STALLED = 10_000_000
-# Some times as long as a usual client takes to ask; in need whoever pauses longer makes room.
-PAUSE = 300_000
+# A statement has some kilobytes; a line far longer than any statement has no end that can be found.
+_MAX_LINE_BYTES = 256 * 1024
+# Bound of the buffers of all connections together: lines without an end on all of them would fill the memory.
+_MAX_BUFFERED_BYTES = 2 * 1024 * 1024
+# Responses that a client may leave unread before its requests are rejected: a few whole results.
+_MAX_UNREAD_BYTES = 256 * 1024
+# Open requests on one connection, as the protocol has it.
+_MAX_OPEN_REQUESTS = 32
+# Any client may send a malformed message; one that sends ten does not speak the protocol.
+_MAX_MALFORMED = 10
+# Lines handled in one turn of the event loop: some milliseconds of work, then other connections have theirs.
+_MAX_LINES_PER_TURN = 100
+# What may be read ahead on one connection, to see whether its client has disconnected behind it.
+_MAX_READ_AHEAD_BYTES = 1024 * 1024
+# Messages without effect in a row, after which the connection is cut off: several times the number of
+# requests a client has open, again and again. The responses to them may take 200 kB.
+_MAX_IGNORED = 2000
+# A client without a whole line is owed a close within three seconds of connecting.
+_SILENT_TIMEOUT_US = 2_200_000
+# A client closes its connection four seconds after a response; a later close cannot cross its next request.
+_IDLE_TIMEOUT_US = 5_000_000
+# A response that is not read for so long is never read: three times the longest timeout of a request.
+_UNREAD_TIMEOUT_US = 10_000_000
+# Several times as long as a client usually takes to send its next request.
+PAUSE_US = 300_000
 
 
 class RequestHandler(Protocol):
-    """What connections hand on to. A submission is named by its connection and its id there."""
+    """Takes the requests of all connections. A request is identified by its session and its id there."""
 
-    def accept(self, connection: ClientSession, number: int, query: codec.Query) -> None: ...
-    def cancel(self, connection: ClientSession, number: int | None, name: str | None) -> None: ...
-    def on_disconnected(self, connection: ClientSession) -> None: ...
+    def accept(self, session: ClientSession, request_id: int, query: codec.Query) -> None:
+        """Accepts a request, or responds to it at once."""
+
+    def cancel(self, session: ClientSession, request_id: int | None, name: str | None) -> None:
+        """Cancels the request of this id, or else of this name."""
+
+    def on_disconnected(self, session: ClientSession) -> None:
+        """Nothing that is open in the session is owed a response any more."""
 
 
 class Transport(Protocol):
-    """What a connection is written to; streams.Line is one. `put` takes all, now or by and by.
+    """What a session writes to; `transport.streams.SocketStream` is one."""
 
-    `finish` asks for the end: once all is written, the connection reads what has come, and asks `may_shut`.
-    """
+    unsent: bytearray  # written, and not yet taken by the kernel
+
+    def write(self, message: bytes) -> object:
+        """Takes all of the message and sends it now or later, in order."""
+
+    def write_eof_when_drained(self) -> None:
+        """Asks for the end: once all is sent, the connection reads what has come and asks `can_shut_down`."""
+
+    def close(self) -> None:
+        """Closes at once."""
 
-    unsent: bytearray  # put, and not yet taken by the other side
+    def has_more(self) -> bool:
+        """Whether something has come that was not read yet."""
 
-    def write(self, message: bytes) -> object: ...
-    def write_eof_when_drained(self) -> None: ...
-    def close(self) -> None: ...
-    def has_more(self) -> bool: ...
-    def has_ended(self) -> bool: ...
+    def has_ended(self) -> bool:
+        """Whether the client has closed its side, or the connection has broken."""
 
 
 class NextAction(Enum):
-    """What the connection is to do after it has handed in what it read."""
+    """What the connection is to do after it has passed in what it read."""
 
     READ = "read on"
     CLOSE = "close at once"
 
 
 class ClientSession:
-    """One client. `open` holds what is owed an answer here, by id."""
+    """One client's connection. `open` holds the requests that are owed a response, by id.
 
-    def __init__(self, house: ConnectionRegistry, wire: Transport) -> None:
-        self._house, self._wire = house, wire
+    Its states are flags, since several may hold at once:
+
+    | state        | flag               | entered                             | effect                    |
+    | ------------ | ------------------ | ----------------------------------- | ------------------------- |
+    | open         | none               | when the connection is accepted     | requests are accepted     |
+    | closing      | `_is_closing`      | by `close` or a ban                 | new requests are rejected |
+    | finishing    | `_is_finishing`    | closing and nothing open, or idle   | the transport drains      |
+    | shut         | `_is_shut_down`    | when `can_shut_down` agrees         | what comes is discarded   |
+    | disconnected | `_has_client_left` | when the client's end has been read | new requests are rejected |
+
+    A finishing session returns to open or closing by `resume`. A shut one stays so until `on_disconnected`.
+    """
+
+    def __init__(self, registry: ConnectionRegistry, transport: Transport) -> None:
+        self._registry = registry
+        self._transport = transport
         self.open: dict[int, object] = {}
-        self.last_activity_us = (
-            house.now()
-        )  # of the connection; later of its last line or answer, or of half a line
-        self.has_sent_request = False  # whether it has sent a line that could be read
-        self.has_buffered_lines = False  # whole lines have come that are left for the next turn
+        # When the connection was made; later the time of its last line or response, or of part of a line.
+        self.last_activity_us = registry.now()
+        self.has_sent_request = False  # whether it has sent a line that could be decoded
+        self.has_buffered_lines = False  # whether whole lines are left for the next turn
         self._buffer = bytearray()
-        self._skips = False  # all up to the end of a line that was given up
-        self._faults = self._in_vain = 0
-        self._closing = False  # it is to end, once nothing is owed
-        self._finishing = False  # the wire has been asked to
-        self._shut = self._left = False  # our sending side; the client
-
-    def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
-        self._answer(number, codec.encode_success(number, result, at))
-
-    def reject(self, number: int, come_back: int) -> None:
-        """`come_back` in microseconds."""
-        self._answer(number, codec.encode_rejection(number, come_back // 1000))
-
-    def fail(self, number: int) -> None:
-        self._answer(number, codec.encode_error(number, codec.FAILED, "failed"))
-
-    def reject_malformed(self, number: int | None, text: str, code: int = codec.INVALID_PARAMS) -> None:
-        """For what can't be taken in."""
-        self._faults += 1
-        self._house.counters.add("clients malformed")
-        self._house.log("client", f"malformed, {code}: {text}")
-        self._wire.write(codec.encode_error(number, code, text))
-        if self._faults == _MOST_FAULTS:
-            self._turn_out()
-
-    def _turn_out(self) -> None:
-        # Danger: a flood of bad lines costs the others their time. What is open is still answered.
-        self._faults = max(self._faults, _MOST_FAULTS)
-        if not self._closing:
-            self._closing = True
-            self._house.counters.add("clients banned")
-
-    def _answer(self, number: int, line: bytes) -> None:
-        del self.open[number]
-        self.last_activity_us = self._house.now()
-        self._wire.write(line)
-        self._mind_end()
+        self._is_skipping_line = False  # what comes is dropped up to the end of an abandoned line
+        self._malformed_count = 0
+        self._ignored_count = 0  # messages without effect since the last accepted request
+        self._is_closing = False
+        self._is_finishing = False
+        self._is_shut_down = False
+        self._has_client_left = False
+
+    # Responses.
+
+    def succeed(self, request_id: int, result: bytes, position: str | None = None) -> None:
+        """Responds with a result; `position` is how far a read has seen."""
+        self._respond(request_id, codec.encode_success(request_id, result, position))
+
+    def reject(self, request_id: int, retry_after_us: int) -> None:
+        """Responds with a rejection; with `retry_after_us` 0 the client is not told when to retry."""
+        self._respond(request_id, codec.encode_rejection(request_id, retry_after_us // 1000))
+
+    def fail(self, request_id: int) -> None:
+        """Responds that the request has failed and may have run."""
+        self._respond(request_id, codec.encode_error(request_id, codec.FAILED, "failed"))
+
+    def reject_malformed(self, request_id: int | None, text: str, code: int = codec.INVALID_PARAMS) -> None:
+        """Responds to a message that cannot be accepted. Too many of them ban the client."""
+        self._malformed_count += 1
+        self._registry.counters.add("clients malformed")
+        self._registry.log("client", f"malformed, {code}: {text}")
+        self._transport.write(codec.encode_error(request_id, code, text))
+        if self._malformed_count == _MAX_MALFORMED:
+            self._ban()
+
+    def _ban(self) -> None:
+        """Ends it once its open requests are answered: malformed lines cost the other clients time."""
+        self._malformed_count = max(self._malformed_count, _MAX_MALFORMED)
+        if not self._is_closing:
+            self._is_closing = True
+            self._registry.counters.add("clients banned")
+
+    def _respond(self, request_id: int, line: bytes) -> None:
+        del self.open[request_id]
+        self.last_activity_us = self._registry.now()
+        self._transport.write(line)
+        self._finish_if_done()
+
+    # What is read.
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed its side, or the connection has ended."""
-        return self._left or self._wire.has_ended()
+        """Whether the client has closed its side or the connection has broken; may cost a system call."""
+        return self._has_client_left or self._transport.has_ended()
 
     def can_read_ahead(self) -> bool:
-        """Whether more may be read ahead of what is taken."""
-        return len(self._buffer) < _MOST_AHEAD and self._house.buffered_bytes < _MOST_UNFINISHED
+        """Whether more may be read before what is buffered is handled."""
+        return (
+            len(self._buffer) < _MAX_READ_AHEAD_BYTES and self._registry.buffered_bytes < _MAX_BUFFERED_BYTES
+        )
 
     def is_banned(self) -> bool:
-        """Whether it has made too many faults; it ends once what is open is answered."""
-        return self._faults >= _MOST_FAULTS
+        """Whether it has sent too much that is malformed; it ends once its open requests are answered."""
+        return self._malformed_count >= _MAX_MALFORMED
 
     def receive(self, data: bytes, ended: bool = False) -> NextAction:
-        """What has come, in any cut; lines that are whole are taken. `ended`: the client's end is behind it.
+        """Takes what was read, cut anywhere, and handles the lines that are whole.
 
-        While there is `more`, it is called again, with what has come since or nothing.
+        While `has_buffered_lines` it must be called again, with what has come since or nothing.
+
+        Args:
+            data: what was read.
+            ended: whether the client's end comes right behind it.
         """
-        self._left = self._left or ended
-        if self._shut:
+        self._has_client_left = self._has_client_left or ended
+        if self._is_shut_down:
             return NextAction.READ
-        if self._skips:
-            data = self._after_the_line(data)
-        house = self._house
+        if self._is_skipping_line:
+            data = self._skip_line(data)
+        registry = self._registry
         if self.has_sent_request and not self._buffer:
-            self.last_activity_us = house.now()
+            self.last_activity_us = registry.now()
         self._buffer += data
-        house.buffered_bytes += len(data)
+        registry.buffered_bytes += len(data)
         if self.has_buffered_lines or b"\n" in data:
-            self.last_activity_us = house.now()
-            self._take_all(self._next_lines())
+            self.last_activity_us = registry.now()
+            self._handle_lines(self._next_lines())
         elif self.is_banned():
-            self._in_vain += 1
-        self._mind_bounds()
-        if self._in_vain > _MOST_IN_VAIN:
-            house.counters.add("clients cut off")
+            self._ignored_count += 1
+        self._enforce_buffer_limits()
+        if self._ignored_count > _MAX_IGNORED:
+            registry.counters.add("clients cut off")
             return NextAction.CLOSE
-        self._mind_end()
+        self._finish_if_done()
         return NextAction.READ
 
-    def _after_the_line(self, data: bytes) -> bytes:
-        """What comes behind the end of the line that is skipped."""
-        end = data.find(b"\n") + 1
-        self._skips = not end
-        return data[end:] if end else b""
+    def _skip_line(self, data: bytes) -> bytes:
+        """Returns what comes behind the end of the line that is skipped."""
+        line_end = data.find(b"\n") + 1
+        self._is_skipping_line = not line_end
+        return data[line_end:] if line_end else b""
 
     def _next_lines(self) -> list[bytes]:
-        """Whole lines off the buffer, as many as belong to one turn."""
-        house = self._house
-        # Danger: lines that wait for their turn, on all connections at once, would fill the memory.
-        most = _MOST_A_TURN if house.buffered_bytes <= _MOST_UNFINISHED else -1
-        *lines, rest = bytes(self._buffer).split(b"\n", most)
-        house.buffered_bytes -= len(self._buffer) - len(rest)
+        """Takes whole lines off the buffer, as many as are handled in one turn."""
+        registry = self._registry
+        # Where all buffers together are full, lines that wait for their turn would be added to them.
+        max_lines = _MAX_LINES_PER_TURN if registry.buffered_bytes <= _MAX_BUFFERED_BYTES else -1
+        *lines, rest = bytes(self._buffer).split(b"\n", max_lines)
+        registry.buffered_bytes -= len(self._buffer) - len(rest)
         self._buffer[:] = rest
         self.has_buffered_lines = b"\n" in rest
         return lines
 
-    def _take_all(self, lines: list[bytes]) -> None:
+    def _handle_lines(self, lines: list[bytes]) -> None:
         for line in lines:
             if line.strip():
-                self._take(line)
+                self._handle_line(line)
 
-    def _mind_bounds(self) -> None:
-        if not self.has_buffered_lines and len(self._buffer) > _LONGEST_LINE:
+    def _enforce_buffer_limits(self) -> None:
+        if not self.has_buffered_lines and len(self._buffer) > _MAX_LINE_BYTES:
             self.abandon_line()
-        if self._house.buffered_bytes > _MOST_UNFINISHED:
-            self._house.abandon_longest_line()
+        if self._registry.buffered_bytes > _MAX_BUFFERED_BYTES:
+            self._registry.abandon_longest_line()
 
     def partial_line_bytes(self) -> int:
-        """Bytes of a line that has begun and not ended."""
+        """Returns the size of a line that has begun and not ended."""
         return len(self._buffer) - (self._buffer.rfind(b"\n") + 1)
 
     def abandon_line(self) -> None:
-        """Gives up the line that has begun: it has no end, or there is no room. So ends the connection."""
-        self._refuse_line()
-        half = self.partial_line_bytes()
-        del self._buffer[len(self._buffer) - half :]
-        self._house.buffered_bytes -= half
-        self._skips = True
-        self._mind_end()
-
-    def _refuse_line(self) -> None:
+        """Drops the line that has begun, as it has no end or there is no room for it, and bans the client."""
+        self._reject_line()
+        partial_bytes = self.partial_line_bytes()
+        del self._buffer[len(self._buffer) - partial_bytes :]
+        self._registry.buffered_bytes -= partial_bytes
+        self._is_skipping_line = True
+        self._finish_if_done()
+
+    def _reject_line(self) -> None:
         if not self.is_banned():
             self.reject_malformed(None, "a line without an end", codec.INVALID_REQUEST)
-            self._turn_out()
+            self._ban()
 
-    def _take(self, line: bytes) -> None:
-        house = self._house
-        if len(line) > _LONGEST_LINE:
-            self._refuse_line()
+    def _handle_line(self, line: bytes) -> None:
+        if len(line) > _MAX_LINE_BYTES:
+            self._reject_line()
             return
         try:
-            number, message = codec.decode(line, house.class_names)
-        except codec.MalformedMessageError as trouble:
-            if self.is_banned():
-                self._in_vain += 1
-            else:
-                self.reject_malformed(trouble.number, trouble.text, trouble.code)
+            request_id, message = codec.decode(line, self._registry.class_names)
+        except codec.MalformedMessageError as error:
+            self._on_malformed(error)
             return
         self.has_sent_request = True
-        if isinstance(message, codec.Status):
-            if number is not None:
-                self._in_vain += self._is_behind()
-                self._wire.write(codec.encode_status(number))
-        elif isinstance(message, codec.Cancellation):
-            house.handler.cancel(self, message.id, message.name)
-        elif number in self.open:
-            # Danger: an answer under this number could be taken for that to either; both are given up.
-            house.handler.cancel(self, number, None)
-            self.reject_malformed(number, "two requests under one id", codec.INVALID_REQUEST)
-            self.reject_malformed(number, "two requests under one id", codec.INVALID_REQUEST)
-        elif self._refuses():
-            self._in_vain += 1
-            self._wire.write(codec.encode_rejection(number, 0))
-        elif len(self.open) >= _MOST_OPEN:
-            self.reject_malformed(number, "too many open requests", codec.INVALID_REQUEST)
+        if isinstance(message, codec.Cancellation):
+            self._registry.handler.cancel(self, message.id, message.name)
+        elif request_id is None:
+            return  # a status without an id expects no response
+        elif isinstance(message, codec.Status):
+            self._ignored_count += self._has_too_much_unread()
+            self._transport.write(codec.encode_status(request_id))
         else:
-            self._in_vain = 0
-            house.handler.accept(self, number, message)
+            self._handle_request(request_id, message)
 
-    def _refuses(self) -> bool:
-        # Danger: what is asked on a connection that is to end, or whose client has gone, would be sent on and
-        # lost with the connection.
-        return self._closing or self._left or self._house.is_closing or self._is_behind()
+    def _on_malformed(self, error: codec.MalformedMessageError) -> None:
+        if self.is_banned():
+            self._ignored_count += 1
+        else:
+            self.reject_malformed(error.request_id, error.text, error.code)
+
+    def _handle_request(self, request_id: int, query: codec.Query) -> None:
+        handler = self._registry.handler
+        if request_id in self.open:
+            # A response under this id could be taken for that to either request; both are given up.
+            handler.cancel(self, request_id, None)
+            self.reject_malformed(request_id, "two requests under one id", codec.INVALID_REQUEST)
+            self.reject_malformed(request_id, "two requests under one id", codec.INVALID_REQUEST)
+        elif self._must_reject():
+            self._ignored_count += 1
+            self._transport.write(codec.encode_rejection(request_id, 0))
+        elif len(self.open) >= _MAX_OPEN_REQUESTS:
+            self.reject_malformed(request_id, "too many open requests", codec.INVALID_REQUEST)
+        else:
+            self._ignored_count = 0
+            handler.accept(self, request_id, query)
+
+    def _must_reject(self) -> bool:
+        """Whether a request is rejected, as it could run and its response be lost with the connection."""
+        is_ending = self._is_closing or self._has_client_left or self._registry.is_closing
+        return is_ending or self._has_too_much_unread()
+
+    def _has_too_much_unread(self) -> bool:
+        """Whether the client leaves responses unread, which would fill the memory.
+
+        It is read from all the same: it may cancel a request, or disconnect.
+        """
+        return len(self._transport.unsent) > _MAX_UNREAD_BYTES
 
-    def _is_behind(self) -> bool:
-        # Danger: answers that a client does not read would fill the memory of all. It is read from all the
-        # same: it may withdraw, or go.
-        return len(self._wire.unsent) > _MOST_UNREAD
+    # How it ends.
 
     def close(self) -> None:
-        """What is open is still answered, what is asked from here on is denied; then the connection ends."""
-        self._closing = True
-        self._mind_end()
+        """Ends the connection once its open requests are answered; new ones are rejected."""
+        self._is_closing = True
+        self._finish_if_done()
 
-    def _mind_end(self) -> None:
-        if self._closing and not (self.open or self.has_buffered_lines):
+    def _finish_if_done(self) -> None:
+        if self._is_closing and not (self.open or self.has_buffered_lines):
             self._finish()
 
     def _finish(self) -> None:
-        if not (self._finishing or self._shut):
-            self._finishing = True
-            self._wire.write_eof_when_drained()
+        if not (self._is_finishing or self._is_shut_down):
+            self._is_finishing = True
+            self._transport.write_eof_when_drained()
 
     def resume(self) -> None:
-        """Asked to end, it has more to say than may be read in one go; it is asked again after that."""
-        self._finishing = False
-        self._house.on_staying(self)
-        self._mind_end()
+        """Returns from finishing, as more has come than could be read at once; it may finish again later."""
+        self._is_finishing = False
+        self._registry.on_staying(self)
+        self._finish_if_done()
+
+    def can_shut_down(self, has_received: bool) -> bool:
+        """Decides, after `write_eof_when_drained`, whether the sending side is shut down now.
 
-    def can_shut_down(self, came: bool) -> bool:
-        """Asked after `finish`, once what had come has been read, in which `came` something.
+        If so, what is read from then on is discarded; otherwise the session resumes.
 
-        If so, what is read from now on is thrown away.
+        Args:
+            has_received: whether something had come since, which has been passed to `receive`.
         """
-        busy = self.open or self.has_buffered_lines or self._wire.unsent
-        if busy or came and not self._closing:
+        is_busy = self.open or self.has_buffered_lines or self._transport.unsent
+        is_active_again = has_received and not self._is_closing
+        if is_busy or is_active_again:
             self.resume()
             return False
-        self._shut = True
-        self._house.on_leaving(self)
-        if not self._closing:
-            self._house.counters.add("clients silent, closed")
+        self._is_shut_down = True
+        self._registry.on_leaving(self)
+        if not self._is_closing:
+            self._registry.counters.add("clients silent, closed")
         return True
 
     def on_disconnected(self) -> None:
-        """The connection has ended; nothing it waited for is owed any more."""
-        self._house.buffered_bytes -= len(self._buffer)
-        self._house.forget(self)
-        self._house.handler.on_disconnected(self)
+        """The connection has ended; no response is owed any more."""
+        self._registry.buffered_bytes -= len(self._buffer)
+        self._registry.forget(self)
+        self._registry.handler.on_disconnected(self)
 
-    def idle_overdue_us(self, now: int) -> int:
-        """How long it has said nothing beyond what it may; below 0: not yet so long, or something is open."""
+    # How long it may stay silent.
+
+    def idle_overdue_us(self, now_us: int) -> int:
+        """Returns by how much its silence exceeds what is allowed; below 0 if it does not, or is busy."""
         if self.open or self.has_buffered_lines:
             return -1
-        if self._wire.unsent:
-            return now - self.last_activity_us - _STALLED
-        return (
-            now - self.last_activity_us - (_IDLE if self.has_sent_request and not self._buffer else _SILENT)
-        )
+        return now_us - self.last_activity_us - self._silence_limit_us()
 
-    def is_idle(self, now: int) -> bool:
-        """Whether it pauses with nothing open and nothing left to write."""
-        return (
-            not (self.open or self.has_buffered_lines or self._wire.unsent)
-            and now - self.last_activity_us > PAUSE
-        )
+    def _silence_limit_us(self) -> int:
+        if self._transport.unsent:
+            return _UNREAD_TIMEOUT_US
+        if self.has_sent_request and not self._buffer:
+            return _IDLE_TIMEOUT_US
+        return _SILENT_TIMEOUT_US
 
-    def close_idle(self, surely: bool) -> None:
-        """Ends it in order; unless `surely`, it stays if something turns out to have come."""
-        if self._wire.unsent:
+    def is_idle(self, now_us: int) -> bool:
+        """Whether it pauses with nothing open and nothing left to send."""
+        is_busy = self.open or self.has_buffered_lines or self._transport.unsent
+        return not is_busy and now_us - self.last_activity_us > PAUSE_US
+
+    def close_idle(self, force: bool) -> None:
+        """Ends it in order; unless `force`, it stays if something turns out to have come."""
+        if self._transport.unsent:
             self.abort()
-        elif surely:
-            self._house.counters.add("clients silent, closed")
-            self._house.on_leaving(self)
+        elif force:
+            self._registry.counters.add("clients silent, closed")
+            self._registry.on_leaving(self)
             self.close()
         else:
-            self._house.on_leaving(self)
+            self._registry.on_leaving(self)
             self._finish()
 
     def abort(self) -> None:
-        """Closes at once."""
-        if not self._shut:
-            self._house.counters.add("clients silent, closed")
-        self._house.forget(self)
-        # Danger: of a crowd in one turn of the loop, each takes the place of another, whose descriptor would
-        # be free only once its task has run.
-        self._wire.close()
+        """Closes at once. Its descriptor is free when this returns, not only once its task has run."""
+        if not self._is_shut_down:
+            self._registry.counters.add("clients silent, closed")
+        self._registry.forget(self)
+        self._transport.close()
 
     def try_evict(self) -> bool:
-        """Closes at once if it is shut, or if nothing is open, to be read or to be written."""
-        wire = self._wire
-        if not self._shut and (self.open or self.has_buffered_lines or wire.unsent or wire.has_more()):
-            return False
+        """Closes at once if it is shut, or if nothing is open, to be read or to be sent."""
+        transport = self._transport
+        if not self._is_shut_down:
+            is_busy = self.open or self.has_buffered_lines or transport.unsent or transport.has_more()
+            if is_busy:
+                return False
         self.abort()
         return True
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -874,19 +874,25 @@
         "taken_in_after_the_close",
         "nothing_after",
         "ending",
-        lines((ClientSession._refuses, "self._closing or self._left or self._house.is_closing", "False")),
+        lines(
+            (
+                ClientSession._must_reject,
+                "self._is_closing or self._has_client_left or self._registry.is_closing",
+                "False",
+            )
+        ),
     ),
     Mutant(
         "taken_in_after_the_shut",
         "one_answer",
         "ending",
-        lines((ClientSession.receive, "if self._shut:", "if False:")),
+        lines((ClientSession.receive, "if self._is_shut_down:", "if False:")),
     ),
     Mutant(
         "shut_over_a_request",
         "one_answer",
         "connection",
-        lines((ClientSession.can_shut_down, "if busy or came and not self._closing:", "if False:")),
+        lines((ClientSession.can_shut_down, "if is_busy or is_active_again:", "if False:")),
     ),
     Mutant(
         "reset_counted_as_never_run",
@@ -923,13 +929,13 @@
         "who_has_left_is_not_told",
         "nothing_kept",
         "connection",
-        lines((ClientSession.on_disconnected, "self._house.handler.on_disconnected(self)", "pass")),
+        lines((ClientSession.on_disconnected, "self._registry.handler.on_disconnected(self)", "pass")),
     ),
     Mutant(
         "half_lines_are_counted_on",
         "nothing_kept",
         "connection",
-        lines((ClientSession.on_disconnected, "self._house.buffered_bytes -= len(self._buffer)", "pass")),
+        lines((ClientSession.on_disconnected, "self._registry.buffered_bytes -= len(self._buffer)", "pass")),
     ),
     Mutant(
         "idle_and_forgotten",
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -197,7 +197,7 @@
             await until(lambda: stage.door.leaving)
             await until(lambda: not stage.door.leaving)
 
-        with mock.patch.object(client_connection, "_DRAIN", 0.05):
+        with mock.patch.object(client_connection, "_DRAIN_TIMEOUT_S", 0.05):
             on_stage(scene)
 
     def test_what_waits_is_written_before_the_end(self) -> None:
@@ -304,7 +304,7 @@
             leaves.sendall(status(1))
             self.assertEqual("1 pass", await hear(leaves))
             await until(lambda: len(stage.door.connections) == 2)
-            next(iter(stage.door.connections)).close_idle(surely=False)
+            next(iter(stage.door.connections)).close_idle(force=False)
             self.assertEqual("closed", await hear(leaves))
             third = stage.client()
             third.sendall(status(1))
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -87,7 +87,7 @@
                 number, message = rpc.decode(line, frozenset(("report",)))
                 lines.append(f"{text}: {number} {message}")
             except rpc.MalformedMessageError as trouble:
-                lines.append(f"{text}: {trouble.code} to {trouble.number}")
+                lines.append(f"{text}: {trouble.code} to {trouble.request_id}")
         self.check("rpc_lines", lines)
 
     def test_answers(self) -> None:
@@ -496,7 +496,7 @@
             try:
                 rpc.decode(line, frozenset(("report",)))
             except rpc.MalformedMessageError as trouble:
-                self.assertTrue(trouble.number is None or trouble.number >= 1)
+                self.assertTrue(trouble.request_id is None or trouble.request_id >= 1)
 
         @usually
         @given(REQUESTS)
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -128,7 +128,7 @@
         self.assertEqual([1], list(talk.open))
         talk.fail(1)
         self.assertEqual("ends once it is written", self.lines[-1])
-        self.assertTrue(talk.can_shut_down(came=False))
+        self.assertTrue(talk.can_shut_down(has_received=False))
         self.assertEqual(({}, [talk]), (self.house.connections, list(self.house.leaving)))
         seen = len(self.lines)
         self.assertEqual(NextAction.READ, talk.receive(request(4)))
@@ -145,14 +145,14 @@
         """What it asks is refused, and heard again once it reads; what it withdraws is heard."""
         slow = self.talk(reads=False)
         slow.receive(request(1) + request(2))
-        slow._wire.write(b" " * (256 * 1024 + 1))
+        slow._transport.write(b" " * (256 * 1024 + 1))
         slow.receive(request(3) + withdrawal(2))
         self.assertEqual("withdraws 2", self.lines[-1])
         self.assertEqual(-32000, code_of(self.lines[-2]))
-        slow._wire.unsent.clear()
+        slow._transport.unsent.clear()
         slow.receive(request(3))
         self.assertEqual("asks 3", self.lines[-1])
-        slow._wire.write(b" " * (256 * 1024 + 1))
+        slow._transport.write(b" " * (256 * 1024 + 1))
         found = [slow.receive(one) for _ in range(667) for one in (request(9), request(10), status())]
         self.assertEqual(NextAction.CLOSE, found[-1])
         self.assertEqual(2000, found.index(NextAction.CLOSE))
@@ -234,17 +234,17 @@
         talk.close()
         self.assertNotIn("ends once it is written", self.lines)  # it is owed an answer
         talk.reject(1, 0)
-        self.assertFalse(talk.can_shut_down(came=False))
-        talk._wire.unsent.clear()
-        self.assertTrue(talk.can_shut_down(came=True))
+        self.assertFalse(talk.can_shut_down(has_received=False))
+        talk._transport.unsent.clear()
+        self.assertTrue(talk.can_shut_down(has_received=True))
         self.assertEqual(2, self.lines.count("ends once it is written"))
 
     def test_who_makes_way(self) -> None:
         """Nobody who has something open, unread or unwritten."""
         asking, unread, unwritten, idle = (self.talk(reads=at != 2) for at in range(4))
         asking.receive(request(1))
-        unread._wire.unread = True
-        unwritten._wire.write(b"answer")
+        unread._transport.unread = True
+        unwritten._transport.write(b"answer")
         made = [talk.try_evict() for talk in (asking, unread, unwritten, idle)]
         self.assertEqual([False, False, False, True], made)
 
