--- a/cresstray/engines/connection.py
+++ b/cresstray/engines/connection.py
@@ -11,7 +11,8 @@
 
 from cresstray.clock import Timers
 from cresstray.engines import codec
-from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota, EngineConnection
+from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota
+from cresstray.engines.connection_state import EngineConnection
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from cresstray.transport.streams import ENDED, SocketStream, connect, contained, tell_fault
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -21,7 +21,8 @@
 from cresstray.clients.connection_registry import ConnectionRegistry
 from cresstray.clients.session import ClientSession, NextAction
 from cresstray.engines.codec import EngineProtocolError
-from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota, EngineConnection
+from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota
+from cresstray.engines.connection_state import EngineConnection
 from cresstray.engines.in_flight import InFlightRequests
 from cresstray.model_checking.patching import Mutant, lines
 from cresstray.model_checking.world import Bounds, Copied, NoLog, Uncounted, VirtualClock, VirtualTimers
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,7 +7,8 @@
 from cresstray.clock import Timers
 from cresstray.engines import codec
 from cresstray.engines.codec import EngineProtocolError
-from cresstray.engines.connection_pool import _MOST_BEHIND, ConnectionPool, DescriptorQuota, EngineConnection
+from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota
+from cresstray.engines.connection_state import _MOST_BEHIND, EngineConnection
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.model_checking.world import VirtualClock
 from cresstray.observability.counters import Counters
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -7,7 +7,8 @@
 from cresstray.clients.session import ClientSession, NextAction
 from cresstray.engines import codec
 from cresstray.engines.codec import EngineProtocolError
-from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota, EngineConnection
+from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota
+from cresstray.engines.connection_state import EngineConnection
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.observability.counters import Counters
 from tests.desk import TraceCase
