--- a/cresstray/engines/__init__.py
+++ b/cresstray/engines/__init__.py
@@ -1,1 +1,1 @@
-"""The engines' side: the RESP codec, the links to each engine and the pages of a result."""
+"""The engines' side: the RESP codec, the connections to each engine and the pages of a result."""
--- a/cresstray/engines/codec.py
+++ b/cresstray/engines/codec.py
@@ -1,4 +1,27 @@
-"""RESP as the engines speak it: arrays of bulk strings. Knows no socket and decides nothing."""
+"""RESP as the engines speak it: arrays of four bulk strings. Knows no socket and decides nothing.
+
+The words of the protocol, which appear nowhere behind this module except as the constants here:
+
+| protocol             | here                                                                 |
+| -------------------- | -------------------------------------------------------------------- |
+| `ASK`                | `encode_request`; its fields: `c` class, `w` timeout in ms, `i` idempotency key |
+| `QUIT`               | `encode_cancellation`                                                |
+| `NEXT`               | `encode_page_requests`                                               |
+| `FREE`               | `encode_release`, of a result whose pages are not all wanted any more |
+| `served`             | `SERVED`, a result or its first page                                 |
+| `rows`               | `ROWS`, another page of a result                                     |
+| `overload`           | `OVERLOADED`, the engine rejects the request                         |
+| `crashed`            | `CRASHED`, the request failed while it ran                           |
+| `nobody`             | `EXPIRED`, the request's timeout was over before it ran              |
+| `green`              | `GREEN`, to nothing that this gateway sends                          |
+| `sheets`, `sheet`    | `Answer.pages`, `Answer.page`                                        |
+| `load`               | `Answer.report`, the engine's load report                            |
+| `inflight` in a report | `concurrent`                                                       |
+| `util`               | `load_share`                                                         |
+| `queue`              | `depth`                                                              |
+| `latency_ms`         | `mean_ms`                                                            |
+| `qps`, `eps`         | `tps`, `err_ps`                                                      |
+"""
 
 from __future__ import annotations
 
@@ -7,6 +30,14 @@
 import hiredis
 import msgspec
 
+SERVED = b"served"
+ROWS = b"rows"
+OVERLOADED = b"overload"
+CRASHED = b"crashed"
+EXPIRED = b"nobody"
+GREEN = b"green"
+WORDS = frozenset((SERVED, ROWS, OVERLOADED, CRASHED, EXPIRED, GREEN))
+
 _REPORT_NAMES = {
     "inflight": "concurrent",
     "util": "load_share",
@@ -15,21 +46,35 @@
     "qps": "tps",
     "eps": "err_ps",
 }
-WORDS = frozenset((b"served", b"overload", b"crashed", b"nobody", b"rows", b"green"))
-# Bytes of an answer's name, word, fields and body: a page by the protocol, the others with room to spare.
-_LONGEST = (64, 16, 1024, 6_000)
+_NO_FIELDS = b"-"
+_ARRAY_HEADER = b"*4\r\n"
 _LENGTH = re.compile(rb"\$(\d{1,4})\r\n")
-# Threads, shares and rates; what is beyond was never measured. Positions in a shard's log only grow.
-_MOST_REPORTED, _MOST_POSITION = 1e6, 2.0**53
-_POSITIONS = frozenset(("shard", "epoch", "applied", "head"))
+_MAX_LENGTH_BYTES = 7  # of what _LENGTH matches
+# Of an answer's name, word, fields and body: a page by the protocol, the others with room to spare.
+_MAX_PART_BYTES = (64, 16, 1024, 6_000)
+# Threads, shares and rates: what is larger was never measured.
+_MAX_REPORTED = 1e6
+# Positions in a shard's log only grow.
+_MAX_POSITION = 2.0**53
+_POSITION_NAMES = frozenset(("shard", "epoch", "applied", "head"))
+_EXCERPT_BYTES = 20
 
 
 class EngineProtocolError(Exception):
-    """What came can't be an engine's answer; nothing behind it on this connection can be trusted."""
+    """What came cannot be an engine's answer; nothing behind it on this connection can be trusted."""
 
 
 class Answer(msgspec.Struct):
-    """One answer; `pages` with the first page, `page` with a further one."""
+    """One answer of an engine.
+
+    Attributes:
+        name: the request's name.
+        kind: one of WORDS.
+        pages: how many pages the result has, in the answer with its first one.
+        page: the number of the page, from 1 on, in an answer with a further one.
+        report: the load report of the engine, by our names.
+        body: the rows of the page.
+    """
 
     name: bytes
     kind: bytes
@@ -40,110 +85,144 @@
 
 
 class AnswerDecoder:
-    """The answers in what is received, however it is cut.
-
-    What can't be an answer raises BrokenError, in the next call where good ones came before it.
+    """Decodes the answers in what is received, however it is cut.
 
-    Danger: hiredis reserves what an array claims before it comes: one of 400 million parts takes the loop a
-    second, one of three billion all memory. An engine's answer is four short strings; nothing else is read.
+    hiredis allocates what an array claims before it comes: one of 400 million parts would block the event
+    loop for a second, one of three billion would take all memory. Answers are four short strings, and nothing
+    else is read, so this does not use it.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._broken: EngineProtocolError | None = None
+        self._pending_error: EngineProtocolError | None = None
 
     def has_partial_answer(self) -> bool:
         """Whether part of an answer has come, and the rest has not."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Answer]:
-        if self._broken is not None:
-            raise self._broken
-        found, at = [], 0
+        """Returns the answers that are whole with this data.
+
+        Raises:
+            EngineProtocolError: what came cannot be an answer. Answers before it are returned first, since
+            they
+                would be run again if they were lost; the error is raised by the next call.
+        """
+        if self._pending_error is not None:
+            raise self._pending_error
+        answers: list[Answer] = []
+        position = 0
         self._buffer += data
         try:
-            while (whole := self._whole(at)) is not None:
-                parts, at = whole
-                found.append(_answer(*parts))
-        except EngineProtocolError as trouble:
-            # Danger: an answer that came whole before noise would be lost, and its work run again.
-            if not found:
+            while (parsed := self._parse_parts(position)) is not None:
+                parts, position = parsed
+                answers.append(_parse_answer(*parts))
+        except EngineProtocolError as error:
+            if not answers:
                 raise
-            self._broken, at = trouble, len(self._buffer)
-        del self._buffer[:at]
-        return found
-
-    def _whole(self, at: int) -> tuple[list[bytes], int] | None:
-        buffer, parts = self._buffer, []
-        if not buffer.startswith(b"*4\r\n", at):
-            if b"*4\r\n".startswith(buffer[at : at + 4]):
+            self._pending_error = error
+            position = len(self._buffer)
+        del self._buffer[:position]
+        return answers
+
+    def _parse_parts(self, position: int) -> tuple[list[bytes], int] | None:
+        """Returns the parts of the answer at this position and its end; None if it is not whole."""
+        buffer = self._buffer
+        parts: list[bytes] = []
+        if not buffer.startswith(_ARRAY_HEADER, position):
+            if _ARRAY_HEADER.startswith(buffer[position : position + len(_ARRAY_HEADER)]):
                 return None
-            raise EngineProtocolError(f"not an array of four strings: {bytes(buffer[at : at + 20])!r}")
-        at += 4
-        for longest in _LONGEST:
-            length = _LENGTH.match(buffer, at)
+            raise EngineProtocolError(f"not an array of four strings: {self._excerpt(position)!r}")
+        position += len(_ARRAY_HEADER)
+        for max_bytes in _MAX_PART_BYTES:
+            length = _LENGTH.match(buffer, position)
             if length is None:
-                if len(buffer) - at < 7 and buffer.find(b"\n", at) < 0:
+                if self._may_be_length(position):
                     return None
-                raise EngineProtocolError(f"not the length of a string: {bytes(buffer[at : at + 20])!r}")
-            start, size = length.end(), int(length[1])
-            if size > longest:
+                raise EngineProtocolError(f"not the length of a string: {self._excerpt(position)!r}")
+            start = length.end()
+            size = int(length[1])
+            if size > max_bytes:
                 raise EngineProtocolError(f"a string of {size} bytes")
-            at = start + size + 2
-            if len(buffer) < at:
+            position = start + size + 2
+            if len(buffer) < position:
                 return None
-            if buffer[at - 2 : at] != b"\r\n":
+            if buffer[position - 2 : position] != b"\r\n":
                 raise EngineProtocolError("a string longer than its length")
-            parts.append(bytes(buffer[start : at - 2]))
-        return parts, at
+            parts.append(bytes(buffer[start : position - 2]))
+        return parts, position
+
+    def _may_be_length(self, position: int) -> bool:
+        """Whether what there is may be the beginning of a length."""
+        return len(self._buffer) - position < _MAX_LENGTH_BYTES and self._buffer.find(b"\n", position) < 0
+
+    def _excerpt(self, position: int) -> bytes:
+        return bytes(self._buffer[position : position + _EXCERPT_BYTES])
 
 
-def _answer(name: bytes, word: bytes, fields: bytes, body: bytes) -> Answer:
+def _parse_answer(name: bytes, word: bytes, fields: bytes, body: bytes) -> Answer:
     if word not in WORDS:
         raise EngineProtocolError(f"unknown word {word!r}")
-    pages, page, report = 1, 0, {}
-    if fields != b"-":
+    answer = Answer(name, word, 1, 0, {}, body)
+    if fields != _NO_FIELDS:
         try:
-            for field in fields.decode("ascii").split(","):
-                key, _, value = field.partition("=")
-                if key == "sheets":
-                    pages = int(value)
-                elif key == "sheet":
-                    page = int(value)
-                elif key == "load":
-                    report = _report(value)
+            _parse_fields(fields, answer)
         except ValueError:
             raise EngineProtocolError(f"fields that can't be used: {fields[:80]!r}") from None
-    if pages < 1 or page < 0 or (word == b"rows" and page < 1):
+    first_page = 1 if word == ROWS else 0
+    if answer.pages < 1 or answer.page < first_page:
         raise EngineProtocolError(f"no such page: {fields[:80]!r}")
-    return Answer(name, word, pages, page, report, body)
+    return answer
 
 
-def _report(text: str) -> dict[str, float]:
-    report = {}
+def _parse_fields(fields: bytes, answer: Answer) -> None:
+    for field in fields.decode("ascii").split(","):
+        key, _, value = field.partition("=")
+        if key == "sheets":
+            answer.pages = int(value)
+        elif key == "sheet":
+            answer.page = int(value)
+        elif key == "load":
+            answer.report = _parse_report(value)
+
+
+def _parse_report(text: str) -> dict[str, float]:
+    report: dict[str, float] = {}
     for entry in text.split(";"):
         key, _, value = entry.partition(":")
-        report[_REPORT_NAMES.get(key, key)] = figure = float(value)
-        most = _MOST_POSITION if key in _POSITIONS else _MOST_REPORTED
-        if not 0 <= figure <= most:  # nor is what is no number
+        figure = float(value)
+        report[_REPORT_NAMES.get(key, key)] = figure
+        maximum = _MAX_POSITION if key in _POSITION_NAMES else _MAX_REPORTED
+        if not 0 <= figure <= maximum:  # nor does NaN pass
             raise ValueError(value)
     return report
 
 
-def encode_request(name: bytes, request_class: str, patience: int, mark: str, statement: bytes) -> bytes:
-    """`patience` in whole milliseconds."""
-    fields = f"c={request_class},w={patience}" + (f",i={mark}" if mark else "")
-    return hiredis.pack_command((b"ASK", name, fields.encode(), statement))
+def encode_request(
+    name: bytes, request_class: str, timeout_ms: int, idempotency_key: str, statement: bytes
+) -> bytes:
+    """Encodes a request; `timeout_ms` is how long its response is awaited, the key may be empty."""
+    fields = f"c={request_class},w={timeout_ms}"
+    if idempotency_key:
+        fields += f",i={idempotency_key}"
+    return _pack(b"ASK", name, fields.encode(), statement)
 
 
 def encode_cancellation(name: bytes) -> bytes:
-    return hiredis.pack_command((b"QUIT", name))
+    """Encodes that the answer to this request is not awaited any more."""
+    return _pack(b"QUIT", name)
 
 
 def encode_page_requests(name: bytes, pages: int) -> bytes:
-    """Asks for all pages behind the first at once."""
-    return b"".join(hiredis.pack_command((b"NEXT", name, b"%d" % page)) for page in range(1, pages))
+    """Encodes requests for all pages behind the first at once; `pages` counts the first one too."""
+    return b"".join(_pack(b"NEXT", name, b"%d" % page) for page in range(1, pages))
 
 
 def encode_release(name: bytes) -> bytes:
-    return hiredis.pack_command((b"FREE", name))
+    """Encodes that the rest of this result is not awaited any more."""
+    return _pack(b"FREE", name)
+
+
+def _pack(*parts: bytes) -> bytes:
+    packed: bytes = hiredis.pack_command(parts)  # type: ignore[arg-type]  # typed as a tuple of one part
+    return packed
--- a/cresstray/engines/connection.py
+++ b/cresstray/engines/connection.py
@@ -1,10 +1,11 @@
-"""The sockets of links to engines: made, read, ended. What becomes of an exchange is pool.py's."""
+"""The sockets of connections to engines: made, read, ended. EngineConnection decides what that means."""
 
 from __future__ import annotations
 
 import errno
 import socket
 from collections.abc import Callable, Mapping
+from typing import Any
 
 import anyio
 from anyio.abc import TaskGroup
@@ -19,12 +20,13 @@
 
 __all__ = ["SocketConnection", "SocketConnectionPool", "DescriptorQuota"]
 
-# What this process or machine lacks for a connection.
-_LACKING = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+# What this process or machine lacks for a connection, which says nothing about the engine.
+_LOCAL_SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+_DEFAULT_CONNECT_TIMEOUT_MS = 250
 
 
 class SocketConnection(EngineConnection):
-    """One connection to an engine."""
+    """One connection to an engine, with its socket."""
 
     pool: SocketConnectionPool
 
@@ -33,46 +35,47 @@
         self._scope = anyio.CancelScope()
 
     def abort(self) -> None:
+        """Ends the connection, or does not make it."""
         self._scope.cancel()
 
     async def run(self) -> None:
+        """Connects and reads until the connection has ended."""
         try:
-            with contained("a link", self.pool.counters, self.pool.log), self._scope:
-                await self._live()
+            with contained("a connection to an engine", self.pool.counters, self.pool.log), self._scope:
+                await self._serve()
         finally:
             self.on_closed()
 
-    async def _live(self) -> None:
-        made = await self._connect()
-        if made is None:
+    async def _serve(self) -> None:
+        connected = await self._connect()
+        if connected is None:
             return
-        with SocketStream(made, self.pool.tasks, self._scope.cancel) as line:
-            self.on_connected(line)
+        with SocketStream(connected, self.pool.tasks, self._scope.cancel) as stream:
+            self.on_connected(stream)
             try:
-                await self._read(line)
-            except ENDED as trouble:
-                self.pool.log.log("link", f"a link to {self.pool.label} ended: {trouble!r}")
-            except codec.EngineProtocolError as trouble:
+                await self._read(stream)
+            except ENDED as error:
+                self.pool.log.log("connection", f"a connection to {self.pool.label} ended: {error!r}")
+            except codec.EngineProtocolError as error:
                 self.is_corrupt = True
-                self.pool.counters.add("links spoilt")
-                self.pool.log.log("link", f"a link to {self.pool.label} is dropped: {trouble}")
+                self.pool.counters.add("engine connections corrupt")
+                self.pool.log.log("connection", f"a connection to {self.pool.label} is dropped: {error}")
 
     async def _connect(self) -> socket.socket | None:
-        with anyio.move_on_after(self.pool.connect_timeout / 1e6):
+        with anyio.move_on_after(self.pool.connect_timeout_us / 1e6):
             try:
                 return await connect(*self.pool.address)
-            except OSError as trouble:
-                # Danger: an engine would be in doubt for a lack of ours.
-                self.is_out_of_descriptors = trouble.errno in _LACKING
-                self.pool.log.log("link", f"{self.pool.label} can't be reached: {trouble!r}")
+            except OSError as error:
+                self.is_out_of_descriptors = error.errno in _LOCAL_SHORTAGES
+                self.pool.log.log("connection", f"{self.pool.label} can't be reached: {error!r}")
                 return None
-        self.pool.log.log("link", f"{self.pool.label} can't be reached: no connection in time")
+        self.pool.log.log("connection", f"{self.pool.label} can't be reached: no connection in time")
         return None
 
-    async def _read(self, line: SocketStream) -> None:
+    async def _read(self, stream: SocketStream) -> None:
         while True:
             try:
-                data = await line.receive(self.seconds_left())
+                data = await stream.receive(self.seconds_left())
             except TimeoutError:
                 self.on_stalled()
             except ENDED:
@@ -82,13 +85,13 @@
 
 
 class SocketConnectionPool(ConnectionPool):
-    """All links to one engine."""
+    """All connections to one engine, with their sockets. `label` names the engine in log lines."""
 
     def __init__(
         self,
         label: str,
         address: tuple[str, int],
-        settings: Mapping,
+        settings: Mapping[str, Any],
         quota: DescriptorQuota,
         tasks: TaskGroup,
         timers: Timers,
@@ -97,13 +100,18 @@
         log: Log,
     ) -> None:
         super().__init__(address, settings, quota, timers, now, counters)
-        self.label, self.log, self.tasks = label, log, tasks
-        self.connect_timeout = int(settings.get("Limits", {}).get("ConnectTimeout", 250) * 1000)
+        self.label = label
+        self.log = log
+        self.tasks = tasks
+        limits = settings.get("Limits", {})
+        self.connect_timeout_us = int(limits.get("ConnectTimeout", _DEFAULT_CONNECT_TIMEOUT_MS) * 1000)
 
     def connect(self) -> SocketConnection:
-        link = SocketConnection(self)
-        self.tasks.start_soon(link.run)
-        return link
-
-    def on_fault(self, trouble: Exception) -> None:
-        tell_fault(f"an exchange with {self.label}", trouble, self.counters, self.log)
+        """Begins to make a new connection."""
+        connection = SocketConnection(self)
+        self.tasks.start_soon(connection.run)
+        return connection
+
+    def on_fault(self, error: Exception) -> None:
+        """Logs and counts a failure of the gateway's own code with one request."""
+        tell_fault(f"a request to {self.label}", error, self.counters, self.log)
--- a/cresstray/engines/connection_state.py
+++ b/cresstray/engines/connection_state.py
@@ -1,11 +1,12 @@
 """One connection to an engine without its socket: what it takes, when it is idle, what its end means.
 
-Free of I/O: whoever has the socket says what was received and lost, and is called for the rest.
+Free of I/O: whoever has the socket says what was received and lost, and is called for the rest. What becomes
+of a request is told to its listener once.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, NoReturn, Protocol
 
 from cresstray.engines import codec
 from cresstray.engines.in_flight import Disposition, InFlightRequest, InFlightRequests
@@ -13,130 +14,146 @@
 if TYPE_CHECKING:
     from cresstray.engines.connection_pool import ConnectionPool
 
-# An answer comes in one piece; the rest of one that was begun is not late by a quarter of a second.
-_HALF_WAY = 250_000
-_OF_RESULTS = (b"served", b"rows")
-# Danger: an engine that never reads would have our memory filled with what it is told. All pages of two long
-# results asked for, or a thousand requests given up.
-_MOST_BEHIND = 64 * 1024
+# An answer comes in one piece; the rest of one that has begun is not a quarter of a second late.
+_PARTIAL_ANSWER_TIMEOUT_US = 250_000
+_RESULT_WORDS = (codec.SERVED, codec.ROWS)
+# Bound of what is kept for an engine that does not read: requests for all pages of two long results, or a
+# thousand cancellations.
+MAX_QUEUED_BEHIND_BYTES = 64 * 1024
 
 
 class Transport(Protocol):
-    """What a link is written to; streams.Line is one. `put` takes all, now or by and by."""
+    """What a connection writes to; `transport.streams.SocketStream` is one."""
 
-    unsent: bytearray  # put, and not yet taken by the other side
+    unsent: bytearray  # written, and not yet taken by the kernel
 
-    def write(self, message: bytes) -> bool: ...
-    def has_ended(self) -> bool: ...
+    def write(self, message: bytes) -> bool:
+        """Takes all of the message and sends it now or later; False if it is broken and nothing has left."""
+
+    def has_ended(self) -> bool:
+        """Whether the engine has closed its side, or the connection has broken."""
 
 
 class EngineConnection:
-    """One connection to an engine. Whoever has its socket gives it `hang_up`."""
+    """One connection to an engine. A subclass has the socket, and defines `abort`."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.in_flight = InFlightRequests(pool.max_streams)
-        self.is_corrupt = False
-        self.is_out_of_descriptors = False  # there was no descriptor for it: that says nothing of its engine
-        self.is_outdated = False  # its engine has another address by now, or has started anew
-        self.idle_since = 0
-        self.transport: Transport | None = None  # once it is up
-        self._answers, self.answer_deadline_us = codec.AnswerDecoder(), 0
-        self._leaving: InFlightRequest | None = None  # the last one written, if part of it had to wait
-        self._behind = 0  # bytes put behind what waits
+        self.is_corrupt = False  # what came on it cannot be an answer
+        self.is_out_of_descriptors = False  # there was none for it, which says nothing about its engine
+        self.is_outdated = False  # its engine has another address by now, or has restarted
+        self.idle_since = 0  # microseconds
+        self.transport: Transport | None = None  # once it is connected
+        self.answer_deadline_us = 0  # for the rest of an answer that has begun
+        self._decoder = codec.AnswerDecoder()
+        self._partly_sent: InFlightRequest | None = None  # the last one written, if part of it had to wait
+        self._queued_behind_bytes = 0  # written behind what waits of it
 
     def abort(self) -> None:
-        """The connection is to end, or not to be made; `gone` follows."""
+        """Ends the connection, or does not make it; `on_closed` follows."""
         raise NotImplementedError
 
     def has_room_for(self, name: bytes) -> bool:
-        # Danger: behind what its engine does not read, a request would leave when nothing is as it was.
-        return self.in_flight.has_room_for(name) and not (
-            self.transport is not None and self.transport.unsent
-        )
-
-    def start(self, exchange: InFlightRequest) -> bool:
-        """False where the link proves dead, or its engine reads nothing: nothing of the exchange has left."""
-        # Danger: what is written to a link that the other side has closed is lost, and may have run.
-        if self.transport is not None and not self.in_flight.open and self.transport.has_ended():
+        """Whether a request of this name may start here.
+
+        Behind what the engine does not read, a request would leave when it may not be sent any more.
+        """
+        if self.transport is not None and self.transport.unsent:
+            return False
+        return self.in_flight.has_room_for(name)
+
+    def start(self, request: InFlightRequest) -> bool:
+        """Starts a request; False, and nothing of it has left, if the connection is dead or not read."""
+        transport = self.transport
+        # What is written to a connection that the engine has closed is lost, and may have run.
+        if transport is not None and not self.in_flight.open and transport.has_ended():
             self.close()
             return False
-        exchange.connection = self
+        request.connection = self
         self.pool.quota.idle.pop(self, None)
-        self.in_flight.begin(exchange)
-        return self.transport is None or self._write(exchange)
-
-    def _write(self, exchange: InFlightRequest) -> bool:
-        """False where nothing of it has left, since the engine reads nothing: the link takes no more."""
-        line = self.transport
-        if not line.unsent:
-            left = line.write(exchange.message)
-            if not line.unsent or len(line.unsent) < len(exchange.message):
-                self.in_flight.on_written(exchange, left)
-                self._leaving, self._behind = exchange if line.unsent else None, 0
-                if left:
-                    exchange.listener.on_sent(exchange)
+        self.in_flight.begin(request)
+        return transport is None or self._write(request, transport)
+
+    def _write(self, request: InFlightRequest, transport: Transport) -> bool:
+        """Writes it; False, and no more is taken here, if nothing has left as the engine does not read."""
+        if not transport.unsent:
+            has_left = transport.write(request.message)
+            if not transport.unsent or len(transport.unsent) < len(request.message):
+                self.in_flight.on_written(request, has_left)
+                self._partly_sent = request if transport.unsent else None
+                self._queued_behind_bytes = 0
+                if has_left:
+                    request.listener.on_sent(request)
                 return True
-            line.unsent.clear()
-        self.in_flight.finish(exchange)
+            transport.unsent.clear()
+        self.in_flight.finish(request)
         self.retire()
         return False
 
-    def _is_leaving(self, exchange: InFlightRequest) -> bool:
-        """Whether part of its message still waits to be written."""
-        return exchange is self._leaving and len(self.transport.unsent) > self._behind
+    def _is_partly_sent(self, request: InFlightRequest) -> bool:
+        """Whether part of its message still waits to be sent."""
+        if request is not self._partly_sent or self.transport is None:
+            return False
+        return len(self.transport.unsent) > self._queued_behind_bytes
 
     def send(self, message: bytes) -> None:
+        """Sends a further message of a request that was sent.
+
+        Nothing is sent on a connection that is closing: behind a request that was cut short it would be read
+        as its rest, and the end of the connection tells the engine.
+        """
         if self.in_flight.is_closed:
-            # Danger: behind a request that was cut short it would be read as the rest of that. That the link
-            # closes tells the engine.
             return
-        if not self.transport.unsent:
-            self._leaving, self._behind = None, 0
+        transport = self.transport
+        assert transport is not None, "a request was sent, so there is a connection"
+        if not transport.unsent:
+            self._partly_sent = None
+            self._queued_behind_bytes = 0
         else:
-            self._behind += len(message)
-            if self._behind > _MOST_BEHIND:
-                self.pool.counters.add("links never read")
+            self._queued_behind_bytes += len(message)
+            if self._queued_behind_bytes > MAX_QUEUED_BEHIND_BYTES:
+                self.pool.counters.add("engine connections not reading")
                 self.close()
                 return
-        self.transport.write(message)
-
-    def finish(self, exchange: InFlightRequest) -> None:
-        """All that was to come has come."""
-        self.in_flight.finish(exchange)
-        self._forget(exchange)
-
-    def abandon(self, exchange: InFlightRequest) -> bool:
-        """What comes under this name from now on is dropped. True: the engine hears of it before the next."""
-        leaving = self._is_leaving(exchange)
-        told = self.in_flight.abandon(exchange)
-        if leaving and not self.in_flight.is_closed:
-            # Danger: its rest would leave once the engine reads again, and be run for nobody.
+        transport.write(message)
+
+    def finish(self, request: InFlightRequest) -> None:
+        """All that was to come for the request has come."""
+        self.in_flight.finish(request)
+        self._forget(request)
+
+    def abandon(self, request: InFlightRequest) -> bool:
+        """Drops what still comes for it. True, as the engine hears of that before it hears of another."""
+        is_partly_sent = self._is_partly_sent(request)
+        message = self.in_flight.abandon(request)
+        if is_partly_sent and not self.in_flight.is_closed:
+            # Its rest would leave once the engine reads again, and be run for nobody.
             self.close()
-        elif told is not None:
-            self.send(told)
-        self._forget(exchange)
+        elif message is not None:
+            self.send(message)
+        self._forget(request)
         return True
 
-    def _forget(self, exchange: InFlightRequest) -> None:
-        if self._leaving is exchange:
-            self._leaving = None
-        self._mind_idle()
+    def _forget(self, request: InFlightRequest) -> None:
+        if self._partly_sent is request:
+            self._partly_sent = None
+        self._update_idle()
 
     def cancel_unwritten(self) -> None:
-        """What has not been written yet ends as never sent."""
-        self.pool.for_each(self.in_flight.unwritten(), self._recall)
+        """Ends what has not been sent yet as never sent."""
+        self.pool.for_each(self.in_flight.unwritten(), self._cancel)
 
-    def _recall(self, exchange: InFlightRequest) -> None:
-        # Danger: what the end of another set off may have ended this one.
-        if self.in_flight.holds(exchange):
-            self._end_unsent(exchange)
+    def _cancel(self, request: InFlightRequest) -> None:
+        # What the end of another request set off may have ended this one.
+        if self.in_flight.holds(request):
+            self._finish_unsent(request)
 
-    def _end_unsent(self, exchange: InFlightRequest) -> None:
-        self.finish(exchange)
-        exchange.listener.on_unsent(exchange)
+    def _finish_unsent(self, request: InFlightRequest) -> None:
+        self.finish(request)
+        request.listener.on_unsent(request)
 
-    def _mind_idle(self) -> None:
+    def _update_idle(self) -> None:
         if not self.in_flight.open:
             self.idle_since = self.pool.now()
             if self.in_flight.is_retired:
@@ -145,94 +162,112 @@
                 self.pool.quota.idle[self] = None
 
     def retire(self) -> None:
-        """Takes no new exchange; closed once the last one has ended."""
+        """Takes no more requests; closes once the last one has ended."""
         self.in_flight.is_retired = True
-        self._mind_idle()
+        self._update_idle()
 
     def close(self) -> None:
+        """Closes at once; nothing of what waits to be sent leaves."""
         self.in_flight.is_closed = True
         self.pool.quota.idle.pop(self, None)
         if self.transport is not None:
-            self.transport.unsent.clear()  # none of it leaves before the connection has ended
+            self.transport.unsent.clear()
         self.abort()
 
-    # What its connection says.
+    # What whoever has the socket says.
 
-    def on_connected(self, line: Transport) -> None:
-        self.transport = line
+    def on_connected(self, transport: Transport) -> None:
+        """The connection is made; what has waited for it is written."""
+        self.transport = transport
         self.pool.for_each(self.in_flight.unwritten(), self._write_late)
 
-    def _write_late(self, exchange: InFlightRequest) -> None:
-        if not self.in_flight.holds(exchange):
+    def _write_late(self, request: InFlightRequest) -> None:
+        transport = self.transport
+        if transport is None or not self.in_flight.holds(request):
             return
-        if not self._may_leave(exchange):
-            self._end_unsent(exchange)
-        elif not self._write(exchange):
-            self.pool.start(exchange)
+        if not self._may_send(request):
+            self._finish_unsent(request)
+        elif not self._write(request, transport):
+            self.pool.start(request)
+
+    def _may_send(self, request: InFlightRequest) -> bool:
+        """Whether a request may be sent later than it was handed over.
 
-    def _may_leave(self, exchange: InFlightRequest) -> bool:
-        # Danger: a connection takes a while to come up, and a process may be stopped meanwhile. By then the
-        # engine may drain, the client be gone, or the window for a repeat be over.
-        return not self.is_outdated and exchange.listener.may_send(exchange)
+        A connection takes a while to be made, and a process may be stopped meanwhile. By then the engine may
+        drain, the client have disconnected, or the window for a retry be over.
+        """
+        return not self.is_outdated and request.listener.may_send(request)
 
     def seconds_left(self) -> float | None:
-        """Seconds in which the rest of an answer is to come; None where none has begun."""
-        return (
-            max(0.0, (self.answer_deadline_us - self.pool.now()) / 1e6)
-            if self._answers.has_partial_answer()
-            else None
-        )
+        """Returns the time in which the rest of an answer must come; None where none has begun."""
+        if not self._decoder.has_partial_answer():
+            return None
+        return max(0.0, (self.answer_deadline_us - self.pool.now()) / 1e6)
+
+    def has_partial_answer(self) -> bool:
+        """Whether part of an answer has come, and the rest has not."""
+        return self._decoder.has_partial_answer()
 
     def on_received(self, data: bytes) -> None:
-        """Hands on the answers in it; BrokenError where it can't be one."""
+        """Hands on the answers in what has come.
+
+        Raises:
+            EngineProtocolError: it cannot be an answer.
+        """
         self.in_flight.received_count += 1
-        if not self._answers.has_partial_answer():
-            self.answer_deadline_us = self.pool.now() + _HALF_WAY
-        while answers := self._answers.feed(data):
-            data, self.answer_deadline_us = b"", self.pool.now() + _HALF_WAY
+        if not self._decoder.has_partial_answer():
+            self.answer_deadline_us = self.pool.now() + _PARTIAL_ANSWER_TIMEOUT_US
+        while answers := self._decoder.feed(data):
+            data = b""
+            self.answer_deadline_us = self.pool.now() + _PARTIAL_ANSWER_TIMEOUT_US
             for answer in answers:
-                self._answered(answer)
+                self._on_answer(answer)
 
-    def _answered(self, answer: codec.Answer) -> None:
-        exchange = self.in_flight.open.get(answer.name)
-        if exchange is not None and self._is_leaving(exchange):
-            # Danger: taken for a refusal, it would be sent again, and its rest here be run as well.
+    def _on_answer(self, answer: codec.Answer) -> None:
+        request = self.in_flight.open.get(answer.name)
+        if request is not None and self._is_partly_sent(request):
+            # Taken for a rejection, it would be retried, and its rest here be run as well.
             raise codec.EngineProtocolError("an answer to what has not been asked whole")
-        if exchange is not None and not exchange.is_written:
-            exchange = None
-        if exchange is not None and answer.kind not in _OF_RESULTS:
-            self.in_flight.on_rejected(exchange)
-        if exchange is None or not exchange.listener.on_answer(exchange, answer):
-            # A second copy, or an answer that comes after its time: no fault of what else is open.
+        if request is not None and not request.is_written:
+            request = None
+        if request is not None and answer.kind not in _RESULT_WORDS:
+            self.in_flight.on_rejected(request)
+        if request is None or not request.listener.on_answer(request, answer):
+            # A duplicate, or an answer that comes too late: no fault of what else is open.
             self.pool.counters.add("answers not awaited")
 
-    def on_stalled(self) -> None:
-        """The rest has not come in time."""
+    def on_stalled(self) -> NoReturn:
+        """The rest of an answer has not come in time; always raises EngineProtocolError."""
         raise codec.EngineProtocolError("it stopped within an answer")
 
     def on_end_of_stream(self) -> None:
-        """The connection has ended; BrokenError where part of an answer had come."""
-        if self._answers.has_partial_answer():
+        """The engine has closed its side.
+
+        Raises:
+            EngineProtocolError: part of an answer had come.
+        """
+        if self._decoder.has_partial_answer():
             raise codec.EngineProtocolError("it ended within an answer")
 
     def on_closed(self) -> None:
-        """Nothing more comes of it."""
+        """The connection has ended, or could not be made; tells the listeners of all that was open."""
         self.in_flight.is_closed = True
         self.pool.quota.idle.pop(self, None)
         self.pool.on_removed(self)
         if self.is_out_of_descriptors:
             self.pool.quota.close_idle()
-        self.pool.for_each(self.in_flight.on_connection_closed(self.transport is not None), self._end)
+        was_connected = self.transport is not None
+        self.pool.for_each(self.in_flight.on_connection_closed(was_connected), self._dispose)
 
-    def _end(self, ended: tuple[InFlightRequest, Disposition]) -> None:
-        exchange, fate = ended
-        if fate is Disposition.CONNECTION_LOST:
-            exchange.listener.on_connection_lost(exchange, self.is_corrupt)
+    def _dispose(self, ended: tuple[InFlightRequest, Disposition]) -> None:
+        request, disposition = ended
+        if disposition is Disposition.CONNECTION_LOST:
+            request.listener.on_connection_lost(request, self.is_corrupt)
         elif self.is_outdated or self.is_out_of_descriptors:
-            exchange.listener.on_unsent(exchange)
-        elif fate is Disposition.UNREACHABLE:
-            exchange.listener.on_unreachable(exchange)
-        elif self._may_leave(exchange):
-            self.pool.start(exchange)
+            request.listener.on_unsent(request)
+        elif disposition is Disposition.UNREACHABLE:
+            request.listener.on_unreachable(request)
+        elif self._may_send(request):
+            self.pool.start(request)
         else:
-            exchange.listener.on_unsent(exchange)
+            request.listener.on_unsent(request)
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -247,7 +247,7 @@
             ("e", 1), _SETTINGS, DescriptorQuota(1, 3), world.timers, world.clock.now, world.counters
         )
         self.world = world
-        self._swept = True  # what is idle for ten seconds is beyond this world
+        self._is_sweep_scheduled = True  # what is idle for ten seconds is beyond this world
 
     def connect(self) -> EngineLink:
         taken = {link.name for link in self.connections}
@@ -449,7 +449,7 @@
                 found += [f"{name} resets", f"{name} shuts"]
         if link.told:
             found.append(f"{name} is read")
-            if self.cuts and not link._answers.has_partial_answer():
+            if self.cuts and not link.has_partial_answer():
                 found.append(f"{name} is read in part")
         elif link.dead or link.shutdown_write:
             found.append(f"{name} is gone")
@@ -471,7 +471,7 @@
         at += [
             link.answer_deadline_us
             for link in self.pool.connections
-            if link._answers.has_partial_answer() and not link.told
+            if link.has_partial_answer() and not link.told
         ]
         if self.ending in ("coming", "written"):
             at.append(self.ends_at)
@@ -499,11 +499,7 @@
         if who == "clock":
             self.clock.at = self._next()
             for link in list(self.pool.connections):
-                if (
-                    link._answers.has_partial_answer()
-                    and not link.told
-                    and self.clock.at >= link.answer_deadline_us
-                ):
+                if link.has_partial_answer() and not link.told and self.clock.at >= link.answer_deadline_us:
                     self._read(link, None)
             self.module.tidy(self.clock.at)
             if self.talk is not None and self.talk.idle_overdue_us(self.clock.at) >= 0:
@@ -901,10 +897,10 @@
         "connection",
         lines(
             (
-                InFlightRequests._fate,
+                InFlightRequests._disposition_of,
                 "return Disposition.CONNECTION_LOST",
                 "return Disposition.CONNECTION_LOST"
-                " if self.received_count > exchange.received_before else Disposition.UNREACHABLE",
+                " if self.received_count > request.received_before else Disposition.UNREACHABLE",
             )
         ),
     ),
@@ -942,18 +938,18 @@
         "idle_and_forgotten",
         "nothing_kept",
         "connection",
-        lines((EngineConnection._mind_idle, "self.pool.quota.idle[self] = None", "pass")),
+        lines((EngineConnection._update_idle, "self.pool.quota.idle[self] = None", "pass")),
     ),
     Mutant(
         "quit_that_is_not_sent",
         "one_outstanding",
         "exchange",
-        lines((EngineConnection.abandon, "elif told is not None:", "elif False:")),
+        lines((EngineConnection.abandon, "elif message is not None:", "elif False:")),
     ),
     Mutant(
         "late_write_that_asks_nobody",
         "nothing_after",
         "connection",
-        lines((EngineConnection._write_late, "if not self._may_leave(exchange):", "if False:")),
+        lines((EngineConnection._write_late, "if not self._may_send(request):", "if False:")),
     ),
 )
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,7 +8,7 @@
 from cresstray.engines import codec
 from cresstray.engines.codec import EngineProtocolError
 from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota
-from cresstray.engines.connection_state import _MOST_BEHIND, EngineConnection
+from cresstray.engines.connection_state import MAX_QUEUED_BEHIND_BYTES, EngineConnection
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.model_checking.world import VirtualClock
 from cresstray.observability.counters import Counters
@@ -388,14 +388,14 @@
             link.send(b"*3\r\n$4\r\nNEXT\r\n$16\r\n0123456789abcdef\r\n$1\r\n1\r\n")
             most = max(most, len(link.wire.unsent))
         self.assertTrue(link.hung_up)
-        self.assertLess(most, _MOST_BEHIND + 100)
+        self.assertLess(most, MAX_QUEUED_BEHIND_BYTES + 100)
         link.on_closed()
         self.assertEqual(["first cut"], self.keeper.told)
 
     def test_a_long_request_that_leaves_slowly_keeps_its_link(self) -> None:
         pool = self.pool(share=1)
         link = self.busy(pool, 10)
-        self.start(pool, "long", 4 * _MOST_BEHIND)
+        self.start(pool, "long", 4 * MAX_QUEUED_BEHIND_BYTES)
         link.abandon(link.in_flight.open[b"first"])
         link.wire.room = None
         link.wire.flow()
