--- a/cresstray/discovery/__init__.py
+++ b/cresstray/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The coordinator's side: its event frames, the list known at the start, and the feed that follows it."""
+"""The coordinator's side: its event frames, the endpoint list of the start, and the watch that follows it."""
--- a/cresstray/discovery/codec.py
+++ b/cresstray/discovery/codec.py
@@ -1,4 +1,18 @@
-"""The coordinator's event frames: binary, big-endian. Knows no socket."""
+"""The coordinator's event frames: binary, big-endian. Knows no socket.
+
+| frame                                     | here                                                         |
+| ----------------------------------------- | ------------------------------------------------------------ |
+| length, 4 bytes                           | of all behind it                                             |
+| number, 8 bytes                           | `EndpointEvent.index`                                        |
+| kind, 1 byte: 0 nothing new               | None                                                         |
+| 1 whole list, 2 changes                   | `EndpointEvent.is_complete`                                  |
+| records of 27 bytes: number               | `Endpoint.id`                                                |
+| address (4), port (2)                     | `host`, `port`                                               |
+| state: 0 in service, 1 drains, 2 gone     | `EndpointState.READY`, `DRAINING`, `REMOVED`                 |
+| zone, machine, cell (1 + 1 + 2)           | `zone`, `instance_type`, `cell`                              |
+| weight (4)                                | not used                                                     |
+| start (8), in ms                          | `started_us`                                                 |
+"""
 
 from __future__ import annotations
 
@@ -8,76 +22,87 @@
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent, MalformedEventError
 from cresstray.policy.types import EndpointState
 
-_LENGTH, _HEAD, _RECORD = struct.Struct(">I"), struct.Struct(">QB"), struct.Struct(">IIHBBBHIQ")
-_STANDINGS = {0: EndpointState.READY, 1: EndpointState.DRAINING, 2: EndpointState.REMOVED}
-_NOTHING, _WHOLE, _CHANGES = 0, 1, 2
-# Some hundred thousand engines, far over any fleet; what says to be longer is no frame.
-_LONGEST = 4_000_000
+_SUBSCRIPTION = struct.Struct(">Q")
+_LENGTH = struct.Struct(">I")
+_HEADER = struct.Struct(">QB")
+_RECORD = struct.Struct(">IIHBBBHIQ")
+_STATES = {0: EndpointState.READY, 1: EndpointState.DRAINING, 2: EndpointState.REMOVED}
+_KIND_NOTHING_NEW = 0
+_KIND_COMPLETE = 1
+_KIND_CHANGES = 2
+# Some hundred thousand endpoints, far more than any fleet has; what claims to be longer is no frame.
+_MAX_FRAME_BYTES = 4_000_000
 
 
-def encode_subscription(last: int) -> bytes:
-    """What a gateway writes first: the number of the last event that it has."""
-    return struct.pack(">Q", last)
+def encode_subscription(last_index: int) -> bytes:
+    """Encodes what a gateway writes first: the index of the last event that it has."""
+    return _SUBSCRIPTION.pack(last_index)
 
 
 class EventDecoder:
-    """The events in what is received, however it is cut. Frames that tell nothing new yield None.
-
-    What can't be a frame raises MalformedError, in the next call where others came before it.
-    """
+    """Decodes the events in what is received, however it is cut."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[EndpointEvent | None]:
+        """Returns one item for each frame that is whole with this data: None where it tells nothing new.
+
+        Raises:
+            MalformedEventError: what came cannot be a frame. Frames before it are returned first, as they may
+                tell of a drain, which would come with the malformed one again on the next connection; the
+                error is raised by the next call.
+        """
         self._buffer += data
-        found: list[EndpointEvent | None] = []
+        events: list[EndpointEvent | None] = []
         try:
-            while (length := self._length()) is not None:
-                found.append(self._event(bytes(self._buffer[4 : 4 + length])))
-                del self._buffer[: 4 + length]
+            while (length := self._complete_frame_length()) is not None:
+                frame_end = _LENGTH.size + length
+                events.append(_parse_event(bytes(self._buffer[_LENGTH.size : frame_end])))
+                del self._buffer[:frame_end]
         except MalformedEventError:
-            # Danger: a drain before it must be told. On the next link it would come with the bad one again.
-            if not found:
+            if not events:
                 raise
-        return found
+        return events
 
-    def _length(self) -> int | None:
-        """Of the next frame, once it is whole."""
+    def _complete_frame_length(self) -> int | None:
+        """Returns the length of the next frame, None while it is not whole."""
         if len(self._buffer) < _LENGTH.size:
             return None
-        (length,) = _LENGTH.unpack_from(self._buffer)
-        if not _HEAD.size <= length <= _LONGEST:
+        length: int = _LENGTH.unpack_from(self._buffer)[0]
+        if not _HEADER.size <= length <= _MAX_FRAME_BYTES:
             raise MalformedEventError(f"a frame of {length} bytes")
         return length if len(self._buffer) >= _LENGTH.size + length else None
 
-    def _event(self, frame: bytes) -> EndpointEvent | None:
-        number, kind = _HEAD.unpack_from(frame)
-        if kind == _NOTHING:
-            return None
-        records = frame[_HEAD.size :]
-        if kind not in (_WHOLE, _CHANGES) or len(records) % _RECORD.size:
-            raise MalformedEventError(f"a frame of kind {kind} with {len(records)} bytes")
-        return EndpointEvent(
-            number, kind == _WHOLE, [self._member(*one) for one in _RECORD.iter_unpack(records)]
-        )
-
-    def _member(
-        self,
-        number: int,
-        address: int,
-        port: int,
-        state: int,
-        zone: int,
-        machine: int,
-        cell: int,
-        _weight: int,
-        started: int,
-    ) -> Endpoint:
-        # Danger: a fleet grows into zones and kinds that this gateway's settings do not name yet; refused,
-        # they would take the whole list with them, and for good. They are zones and kinds like any other.
-        if state not in _STANDINGS:
-            raise MalformedEventError(f"a record of state {state}")
-        return Endpoint(
-            number, str(IPv4Address(address)), port, _STANDINGS[state], zone, machine, cell, started * 1000
-        )
+
+def _parse_event(frame: bytes) -> EndpointEvent | None:
+    index, kind = _HEADER.unpack_from(frame)
+    if kind == _KIND_NOTHING_NEW:
+        return None
+    records = frame[_HEADER.size :]
+    if kind not in (_KIND_COMPLETE, _KIND_CHANGES) or len(records) % _RECORD.size:
+        raise MalformedEventError(f"a frame of kind {kind} with {len(records)} bytes")
+    endpoints = [_parse_endpoint(*record) for record in _RECORD.iter_unpack(records)]
+    return EndpointEvent(index, kind == _KIND_COMPLETE, endpoints)
+
+
+def _parse_endpoint(
+    number: int,
+    address: int,
+    port: int,
+    state: int,
+    zone: int,
+    instance_type: int,
+    cell: int,
+    _weight: int,
+    started_ms: int,
+) -> Endpoint:
+    """Returns the endpoint of one record.
+
+    A fleet grows into zones and instance types that this gateway's settings do not name yet. They are as good
+    as any other: if they were rejected, so would be the whole list with them, for good.
+    """
+    if state not in _STATES:
+        raise MalformedEventError(f"a record of state {state}")
+    host = str(IPv4Address(address))
+    return Endpoint(number, host, port, _STATES[state], zone, instance_type, cell, started_ms * 1000)
--- a/cresstray/discovery/endpoint_list.py
+++ b/cresstray/discovery/endpoint_list.py
@@ -1,10 +1,25 @@
-"""The list of engines as the coordinator tells it: one typed event, and the JSON form of the start."""
+"""The endpoint list as the coordinator tells it: one typed event, and the JSON form of the start.
+
+| in the configuration                        | here                                             |
+| ------------------------------------------- | ------------------------------------------------ |
+| `known`                                     | `InitialList`                                    |
+| `members`                                   | `EndpointEvent.endpoints`                        |
+| `complete`                                  | `EndpointEvent.is_complete`                      |
+| `id`: `s-` and a hexadecimal number         | `Endpoint.id`, the number                        |
+| `host_port`                                 | `host`, `port`                                   |
+| `locality`, by its place in `Localities`    | `zone`                                           |
+| `flavor`, by its place in `Flavors`         | `instance_type`                                  |
+| `phase`: `in_service`                       | `EndpointState.READY`                            |
+| `terminating`, `terminated`                 | `EndpointState.DRAINING`, `EndpointState.REMOVED` |
+| `up_since_ms`                               | `started_us`                                     |
+"""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Mapping, Sequence
 from ipaddress import IPv4Address
+from typing import Any
 
 import msgspec
 
@@ -12,11 +27,11 @@
 
 
 class MalformedEventError(Exception):
-    """An event that does not follow the coordinator's page."""
+    """An event that does not follow the coordinator's protocol."""
 
 
 class Endpoint(msgspec.Struct):
-    """One engine of an event."""
+    """One endpoint of an event."""
 
     id: int
     host: str
@@ -25,10 +40,12 @@
     zone: int
     instance_type: int
     cell: int
-    started_us: int  # microseconds; 0: long ago
+    started_us: int  # microseconds since 1970; 0: long ago
 
 
 class EndpointEvent(msgspec.Struct):
+    """A change of the list, or with `is_complete` the whole of it. A larger `index` is a later event."""
+
     index: int
     is_complete: bool
     endpoints: list[Endpoint]
@@ -55,102 +72,118 @@
 
 
 class InitialList(msgspec.Struct):
-    """What the configuration holds under `known`."""
+    """The endpoint list that the configuration holds, as a list of events."""
 
     index: int = 0
     updates: list[_Update] = []
 
 
-_STANDINGS = {
+_STATES = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
 _ID = re.compile("s-[0-9a-fA-F]{1,8}")
-_NUMBERS = 2**64  # what a frame holds of an event's number, and of a start
+_ID_PREFIX_LENGTH = 2
+_UINT64_LIMIT = 2**64  # of an event's index and of a start, as a frame has 8 bytes for each
+_MAX_PORT = 65_535
+_FIRST_UNNAMED_ORDINAL = 256  # a frame has one byte for a zone, and one for an instance type
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """host:port as a connection takes it; ValueError that names what can't be one."""
-    host, _, port = text.rpartition(":")
-    number = int(port)
-    # Danger: the platform looks no names up. What is no address would raise more than OSError when a
-    # connection is made, in the middle of a day.
-    if not 1 <= number <= 65_535:
-        raise ValueError(f"the port {number} of {text!r}")
+    """Parses host:port, the host being an IPv4 address, as the platform resolves no names.
+
+    Raises:
+        ValueError: it is none; a connection to it would fail with other errors than OSError, much later.
+    """
+    host, _, port_text = text.rpartition(":")
+    port = int(port_text)
+    if not 1 <= port <= _MAX_PORT:
+        raise ValueError(f"the port {port} of {text!r}")
     try:
         IPv4Address(host)
     except ValueError:
         raise ValueError(f"the host of {text!r} is no IPv4 address") from None
-    return host, number
+    return host, port
+
 
+def initial_events(initial: InitialList, settings: Mapping[str, Any]) -> list[EndpointEvent]:
+    """Returns the events of the start.
 
-def initial_events(known: InitialList, settings: Mapping) -> list[EndpointEvent]:
-    """The events of the start; MalformedError where one follows no page."""
-    zones, machines = _Places(settings.get("Localities", [])), _Places(settings.get("Flavors", []))
-    for update in known.updates:
-        # Danger: the last is told to the coordinator in eight bytes.
-        if not 0 <= update.index < _NUMBERS:
+    Raises:
+        MalformedEventError: one of them does not follow the protocol.
+    """
+    zones = _Ordinals(settings.get("Localities", []))
+    instance_types = _Ordinals(settings.get("Flavors", []))
+    for update in initial.updates:
+        # The last index is sent to the coordinator in eight bytes.
+        if not 0 <= update.index < _UINT64_LIMIT:
             raise MalformedEventError(f"an event of the number {update.index}")
     return [
         EndpointEvent(
             update.index,
             update.endpoints.complete,
-            [_member(member, zones, machines) for member in update.endpoints.members],
+            [_to_endpoint(member, zones, instance_types) for member in update.endpoints.members],
         )
-        for update in known.updates
+        for update in initial.updates
     ]
 
 
-class _Places(dict):
+class _Ordinals(dict[str, int]):
     """Names by their place in the settings; others get places behind all that a frame can tell.
 
-    Danger: a fleet grows into zones that the settings do not name. Each is its own: a repeat in another zone
-    may take effect twice.
+    A fleet grows into zones that the settings do not name. Each is one of its own, since a retry in another
+    zone may take effect twice.
     """
 
     def __init__(self, names: Sequence[str]) -> None:
         super().__init__((name, place) for place, name in enumerate(names))
-        self._named = len(self)
+        self._named_count = len(self)
 
     def __missing__(self, name: str) -> int:
-        place = self[name] = 256 + len(self) - self._named if self._named else 0
-        return place
+        unnamed_count = len(self) - self._named_count
+        ordinal = _FIRST_UNNAMED_ORDINAL + unnamed_count if self._named_count else 0
+        self[name] = ordinal
+        return ordinal
 
 
-def _member(given: _Member, zones: _Places, machines: _Places) -> Endpoint:
+def _to_endpoint(member: _Member, zones: _Ordinals, instance_types: _Ordinals) -> Endpoint:
     try:
-        if not _ID.fullmatch(given.id):
-            raise ValueError(f"an id {given.id!r}")
-        if not 0 <= given.up_since_ms < _NUMBERS:
-            raise ValueError(f"a start at {given.up_since_ms}")
+        if not _ID.fullmatch(member.id):
+            raise ValueError(f"an id {member.id!r}")
+        if not 0 <= member.up_since_ms < _UINT64_LIMIT:
+            raise ValueError(f"a start at {member.up_since_ms}")
         return Endpoint(
-            int(given.id[2:], 16),
-            *parse_address(given.host_port),
-            _STANDINGS[given.phase],
-            zones[given.locality],
-            machines[given.flavor],
-            given.cell,
-            int(given.up_since_ms * 1000),
+            int(member.id[_ID_PREFIX_LENGTH:], 16),
+            *parse_address(member.host_port),
+            _STATES[member.phase],
+            zones[member.locality],
+            instance_types[member.flavor],
+            member.cell,
+            int(member.up_since_ms * 1000),
         )
-    except (ValueError, KeyError) as trouble:
-        raise MalformedEventError(f"engine {given.id}: {trouble}") from None
+    except (ValueError, KeyError) as error:
+        raise MalformedEventError(f"engine {member.id}: {error}") from None
 
 
 def apply_final_states(events: Sequence[EndpointEvent]) -> list[EndpointEvent]:
-    """Events that have come together, each with the last word of all on engines that drain or go."""
+    """Adds to each of several events the last state of all endpoints that drain or are removed by them.
+
+    The policy sends requests between two events, and must not send one to what the next event drains.
+    """
     if len(events) < 2:
         return list(events)
-    # What a whole list has behind it says nothing more.
-    whole = max((at for at, event in enumerate(events) if event.is_complete), default=0)
-    last = {member.id: member for event in events[whole:] for member in event.endpoints}
-    # Danger: the module sends between two events, and must not send to what the next one drains.
-    ending = {number: member for number, member in last.items() if member.state is not EndpointState.READY}
+    # Events before the last complete list say nothing more.
+    start = max((place for place, event in enumerate(events) if event.is_complete), default=0)
+    last = {endpoint.id: endpoint for event in events[start:] for endpoint in event.endpoints}
+    ending = {
+        number: endpoint for number, endpoint in last.items() if endpoint.state is not EndpointState.READY
+    }
     return [
         EndpointEvent(
             event.index,
             event.is_complete,
-            [member for member in event.endpoints if member.id not in ending] + list(ending.values()),
+            [endpoint for endpoint in event.endpoints if endpoint.id not in ending] + list(ending.values()),
         )
-        for event in events[whole:]
+        for event in events[start:]
     ]
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -137,12 +137,12 @@
             self.assertEqual("draining", watch.told[-1][1][5], number)
 
     def test_nothing_new_is_an_end_of_the_wait(self) -> None:
-        with mock.patch.object(feeds, "_SETTLED", LONG):
+        with mock.patch.object(feeds, "_SETTLED_AFTER_S", LONG):
             self.assertLess(self.waits(Watch(self.coordinator.address), frame(1, 0), LONG), LONG)
 
     def test_a_coordinator_that_is_silent_or_away_is_not_waited_for(self) -> None:
         self.assertLess(self.waits(Watch(self.coordinator.address), b"", LONG), LONG)
-        with mock.patch.object(feeds, "_SETTLED", LONG):
+        with mock.patch.object(feeds, "_SETTLED_AFTER_S", LONG):
             self.assertGreater(self.waits(Watch(self.coordinator.address), None, 0.1), 0.09)
         self.coordinator.close()
         self.assertGreater(self.waits(Watch(self.coordinator.address), None, 0.1), 0.09)
@@ -155,7 +155,7 @@
             event = frame(2, 2, record(5, DRAINING))
             made, _ = await self.coordinator.link()
             made.send(event[:9])
-            while not watch.feed._heard:
+            while not watch.feed._last_received_s:
                 await turns(1)
             tasks.start_soon(watch.feed.wait_until_current, LONG)
             await turns(3)
@@ -197,7 +197,7 @@
             self.assertEqual((1, 2), (number, again))
             await ended(first)
 
-        watch = Watch(self.coordinator.address, silence=0.3)
+        watch = Watch(self.coordinator.address, silence_timeout_s=0.3)
         watch.play(scene)
         self.assertEqual([(2, {5: "ready"}), (3, {5: "draining"})], watch.told)
 
@@ -209,7 +209,7 @@
             made.send(frame(2, 2))
             await watch.until(2)
 
-        watch = Watch(self.coordinator.address, silence=0.3, whole_frame=30)
+        watch = Watch(self.coordinator.address, silence_timeout_s=0.3, frame_timeout_s=30)
         watch.play(scene)
 
     def test_a_trickle_that_never_ends_a_frame(self) -> None:
@@ -229,7 +229,7 @@
             await watch.until(2)
 
         # Fifty records take 27 s; the silence between two bytes never reaches its limit.
-        watch = Watch(self.coordinator.address, silence=2, whole_frame=0.3)
+        watch = Watch(self.coordinator.address, silence_timeout_s=2, frame_timeout_s=0.3)
         watch.play(scene)
         self.assertEqual([(2, {5: "draining"})], watch.told)
 
@@ -242,7 +242,7 @@
                 await anyio.sleep(0.02)
             await watch.until(2)
 
-        watch = Watch(self.coordinator.address, whole_frame=2)
+        watch = Watch(self.coordinator.address, frame_timeout_s=2)
         watch.play(scene)
         self.assertEqual((1, 1024), (self.coordinator.links, len(watch.told[0][1])))
 
@@ -255,17 +255,19 @@
             made.send(frame(2, 2))
             await watch.until(2)
 
-        watch = Watch(self.coordinator.address, whole_frame=0.8)
+        watch = Watch(self.coordinator.address, frame_timeout_s=0.8)
         watch.play(scene)
         self.assertEqual(1, self.coordinator.links)
 
     def test_a_stop_is_heard_of_in_time(self) -> None:
         """What there is to tell counts as told four seconds after a stop, two after a break."""
-        longest = feeds._LONGEST_PAUSE * 1.5 + feeds._CONNECT
-        self.assertLess(feeds._WHOLE_FRAME + feeds._FIRST_PAUSE * 1.5 + feeds._CONNECT, 4)
-        self.assertLess(feeds._SILENCE + longest + feeds._SILENCE, 4)
+        longest = feeds._MAX_BACKOFF_S * 1.5 + feeds._CONNECT_TIMEOUT_S
+        self.assertLess(feeds._FRAME_TIMEOUT_S + feeds._FIRST_BACKOFF_S * 1.5 + feeds._CONNECT_TIMEOUT_S, 4)
+        self.assertLess(feeds._SILENCE_TIMEOUT_S + longest + feeds._SILENCE_TIMEOUT_S, 4)
         self.assertLess(longest, 2)
-        self.assertLess(1024 * 27 / feeds._WHOLE_FRAME, 10_000, "bytes a second for a list of 1,024 engines")
+        self.assertLess(
+            1024 * 27 / feeds._FRAME_TIMEOUT_S, 10_000, "bytes a second for a list of 1,024 engines"
+        )
 
     def test_cut_within_a_frame(self) -> None:
         async def scene(_: anyio.abc.TaskGroup) -> None:
@@ -300,7 +302,7 @@
             await self.coordinator.link()
             self.assertGreater(anyio.current_time() - began, 0.39)
 
-        Watch(self.coordinator.address, chance=lambda: 9.5).play(scene)
+        Watch(self.coordinator.address, random=lambda: 9.5).play(scene)
 
     def test_old_numbers_and_events_twice(self) -> None:
         async def scene(_: anyio.abc.TaskGroup) -> None:
@@ -353,7 +355,7 @@
         port = int(self.coordinator.address.rpartition(":")[2])
 
         async def scene(_: anyio.abc.TaskGroup) -> None:
-            while not watch.counters.counts["coordinator links ended"]:
+            while not watch.counters.counts["coordinator connections ended"]:
                 await anyio.sleep(0.01)
             self.coordinator._listener = socket.create_server(("127.0.0.1", port))
             self.coordinator._listener.setblocking(False)
@@ -417,7 +419,7 @@
             await ended(first)
             self.assertEqual(1, number)
 
-        watch = Watch(self.old.address, silence=30, whole_frame=30)
+        watch = Watch(self.old.address, silence_timeout_s=30, frame_timeout_s=30)
         watch.play(scene)
 
     def test_twice_in_a_row_and_back(self) -> None:
@@ -434,7 +436,7 @@
             await watch.until(2)
             self.assertEqual(1, number)
 
-        watch = Watch(self.old.address, silence=30, whole_frame=30)
+        watch = Watch(self.old.address, silence_timeout_s=30, frame_timeout_s=30)
         watch.play(scene)
         self.assertEqual((2, 1), (self.old.links, self.new.links))
 
@@ -443,28 +445,28 @@
             await anyio.sleep(0.05)
             watch.feed.move(self.new.address)
             await self.new.link()
-            self.assertEqual(0, watch.counters.counts["coordinator links ended"])
+            self.assertEqual(0, watch.counters.counts["coordinator connections ended"])
 
-        watch = Watch(hanging(self), connecting=30)
+        watch = Watch(hanging(self), connect_timeout_s=30)
         watch.play(scene)
 
     def test_a_connection_that_never_comes_up_is_tried_again(self) -> None:
         async def scene(_: anyio.abc.TaskGroup) -> None:
-            while watch.counters.counts["coordinator links ended"] < 2:
+            while watch.counters.counts["coordinator connections ended"] < 2:
                 await anyio.sleep(0.01)
 
-        watch = Watch(hanging(self), connecting=0.1)
+        watch = Watch(hanging(self), connect_timeout_s=0.1)
         self.assertIn("TimeoutError", watch.play(scene))
 
     def test_during_the_pause(self) -> None:
         async def scene(_: anyio.abc.TaskGroup) -> None:
-            while not watch.counters.counts["coordinator links ended"]:
+            while not watch.counters.counts["coordinator connections ended"]:
                 await anyio.sleep(0.01)
             watch.feed.move(self.new.address)
             await self.new.link()
 
         self.old.close()
-        watch = Watch(self.old.address, chance=lambda: 1000.0)  # the pause is 40 s
+        watch = Watch(self.old.address, random=lambda: 1000.0)  # the pause is 40 s
         watch.play(scene)
 
     def test_to_none_and_back(self) -> None:
@@ -665,7 +667,7 @@
         self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(1, EndpointState.DRAINING)))
         self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(1, EndpointState.REMOVED)))
         self.assertEqual(3, len(self.pools))
-        self.assertEqual({}, self.route._addresses._lost)
+        self.assertEqual({}, self.route._addresses._displaced)
 
     def test_who_lost_its_address_comes_back(self) -> None:
         for text, back, wanted in (
@@ -900,7 +902,7 @@
     def run_slowly(self, main: Callable[[], Awaitable]) -> None:
         """Only the coordinator's word ends the wait for it."""
         with (
-            mock.patch.object(feeds, "_SETTLED", LONG),
+            mock.patch.object(feeds, "_SETTLED_AFTER_S", LONG),
             mock.patch.object(services, "_FIRST_WORD", LONG),
             contextlib.redirect_stderr(io.StringIO()),
         ):
