--- a/cresstray/engines/connection_pool.py
+++ b/cresstray/engines/connection_pool.py
@@ -1,359 +1,162 @@
-"""The links to one engine: which takes an exchange, when one is idle, retired, closed, what its end means.
+"""The connections to one engine: which takes a request, when an idle one is closed, when another one is made.
 
-Free of I/O: whoever has the sockets says what was received and lost, and is called for the rest. A link
-belongs to its engine, not to an address. What becomes of an exchange is told to its keeper once.
+Free of I/O. A connection belongs to its engine, not to an address.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import TYPE_CHECKING, Protocol, TypeVar
+from typing import TYPE_CHECKING, Any, TypeVar
 
-from cresstray.engines import codec
-from cresstray.engines.in_flight import Disposition, InFlightRequest, InFlightRequests
+from cresstray.engines.connection_state import EngineConnection
+from cresstray.engines.in_flight import InFlightRequest
 from cresstray.observability.counters import Counters
 
 if TYPE_CHECKING:
     from cresstray.clock import Timers
 
-# An answer comes in one piece; the rest of one that was begun is not late by a quarter of a second.
-_HALF_WAY = 250_000
-_Thing = TypeVar("_Thing")
-_OF_RESULTS = (b"served", b"rows")
-# Danger: an engine that never reads would have our memory filled with what it is told. All pages of two long
-# results asked for, or a thousand requests given up.
-_MOST_BEHIND = 64 * 1024
-
-
-class Transport(Protocol):
-    """What a link is written to; streams.Line is one. `put` takes all, now or by and by."""
-
-    unsent: bytearray  # put, and not yet taken by the other side
-
-    def write(self, message: bytes) -> bool: ...
-    def has_ended(self) -> bool: ...
-
-
-class EngineConnection:
-    """One connection to an engine. Whoever has its socket gives it `hang_up`."""
-
-    def __init__(self, pool: ConnectionPool) -> None:
-        self.pool = pool
-        self.in_flight = InFlightRequests(pool.max_streams)
-        self.is_corrupt = False
-        self.is_out_of_descriptors = False  # there was no descriptor for it: that says nothing of its engine
-        self.is_outdated = False  # its engine has another address by now, or has started anew
-        self.idle_since = 0
-        self.line: Transport | None = None  # once it is up
-        self._answers, self._due = codec.AnswerDecoder(), 0
-        self._leaving: InFlightRequest | None = None  # the last one written, if part of it had to wait
-        self._behind = 0  # bytes put behind what waits
-
-    def abort(self) -> None:
-        """The connection is to end, or not to be made; `gone` follows."""
-        raise NotImplementedError
-
-    def has_room_for(self, name: bytes) -> bool:
-        # Danger: behind what its engine does not read, a request would leave when nothing is as it was.
-        return self.in_flight.has_room_for(name) and not (self.line is not None and self.line.unsent)
-
-    def start(self, exchange: InFlightRequest) -> bool:
-        """False where the link proves dead, or its engine reads nothing: nothing of the exchange has left."""
-        # Danger: what is written to a link that the other side has closed is lost, and may have run.
-        if self.line is not None and not self.in_flight.open and self.line.has_ended():
-            self.close()
-            return False
-        exchange.connection = self
-        self.pool.quota.idle.pop(self, None)
-        self.in_flight.begin(exchange)
-        return self.line is None or self._write(exchange)
-
-    def _write(self, exchange: InFlightRequest) -> bool:
-        """False where nothing of it has left, since the engine reads nothing: the link takes no more."""
-        line = self.line
-        if not line.unsent:
-            left = line.write(exchange.message)
-            if not line.unsent or len(line.unsent) < len(exchange.message):
-                self.in_flight.on_written(exchange, left)
-                self._leaving, self._behind = exchange if line.unsent else None, 0
-                if left:
-                    exchange.listener.on_sent(exchange)
-                return True
-            line.unsent.clear()
-        self.in_flight.finish(exchange)
-        self.retire()
-        return False
-
-    def _is_leaving(self, exchange: InFlightRequest) -> bool:
-        """Whether part of its message still waits to be written."""
-        return exchange is self._leaving and len(self.line.unsent) > self._behind
-
-    def send(self, message: bytes) -> None:
-        if self.in_flight.is_closed:
-            # Danger: behind a request that was cut short it would be read as the rest of that. That the link
-            # closes tells the engine.
-            return
-        if not self.line.unsent:
-            self._leaving, self._behind = None, 0
-        else:
-            self._behind += len(message)
-            if self._behind > _MOST_BEHIND:
-                self.pool.counters.add("links never read")
-                self.close()
-                return
-        self.line.write(message)
-
-    def finish(self, exchange: InFlightRequest) -> None:
-        """All that was to come has come."""
-        self.in_flight.finish(exchange)
-        self._forget(exchange)
-
-    def abandon(self, exchange: InFlightRequest) -> bool:
-        """What comes under this name from now on is dropped. True: the engine hears of it before the next."""
-        leaving = self._is_leaving(exchange)
-        told = self.in_flight.abandon(exchange)
-        if leaving and not self.in_flight.is_closed:
-            # Danger: its rest would leave once the engine reads again, and be run for nobody.
-            self.close()
-        elif told is not None:
-            self.send(told)
-        self._forget(exchange)
-        return True
-
-    def _forget(self, exchange: InFlightRequest) -> None:
-        if self._leaving is exchange:
-            self._leaving = None
-        self._mind_idle()
-
-    def cancel_unwritten(self) -> None:
-        """What has not been written yet ends as never sent."""
-        self.pool.for_each(self.in_flight.unwritten(), self._recall)
-
-    def _recall(self, exchange: InFlightRequest) -> None:
-        # Danger: what the end of another set off may have ended this one.
-        if self.in_flight.holds(exchange):
-            self._end_unsent(exchange)
-
-    def _end_unsent(self, exchange: InFlightRequest) -> None:
-        self.finish(exchange)
-        exchange.listener.on_unsent(exchange)
-
-    def _mind_idle(self) -> None:
-        if not self.in_flight.open:
-            self.idle_since = self.pool.now()
-            if self.in_flight.is_retired:
-                self.close()
-            elif not self.in_flight.is_closed:
-                self.pool.quota.idle[self] = None
-
-    def retire(self) -> None:
-        """Takes no new exchange; closed once the last one has ended."""
-        self.in_flight.is_retired = True
-        self._mind_idle()
-
-    def close(self) -> None:
-        self.in_flight.is_closed = True
-        self.pool.quota.idle.pop(self, None)
-        if self.line is not None:
-            self.line.unsent.clear()  # none of it leaves before the connection has ended
-        self.abort()
-
-    # What its connection says.
-
-    def on_connected(self, line: Transport) -> None:
-        self.line = line
-        self.pool.for_each(self.in_flight.unwritten(), self._write_late)
-
-    def _write_late(self, exchange: InFlightRequest) -> None:
-        if not self.in_flight.holds(exchange):
-            return
-        if not self._may_leave(exchange):
-            self._end_unsent(exchange)
-        elif not self._write(exchange):
-            self.pool.start(exchange)
-
-    def _may_leave(self, exchange: InFlightRequest) -> bool:
-        # Danger: a connection takes a while to come up, and a process may be stopped meanwhile. By then the
-        # engine may drain, the client be gone, or the window for a repeat be over.
-        return not self.is_outdated and exchange.listener.may_send(exchange)
-
-    def seconds_left(self) -> float | None:
-        """Seconds in which the rest of an answer is to come; None where none has begun."""
-        return max(0.0, (self._due - self.pool.now()) / 1e6) if self._answers.has_partial_answer() else None
-
-    def on_received(self, data: bytes) -> None:
-        """Hands on the answers in it; BrokenError where it can't be one."""
-        self.in_flight.received_count += 1
-        if not self._answers.has_partial_answer():
-            self._due = self.pool.now() + _HALF_WAY
-        while answers := self._answers.feed(data):
-            data, self._due = b"", self.pool.now() + _HALF_WAY
-            for answer in answers:
-                self._answered(answer)
-
-    def _answered(self, answer: codec.Answer) -> None:
-        exchange = self.in_flight.open.get(answer.name)
-        if exchange is not None and self._is_leaving(exchange):
-            # Danger: taken for a refusal, it would be sent again, and its rest here be run as well.
-            raise codec.BrokenError("an answer to what has not been asked whole")
-        if exchange is not None and not exchange.is_written:
-            exchange = None
-        if exchange is not None and answer.kind not in _OF_RESULTS:
-            self.in_flight.on_refused(exchange)
-        if exchange is None or not exchange.listener.on_answer(exchange, answer):
-            # A second copy, or an answer that comes after its time: no fault of what else is open.
-            self.pool.counters.add("answers not awaited")
-
-    def on_stalled(self) -> None:
-        """The rest has not come in time."""
-        raise codec.BrokenError("it stopped within an answer")
-
-    def on_end_of_stream(self) -> None:
-        """The connection has ended; BrokenError where part of an answer had come."""
-        if self._answers.has_partial_answer():
-            raise codec.BrokenError("it ended within an answer")
-
-    def on_closed(self) -> None:
-        """Nothing more comes of it."""
-        self.in_flight.is_closed = True
-        self.pool.quota.idle.pop(self, None)
-        self.pool.on_removed(self)
-        if self.is_out_of_descriptors:
-            self.pool.quota.close_idle()
-        self.pool.for_each(self.in_flight.on_connection_closed(self.line is not None), self._end)
-
-    def _end(self, ended: tuple[InFlightRequest, Disposition]) -> None:
-        exchange, fate = ended
-        if fate is Disposition.CONNECTION_LOST:
-            exchange.listener.on_connection_lost(exchange, self.is_corrupt)
-        elif self.is_outdated or self.is_out_of_descriptors:
-            exchange.listener.on_unsent(exchange)
-        elif fate is Disposition.UNREACHABLE:
-            exchange.listener.on_unreachable(exchange)
-        elif self._may_leave(exchange):
-            self.pool.start(exchange)
-        else:
-            exchange.listener.on_unsent(exchange)
+_DEFAULT_MAX_STREAMS = 32
+_DEFAULT_IDLE_TIMEOUT_MS = 15_000
+_Item = TypeVar("_Item")
 
 
 class DescriptorQuota:
-    """The links to all engines together.
+    """The connections to all engines together.
 
-    From `share` on exchanges share those of their engine; from `most` on an idle one makes room for another.
+    From `per_engine` on requests share the connections of their engine; from `total` on an idle connection
+    makes room for another. With hundreds of engines idle connections would take the clients' descriptors.
+    Where none is idle there is one more, and the listener accepts one client less.
     """
 
-    def __init__(self, share: int, most: int) -> None:
-        self.per_engine, self.total, self.used = share, most, 0
+    def __init__(self, per_engine: int, total: int) -> None:
+        self.per_engine = per_engine
+        self.total = total
+        self.used = 0
         self.idle: dict[EngineConnection, None] = {}  # idle for longest first
 
     def make_room(self) -> None:
-        # Danger: with hundreds of engines links that idle would take the clients' descriptors. Where none is
-        # idle, all are at work: one more, and the door takes in one client less.
+        """Closes an idle connection if there are as many as there may be."""
         if self.used >= self.total:
             self.close_idle()
 
     def close_idle(self) -> None:
+        """Closes the connection that has been idle for longest, if any is."""
         if self.idle:
             next(iter(self.idle)).close()
 
 
 class ConnectionPool:
-    """All links to one engine. Whoever has the sockets gives it `dial`."""
+    """All connections to one engine. A subclass has the sockets, and defines `connect`.
+
+    `settings` has the operator's `Limits`; times that are given in them are in milliseconds.
+    """
 
     def __init__(
         self,
         address: tuple[str, int],
-        settings: Mapping,
+        settings: Mapping[str, Any],
         quota: DescriptorQuota,
         timers: Timers,
         now: Callable[[], int],
         counters: Counters,
     ) -> None:
         limits = settings.get("Limits", {})
-        self.address, self.now, self.counters = address, now, counters
-        self.max_streams = max(1, limits.get("StreamsPerConn", 32))
-        # Danger: a request may cross the engine's own close of an idle link, so ours comes well before.
-        self._idle = int(limits.get("ConnIdle", 15000) * 1000) * 2 // 3
+        self.address = address
+        self.now = now
+        self.counters = counters
+        self.max_streams = max(1, limits.get("StreamsPerConn", _DEFAULT_MAX_STREAMS))
+        # Well before the engine's own timeout, as a request may cross its close of an idle connection.
+        idle_timeout_ms = limits.get("ConnIdle", _DEFAULT_IDLE_TIMEOUT_MS)
+        self._idle_timeout_us = int(idle_timeout_ms * 1000) * 2 // 3
         self.connections: list[EngineConnection] = []
-        self.quota, self._timers = quota, timers
-        self._swept = False
+        self.quota = quota
+        self._timers = timers
+        self._is_sweep_scheduled = False
 
     def connect(self) -> EngineConnection:
-        """A new link, whose connection is made from now on; `up` or `gone` tells how that went."""
+        """Begins to make a new connection, which says by `on_connected` or `on_closed` how that went."""
         raise NotImplementedError
 
-    def start(self, exchange: InFlightRequest) -> None:
-        while not self._pick(exchange.name).start(exchange):
+    def start(self, request: InFlightRequest) -> None:
+        """Starts a request on one of the connections, or on a new one."""
+        while not self._pick(request.name).start(request):
             pass
-        if not self._swept:
-            self._swept = True
-            self._timers.call_after(self._idle, self._sweep)
+        if not self._is_sweep_scheduled:
+            self._is_sweep_scheduled = True
+            self._timers.call_after(self._idle_timeout_us, self._sweep)
 
     def _pick(self, name: bytes) -> EngineConnection:
-        """An idle link or a new one; where that would be too many, the one with the least on it."""
-        # Danger: one spoilt answer ends all that is out on its link.
-        least = None
-        for link in self.connections:
-            life = link.in_flight
-            if link.has_room_for(name):
-                if not life.open:
-                    return link
-                if least is None or len(life.open) < len(least.in_flight.open):
-                    least = link
-        if least is not None and self.quota.used >= self.quota.per_engine:
-            return least
+        """Picks an idle connection or a new one; where that would be too many, the least loaded one.
+
+        One corrupt answer ends all requests on its connection, so they share one only where they must.
+        """
+        least_loaded = None
+        for connection in self.connections:
+            if connection.has_room_for(name):
+                open_requests = connection.in_flight.open
+                if not open_requests:
+                    return connection
+                if least_loaded is None or len(open_requests) < len(least_loaded.in_flight.open):
+                    least_loaded = connection
+        if least_loaded is not None and self.quota.used >= self.quota.per_engine:
+            return least_loaded
         self.quota.make_room()
-        link = self.connect()
-        self.connections.append(link)
+        connection = self.connect()
+        self.connections.append(connection)
         self.quota.used += 1
-        return link
+        return connection
 
-    def on_removed(self, link: EngineConnection) -> None:
-        self.connections.remove(link)
+    def on_removed(self, connection: EngineConnection) -> None:
+        """A connection has ended."""
+        self.connections.remove(connection)
         self.quota.used -= 1
 
     def move(self, address: tuple[str, int]) -> None:
-        """The engine has started anew, maybe elsewhere: what runs may end, new work takes new links."""
+        """The engine has restarted, maybe elsewhere: what runs may end, new requests take new connections.
+
+        Another engine may have the old address by now, so nothing more is sent to it.
+        """
         self.address = address
         outdated = list(self.connections)
-        for link in outdated:
-            # Danger: another may have its old address by now.
-            link.is_outdated = True
-            link.retire()
-        # The module hears of it once it has been told of the list.
-        self._timers.call_after(0, lambda _: self._recall(outdated))
+        for connection in outdated:
+            connection.is_outdated = True
+            connection.retire()
+        # The policy hears of what was not sent once it has been told of the endpoint list.
+        self._timers.call_after(0, lambda _: self._cancel_unwritten(outdated))
 
     def cancel_unwritten(self) -> None:
-        """What has not been written on any link ends as never sent: the engine drains or is gone.
+        """Ends what has not been sent on any connection as never sent, as the engine drains or is removed.
 
-        To be called once the module has been told, which may send it elsewhere at once.
+        To be called once the policy has been told, which may send it elsewhere at once.
         """
-        self._recall(list(self.connections))
+        self._cancel_unwritten(list(self.connections))
 
-    def _recall(self, links: list[EngineConnection]) -> None:
-        for link in links:
-            link.cancel_unwritten()
+    def _cancel_unwritten(self, connections: list[EngineConnection]) -> None:
+        for connection in connections:
+            connection.cancel_unwritten()
 
-    def for_each(self, things: Iterable[_Thing], do: Callable[[_Thing], None]) -> None:
-        # Danger: a fault of ours with one exchange would leave the others without an end.
-        for thing in things:
+    def for_each(self, items: Iterable[_Item], handle: Callable[[_Item], None]) -> None:
+        """Handles all items, also where one fails: the others must not be left without an end."""
+        for item in items:
             try:
-                do(thing)
-            except Exception as trouble:
-                self.on_fault(trouble)
+                handle(item)
+            except Exception as error:
+                self.on_fault(error)
 
-    def on_fault(self, trouble: Exception) -> None:
-        """Something of ours failed with one exchange; the others go on."""
+    def on_fault(self, error: Exception) -> None:
+        """The gateway's own code has failed with one request; the others go on."""
         self.counters.add("faults")
 
     def retire(self) -> None:
-        for link in list(self.connections):
-            link.retire()
-
-    def _sweep(self, now: int) -> None:
-        for link in list(self.connections):
-            if not link.in_flight.open and now - link.idle_since >= self._idle:
-                link.close()
-        self._swept = bool(self.connections)
-        if self._swept:
-            self._timers.call_after(self._idle // 4, self._sweep)
+        """Takes no more requests on the present connections; each closes once its last one has ended."""
+        for connection in list(self.connections):
+            connection.retire()
+
+    def _sweep(self, now_us: int) -> None:
+        for connection in list(self.connections):
+            is_idle = not connection.in_flight.open
+            if is_idle and now_us - connection.idle_since >= self._idle_timeout_us:
+                connection.close()
+        self._is_sweep_scheduled = bool(self.connections)
+        if self._is_sweep_scheduled:
+            self._timers.call_after(self._idle_timeout_us // 4, self._sweep)
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -18,9 +18,11 @@
 
 import hiredis
 
-from cresstray.clients.session import ClientSession, ConnectionRegistry, NextAction
-from cresstray.engines.codec import BrokenError
-from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota, EngineConnection
+from cresstray.clients.connection_registry import ConnectionRegistry
+from cresstray.clients.session import ClientSession, NextAction
+from cresstray.engines.codec import EngineProtocolError
+from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota
+from cresstray.engines.connection_state import EngineConnection
 from cresstray.engines.in_flight import InFlightRequests
 from cresstray.model_checking.patching import Mutant, lines
 from cresstray.model_checking.world import Bounds, Copied, NoLog, Uncounted, VirtualClock, VirtualTimers
@@ -245,7 +247,7 @@
             ("e", 1), _SETTINGS, DescriptorQuota(1, 3), world.timers, world.clock.now, world.counters
         )
         self.world = world
-        self._swept = True  # what is idle for ten seconds is beyond this world
+        self._is_sweep_scheduled = True  # what is idle for ten seconds is beyond this world
 
     def connect(self) -> EngineLink:
         taken = {link.name for link in self.connections}
@@ -428,10 +430,10 @@
         found, name = [], link.name
         if link.hung_up:
             # What has come may still be read before the end is seen.
-            if link.told and link.line is not None:
+            if link.told and link.transport is not None:
                 found.append(f"{name} is read")
             return [*found, f"{name} is gone"], True
-        if link.line is None:
+        if link.transport is None:
             found.append(f"{name} is up")
             if self.faults:
                 found.append(f"{name} is not reached")
@@ -447,7 +449,7 @@
                 found += [f"{name} resets", f"{name} shuts"]
         if link.told:
             found.append(f"{name} is read")
-            if self.cuts and not link._answers.has_partial_answer():
+            if self.cuts and not link.has_partial_answer():
                 found.append(f"{name} is read in part")
         elif link.dead or link.shutdown_write:
             found.append(f"{name} is gone")
@@ -467,9 +469,9 @@
         if self.module.queue:
             at.append(self.module.due())
         at += [
-            link._due
+            link.answer_deadline_us
             for link in self.pool.connections
-            if link._answers.has_partial_answer() and not link.told
+            if link.has_partial_answer() and not link.told
         ]
         if self.ending in ("coming", "written"):
             at.append(self.ends_at)
@@ -497,7 +499,7 @@
         if who == "clock":
             self.clock.at = self._next()
             for link in list(self.pool.connections):
-                if link._answers.has_partial_answer() and not link.told and self.clock.at >= link._due:
+                if link.has_partial_answer() and not link.told and self.clock.at >= link.answer_deadline_us:
                     self._read(link, None)
             self.module.tidy(self.clock.at)
             if self.talk is not None and self.talk.idle_overdue_us(self.clock.at) >= 0:
@@ -696,7 +698,7 @@
                 link.on_received(data)
             else:
                 link.on_end_of_stream()
-        except BrokenError:
+        except EngineProtocolError:
             link.is_corrupt = True
             self._lost(link)
             link.on_closed()
@@ -863,25 +865,31 @@
         "second_copy_of_a_refusal",
         "one_outstanding",
         "exchange",
-        lines((InFlightRequests.has_room_for, " or name in self.refused", "")),
+        lines((InFlightRequests.has_room_for, " or name in self.rejected", "")),
     ),
     Mutant(
         "taken_in_after_the_close",
         "nothing_after",
         "ending",
-        lines((ClientSession._refuses, "self._closing or self._left or self._house.is_closing", "False")),
+        lines(
+            (
+                ClientSession._must_reject,
+                "self._is_closing or self._has_client_left or self._registry.is_closing",
+                "False",
+            )
+        ),
     ),
     Mutant(
         "taken_in_after_the_shut",
         "one_answer",
         "ending",
-        lines((ClientSession.receive, "if self._shut:", "if False:")),
+        lines((ClientSession.receive, "if self._is_shut_down:", "if False:")),
     ),
     Mutant(
         "shut_over_a_request",
         "one_answer",
         "connection",
-        lines((ClientSession.can_shut_down, "if busy or came and not self._closing:", "if False:")),
+        lines((ClientSession.can_shut_down, "if is_busy or is_active_again:", "if False:")),
     ),
     Mutant(
         "reset_counted_as_never_run",
@@ -889,10 +897,10 @@
         "connection",
         lines(
             (
-                InFlightRequests._fate,
+                InFlightRequests._disposition_of,
                 "return Disposition.CONNECTION_LOST",
                 "return Disposition.CONNECTION_LOST"
-                " if self.received_count > exchange.received_before else Disposition.UNREACHABLE",
+                " if self.received_count > request.received_before else Disposition.UNREACHABLE",
             )
         ),
     ),
@@ -918,30 +926,30 @@
         "who_has_left_is_not_told",
         "nothing_kept",
         "connection",
-        lines((ClientSession.on_disconnected, "self._house.handler.on_disconnected(self)", "pass")),
+        lines((ClientSession.on_disconnected, "self._registry.handler.on_disconnected(self)", "pass")),
     ),
     Mutant(
         "half_lines_are_counted_on",
         "nothing_kept",
         "connection",
-        lines((ClientSession.on_disconnected, "self._house.buffered_bytes -= len(self._buffer)", "pass")),
+        lines((ClientSession.on_disconnected, "self._registry.buffered_bytes -= len(self._buffer)", "pass")),
     ),
     Mutant(
         "idle_and_forgotten",
         "nothing_kept",
         "connection",
-        lines((EngineConnection._mind_idle, "self.pool.quota.idle[self] = None", "pass")),
+        lines((EngineConnection._update_idle, "self.pool.quota.idle[self] = None", "pass")),
     ),
     Mutant(
         "quit_that_is_not_sent",
         "one_outstanding",
         "exchange",
-        lines((EngineConnection.abandon, "elif told is not None:", "elif False:")),
+        lines((EngineConnection.abandon, "elif message is not None:", "elif False:")),
     ),
     Mutant(
         "late_write_that_asks_nobody",
         "nothing_after",
         "connection",
-        lines((EngineConnection._write_late, "if not self._may_leave(exchange):", "if False:")),
+        lines((EngineConnection._write_late, "if not self._may_send(request):", "if False:")),
     ),
 )
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,8 +6,9 @@
 
 from cresstray.clock import Timers
 from cresstray.engines import codec
-from cresstray.engines.codec import BrokenError
-from cresstray.engines.connection_pool import _MOST_BEHIND, ConnectionPool, DescriptorQuota, EngineConnection
+from cresstray.engines.codec import EngineProtocolError
+from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota
+from cresstray.engines.connection_state import MAX_QUEUED_BEHIND_BYTES, EngineConnection
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.model_checking.world import VirtualClock
 from cresstray.observability.counters import Counters
@@ -353,7 +354,7 @@
         pool = self.pool(share=1)
         link = self.busy(pool, 10)
         self.start(pool, "partly")
-        with self.assertRaises(BrokenError):
+        with self.assertRaises(EngineProtocolError):
             link.answer("partly", "overload")
         link.is_corrupt = True
         link.on_closed()
@@ -387,14 +388,14 @@
             link.send(b"*3\r\n$4\r\nNEXT\r\n$16\r\n0123456789abcdef\r\n$1\r\n1\r\n")
             most = max(most, len(link.wire.unsent))
         self.assertTrue(link.hung_up)
-        self.assertLess(most, _MOST_BEHIND + 100)
+        self.assertLess(most, MAX_QUEUED_BEHIND_BYTES + 100)
         link.on_closed()
         self.assertEqual(["first cut"], self.keeper.told)
 
     def test_a_long_request_that_leaves_slowly_keeps_its_link(self) -> None:
         pool = self.pool(share=1)
         link = self.busy(pool, 10)
-        self.start(pool, "long", 4 * _MOST_BEHIND)
+        self.start(pool, "long", 4 * MAX_QUEUED_BEHIND_BYTES)
         link.abandon(link.in_flight.open[b"first"])
         link.wire.room = None
         link.wire.flow()
@@ -430,7 +431,7 @@
         self.start(pool, "idle")
         pool.made[0].come_up()
         pool.made[0].answer("idle", "served")
-        pool.made[0].line.unsent += b"QUIT"
+        pool.made[0].transport.unsent += b"QUIT"
         self.start(pool, "one")
         pool.made[1].is_out_of_descriptors = True
         pool.made[1].on_closed()
@@ -481,7 +482,7 @@
         self.clock.at += 250_000
         self.assertEqual(0.0, pool.made[1].seconds_left())
         for ends in (pool.made[1].on_stalled, pool.made[1].on_end_of_stream):
-            with self.assertRaises(BrokenError):
+            with self.assertRaises(EngineProtocolError):
                 ends()
 
     def test_an_idle_link_that_its_engine_has_closed_is_not_written_to(self) -> None:
@@ -500,7 +501,7 @@
         for number in range(600):
             exchange = self.start(pool, f"{number}")
             link = exchange.connection
-            if link.line is None:
+            if link.transport is None:
                 link.come_up()
             link.in_flight.received_count += 1  # the engine lives
             link.abandon(exchange)
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -3,10 +3,12 @@
 import json
 from base64 import b64encode
 
-from cresstray.clients.session import ClientSession, ConnectionRegistry, NextAction
+from cresstray.clients.connection_registry import ConnectionRegistry
+from cresstray.clients.session import ClientSession, NextAction
 from cresstray.engines import codec
-from cresstray.engines.codec import BrokenError
-from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota, EngineConnection
+from cresstray.engines.codec import EngineProtocolError
+from cresstray.engines.connection_pool import ConnectionPool, DescriptorQuota
+from cresstray.engines.connection_state import EngineConnection
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.observability.counters import Counters
 from tests.desk import TraceCase
@@ -127,7 +129,7 @@
         self.assertEqual([1], list(talk.open))
         talk.fail(1)
         self.assertEqual("ends once it is written", self.lines[-1])
-        self.assertTrue(talk.can_shut_down(came=False))
+        self.assertTrue(talk.can_shut_down(has_received=False))
         self.assertEqual(({}, [talk]), (self.house.connections, list(self.house.leaving)))
         seen = len(self.lines)
         self.assertEqual(NextAction.READ, talk.receive(request(4)))
@@ -144,14 +146,14 @@
         """What it asks is refused, and heard again once it reads; what it withdraws is heard."""
         slow = self.talk(reads=False)
         slow.receive(request(1) + request(2))
-        slow._wire.write(b" " * (256 * 1024 + 1))
+        slow._transport.write(b" " * (256 * 1024 + 1))
         slow.receive(request(3) + withdrawal(2))
         self.assertEqual("withdraws 2", self.lines[-1])
         self.assertEqual(-32000, code_of(self.lines[-2]))
-        slow._wire.unsent.clear()
+        slow._transport.unsent.clear()
         slow.receive(request(3))
         self.assertEqual("asks 3", self.lines[-1])
-        slow._wire.write(b" " * (256 * 1024 + 1))
+        slow._transport.write(b" " * (256 * 1024 + 1))
         found = [slow.receive(one) for _ in range(667) for one in (request(9), request(10), status())]
         self.assertEqual(NextAction.CLOSE, found[-1])
         self.assertEqual(2000, found.index(NextAction.CLOSE))
@@ -233,17 +235,17 @@
         talk.close()
         self.assertNotIn("ends once it is written", self.lines)  # it is owed an answer
         talk.reject(1, 0)
-        self.assertFalse(talk.can_shut_down(came=False))
-        talk._wire.unsent.clear()
-        self.assertTrue(talk.can_shut_down(came=True))
+        self.assertFalse(talk.can_shut_down(has_received=False))
+        talk._transport.unsent.clear()
+        self.assertTrue(talk.can_shut_down(has_received=True))
         self.assertEqual(2, self.lines.count("ends once it is written"))
 
     def test_who_makes_way(self) -> None:
         """Nobody who has something open, unread or unwritten."""
         asking, unread, unwritten, idle = (self.talk(reads=at != 2) for at in range(4))
         asking.receive(request(1))
-        unread._wire.unread = True
-        unwritten._wire.write(b"answer")
+        unread._transport.unread = True
+        unwritten._transport.write(b"answer")
         made = [talk.try_evict() for talk in (asking, unread, unwritten, idle)]
         self.assertEqual([False, False, False, True], made)
 
@@ -300,7 +302,7 @@
         for word, same in ((b"overload", False), (b"crashed", False), (b"served", True)):
             first, second = Told(b"one"), Told(b"one")
             pool.start(first)
-            if first.connection.line is None:
+            if first.connection.transport is None:
                 first.connection.on_connected(pool)
             first.connection.on_received(
                 b"*4\r\n$3\r\none\r\n$%d\r\n%b\r\n$1\r\n-\r\n$0\r\n\r\n" % (len(word), word)
@@ -314,11 +316,11 @@
     def test_refused_names_are_bounded(self) -> None:
         link = PipePool([]).connect()
         for number in range(1000):
-            link.in_flight.on_refused(Told(b"%d" % number))
+            link.in_flight.on_rejected(Told(b"%d" % number))
         self.assertEqual(
             (200, False, True),
             (
-                len(link.in_flight.refused),
+                len(link.in_flight.rejected),
                 link.in_flight.has_room_for(b"999"),
                 link.in_flight.has_room_for(b"1"),
             ),
@@ -335,7 +337,7 @@
         link.on_received(b"*4\r\n$3\r\n")
         self.assertEqual(0.25, link.seconds_left())
         for end in (link.on_end_of_stream, link.on_stalled):
-            with self.assertRaises(BrokenError):
+            with self.assertRaises(EngineProtocolError):
                 end()
         pool.ended = True
         link.in_flight.finish(exchange)
