--- a/cresstray/config/fleet.py
+++ b/cresstray/config/fleet.py
@@ -30,7 +30,7 @@
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """Times in microseconds. How each was chosen stands in docs/fleet-rules.md."""
+    """Times in microseconds. How each was chosen stands in docs/fleet-config.md."""
 
     name: str
     keepers: tuple[Keeper, ...]
--- a/cresstray/discovery/watch.py
+++ b/cresstray/discovery/watch.py
@@ -92,7 +92,7 @@
         self._last_received_s = 0.0  # when it was connected, or something came
         self._has_nothing_new = False  # whether its last frame told nothing new
         self._event_attempts = 0  # of handling the event behind the last
-        # Whether `on_event` can tell an older complete list from a newer one, see docs/kept.md.
+        # Whether `on_event` can tell an older complete list from a newer one, see docs/membership.md.
         self.accepts_older_list = False
 
     def move(self, address: str | None) -> None:
