--- a/cresstray/emulators/store.py
+++ b/cresstray/emulators/store.py
@@ -26,7 +26,7 @@
 from cresstray.emulators.sockets import Peer, listen, serve
 from cresstray.emulators.store_commands import ClientState, StoreCommands, StoreError, encode
 from cresstray.emulators.store_data import Entry, dump_entry, parse_entry
-from cresstray.transport.streams import ENDED, SocketStream, connect
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect
 
 FAULTS = """\
 slow fixed MS | uniform MS MS | log MEDIAN_MS SIGMA     each command runs and is answered so much later
@@ -174,7 +174,7 @@
         try:
             with peer.scope, peer.line:
                 await self._read(connection, await self._secure(connection))
-        except (*ENDED, hiredis.HiredisError):
+        except (*CONNECTION_ENDED, hiredis.HiredisError):
             return
         finally:
             self._connections.discard(connection)
@@ -287,7 +287,7 @@
                         due_ms = self.commands.now_ms() + self._lag_ms
                         self._arriving.extend((due_ms, json.loads(line)) for line in lines)
                         self._apply_arrived()
-            except ENDED:
+            except CONNECTION_ENDED:
                 return
 
     def _apply_arrived(self) -> None:
--- a/cresstray/fleet_config/active_config.py
+++ b/cresstray/fleet_config/active_config.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from cresstray.fleet_config.codec import (
-    BrokenError,
     ConfigPart,
     Frame,
+    FramingError,
     GetConfig,
     LeaseBehind,
     LeaseGranted,
@@ -151,7 +151,7 @@
             self._take_content(frame, now)
             return
         if not isinstance(frame, (LeaseGranted, LeaseBehind, LeaseRefused)):
-            raise BrokenError(f"a {type(frame).__name__} for a gateway")
+            raise FramingError(f"a {type(frame).__name__} for a gateway")
         asked = self._asked.pop(frame.number, None)
         # An answer to what this process didn't ask, or asked too long ago to know when.
         if asked is None:
@@ -195,7 +195,9 @@
             or (first.base, first.turn, first.part_count) != (frame.base, frame.turn, frame.part_count)
         ):
             self._parts.clear()
-            raise BrokenError(f"part {frame.part} of {frame.part_count} of turn {frame.turn} is out of order")
+            raise FramingError(
+                f"part {frame.part} of {frame.part_count} of turn {frame.turn} is out of order"
+            )
         self._parts.append(frame)
         if len(self._parts) < frame.part_count:
             return
@@ -215,7 +217,7 @@
             for delta in updates.deltas:
                 documents = apply_delta(documents, delta)
         except (ValueError, UnicodeDecodeError, RecursionError) as trouble:
-            raise BrokenError(f"content of turn {frame.turn}: {trouble}") from None
+            raise FramingError(f"content of turn {frame.turn}: {trouble}") from None
         self.turn, self.documents = frame.turn, documents
         self.revision += 1
         if not self._named():
--- a/cresstray/fleet_config/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -26,9 +26,16 @@
     ReplicaPositions,
 )
 from cresstray.observability.counters import Counters
-from cresstray.observability.event_log import Said
-from cresstray.transport.framing import BrokenError, Frame
-from cresstray.transport.peers import Ends, Link, Talk, agreed, greeted, hello
+from cresstray.observability.event_log import EventLog
+from cresstray.transport.framing import Frame, FramingError
+from cresstray.transport.peers import (
+    Link,
+    PeerLinkManager,
+    PositionExchange,
+    check_greeting,
+    make_greeting,
+    settings_digest,
+)
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
@@ -73,7 +80,7 @@
         chance: Callable[[], float],
         now: Callable[[], int] = boottime_us,
         counters: Counters | None = None,
-        talks: Callable[[], Talk] | None = None,
+        talks: Callable[[], PositionExchange] | None = None,
         linked: Callable[[bool], None] = lambda up: None,
     ) -> None:
         self._given = given
@@ -84,19 +91,21 @@
         self._now = now
         self._talks = talks
         self.counters = counters or Counters()
-        self._said = Said(now, gateway=name)
+        self._said = EventLog(now, gateway=name)
         contexts = None
         if given.tls is not None:
             from cresstray.sites.tls import Contexts
 
             contexts = Contexts(given.tls)
         # A node that is silent holds up the way to the next one; a lease is to outlive two of them.
-        self._ends = Ends(_FRAMES, contexts, chance, self._said, self.counters, given.lease / 4e6)
-        self._hello = hello("gateway", given.name, name, active_config.incarnation, agreed(given))
+        self._ends = PeerLinkManager(_FRAMES, contexts, chance, self._said, self.counters, given.lease / 4e6)
+        self._hello = make_greeting(
+            "gateway", given.name, name, active_config.incarnation, settings_digest(given)
+        )
         self._nodes = preference_order(name, given.keepers)
         self._link: Link | None = None
         self._node = ""
-        self._talk: Talk | None = None
+        self._talk: PositionExchange | None = None
         self._heard_at = self._leader_at = self._send_positions_at = self._sent_positions_at = 0
         self._requested_turn = -1  # for which the rest has been asked for on this link
         self._timer: asyncio.TimerHandle | None = None
@@ -112,7 +121,7 @@
         while True:
             node = self._nodes[tried % len(self._nodes)]
             began = self._now()
-            await self._ends.made(
+            await self._ends.run_outgoing(
                 node.address,
                 node.name,
                 self._hello,
@@ -134,9 +143,9 @@
                 pause = min(2 * pause, _MAX_PAUSE_S)
 
     def _check(self, node: Keeper, greeting: Frame, names: set[str] | None) -> None:
-        greet = greeted(greeting, self._given, names)
+        greet = check_greeting(greeting, self._given, names)
         if greet.role != "keeper" or greet.name != node.name:
-            raise BrokenError(f"the {greet.role} {greet.name!r} where {node.name!r} should be")
+            raise FramingError(f"the {greet.role} {greet.name!r} where {node.name!r} should be")
 
     def _up(self, node: Keeper, link: Link) -> None:
         at = self._now()
@@ -146,7 +155,7 @@
         self._heard_at = self._leader_at = at
         self._talk = self._talks() if self._talks is not None else None
         self._linked(True)
-        self._said.say("link", "made", to=node.name)
+        self._said.log("link", "made", to=node.name)
         self.active_config.on_connected(at)
         link.put(self.active_config.make_request())
         self._tick()
@@ -161,7 +170,7 @@
     def _taken(self, link: Link, frame: Frame) -> None:
         at = self._heard_at = self._now()
         if isinstance(frame, Greeting):
-            raise BrokenError("a second greeting")
+            raise FramingError("a second greeting")
         if isinstance(frame, ReplicaPositions):
             if self._talk is not None:
                 self._talk.hears(frame.body, at)
@@ -172,13 +181,13 @@
             self.counters.add("leases granted")
         try:
             self.active_config.receive(frame, at)
-        except BrokenError:
+        except FramingError:
             raise
         except Exception:
             # A fault here must not end the gateway; without a lease it divides by the count without one.
             self.counters.add("faults")
-            self._said.say("fault", traceback.format_exc())
-            raise BrokenError("a fault of ours") from None
+            self._said.log("fault", traceback.format_exc())
+            raise FramingError("a fault of ours") from None
         refused = (frame.reason, frame.turn) if isinstance(frame, LeaseRefused) else None
         # A refusal that is answered by the next renewal at once would go round without end.
         if refused is not None and refused == self._refused:
@@ -201,7 +210,7 @@
             self._look(at)
         except Exception:
             self.counters.add("faults")
-            self._said.say("fault", traceback.format_exc())
+            self._said.log("fault", traceback.format_exc())
         self._timer = asyncio.get_running_loop().call_later(wait / 1e6, self._tick)
 
     def _ask(self, link: Link, at: int) -> None:
@@ -222,7 +231,7 @@
         elif at - self._leader_at > max(quiet, 4 * self._given.election):
             link.end("it knows no leader")
 
-    def _send_positions(self, link: Link, talk: Talk, at: int) -> None:
+    def _send_positions(self, link: Link, talk: PositionExchange, at: int) -> None:
         self._sent_positions_at, self._send_positions_at = at, at + _POSITIONS_INTERVAL_US
         link.put(ReplicaPositions(talk.says(at)))
 
@@ -240,7 +249,7 @@
         in_use = self.active_config.effective_at(at)
         for line in self.active_config.take_log_lines():
             if line != self._line:
-                self._said.say("rules", line)
+                self._said.log("rules", line)
             self._line = line
         now_is = in_use.mode, in_use.turn
         if now_is != self._was:
--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -29,7 +29,7 @@
 )
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.transport.streams import ENDED, SocketStream, connect, contained
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect, faults_contained
 
 if TYPE_CHECKING:
     from cresstray.config.idempotency import StoreSettings, StoreTlsFiles
@@ -146,7 +146,7 @@
         while True:
             lifetime_us = 0
             for index in self._tracker.connection_order():
-                with contained("a connection to the store", self._counters, self._log):
+                with faults_contained("a connection to the store", self._counters, self._log):
                     lifetime_us = await self._connect_and_use(index)
                 if lifetime_us:
                     break
@@ -198,7 +198,7 @@
                 reader = codec.ReplyReader()
                 handshake = await self._perform_handshake(channel, reader)
                 return channel, reader, handshake
-        except (*ENDED, TimeoutError, ProtocolError, HandshakeError) as error:
+        except (*CONNECTION_ENDED, TimeoutError, ProtocolError, HandshakeError) as error:
             self._counters.add("store: handshakes failed")
             self._log_error(index, f"handshake failed: {error!r}")
             return None
@@ -253,7 +253,7 @@
         except ProtocolError as error:
             self._counters.add("store: protocol errors")
             connection.close(f"dropped: {error}")
-        except ENDED as error:
+        except CONNECTION_ENDED as error:
             connection.close(repr(error))
         finally:
             self._on_ended(connection)
--- a/cresstray/idempotency/connection_pool.py
+++ b/cresstray/idempotency/connection_pool.py
@@ -18,7 +18,7 @@
 from cresstray.idempotency.in_flight import CommandBatch, OnDone, PrimaryTracker, Replies
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.transport.streams import contained
+from cresstray.transport.streams import faults_contained
 
 if TYPE_CHECKING:
     RunSoon = Callable[..., object]
@@ -150,7 +150,7 @@
             batch.timeout.cancel()
         self.pending_bytes -= batch.size_bytes
         batch.release()
-        with contained("a reply of the store", self._counters, self._log):
+        with faults_contained("a reply of the store", self._counters, self._log):
             on_done(replies)
 
     def add(self, connection: StoreConnection) -> None:
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -21,8 +21,8 @@
 from cresstray.fleet_config.active_config import ActiveConfig, Mode
 from cresstray.fleet_config.admission import ConfigAdmissionRules
 from cresstray.fleet_config.codec import (
-    BrokenError,
     ConfigPart,
+    FramingError,
     LeaseBehind,
     LeaseGranted,
     LeaseRefused,
@@ -456,8 +456,8 @@
             codec.OperatorReply(1, b"a", True),
         ]
         self.assertEqual(list(range(48, 59)), [one.kind for one in codec.KINDS])
-        data = b"".join(map(codec.encode, frames))
-        reader, found = codec.Frames(codec.KINDS), []
+        data = b"".join(map(codec.encode_frame, frames))
+        reader, found = codec.FrameDecoder(codec.KINDS), []
         for at in range(0, len(data), 7):
             found += reader.feed(data[at : at + 7])
         self.assertEqual(frames, found)
@@ -469,8 +469,8 @@
             codec.ReplicaPositions(b"w" * 32_769),
             codec.Greeting("m" * 129, 1, "", "", "", ""),
         ):
-            with self.assertRaises(BrokenError):
-                codec.Frames(codec.KINDS).feed(codec.encode(wrong))
+            with self.assertRaises(FramingError):
+                codec.FrameDecoder(codec.KINDS).feed(codec.encode_frame(wrong))
         body = random.Random(1).randbytes(300_000)
         self.assertEqual([3, 3, 3], [one.part_count for one in codec.config_parts(0, 2, body)])
         with self.assertRaises(ValueError):
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -28,7 +28,7 @@
 from cresstray.fleet_config.codec import ForwardedFrame, GetConfig, OperatorRequest, RenewLease
 from cresstray.fleet_config.follower import ConfigFollower, preference_order
 from cresstray.transport import peers
-from cresstray.transport.framing import LONGEST, encode
+from cresstray.transport.framing import MAX_FRAME_BYTES, encode_frame
 
 
 def free_ports(count: int) -> list[int]:
@@ -287,19 +287,22 @@
             keepers.start()
             keepers.line().ask(Ask("show"))
             time.sleep(1.1)  # five lines a second are told
-            agreed = peers.agreed(keepers.given)
-            gateway = peers.hello("gateway", "trial", "g0", "a1", agreed)
+            agreed = peers.settings_digest(keepers.given)
+            gateway = peers.make_greeting("gateway", "trial", "g0", "a1", agreed)
 
             def greeting(**changed: object) -> bytes:
-                return encode(msgspec.structs.replace(gateway, **changed))
+                return encode_frame(msgspec.structs.replace(gateway, **changed))
 
-            well = encode(gateway)
-            operator_ = encode(peers.hello("operator", "trial", "operator", "a1"))
+            well = encode_frame(gateway)
+            operator_ = encode_frame(peers.make_greeting("operator", "trial", "operator", "a1"))
             keeper = greeting(role="keeper", name="k1")
             cases = {
                 "noise": (b"GET / HTTP/1.0\r\n\r\n", "refused: .*a frame of kind"),
-                "a length that lies": (struct.pack(">IB", LONGEST + 1, 48), "refused: .*a frame of kind 48"),
-                "no greeting": (encode(GetConfig(0)), "refused: .*no greeting"),
+                "a length that lies": (
+                    struct.pack(">IB", MAX_FRAME_BYTES + 1, 48),
+                    "refused: .*a frame of kind 48",
+                ),
+                "no greeting": (encode_frame(GetConfig(0)), "refused: .*no greeting"),
                 "another magic": (greeting(magic="other"), "refused: .*no greeting"),
                 "a later version": (greeting(version=9), "refused: .*version 9"),
                 "another fleet": (greeting(fleet="other"), "refused: .*of fleet 'other'"),
@@ -308,28 +311,34 @@
                 "a keeper's name": (greeting(name="k1"), "refused: .*'k1' as a gateway"),
                 "a keeper unheard of": (greeting(role="keeper"), "refused: .*'g0' as a keeper"),
                 "its own name": (keeper, "refused: .*own name"),
-                "another lease": (greeting(nonce=b"") + encode(RenewLease(1, 0)), "dropped: .*another lease"),
+                "another lease": (
+                    greeting(nonce=b"") + encode_frame(RenewLease(1, 0)),
+                    "dropped: .*another lease",
+                ),
                 "a second greeting": (well + well, "dropped: a Greeting from the role gateway"),
-                "a keeper's word": (well + encode(Alive(1)), "dropped: a Alive from the role gateway"),
+                "a keeper's word": (well + encode_frame(Alive(1)), "dropped: a Alive from the role gateway"),
                 "a carried word": (
-                    well + encode(ForwardedFrame("x", False, b"")),
+                    well + encode_frame(ForwardedFrame("x", False, b"")),
                     "dropped: a ForwardedFrame from",
                 ),
                 "an operator's question": (
-                    well + encode(requests(1, Ask("show"))[0]),
+                    well + encode_frame(requests(1, Ask("show"))[0]),
                     "dropped: a OperatorRequest",
                 ),
                 "a gateway's word": (
-                    operator_ + encode(RenewLease(1, 0)),
+                    operator_ + encode_frame(RenewLease(1, 0)),
                     "dropped: a RenewLease from the role oper",
                 ),
-                "a renewal again": (well + encode(RenewLease(7, 0)) * 2, "dropped: renewal 7 after 7"),
+                "a renewal again": (well + encode_frame(RenewLease(7, 0)) * 2, "dropped: renewal 7 after 7"),
                 "an older renewal": (
-                    well + encode(RenewLease(7, 0)) + encode(RenewLease(6, 0)),
+                    well + encode_frame(RenewLease(7, 0)) + encode_frame(RenewLease(6, 0)),
                     "dropped: renewal 6",
                 ),
-                "no question": (operator_ + encode(OperatorRequest(1, b"\xc1", True)), "dropped: a question"),
-                "cut in the middle": (well + encode(GetConfig(0))[:-1], "EndOfStream"),
+                "no question": (
+                    operator_ + encode_frame(OperatorRequest(1, b"\xc1", True)),
+                    "dropped: a question",
+                ),
+                "cut in the middle": (well + encode_frame(GetConfig(0))[:-1], "EndOfStream"),
             }
             for name, (message, wanted) in cases.items():
                 with self.subTest(name):
@@ -354,7 +363,9 @@
             keepers.found()
             keepers.start()
             keepers.line().ask(Ask("show"))
-            well = encode(peers.hello("gateway", "trial", "g0", "a1", peers.agreed(keepers.given)))
+            well = encode_frame(
+                peers.make_greeting("gateway", "trial", "g0", "a1", peers.settings_digest(keepers.given))
+            )
             with socket.create_connection(("127.0.0.1", keepers.ports["k1"]), 5) as first:
                 first.sendall(well)
                 first.recv(65536)
