--- a/cresstray/cli/fleet.py
+++ b/cresstray/cli/fleet.py
@@ -21,8 +21,8 @@
 from cresstray.fleet_config import documents
 from cresstray.fleet_config.codec import PARTS, Greet, Reply
 from cresstray.observability.counters import Counters
-from cresstray.transport.framing import BrokenError, Frame
-from cresstray.transport.peers import Ends, Link, greeted, hello
+from cresstray.transport.framing import Frame, FramingError
+from cresstray.transport.peers import Link, PeerLinkManager, check_greeting, make_greeting
 
 # One answer takes a read, or an entry, of the log; a leader that is gone takes an election first.
 _ANSWER, _ALL = 3.0, 15.0
@@ -57,7 +57,7 @@
 class _Quiet:
     """Links that end are told in the answer, not in lines."""
 
-    def say(self, kind: str, event: str, **more: object) -> None:
+    def log(self, kind: str, event: str, **more: object) -> None:
         """Nothing."""
 
 
@@ -71,7 +71,7 @@
             from cresstray.sites.tls import Contexts
 
             contexts = Contexts(given.tls)
-        self._ends = Ends((Greet, Reply), contexts, random.random, _Quiet(), Counters())
+        self._ends = PeerLinkManager((Greet, Reply), contexts, random.random, _Quiet(), Counters())
         self._life, self._number = secrets.token_hex(8), 0
         self._until = time.monotonic() + seconds
         self._keepers = list(given.keepers)
@@ -107,9 +107,9 @@
         found: list[dict[str, Any]] = []
 
         def check(greeting: Frame, names: set[str] | None) -> None:
-            greet = greeted(greeting, self._given, names)
+            greet = check_greeting(greeting, self._given, names)
             if greet.role != "keeper" or greet.name != keeper.name:
-                raise BrokenError(f"the {greet.role} {greet.name!r} where {keeper.name!r} should be")
+                raise FramingError(f"the {greet.role} {greet.name!r} where {keeper.name!r} should be")
 
         def talk(link: Link) -> None:
             for part in requests(number, ask):
@@ -117,22 +117,22 @@
 
         def taken(link: Link, frame: Frame) -> None:
             if not isinstance(frame, Reply):
-                raise BrokenError("a second greeting")
+                raise FramingError("a second greeting")
             body = gather.add(frame)
             if body is not None and frame.number == number:
                 try:
                     found.append(msgspec.msgpack.decode(body, type=dict[str, Any]))
                 except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
-                    raise BrokenError(f"an answer: {trouble}") from None
+                    raise FramingError(f"an answer: {trouble}") from None
                 link.end("done")
 
         async with anyio.create_task_group() as tasks:
             why = "no answer in time"
             with anyio.move_on_after(_ANSWER):
-                why = await self._ends.made(
+                why = await self._ends.run_outgoing(
                     keeper.address,
                     keeper.name,
-                    hello("operator", self._given.name, self.who, self._life),
+                    make_greeting("operator", self._given.name, self.who, self._life),
                     check,
                     talk,
                     taken,
--- a/cresstray/clients/client_connection.py
+++ b/cresstray/clients/client_connection.py
@@ -9,7 +9,7 @@
 
 from cresstray.clients.connection_registry import ConnectionRegistry
 from cresstray.clients.session import ClientSession, NextAction
-from cresstray.transport.streams import ENDED, SocketStream
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream
 
 # Reads ahead of one handling: the client's end may come right behind a request.
 _MAX_READS_AHEAD = 16
@@ -41,7 +41,7 @@
                 try:
                     if await self._serve():
                         await self._drain()
-                except ENDED:
+                except CONNECTION_ENDED:
                     self._counters.add("clients ended")
         finally:
             self.session.on_disconnected()
@@ -82,7 +82,7 @@
         A client may send much and disconnect: what is handled before its end is read would be sent on.
         """
         for _ in range(_MAX_READS_AHEAD):
-            more = self._stream.take() if self.session.can_read_ahead() else None
+            more = self._stream.receive_available() if self.session.can_read_ahead() else None
             if more is None:
                 break
             if not more:
@@ -97,7 +97,7 @@
         action = session.receive(data, ended) if data else NextAction.READ
         if ended or action is NextAction.CLOSE:
             raise anyio.EndOfStream
-        if self._stream.has_more():
+        if self._stream.has_unread():
             session.resume()
             return False
         return session.can_shut_down(has_received=bool(data))
--- a/cresstray/clients/listener.py
+++ b/cresstray/clients/listener.py
@@ -13,7 +13,7 @@
 from cresstray.clients.session import ClientSession, RequestHandler
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.transport.streams import contained
+from cresstray.transport.streams import faults_contained
 
 _SWEEP_INTERVAL_S = 0.2
 # How long to leave connections waiting after one could not be accepted.
@@ -110,11 +110,11 @@
         return True
 
     async def _serve(self, connection: ClientConnection) -> None:
-        with contained("a client's connection", self.counters, self._log):
+        with faults_contained("a client's connection", self.counters, self._log):
             await connection.run()
 
     async def _sweep(self) -> None:
         while True:
             await anyio.sleep(_SWEEP_INTERVAL_S)
-            with contained("the sweep of the connections", self.counters, self._log):
+            with faults_contained("the sweep of the connections", self.counters, self._log):
                 self.close_idle()
--- a/cresstray/clients/session.py
+++ b/cresstray/clients/session.py
@@ -68,7 +68,7 @@
     def close(self) -> None:
         """Closes at once."""
 
-    def has_more(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether something has come that was not read yet."""
 
     def has_ended(self) -> bool:
@@ -388,7 +388,7 @@
         """Closes at once if it is shut, or if nothing is open, to be read or to be sent."""
         transport = self._transport
         if not self._is_shut_down:
-            is_busy = self.open or self.has_buffered_lines or transport.unsent or transport.has_more()
+            is_busy = self.open or self.has_buffered_lines or transport.unsent or transport.has_unread()
             if is_busy:
                 return False
         self.abort()
--- a/cresstray/consensus/raft.py
+++ b/cresstray/consensus/raft.py
@@ -36,7 +36,7 @@
 )
 from cresstray.consensus.log import Log
 from cresstray.consensus.peers import Peer, Way
-from cresstray.transport.framing import BrokenError, Frame, encode
+from cresstray.transport.framing import Frame, FramingError, encode_frame
 
 # Rounds of one leader begin no closer than this: an older one only makes the lease shorter.
 _ROUND = 1_000
@@ -324,7 +324,7 @@
                 if sender in self.members.names():
                     self._on_answer(sender, frame, now)
             case _:
-                raise BrokenError(f"a frame of kind {frame.kind} in the log's place")
+                raise FramingError(f"a frame of kind {frame.kind} in the log's place")
 
     def _on_answer(self, sender: str, frame: PreVoted | Voted | Appended | Installed, now: int) -> None:
         asked = isinstance(frame, PreVoted) and frame.granted
@@ -393,7 +393,7 @@
         if term < self.term:
             return False
         if term == self.term and (self.role is Role.LEADER or self.leader not in (None, sender)):
-            raise BrokenError(f"a second leader of term {term}")
+            raise FramingError(f"a second leader of term {term}")
         self._follow(term, sender, now)
         self._heard = now
         self._put_off(now)
@@ -407,7 +407,7 @@
             return
         for index, term in enumerate([frame.log_term, *(entry.term for entry in frame.entries)], prev):
             if log.base <= index <= self.commit and log.term_at(index) != term:
-                raise BrokenError(f"another entry {index} than was committed here")
+                raise FramingError(f"another entry {index} than was committed here")
         if prev >= self.commit and log.term_at(prev) != frame.log_term:
             told = log.term_at(prev)
             hint = log.last + 1 if told is None else log.first_of(told, self.commit + 1, prev)
@@ -430,13 +430,13 @@
         before = frame.log_term
         for entry in frame.entries:
             if not before <= entry.term <= frame.term:
-                raise BrokenError("entries whose terms don't grow")
+                raise FramingError("entries whose terms don't grow")
             before = entry.term
             if entry.kind == Kind.MEMBERS:
                 try:
                     members_of(entry.data)
                 except ValueError as trouble:
-                    raise BrokenError(f"an entry that is no list of members: {trouble}") from None
+                    raise FramingError(f"an entry that is no list of members: {trouble}") from None
 
     def _on_install(self, sender: str, frame: Install, now: int) -> None:
         if not self._hear(sender, frame.term, now):
@@ -464,7 +464,7 @@
         data = self._part[1]
         if frame.offset == len(data):
             if len(data) + len(frame.data) > frame.size:
-                raise BrokenError("a snapshot that is longer than it says")
+                raise FramingError("a snapshot that is longer than it says")
             data += frame.data
         here = len(data)
         if here == frame.size:
@@ -564,7 +564,7 @@
         peer, log = self._peers[sender], self._log
         if frame.ok:
             if frame.index > log.last:
-                raise BrokenError("more of the log than there is")
+                raise FramingError("more of the log than there is")
             if peer.matched(frame.index):
                 self._count(now)
             if self.role is Role.LEADER and sender in self._peers:
@@ -721,7 +721,7 @@
             ),
             self._heir,
             self._sent_now,
-            tuple((to, encode(frame)) for to, frame in self._frames),
+            tuple((to, encode_frame(frame)) for to, frame in self._frames),
             tuple(number for _, number in self._reads),
             self._open,
             self._term_stored == self.term,
--- a/cresstray/control_plane/codec.py
+++ b/cresstray/control_plane/codec.py
@@ -12,7 +12,7 @@
 from cresstray.consensus import codec as log
 from cresstray.fleet_config import codec as rules
 from cresstray.fleet_config.codec import PART, PARTS, Greet, Heard, Reply, Request
-from cresstray.transport.framing import BrokenError, Frame, Frames, encode
+from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
 
 _Text = Annotated[str, msgspec.Meta(max_length=128)]
 # Danger: a question without end would be kept without end. A change of documents fits into one entry.
@@ -63,7 +63,7 @@
     try:
         return _ask.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-        raise BrokenError(f"a question: {trouble}") from None
+        raise FramingError(f"a question: {trouble}") from None
 
 
 def _cut(body: bytes) -> list[bytes]:
@@ -100,7 +100,7 @@
             self._number, self._parts = frame.number, []
         self._parts.append(frame.body)
         if len(self._parts) > self._most:
-            raise BrokenError(f"more than {self._most} parts")
+            raise FramingError(f"more than {self._most} parts")
         if not frame.last:
             return None
         whole, self._parts = b"".join(self._parts), []
@@ -109,7 +109,7 @@
 
 def carried(body: bytes, kinds: tuple[type[Frame], ...]) -> Frame:
     """The one frame that another carries; BrokenError."""
-    found = Frames(kinds).feed(body)
-    if len(found) != 1 or len(body) != len(encode(found[0])):
-        raise BrokenError("what is carried is not one frame")
+    found = FrameDecoder(kinds).feed(body)
+    if len(found) != 1 or len(body) != len(encode_frame(found[0])):
+        raise FramingError("what is carried is not one frame")
     return found[0]
--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -35,12 +35,12 @@
 from cresstray.fleet_config.leases import Leases
 from cresstray.fleet_config.state import State
 from cresstray.observability.counters import Counters
-from cresstray.observability.event_log import Said
+from cresstray.observability.event_log import EventLog
 from cresstray.placement.move_executor import Disk
 from cresstray.placement.moves import Moves
 from cresstray.transport import peers
-from cresstray.transport.framing import BrokenError, Frame
-from cresstray.transport.peers import Ends, Link
+from cresstray.transport.framing import Frame, FramingError
+from cresstray.transport.peers import Link, PeerLinkManager
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
@@ -76,7 +76,7 @@
     def __init__(self, given: Fleet, name: str, file: str = "") -> None:
         """`file`: the operator's, read again after SIGHUP."""
         self._given, self.name, self._path = given, name, file
-        self._said = Said(now, keeper=name)
+        self._said = EventLog(now, keeper=name)
         self.counters = Counters()
         path = path_of(given, name)
         stranger = not os.path.exists(path)
@@ -112,15 +112,15 @@
         self._know_engines(given)
         self._address = given.keeper(name).address
         contexts = _contexts(given)
-        self._in = Ends(codec.ALL, contexts, chance, self._said, self.counters)
-        self._out = Ends(codec.BACK, contexts, chance, self._said, self.counters)
+        self._in = PeerLinkManager(codec.ALL, contexts, chance, self._said, self.counters)
+        self._out = PeerLinkManager(codec.BACK, contexts, chance, self._said, self.counters)
         self._timer: asyncio.TimerHandle | None = None
         self._woken, self._serial = False, 0
         self.failed = ""
         self._tasks: TaskGroup
 
     def _say(self, kind: str, event: str, **more: object) -> None:
-        self._said.say(kind, event, **more)
+        self._said.log(kind, event, **more)
 
     def _know_engines(self, given: Fleet) -> None:
         self._moving.addresses = {one.id: one.address for one in given.engines}
@@ -172,12 +172,14 @@
     # Links that others make.
 
     def _check(self, greeting: Frame, names: set[str] | None) -> None:
-        greet = peers.greeted(greeting, self._given, names)
+        greet = peers.check_greeting(greeting, self._given, names)
         if greet.role == "keeper" and greet.name == self.name:
-            raise BrokenError("this keeper's own name")
+            raise FramingError("this keeper's own name")
 
     def _hello(self, _greeting: Frame | None = None) -> Frame:
-        return peers.hello("keeper", self._given.name, self.name, self.life, peers.agreed(self._given))
+        return peers.make_greeting(
+            "keeper", self._given.name, self.name, self.life, peers.settings_digest(self._given)
+        )
 
     def _come(self, link: Link) -> None:
         greet = link.greeting
@@ -187,14 +189,14 @@
             "gateway": f"gateway:{greet.name}",
             "operator": f"operator:{self._serial}",
         }[greet.role]
-        agrees = greet.nonce == peers.agreed(self._given)
+        agrees = greet.nonce == peers.settings_digest(self._given)
         link.guest = Guest(link, greet.role, greet.name, greet.life, key, agrees)
         self._core.come(link.guest)
 
     def _taken(self, link: Link, frame: Frame) -> None:
         try:
             self._core.received(link.guest, frame, now())
-        except BrokenError:
+        except FramingError:
             raise
         except Exception:
             if link.guest.role == "keeper":
@@ -202,7 +204,7 @@
                 return
             self.counters.add("faults")
             self._say("fault", traceback.format_exc(), of=link.guest.name)
-            raise BrokenError("a fault of ours") from None
+            raise FramingError("a fault of ours") from None
         finally:
             self._wake()
 
@@ -212,13 +214,13 @@
     # Links that we make.
 
     async def _keep_up(self, name: str, address: tuple[str, int], tasks: TaskGroup) -> None:
-        pause = self._out.again()
+        pause = self._out.new_backoff()
         full, heard = "", 0.0
 
         def check(greeting: Frame, names: set[str] | None) -> None:
-            greet = peers.greeted(greeting, self._given, names)
+            greet = peers.check_greeting(greeting, self._given, names)
             if greet.role != "keeper" or greet.name != name:
-                raise BrokenError(f"the {greet.role} {greet.name!r} where {name!r} should be")
+                raise FramingError(f"the {greet.role} {greet.name!r} where {name!r} should be")
 
         def talk(link: Link) -> None:
             nonlocal full, heard
@@ -242,7 +244,7 @@
                 self._core.heard_back(full, frame, now())
                 self._wake()
             elif not isinstance(frame, Alive):
-                raise BrokenError(f"a {type(frame).__name__} on a link that this keeper made")
+                raise FramingError(f"a {type(frame).__name__} on a link that this keeper made")
             heard = time.monotonic()
 
         def lost(link: Link) -> None:
@@ -250,8 +252,8 @@
 
         while True:
             began = time.monotonic()
-            await self._out.made(address, name, self._hello(), check, talk, taken, lost, tasks)
-            await anyio.sleep(pause.after(time.monotonic() - began))
+            await self._out.run_outgoing(address, name, self._hello(), check, talk, taken, lost, tasks)
+            await anyio.sleep(pause.next_pause_s(time.monotonic() - began))
 
     # Its life.
 
@@ -269,7 +271,7 @@
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(
-                self._in.accept,
+                self._in.run_incoming,
                 listener,
                 self._hello,
                 self._check,
--- a/cresstray/control_plane/node_controller.py
+++ b/cresstray/control_plane/node_controller.py
@@ -24,7 +24,7 @@
 from cresstray.fleet_config.leases import Leases
 from cresstray.fleet_config.state import Since, State
 from cresstray.observability.counters import Counters
-from cresstray.transport.framing import BrokenError, Frame, encode
+from cresstray.transport.framing import Frame, FramingError, encode_frame
 
 # The log is cut once so much of it has been applied since: a restart reads it in well under a second.
 _MOST_ENTRIES, _MOST_BYTES = 4096, 4 * 1024 * 1024
@@ -158,9 +158,9 @@
         """BrokenError for what that side may not send, or not now."""
         self.now = now
         if self.guests.get(guest.key) is not guest:
-            raise BrokenError("a newer link has taken its place")
+            raise FramingError("a newer link has taken its place")
         if not isinstance(frame, codec.TAKEN[guest.role]):
-            raise BrokenError(f"a {type(frame).__name__} from the role {guest.role}")
+            raise FramingError(f"a {type(frame).__name__} from the role {guest.role}")
         if isinstance(frame, rules.Renew):
             self._renew(guest, frame)
         elif isinstance(frame, rules.Get):
@@ -187,10 +187,10 @@
     def _renew(self, guest: Guest, frame: rules.Renew) -> None:
         # Danger: with a longer lease of its own it would act when the leader takes it for stopped.
         if not guest.agrees:
-            raise BrokenError("a renewal, with another lease, floor-lease, drift, most or barred than here")
+            raise FramingError("a renewal, with another lease, floor-lease, drift, most or barred than here")
         # Danger: a renewal that is played again would have a lease counted from long ago.
         if frame.number <= guest.renewed:
-            raise BrokenError(f"renewal {frame.number} after {guest.renewed}")
+            raise FramingError(f"renewal {frame.number} after {guest.renewed}")
         guest.renewed, frame.life = frame.number, guest.life
         self.counters.add("renewals")
         if guest.turn is None:
@@ -205,7 +205,7 @@
         leader = self.keepers.get(self.node.leader or "")
         if leader is None:
             return False
-        leader.put(rules.Carried(guest.key, False, encode(frame)))
+        leader.put(rules.Carried(guest.key, False, encode_frame(frame)))
         return True
 
     def _carried(self, guest: Guest, frame: rules.Carried, now: int) -> None:
@@ -220,12 +220,12 @@
         def back(answer: Frame) -> None:
             far = self.keepers.get(f"{guest.name}/{guest.life}")
             if far is not None:
-                far.put(rules.Carried(frame.origin, True, encode(answer)))
+                far.put(rules.Carried(frame.origin, True, encode_frame(answer)))
 
         role, _, name = frame.origin.partition(":")
         if isinstance(inner, rules.Renew):
             if role != "gateway":
-                raise BrokenError(f"a renewal carried for {frame.origin!r}")
+                raise FramingError(f"a renewal carried for {frame.origin!r}")
             if self.node.role is Role.LEADER:
                 self._renewals.append((back, name, inner))
             else:
@@ -423,7 +423,10 @@
         if turn not in self._deltas:
             body = self.state.since(turn)
             base = msgspec.msgpack.decode(body, type=Since).base
-            self._deltas[turn] = base, [encode(one) for one in rules.contents(base, self.state.turn, body)]
+            self._deltas[turn] = (
+                base,
+                [encode_frame(one) for one in rules.contents(base, self.state.turn, body)],
+            )
         return self._deltas[turn]
 
     def _give(self, guest: Guest) -> int:
--- a/cresstray/discovery/watch.py
+++ b/cresstray/discovery/watch.py
@@ -16,7 +16,7 @@
 )
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.transport.streams import ENDED, SocketStream, connect, contained
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect, faults_contained
 
 # Events count as received two seconds after a break and four after a silence, whether they came or not. An
 # empty frame comes each second: after one and a half the connection is taken for dead, with time for two more
@@ -121,7 +121,7 @@
 
     def _has_caught_up(self) -> bool:
         # On a late event loop the time may be over while an event is there and has not been read.
-        if self._stream is None or self._stream.has_more():
+        if self._stream is None or self._stream.has_unread():
             return False
         return self._has_nothing_new or anyio.current_time() - self._last_received_s >= _SETTLED_AFTER_S
 
@@ -146,10 +146,10 @@
 
     async def _connect_once(self, tasks: TaskGroup, host: str, port: int) -> None:
         """Serves one connection; nothing that comes on it, and no fault in handling it, ends the gateway."""
-        with contained("the watch on the endpoint list", self._counters, self._log):
+        with faults_contained("the watch on the endpoint list", self._counters, self._log):
             try:
                 await self._subscribe(tasks, host, port)
-            except (*ENDED, MalformedEventError, TimeoutError) as error:
+            except (*CONNECTION_ENDED, MalformedEventError, TimeoutError) as error:
                 self._counters.add("coordinator connections ended")
                 self._log.log("coordinator", f"connection ended, made again: {error!r}")
 
--- a/cresstray/emulators/clients.py
+++ b/cresstray/emulators/clients.py
@@ -13,7 +13,7 @@
 
 from cresstray.emulators.account import Account, Asked
 from cresstray.emulators.sockets import Peer
-from cresstray.transport.streams import ENDED, connect
+from cresstray.transport.streams import CONNECTION_ENDED, connect
 
 
 @dataclass(frozen=True)
@@ -139,7 +139,7 @@
 
         try:
             await peer.run(take)
-        except ENDED:
+        except CONNECTION_ENDED:
             pass
         if self._peer is peer:
             self._peer = None
--- a/cresstray/emulators/fleet/operators.py
+++ b/cresstray/emulators/fleet/operators.py
@@ -20,9 +20,9 @@
 from cresstray.fleet_config.codec import Content, Get, Greet, Reply
 from cresstray.fleet_config.documents import Documents, Gateway, Gateways, Shard, delta, parsed
 from cresstray.sites.tls import Contexts, Sealed
-from cresstray.transport.framing import BrokenError, Frame, Frames, encode
-from cresstray.transport.peers import hello
-from cresstray.transport.streams import ENDED, SocketStream, connect
+from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
+from cresstray.transport.peers import make_greeting
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect
 
 _numbers = itertools.count(1)
 _BACK = (Greet, Reply, Content)  # positions are told to those only that tell some
@@ -59,22 +59,26 @@
     ) -> None:
         # A sealed operator proves that one name; keepers know connections apart by themselves.
         name = "operator" if role == "operator" and keys else name
-        self._greeting, self._port, self._tasks = hello(role, fleet, name, f"{next(_numbers):x}"), port, tasks
+        self._greeting, self._port, self._tasks = (
+            make_greeting(role, fleet, name, f"{next(_numbers):x}"),
+            port,
+            tasks,
+        )
         self._contexts = keys.contexts(name) if keys else None
         self._line: SocketStream | None = None
         self._channel: SocketStream | Sealed | None = None
-        self._frames = Frames(_BACK)
+        self._frames = FrameDecoder(_BACK)
 
     async def put(self, frames: Iterable[Frame]) -> None:
         if self._line is None:
             made = await connect("127.0.0.1", self._port)
             self._channel = self._line = SocketStream(made, self._tasks, lambda: None)
-            self._frames = Frames(_BACK)
+            self._frames = FrameDecoder(_BACK)
             if self._contexts is not None:
                 self._channel = Sealed(self._line, self._contexts, False)
                 await self._channel.shake_hands()
-            self._channel.write(encode(self._greeting))
-        self._channel.write(b"".join(map(encode, frames)))
+            self._channel.write(encode_frame(self._greeting))
+        self._channel.write(b"".join(map(encode_frame, frames)))
 
     async def frames(self) -> list[Frame]:
         return self._frames.feed(await self._channel.receive())
@@ -97,7 +101,7 @@
                             whole = gathered.add(frame)
                             if whole is not None:
                                 return msgspec.msgpack.decode(whole)
-        except (*ENDED, BrokenError):
+        except (*CONNECTION_ENDED, FramingError):
             await anyio.sleep(0.02)  # a port where nobody listens refuses at once
         self.close()
         return None
@@ -223,7 +227,7 @@
                             self._first.append((frame.turn, anyio.current_time()))
                             self._news.set()
                             self._news = anyio.Event()
-            except (*ENDED, BrokenError):
+            except (*CONNECTION_ENDED, FramingError):
                 caller.close()
                 await anyio.sleep(0.05)
 
--- a/cresstray/emulators/shards.py
+++ b/cresstray/emulators/shards.py
@@ -577,10 +577,10 @@
                         reader.feed(await self._line.receive(5.0))
                         while (body := reader.gets()) is not False:
                             self._heard(json.loads(body))
-        except (*streams.ENDED, TimeoutError, ValueError):
+        except (*streams.CONNECTION_ENDED, TimeoutError, ValueError):
             pass
         except BaseExceptionGroup as group:
-            rest = group.split((*streams.ENDED, TimeoutError, ValueError))[1]
+            rest = group.split((*streams.CONNECTION_ENDED, TimeoutError, ValueError))[1]
             if rest is not None:
                 raise rest from None
         finally:
--- a/cresstray/emulators/sockets.py
+++ b/cresstray/emulators/sockets.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from cresstray.transport.streams import ENDED, SocketStream
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream
 
 
 def listen(port: int = 0) -> socket.socket:
@@ -34,7 +34,7 @@
             with self.scope, self.line:
                 while True:
                     take(await self.line.receive())
-        except ENDED:
+        except CONNECTION_ENDED:
             return
 
 
--- a/cresstray/emulators/store.py
+++ b/cresstray/emulators/store.py
@@ -26,7 +26,7 @@
 
 from cresstray.emulators.sockets import Peer, listen, serve
 from cresstray.idempotency import codec
-from cresstray.transport.streams import ENDED, SocketStream, connect
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect
 
 FAULTS = """\
 slow fixed MS | uniform MS MS | log MEDIAN_MS SIGMA     each command runs and is answered so much later
@@ -204,7 +204,7 @@
                     reader.feed(data)
                     while (words := reader.gets()) is not False:
                         self._take(guest, words)
-        except (*ENDED, hiredis.HiredisError):
+        except (*CONNECTION_ENDED, hiredis.HiredisError):
             return
         finally:
             self._guests.discard(guest)
@@ -473,7 +473,7 @@
                         for one in whole:
                             self._coming.append((self.now() + self._lag, json.loads(one)))
                         self._copied()
-            except ENDED:
+            except CONNECTION_ENDED:
                 return
 
     def _copied(self) -> None:
--- a/cresstray/engines/connection.py
+++ b/cresstray/engines/connection.py
@@ -16,7 +16,7 @@
 from cresstray.engines.connection_state import EngineConnection
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.transport.streams import ENDED, SocketStream, connect, contained, tell_fault
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect, faults_contained, log_fault
 
 __all__ = ["SocketConnection", "SocketConnectionPool", "DescriptorQuota"]
 
@@ -41,7 +41,10 @@
     async def run(self) -> None:
         """Connects and reads until the connection has ended."""
         try:
-            with contained("a connection to an engine", self.pool.counters, self.pool.log), self._scope:
+            with (
+                faults_contained("a connection to an engine", self.pool.counters, self.pool.log),
+                self._scope,
+            ):
                 await self._serve()
         finally:
             self.on_closed()
@@ -54,7 +57,7 @@
             self.on_connected(stream)
             try:
                 await self._read(stream)
-            except ENDED as error:
+            except CONNECTION_ENDED as error:
                 self.pool.log.log("connection", f"a connection to {self.pool.label} ended: {error!r}")
             except codec.EngineProtocolError as error:
                 self.is_corrupt = True
@@ -78,7 +81,7 @@
                 data = await stream.receive(self.seconds_left())
             except TimeoutError:
                 self.on_stalled()
-            except ENDED:
+            except CONNECTION_ENDED:
                 self.on_end_of_stream()
                 raise
             self.on_received(data)
@@ -114,4 +117,4 @@
 
     def on_fault(self, error: Exception) -> None:
         """Logs and counts a failure of the gateway's own code with one request."""
-        tell_fault(f"a request to {self.label}", error, self.counters, self.log)
+        log_fault(f"a request to {self.label}", error, self.counters, self.log)
--- a/cresstray/fleet_config/active_config.py
+++ b/cresstray/fleet_config/active_config.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cresstray.fleet_config.codec import Behind, BrokenError, Content, Frame, Get, Granted, Refused, Renew
+from cresstray.fleet_config.codec import Behind, Content, Frame, FramingError, Get, Granted, Refused, Renew
 from cresstray.fleet_config.documents import EMPTY, Documents, patched
 from cresstray.fleet_config.leases import NOT_NAMED
 from cresstray.fleet_config.state import Since
@@ -130,7 +130,7 @@
             self._take_content(frame, now)
             return
         if not isinstance(frame, (Granted, Behind, Refused)):
-            raise BrokenError(f"a {type(frame).__name__} for a gateway")
+            raise FramingError(f"a {type(frame).__name__} for a gateway")
         asked = self._asked.pop(frame.number, None)
         # Danger: an answer to what this process didn't ask, or asked too long ago to know when.
         if asked is None:
@@ -174,7 +174,7 @@
             or (first.base, first.turn, first.parts) != (frame.base, frame.turn, frame.parts)
         ):
             self._parts.clear()
-            raise BrokenError(f"part {frame.part} of {frame.parts} of turn {frame.turn} is out of order")
+            raise FramingError(f"part {frame.part} of {frame.parts} of turn {frame.turn} is out of order")
         self._parts.append(frame)
         if len(self._parts) < frame.parts:
             return
@@ -194,7 +194,7 @@
             for delta in since.deltas:
                 documents = patched(documents, delta)
         except (ValueError, UnicodeDecodeError, RecursionError) as trouble:
-            raise BrokenError(f"content of turn {frame.turn}: {trouble}") from None
+            raise FramingError(f"content of turn {frame.turn}: {trouble}") from None
         self.turn, self.documents = frame.turn, documents
         self.changes += 1
         if not self._named():
--- a/cresstray/fleet_config/codec.py
+++ b/cresstray/fleet_config/codec.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from cresstray.transport.framing import LONGEST, BrokenError, Frame, Frames, encode
+from cresstray.transport.framing import MAX_FRAME_BYTES, Frame, FrameDecoder, FramingError, encode_frame
 
-__all__ = ["LONGEST", "BrokenError", "Frame", "Frames", "encode"]
+__all__ = ["MAX_FRAME_BYTES", "FramingError", "Frame", "FrameDecoder", "encode_frame"]
 
 VERSION = 1
 MAGIC = "cresstray-fleet"
--- a/cresstray/fleet_config/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -15,9 +15,16 @@
 from cresstray.fleet_config.active_config import Mode, Use
 from cresstray.fleet_config.codec import Behind, Content, Granted, Greet, Heard, Refused
 from cresstray.observability.counters import Counters
-from cresstray.observability.event_log import Said
-from cresstray.transport.framing import BrokenError, Frame
-from cresstray.transport.peers import Ends, Link, Talk, agreed, greeted, hello
+from cresstray.observability.event_log import EventLog
+from cresstray.transport.framing import Frame, FramingError
+from cresstray.transport.peers import (
+    Link,
+    PeerLinkManager,
+    PositionExchange,
+    check_greeting,
+    make_greeting,
+    settings_digest,
+)
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
@@ -58,25 +65,25 @@
         chance: Callable[[], float],
         now: Callable[[], int] = boottime,
         counters: Counters | None = None,
-        talks: Callable[[], Talk] | None = None,
+        talks: Callable[[], PositionExchange] | None = None,
         linked: Callable[[bool], None] = lambda up: None,
     ) -> None:
         self._given, self.name, self.use, self._linked = given, name, use, linked
         self._chance, self._now, self._talks = chance, now, talks
         self.counters = counters or Counters()
-        self._said = Said(now, gateway=name)
+        self._said = EventLog(now, gateway=name)
         contexts = None
         if given.tls is not None:
             from cresstray.sites.tls import Contexts
 
             contexts = Contexts(given.tls)
         # Danger: a keeper that is silent holds up the way to the next one; a lease is to outlive two of them.
-        self._ends = Ends(_KINDS, contexts, chance, self._said, self.counters, given.lease / 4e6)
-        self._hello = hello("gateway", given.name, name, use.life, agreed(given))
+        self._ends = PeerLinkManager(_KINDS, contexts, chance, self._said, self.counters, given.lease / 4e6)
+        self._hello = make_greeting("gateway", given.name, name, use.life, settings_digest(given))
         self._keepers = order(name, given.keepers)
         self._link: Link | None = None
         self._keeper = ""
-        self._talk: Talk | None = None
+        self._talk: PositionExchange | None = None
         self._heard_at = self._leader_at = self._tell_at = self._told_at = 0
         self._got = -1  # the turn for which the rest has been asked for on this link
         self._timer: asyncio.TimerHandle | None = None
@@ -92,7 +99,7 @@
         while True:
             keeper = self._keepers[tried % len(self._keepers)]
             began = self._now()
-            await self._ends.made(
+            await self._ends.run_outgoing(
                 keeper.address,
                 keeper.name,
                 self._hello,
@@ -114,9 +121,9 @@
                 pause = min(2 * pause, _PAUSE_MOST)
 
     def _check(self, keeper: Keeper, greeting: Frame, names: set[str] | None) -> None:
-        greet = greeted(greeting, self._given, names)
+        greet = check_greeting(greeting, self._given, names)
         if greet.role != "keeper" or greet.name != keeper.name:
-            raise BrokenError(f"the {greet.role} {greet.name!r} where {keeper.name!r} should be")
+            raise FramingError(f"the {greet.role} {greet.name!r} where {keeper.name!r} should be")
 
     def _up(self, keeper: Keeper, link: Link) -> None:
         at = self._now()
@@ -124,7 +131,7 @@
         self._heard_at = self._leader_at = at
         self._talk = self._talks() if self._talks is not None else None
         self._linked(True)
-        self._said.say("link", "made", to=keeper.name)
+        self._said.log("link", "made", to=keeper.name)
         self.use.connected(at)
         link.put(self.use.gets())
         self._tick()
@@ -137,7 +144,7 @@
     def _taken(self, link: Link, frame: Frame) -> None:
         at = self._heard_at = self._now()
         if isinstance(frame, Greet):
-            raise BrokenError("a second greeting")
+            raise FramingError("a second greeting")
         if isinstance(frame, Heard):
             if self._talk is not None:
                 self._talk.hears(frame.body, at)
@@ -148,13 +155,13 @@
             self.counters.add("leases granted")
         try:
             self.use.take(frame, at)
-        except BrokenError:
+        except FramingError:
             raise
         except Exception:
             # Danger: a fault of ours must not end the gateway; without a lease it goes by the floor.
             self.counters.add("faults")
-            self._said.say("fault", traceback.format_exc())
-            raise BrokenError("a fault of ours") from None
+            self._said.log("fault", traceback.format_exc())
+            raise FramingError("a fault of ours") from None
         refused = (frame.reason, frame.turn) if isinstance(frame, Refused) else None
         # Danger: a refusal that is answered by the next question at once would go round without end.
         if refused is not None and refused == self._refused:
@@ -175,7 +182,7 @@
             self._look(at)
         except Exception:
             self.counters.add("faults")
-            self._said.say("fault", traceback.format_exc())
+            self._said.log("fault", traceback.format_exc())
         self._timer = asyncio.get_running_loop().call_later(wait / 1e6, self._tick)
 
     def _ask(self, link: Link, at: int) -> None:
@@ -196,7 +203,7 @@
         elif at - self._leader_at > max(quiet, 4 * self._given.election):
             link.end("it knows no leader")
 
-    def _tell(self, link: Link, talk: Talk, at: int) -> None:
+    def _tell(self, link: Link, talk: PositionExchange, at: int) -> None:
         self._told_at, self._tell_at = at, at + _TELL
         link.put(Heard(talk.says(at)))
 
@@ -210,7 +217,7 @@
         in_use = self.use.at(at)
         for line in self.use.told():
             if line != self._line:
-                self._said.say("rules", line)
+                self._said.log("rules", line)
             self._line = line
         now_is = in_use.mode, in_use.turn
         if now_is != self._was:
--- a/cresstray/gateway/service.py
+++ b/cresstray/gateway/service.py
@@ -27,7 +27,7 @@
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
-from cresstray.transport.streams import tell_fault
+from cresstray.transport.streams import log_fault
 
 if TYPE_CHECKING:
     from cresstray.background.schedule import JobResult
@@ -180,7 +180,7 @@
         self._tasks: TaskGroup
 
     def _fault(self, trouble: Exception) -> None:
-        tell_fault("a call that was due", trouble, self.counters, self._log)
+        log_fault("a call that was due", trouble, self.counters, self._log)
 
     def _make_worker(self, seed: int) -> Worker:
         from cresstray.background import schedule, worker
--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -23,7 +23,7 @@
 from cresstray.idempotency.in_flight import Asked, Flight, Pause, Places, Replies
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from cresstray.transport.streams import ENDED, SocketStream, connect, contained
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect, faults_contained
 
 if TYPE_CHECKING:
     from cresstray.config.idempotency import Store, StoreTls
@@ -234,7 +234,7 @@
             asked.due.cancel()
         self._bytes -= asked.size
         asked.drop()
-        with contained("a reply of the store", self._counters, self._log):
+        with faults_contained("a reply of the store", self._counters, self._log):
             call(replies)
 
     async def _hold(self) -> None:
@@ -243,7 +243,7 @@
         while True:
             lived = 0
             for at in self._places.order():
-                with contained("a link to the store", self._counters, self._log):
+                with faults_contained("a link to the store", self._counters, self._log):
                     lived = await self._one(at)
                 if lived:
                     break
@@ -264,7 +264,7 @@
                     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNDELIVERED_MS)
                     with anyio.fail_after(_GREETING):
                         channel, reader, greeted = await self._greet(at, line)
-                except (*ENDED, TimeoutError, BrokenError, GreetError) as trouble:
+                except (*CONNECTION_ENDED, TimeoutError, BrokenError, GreetError) as trouble:
                     self._counters.add("store: links refused")
                     self._tell(at, f"not greeted: {trouble!r}")
                     return 0
@@ -339,7 +339,7 @@
         except BrokenError as trouble:
             self._counters.add("store: links spoilt")
             link.end(f"dropped: {trouble}")
-        except ENDED as trouble:
+        except CONNECTION_ENDED as trouble:
             link.end(repr(trouble))
         finally:
             self._gone(link)
--- a/cresstray/model_checking/crossing.py
+++ b/cresstray/model_checking/crossing.py
@@ -37,7 +37,7 @@
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.types import EndpointState, Engine
 from cresstray.sites import codec, ledger
-from cresstray.sites.codec import BrokenError
+from cresstray.sites.codec import FramingError
 from cresstray.sites.ends import Place
 from cresstray.sites.flow_control import Credit, Share
 from cresstray.sites.health import Health
@@ -471,7 +471,7 @@
                 else:
                     self.greeted = True
                     self.inward.welcome(frame, self._put_back)
-        except BrokenError as trouble:
+        except FramingError as trouble:
             # Both ends are ours: neither may say what the other can't take.
             self.breaks("sound", f"the link is dropped: {trouble}")
 
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -206,7 +206,7 @@
     def close(self) -> None:
         self.closed = True
 
-    def has_more(self) -> bool:
+    def has_unread(self) -> bool:
         return bool(self.unread)
 
     def has_ended(self) -> bool:
--- a/cresstray/observability/event_log.py
+++ b/cresstray/observability/event_log.py
@@ -15,7 +15,7 @@
 _MOST = 5
 
 
-class Said:
+class EventLog:
     """`said.say("link", "ended", name="k2")`: a line of that kind. `now` in microseconds, for the rate."""
 
     def __init__(self, now: Callable[[], int], **always: object) -> None:
@@ -28,7 +28,7 @@
         self._second: dict[str, int] = {}
         self._count: dict[str, int] = {}
 
-    def say(self, kind: str, event: str, **more: object) -> None:
+    def log(self, kind: str, event: str, **more: object) -> None:
         """Prints a line, unless this kind had its lines of this second; the next tells how many it lost."""
         second = self._now() // 1_000_000
         if self._second.get(kind) != second:
--- a/cresstray/placement/data_transfer.py
+++ b/cresstray/placement/data_transfer.py
@@ -17,7 +17,7 @@
 from cresstray.observability.counters import Counters
 from cresstray.placement.move_executor import Command, Copy, Disk, Entry
 from cresstray.transport import streams
-from cresstray.transport.framing import BrokenError
+from cresstray.transport.framing import FramingError
 
 # Disks are asked so often, in microseconds: a switch waits for what they say. An engine at rest costs a few
 # hundred bytes for each.
@@ -74,14 +74,14 @@
             if length is None:
                 if len(self._buffer) - at < 10 and b"\n" not in self._buffer[at:]:
                     break
-                raise BrokenError(f"not the length of a string: {bytes(self._buffer[at : at + 20])!r}")
+                raise FramingError(f"not the length of a string: {bytes(self._buffer[at : at + 20])!r}")
             start, size = length.end(), int(length[1])
             if size > _LONGEST:
-                raise BrokenError(f"a string of {size} bytes")
+                raise FramingError(f"a string of {size} bytes")
             if len(self._buffer) < start + size + 2:
                 break
             if self._buffer[start + size : start + size + 2] != b"\r\n":
-                raise BrokenError("a string longer than its length")
+                raise FramingError("a string longer than its length")
             found.append(bytes(self._buffer[start : start + size]))
             at = start + size + 2
         del self._buffer[:at]
@@ -253,9 +253,9 @@
                 began = self._clock()
                 try:
                     await self._connected()
-                except (*streams.ENDED, TimeoutError):
+                except (*streams.CONNECTION_ENDED, TimeoutError):
                     self._counters.add("links to disks lost")
-                except BrokenError as trouble:
+                except FramingError as trouble:
                     self._say("disk", "what it answers can't be used", engine=self._engine, why=str(trouble))
                 except Exception as trouble:
                     # Danger: a fault of ours on one connection must end that one only.
@@ -285,7 +285,7 @@
 
     def _take(self, body: bytes) -> None:
         if not self._asked:
-            raise BrokenError("an answer to nothing")
+            raise FramingError("an answer to nothing")
         command, asked = self._asked.popleft()
         try:
             if command is None:
@@ -294,7 +294,7 @@
                 return
             refused = _answer.decode(body).refused
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-            raise BrokenError(f"an answer: {trouble}") from None
+            raise FramingError(f"an answer: {trouble}") from None
         if refused:
             self._counters.add("commands refused")
             self._say(
--- a/cresstray/replicas/spread.py
+++ b/cresstray/replicas/spread.py
@@ -10,7 +10,7 @@
 
 from cresstray.replicas.position_polling import Asking
 from cresstray.replicas.positions import Board, Cursor, Item, Shard
-from cresstray.transport.framing import BrokenError
+from cresstray.transport.framing import FramingError
 
 # Shards that a gateway asks for: those of its hinted reads of late.
 MOST_WANTED = 32
@@ -211,5 +211,5 @@
         try:
             word = _word(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-            raise BrokenError(f"no word on positions: {trouble}") from None
+            raise FramingError(f"no word on positions: {trouble}") from None
         self.peer.hears(word, now)
--- a/cresstray/simulation/fleet.py
+++ b/cresstray/simulation/fleet.py
@@ -29,7 +29,7 @@
 from cresstray.fleet_config.leases import Leases
 from cresstray.fleet_config.state import State
 from cresstray.observability.counters import Counters
-from cresstray.transport.framing import BrokenError, Frame, Frames, encode
+from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
 
 MS, SECOND = 1_000, 1_000_000
 REGISTER = "999999"  # of no group of tables
@@ -135,11 +135,11 @@
 
     def put(self, frame: Frame) -> None:
         self.own.world.check_told(self.own, self, frame)
-        self.link.send(self, frame, encode(frame))
+        self.link.send(self, frame, encode_frame(frame))
 
     def write(self, message: bytes) -> None:
-        for frame in Frames(self.other.kinds).feed(message):
-            self.link.send(self, frame, encode(frame))
+        for frame in FrameDecoder(self.other.kinds).feed(message):
+            self.link.send(self, frame, encode_frame(frame))
 
     def end(self, why: str) -> None:
         self.link.drop(why)
@@ -332,7 +332,7 @@
             return
         try:
             self.core.received(link.guest, frame, self.clock())
-        except BrokenError as trouble:
+        except FramingError as trouble:
             if "newer link" not in str(trouble):
                 self.world.notes[f"a link dropped: {trouble}"] += 1
             link.drop("broken")
@@ -400,7 +400,7 @@
             self.answered = now
         try:
             self.use.take(frame, now)
-        except BrokenError as trouble:
+        except FramingError as trouble:
             self.world.notes[f"a gateway's link dropped: {trouble}"] += 1
             link.drop("broken")
         self.tick()
--- a/cresstray/sites/codec.py
+++ b/cresstray/sites/codec.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from cresstray.policy.types import Outcome
-from cresstray.transport.framing import LONGEST, BrokenError, Frame, encode
-from cresstray.transport.framing import Frames as AnyFrames
+from cresstray.transport.framing import MAX_FRAME_BYTES, Frame, FramingError, encode_frame
+from cresstray.transport.framing import FrameDecoder as AnyFrames
 
-__all__ = ["LONGEST", "BrokenError", "Frame", "encode"]
+__all__ = ["MAX_FRAME_BYTES", "FramingError", "Frame", "encode_frame"]
 
 VERSION = 1
 MAGIC = "cresstray-halls"
--- a/cresstray/sites/ends.py
+++ b/cresstray/sites/ends.py
@@ -7,7 +7,7 @@
 from typing import ClassVar
 
 from cresstray.sites import codec
-from cresstray.sites.codec import BrokenError
+from cresstray.sites.codec import FramingError
 from cresstray.sites.health import Health
 
 # The far side writes so many pages of a result ahead; half of them read, it is told so.
@@ -35,14 +35,14 @@
 
     def _put(self, frame: codec.Frame, at_once: bool = False) -> None:
         if self._write is not None:
-            self._write(codec.encode(frame), at_once)
+            self._write(codec.encode_frame(frame), at_once)
 
     def _take(self, frame: codec.Frame, now: int) -> None:
         """BrokenError for a frame that is not the other side's to send."""
         self._health.word(now)
         take = self._TAKES.get(type(frame))
         if take is None:
-            raise BrokenError(f"a {type(frame).__name__} from the {self._OTHER} side")
+            raise FramingError(f"a {type(frame).__name__} from the {self._OTHER} side")
         take(self, frame, now)
 
     def dawdle(self) -> int:
--- a/cresstray/sites/inbound.py
+++ b/cresstray/sites/inbound.py
@@ -13,7 +13,7 @@
 from cresstray.policy.controller import NOT_EXECUTED
 from cresstray.policy.types import Outcome
 from cresstray.sites import codec
-from cresstray.sites.codec import BrokenError
+from cresstray.sites.codec import FramingError
 from cresstray.sites.ends import WINDOW, End, Place
 from cresstray.sites.health import Health
 from cresstray.sites.ledger import Entry, Incoming, State
@@ -121,11 +121,11 @@
         self.asked_at = now
         entry = self.ledger.take(offer.number, len(offer.statement))
         if entry is None:
-            raise BrokenError(f"crossing {offer.number} is offered again")
+            raise FramingError(f"crossing {offer.number} is offered again")
         # What has ended here and is not yet forgotten holds none of the near side's credit.
         most = self._submissions * 3 // 2 + 8
-        if len(self.ledger.open) > most or self.ledger.size > self._size * 3 // 2 + codec.LONGEST:
-            raise BrokenError("more is offered than there is credit for")
+        if len(self.ledger.open) > most or self.ledger.size > self._size * 3 // 2 + codec.MAX_FRAME_BYTES:
+            raise FramingError("more is offered than there is credit for")
         # However long it was on its way, it can't have left before our beat that it names.
         if offer.within and (sent is None or now - sent > offer.within):
             self._refuse(entry, "it came too late to be sent", 0)
--- a/cresstray/sites/links.py
+++ b/cresstray/sites/links.py
@@ -18,14 +18,14 @@
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from cresstray.sites import codec
-from cresstray.sites.codec import BrokenError
+from cresstray.sites.codec import FramingError
 from cresstray.sites.ends import Place
 from cresstray.sites.flow_control import Credit, Share
 from cresstray.sites.health import IDLE, Health, State
 from cresstray.sites.inbound import Front, Inward
 from cresstray.sites.outbound import Keeper, Outward
 from cresstray.sites.routing import Way
-from cresstray.transport.streams import ENDED, SocketStream, connect, contained
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect, faults_contained
 
 if TYPE_CHECKING:
     from cresstray.sites.tls import Contexts
@@ -101,9 +101,9 @@
                     self._handles = False
                     if self._out:
                         self._mind()
-        except BrokenError as trouble:
+        except FramingError as trouble:
             return f"dropped: {trouble}"
-        except ENDED as trouble:
+        except CONNECTION_ENDED as trouble:
             return repr(trouble)
 
 
@@ -242,7 +242,7 @@
         given, outward = self._given.link, link.outward
         began = self._clock.now()
         why = ""
-        with contained("a link to another hall", self._counters, self._log):
+        with faults_contained("a link to another hall", self._counters, self._log):
             why = await self._made(link.peer, outward)
         now = self._clock.now()
         outward.disconnected(now)
@@ -262,7 +262,7 @@
             try:
                 with anyio.fail_after(_HANDSHAKE):
                     channel, _ = await self._secured(line, {peer.hall}, False)
-            except (*ENDED, TimeoutError, BrokenError) as trouble:
+            except (*CONNECTION_ENDED, TimeoutError, FramingError) as trouble:
                 return f"refused: {trouble!r}"
             wire = self._wires[outward] = Wire(line, channel, scope, self._timers)
             wire.dawdle = outward.dawdle
@@ -287,7 +287,7 @@
         named = await sealed.shake_hands()
         if not named & halls:
             self._counters.add("links between halls refused")
-            raise BrokenError(f"a certificate for {', '.join(sorted(named)) or 'no hall'}")
+            raise FramingError(f"a certificate for {', '.join(sorted(named)) or 'no hall'}")
         return sealed, named & halls
 
     # Links that others make.
@@ -307,7 +307,7 @@
 
     async def _accepted(self, made: socket.socket) -> None:
         why = "given up"
-        with contained("a link from another hall", self._counters, self._log):
+        with faults_contained("a link from another hall", self._counters, self._log):
             with anyio.CancelScope() as scope, SocketStream(made, self._tasks, scope.cancel) as line:
                 why = await self._taken_in(line, scope)
         self._say(f"link from another hall ended: {why}")
@@ -324,10 +324,10 @@
                     found = frames.feed(await channel.receive())
             hello = found[0]
             if not isinstance(hello, codec.Hello) or hello.magic != codec.MAGIC:
-                raise BrokenError("no hello")
+                raise FramingError("no hello")
             if hello.version != codec.VERSION or hello.hall not in named:
-                raise BrokenError(f"version {hello.version} of hall {hello.hall!r}")
-        except (*ENDED, TimeoutError, BrokenError) as trouble:
+                raise FramingError(f"version {hello.version} of hall {hello.hall!r}")
+        except (*CONNECTION_ENDED, TimeoutError, FramingError) as trouble:
             self._counters.add("links between halls refused")
             return f"refused: {trouble!r}"
         wire = Wire(line, channel, scope, self._timers)
@@ -341,14 +341,14 @@
             for frame in came:
                 # Danger: what was received just before a newer connection took over is of the old one.
                 if self._wires.get(inward) is not wire:
-                    raise BrokenError("a newer connection has taken its place")
+                    raise FramingError("a newer connection has taken its place")
                 inward.receive(frame)
 
         try:
             # Danger: what came in one piece with the hello may be as wrong as what comes later.
             try:
                 take(found[1:])
-            except BrokenError as trouble:
+            except FramingError as trouble:
                 return f"dropped: {trouble}"
             return await wire.serve(lambda data: take(frames.feed(data)))
         finally:
--- a/cresstray/sites/outbound.py
+++ b/cresstray/sites/outbound.py
@@ -12,7 +12,7 @@
 from cresstray.observability.counters import Counters
 from cresstray.policy.types import Attempt
 from cresstray.sites import codec
-from cresstray.sites.codec import BrokenError
+from cresstray.sites.codec import FramingError
 from cresstray.sites.ends import WINDOW, End, Place
 from cresstray.sites.ledger import Crossing, ForwardingResult, Outgoing, State
 from cresstray.sites.routing import Way
@@ -107,9 +107,9 @@
 
     def _greet(self, frame: codec.Frame, now: int) -> None:
         if not isinstance(frame, codec.Welcome):
-            raise BrokenError(f"a {type(frame).__name__} in place of a welcome")
+            raise FramingError(f"a {type(frame).__name__} in place of a welcome")
         if frame.version != codec.VERSION or frame.hall != self._far_hall:
-            raise BrokenError(f"version {frame.version} of hall {frame.hall!r}, not {self._far_hall!r}")
+            raise FramingError(f"version {frame.version} of hall {frame.hall!r}, not {self._far_hall!r}")
         # Danger: an incarnation other than the one that was spoken to knows nothing of what that one had.
         resumed = frame.resumed and frame.incarnation == self._knew
         self._knew, self.far, self.greeted = frame.incarnation, frame.name, True
@@ -118,7 +118,7 @@
         self._health.lease = max(self._health.lease, frame.lease)
         way = self.way
         way.credit.submissions = min(way.credit.submissions, max(1, frame.submissions))
-        way.credit.size = min(way.credit.size, max(codec.LONGEST, frame.bytes))
+        way.credit.size = min(way.credit.size, max(codec.MAX_FRAME_BYTES, frame.bytes))
         way.leaving, way.threads, way.cores = False, 0.0, 0.0
         known = set(self.ledger.open)
         settled = self.ledger.settle(resumed, frame.states)
@@ -197,7 +197,7 @@
         crossing = self.ledger.open.get(number)
         if crossing is None and not self.ledger.given(number):
             # Danger: a peer that answers what it was not asked may answer anything with anything.
-            raise BrokenError(f"word of crossing {number}, which was never given")
+            raise FramingError(f"word of crossing {number}, which was never given")
         if crossing is None and last:
             self._forget(number)
         return crossing
@@ -218,7 +218,7 @@
             self.way.close(frame.come_back, now)
         if crossing is not None:
             if crossing.state is State.SENT:
-                raise BrokenError(f"crossing {frame.number} is refused after it was sent")
+                raise FramingError(f"crossing {frame.number} is refused after it was sent")
             self._counters.add("crossings refused")
             self._forget(frame.number)
             self._end(crossing, ForwardingResult.UNRUN, False)
@@ -237,10 +237,10 @@
         crossing.state = State.SENT
         if crossing.pages is None:
             if frame.pages > _MOST_PAGES:
-                raise BrokenError(f"a result of {frame.pages} pages")
+                raise FramingError(f"a result of {frame.pages} pages")
             crossing.pages = []
         if frame.page != len(crossing.pages):
-            raise BrokenError(f"page {frame.page} of {frame.number} in place of {len(crossing.pages)}")
+            raise FramingError(f"page {frame.page} of {frame.number} in place of {len(crossing.pages)}")
         crossing.pages.append(frame.body)
         have = len(crossing.pages)
         if have == frame.pages:
--- a/cresstray/transport/framing.py
+++ b/cresstray/transport/framing.py
@@ -15,11 +15,11 @@
 
 # A client's line is 256 kB at most, in base64; its statement and all that goes with it are shorter. What is
 # longer than a frame goes in parts.
-LONGEST = 256 * 1024
+MAX_FRAME_BYTES = 256 * 1024
 _HEAD = struct.Struct(">IB")
 
 
-class BrokenError(Exception):
+class FramingError(Exception):
     """What came can't be a frame of this link; nothing behind it on this connection can be trusted."""
 
 
@@ -30,12 +30,12 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def encode(frame: Frame) -> bytes:
+def encode_frame(frame: Frame) -> bytes:
     body = _encode(frame)
     return _HEAD.pack(len(body) + 1, frame.kind) + body
 
 
-class Frames:
+class FrameDecoder:
     """The frames of some kinds in what is received, however it is cut; BrokenError where it can't be one."""
 
     def __init__(self, kinds: Iterable[type[Frame]]) -> None:
@@ -49,14 +49,14 @@
             length, kind = _HEAD.unpack_from(self._buffer, at)
             decoder = self._decoders.get(kind)
             # Danger: a length that lies would have its bytes waited for, and kept, without end.
-            if not 1 <= length <= LONGEST or decoder is None:
-                raise BrokenError(f"a frame of kind {kind} and {length} bytes")
+            if not 1 <= length <= MAX_FRAME_BYTES or decoder is None:
+                raise FramingError(f"a frame of kind {kind} and {length} bytes")
             if len(self._buffer) - at < 4 + length:
                 break
             try:
                 found.append(decoder.decode(self._buffer[at + _HEAD.size : at + 4 + length]))
             except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-                raise BrokenError(f"a frame of kind {kind}: {trouble}") from None
+                raise FramingError(f"a frame of kind {kind}: {trouble}") from None
             at += 4 + length
         del self._buffer[:at]
         return found
--- a/cresstray/transport/peers.py
+++ b/cresstray/transport/peers.py
@@ -18,12 +18,12 @@
 
 from cresstray.fleet_config.codec import MAGIC, ROLES, VERSION, Greet
 from cresstray.observability.counters import Counters
-from cresstray.transport.framing import BrokenError, Frame, Frames, encode
-from cresstray.transport.streams import ENDED, SocketStream, connect
+from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect
 
 if TYPE_CHECKING:
     from cresstray.config.fleet import Fleet
-    from cresstray.observability.event_log import Said
+    from cresstray.observability.event_log import EventLog
     from cresstray.sites.tls import Contexts
 
 # Room for both handshakes at the longest round trip that a lease of two seconds can stand.
@@ -43,17 +43,17 @@
 _NAME, _LIFE = re.compile(r"[0-9A-Za-z_.:@-]{1,64}"), re.compile(r"[0-9a-f]{1,32}")
 
 
-class Talk(Protocol):
+class PositionExchange(Protocol):
     """What is said of positions on one link: made with it, gone with it. `hears`: BrokenError."""
 
     def says(self, now: int) -> bytes: ...
     def hears(self, body: bytes, now: int) -> None: ...
 
 
-UNLIKE = "another lease, floor-lease, drift, most or barred than in this file"
+SETTINGS_DIFFER = "another lease, floor-lease, drift, most or barred than in this file"
 
 
-def agreed(given: Fleet) -> bytes:
+def settings_digest(given: Fleet) -> bytes:
     """What all processes of one fleet must have the same, in 16 bytes.
 
     Danger: a gateway with a longer lease would act when its leader takes it for stopped, and keepers that
@@ -63,34 +63,34 @@
     return blake2b(told, digest_size=16).digest()
 
 
-def hello(role: str, fleet: str, name: str, life: str, agreed: bytes = b"") -> Greet:
+def make_greeting(role: str, fleet: str, name: str, life: str, agreed: bytes = b"") -> Greet:
     """`agreed`: needed from keepers, and from gateways that ask for leases."""
     return Greet(MAGIC, VERSION, role, fleet, name, life, agreed)
 
 
-def greeted(greeting: Frame, given: Fleet, names: set[str] | None) -> Greet:
+def check_greeting(greeting: Frame, given: Fleet, names: set[str] | None) -> Greet:
     """A greeting of this fleet by who may bear its name; BrokenError with what is wrong."""
     if not isinstance(greeting, Greet) or greeting.magic != MAGIC:
-        raise BrokenError("no greeting")
+        raise FramingError("no greeting")
     if greeting.version != VERSION:
-        raise BrokenError(f"version {greeting.version}, this is {VERSION}")
+        raise FramingError(f"version {greeting.version}, this is {VERSION}")
     if greeting.fleet != given.name:
-        raise BrokenError(f"of fleet {greeting.fleet!r}")
+        raise FramingError(f"of fleet {greeting.fleet!r}")
     if greeting.role not in ROLES:
-        raise BrokenError(f"role {greeting.role!r}")
+        raise FramingError(f"role {greeting.role!r}")
     if not _NAME.fullmatch(greeting.name) or not _LIFE.fullmatch(greeting.life):
-        raise BrokenError(f"name {greeting.name!r}, life {greeting.life!r}")
+        raise FramingError(f"name {greeting.name!r}, life {greeting.life!r}")
     if names is not None and greeting.name not in names:
-        raise BrokenError(f"{greeting.name!r} with a certificate for {', '.join(sorted(names)) or 'nobody'}")
+        raise FramingError(f"{greeting.name!r} with a certificate for {', '.join(sorted(names)) or 'nobody'}")
     keeper = given.keeper(greeting.name) is not None
     # Danger: whoever holds a gateway's key could change the rules of all.
     if greeting.role == "operator":
         if names is not None and greeting.name != "operator" and not keeper:
-            raise BrokenError(f"{greeting.name!r} as an operator")
+            raise FramingError(f"{greeting.name!r} as an operator")
     elif (greeting.role == "keeper") != keeper or greeting.name == "operator":
-        raise BrokenError(f"{greeting.name!r} as a {greeting.role}")
-    elif keeper and greeting.nonce != agreed(given):
-        raise BrokenError(UNLIKE)
+        raise FramingError(f"{greeting.name!r} as a {greeting.role}")
+    elif keeper and greeting.nonce != settings_digest(given):
+        raise FramingError(SETTINGS_DIFFER)
     return greeting
 
 
@@ -107,7 +107,7 @@
         line: SocketStream,
         channel: Channel,
         scope: anyio.CancelScope,
-        frames: Frames,
+        frames: FrameDecoder,
         greeting: Greet,
         early: list[Frame],
         bound: int = _MOST_UNWRITTEN,
@@ -117,10 +117,10 @@
         self._out = bytearray()
         self.guest: Any = None  # what its owner knows it by
         self.why = ""
-        self.sent = self.received = 0  # bytes
+        self.sent_bytes = self.received_bytes = 0  # bytes
 
     def put(self, frame: Frame) -> None:
-        self.write(encode(frame))
+        self.write(encode_frame(frame))
 
     def write(self, message: bytes) -> None:
         """Encoded frames; nothing where the link has ended."""
@@ -138,7 +138,7 @@
 
     def _flush(self) -> None:
         if self._out and self._line.is_open() and not self.why:
-            self.sent += len(self._out)
+            self.sent_bytes += len(self._out)
             try:
                 self._channel.write(bytes(self._out))
             except OSError as trouble:
@@ -158,19 +158,19 @@
                 take(frame)
             while not self.why:
                 data = await self._channel.receive()
-                self.received += len(data)
+                self.received_bytes += len(data)
                 for frame in self._frames.feed(data):
                     if self.why:
                         break
                     take(frame)
-        except BrokenError as trouble:
+        except FramingError as trouble:
             self.why = self.why or f"dropped: {trouble}"
-        except ENDED as trouble:
+        except CONNECTION_ENDED as trouble:
             self.why = self.why or repr(trouble)
         return self.why
 
 
-class Ends:
+class PeerLinkManager:
     """Makes and accepts the links of one process. `kinds`: what the other side may send, Greet among it."""
 
     def __init__(
@@ -178,7 +178,7 @@
         kinds: Iterable[type[Frame]],
         contexts: Contexts | None,
         chance: Callable[[], float],
-        said: Said,
+        said: EventLog,
         counters: Counters,
         handshake: float = _HANDSHAKE,
     ) -> None:
@@ -188,10 +188,10 @@
         self._greeting = 0
         self._not_made: dict[str, str] = {}  # by whom it was not made, and why, as last told
 
-    def again(self) -> Pause:
-        return Pause(self._chance)
+    def new_backoff(self) -> ReconnectBackoff:
+        return ReconnectBackoff(self._chance)
 
-    async def made(
+    async def run_outgoing(
         self,
         address: tuple[str, int],
         name: str,
@@ -216,7 +216,7 @@
             self._counters.add("links not made")
             if self._not_made.get(name) != why:
                 self._not_made[name] = why
-                self._said.say("link", "not made, tried again", to=name, why=why)
+                self._said.log("link", "not made, tried again", to=name, why=why)
             return why
         with anyio.CancelScope() as scope, SocketStream(made, tasks, scope.cancel) as line:
             made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNDELIVERED_MS)
@@ -234,10 +234,10 @@
         if not isinstance(link, str):
             why = link.why = link.why or "broken"
         self._counters.add("links ended")
-        self._said.say("link", "ended", to=name, why=why)
+        self._said.log("link", "ended", to=name, why=why)
         return why
 
-    async def accept(
+    async def run_incoming(
         self,
         listener: socket.socket,
         hello: Callable[[Frame], Frame],
@@ -278,7 +278,7 @@
             self._counters.add("links ended")
             # Danger: operators come and go with each question; their lines would leave out those of others.
             role = "link" if isinstance(link, str) else link.greeting.role
-            self._said.say("operator" if role == "operator" else "link", "ended", of=host, **named, why=why)
+            self._said.log("operator" if role == "operator" else "link", "ended", of=host, **named, why=why)
 
         with listener:
             while True:
@@ -289,7 +289,7 @@
                     continue
                 except OSError as trouble:
                     # Danger: out of descriptors for a moment must not end the keeper.
-                    self._said.say("link", "can't accept", why=repr(trouble))
+                    self._said.log("link", "can't accept", why=repr(trouble))
                     await anyio.sleep(0.02)
 
     async def _greeted(
@@ -300,7 +300,7 @@
         hello: Callable[[Frame | None], Frame],
         check: Callable[[Frame, set[str] | None], None],
     ) -> Link | str:
-        frames, found = Frames(self._kinds), []
+        frames, found = FrameDecoder(self._kinds), []
         channel: Channel = line
         names: set[str] | None = None
         try:
@@ -311,25 +311,25 @@
                     channel = Sealed(line, self.contexts, server)
                     names = await channel.shake_hands()
                 if not server:
-                    channel.write(encode(hello(None)))
+                    channel.write(encode_frame(hello(None)))
                 while not found:
                     found = frames.feed(await channel.receive())
                 check(found[0], names)
                 if server:
-                    channel.write(encode(hello(found[0])))
-        except (*ENDED, TimeoutError, BrokenError) as trouble:
+                    channel.write(encode_frame(hello(found[0])))
+        except (*CONNECTION_ENDED, TimeoutError, FramingError) as trouble:
             self._counters.add("links refused")
             return f"refused: {trouble!r}"
         return Link(line, channel, scope, frames, found[0], found[1:])
 
 
-class Pause:
+class ReconnectBackoff:
     """How long to wait before a link is made again, in seconds."""
 
     def __init__(self, chance: Callable[[], float]) -> None:
         self._chance, self._next = chance, _PAUSE
 
-    def after(self, lived: float) -> float:
+    def next_pause_s(self, lived: float) -> float:
         # Danger: all that followed one keeper find it gone at once, and would come back at once.
         if lived > _WORKED:
             self._next = _PAUSE
--- a/cresstray/transport/streams.py
+++ b/cresstray/transport/streams.py
@@ -18,7 +18,7 @@
 # What the kernel says of a connection whose other side has closed its own: the first byte of TCP_INFO.
 _CLOSE_WAIT = b"\x08"
 # What ends a connection: closed, cut, or reset.
-ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+CONNECTION_ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 # Danger: 64 kB taken for each reading and cut down to what came leave a hole behind it on every connection
@@ -27,15 +27,15 @@
 
 
 @contextmanager
-def contained(what: str, counters: Counters, log: Log) -> Iterator[None]:
+def faults_contained(what: str, counters: Counters, log: Log) -> Iterator[None]:
     """Danger: a fault of ours on one connection must end that one only. Counted, and told whole."""
     try:
         yield
     except Exception as trouble:
-        tell_fault(what, trouble, counters, log)
+        log_fault(what, trouble, counters, log)
 
 
-def tell_fault(what: str, trouble: Exception, counters: Counters, log: Log) -> None:
+def log_fault(what: str, trouble: Exception, counters: Counters, log: Log) -> None:
     """A fault of ours: counted, and told whole."""
     counters.add("faults")
     log.log("fault", f"{what}: {''.join(traceback.format_exception(trouble))}")
@@ -104,7 +104,7 @@
                 await anyio.wait_writable(self._socket)
                 with suppress(BlockingIOError):
                     del self.unsent[: self._socket.send(self.unsent)]
-        except (*ENDED, ValueError):  # the latter: closed before the wait
+        except (*CONNECTION_ENDED, ValueError):  # the latter: closed before the wait
             self._break()
         self._pumps = False
         if self._finishing:
@@ -155,7 +155,7 @@
             raise anyio.EndOfStream
         return bytes(_ROOM[:size])
 
-    def take(self) -> bytes | None:
+    def receive_available(self) -> bytes | None:
         """What has come, without waiting: None if nothing has, b"" once the other side has ended."""
         try:
             return bytes(_ROOM[: self._socket.recv_into(_ROOM)])
@@ -164,7 +164,7 @@
         except OSError:
             return b""
 
-    def has_more(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether something has come that was not received yet; an end is nothing."""
         return bool(self._peek())
 
--- a/tests/halls.py
+++ b/tests/halls.py
@@ -272,7 +272,7 @@
             queue.append((self.clocks[0].at + self.delay, data))
 
     def _deliver(self) -> None:
-        from cresstray.sites.codec import BrokenError
+        from cresstray.sites.codec import FramingError
 
         at = self.clocks[0].at
         try:
@@ -286,7 +286,7 @@
                         self.inward.welcome(frame, lambda data, _: self._carry(self.back, data))
             while self.up and self.back and self.back[0][0] <= at and "back" not in self.swallow:
                 self.outward.receive(self.back.popleft()[1], self.clocks[0].now())
-        except BrokenError as trouble:
+        except FramingError as trouble:
             self.broken = str(trouble)
             self.say(f"the link is dropped: {trouble}")
             self.cut()
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -27,7 +27,7 @@
 from cresstray.observability.counters import Counters
 from cresstray.sites import codec as halls
 from cresstray.tables import group_of
-from cresstray.transport.framing import LONGEST, BrokenError, Frames, encode
+from cresstray.transport.framing import MAX_FRAME_BYTES, FrameDecoder, FramingError, encode_frame
 from tests.desk import TraceCase
 
 PARAMS = {
@@ -604,18 +604,20 @@
         def checked(kinds: tuple[type, ...]) -> None:
             @usually
             @given(
-                almost(some.lists(made(*kinds).map(encode), max_size=3).map(b"".join))
+                almost(some.lists(made(*kinds).map(encode_frame), max_size=3).map(b"".join))
                 | some.binary(max_size=60),
                 CUTS,
             )
             def never_fails(data: bytes, sizes: list[int]) -> None:
-                reader = Frames(kinds)
-                self.read(reader.feed, data, sizes, BrokenError, lambda: len(reader._buffer), LONGEST + 4)
+                reader = FrameDecoder(kinds)
+                self.read(
+                    reader.feed, data, sizes, FramingError, lambda: len(reader._buffer), MAX_FRAME_BYTES + 4
+                )
 
             @usually
             @given(some.lists(made(*kinds), max_size=3), CUTS)
             def round_trip(told: list, sizes: list[int]) -> None:
-                reader, data = Frames(kinds), b"".join(map(encode, told))
+                reader, data = FrameDecoder(kinds), b"".join(map(encode_frame, told))
                 self.assertEqual(told, [one for piece in cut(data, sizes) for one in reader.feed(piece)])
                 self.assertEqual(0, len(reader._buffer))
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -123,7 +123,7 @@
             self.acknowledged[index] = entry.data
 
     def send(self, name: str, to: str, frame: frames.Frame) -> None:
-        assert len(frames.encode(frame)) < 200_000
+        assert len(frames.encode_frame(frame)) < 200_000
         for _ in range(1 + (self.random.random() < self.double)):
             if (name, to) not in self.cut and self.random.random() >= self.drop and to in self.files:
                 self.count += 1
@@ -536,10 +536,10 @@
             codec.Append(1, 1, 0, 5, 0, []),
             codec.Install(1, 1, 5, 1, Members(()), 1, 0, 0, b"ab"),
         ):
-            self.assertRaises(frames.BrokenError, self.node().receive, "b", frame, 0)
+            self.assertRaises(frames.FramingError, self.node().receive, "b", frame, 0)
         node = self.node()
         node.receive("b", codec.Append(1, 1, 0, 0, 0, []), 0)
-        self.assertRaises(frames.BrokenError, node.receive, "c", codec.Append(1, 1, 0, 0, 0, []), 0)
+        self.assertRaises(frames.FramingError, node.receive, "c", codec.Append(1, 1, 0, 0, 0, []), 0)
 
 
 class Together(unittest.TestCase):
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -20,7 +20,7 @@
 from cresstray.fleet_config import state as state_of
 from cresstray.fleet_config.active_config import Mode, Use
 from cresstray.fleet_config.admission import Admission
-from cresstray.fleet_config.codec import Behind, BrokenError, Content, Granted, Refused, Renew
+from cresstray.fleet_config.codec import Behind, Content, FramingError, Granted, Refused, Renew
 from cresstray.fleet_config.documents import (
     EMPTY,
     NAMES,
@@ -429,8 +429,8 @@
             codec.Reply(1, b"a", True),
         ]
         self.assertEqual(list(range(48, 59)), [one.kind for one in codec.KINDS])
-        data = b"".join(map(codec.encode, frames))
-        reader, found = codec.Frames(codec.KINDS), []
+        data = b"".join(map(codec.encode_frame, frames))
+        reader, found = codec.FrameDecoder(codec.KINDS), []
         for at in range(0, len(data), 7):
             found += reader.feed(data[at : at + 7])
         self.assertEqual(frames, found)
@@ -442,8 +442,8 @@
             codec.Heard(b"w" * 32_769),
             codec.Greet("m" * 129, 1, "", "", "", ""),
         ):
-            with self.assertRaises(BrokenError):
-                codec.Frames(codec.KINDS).feed(codec.encode(wrong))
+            with self.assertRaises(FramingError):
+                codec.FrameDecoder(codec.KINDS).feed(codec.encode_frame(wrong))
         body = random.Random(1).randbytes(300_000)
         self.assertEqual([3, 3, 3], [one.parts for one in codec.contents(0, 2, body)])
         with self.assertRaises(ValueError):
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -247,7 +247,7 @@
         world.cut()
         world.connect()
         world.outward.receive(
-            codec.encode(
+            codec.encode_frame(
                 codec.Welcome(
                     codec.VERSION,
                     [],
@@ -352,7 +352,7 @@
 
     def test_frames_malformed(self) -> None:
         lines = []
-        good = codec.encode(codec.Beat(1, 0, 0))
+        good = codec.encode_frame(codec.Beat(1, 0, 0))
         for text, data in (
             ("no kind", b"\0\0\0\x01\x63"),
             ("empty", b"\0\0\0\0\x03"),
@@ -362,21 +362,23 @@
             ("below nothing", b"\0\0\0\x05\x03\x93\xff\xff\xff"),
             (
                 "a statement that is empty",
-                codec.encode(codec.Offer(1, 0, "0" * 16, "t", "", "", 0, 0, 1, 0, 0, 0, 0, True, b"")),
+                codec.encode_frame(codec.Offer(1, 0, "0" * 16, "t", "", "", 0, 0, 1, 0, 0, 0, 0, True, b"")),
             ),
             (
                 "a name that is none",
-                codec.encode(codec.Offer(1, 0, "nobody", "t", "", "", 0, 0, 1, 0, 0, 0, 0, True, b"x")),
+                codec.encode_frame(codec.Offer(1, 0, "nobody", "t", "", "", 0, 0, 1, 0, 0, 0, 0, True, b"x")),
             ),
             (
                 "a mark with a comma",
-                codec.encode(codec.Offer(1, 0, "0" * 16, "t", "", "a,w=1", 0, 0, 1, 0, 0, 0, 0, True, b"x")),
+                codec.encode_frame(
+                    codec.Offer(1, 0, "0" * 16, "t", "", "a,w=1", 0, 0, 1, 0, 0, 0, 0, True, b"x")
+                ),
             ),
         ):
             frames = codec.Frames()
             try:
                 lines.append(f"{text}: taken as {frames.feed(good + data)}")
-            except codec.BrokenError as trouble:
+            except codec.FramingError as trouble:
                 lines.append(f"{text}: {trouble}")
         frames, found = codec.Frames(), []
         for at in range(len(good)):
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -28,7 +28,7 @@
 from cresstray.fleet_config.codec import Carried, Get, Renew, Request
 from cresstray.fleet_config.follower import Follower, order
 from cresstray.transport import peers
-from cresstray.transport.framing import LONGEST, encode
+from cresstray.transport.framing import MAX_FRAME_BYTES, encode_frame
 
 
 def free_ports(count: int) -> list[int]:
@@ -278,19 +278,22 @@
             keepers.start()
             keepers.line().ask(Ask("show"))
             time.sleep(1.1)  # five lines a second are told
-            agreed = peers.agreed(keepers.given)
-            gateway = peers.hello("gateway", "trial", "g0", "a1", agreed)
+            agreed = peers.settings_digest(keepers.given)
+            gateway = peers.make_greeting("gateway", "trial", "g0", "a1", agreed)
 
             def greeting(**changed: object) -> bytes:
-                return encode(msgspec.structs.replace(gateway, **changed))
+                return encode_frame(msgspec.structs.replace(gateway, **changed))
 
-            well = encode(gateway)
-            operator_ = encode(peers.hello("operator", "trial", "operator", "a1"))
+            well = encode_frame(gateway)
+            operator_ = encode_frame(peers.make_greeting("operator", "trial", "operator", "a1"))
             keeper = greeting(role="keeper", name="k1")
             cases = {
                 "noise": (b"GET / HTTP/1.0\r\n\r\n", "refused: .*a frame of kind"),
-                "a length that lies": (struct.pack(">IB", LONGEST + 1, 48), "refused: .*a frame of kind 48"),
-                "no greeting": (encode(Get(0)), "refused: .*no greeting"),
+                "a length that lies": (
+                    struct.pack(">IB", MAX_FRAME_BYTES + 1, 48),
+                    "refused: .*a frame of kind 48",
+                ),
+                "no greeting": (encode_frame(Get(0)), "refused: .*no greeting"),
                 "another magic": (greeting(magic="other"), "refused: .*no greeting"),
                 "a later version": (greeting(version=9), "refused: .*version 9"),
                 "another fleet": (greeting(fleet="other"), "refused: .*of fleet 'other'"),
@@ -299,16 +302,28 @@
                 "a keeper's name": (greeting(name="k1"), "refused: .*'k1' as a gateway"),
                 "a keeper unheard of": (greeting(role="keeper"), "refused: .*'g0' as a keeper"),
                 "its own name": (keeper, "refused: .*own name"),
-                "another lease": (greeting(nonce=b"") + encode(Renew(1, 0)), "dropped: .*another lease"),
+                "another lease": (
+                    greeting(nonce=b"") + encode_frame(Renew(1, 0)),
+                    "dropped: .*another lease",
+                ),
                 "a second greeting": (well + well, "dropped: a Greet from the role gateway"),
-                "a keeper's word": (well + encode(Alive(1)), "dropped: a Alive from the role gateway"),
-                "a carried word": (well + encode(Carried("x", False, b"")), "dropped: a Carried from"),
-                "an operator's question": (well + encode(requests(1, Ask("show"))[0]), "dropped: a Request"),
-                "a gateway's word": (operator_ + encode(Renew(1, 0)), "dropped: a Renew from the role oper"),
-                "a renewal again": (well + encode(Renew(7, 0)) * 2, "dropped: renewal 7 after 7"),
-                "an older renewal": (well + encode(Renew(7, 0)) + encode(Renew(6, 0)), "dropped: renewal 6"),
-                "no question": (operator_ + encode(Request(1, b"\xc1", True)), "dropped: a question"),
-                "cut in the middle": (well + encode(Get(0))[:-1], "EndOfStream"),
+                "a keeper's word": (well + encode_frame(Alive(1)), "dropped: a Alive from the role gateway"),
+                "a carried word": (well + encode_frame(Carried("x", False, b"")), "dropped: a Carried from"),
+                "an operator's question": (
+                    well + encode_frame(requests(1, Ask("show"))[0]),
+                    "dropped: a Request",
+                ),
+                "a gateway's word": (
+                    operator_ + encode_frame(Renew(1, 0)),
+                    "dropped: a Renew from the role oper",
+                ),
+                "a renewal again": (well + encode_frame(Renew(7, 0)) * 2, "dropped: renewal 7 after 7"),
+                "an older renewal": (
+                    well + encode_frame(Renew(7, 0)) + encode_frame(Renew(6, 0)),
+                    "dropped: renewal 6",
+                ),
+                "no question": (operator_ + encode_frame(Request(1, b"\xc1", True)), "dropped: a question"),
+                "cut in the middle": (well + encode_frame(Get(0))[:-1], "EndOfStream"),
             }
             for name, (message, wanted) in cases.items():
                 with self.subTest(name):
@@ -333,7 +348,9 @@
             keepers.found()
             keepers.start()
             keepers.line().ask(Ask("show"))
-            well = encode(peers.hello("gateway", "trial", "g0", "a1", peers.agreed(keepers.given)))
+            well = encode_frame(
+                peers.make_greeting("gateway", "trial", "g0", "a1", peers.settings_digest(keepers.given))
+            )
             with socket.create_connection(("127.0.0.1", keepers.ports["k1"]), 5) as first:
                 first.sendall(well)
                 first.recv(65536)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -187,10 +187,10 @@
         """Whatever is said there ends that connection with one line; a link that is up goes on."""
 
         def hello(hall: str, name: str, magic: str = codec.MAGIC, version: int = codec.VERSION) -> bytes:
-            return codec.encode(codec.Hello(magic, version, [], hall, name, f"life of {name}", "", []))
+            return codec.encode_frame(codec.Hello(magic, version, [], hall, name, f"life of {name}", "", []))
 
         def offer(number: int) -> bytes:
-            return codec.encode(
+            return codec.encode_frame(
                 codec.Offer(number, 0, "0" * 16, "lookup", "", "", 0, 0, 10**6, 0, 0, 0, 0, True, b"x")
             )
 
@@ -240,13 +240,15 @@
                     await anyio.sleep(0.01)
                 await strange(host, "noise", b"GET / HTTP/1.1\r\n\r\n")
                 await strange(host, "a length that lies", b"\xff\xff\xff\xff\x01")
-                await strange(host, "no hello first", codec.encode(codec.Beat(1, 0, 0)))
+                await strange(host, "no hello first", codec.encode_frame(codec.Beat(1, 0, 0)))
                 await strange(host, "another protocol", hello("hall-a", "x", magic="other"))
                 await strange(host, "a later version", hello("hall-a", "x", version=9))
                 await strange(host, "a hall unheard of", hello("hall-z", "x"))
                 await strange(host, "half a hello, then nothing", hello("hall-a", "x")[:9])
                 await strange(host, "noise behind a hello", hello("hall-a", "x"), b"\0\0\0\1\xff")
-                await strange(host, "a far side's word", hello("hall-a", "x"), codec.encode(codec.Sent(1)))
+                await strange(
+                    host, "a far side's word", hello("hall-a", "x"), codec.encode_frame(codec.Sent(1))
+                )
                 await strange(
                     host,
                     "more than its credit",
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -33,7 +33,7 @@
     def close(self) -> None:
         self.lines.append("is closed")
 
-    def has_more(self) -> bool:
+    def has_unread(self) -> bool:
         return self.unread
 
     def has_ended(self) -> bool:
