--- /dev/null
+++ b/cresstray/transport/greeting.py
@@ -0,0 +1,86 @@
+"""The greeting of a link between processes of one fleet: who it is, and whether it may bear that name."""
+
+from __future__ import annotations
+
+import re
+from hashlib import blake2b
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from cresstray.fleet_config.codec import MAGIC, ROLES, VERSION, Greet
+from cresstray.transport.framing import Frame, FramingError
+
+if TYPE_CHECKING:
+    from cresstray.config.fleet import Fleet
+
+# As the documents have gateways' names; the incarnation of a control-plane node is part of its name in the
+# log.
+_NAME = re.compile(r"[0-9A-Za-z_.:@-]{1,64}")
+_INCARNATION = re.compile(r"[0-9a-f]{1,32}")
+_OPERATOR = "operator"
+_CONTROL_PLANE_NODE = "keeper"  # the role's name on the wire
+_DIGEST_BYTES = 16
+
+SETTINGS_DIFFER = "another lease, floor-lease, drift, most or barred than in this file"
+
+
+def settings_digest(fleet: Fleet) -> bytes:
+    """Returns a digest of what all processes of one fleet must have the same.
+
+    A gateway with a longer lease would act when its leader takes it for stopped, and control-plane nodes that
+    check documents by different limits would apply one log to different states.
+    """
+    settings = [fleet.lease, fleet.floor_lease, fleet.drift, fleet.most, fleet.barred]
+    return blake2b(msgspec.msgpack.encode(settings), digest_size=_DIGEST_BYTES).digest()
+
+
+def make_greeting(role: str, fleet: str, name: str, incarnation: str, digest: bytes = b"") -> Greet:
+    """Makes a greeting; `digest` is needed from control-plane nodes and gateways that ask for leases."""
+    return Greet(MAGIC, VERSION, role, fleet, name, incarnation, digest)
+
+
+def check_greeting(greeting: Frame, fleet: Fleet, certificate_names: set[str] | None) -> Greet:
+    """Returns a greeting of this fleet by a process that may bear its name.
+
+    Args:
+        greeting: the first frame of a link.
+        fleet: what this process knows of the fleet.
+        certificate_names: the names in the peer's certificate; None without TLS.
+
+    Raises:
+        FramingError: with what is wrong.
+    """
+    if not isinstance(greeting, Greet) or greeting.magic != MAGIC:
+        raise FramingError("no greeting")
+    _check_fields(greeting, fleet)
+    if certificate_names is not None and greeting.name not in certificate_names:
+        allowed = ", ".join(sorted(certificate_names)) or "nobody"
+        raise FramingError(f"{greeting.name!r} with a certificate for {allowed}")
+    _check_role(greeting, fleet, certificate_names)
+    return greeting
+
+
+def _check_fields(greeting: Greet, fleet: Fleet) -> None:
+    if greeting.version != VERSION:
+        raise FramingError(f"version {greeting.version}, this is {VERSION}")
+    if greeting.fleet != fleet.name:
+        raise FramingError(f"of fleet {greeting.fleet!r}")
+    if greeting.role not in ROLES:
+        raise FramingError(f"role {greeting.role!r}")
+    if not _NAME.fullmatch(greeting.name) or not _INCARNATION.fullmatch(greeting.life):
+        raise FramingError(f"name {greeting.name!r}, life {greeting.life!r}")
+
+
+def _check_role(greeting: Greet, fleet: Fleet, certificate_names: set[str] | None) -> None:
+    """Checks that the name may have the role: a gateway's key must not change the configuration of all."""
+    is_node = fleet.keeper(greeting.name) is not None
+    if greeting.role == _OPERATOR:
+        is_operator = greeting.name == _OPERATOR or is_node
+        if certificate_names is not None and not is_operator:
+            raise FramingError(f"{greeting.name!r} as an operator")
+        return
+    if (greeting.role == _CONTROL_PLANE_NODE) != is_node or greeting.name == _OPERATOR:
+        raise FramingError(f"{greeting.name!r} as a {greeting.role}")
+    if is_node and greeting.nonce != settings_digest(fleet):
+        raise FramingError(SETTINGS_DIFFER)
--- /dev/null
+++ b/cresstray/transport/link.py
@@ -0,0 +1,128 @@
+"""One link between processes of a fleet, once both sides have greeted: frames written and read."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any, Protocol
+
+import anyio
+
+from cresstray.fleet_config.codec import Greet
+from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
+from cresstray.transport.streams import CONNECTION_ENDED, SocketStream
+
+# Bound of what is kept for a peer that reads nothing.
+_MAX_UNSENT_BYTES = 8 * 1024 * 1024
+
+
+class PositionExchange(Protocol):
+    """What is said of replicas' positions on one link; made with the link, and dropped with it."""
+
+    def says(self, now: int) -> bytes:
+        """Returns the body of the next message to the peer."""
+
+    def hears(self, body: bytes, now: int) -> None:
+        """Takes the body of a message of the peer.
+
+        Raises:
+            FramingError: it does not follow the protocol.
+        """
+
+
+class Channel(Protocol):
+    """What a link is written to and read from: a SocketStream, or TLS over one."""
+
+    def write(self, message: bytes) -> object:
+        """Takes all of the message and sends it now or later."""
+
+    async def receive(self) -> bytes:
+        """Waits for data and returns it; raises one of CONNECTION_ENDED."""
+
+
+class Link:
+    """One greeted connection. What is written in one turn of the event loop leaves in one piece.
+
+    Attributes:
+        greeting: the peer's.
+        guest: what its owner knows the peer by.
+        why: why it has ended, or empty.
+        sent_bytes: of frames that were given to the channel.
+        received_bytes: of frames that came after the greeting.
+    """
+
+    def __init__(
+        self,
+        stream: SocketStream,
+        channel: Channel,
+        scope: anyio.CancelScope,
+        decoder: FrameDecoder,
+        greeting: Greet,
+        early_frames: list[Frame],
+        max_unsent_bytes: int = _MAX_UNSENT_BYTES,
+    ) -> None:
+        self._stream = stream
+        self._channel = channel
+        self._scope = scope
+        self._decoder = decoder
+        self.greeting = greeting
+        self._early_frames = early_frames  # those that came with the greeting
+        self._max_unsent_bytes = max_unsent_bytes
+        self._outgoing = bytearray()
+        self.guest: Any = None
+        self.why = ""
+        self.sent_bytes = 0
+        self.received_bytes = 0
+
+    def put(self, frame: Frame) -> None:
+        """Sends one frame, or nothing if the link has ended."""
+        self.write(encode_frame(frame))
+
+    def write(self, message: bytes) -> None:
+        """Sends encoded frames, or nothing if the link has ended."""
+        if self.why:
+            return
+        if not self._outgoing:
+            asyncio.get_running_loop().call_soon(self._flush)
+        self._outgoing += message
+        if self.unwritten > self._max_unsent_bytes:
+            self.end(f"{self.unwritten} bytes not read")
+
+    @property
+    def unwritten(self) -> int:
+        """Bytes that the kernel has not taken yet."""
+        return len(self._outgoing) + len(self._stream.unsent)
+
+    def _flush(self) -> None:
+        if self._outgoing and self._stream.is_open() and not self.why:
+            self.sent_bytes += len(self._outgoing)
+            try:
+                self._channel.write(bytes(self._outgoing))
+            except OSError as error:
+                self.end(repr(error))
+        self._outgoing.clear()
+
+    def end(self, reason: str) -> None:
+        """Ends the link; only the first reason is kept."""
+        self.why = self.why or reason
+        self._scope.cancel()
+
+    async def serve(self, on_frame: Callable[[Frame], None]) -> str:
+        """Reads until the connection ends or `on_frame` raises FramingError; returns why it ended."""
+        try:
+            early_frames = self._early_frames
+            self._early_frames = []
+            for frame in early_frames:
+                on_frame(frame)
+            while not self.why:
+                data = await self._channel.receive()
+                self.received_bytes += len(data)
+                for frame in self._decoder.feed(data):
+                    if self.why:
+                        break
+                    on_frame(frame)
+        except FramingError as error:
+            self.why = self.why or f"dropped: {error}"
+        except CONNECTION_ENDED as error:
+            self.why = self.why or repr(error)
+        return self.why
