--- a/cresstray/observability/__init__.py
+++ b/cresstray/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Structured log lines and counters."""
+"""Log lines, structured log events and counters."""
--- a/cresstray/observability/counters.py
+++ b/cresstray/observability/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the gateway takes in, sends and answers, and of what must hold and did not."""
+"""Counts of what the gateway accepts, sends and answers, and of violations of what must hold."""
 
 from __future__ import annotations
 
@@ -6,19 +6,23 @@
 
 
 class Counters:
+    """Counters by name, and the violations of invariants by theirs."""
+
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.broken: Counter[str] = Counter()
 
     def add(self, name: str, amount: int = 1) -> None:
+        """Adds to the counter of this name."""
         self.counts[name] += amount
 
     def check(self, holds: object, name: str) -> None:
-        """What must hold is asserted in debug builds and counted in release builds (python -O)."""
+        """Asserts an invariant in debug builds, and counts its violations in release builds (python -O)."""
         assert holds, name
         if not holds:
             self.broken[name] += 1
 
     def lines(self) -> list[str]:
-        told = [f"{name} {amount}" for name, amount in sorted(self.counts.items())]
-        return told + [f"broken: {name} {amount}" for name, amount in sorted(self.broken.items())]
+        """Returns one line for each counter, those of violations last."""
+        counts = [f"{name} {amount}" for name, amount in sorted(self.counts.items())]
+        return counts + [f"broken: {name} {amount}" for name, amount in sorted(self.broken.items())]
--- a/cresstray/observability/event_log.py
+++ b/cresstray/observability/event_log.py
@@ -1,7 +1,7 @@
-"""Lines of keepers and of what follows them: key=value on standard error by structlog, rate-limited by kind.
+"""Structured log events: key=value on standard error by structlog, rate-limited by kind.
 
-Danger: structlog takes memory that a gateway without an operator's file may not have; only what that file
-asks for imports this.
+structlog takes memory that a gateway without an operator's file may not have, so this is a module of its own,
+and imported only by what that file asks for.
 """
 
 from __future__ import annotations
@@ -11,31 +11,30 @@
 
 import structlog
 
-# Five a second tell what happens; a flood of one kind must not cost the core it reports on.
-_MOST = 5
+from cresstray.observability.rate_limit import LineRateLimit
 
 
 class EventLog:
-    """`said.say("link", "ended", name="k2")`: a line of that kind. `now` in microseconds, for the rate."""
+    """Prints events with fields, as in `event_log.log("link", "ended", name="k2")`.
+
+    Args:
+        now: returns microseconds, for the rate limit.
+        always: fields of all events.
+    """
 
     def __init__(self, now: Callable[[], int], **always: object) -> None:
         self._now = now
-        rendered = structlog.processors.LogfmtRenderer(key_order=["timestamp", *always, "kind", "event"])
-        self._log = structlog.wrap_logger(
+        renderer = structlog.processors.LogfmtRenderer(key_order=["timestamp", *always, "kind", "event"])
+        self._logger = structlog.wrap_logger(
             structlog.PrintLogger(sys.stderr),
-            processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), rendered],
+            processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), renderer],
         ).bind(**always)
-        self._second: dict[str, int] = {}
-        self._count: dict[str, int] = {}
-
-    def log(self, kind: str, event: str, **more: object) -> None:
-        """Prints a line, unless this kind had its lines of this second; the next tells how many it lost."""
-        second = self._now() // 1_000_000
-        if self._second.get(kind) != second:
-            left_out = max(0, self._count.get(kind, 0) - _MOST)
-            self._second[kind], self._count[kind] = second, 0
-            if left_out:
-                self._log.info("more lines were left out", kind=kind, lines=left_out)
-        self._count[kind] += 1
-        if self._count[kind] <= _MOST:
-            self._log.info(event, kind=kind, **more)
+        self._rate_limit = LineRateLimit()
+
+    def log(self, kind: str, event: str, **fields: object) -> None:
+        """Prints an event, unless too many of this kind came; a later one says how many were left out."""
+        decision = self._rate_limit.decide(kind, self._now())
+        if decision.left_out:
+            self._logger.info("more lines were left out", kind=kind, lines=decision.left_out)
+        if decision.is_allowed:
+            self._logger.info(event, kind=kind, **fields)
--- a/cresstray/transport/streams.py
+++ b/cresstray/transport/streams.py
@@ -1,4 +1,4 @@
-"""Connections: reading, writing without waiting, and the bounds of a fault."""
+"""Stream connections: reading, writing without waiting, and containment of faults."""
 
 from __future__ import annotations
 
@@ -15,67 +15,78 @@
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 
-# What the kernel says of a connection whose other side has closed its own: the first byte of TCP_INFO.
+# The state of a connection whose peer has closed its side: the first byte of TCP_INFO.
 _CLOSE_WAIT = b"\x08"
-# What ends a connection: closed, cut, or reset.
+# What reading and writing raise once a connection is closed, cut or reset.
 CONNECTION_ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
-# Danger: 64 kB taken for each reading and cut down to what came leave a hole behind it on every connection
-# (256 links: 20 MB). All read into this one, and keep what came.
-_ROOM = memoryview(bytearray(65536))
+# All connections read into this buffer and keep a copy of what came: one of 64 kB for each read, cut down to
+# what came, would leave a hole in the memory on every connection (256 of them: 20 MB).
+_READ_BUFFER = memoryview(bytearray(65536))
 
 
 @contextmanager
 def faults_contained(what: str, counters: Counters, log: Log) -> Iterator[None]:
-    """Danger: a fault of ours on one connection must end that one only. Counted, and told whole."""
+    """Contains failures of the program itself to one connection: they are counted and logged, not raised."""
     try:
         yield
-    except Exception as trouble:
-        log_fault(what, trouble, counters, log)
+    except Exception as error:
+        log_fault(what, error, counters, log)
 
 
-def log_fault(what: str, trouble: Exception, counters: Counters, log: Log) -> None:
-    """A fault of ours: counted, and told whole."""
+def log_fault(what: str, error: Exception, counters: Counters, log: Log) -> None:
+    """Counts a failure of the program itself and logs it with its traceback; `what` says where it was."""
     counters.add("faults")
-    log.log("fault", f"{what}: {''.join(traceback.format_exception(trouble))}")
+    log.log("fault", f"{what}: {''.join(traceback.format_exception(error))}")
 
 
 async def connect(host: str, port: int) -> socket.socket:
-    """A connection, or OSError; how long to wait for it is the caller's matter."""
-    made = socket.socket()
+    """Connects, without a timeout of its own.
+
+    Raises:
+        OSError: no connection could be made.
+    """
+    connected = socket.socket()
     try:
-        made.setblocking(False)
+        connected.setblocking(False)
         try:
-            made.connect((host, port))
+            connected.connect((host, port))
         except BlockingIOError:
-            await anyio.wait_writable(made)
-        trouble = made.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if trouble:
-            raise OSError(trouble, os.strerror(trouble))
+            await anyio.wait_writable(connected)
+        error_number = connected.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_number:
+            raise OSError(error_number, os.strerror(error_number))
     except BaseException:
-        made.close()
+        connected.close()
         raise
-    return made
+    return connected
 
 
 class SocketStream:
-    """One connection. What is put goes to the kernel at once; what that does not take waits, in order.
+    """One connection. What is written goes to the kernel at once; what that does not take waits, in order.
+
+    Only what waits is written by a task, so that messages leave in the order in which they are written.
 
-    Only then does a task of `tasks` write it. `ended` is called when the connection breaks, or is done for.
+    Args:
+        connected: its socket.
+        tasks: runs the task that writes what waits.
+        on_ended: is called when the connection is found broken, or is drained after `write_eof_when_drained`.
     """
 
-    def __init__(self, made: socket.socket, tasks: TaskGroup, ended: Callable[[], None]) -> None:
-        made.setblocking(False)
-        made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._socket, self._tasks, self._ended = made, tasks, ended
-        self.unsent = bytearray()
-        self.is_broken = False  # found so while it was written to
-        self._pumps = self._finishing = False
+    def __init__(self, connected: socket.socket, tasks: TaskGroup, on_ended: Callable[[], None]) -> None:
+        connected.setblocking(False)
+        connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self._socket = connected
+        self._tasks = tasks
+        self._on_ended = on_ended
+        self.unsent = bytearray()  # written, and not yet taken by the kernel
+        self.is_broken = False  # whether it was found broken by writing
+        self._is_sending = False  # whether the task that writes what waits runs
+        self._is_finishing = False  # whether `on_ended` is called once it is drained
 
     def write(self, message: bytes) -> bool:
-        """False where the connection is broken and nothing of the message has left."""
-        # Danger: written by a task of its own, a QUIT could follow the ASK that it must go before.
+        """Sends a message now or later; False if the connection is broken and nothing of it has left."""
         sent = 0
         if not self.unsent:
             try:
@@ -87,98 +98,109 @@
                 return False
         if sent < len(message):
             self.unsent += message[sent:]
-            if not self._pumps:
-                self._pumps = True
-                self._tasks.start_soon(self._pump)
+            if not self._is_sending:
+                self._is_sending = True
+                self._tasks.start_soon(self._send_unsent)
         return True
 
     def write_eof_when_drained(self) -> None:
-        """`ended` is called once what waits has been written."""
-        self._finishing = True
+        """Has `on_ended` called once what waits has been sent."""
+        self._is_finishing = True
         if not self.unsent:
             self._finished()
 
-    async def _pump(self) -> None:
+    async def _send_unsent(self) -> None:
         try:
             while self.unsent:
                 await anyio.wait_writable(self._socket)
                 with suppress(BlockingIOError):
                     del self.unsent[: self._socket.send(self.unsent)]
-        except (*CONNECTION_ENDED, ValueError):  # the latter: closed before the wait
+        except (*CONNECTION_ENDED, ValueError):  # the latter if it was closed before the wait
             self._break()
-        self._pumps = False
-        if self._finishing:
+        self._is_sending = False
+        if self._is_finishing:
             self._finished()
 
     def _break(self) -> None:
         self.is_broken = True
-        self._ended()
+        self._on_ended()
 
     def _finished(self) -> None:
-        self._finishing = False
-        self._ended()
+        self._is_finishing = False
+        self._on_ended()
 
     def shutdown_write(self) -> None:
-        """Nothing more is written, and the other side hears of it; what it sends can still be received."""
+        """Shuts the sending side; what the peer sends can still be received."""
         self._socket.shutdown(socket.SHUT_WR)
 
     def is_open(self) -> bool:
-        """Whether it has not been closed here."""
+        """Whether it has not been closed on this side."""
         return self._socket.fileno() >= 0
 
     def close(self) -> None:
-        """Gives the descriptor back at once; whoever waits for it hears that it is closed."""
+        """Closes the descriptor at once; tasks that wait for it are told so."""
         if self._socket.fileno() >= 0:
             anyio.notify_closing(self._socket)
             self._socket.close()
 
     def end_by_reset(self) -> None:
-        """Once it is closed, the other side sees what the end of a process looks like."""
+        """Has the close reset the connection, as the end of a process does."""
         if self._socket.fileno() >= 0:
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
-    async def receive(self, within: float | None = None) -> bytes:
-        """What has come, or TimeoutError if nothing does within so many seconds."""
+    async def receive(self, timeout_s: float | None = None) -> bytes:
+        """Waits for data and returns it.
+
+        Raises:
+            TimeoutError: nothing came in time.
+            anyio.EndOfStream: the peer has closed its side.
+            anyio.ClosedResourceError: it was closed on this side.
+            OSError: the connection is broken.
+        """
         if self._socket.fileno() < 0:
             raise anyio.ClosedResourceError
-        if within is None:
+        if timeout_s is None:
             await anyio.wait_readable(self._socket)
         else:
-            with anyio.move_on_after(within):
+            with anyio.move_on_after(timeout_s):
                 await anyio.wait_readable(self._socket)
         try:
-            # Danger: on a late loop the time may be over while it is there.
-            size = self._socket.recv_into(_ROOM)
+            # Also after the timeout: on a late event loop it may be over while data is there.
+            size = self._socket.recv_into(_READ_BUFFER)
         except BlockingIOError:
             raise TimeoutError from None
         if not size:
             raise anyio.EndOfStream
-        return bytes(_ROOM[:size])
+        return bytes(_READ_BUFFER[:size])
 
     def receive_available(self) -> bytes | None:
-        """What has come, without waiting: None if nothing has, b"" once the other side has ended."""
+        """Returns what has come, without waiting: None if nothing has, b"" once the connection has ended."""
         try:
-            return bytes(_ROOM[: self._socket.recv_into(_ROOM)])
+            return bytes(_READ_BUFFER[: self._socket.recv_into(_READ_BUFFER)])
         except BlockingIOError:
             return None
         except OSError:
             return b""
 
     def has_unread(self) -> bool:
-        """Whether something has come that was not received yet; an end is nothing."""
+        """Whether data has come that was not received yet; the end of the stream is none."""
         return bool(self._peek())
 
     def has_ended(self) -> bool:
-        """Whether the other side has closed its own, or the connection broke."""
-        there = self._peek()
-        # Danger: behind megabytes that were not read yet an end would be heard of seconds late.
-        return there == b"" or bool(there) and self._has_been_closed()
+        """Whether the peer has closed its side, or the connection has broken.
+
+        This is asked of the kernel, as the end would be read seconds late behind megabytes of data.
+        """
+        peeked = self._peek()
+        if peeked is None:
+            return False
+        return peeked == b"" or self._is_in_close_wait()
 
-    def _has_been_closed(self) -> bool:
+    def _is_in_close_wait(self) -> bool:
         try:
             return self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) == _CLOSE_WAIT
         except OSError:
-            return False  # a system that does not tell
+            return False  # this system does not have it
 
     def _peek(self) -> bytes | None:
         try:
@@ -189,6 +211,7 @@
             return b""
 
     def __enter__(self) -> SocketStream:
+        """Returns itself; leaving the block closes it."""
         return self
 
     def __exit__(self, *_: object) -> None:
