--- a/cresstray/cli/fleet.py
+++ b/cresstray/cli/fleet.py
@@ -57,7 +57,7 @@
 class _Quiet:
     """Links that end are told in the answer, not in lines."""
 
-    def say(self, kind: str, event: str, **more: object) -> None:
+    def log(self, kind: str, event: str, **more: object) -> None:
         """Nothing."""
 
 
--- a/cresstray/observability/event_log.py
+++ b/cresstray/observability/event_log.py
@@ -1,7 +1,7 @@
-"""Lines of keepers and of what follows them: key=value on standard error by structlog, rate-limited by kind.
+"""Structured log events: key=value on standard error by structlog, rate-limited by kind.
 
-Danger: structlog takes memory that a gateway without an operator's file may not have; only what that file
-asks for imports this.
+structlog takes memory that a gateway without an operator's file may not have, so this is a module of its own,
+and imported only by what that file asks for.
 """
 
 from __future__ import annotations
@@ -11,8 +11,7 @@
 
 import structlog
 
-# Five a second tell what happens; a flood of one kind must not cost the core it reports on.
-_MOST = 5
+from cresstray.observability.rate_limit import LineRateLimit
 
 
 class EventLog:
@@ -20,13 +19,12 @@
 
     def __init__(self, now: Callable[[], int], **always: object) -> None:
         self._now = now
-        rendered = structlog.processors.LogfmtRenderer(key_order=["timestamp", *always, "kind", "event"])
-        self._log = structlog.wrap_logger(
+        renderer = structlog.processors.LogfmtRenderer(key_order=["timestamp", *always, "kind", "event"])
+        self._logger = structlog.wrap_logger(
             structlog.PrintLogger(sys.stderr),
-            processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), rendered],
+            processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), renderer],
         ).bind(**always)
-        self._second: dict[str, int] = {}
-        self._count: dict[str, int] = {}
+        self._rate_limit = LineRateLimit()
 
     def log(self, kind: str, event: str, **more: object) -> None:
         """Prints a line, unless this kind had its lines of this second; the next tells how many it lost."""
--- a/cresstray/transport/framing.py
+++ b/cresstray/transport/framing.py
@@ -1,8 +1,8 @@
 """Frames of links between processes of this program, whichever package names their kinds. Knows no socket.
 
 A frame is its length (4 bytes, big-endian, counting all behind it), one byte of kind, and a msgpack array.
-The kinds 1 to 31 are of links between halls, 32 to 47 of the keepers' log, 48 to 79 of rules, reads and
-moves.
+The kinds 1 to 31 are of links between sites, 32 to 47 of the consensus log, 48 to 79 of fleet configuration,
+reads and moves.
 """
 
 from __future__ import annotations
@@ -24,6 +24,8 @@
 
 
 class Frame(msgspec.Struct, array_like=True):
+    """One message; each subclass has its own `kind`."""
+
     kind: ClassVar[int]
 
 
@@ -32,21 +34,27 @@
 
 def encode_frame(frame: Frame) -> bytes:
     body = _encode(frame)
-    return _HEAD.pack(len(body) + 1, frame.kind) + body
+    return _HEADER.pack(len(body) + 1, frame.kind) + body
 
 
 class FrameDecoder:
     """The frames of some kinds in what is received, however it is cut; BrokenError where it can't be one."""
 
     def __init__(self, kinds: Iterable[type[Frame]]) -> None:
-        self._decoders = {one.kind: msgspec.msgpack.Decoder(one) for one in kinds}
+        self._decoders = {kind.kind: msgspec.msgpack.Decoder(kind) for kind in kinds}
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
+        """Returns the frames that are whole with this data.
+
+        Raises:
+            FramingError: what came cannot be a frame of these kinds.
+        """
         self._buffer += data
-        found, at = [], 0
-        while len(self._buffer) - at >= _HEAD.size:
-            length, kind = _HEAD.unpack_from(self._buffer, at)
+        frames: list[Frame] = []
+        position = 0
+        while len(self._buffer) - position >= _HEADER.size:
+            length, kind = _HEADER.unpack_from(self._buffer, position)
             decoder = self._decoders.get(kind)
             # Danger: a length that lies would have its bytes waited for, and kept, without end.
             if not 1 <= length <= MAX_FRAME_BYTES or decoder is None:
--- a/cresstray/transport/peers.py
+++ b/cresstray/transport/peers.py
@@ -1,19 +1,16 @@
-"""Links between processes of one fleet: made again and again, accepted, greeted, sealed, read, written.
+"""Makes and accepts the links between processes of one fleet: connected, greeted, sealed by TLS, served.
 
-Both sides greet first; whoever can't show its name, or sends what it may not, loses its link with one line.
+Both sides greet first; a peer that cannot prove its name, or sends what it may not, loses its link with one
+line.
 """
 
 from __future__ import annotations
 
-import asyncio
-import re
 import socket
 from collections.abc import Callable, Iterable
-from hashlib import blake2b
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, NamedTuple
 
 import anyio
-import msgspec
 from anyio.abc import TaskGroup
 
 from cresstray.fleet_config.codec import MAGIC, ROLES, VERSION, Greeting
@@ -26,22 +23,40 @@
     from cresstray.observability.event_log import EventLog
     from cresstray.sites.tls import Contexts
 
+__all__ = [
+    "SETTINGS_DIFFER",
+    "Channel",
+    "Link",
+    "PeerLinkManager",
+    "PositionExchange",
+    "ReconnectBackoff",
+    "check_greeting",
+    "make_greeting",
+    "settings_digest",
+]
+
 # Room for both handshakes at the longest round trip that a lease of two seconds can stand.
-_HANDSHAKE = 2.0
-# Danger: a peer that reads nothing would have all that is written to it kept.
-_MOST_UNWRITTEN = 8 * 1024 * 1024
-# What the network has taken and not delivered for so long is lost; without this the kernel tries for minutes.
-_UNDELIVERED_MS = 2000
-# Danger: strangers that connect and say nothing hold a descriptor each for the time of a handshake.
-_MOST_GREETING = 256
-# A connection that lived so long worked; one that did not is made again later and later.
-_WORKED = 2.0
-_PAUSE, _PAUSE_MOST = 0.05, 1.0
+_HANDSHAKE_TIMEOUT_S = 2.0
+# What the network has taken and not delivered for so long is lost; the kernel would try for minutes.
+_UNDELIVERED_TIMEOUT_MS = 2000
+# Strangers that connect and say nothing hold a descriptor each for the time of a handshake.
+_MAX_GREETING = 256
+_ACCEPT_RETRY_S = 0.02
+# A connection that lived so long worked; after one that did not, reconnecting pauses longer and longer.
+_WORKED_AFTER_S = 2.0
+_FIRST_PAUSE_S = 0.05
+_MAX_PAUSE_S = 1.0
+
+# Checks a peer's greeting, with the names of its certificate (None without TLS); raises FramingError.
+GreetingCheck = Callable[[Frame, "set[str] | None"], object]
 
 
-# As the documents have gateways' names; a keeper's generation is part of its name in the log.
-_NAME, _LIFE = re.compile(r"[0-9A-Za-z_.:@-]{1,64}"), re.compile(r"[0-9a-f]{1,32}")
+class _Handlers(NamedTuple):
+    """What a link is served by."""
 
+    on_connected: Callable[[Link], object]
+    on_frame: Callable[[Link, Frame], None]
+    on_closed: Callable[[Link], None]
 
 class PositionExchange(Protocol):
     """What is said of positions on one link: made with it, gone with it. `hears`: BrokenError."""
@@ -180,13 +195,16 @@
         chance: Callable[[], float],
         said: EventLog,
         counters: Counters,
-        handshake: float = _HANDSHAKE,
+        handshake_timeout_s: float = _HANDSHAKE_TIMEOUT_S,
     ) -> None:
-        self._kinds, self.contexts, self._chance = tuple(kinds), contexts, chance
-        self._handshake = handshake  # seconds
-        self._said, self._counters = said, counters
-        self._greeting = 0
-        self._not_made: dict[str, str] = {}  # by whom it was not made, and why, as last told
+        self._kinds = tuple(kinds)
+        self.contexts = contexts
+        self._random = random
+        self._handshake_timeout_s = handshake_timeout_s
+        self._event_log = event_log
+        self._counters = counters
+        self._greeting_count = 0  # accepted links that have not greeted yet
+        self._not_made: dict[str, str] = {}  # why no link to a peer was made, as last logged
 
     def new_backoff(self) -> ReconnectBackoff:
         return ReconnectBackoff(self._chance)
@@ -196,18 +214,24 @@
         address: tuple[str, int],
         name: str,
         hello: Frame,
-        check: Callable[[Frame, set[str] | None], None],
-        talk: Callable[[Link], object],
-        taken: Callable[[Link, Frame], None],
-        gone: Callable[[Link], None],
+        check: GreetingCheck,
+        on_connected: Callable[[Link], object],
+        on_frame: Callable[[Link, Frame], None],
+        on_closed: Callable[[Link], None],
         tasks: TaskGroup,
     ) -> str:
-        """One link to `name`, made and served; why it ended, which has been told in one line.
-
-        `check` gets the other side's greeting and the names of its certificate, None without TLS.
-        `talk` is called once the link is up, `taken` with each frame, `gone` when it has ended.
+        """Makes one link and serves it; returns why it ended, which has been logged in one event.
+
+        Args:
+            address: of the peer.
+            name: of the peer, for the log.
+            hello: this side's greeting.
+            check: is called with the peer's greeting.
+            on_connected: is called once the link is made.
+            on_frame: is called with each frame; a FramingError of it ends the link.
+            on_closed: is called when the link has ended.
+            tasks: runs the task that writes what the kernel does not take at once.
         """
-        why = "given up"
         try:
             with anyio.fail_after(self._handshake):
                 made = await connect(*address)
@@ -224,15 +248,13 @@
             if isinstance(link, str):
                 why = link
             else:
+                link = greeted
                 self._counters.add("links made")
                 self._not_made.pop(name, None)
-                talk(link)
-                try:
-                    await link.serve(lambda frame: taken(link, frame))
-                finally:
-                    gone(link)
-        if not isinstance(link, str):
-            why = link.why = link.why or "broken"
+                await handlers.serve(link)
+        if link is not None:
+            link.why = link.why or "broken"
+            reason = link.why
         self._counters.add("links ended")
         self._said.log("link", "ended", to=name, why=why)
         return why
@@ -241,10 +263,10 @@
         self,
         listener: socket.socket,
         hello: Callable[[Frame], Frame],
-        check: Callable[[Frame, set[str] | None], None],
-        talk: Callable[[Link], object],
-        taken: Callable[[Link, Frame], None],
-        gone: Callable[[Link], None],
+        check: GreetingCheck,
+        on_connected: Callable[[Link], object],
+        on_frame: Callable[[Link, Frame], None],
+        on_closed: Callable[[Link], None],
         tasks: TaskGroup,
     ) -> None:
         """Links that others make; `hello` answers a greeting that `check` has found good."""
@@ -280,11 +302,23 @@
             role = "link" if isinstance(link, str) else link.greeting.role
             self._said.log("operator" if role == "operator" else "link", "ended", of=host, **named, why=why)
 
+        Args:
+            listener: closed when this ends.
+            hello: returns this side's greeting, given the peer's that `check` has accepted.
+            check: is called with the peer's greeting.
+            on_connected: is called once a link is made.
+            on_frame: is called with each frame; a FramingError of it ends the link.
+            on_closed: is called when a link has ended.
+            tasks: serves the links.
+        """
+        greeting = _Greeting(True, hello, None, check)
+        handlers = _Handlers(on_connected, on_frame, on_closed)
         with listener:
             while True:
                 try:
                     await anyio.wait_readable(listener)
-                    tasks.start_soon(one, listener.accept()[0])
+                    accepted = listener.accept()[0]
+                    tasks.start_soon(self._serve_incoming, accepted, greeting, handlers, tasks)
                 except BlockingIOError:
                     continue
                 except OSError as trouble:
@@ -304,7 +338,46 @@
         channel: Channel = line
         names: set[str] | None = None
         try:
-            with anyio.fail_after(self._handshake):
+            host = "{}:{}".format(*accepted.getpeername()[:2])
+            with anyio.CancelScope() as scope, SocketStream(accepted, tasks, scope.cancel) as stream:
+                _limit_undelivered(accepted)
+                greeted = await self._greet_limited(stream, scope, greeting)
+                if isinstance(greeted, str):
+                    reason = greeted
+                else:
+                    link = greeted
+                    self._counters.add("links taken")
+                    await handlers.serve(link)
+        except OSError as error:
+            reason = repr(error)
+        self._counters.add("links ended")
+        if link is None:
+            self._event_log.log("link", "ended", of=host, why=reason)
+            return
+        # Operators come and go with each question; as links, their events would leave out those of others.
+        kind = "operator" if link.greeting.role == "operator" else "link"
+        self._event_log.log(kind, "ended", of=host, name=link.greeting.name, why=link.why or "broken")
+
+    async def _greet_limited(
+        self, stream: SocketStream, scope: anyio.CancelScope, greeting: _Greeting
+    ) -> Link | str:
+        """Greets, unless too many links greet at once."""
+        self._greeting_count += 1
+        try:
+            if self._greeting_count > _MAX_GREETING:
+                return "refused: too many greet at once"
+            return await self._greet(stream, scope, greeting)
+        finally:
+            self._greeting_count -= 1
+
+    async def _greet(self, stream: SocketStream, scope: anyio.CancelScope, greeting: _Greeting) -> Link | str:
+        """Shakes hands and greets; returns the link, or why there is none."""
+        decoder = FrameDecoder(self._kinds)
+        frames: list[Frame] = []
+        channel: Channel = stream
+        certificate_names: set[str] | None = None
+        try:
+            with anyio.fail_after(self._handshake_timeout_s):
                 if self.contexts is not None:
                     from cresstray.sites.tls import Sealed
 
@@ -319,15 +392,15 @@
                     channel.write(encode_frame(hello(found[0])))
         except (*CONNECTION_ENDED, TimeoutError, FramingError) as trouble:
             self._counters.add("links refused")
-            return f"refused: {trouble!r}"
-        return Link(line, channel, scope, frames, found[0], found[1:])
+            return f"refused: {error!r}"
+        peer_greeting = frames[0]
+        assert isinstance(peer_greeting, Greet), "the check accepts nothing else"
+        return Link(stream, channel, scope, decoder, peer_greeting, frames[1:])
 
 
 class ReconnectBackoff:
     """How long to wait before a link is made again, in seconds."""
 
-    def __init__(self, chance: Callable[[], float]) -> None:
-        self._chance, self._next = chance, _PAUSE
 
     def next_pause_s(self, lived: float) -> float:
         # Danger: all that followed one keeper find it gone at once, and would come back at once.
