--- a/cresstray/observability/event_log.py
+++ b/cresstray/observability/event_log.py
@@ -15,7 +15,12 @@
 
 
 class EventLog:
-    """`said.say("link", "ended", name="k2")`: a line of that kind. `now` in microseconds, for the rate."""
+    """Prints events with fields, as in `event_log.log("link", "ended", name="k2")`.
+
+    Args:
+        now: returns microseconds, for the rate limit.
+        always: fields of all events.
+    """
 
     def __init__(self, now: Callable[[], int], **always: object) -> None:
         self._now = now
@@ -26,14 +31,10 @@
         ).bind(**always)
         self._rate_limit = LineRateLimit()
 
-    def log(self, kind: str, event: str, **more: object) -> None:
-        """Prints a line, unless this kind had its lines of this second; the next tells how many it lost."""
-        second = self._now() // 1_000_000
-        if self._second.get(kind) != second:
-            left_out = max(0, self._count.get(kind, 0) - _MOST)
-            self._second[kind], self._count[kind] = second, 0
-            if left_out:
-                self._log.info("more lines were left out", kind=kind, lines=left_out)
-        self._count[kind] += 1
-        if self._count[kind] <= _MOST:
-            self._log.info(event, kind=kind, **more)
+    def log(self, kind: str, event: str, **fields: object) -> None:
+        """Prints an event, unless too many of this kind came; a later one says how many were left out."""
+        decision = self._rate_limit.decide(kind, self._now())
+        if decision.left_out:
+            self._logger.info("more lines were left out", kind=kind, lines=decision.left_out)
+        if decision.is_allowed:
+            self._logger.info(event, kind=kind, **fields)
--- a/cresstray/transport/framing.py
+++ b/cresstray/transport/framing.py
@@ -13,14 +13,16 @@
 
 import msgspec
 
-# A client's line is 256 kB at most, in base64; its statement and all that goes with it are shorter. What is
-# longer than a frame goes in parts.
+# A client's line has 256 kB at most, with its statement in base64; the statement and all that goes with it
+# are shorter. What is longer than a frame is sent in parts.
 MAX_FRAME_BYTES = 256 * 1024
-_HEAD = struct.Struct(">IB")
+_LENGTH_BYTES = 4
+_HEADER = struct.Struct(">IB")
+_UNDECODABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
 
 class FramingError(Exception):
-    """What came can't be a frame of this link; nothing behind it on this connection can be trusted."""
+    """What came cannot be a frame of this link; nothing behind it on this connection can be trusted."""
 
 
 class Frame(msgspec.Struct, array_like=True):
@@ -33,12 +35,13 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
+    """Encodes a frame with its length and kind."""
     body = _encode(frame)
     return _HEADER.pack(len(body) + 1, frame.kind) + body
 
 
 class FrameDecoder:
-    """The frames of some kinds in what is received, however it is cut; BrokenError where it can't be one."""
+    """Decodes frames of some kinds in what is received, however it is cut."""
 
     def __init__(self, kinds: Iterable[type[Frame]]) -> None:
         self._decoders = {kind.kind: msgspec.msgpack.Decoder(kind) for kind in kinds}
@@ -56,15 +59,16 @@
         while len(self._buffer) - position >= _HEADER.size:
             length, kind = _HEADER.unpack_from(self._buffer, position)
             decoder = self._decoders.get(kind)
-            # Danger: a length that lies would have its bytes waited for, and kept, without end.
+            # Of a false length the bytes would be awaited, and kept, without end.
             if not 1 <= length <= MAX_FRAME_BYTES or decoder is None:
                 raise FramingError(f"a frame of kind {kind} and {length} bytes")
-            if len(self._buffer) - at < 4 + length:
+            frame_end = position + _LENGTH_BYTES + length
+            if len(self._buffer) < frame_end:
                 break
             try:
-                found.append(decoder.decode(self._buffer[at + _HEAD.size : at + 4 + length]))
-            except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-                raise FramingError(f"a frame of kind {kind}: {trouble}") from None
-            at += 4 + length
-        del self._buffer[:at]
-        return found
+                frames.append(decoder.decode(self._buffer[position + _HEADER.size : frame_end]))
+            except _UNDECODABLE as error:
+                raise FramingError(f"a frame of kind {kind}: {error}") from None
+            position = frame_end
+        del self._buffer[:position]
+        return frames
--- a/cresstray/transport/greeting.py
+++ b/cresstray/transport/greeting.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cresstray.fleet_config.codec import MAGIC, ROLES, VERSION, Greet
+from cresstray.fleet_config.codec import MAGIC, ROLES, VERSION, Greeting
 from cresstray.transport.framing import Frame, FramingError
 
 if TYPE_CHECKING:
@@ -35,12 +35,12 @@
     return blake2b(msgspec.msgpack.encode(settings), digest_size=_DIGEST_BYTES).digest()
 
 
-def make_greeting(role: str, fleet: str, name: str, incarnation: str, digest: bytes = b"") -> Greet:
+def make_greeting(role: str, fleet: str, name: str, incarnation: str, digest: bytes = b"") -> Greeting:
     """Makes a greeting; `digest` is needed from control-plane nodes and gateways that ask for leases."""
-    return Greet(MAGIC, VERSION, role, fleet, name, incarnation, digest)
+    return Greeting(MAGIC, VERSION, role, fleet, name, incarnation, digest)
 
 
-def check_greeting(greeting: Frame, fleet: Fleet, certificate_names: set[str] | None) -> Greet:
+def check_greeting(greeting: Frame, fleet: Fleet, certificate_names: set[str] | None) -> Greeting:
     """Returns a greeting of this fleet by a process that may bear its name.
 
     Args:
@@ -51,7 +51,7 @@
     Raises:
         FramingError: with what is wrong.
     """
-    if not isinstance(greeting, Greet) or greeting.magic != MAGIC:
+    if not isinstance(greeting, Greeting) or greeting.magic != MAGIC:
         raise FramingError("no greeting")
     _check_fields(greeting, fleet)
     if certificate_names is not None and greeting.name not in certificate_names:
@@ -61,18 +61,18 @@
     return greeting
 
 
-def _check_fields(greeting: Greet, fleet: Fleet) -> None:
+def _check_fields(greeting: Greeting, fleet: Fleet) -> None:
     if greeting.version != VERSION:
         raise FramingError(f"version {greeting.version}, this is {VERSION}")
     if greeting.fleet != fleet.name:
         raise FramingError(f"of fleet {greeting.fleet!r}")
     if greeting.role not in ROLES:
         raise FramingError(f"role {greeting.role!r}")
-    if not _NAME.fullmatch(greeting.name) or not _INCARNATION.fullmatch(greeting.life):
-        raise FramingError(f"name {greeting.name!r}, life {greeting.life!r}")
+    if not _NAME.fullmatch(greeting.name) or not _INCARNATION.fullmatch(greeting.incarnation):
+        raise FramingError(f"name {greeting.name!r}, life {greeting.incarnation!r}")
 
 
-def _check_role(greeting: Greet, fleet: Fleet, certificate_names: set[str] | None) -> None:
+def _check_role(greeting: Greeting, fleet: Fleet, certificate_names: set[str] | None) -> None:
     """Checks that the name may have the role: a gateway's key must not change the configuration of all."""
     is_node = fleet.keeper(greeting.name) is not None
     if greeting.role == _OPERATOR:
--- a/cresstray/transport/link.py
+++ b/cresstray/transport/link.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from cresstray.fleet_config.codec import Greet
+from cresstray.fleet_config.codec import Greeting
 from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
 from cresstray.transport.streams import CONNECTION_ENDED, SocketStream
 
@@ -57,7 +57,7 @@
         channel: Channel,
         scope: anyio.CancelScope,
         decoder: FrameDecoder,
-        greeting: Greet,
+        greeting: Greeting,
         early_frames: list[Frame],
         max_unsent_bytes: int = _MAX_UNSENT_BYTES,
     ) -> None:
--- a/cresstray/transport/streams.py
+++ b/cresstray/transport/streams.py
@@ -17,7 +17,7 @@
 
 # The state of a connection whose peer has closed its side: the first byte of TCP_INFO.
 _CLOSE_WAIT = b"\x08"
-# What ends a connection: closed, cut, or reset.
+# What reading and writing raise once a connection is closed, cut or reset.
 CONNECTION_ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
@@ -28,15 +28,15 @@
 
 @contextmanager
 def faults_contained(what: str, counters: Counters, log: Log) -> Iterator[None]:
-    """Danger: a fault of ours on one connection must end that one only. Counted, and told whole."""
+    """Contains failures of the program itself to one connection: they are counted and logged, not raised."""
     try:
         yield
-    except Exception as trouble:
-        log_fault(what, trouble, counters, log)
+    except Exception as error:
+        log_fault(what, error, counters, log)
 
 
-def log_fault(what: str, trouble: Exception, counters: Counters, log: Log) -> None:
-    """A fault of ours: counted, and told whole."""
+def log_fault(what: str, error: Exception, counters: Counters, log: Log) -> None:
+    """Counts a failure of the program itself and logs it with its traceback; `what` says where it was."""
     counters.add("faults")
     log.log("fault", f"{what}: {''.join(traceback.format_exception(error))}")
 
@@ -115,7 +115,7 @@
                 await anyio.wait_writable(self._socket)
                 with suppress(BlockingIOError):
                     del self.unsent[: self._socket.send(self.unsent)]
-        except (*CONNECTION_ENDED, ValueError):  # the latter: closed before the wait
+        except (*CONNECTION_ENDED, ValueError):  # the latter if it was closed before the wait
             self._break()
         self._is_sending = False
         if self._is_finishing:
@@ -174,7 +174,7 @@
         return bytes(_READ_BUFFER[:size])
 
     def receive_available(self) -> bytes | None:
-        """What has come, without waiting: None if nothing has, b"" once the other side has ended."""
+        """Returns what has come, without waiting: None if nothing has, b"" once the connection has ended."""
         try:
             return bytes(_READ_BUFFER[: self._socket.recv_into(_READ_BUFFER)])
         except BlockingIOError:
@@ -183,7 +183,7 @@
             return b""
 
     def has_unread(self) -> bool:
-        """Whether something has come that was not received yet; an end is nothing."""
+        """Whether data has come that was not received yet; the end of the stream is none."""
         return bool(self._peek())
 
     def has_ended(self) -> bool:
