--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -26,7 +26,7 @@
 from benchmarks.bound import bound
 from cresstray.emulators.account import PROMISES, Account, Run
 from cresstray.emulators.clients import Drawn, draw
-from cresstray.emulators.cold import Plan, Register
+from cresstray.emulators.cold import Plan, ReturningCoordinator
 from cresstray.emulators.coordinator import Listed
 from cresstray.emulators.world import KINDS, Gateway, Hall, World, _free_port, running, settings
 from cresstray.membership import snapshot as record
@@ -90,7 +90,7 @@
         bears = safety["OverloadFactor"] * safety["ColdShare"] * CORES * 0.85 * 0.9 * FALL
         self.bears = bears / FALL  # cores' worth of work that a cold engine can take
         self.plan = Plan(engines, cores=CORES, bears=bears / MEAN, work=MEAN, fall=FALL, warm_up=warm_up)
-        self.register = Register(_free_port())
+        self.register = ReturningCoordinator(_free_port())
         self._tunnels = {}
 
     @contextlib.asynccontextmanager
--- a/cresstray/simulation/cold.py
+++ b/cresstray/simulation/cold.py
@@ -90,10 +90,10 @@
 class ColdStart:
     """One cold start.
 
-    A quarter each of what has changed since the snapshot: removed, moved to another address, its address
-    given to others, started anew. The fleet is as large as the list; what is new is on no list until
-    discovery returns: first with a list that is older than the snapshot, then, after a break of a second, with
-    the true one, which removes some that answer well and names some that refuse.
+    A quarter each of what has changed since the snapshot: removed, moved to another address, its
+    address given to others, started anew. The fleet is as large as the list; what is new is on no list
+    until discovery returns: first with a list that is older than the snapshot, then, after a break of a
+    second, with the true one, which removes some that answer well and names some that refuse.
 
     Args:
         seed: Of all draws.
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -15,7 +15,7 @@
 from cresstray.emulators import world
 from cresstray.emulators.account import PROMISES
 from cresstray.emulators.clients import draw
-from cresstray.emulators.cold import Fragile, Plan, Register
+from cresstray.emulators.cold import FragileEngine, Plan, ReturningCoordinator
 from cresstray.emulators.coordinator import ZONES
 from cresstray.emulators.world import KINDS, Gateway, Hall, World
 from cresstray.membership import snapshot as record
@@ -120,7 +120,7 @@
 
     def _write(self, hall: Hall, given: dict, link: str) -> None:
         hall.coordinator._listener.close()
-        hall.coordinator = Register(world._free_port())
+        hall.coordinator = ReturningCoordinator(world._free_port())
         hall.coordinator.known = {}
         given["Safety"]["WarmUp"] = 4000
         super()._write(hall, given, link)
@@ -189,7 +189,9 @@
         with (
             tempfile.TemporaryDirectory() as place,
             mock.patch.object(
-                world, "Engine", lambda label, _, marks, account, most: Fragile(label, plan, marks, account)
+                world,
+                "Engine",
+                lambda label, _, marks, account, most: FragileEngine(label, plan, marks, account),
             ),
         ):
             anyio.run(main, Path(place))
