--- /dev/null
+++ b/tests/test_membership_joined.py
@@ -0,0 +1,280 @@
+"""The membership joined to policy and router: recovery, handover, guard, inspection."""
+
+from __future__ import annotations
+
+import dataclasses
+import tempfile
+import time
+import unittest
+
+import anyio
+
+from cresstray.discovery.endpoint_list import EndpointEvent
+from cresstray.membership import inspection, learned_state, snapshot
+from cresstray.membership.connection_probe import probe_connection
+from cresstray.membership.estimate_states import ContactResult, EstimateState
+from cresstray.membership.guard import AdmissionGuard
+from cresstray.membership.snapshot_files import FileSystem, SnapshotFolder
+from cresstray.policy.types import Outcome
+from tests.membership_desk import (
+    DRAINING,
+    SECOND,
+    START,
+    Fleet,
+    member,
+)
+
+
+class MembershipTest(unittest.TestCase):
+    def setUp(self) -> None:
+        held = tempfile.TemporaryDirectory()
+        self.addCleanup(held.cleanup)
+        self.path = held.name
+
+    def first(self) -> Fleet:
+        fleet = Fleet(self.path)
+        fleet.tell(EndpointEvent(50, True, [member(1, started=7), member(2, started=7), member(3, DRAINING)]))
+        for number in (1, 2):
+            limiter = fleet.engine(number).limiter
+            limiter.seen, limiter.limit, limiter.pace = 50, limiter.start * (0.5, 1.5)[number - 1], 1.4
+        usual = fleet.gateway.request_classes[0].latency
+        usual.sample_count, usual.mean_us, usual.work_factor = 150, 90_000.0, 1.2
+        return fleet
+
+    def test_what_is_held_does_not_go_out_as_an_engine_is_listed(self) -> None:
+        self.first().written()
+        again = Fleet(self.path)
+        again.sent = []
+        again.gateway.rules["WarmUp"] = 0
+        again.gateway.admission_rules = AdmissionGuard(again.membership, again.gateway)
+        once = again.submit("once", left=20_000)
+        once.request_class = dataclasses.replace(once.request_class, is_idempotent=False)
+        for one in again.membership.estimate.start_due_probes(again.now):
+            again.membership._on_contact(one.id, ContactResult.LISTENING, again.now)
+        again.step()
+        self.assertEqual((again.sent, len(again.gateway.ready_engines)), ([], 2))
+
+    def test_a_restart_starts_from_what_was_kept_and_the_register_settles_it(self) -> None:
+        fleet = self.first()
+        fleet.written()
+        self.assertEqual(fleet.counters.counts["membership: snapshot writes"], 1)
+        fleet.membership.close()
+        again = Fleet(self.path, wall=START + 60 * SECOND, boot="b2", ticked=SECOND)
+        self.assertEqual(
+            again.logged, ["recovered 3 endpoints and 1 request classes from a snapshot, 60 s old"]
+        )
+        self.assertEqual(
+            (again.gateway.request_classes[0].latency.sample_count, list(again.gateway.ready_engines)),
+            (149, []),
+        )
+        asked = {m.id for m in again.membership.estimate.start_due_probes(again.now)}
+        self.assertEqual(asked, {1, 2})  # the one that drained waits
+        for number in (1, 2):
+            again.membership._on_contact(number, ContactResult.LISTENING, again.now)
+        again.step()
+        one, two = again.engine(1).limiter, again.engine(2).limiter
+        self.assertTrue(one.cold and two.cold)
+        self.assertTrue(0.5 < one.limit / one.start < 0.6, one.limit)
+        self.assertEqual(two.limit, two.start)  # of a life that is not known nothing raises a limit
+        two.seen, two.pace = 40, 1.9
+        again.membership._on_contact(2, ContactResult.SERVED, again.now)
+        again.tell(EndpointEvent(51, True, [member(2, started=7), member(4)]))
+        # The same life: what was learnt stays, and so does its coldness, of which the register knows nothing.
+        self.assertIs(again.engine(2).limiter, two)
+        self.assertTrue(two.cold)
+        self.assertEqual({again.membership.estimate.state_of(n) for n in (1, 3)}, {EstimateState.REMOVED})
+        self.assertEqual(set(again.route._engines), {2, 4})
+
+    def test_a_relay_that_finds_nobody_takes_its_engine_off_until_it_listens(self) -> None:
+        fleet = self.first()
+        fleet.written()
+        fleet.membership.close()
+        again = Fleet(self.path)
+        again.membership.estimate.start_due_probes(again.now)
+        again.membership._on_contact(1, ContactResult.LISTENING, again.now)
+        again.step()
+        again.run(5000)
+        again.submit("first", left=20_000)
+        again.run(5000)
+        ((_, attempt),) = again.sent
+        again.membership.on_attempt_finished(attempt, Outcome.UNREACHABLE, again.now)
+        again.step()
+        self.assertEqual(
+            (again.gateway.ready_engines, again.membership.estimate.state_of(1)),
+            ([], EstimateState.UNREACHABLE),
+        )
+        again.run(1000)
+        self.assertIn(1, [m.id for m in again.membership.estimate.start_due_probes(again.now)])
+        again.membership._on_contact(1, ContactResult.LISTENING, again.now)
+        again.step()
+        self.assertTrue(again.engine(1).limiter.cold)
+
+    def test_all_gateways_restart_at_once_and_no_engine_gets_more_than_a_cold_one_may(self) -> None:
+        fleet = self.first()
+        fleet.written()
+        fleet.membership.close()
+        gateways, per_engine, firsts = 20, {1: [], 2: []}, []
+        for seed in range(gateways):
+            one = Fleet(self.path, wall=START + 5 * SECOND, boot="b2", seed=seed, gateways=gateways)
+            one.gateway.request_classes[0].latency.mean_us = 100_000.0
+            for m in one.membership.estimate.start_due_probes(one.now):
+                one.membership._on_contact(m.id, ContactResult.LISTENING, one.now)
+            one.step()
+            begun, ids = one.now, {one.engine(number): number for number in (1, 2)}
+            firsts += [
+                (engine.limiter.cold - begun)
+                * one.gateway._cold_ration(engine)
+                / min(map(one.gateway._cold_weight, one.gateway.request_classes))
+                for engine in ids
+            ]
+            one.sent = []
+            for n in range(160):
+                one.submit(f"{n}", left=60_000)
+                one.run(50)
+            for at, attempt in one.sent:
+                one.membership.on_attempt_finished(attempt, Outcome.SUCCEEDED, at)
+                per_engine[ids[attempt.engine]].append(at - begun)
+        # What nobody has vouched for begins within two turns, not one.
+        self.assertTrue(1.2 < max(firsts) < 2 and min(firsts) < 0.4, firsts)
+        # Rated as the module rates it: 2.0 * 0.5 of four cores at 0.85 busy and 0.9 of speed, in work of
+        # 100 ms, over any second that falls over.
+        most = 2.0 * 0.5 * 4 * 0.85 * 0.9 * SECOND / 100_000
+        for sent in per_engine.values():
+            peak = max(sum(at <= other < at + SECOND for other in sent) for at in sent)
+            self.assertTrue(0 < peak <= most, (peak, most))
+
+    def test_handed_over_engines_are_warm_and_marks_are_known(self) -> None:
+        fleet = self.first()
+        fleet.written()
+        # While the first ends, and with a clock that was set back by a day.
+        successor = Fleet(self.path, wall=START - 86_400 * SECOND, ticked=101 * SECOND)
+        self.assertEqual(
+            successor.logged, ["recovered 3 endpoints and 1 request classes from a snapshot, 1 s old"]
+        )
+        successor.membership.write_schedule.on_change(successor.now)
+        successor.written()
+        self.assertIn("another process holds this folder", successor.logged[-1])
+        fleet.membership.hand_over(["m1", "m2"], fleet.now)
+        fleet.writer._thread.join(5)
+        fleet.step()
+        self.assertTrue(fleet.membership.is_handover_complete)
+        fleet.membership.close()
+        successor.written()
+        self.assertIn("handed over", " ".join(successor.logged))
+        self.assertEqual(successor.membership.recovered_request_names, ["m1", "m2"])
+        started = [
+            successor.membership._on_contact(m.id, ContactResult.LISTENING, successor.now) or m.id
+            for m in successor.membership.estimate.start_due_probes(successor.now)
+        ]
+        self.assertEqual(sorted(started), [1, 2])
+        successor.step()
+        self.assertEqual([bool(successor.engine(n).limiter.cold) for n in (1, 2)], [False, False])
+        self.assertIsNone(successor.membership.retry_after_us(successor.submit("one"), successor.now))
+        successor.written()
+        self.assertEqual(successor.counters.counts["membership: snapshot writes"], 2)
+
+    def test_usual_times_of_any_known_age_are_known_and_move_soon(self) -> None:
+        for days, seen, mean in ((0, 150, 90_000), (7, 5, 90_000), (29, 5, 90_000), (30, 0, 100_000)):
+            request_classes = [
+                snapshot.LatencyEntry("t0", 150, 90_000.0, 0.0, 1.0),
+                snapshot.LatencyEntry("t1", 4, 1.0, 0.0, 1.0),
+            ]
+            gateway = Fleet(self.path).gateway
+            put = learned_state.restore_latencies(
+                gateway, ["t0", "t1"], request_classes, days * 86_400 * SECOND
+            )
+            usual = gateway.request_classes[0].latency
+            self.assertEqual((put, usual.sample_count, usual.mean_us), (seen > 0, seen, mean), days)
+            self.assertEqual(gateway.request_classes[1].latency.sample_count, 0)
+
+    def test_a_hand_over_across_a_boot_or_too_old_is_none(self) -> None:
+        fleet = self.first()
+        fleet.membership.hand_over([], fleet.now)
+        fleet.writer._thread.join(5)
+        fleet.step()
+        fleet.membership.close()
+        for boot, ticked in (("b2", 101), ("b1", 111)):
+            late = Fleet(self.path, wall=START + SECOND, boot=boot, ticked=ticked * SECOND)
+            self.assertNotIn("handed", late.logged[0])
+
+    def test_a_disk_that_takes_seconds_holds_up_nothing(self) -> None:
+        fleet = self.first()
+        fleet.writer.folder._system = slow = FileSystem()
+        slow.fsync = lambda descriptor: time.sleep(0.3)
+        fleet.now += 3 * SECOND
+        begun, slowest = time.monotonic(), 0.0
+        while (
+            fleet.membership.write_schedule.changed_at_us is not None
+            or fleet.membership.write_schedule.write_started_us is not None
+        ):
+            stepped = time.monotonic()
+            fleet.step()
+            slowest = max(slowest, time.monotonic() - stepped)
+            time.sleep(0.01)
+            self.assertLess(time.monotonic() - begun, 5)
+        self.assertGreater(time.monotonic() - begun, 0.3)
+        self.assertLess(slowest, 0.2)
+        self.assertGreater(fleet.counters.counts["membership: slowest snapshot write us"], 500_000)
+
+    def test_what_may_run_once_waits_for_an_engine_that_has_served(self) -> None:
+        fleet = self.first()
+        fleet.written()
+        fleet.membership.close()
+        again = Fleet(self.path)
+        guard = again.gateway.admission_rules = AdmissionGuard(again.membership, again.gateway)
+        for m in again.membership.estimate.start_due_probes(again.now):
+            again.membership._on_contact(m.id, ContactResult.LISTENING, again.now)
+        again.step()
+        again.membership._on_contact(1, ContactResult.SERVED, again.now)
+        once, twice = again.submit("once"), again.submit("twice")
+        once.request_class = dataclasses.replace(once.request_class, is_idempotent=False)
+        engines = [again.engine(1), again.engine(2)]
+        takes = [[guard.allows(one, engine, again.now) for engine in engines] for one in (once, twice)]
+        self.assertEqual(takes, [[True, False], [True, True]])
+        again.tell(EndpointEvent(51, False, [member(2)]))
+        self.assertTrue(guard.allows(once, again.engine(2), again.now))
+
+    def test_operators_see_verify_and_forget(self) -> None:
+        fleet = self.first()
+        fleet.written()
+        fleet.membership.write_schedule.on_change(fleet.now)
+        fleet.written()
+        folder = SnapshotFolder(self.path, "g1")
+        self.assertRaises(BlockingIOError, inspection.forget, folder, 1)
+        self.assertFalse(fleet.membership.forget(1, fleet.now))  # the register names it
+        self.assertEqual([one["state"] for one in fleet.membership.status(fleet.now)], ["told"] * 3)
+        fleet.membership.close()
+        shown = inspection.report(folder.read().snapshot, fleet.at)
+        self.assertEqual(
+            [(one["id"], one["draining"]) for one in shown["engines"]],
+            [("s-00000001", False), ("s-00000002", False), ("s-00000003", True)],
+        )
+        inspection.forget(folder, 1)
+        self.assertEqual([whole for _, whole, _ in inspection.verify(folder)], [True, True])
+        self.assertRaises(KeyError, inspection.forget, folder, 1)
+        folder.unlock()
+        again = Fleet(self.path)
+        self.assertEqual(again.membership.estimate.state_of(1), EstimateState.REMOVED)
+        self.assertTrue(again.membership.forget(2, again.now))
+        self.assertEqual(again.membership.estimate.state_of(2), EstimateState.REMOVED)
+
+    def test_a_missing_folder_is_told_once(self) -> None:
+        fleet = Fleet(f"{self.path}/none")
+        for _ in range(2):
+            fleet.tell(EndpointEvent(50, True, [member(1)]))
+            fleet.now += 60 * SECOND
+            fleet.written()
+        self.assertEqual(fleet.logged, ["snapshot not written: No such file or directory; retrying"])
+
+
+class ProbeTest(unittest.IsolatedAsyncioTestCase):
+    async def test_who_listens_and_who_does_not(self) -> None:
+        listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
+        port = listener.extra(anyio.abc.SocketAttribute.local_port)
+        self.assertIs(await probe_connection("127.0.0.1", port, SECOND), ContactResult.LISTENING)
+        await listener.aclose()
+        self.assertIs(await probe_connection("127.0.0.1", port, SECOND), ContactResult.REFUSED)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_membership_recovery.py
+++ b/tests/test_membership_recovery.py
@@ -31,7 +31,7 @@
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from tests.desk import ClientStandIn
-from tests.test_membership import Fleet, member
+from tests.membership_desk import Fleet, member
 
 FLEET = """fleet balancer
     beat 5ms
@@ -326,26 +326,27 @@
             first = Fleet(folder)
             first.tell(EndpointEvent(50, True, [member(number) for number in range(1, 21)]))
             first.written()
-            first.keep.close()
+            first.membership.close()
             fleet, asked = Fleet(folder), []
-            keep = fleet.keep
-            self.assertTrue(keep.queue_due_probes(fleet.now))
+            membership = fleet.membership
+            self.assertTrue(membership.queue_due_probes(fleet.now))
             tasks = SimpleNamespace(start_soon=lambda _, one, now: asked.append(one.id))
-            pieces = [keep.start_probes(tasks, None) for _ in range(8 // MAX_PROBES_AT_ONCE + 1)]
+            pieces = [membership.start_probes(tasks, None) for _ in range(8 // MAX_PROBES_AT_ONCE + 1)]
             self.assertEqual([MAX_PROBES_AT_ONCE] * (8 // MAX_PROBES_AT_ONCE) + [0], pieces)
             self.assertEqual((8, fleet.counters.counts["membership: probes"]), (len(set(asked)), len(asked)))
             for number in asked:
-                keep._on_contact(number, ContactResult.LISTENING, fleet.now)
-            fleet.give(keep.take_changes(fleet.now, 3))
+                membership._on_contact(number, ContactResult.LISTENING, fleet.now)
+            fleet.give(membership.take_changes(fleet.now, 3))
             gone = asked[0]
-            keep._on_contact(gone, ContactResult.REFUSED, fleet.now)
-            told = keep.take_changes(fleet.now, 3)
+            membership._on_contact(gone, ContactResult.REFUSED, fleet.now)
+            told = membership.take_changes(fleet.now, 3)
             self.assertEqual(
                 (gone, 4), (told.endpoints[0].id, len(told.endpoints)), "what is gone has waited"
             )
-            self.assertTrue(keep.has_changes)
+            self.assertTrue(membership.has_changes)
             self.assertEqual(
-                [2, None], [len(keep.take_changes(fleet.now, 3).endpoints), keep.take_changes(fleet.now, 3)]
+                [2, None],
+                [len(membership.take_changes(fleet.now, 3).endpoints), membership.take_changes(fleet.now, 3)],
             )
 
 
