--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -15,7 +15,7 @@
 import subprocess
 import sys
 import tempfile
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Coroutine
 from contextlib import ExitStack
 from dataclasses import dataclass, replace
 from pathlib import Path
@@ -28,44 +28,48 @@
 from cresstray.emulators.clients import draw
 from cresstray.emulators.fleet.processes import HALL
 from cresstray.emulators.idempotent_fleet import (
-    MARKED,
-    MarkedFleet,
+    GUARDED_CLASS,
+    IdempotentFleet,
     SharedStore,
-    draw_again,
-    payoff,
-    ran_again,
+    count_repeated_executions,
+    draw_repeated_load,
+    earned_share,
 )
 from cresstray.emulators.world import KINDS
 
-# A second: a third of what the engines can do, as repeats add three relays to each marked submission.
-_RATE, _REPEATS = 30.0, 3
-# Marked work is short, so that what the store adds shows beside it.
+# Requests a second: a third of what the engines can do, as repeats add three attempts to each guarded
+# request.
+_RATE = 30.0
+_REPEATS = 3
+# Guarded work is short, so that what the store adds shows beside it.
 _KINDS = [replace(KINDS[0], share=0.5), replace(KINDS[2], share=0.5, work=0.03)]
-_REST = 4.5  # longer than the longest hard stop
-# Trials close the breaker, and the first answers are as slow as a first connection, before the load begins.
-_BEFORE = 1.5
+_REST_S = 4.5  # longer than the longest deadline
+# Probes close the breaker, and the first replies are as slow as a first connection, before the load begins.
+_WARM_UP_S = 1.5
 
 
 @dataclass
 class Trial:
     """One scenario while it runs; `shared` None: the run without a store."""
 
-    fleet: MarkedFleet
+    fleet: IdempotentFleet
     shared: SharedStore | None
     memory: float
-    bound: int = 0  # second runs that the note allows, by what the store lost
+    allowed: int = 0  # second executions, by what the store lost
 
     async def tell(self, line: str) -> Any:
+        """Sends a line to the store's control port, if there is a store."""
         return await self.shared.tell(line) if self.shared is not None else None
 
     async def stop_gateway(self, name: str, seconds: float) -> None:
+        """Stops the process, and wakes it after so many seconds."""
         gateway = self.fleet.gateways[name]
         gateway.freeze()
         await anyio.sleep(seconds)
         gateway.wake()
 
     async def kill_gateway(self, name: str, stopped: float) -> None:
-        """`stopped`: seconds before it in which it hears nothing, so that what is out ends unheard."""
+        """Kills it after so many seconds in which it reads nothing: what is in flight ends unknown."""
         gateway = self.fleet.gateways[name]
         gateway.freeze()
         await anyio.sleep(stopped)
@@ -86,7 +90,7 @@
 
 
 async def _late(trial: Trial) -> None:
-    """What is asked runs at once, and is not heard of in time."""
+    """Commands run at once, and the replies are late."""
     for line in ("late uniform 1 5000", "late fixed 0", "mute", "speak"):
         await anyio.sleep(2.0)
         await trial.tell(line)
@@ -109,14 +113,14 @@
 
 
 async def _stopped(trial: Trial) -> None:
-    """Longer than any intention holds: that ends with the memory."""
+    """Longer than any claim is valid: that ends with the engines' window."""
     for name in ("g1", "g2"):
         await anyio.sleep(1.5)
         await trial.stop_gateway(name, trial.memory + 0.5)
 
 
 async def _gateways(trial: Trial) -> None:
-    """One dies between intention and send, as the store's answers are late; then two with work out."""
+    """One dies between claim and dispatch, as the store's replies are late; then two with work in flight."""
     await anyio.sleep(1.5)
     await trial.tell("late fixed 200")
     await anyio.sleep(0.5)
@@ -131,18 +135,18 @@
     for _ in range(2):
         await anyio.sleep(3.5)
         if trial.shared is not None:
-            trial.bound += (await trial.tell("account"))["keys"]
+            trial.allowed += (await trial.tell("account"))["keys"]
             await trial.tell("restart empty")
 
 
 async def _failed_over(trial: Trial) -> None:
     await anyio.sleep(5.0)
     if trial.shared is not None:
-        trial.bound += await trial.shared.fail_over()
+        trial.allowed += await trial.shared.fail_over()
 
 
 async def _unguarded(trial: Trial) -> None:
-    """Away for a while, and operators let go without it."""
+    """Away for a while, and operators allow requests without it."""
     await anyio.sleep(3.0)
     await trial.tell("refuse")
     await anyio.sleep(trial.memory + 1.0)
@@ -151,9 +155,11 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    script: Callable[[Trial], Awaitable[None]]
-    keeps: bool = True  # the store keeps what it acknowledged, and nothing goes without it
-    lag: float | None = None  # of its copy, in memories of the engines
+    """A script of faults, and what is expected of the store."""
+
+    script: Callable[[Trial], Coroutine[Any, Any, None]]
+    keeps: bool = True  # the store keeps what it acknowledged, and nothing proceeds without it
+    lag: float | None = None  # of its replica, in windows of the engines
     lines: str = ""
 
 
@@ -167,40 +173,42 @@
     "gateways-killed": Scenario(_gateways, lines="    slow 1s\n"),
     "emptied": Scenario(_emptied, keeps=False),
     "failed-over": Scenario(_failed_over, keeps=False, lag=0.5),
-    "unguarded": Scenario(_unguarded, keeps=False, lines=f"    unguarded {MARKED} 20\n"),
+    "unguarded": Scenario(_unguarded, keeps=False, lines=f"    unguarded {GUARDED_CLASS} 20\n"),
 }
 
 
-async def _play(name: str, with_store: bool, seed: int, seconds: float, memory: float, folder: Path) -> dict:
+async def _play(
+    name: str, with_store: bool, seed: int, seconds: float, memory: float, folder: Path
+) -> dict[str, Any]:
     scenario = SCENARIOS[name]
-    drawn, mark_of = draw_again(_KINDS, _RATE, seconds, _REPEATS, memory, seed)
+    drawn, idempotency_key_of = draw_repeated_load(_KINDS, _RATE, seconds, _REPEATS, memory, seed)
     with ExitStack() as stack:
         lag = None if scenario.lag is None else int(scenario.lag * memory * 1000)
         shared = stack.enter_context(SharedStore(lag)) if with_store else None
-        fleet = MarkedFleet(folder, shared, memory, store_lines=scenario.lines)
-        fleet.mark_of = mark_of
+        fleet = IdempotentFleet(folder, shared, memory, store_lines=scenario.lines)
+        fleet.idempotency_key_of = idempotency_key_of
         trial = Trial(fleet, shared, memory)
         async with fleet.up():
-            await anyio.sleep(_BEFORE)
+            await anyio.sleep(_WARM_UP_S)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(scenario.script, trial)
                 tasks.start_soon(fleet.load, HALL, drawn)
-            await anyio.sleep(_REST)
+            await anyio.sleep(_REST_S)
             await fleet.runs()
             until = anyio.current_time()
-            commands = len(await shared.asked()) if shared is not None else 0
+            commands = len(await shared.record_commands()) if shared is not None else 0
     asked = fleet.account.asked
-    firsts = {one.name: one for one in drawn if mark_of.get(one.name) == one.name * 2}
+    firsts = {one.name: one for one in drawn if idempotency_key_of.get(one.name) == one.name * 2}
     counters = fleet.counters()
     return {
         "submissions": len(asked),
-        "marked": sum(name in mark_of for name in asked),
-        "repeats": sum(name in mark_of and name not in firsts for name in asked),
-        "second_runs": ran_again(fleet.account, mark_of),
-        "bound": trial.bound,
+        "marked": sum(name in idempotency_key_of for name in asked),
+        "repeats": sum(name in idempotency_key_of and name not in firsts for name in asked),
+        "second_runs": count_repeated_executions(fleet.account, idempotency_key_of),
+        "bound": trial.allowed,
         "commands": commands,
         "unguarded": counters.get("idempotency: proceed unguarded", 0),
-        "payoff": payoff(fleet.account, mark_of),
+        "payoff": earned_share(fleet.account, idempotency_key_of),
         "promises": fleet.account.promises(until),
         "faults": counters.get("faults", 0),
         "marks": {line: count for line, count in counters.items() if line.startswith("idempotency")},
@@ -217,24 +225,26 @@
 _COST_RATE, _COST_SECONDS = 200.0, 8.0
 
 
-async def _cost(with_store: bool, seed: int, folder: Path) -> dict:
-    """CPU of one gateway for each submission, none of which is asked again: all marked, then none."""
-    told = {}
+async def _cost(with_store: bool, seed: int, folder: Path) -> dict[str, Any]:
+    """CPU of one gateway for each request, none of which is repeated: all guarded, then none."""
+    told: dict[str, Any] = {}
     with ExitStack() as stack:
         shared = stack.enter_context(SharedStore()) if with_store else None
-        fleet = MarkedFleet(folder, shared, 20.0, gateways=1, cores=32)
+        fleet = IdempotentFleet(folder, shared, 20.0, gateways=1, cores=32)
         async with fleet.up():
-            await anyio.sleep(_BEFORE)
+            await anyio.sleep(_WARM_UP_S)
             for turn, kind in enumerate(_TINY):
                 before, asked = fleet.cpu(), len(fleet.account.asked)
-                commands = len(await shared.asked()) if shared is not None else 0
+                commands = len(await shared.record_commands()) if shared is not None else 0
                 drawn = draw([kind], [(0.0, _COST_RATE)], _COST_SECONDS, 2 * seed + turn)
                 await fleet.load(HALL, drawn)
                 await anyio.sleep(1.0)
                 count, spent = len(fleet.account.asked) - asked, fleet.cpu() - before
                 told[kind.name] = {"submissions": count, "cpu_us": round(1e6 * spent / count)}
                 if shared is not None:
-                    told[kind.name]["store_ops"] = round((len(await shared.asked()) - commands) / count, 3)
+                    told[kind.name]["store_ops"] = round(
+                        (len(await shared.record_commands()) - commands) / count, 3
+                    )
             await fleet.runs()
             told["promises"] = fleet.account.promises(anyio.current_time())
             told["fulfilled"] = sum(one.in_time() for one in fleet.account.asked.values()) / len(
@@ -243,7 +253,7 @@
     return told
 
 
-def _both(*words: str) -> tuple[dict, dict]:
+def _both(*words: str) -> tuple[dict[str, Any], dict[str, Any]]:
     """The same with a store and without, side by side."""
     made = [
         subprocess.Popen([sys.executable, "-m", "benchmarks.store", *words, *more], stdout=subprocess.PIPE)
@@ -257,11 +267,11 @@
 
 @click.command()
 @click.option("--seed", default=1, show_default=True)
-@click.option("--seconds", default=5.0, show_default=True, help="In which all marks are first asked for.")
-@click.option("--memory", default=3.0, show_default=True, help="Seconds that engines know a mark.")
+@click.option("--seconds", default=5.0, show_default=True, help="In which all keys are first used.")
+@click.option("--memory", default=3.0, show_default=True, help="Seconds of the engines' window.")
 @click.option("--only", multiple=True, type=click.Choice([*SCENARIOS]))
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on the last line.")
-@click.option("--cost", is_flag=True, help="A submission's CPU, in place of the scenarios.")
+@click.option("--cost", is_flag=True, help="A request's CPU, in place of the scenarios.")
 @click.option("--one", hidden=True)
 @click.option("--off", is_flag=True, hidden=True)
 def main(
@@ -292,9 +302,9 @@
     sys.exit(1 if any(told["promises"].values()) else 0)
 
 
-def _costs(words: tuple[str, ...]) -> dict:
+def _costs(words: tuple[str, ...]) -> dict[str, Any]:
     on, off = _both("--one", "cost", *words)
-    for name in (MARKED, "lookup"):
+    for name in (GUARDED_CLASS, "lookup"):
         print(
             f"{name}: {on[name]['cpu_us']} us of CPU with a store, {off[name]['cpu_us']} without; "
             f"{on[name]['store_ops']} commands to the store each"
@@ -307,17 +317,18 @@
     }
 
 
-def _added(on: dict, off: dict, share: float) -> int:
-    """Microseconds between the two runs' times of that rank, over what both have fulfilled."""
+def _added(on: dict[str, Any], off: dict[str, Any], share: float) -> int:
+    """Returns the microseconds between the two runs' times of that rank, over what both have answered."""
     both = sorted(on["took"].keys() & off["took"].keys())
     if not both:
         return 0
     ranked = [sorted(run["took"][name] for name in both)[int(share * (len(both) - 1))] for run in (on, off)]
-    return round(1e6 * (ranked[0] - ranked[1]))
+    added_us: int = round(1e6 * (ranked[0] - ranked[1]))
+    return added_us
 
 
-def _scenarios(words: tuple[str, ...], only: tuple[str, ...]) -> dict:
-    told: dict = {"scenarios": {}, "promises": dict.fromkeys(PROMISES, 0)}
+def _scenarios(words: tuple[str, ...], only: tuple[str, ...]) -> dict[str, Any]:
+    told: dict[str, Any] = {"scenarios": {}, "promises": dict.fromkeys(PROMISES, 0)}
     for name in only or SCENARIOS:
         on, off = _both("--one", name, *words)
         told["scenarios"][name] = {
@@ -335,7 +346,7 @@
         }
         for promise in PROMISES:
             told["promises"][promise] += on["promises"][promise] + off["promises"][promise]
-        # What the note allows: none, but one for each write that was lost, and for each let go without it.
+        # None, but one for each write that was lost, and for each request that proceeded without the store.
         allowed = 0 if SCENARIOS[name].keeps else on["bound"] + on["unguarded"]
         told["promises"]["second_run"] += max(0, on["second_runs"] - allowed)
         shown = told["scenarios"][name]
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -21,8 +21,7 @@
 import msgspec
 
 from cresstray.config.idempotency import IdempotencySettings
-from cresstray.idempotency import codec, journal, open_requests
-from cresstray.idempotency import records as marks
+from cresstray.idempotency import codec, journal, open_requests, records
 from cresstray.idempotency.coordinator import IdempotencyCoordinator
 from cresstray.idempotency.execution_guard import (
     Claim,
@@ -70,7 +69,7 @@
     if words[0] == "none":
         return None
     if words[0] == "unreadable":
-        return marks.UNREADABLE_RECORD
+        return records.UNREADABLE_RECORD
     kind = RecordState[words[0].upper()]
     held = kind in (RecordState.CLAIMED, RecordState.DISPATCHED)
     outcome = b"+r" if "stored" in words else b""
@@ -94,11 +93,13 @@
     ), 2000
 
 
-def told(mark: IdempotencyRecord | None) -> str:
-    if mark is None:
+def told(record: IdempotencyRecord | None) -> str:
+    if record is None:
         return "-"
-    words = [mark.state.name.lower(), mark.owner, str(mark.fence), str(mark.earliest_dispatch_ms)]
-    return " ".join(words + ["uncertain"] * mark.has_uncertain_predecessor + ["stored"] * bool(mark.outcome))
+    words = [record.state.name.lower(), record.owner, str(record.fence), str(record.earliest_dispatch_ms)]
+    return " ".join(
+        words + ["uncertain"] * record.has_uncertain_predecessor + ["stored"] * bool(record.outcome)
+    )
 
 
 class Life(unittest.TestCase):
@@ -115,28 +116,30 @@
     def test_fences_grow_and_what_may_have_run_is_not_cleared(self) -> None:
         chance, cleared = random.Random(5), 0
         for _ in range(300):
-            mark, may_have_run = None, False
+            record, may_have_run = None, False
             for kind in chance.choices(
                 [kind for kind in EventKind if kind < EventKind.OPERATOR_COMPLETED], k=12
             ):
                 holder = chance.choice((A, B))
-                fence = (mark.fence if mark else 1) + chance.choice((-1, 0, 1, 3))
-                if mark is not None and chance.random() < 0.4:
-                    holder, fence = ClaimHolder(mark.owner, mark.incarnation), mark.fence
-                after = apply_event(mark, RecordEvent(kind, *holder, fence, 1000, 9000), 2000)
+                fence = (record.fence if record else 1) + chance.choice((-1, 0, 1, 3))
+                if record is not None and chance.random() < 0.4:
+                    holder, fence = ClaimHolder(record.owner, record.incarnation), record.fence
+                after = apply_event(record, RecordEvent(kind, *holder, fence, 1000, 9000), 2000)
                 if after is None:
                     continue
-                self.assertNotEqual(after, mark, "a change that changes nothing")
-                self.assertGreaterEqual(after.fence - (kind is EventKind.CLAIM), mark.fence if mark else -1)
+                self.assertNotEqual(after, record, "a change that changes nothing")
+                self.assertGreaterEqual(
+                    after.fence - (kind is EventKind.CLAIM), record.fence if record else -1
+                )
                 may_have_run = may_have_run or kind in (EventKind.COMPLETED, EventKind.UNKNOWN)
-                self.assertFalse(may_have_run and after.state is RecordState.ABSENT, (mark, kind, after))
+                self.assertFalse(may_have_run and after.state is RecordState.ABSENT, (record, kind, after))
                 cleared += after.state is RecordState.ABSENT
-                mark = after
+                record = after
         self.assertGreater(cleared, 0)
 
     def test_digests_and_bytes(self) -> None:
         made = {
-            marks.digest_key(*parts)
+            records.digest_key(*parts)
             for parts in (
                 ("n", "t", "g", "ab"),
                 ("n", "ta", "g", "b"),
@@ -146,15 +149,15 @@
             )
         }
         self.assertEqual(4, len(made))
-        mark = IdempotencyRecord(RecordState.DISPATCHED, "a", "1", 7, 8, 9, True, b"+x")
-        self.assertEqual(mark, marks.decode_record(marks.encode_record(mark)))
+        record = IdempotencyRecord(RecordState.DISPATCHED, "a", "1", 7, 8, 9, True, b"+x")
+        self.assertEqual(record, records.decode_record(records.encode_record(record)))
         later = msgspec.msgpack.encode([9, "a", "1", 7])
-        for value in (b"\xff", b"no mark", later, msgspec.msgpack.encode([1, "a", "1", -4])):
-            self.assertIs(marks.UNREADABLE_RECORD, marks.decode_record(value))
+        for value in (b"\xff", b"no record", later, msgspec.msgpack.encode([1, "a", "1", -4])):
+            self.assertIs(records.UNREADABLE_RECORD, records.decode_record(value))
         self.assertEqual(
-            (None, b""), (marks.stored_result(b""), marks.stored_result(marks.make_outcome(b"", 1)))
+            (None, b""), (records.stored_result(b""), records.stored_result(records.make_outcome(b"", 1)))
         )
-        self.assertEqual(b"", marks.make_outcome(b"12", 1))
+        self.assertEqual(b"", records.make_outcome(b"12", 1))
 
 
 # The guard.
@@ -177,12 +180,12 @@
     def decide(
         self,
         kind: GuardMode,
-        mark: IdempotencyRecord | None,
+        record: IdempotencyRecord | None,
         at: int = 10_000,
         now: int = START,
         before: int = 0,
     ) -> Any:
-        return self.guard.decide(kind, LookupResult(mark, at, before), B, self.times, now)
+        return self.guard.decide(kind, LookupResult(record, at, before), B, self.times, now)
 
     def test_who_needs_a_mark(self) -> None:
         kinds = [
@@ -224,12 +227,12 @@
             (held, 10_000, late, Claim, Reject),
             (held, 11_000, START, Claim, Fail),
             (held, past, START, Fail, Fail),
-            (marks.UNREADABLE_RECORD, past, START, Fail, Fail),
+            (records.UNREADABLE_RECORD, past, START, Fail, Fail),
         ]
-        for mark, at, now, shared, other in rows:
-            with self.subTest(mark=mark, at=at, now=now - START):
+        for record, at, now, shared, other in rows:
+            with self.subTest(record=record, at=at, now=now - START):
                 found = [
-                    type(self.decide(kind, mark, at, now))
+                    type(self.decide(kind, record, at, now))
                     for kind in (
                         GuardMode.SHARED_DEDUP_WINDOW,
                         GuardMode.SCOPED_DEDUP_WINDOW,
@@ -561,7 +564,7 @@
 
 
 class World:
-    """`chance` decides all: delays, losses, what clients ask. Engines remember a mark from its first run."""
+    """`chance` decides all: delays, losses, what clients ask. Engines remember a key from its first run."""
 
     def __init__(self, seed: int = 0, gateways: int = 3, **faults: float) -> None:
         self.chance, self.now, self.faults = random.Random(seed), START, faults
@@ -612,10 +615,10 @@
 
     # Engines, all with one memory.
 
-    def arrive(self, mark: str) -> None:
-        if self.now - self.first.get(mark, -MEMORY) >= MEMORY:
-            self.first[mark] = self.now
-            self.runs[mark] += 1
+    def arrive(self, key: str) -> None:
+        if self.now - self.first.get(key, -MEMORY) >= MEMORY:
+            self.first[key] = self.now
+            self.runs[key] += 1
 
     def second_runs(self) -> int:
         return sum(runs - 1 for runs in self.runs.values())
@@ -631,7 +634,7 @@
         service = {"Name": "load", "Effect": "deduplicated"}
         settings = {"Limits": {"RetryAfter": True, "MaxRetryAfter": 1000}, "Services": [service]}
         self.counters = Counters()
-        self.marks = IdempotencyCoordinator(
+        self.coordinator = IdempotencyCoordinator(
             self,
             IdempotencySettings(
                 request_classes=("load",), max_result_bytes=64, **world.faults.get("settings", {})
@@ -676,7 +679,7 @@
                 call()
 
     def steps(self) -> None:
-        self.does(50_000 if self.marks.run_background_step(self.now()) else 250_000, self.steps)
+        self.does(50_000 if self.coordinator.run_background_step(self.now()) else 250_000, self.steps)
 
     def submit(self, commands: list[codec.Command], by: int, call: Callable[[Any], None]) -> None:
         world, chance, heard = self.world, self.world.chance, []
@@ -699,7 +702,7 @@
 
     def ask(
         self,
-        mark: str,
+        key: str,
         hold: int = 0,
         ending: Outcome = Outcome.SUCCEEDED,
         work: int = 100_000,
@@ -716,25 +719,27 @@
                 self.does(hold, send)
 
         def send() -> None:
-            if not self.marks.may_dispatch(request, self.now()):
+            if not self.coordinator.may_dispatch(request, self.now()):
                 world.counts["held back"] += 1
-                self.marks.on_request_finished(request, "denied", None, self.now())
+                self.coordinator.on_request_finished(request, "denied", None, self.now())
                 return
-            self.marks.on_attempt_sent(request, self.now())
+            self.coordinator.on_attempt_sent(request, self.now())
             if ending is not Outcome.OVERLOADED:
-                world.at(10_000, lambda: world.arrive(mark))
+                world.at(10_000, lambda: world.arrive(key))
             self.does(work, back)
 
         send.sends = True
 
         def back() -> None:
-            self.marks.on_attempt_finished(request, ending, self.now())
+            self.coordinator.on_attempt_finished(request, ending, self.now())
             how = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}.get(ending, "failed")
-            self.marks.on_request_finished(request, how, b"r" * self.world.faults.get("size", 50), self.now())
+            self.coordinator.on_request_finished(
+                request, how, b"r" * self.world.faults.get("size", 50), self.now()
+            )
 
-        context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key=mark))
+        context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key=key))
         world.counts["asked"] += 1
-        world.counts["unmarked"] += not self.marks.check(context, now, told)
+        world.counts["without record"] += not self.coordinator.check(context, now, told)
 
 
 def restart(world: World, at: int) -> None:
@@ -747,7 +752,7 @@
 
 
 def walk(seed: int, **faults: Any) -> World:
-    """Clients ask for each mark again and again, whatever was answered; gateways are killed and stopped."""
+    """Clients ask for each key again and again, whatever was answered; gateways are killed and stopped."""
     world = World(seed, **faults)
     chance = world.chance
     world.run(1)
@@ -810,7 +815,7 @@
     return sum(walk(seed, **faults).second_runs() for seed in seeds)
 
 
-def marked_after(self: RecordLookup, guarded: GuardedRequest, now: int) -> None:
+def recorded_after(self: RecordLookup, guarded: GuardedRequest, now: int) -> None:
     guarded.dispatch_until_us = guarded.timing.deadline_us
     self._open_requests.deliver(guarded, ProceedUnguarded("later"), now)
 
@@ -823,8 +828,8 @@
     self._timers.call_after(ends - now, lambda _: setattr(guarded, "dispatch_until_us", 0))
 
 
-def since_anew(mark: IdempotencyRecord | None, event: RecordEvent, at: int) -> IdempotencyRecord | None:
-    made = apply_event(mark, event, at)
+def since_anew(record: IdempotencyRecord | None, event: RecordEvent, at: int) -> IdempotencyRecord | None:
+    made = apply_event(record, event, at)
     return (
         made
         and event.kind is EventKind.CLAIM
@@ -840,31 +845,31 @@
 proceed, claim = RecordLookup._proceed, ExecutionGuard.make_claim
 
 
-def claim_anew(self: ExecutionGuard, kind: GuardMode, mark: IdempotencyRecord | None, *more: Any) -> Claim:
+def claim_anew(self: ExecutionGuard, kind: GuardMode, record: IdempotencyRecord | None, *more: Any) -> Claim:
     """Takes over as if nobody could have sent it yet."""
-    fence = 0 if mark is None else mark.fence + 1
-    return claim(self, kind, mark and IdempotencyRecord(RecordState.ABSENT, "", "", fence), *more)
+    fence = 0 if record is None else record.fence + 1
+    return claim(self, kind, record and IdempotencyRecord(RecordState.ABSENT, "", "", fence), *more)
 
 
 @contextmanager
 def forgotten() -> Iterator[None]:
     with (
-        patch.object(marks, "apply_event", since_anew),
+        patch.object(records, "apply_event", since_anew),
         patch.object(ExecutionGuard, "make_claim", claim_anew),
     ):
         yield
 
 
 BROKEN = {
-    "the mark written after the relay": (
+    "the record written after the attempt": (
         "well",
-        lambda: patch.object(RecordLookup, "start", marked_after),
+        lambda: patch.object(RecordLookup, "start", recorded_after),
     ),
-    "the lease checked by a timer alone": (
+    "the claim checked by a timer alone": (
         "killed and stopped",
         lambda: patch.object(RecordLookup, "_proceed", go_by_timer),
     ),
-    "unknown counted as unrun": (
+    "unknown counted as not executed": (
         "no outcomes",
         lambda: patch.object(open_requests, "_NOT_EXECUTED", tuple(Outcome)[1:]),
     ),
@@ -905,13 +910,13 @@
     def test_round_trips(self) -> None:
         world = self.world()
         gate, trips = world.gates[0], world.gates[0].counters.counts
-        for mark, ending, most in (
+        for key, ending, most in (
             ("m", Outcome.OVERLOADED, 1),
             ("m", Outcome.SUCCEEDED, 2),
             ("n", Outcome.SUCCEEDED, 1),
         ):
             before = trips["idempotency: round trips"]
-            gate.ask(mark, hold=200_000, ending=ending)
+            gate.ask(key, hold=200_000, ending=ending)
             world.run(0.1)
             self.assertEqual(most, trips["idempotency: round trips"] - before)
             world.run(1)
@@ -919,11 +924,11 @@
         for kind, foreign in ((tariff(idempotent=True), False), (tariff(), True)):
             request = Request(kind, world.now, world.now + SECOND, is_forwarded_in=foreign)
             context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key="m"))
-            gate.marks.guard_modes = [
+            gate.coordinator.guard_modes = [
                 guard_mode_of(kind, "load", IdempotencySettings(request_classes=("load",)))
             ]
-            self.assertFalse(gate.marks.check(context, world.now, self.fail))
-            self.assertTrue(gate.marks.may_dispatch(request, world.now))
+            self.assertFalse(gate.coordinator.check(context, world.now, self.fail))
+            self.assertTrue(gate.coordinator.may_dispatch(request, world.now))
         self.assertEqual(before, trips["idempotency: round trips"])
 
     def test_one_mark_at_three_gateways_with_one_killed(self) -> None:
@@ -957,7 +962,7 @@
         self.assertEqual((1, 1), (world.runs["m"], world.counts["held back"]))
 
     def late_release(self) -> int:
-        """One gateway's release is told twice; between, another one holds the mark, sends, and is killed."""
+        """One gateway's release is told twice; between, another one holds the key, sends, and is killed."""
         world = self.world()
         first, second, third = world.gates
         first.ask("m", ending=Outcome.OVERLOADED, work=10_000)
@@ -975,7 +980,7 @@
 
     def test_a_late_release_clears_nothing(self) -> None:
         self.assertEqual(1, self.late_release())
-        with patch.object(marks, "_is_holder", lambda mark, event: True):
+        with patch.object(records, "_is_holder", lambda record, event: True):
             self.assertEqual(2, self.late_release())
 
     def test_without_the_store(self) -> None:
@@ -983,7 +988,7 @@
         for takes, decision in ((5_000, "ProceedUnguarded"), (60 * SECOND, "Reject")):
             world = self.world(settings=settings)
             gate, desk = world.gates[0], Scribbling(world, takes)
-            gate.marks.use_journal(desk)
+            gate.coordinator.use_journal(desk)
             world.down = True
             for n in range(8):  # until the breaker is open
                 gate.ask(f"x{n}")
@@ -1000,7 +1005,9 @@
             world.run(10)
             if decision == "ProceedUnguarded":
                 self.assertEqual((1, "settle"), (world.runs["m"], desk.lines[1].split()[0]))
-            self.assertEqual(({}, 0), (gate.marks.open_requests.by_request, len(gate.marks.write_behind)))
+            self.assertEqual(
+                ({}, 0), (gate.coordinator.open_requests.by_request, len(gate.coordinator.write_behind))
+            )
 
     def test_who_starts_later_hears_of_a_clock_that_went_back(self) -> None:
         world = self.world()
@@ -1009,9 +1016,9 @@
         world.run(5)
         restart(world, 0)
         world.run(1)
-        told = [gate.marks.store_clock.age_unknown_before_ms - before for gate in world.gates]
+        told = [gate.coordinator.store_clock.age_unknown_before_ms - before for gate in world.gates]
         self.assertTrue(all(0 < one < 5_000 for one in told), told)
-        self.assertEqual(0, world.gates[0].marks.store_clock.regressions)
+        self.assertEqual(0, world.gates[0].coordinator.store_clock.regressions)
 
     def test_a_flood_of_one_tenant(self) -> None:
         world = self.world()
@@ -1025,17 +1032,17 @@
             (1, {}, 0),
             (
                 world.runs["m"],
-                gate.marks.open_requests.by_request,
-                len(gate.marks.open_requests.lookups_by_tenant),
+                gate.coordinator.open_requests.by_request,
+                len(gate.coordinator.open_requests.lookups_by_tenant),
             ),
         )
 
     def test_what_a_crash_cut_off_is_unknown(self) -> None:
         world = self.world()
         gate, desk = world.gates[0], Scribbling(world, 0)
-        gate.marks.use_journal(desk)
-        digest = marks.digest_key("cresstray", "", "load/all", "m")
-        gate.marks.recover([JournalEntry(EntryKind.CLAIMED, 7, digest, 0, 0)], world.now)
+        gate.coordinator.use_journal(desk)
+        digest = records.digest_key("cresstray", "", "load/all", "m")
+        gate.coordinator.recover([JournalEntry(EntryKind.CLAIMED, 7, digest, 0, 0)], world.now)
         world.run(1)
         self.assertEqual(["settle 7"], desk.lines)
         world.gates[1].ask("m")
@@ -1057,9 +1064,9 @@
                     self.assertEqual(0, world.counts["late"], "a decision beyond its slack")
                     for gate in world.gates:
                         kept = (
-                            gate.marks.open_requests.by_request,
-                            len(gate.marks.write_behind),
-                            gate.marks.writer.writes_in_flight,
+                            gate.coordinator.open_requests.by_request,
+                            len(gate.coordinator.write_behind),
+                            gate.coordinator.writer.writes_in_flight,
                         )
                         self.assertEqual(({}, 0, 0), kept)
             for what in ("Proceed", "Fail"):
--- a/tests/test_idempotency_processes.py
+++ b/tests/test_idempotency_processes.py
@@ -1,6 +1,6 @@
 """Gateways, engines and a store as processes, and the hard cases of marks between them.
 
-Engines know a mark for 2 or 3 s in place of the users' 20, and all ages are shorter in the same measure.
+Engines know a key for 2 or 3 s in place of the users' 20, and all ages are shorter in the same measure.
 """
 
 import itertools
@@ -18,15 +18,15 @@
 from cresstray.emulators.clients import Drawn, Kind, draw
 from cresstray.emulators.fleet.processes import HALL
 from cresstray.emulators.idempotent_fleet import (
-    MARKED,
-    MarkClient,
-    MarkedFleet,
+    GUARDED_CLASS,
+    IdempotentClient,
+    IdempotentFleet,
     SharedStore,
-    draw_again,
-    payoff,
-    ran_again,
+    count_repeated_executions,
+    draw_repeated_load,
+    earned_share,
 )
-from cresstray.idempotency import records as marks
+from cresstray.idempotency import records
 from cresstray.idempotency.records import IdempotencyRecord, RecordState
 
 MEMORY = 2.0
@@ -35,8 +35,9 @@
 PATIENT = "    slow 1s\n    ask-most 1s\n"
 
 
-def key(mark: str, tenant: str = "office") -> str:
-    return f"cresstray:m1:{marks.digest_key('cresstray', tenant, MARKED + '/all', mark).hex()}"
+def record_key(idempotency_key: str, tenant: str = "office") -> str:
+    digest = records.digest_key("cresstray", tenant, f"{GUARDED_CLASS}/all", idempotency_key)
+    return f"cresstray:m1:{digest.hex()}"
 
 
 async def until(what: Callable[[], Awaitable[object]]) -> object:
@@ -49,20 +50,20 @@
 class Scene:
     """What a case asks of a fleet that is up."""
 
-    def __init__(self, fleet: MarkedFleet, shared: SharedStore) -> None:
+    def __init__(self, fleet: IdempotentFleet, shared: SharedStore) -> None:
         self.fleet, self.shared = fleet, shared
         self._numbers = itertools.count(1)
-        self._clients: dict[int, MarkClient] = {}
+        self._clients: dict[int, IdempotentClient] = {}
 
-    async def ask(self, mark: str, gateway: int, kind: Kind = LOAD) -> Asked:
+    async def ask(self, key: str, gateway: int, kind: Kind = LOAD) -> Asked:
         name = f"{next(self._numbers):016x}"
-        self.fleet.mark_of[name] = mark
+        self.fleet.idempotency_key_of[name] = key
         if gateway not in self._clients:
             self._clients[gateway] = self.fleet.client(HALL, gateway)
         return await self._clients[gateway].ask(Drawn(0.0, name, kind, kind.work, kind.work))
 
-    async def answer(self, mark: str, gateway: int, kind: Kind = LOAD) -> str:
-        asked = await self.ask(mark, gateway, kind)
+    async def answer(self, key: str, gateway: int, kind: Kind = LOAD) -> str:
+        asked = await self.ask(key, gateway, kind)
         return await self.told(asked)
 
     async def told(self, asked: Asked) -> str:
@@ -75,26 +76,34 @@
         """Whether it has, to its end, whoever has heard of it."""
         return any(run.effect and run.ended for run in (await self.fleet.runs()).get(asked.name, ()))
 
-    async def mark(self, name: str) -> IdempotencyRecord | None:
+    async def record(self, name: str) -> IdempotencyRecord | None:
         """As the store has it."""
         held = {bytes.fromhex(one["key"]).decode(): one for one in await self.shared.tell("copy")}
-        return marks.decode_record(bytes.fromhex(held[key(name)]["value"])) if key(name) in held else None
+        return (
+            records.decode_record(bytes.fromhex(held[record_key(name)]["value"]))
+            if record_key(name) in held
+            else None
+        )
 
 
 class Counting(unittest.TestCase):
     def test_one_mark_is_one_piece_of_work(self) -> None:
-        drawn, mark_of = draw_again([replace(LOAD, share=0.5), LOOKUP], 30.0, 2.0, 3, 2.0, 1)
+        drawn, idempotency_key_of = draw_repeated_load(
+            [replace(LOAD, share=0.5), LOOKUP], 30.0, 2.0, 3, 2.0, 1
+        )
         marked = [one for one in drawn if one.kind is not LOOKUP]
-        self.assertEqual(4 * len(set(mark_of.values())), len(marked))
-        account = Account({MARKED: "deduplicated"}, 3, (5, 0.1, 5.0))
+        self.assertEqual(4 * len(set(idempotency_key_of.values())), len(marked))
+        account = Account({GUARDED_CLASS: "deduplicated"}, 3, (5, 0.1, 5.0))
         for number, name in enumerate("abc"):
             answer = [(0.5, "fulfilled" if number else "denied")]
-            account.asked[name] = Asked(name, HALL, "g1", MARKED, 10.0, 0, 1, 1, 1, 4, answer)
+            account.asked[name] = Asked(name, HALL, "g1", GUARDED_CLASS, 10.0, 0, 1, 1, 1, 4, answer)
         for name, effect in (("a", False), ("b", True), ("b", True), ("c", True)):
             account.run(name, "engine 0", 0).effect = effect
         one = {"a": "m", "b": "m", "c": "m"}
-        self.assertEqual((2, 1.0), (ran_again(account, one), payoff(account, one)))
-        self.assertEqual((1, 2 / 3), (ran_again(account, {"b": "m"}), payoff(account, {"b": "m"})))
+        self.assertEqual((2, 1.0), (count_repeated_executions(account, one), earned_share(account, one)))
+        self.assertEqual(
+            (1, 2 / 3), (count_repeated_executions(account, {"b": "m"}), earned_share(account, {"b": "m"}))
+        )
 
 
 class Cases(unittest.TestCase):
@@ -111,10 +120,12 @@
                 await scene.fleet.runs()
                 broken = scene.fleet.account.promises(anyio.current_time())
             self.assertEqual({}, {name: count for name, count in broken.items() if count})
-            self.assertEqual(second_runs, ran_again(scene.fleet.account, scene.fleet.mark_of))
+            self.assertEqual(
+                second_runs, count_repeated_executions(scene.fleet.account, scene.fleet.idempotency_key_of)
+            )
 
         with tempfile.TemporaryDirectory() as folder, SharedStore() as shared:
-            scene = Scene(MarkedFleet(Path(folder), shared, **({"memory": MEMORY} | given)), shared)
+            scene = Scene(IdempotentFleet(Path(folder), shared, **({"window_s": MEMORY} | given)), shared)
             anyio.run(main)
             self.counters = scene.fleet.counters()
         self.assertEqual(0, self.counters.get("faults", 0))
@@ -124,8 +135,8 @@
         async def script(scene: Scene) -> None:
             fleet = scene.fleet
             await fleet.load(HALL, draw([LOOKUP], [(0.0, 80.0)], 1.0, 1))
-            self.assertEqual([], await scene.shared.asked())
-            drawn, fleet.mark_of = draw_again(
+            self.assertEqual([], await scene.shared.record_commands())
+            drawn, fleet.idempotency_key_of = draw_repeated_load(
                 [replace(LOOKUP, share=0.5), replace(LOAD, share=0.5)], 50.0, 3.0, 1, 0.3, 2
             )
             async with anyio.create_task_group() as tasks:
@@ -133,17 +144,19 @@
                 await anyio.sleep(1.2)
                 await scene.shared.tell("slow uniform 1 5000")
                 await anyio.sleep(1.0)
-                asked = await scene.shared.asked()
+                asked = await scene.shared.record_commands()
                 await scene.shared.kill()
             await anyio.sleep(1.5)
             # Nothing but marks has ever been asked for.
             self.assertLess(10, len(asked))
-            self.assertLessEqual({one for _, one in asked}, {key(mark) for mark in fleet.mark_of.values()})
+            self.assertLessEqual(
+                {one for _, one in asked}, {record_key(one) for one in fleet.idempotency_key_of.values()}
+            )
 
         scene = self.play(script)
         asked = scene.fleet.account.asked.values()
         self.assertEqual({"fulfilled"}, {one.answers[0][1] for one in asked if one.tariff == "lookup"})
-        marked = [one for one in asked if one.tariff == MARKED]
+        marked = [one for one in asked if one.tariff == GUARDED_CLASS]
         denied = [one for one in marked if one.answers[0][1] == "denied"]
         self.assertTrue(20 < len(denied) < len(marked) - 10, (len(denied), len(marked)))
         # A quarter of the slack was spent at the most: a denial comes long before a last answer must.
@@ -164,8 +177,8 @@
             await scene.shared.tell("speak")
 
             async def unknown() -> bool:
-                mark = await scene.mark("a")
-                return mark is not None and mark.state is RecordState.UNKNOWN
+                record = await scene.record("a")
+                return record is not None and record.state is RecordState.UNKNOWN
 
             await until(unknown)
             await anyio.sleep(max(0.0, asked.asked + 1.1 * MEMORY - anyio.current_time()))
@@ -184,8 +197,8 @@
     def test_3_three_at_once_and_two_gateways_die(self) -> None:
         async def script(scene: Scene) -> None:
             async def holder() -> str:
-                mark = await scene.mark("a")
-                return mark.owner if mark is not None else ""
+                record = await scene.record("a")
+                return record.owner if record is not None else ""
 
             # One intends, and dies before it has heard that it may send.
             await scene.shared.tell("late fixed 100")
@@ -209,9 +222,9 @@
             for number in range(3):
                 await scene.fleet.gateways[f"g{number + 1}"].ready()
             await anyio.sleep(max(0.0, begun + 1.1 * MEMORY - anyio.current_time()))
-            for mark in "ab":
+            for key in "ab":
                 for number in range(3):
-                    self.assertNotEqual("fulfilled", await scene.answer(mark, number))
+                    self.assertNotEqual("fulfilled", await scene.answer(key, number))
 
         self.play(script, store_lines=PATIENT)
 
@@ -219,43 +232,43 @@
         ages = (0.05, 0.95, 1.05, 2.0)
 
         async def script(scene: Scene) -> None:
-            for mark in "abcd":
-                self.assertEqual("fulfilled", await scene.answer(mark, 0))
+            for key in "abcd":
+                self.assertEqual("fulfilled", await scene.answer(key, 0))
             await anyio.sleep(1.5)
             first = anyio.current_time()
-            for mark in "efgh":
-                self.assertEqual("fulfilled", await scene.answer(mark, 1))
-            await anyio.sleep(0.2)  # outcomes are there: what waits to be written would put a mark back
+            for key in "efgh":
+                self.assertEqual("fulfilled", await scene.answer(key, 1))
+            await anyio.sleep(0.2)  # outcomes are there: what waits to be written would put a key back
             # It has marks from a third of a memory ago: those of the first are there.
             await scene.shared.tell("restart stale 1000")
-            self.assertIsNotNone(await scene.mark("d"))
-            self.assertIsNone(await scene.mark("e"))
+            self.assertIsNotNone(await scene.record("d"))
+            self.assertIsNone(await scene.record("e"))
             await anyio.sleep(0.1)
-            for number, (mark, age) in enumerate(zip("efgh", ages)):
+            for number, (key, age) in enumerate(zip("efgh", ages)):
                 await anyio.sleep(max(0.0, first + age * 3.0 - anyio.current_time()))
-                await scene.answer(mark, number % 3)
-            for mark in "efgh":
-                await scene.answer(mark, 2)
-            for mark in "abcd":
-                self.assertNotEqual("fulfilled", await scene.answer(mark, 2))
+                await scene.answer(key, number % 3)
+            for key in "efgh":
+                await scene.answer(key, 2)
+            for key in "abcd":
+                self.assertNotEqual("fulfilled", await scene.answer(key, 2))
             await scene.shared.tell("restart empty")
             await anyio.sleep(0.5)
-            for mark in "abcd" * 2:
-                await scene.answer(mark, 1)
+            for key in "abcd" * 2:
+                await scene.answer(key, 1)
 
         # Of those that were lost, the two that were first asked again after the memory; and all, once empty.
-        self.play(script, second_runs=2 + 4, memory=3.0)
+        self.play(script, second_runs=2 + 4, window_s=3.0)
 
     def test_5_stopped_for_longer_than_its_intention(self) -> None:
         async def script(scene: Scene) -> None:
             # It may send, and has no engine to send it to.
-            scene.fleet.list_none()
+            scene.fleet.list_no_engines()
             await anyio.sleep(0.3)
             asked = await scene.ask("a", 0)
-            await until(lambda: scene.mark("a"))
+            await until(lambda: scene.record("a"))
             await anyio.sleep(0.2)
             scene.fleet.gateways["g1"].freeze()
-            scene.fleet.list_again()
+            scene.fleet.relist_engines()
             # Its intention still holds; another goes beside it, within the engines' memory.
             self.assertEqual("fulfilled", await scene.answer("a", 1))
             await anyio.sleep(max(0.0, asked.asked + 1.1 * MEMORY - anyio.current_time()))
@@ -279,7 +292,7 @@
                 for number in range(flood + few)
             ]
             for one in drawn:
-                fleet.mark_of[one.name] = one.name * 2
+                fleet.idempotency_key_of[one.name] = one.name * 2
             # The few come first, and are dropped last.
             for one in drawn[few:]:
                 fleet.tenant_of[one.name] = "guest"
@@ -291,8 +304,8 @@
             for one in drawn[:few]:
                 self.assertEqual("fulfilled", fleet.account.asked[one.name].answers[0][1])
 
-                async def there(mark: str = one.name * 2) -> bool:
-                    found = await scene.mark(mark)
+                async def there(key: str = one.name * 2) -> bool:
+                    found = await scene.record(key)
                     return found is not None and found.state is RecordState.COMPLETED
 
                 await until(there)
@@ -300,35 +313,37 @@
             for one in drawn[:few]:
                 self.assertEqual("abandoned", await scene.answer(one.name * 2, 1))
 
-        self.play(script, gateways=2, cores=64, store_lines=f"    unguarded {MARKED} 5000\n")
+        self.play(script, gateways=2, cores=64, store_lines=f"    unguarded {GUARDED_CLASS} 5000\n")
         self.assertEqual(flood - 2_500, self.counters["idempotency: reports dropped"])
 
 
-class MarkedHalls(world.World):
+class IdempotentSites(world.World):
     """Two halls whose gateways share one store."""
 
     def __init__(self, folder: Path, shared: SharedStore) -> None:
-        self._shared, self.mark_of = shared, {}
+        self._shared, self.idempotency_key_of = shared, {}
         super().__init__(folder, gateways=1, engines=2, link="link\n    heal 1s\n")
 
     def _write(self, hall: world.Hall, given: dict, link: str) -> None:
         super()._write(hall, given, link)
         for gateway in hall.gateways:
             with open(self._folder / f"{gateway.name}.conf", "a") as file:
-                file.write(self._shared.section())
+                file.write(self._shared.operator_section())
 
-    def client(self, hall: str, gateway: int = 0) -> MarkClient:
+    def client(self, hall: str, gateway: int = 0) -> IdempotentClient:
         one = self.halls[hall].gateways[gateway]
-        client = MarkClient(hall, one.name, ("127.0.0.1", one.port), self.account, self._tasks)
-        client.mark_of = self.mark_of
+        client = IdempotentClient(hall, one.name, ("127.0.0.1", one.port), self.account, self._tasks)
+        client.idempotency_key_of = self.idempotency_key_of
         one.clients.append(client)
         return client
 
 
 class Halls(unittest.TestCase):
     def test_7_store_and_link_cut_at_once(self) -> None:
-        async def main(halls: MarkedHalls, shared: SharedStore) -> None:
-            drawn, halls.mark_of = draw_again([replace(LOAD, hard=1.5)], 12.0, 2.0, 2, 1.0, 3)
+        async def main(halls: IdempotentSites, shared: SharedStore) -> None:
+            drawn, halls.idempotency_key_of = draw_repeated_load(
+                [replace(LOAD, hard=1.5)], 12.0, 2.0, 2, 1.0, 3
+            )
             async with halls.up():
                 await anyio.sleep(1.5)
                 halls.lose("hall-a", 2)
@@ -343,7 +358,7 @@
                 await anyio.sleep(2.0)
                 broken = halls.account.promises(anyio.current_time())
             self.assertEqual({}, {name: count for name, count in broken.items() if count})
-            self.assertEqual(0, ran_again(halls.account, halls.mark_of))
+            self.assertEqual(0, count_repeated_executions(halls.account, halls.idempotency_key_of))
             how = {one.answers[0][1] for one in halls.account.asked.values()}
             self.assertEqual({"fulfilled", "denied", "abandoned"}, how)
             self.assertLess(5, halls.counters().get("crossings offered", 0))
@@ -353,7 +368,7 @@
             SharedStore() as shared,
             patch.object(world, "_MEMORY", 2.0),
         ):
-            anyio.run(main, MarkedHalls(Path(folder), shared), shared)
+            anyio.run(main, IdempotentSites(Path(folder), shared), shared)
 
 
 if __name__ == "__main__":
