--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -549,7 +549,7 @@
         """What is remembered and no longer has a future is dropped, so that states are the same that are."""
         # Names are new by the world's making; a set's order is not that of its making.
         self.take_in._names.clear()
-        self.take_in._turn = 0
+        self.take_in._next_generation_us = 0
         if not self.words:
             self.last = None
         window = self.shape.safety.get("BudgetWindow", 0) * MILLI
@@ -574,7 +574,7 @@
             account.sent = [Sent(*map(_one, sent)) for sent in account.sent]
         for request_class in self.gateway.request_classes:
             request_class.dedup_scope = intern(request_class.dedup_scope)
-        self.take_in._tariffs = {intern(name): known for name, known in self.take_in._tariffs.items()}
+        self.take_in._classes = {intern(name): known for name, known in self.take_in._classes.items()}
         for member in self.members.values():
             member.host = intern(member.host)
         for links in self.links:
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -792,7 +792,7 @@
     def _tidy(self) -> None:
         """What is remembered and no longer has a future is dropped, so that states are the same that are."""
         self.take_in._names.clear()
-        self.take_in._turn = 0
+        self.take_in._next_generation_us = 0
         for context in self.book.open.values():
             # How decoders share what they read is no part of a state.
             query = context.query
--- a/cresstray/pipeline/ingress.py
+++ b/cresstray/pipeline/ingress.py
@@ -34,21 +34,21 @@
         self.replica_reads: ReplicaReads | None = None  # where there are rules of a fleet
         services = settings.get("Services", [])
         # The longest time a client of a tariff waits, twice over: no client can mean more.
-        self._tariffs = {
+        self._classes = {
             service.get("Name"): (request_class, 2 * service.get("GiveUp", 5e8))
             for service, request_class in zip(services, request_classes)
         }
         self._tenants = {tenant["Name"]: place for place, tenant in enumerate(settings.get("Tenants", []))}
         self._names: set[str] = set()  # of late, and before that
         self._older: set[str] = set()
-        self._turn = 0
+        self._next_generation_us = 0
 
     def accept(
         self, responder: Responder, number: int, query: Query, crossing: ForwardedOffer | None = None
     ) -> None:
         """`crossing`: how it came from another hall, for what a client did not ask here."""
         now = self._clock.now()
-        known = self._tariffs.get(query.class_name)
+        known = self._classes.get(query.class_name)
         if known is None:
             responder.reject_malformed(number, "an unknown tariff")
             return
@@ -100,8 +100,8 @@
     def _is_new(self, name: str, now: int) -> bool:
         # Danger: engines know a request by its name alone. Under one that is open, a stranger could have the
         # owner's work given up or answered, and a link could not tell whose answer comes.
-        if now >= self._turn or len(self._names) >= _MOST_NAMES:
-            self._names, self._older, self._turn = set(), self._names, now + _MEMORY
+        if now >= self._next_generation_us or len(self._names) >= _MOST_NAMES:
+            self._names, self._older, self._next_generation_us = set(), self._names, now + _MEMORY
         if name in self._names or name in self._older:
             return False
         self._names.add(name)
@@ -114,7 +114,7 @@
     def remember_names(self, names: Iterable[str]) -> None:
         """By the process before this one, of late."""
         self._older.update(names)
-        self._turn = self._turn or self._clock.now() + _MEMORY
+        self._next_generation_us = self._next_generation_us or self._clock.now() + _MEMORY
 
     def cancel(self, responder: Responder, number: int | None, name: str | None) -> None:
         """The client no longer waits for one of its submissions."""
