--- a/cresstray/gateway/service.py
+++ b/cresstray/gateway/service.py
@@ -431,7 +431,7 @@
 
     async def _end(self) -> None:
         """All that is owed is answered, then all connections end in order, before SIGKILL may come."""
-        self._log.log("service", f"ends; {self._book.unanswered_count()} submissions are owed an answer")
+        self._log.log("service", f"shutting down; {self._book.unanswered_count()} requests are unanswered")
         last_stop = self._last_stop()
         await anyio.sleep(min(_STILL_COMING, self._until(last_stop + _LATE)))
         with anyio.move_on_after(self._until(last_stop + _LATE)):
@@ -488,6 +488,6 @@
         return last_stop
 
     def report(self) -> None:
-        self.counters.counts["loop latest us"] = self._timers.max_lateness_us
+        self.counters.counts["event loop max lateness us"] = self._timers.max_lateness_us
         for line in self.counters.lines():
             self._log.log_always("counter", line)
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -900,7 +900,7 @@
             ),
             (
                 RequestAccounting._answer,
-                'self._counters.check(not context.is_answered, "a submission is answered once")\n'
+                'self._counters.check(not context.is_answered, "a request is answered once")\n'
                 "    if context.is_answered:",
                 "if False:",
             ),
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -66,10 +66,10 @@
 
     def _answer(self, request: Request, how: str) -> RequestContext | None:
         context = self.open.get(request)
-        self._counters.check(context is not None, "an answer belongs to an open submission")
+        self._counters.check(context is not None, "an answer belongs to an open request")
         if context is None:
             return None
-        self._counters.check(not context.is_answered, "a submission is answered once")
+        self._counters.check(not context.is_answered, "a request is answered once")
         if context.is_answered:
             return None
         context.is_answered = True
--- a/cresstray/pipeline/policy_port.py
+++ b/cresstray/pipeline/policy_port.py
@@ -42,14 +42,14 @@
         self._timers.call_after(delay, call)
 
     def log_event(self, text: str) -> None:
-        self._log.log("module", text)
+        self._log.log("policy", text)
 
     def assign_resources(self, request: Request, megabytes: float, priority: int) -> None:
         # The engines' protocol has no field for either.
-        self._counters.add("grants left unsaid")
+        self._counters.add("resource grants not sent")
 
     def probe_engine(self, engine: Engine) -> None:
-        self._counters.add("probes left unsaid")
+        self._counters.add("connection probes not sent")
 
     def subscribe_to_endpoints(self) -> None:
         """The coordinator's feed is followed all the time."""
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -551,7 +551,7 @@
         counters = Counters()
         counters.check(True, "nothing")
         with self.assertRaises(AssertionError):
-            counters.check(False, "a submission is answered once")
+            counters.check(False, "a request is answered once")
 
     def test_configuration(self) -> None:
         lines = []
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -33,7 +33,7 @@
             first.say(request(1), request(2, "a" * 16))
             out = {name: link for _, name, link in (engine.next(), engine.next())}
             gateway.tell(ENDS)
-            gateway.until_said("ends; 2 submissions")
+            gateway.until_said("shutting down; 2 requests")
             gateway.tell(ENDS)
             first.say(withdrawal(2))
             self.assertEqual(("QUIT", "a" * 16), engine.next()[:2])
@@ -61,7 +61,7 @@
             client = gateway.up().client()
             client.say(request(1)[:30])
             gateway.tell(ENDS)
-            gateway.until_said("ends; 0 submissions")
+            gateway.until_said("shutting down; 0 requests")
             begun = time.monotonic()
             client.say(request(1)[30:])
             _, name, link = engine.next()
@@ -90,7 +90,7 @@
         settings["Services"][0]["GiveUp"] = 1000.0
         with Engine() as engine, Gateway(known=listed(engine), settings=settings) as gateway:
             gateway.up().tell(ENDS)
-            gateway.until_said("ends; 0 submissions")
+            gateway.until_said("shutting down; 0 requests")
             gateway.tell(signal.SIGSTOP)
             asking = [
                 gateway.client().say(request(1, f"{number:016x}", timeout=900)) for number in range(150)
