--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -775,8 +775,8 @@
         lines(
             (
                 ResponseHandler.on_answer,
-                "self.finish_attempt(exchange, _ENDINGS[answer.kind], answer.report)",
-                "self.finish_attempt(exchange, Outcome.OVERLOADED, answer.report)",
+                "self.finish_attempt(in_flight, _OUTCOME_OF_ANSWER[answer.kind], answer.report)",
+                "self.finish_attempt(in_flight, Outcome.OVERLOADED, answer.report)",
             )
         ),
     ),
@@ -883,7 +883,7 @@
         lines(
             (
                 Dispatcher.abandon,
-                "exchange.connection is None or exchange.connection.abandon(exchange)",
+                "in_flight.connection is None or in_flight.connection.abandon(in_flight)",
                 "True",
             )
         ),
@@ -895,8 +895,8 @@
         lines(
             (
                 ResponseHandler.finish_attempt,
-                "if ending is Outcome.SUCCEEDED and not no_more:",
-                "if ending is Outcome.SUCCEEDED:",
+                "if outcome is Outcome.SUCCEEDED and not is_over:",
+                "if outcome is Outcome.SUCCEEDED:",
             ),
             (
                 RequestAccounting._answer,
@@ -911,7 +911,7 @@
         "nothing_after",
         "attempt",
         lines(
-            (ResponseHandler.finish_attempt, "no_more = request.is_finished", "no_more = False"),
+            (ResponseHandler.finish_attempt, "is_over = request.is_finished", "is_over = False"),
             (PolicyController.on_attempt_finished, "if no_more or request.is_finished:", "if no_more:"),
         ),
     ),
@@ -931,13 +931,13 @@
         "call_kept",
         "nothing_kept",
         "attempt",
-        lines((ResponseHandler.finish_attempt, "exchange.timeout.cancel()", "pass")),
+        lines((ResponseHandler.finish_attempt, "in_flight.timeout.cancel()", "pass")),
     ),
     Mutant(
         "errand_kept",
         "nothing_kept",
         "attempt",
-        lines((ResponseHandler.finish_attempt, "self._book.release(request)", "pass")),
+        lines((ResponseHandler.finish_attempt, "self._accounting.release(request)", "pass")),
     ),
     Mutant(
         "threads_kept",
@@ -958,8 +958,9 @@
         lines(
             (
                 SocketPort.send_attempt,
-                "self._route.route(attempt, self._book.open, patience)",
-                "self._timers.call_after(0, lambda _: self._route.route(attempt, self._book.open, patience))",
+                "self._router.route(attempt, self._accounting.open, timeout_us)",
+                "self._timers.call_after("
+                "0, lambda _: self._router.route(attempt, self._accounting.open, timeout_us))",
             )
         ),
     ),
@@ -982,7 +983,7 @@
         "drain",
         lines(
             (PolicyController.on_endpoints_updated, "if complete and engine not in named:", "if False:"),
-            (Router.apply_event, "self._pools.pop(engine).retire()", "self._pools[engine].retire()"),
+            (Router.apply_event, "self._pools.pop(removed).retire()", "self._pools[removed].retire()"),
         ),
     ),
     Mutant(
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -1,66 +1,72 @@
-"""Last stage, and the first on the way back: counts, and the one answer that each submission gets."""
+"""Last stage: counters, and the one answer that each request gets."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.request_context import RequestContext
-from cresstray.policy import controller as logic
+from cresstray.pipeline.request_context import IdempotencyHooks, RequestContext
+from cresstray.policy import controller as policy
 from cresstray.policy.types import Outcome, Request
 
-if TYPE_CHECKING:
-    from cresstray.pipeline.idempotency_checks import IdempotencyChecks
-
 
 class RequestAccounting:
+    """Owns the requests in flight.
+
+    Guarantees one answer at most to each request. A request stays in `open` until it is answered and none
+    of its attempts is in flight.
+    """
+
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
-        self.idempotency: IdempotencyChecks | None = None  # where marks are kept in a store
-        self.open: dict[Request, RequestContext] = {}  # until answered and nothing of it is out
+        self.idempotency: IdempotencyHooks | None = None  # set where idempotency records are kept in a store
+        self.open: dict[Request, RequestContext] = {}
 
     def open_request(self, context: RequestContext) -> None:
+        """Accepts a request: from here on its responder is owed an answer."""
         self.open[context.request] = context
         context.responder.open[context.number] = context
         self._counters.add("requests accepted")
 
     def unanswered_count(self) -> int:
-        """How many still wait for their answer."""
+        """Returns how many requests still wait for their answer."""
         return sum(not context.is_answered for context in self.open.values())
 
-    def limit_deadlines(self, last_stop: int) -> None:
-        """The gateway ends then: that is a hard stop for all that is open."""
+    def limit_deadlines(self, shutdown_deadline_us: int) -> None:
+        """Brings forward the deadline of each open request to the end of the process."""
         for request in self.open:
-            logic.limit_deadline(request, last_stop)
+            policy.limit_deadline(request, shutdown_deadline_us)
 
     def succeed(self, request: Request, result: bytes) -> None:
+        """Answers with the result, unless the request was answered before."""
         context = self._answer(request, "succeeded")
         if context is not None:
             read = request.replica_read
-            context.responder.succeed(context.number, result, read.at() if read is not None else None)
-            self._tell(request, "succeeded", result)
+            position = read.at() if read is not None else None
+            context.responder.succeed(context.number, result, position)
+            self._notify_idempotency(request, "succeeded", result)
 
-    def reject(self, request: Request, come_back: int) -> None:
+    def reject(self, request: Request, retry_after_us: int) -> None:
+        """Rejects the request, unless it was answered before."""
         context = self._answer(request, "rejected")
         if context is not None:
-            context.responder.reject(context.number, come_back)
-            self._tell(request, "rejected")
+            context.responder.reject(context.number, retry_after_us)
+            self._notify_idempotency(request, "rejected")
 
     def fail(self, request: Request) -> None:
+        """Answers that the request failed and may have run, unless it was answered before."""
         context = self._answer(request, "failed")
         if context is not None:
             context.responder.fail(context.number)
-            self._tell(request, "failed")
+            self._notify_idempotency(request, "failed")
 
     def on_client_left(self, context: RequestContext) -> None:
-        """Nothing is owed any more."""
+        """The client has cancelled the request or disconnected: no answer is owed any more."""
         context.is_answered = True
         del context.responder.open[context.number]
         self._counters.add("requests cancelled")
-        self._tell(context.request, "left")
+        self._notify_idempotency(context.request, "left")
 
-    def _tell(self, request: Request, how: str, result: bytes | None = None) -> None:
-        """Behind the answer, which waits for no mark."""
+    def _notify_idempotency(self, request: Request, how: str, result: bytes | None = None) -> None:
+        # After the answer, which must not wait for the store.
         if self.idempotency is not None:
             self.idempotency.on_request_finished(request, how, result)
 
@@ -77,19 +83,20 @@
         self.release(request)
         return context
 
-    def count_attempt(self, ending: Outcome) -> None:
-        self._counters.add(f"attempts {ending.value}")
+    def count_attempt(self, outcome: Outcome) -> None:
+        """Counts an attempt by its outcome."""
+        self._counters.add(f"attempts {outcome.value}")
 
-    def notify_remote(self, request: Request, ending: Outcome) -> None:
-        """Who asked from another hall must know whether its relay ran, whatever the answer is."""
+    def notify_remote(self, request: Request, outcome: Outcome) -> None:
+        """Tells the site that forwarded the request how its attempt ended, whatever the answer will be."""
         context = self.open.get(request)
         if context is not None:
-            context.responder.on_attempt_finished(context.number, ending)
+            context.responder.on_attempt_finished(context.number, outcome)
 
     def release(self, request: Request) -> None:
-        """Forgets what is answered and has nothing out."""
+        """Forgets a request that is answered and has no attempt in flight."""
         context = self.open.get(request)
         if context is not None and context.is_answered and request.current_attempt is None:
             del self.open[request]
-            # Danger: relays and submissions point to each other; what only the collector frees costs pauses.
+            # Attempts and requests refer to each other. Left to the garbage collector, they cost pauses.
             request.attempts.clear()
--- a/cresstray/pipeline/admission.py
+++ b/cresstray/pipeline/admission.py
@@ -1,4 +1,4 @@
-"""Second stage: the submission is the gateway's from here on, and the module's to decide."""
+"""Second stage: the request is accounted for and handed to the policy."""
 
 from __future__ import annotations
 
@@ -15,18 +15,26 @@
 
 
 class Admission:
-    def __init__(self, book: RequestAccounting) -> None:
-        self._book = book
-        self.controller: PolicyController | None = (
-            None  # made with the port, which stands further down the chain
-        )
-        self.forwarding_quota: Share | None = None  # of what may cross to other halls, where there are any
-        self.membership: Keep | None = None  # where a list is kept on disk
-        self.idempotency: IdempotencyChecks | None = None  # where marks are kept in a store
+    """Admits valid requests.
+
+    Guarantees that each request is in the accounting before anything else hears of it. The policy hears of
+    it once the endpoint list and the idempotency store, where there are any, have let it pass.
+    """
+
+    # Set by the composition root before the first request: the policy is made with the port, which needs
+    # stages behind this one.
+    controller: PolicyController
+
+    def __init__(self, accounting: RequestAccounting) -> None:
+        self._accounting = accounting
+        self.forwarding_quota: Share | None = None  # set where requests may be forwarded to other sites
+        self.membership: Keep | None = None  # set where the endpoint list is persisted
+        self.idempotency: IdempotencyChecks | None = None  # set where idempotency records are kept in a store
 
     def admit(self, context: RequestContext, now: int) -> None:
-        self._book.open_request(context)
-        if self.membership is not None and self._refused(context, now):
+        """Opens the request and hands it on, at once or when the store has decided on its idempotency key."""
+        self._accounting.open_request(context)
+        if self.membership is not None and self._rejects_unknown_endpoints(self.membership, context, now):
             return
         if self.idempotency is not None and self.idempotency.holds_back(
             context, now, lambda now: self._accept(context, now)
@@ -39,19 +47,22 @@
             self.forwarding_quota.taken(now)
         self.controller.accept(context.request, now)
 
-    def _refused(self, context: RequestContext, now: int) -> bool:
-        """Nothing is known well enough yet to send it anywhere; who asks from another hall counts on us."""
+    def _rejects_unknown_endpoints(self, membership: Keep, context: RequestContext, now: int) -> bool:
+        """Rejects a request while no endpoint is known well enough; returns whether it did.
+
+        A request that was forwarded in is always accepted: the other site relies on its offer being taken.
+        """
         request = context.request
-        wait = None if request.is_forwarded_in else self.membership.refuses(request, now)
-        if wait is None:
+        retry_after_us = None if request.is_forwarded_in else membership.refuses(request, now)
+        if retry_after_us is None:
             return False
         request.is_finished = True
-        self._book.reject(request, wait)
+        self._accounting.reject(request, retry_after_us)
         return True
 
     def cancel(self, context: RequestContext, now: int) -> None:
-        """The client has left; the module gives up what is out."""
-        self._book.on_client_left(context)
+        """The client has cancelled the request or left; the policy cancels an attempt in flight."""
+        self._accounting.on_client_left(context)
         if self.idempotency is None or not self.idempotency.on_client_left(context.request):
             self.controller.on_client_cancelled(context.request, now)
-        self._book.release(context.request)
+        self._accounting.release(context.request)
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -1,6 +1,7 @@
-"""What a gateway has beside where marks are kept in a store: a part of the passage, the client, the journal.
+"""Beside the stages: what a gateway has where idempotency records are kept in a store.
 
-Loaded only where the operator's file names a store.
+Joins the store's client, the journal and the coordinator of the records to the pipeline. Loaded only where
+the operator's file names a store.
 """
 
 from __future__ import annotations
@@ -29,34 +30,41 @@
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.types import Attempt, ChainedRules, Engine, Outcome, Request
 
-# Microseconds: while outcomes wait to be written, and while there is nothing but the store to be looked at.
-_BUSY, _QUIET = 20_000, 500_000
-# The one before this process lets go of the journal within some seconds; a lock is one system call.
-_LOCKED = 1.0
+# How often records are looked at while outcomes wait to be written, and while none does.
+_BUSY_INTERVAL_US = 20_000
+_IDLE_INTERVAL_US = 500_000
+# The preceding process releases the journal within some seconds; trying its lock is one system call.
+_JOURNAL_RETRY_SECONDS = 1.0
 
 
-class Shut:
-    """A journal that can't be written yet, or at all: nothing goes out on the strength of it."""
+class UnavailableJournal:
+    """Stands for a journal that cannot be written yet, or at all: no attempt leaves that depends on it."""
 
-    def __init__(self, trouble: str) -> None:
-        self.trouble = trouble
+    def __init__(self, reason: str) -> None:
+        self.trouble = reason
 
     def intend(self, digest: bytes, fence: int, tenant: int) -> int | None:
+        """Accepts no intention."""
         return None
 
     def settle(self, number: int) -> None:
-        pass
+        """Has nothing to settle."""
 
     def synced(self, number: int) -> bool | None:
+        """Whether an entry is on disk: it never is."""
         return False
 
 
 class IdempotencyChecks:
-    """Beside the stages: who is asked for at the store before the module hears of it, and what came of it."""
+    """Asks the store about a request before the policy hears of it, and records how the request ended.
+
+    Guarantees that the policy never hears of a request that the store has decided on, and that none of its
+    attempts leaves after its record has expired.
+    """
 
     def __init__(
         self,
-        given: Store,
+        config: Store,
         settings: Mapping[str, Any],
         name: str,
         seed: int,
@@ -64,69 +72,74 @@
         timers: Timers,
         counters: Counters,
         log: Log,
-        gateway: PolicyController,
-        book: RequestAccounting,
+        controller: PolicyController,
+        accounting: RequestAccounting,
         worker: Worker,
     ) -> None:
-        self._given, self._clock, self._book, self._log, self._worker = given, clock, book, log, worker
+        self._config = config
+        self._clock = clock
+        self._accounting = accounting
+        self._log = log
+        self._worker = worker
         self._scribe: Scribe | None = None
-        self._waiting: set[Request] = set()  # the module has not heard of these yet
-        # Seeds are new with each start; the clock parts two starts that an operator gave the same one.
-        life = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
+        self._waiting: set[Request] = set()  # requests that the policy has not heard of yet
+        # Seeds are new with each start; the clock parts two starts that an operator gave the same seed.
+        incarnation = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
         chance = random.Random(f"{seed}{clock.now()}").random
-        self._client = Client(given, chance, clock, timers, counters, log)
-        desk = Shut("") if given.journal else None
+        self._client = Client(config, chance, clock, timers, counters, log)
         self.records = Marks(
             self._client,
-            given.lines(),
+            config.lines(),
             settings,
-            gateway.request_classes,
+            controller.request_classes,
             name,
-            life,
+            incarnation,
             chance,
             clock,
             timers,
             counters,
-            desk,
-            lambda text: log.log("marks", text),
+            UnavailableJournal("") if config.journal else None,
+            lambda text: log.log("idempotency", text),
         )
         worker.does("store links", Priority.SERVICE, Client.EVERY, self._client.look)
-        self._writing = worker.does("marks", Priority.STATE, 0, self._step, last=self._ends)
-        worker.wake(self._writing)
-        gateway.admission_rules = _Guard(self.records, gateway, clock.now)
+        self._write_job = worker.does("marks", Priority.STATE, 0, self._step, last=self._write_last)
+        worker.wake(self._write_job)
+        controller.admission_rules = _RecordValidityRules(self.records, controller, clock.now)
 
     def start(self, tasks: TaskGroup) -> None:
+        """Starts the connections to the store, and opens the journal where there is one."""
         tasks.start_soon(self._client.run)
-        if self._given.journal:
-            tasks.start_soon(self._open, self._given.journal)
+        if self._config.journal:
+            tasks.start_soon(self._open_journal, self._config.journal)
 
-    async def _open(self, path: str) -> None:
-        """In a thread: a disk that hangs holds up nobody, and until then nothing goes out unguarded."""
+    async def _open_journal(self, path: str) -> None:
+        """Opens the journal in a thread: a disk that hangs delays nothing but what depends on it."""
         while True:
             journal = Journal(path)
             try:
                 entries = await anyio.to_thread.run_sync(journal.open, abandon_on_cancel=True)
-            except BusyError as trouble:
-                self.records.writes_to(Shut(str(trouble)))
-                await anyio.sleep(_LOCKED)
+            except BusyError as error:
+                self.records.writes_to(UnavailableJournal(str(error)))
+                await anyio.sleep(_JOURNAL_RETRY_SECONDS)
                 continue
-            except (UnusableError, OSError) as trouble:
-                self.records.writes_to(Shut(str(trouble)))
+            except (UnusableError, OSError) as error:
+                self.records.writes_to(UnavailableJournal(str(error)))
                 return
             for line in journal.told:
-                self._log.log("marks", line)
+                self._log.log("idempotency", line)
             self._scribe = Scribe(journal)
             self.records.writes_to(self._scribe)
             self.records.recover(entries, self._clock.now())
             return
 
-    # Behind submissions.
+    # Background jobs.
 
     def _step(self, now: int) -> None:
-        self._worker.later(self._writing, _BUSY if self.records.step(now) else _QUIET)
+        is_busy = self.records.step(now)
+        self._worker.later(self._write_job, _BUSY_INTERVAL_US if is_busy else _IDLE_INTERVAL_US)
 
-    def _ends(self, now: int) -> JobResult:
-        """Before this process goes: what the store and the disk take of it within the time there is."""
+    def _write_last(self, now: int) -> JobResult:
+        """Before the process ends: writes what the store and the disk take within the time that is left."""
         if self.records.last(now):
             return JobResult.MORE
         if self._scribe is None:
@@ -134,73 +147,85 @@
         self._scribe.stop()
         return JobResult.DONE if self._scribe.join(0) else JobResult.MORE
 
-    # What the stages call.
+    # Called by the admission.
+
+    def holds_back(self, context: RequestContext, now: int, accept: Callable[[int], None]) -> bool:
+        """Whether the request waits for the store.
 
-    def holds_back(self, context: RequestContext, now: int, onward: Callable[[int], None]) -> bool:
-        """Whether it is to be asked for; `onward` is called once it may be relayed, if it may."""
+        `accept` is called with the time once the store lets it pass, if it does.
+        """
         request = context.request
         self._waiting.add(request)
-        asked = self.records.ask(context, now, partial(self._told, request, onward))
-        if not asked:
+        is_asked = self.records.ask(context, now, partial(self._on_decision, request, accept))
+        if not is_asked:
             self._waiting.discard(request)
-        return asked
+        return is_asked
 
     def on_client_left(self, request: Request) -> bool:
-        """Its client has left, before the module has heard of it."""
+        """Whether the client has left before the policy has heard of the request; it ends here then."""
         if request not in self._waiting:
             return False
         self._waiting.discard(request)
         request.is_finished = True
         return True
 
-    def _told(self, request: Request, onward: Callable[[int], None], decision: Decision) -> None:
+    def _on_decision(self, request: Request, accept: Callable[[int], None], decision: Decision) -> None:
         if request not in self._waiting:
             return  # its client has left
         self._waiting.discard(request)
         if isinstance(decision, Deny | Abandon | Answer):
             request.is_finished = True
         if isinstance(decision, Deny):
-            self._book.reject(request, decision.come_back)
+            self._accounting.reject(request, decision.come_back)
         elif isinstance(decision, Abandon):
-            self._book.fail(request)
+            self._accounting.fail(request)
         elif isinstance(decision, Answer):
-            self._book.succeed(request, decision.result)
+            self._accounting.succeed(request, decision.result)
         else:
-            onward(self._clock.now())
+            accept(self._clock.now())
+
+    # Called by the later stages, as IdempotencyHooks describes.
 
     def may_send(self, request: Request) -> bool:
-        # Danger: a process that was stopped in the middle of a turn still holds the time from before.
+        """Whether an attempt may leave now."""
+        # Read anew: a process that was stopped in the middle of a turn still holds the time from before.
         return self.records.may_send(request, self._clock.now())
 
     def latest_send_us(self, request: Request) -> int | None:
-        """When nothing of it may leave any more; None: no mark sets a time."""
+        """From when on no attempt may leave any more; None where no record sets a time."""
         now = self._clock.now()
-        left = self.records.left(request, now)
-        return None if left is None else now + left
+        remaining_us = self.records.left(request, now)
+        return None if remaining_us is None else now + remaining_us
 
     def on_attempt_sent(self, request: Request) -> None:
+        """An attempt was handed to a connection."""
         self.records.sent(request, self._clock.now())
 
-    def on_attempt_finished(self, attempt: Attempt, ending: Outcome, now: int) -> None:
-        self.records.relay_ended(attempt.request, ending, now)
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, now: int) -> None:
+        """An attempt has its outcome; called before the request is answered."""
+        self.records.relay_ended(attempt.request, outcome, now)
 
     def on_request_finished(self, request: Request, how: str, result: bytes | None = None) -> None:
-        """Its final answer is out, or its client has left."""
+        """The request was answered, or its client has left."""
         self.records.ended(request, how, result, self._clock.now())
         if len(self.records.behind):
-            self._worker.later(self._writing, _BUSY)
+            self._worker.later(self._write_job, _BUSY_INTERVAL_US)
 
 
-class _Guard(ChainedRules):
-    """Nothing is sent, or crosses to another hall, for longer than its mark is ours."""
+class _RecordValidityRules(ChainedRules):
+    """Lets nothing be sent, or forwarded to another site, for longer than its record is this gateway's."""
 
-    def __init__(self, marks: Marks, gateway: PolicyController, now: Callable[[], int]) -> None:
-        super().__init__(gateway)
-        self._marks, self._now = marks, now
+    def __init__(self, records: Marks, controller: PolicyController, now: Callable[[], int]) -> None:
+        super().__init__(controller)
+        self._records = records
+        self._now = now
 
     def allows(self, request: Request, engine: Engine, now: int) -> bool:
-        left = self._marks.left(request, self._now())
-        # Danger: another hall relays it until its hard stop, and knows nothing of our intention's end.
-        if left is not None and left < (request.deadline_us - now if engine.forwarding is not None else 1):
+        """Whether the record outlasts what would be sent to this engine."""
+        remaining_us = self._records.left(request, self._now())
+        # Another site sends attempts until the request's deadline and knows nothing of the end of our record.
+        is_forwarding = engine.forwarding is not None
+        needed_us = request.deadline_us - now if is_forwarding else 1
+        if remaining_us is not None and remaining_us < needed_us:
             return False
         return super().allows(request, engine, now)
--- a/cresstray/pipeline/replica_reads.py
+++ b/cresstray/pipeline/replica_reads.py
@@ -1,4 +1,4 @@
-"""Beside the stages: hinted reads on their way, only where an operator's file asks for them."""
+"""Beside the stages: hinted reads of replicas, only where an operator's file asks for them."""
 
 from __future__ import annotations
 
@@ -9,80 +9,90 @@
 from cresstray.policy.types import Attempt, Engine, Request, RequestClass
 from cresstray.replicas.read import Read, Reads
 
-# Danger: engines come under new ids for days. Pins follow some that are gone: the zones of the last thousand.
-_MOST_GONE = 1000
+# Sticky reads refer to engines that were removed, and engines come under new ids for days. Their zones are
+# bounded.
+_MAX_REMOVED_ZONES = 1000
 
 
 class EngineDirectory:
-    """Engines by id and back. Rules and reads name engines by id, the module knows none.
+    """Engines by id and ids by engine: configuration and reads name engines by id, the policy knows no ids.
 
-    `zones`: the names of zones, by their number in the list of engines.
+    `zones` are the names of zones, by their number in the endpoint list.
     """
 
     def __init__(self, zones: Sequence[str]) -> None:
         self._zones = zones
         self.engines: dict[str, Engine] = {}
         self.ids: dict[Engine, str] = {}
-        self._gone: dict[str, int] = {}  # zones of those that were listed once
+        self._zone_of: dict[str, int] = {}  # of engines in use and of the last that were removed
 
     def apply_event(self, event: EndpointEvent, engines: Mapping[int, Engine]) -> None:
-        """After an event; `engines`: all that Route has then, by number."""
-        for member in event.endpoints:
-            engine, name = engines.get(member.id), f"s-{member.id:08x}"
+        """Follows an event; `engines` are all engines in use after it, by number."""
+        for endpoint in event.endpoints:
+            engine = engines.get(endpoint.id)
+            name = f"s-{endpoint.id:08x}"
             if engine is not None:
-                self.engines[name], self.ids[engine] = engine, name
-                self._gone.pop(name, None)
-                self._gone[name] = member.zone
+                self.engines[name] = engine
+                self.ids[engine] = name
+                self._zone_of.pop(name, None)  # so that the latest comes last
+                self._zone_of[name] = endpoint.zone
         if len(self.engines) > len(engines):
             for name in [name for name in self.engines if int(name[2:], 16) not in engines]:
                 del self.ids[self.engines.pop(name)]
-        spare = (name for name in list(self._gone) if name not in self.engines)
-        while len(self._gone) > len(self.engines) + _MOST_GONE:
-            del self._gone[next(spare)]
+        removed = (name for name in list(self._zone_of) if name not in self.engines)
+        while len(self._zone_of) > len(self.engines) + _MAX_REMOVED_ZONES:
+            del self._zone_of[next(removed)]
 
     def zone_of(self, name: str) -> str | None:
-        """The zone's name, also of one that is gone; None where it is unknown."""
-        zone = self._gone.get(name)
+        """Returns the name of an engine's zone, also of a removed engine; None where it is unknown."""
+        zone = self._zone_of.get(name)
         return self._zones[zone] if zone is not None and zone < len(self._zones) else None
 
     def cores(self, name: str) -> float:
-        """0 for one that is not listed."""
+        """Returns the engine's cores; 0 for one that is not listed."""
         engine = self.engines.get(name)
-        return engine.limiter.cores if engine is not None and engine.limiter is not None else 0.0
+        if engine is None or engine.limiter is None:
+            return 0.0
+        return float(engine.limiter.cores)
 
     def is_full(self, name: str, request: Request, now: int) -> bool:
-        """Whether its limit lets no such work onto it now."""
+        """Whether the engine's limit has no permit for the request now; True for one not listed."""
         engine = self.engines.get(name)
         return engine is None or engine.limiter is None or not engine.limiter.permits(request, now)
 
 
 class ReplicaReads:
+    """Follows hinted reads through the pipeline: which replica they were sent to and what it reported."""
+
     def __init__(self, reads: Reads, directory: EngineDirectory) -> None:
-        self.reads, self.directory = reads, directory
+        self.reads = reads
+        self.directory = directory
 
     def parse_hint(self, statement: str, query: Query, request_class: RequestClass, now: int) -> Read | None:
-        """The hint of a statement that a client asks for here; HintError where it can't be followed."""
+        """Returns the read that a statement's hint asks for, None without a hint.
+
+        Raises:
+            HintError: the hint cannot be followed.
+        """
         return self.reads.hint(statement, request_class, now, query.class_name, query.tenant)
 
-    def attach(self, request: Request, read: Read | None) -> None:
+    def attach(self, request: Request, read: Read) -> None:
+        """Joins a request and its hinted read."""
         request.replica_read = read
-        if read is not None:
-            read.submission = request
+        read.submission = request
 
     def on_attempt_sent(self, attempt: Attempt, now: int) -> None:
-        """As it goes out, at the moment at which the module chose its engine."""
-        read, name = attempt.request.replica_read, self.directory.ids.get(attempt.engine)
+        """An attempt is handed on; `now` is the moment at which the policy chose its engine."""
+        read = attempt.request.replica_read
+        name = self.directory.ids.get(attempt.engine)
         if read is not None and name is not None:
             read.sent(name, now)
 
     def on_attempt_finished(self, attempt: Attempt, report: Mapping[str, float] | None, now: int) -> None:
-        """Each relay that ends, before an answer goes out."""
-        name, read = self.directory.ids.get(attempt.engine), attempt.request.replica_read
+        """Any attempt has its outcome; called before its request is answered."""
+        name = self.directory.ids.get(attempt.engine)
+        read = attempt.request.replica_read
         if name is not None and report:
             self.reads.heard(name, report, attempt.sent_us, now)
         if read is not None:
             read.came_back(report or {}, now - attempt.sent_us, now)
-
-    def position_of(self, request: Request) -> str | None:
-        """For the answer of a hinted read."""
-        return request.replica_read.at() if request.replica_read is not None else None
--- a/cresstray/pipeline/request_context.py
+++ b/cresstray/pipeline/request_context.py
@@ -1,15 +1,17 @@
-"""What the stages hand each other: a submission with all that the module need not know of it."""
+"""The types that the stages of the pipeline hand each other."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Protocol
+from typing import Any, Protocol
 
-from cresstray.policy.types import Outcome, Request
+from cresstray.clock import TimerHandle
+from cresstray.engines.result_pages import ResultPages
+from cresstray.policy.types import Attempt, Outcome, Request
 
 
 class Query(Protocol):
-    """What was asked, whatever protocol it came by. Times in milliseconds."""
+    """A decoded query of a client or of another site, whatever protocol it arrived by."""
 
     name: str
     class_name: str
@@ -22,29 +24,98 @@
 
 
 class Responder(Protocol):
-    """Who asked. Each submission gets one answer at most; `open` holds those that are owed one."""
+    """Where a request came from and where its answer goes: a client's session, or a link from another site.
 
-    open: dict[int, object]
+    Each request gets one answer at most. `open` maps the numbers of requests that are owed an answer to their
+    RequestContext.
+    """
+
+    open: dict[int, Any]
+
+    def succeed(self, number: int, result: bytes, at: str | None = None, /) -> None:
+        """Sends the result; `at` is the replica position that a hinted read was served at."""
+
+    def reject(self, number: int, retry_after_us: int, /) -> None:
+        """Says that the request never ran to its end and when to retry it."""
+
+    def fail(self, number: int, /) -> None:
+        """Says that the request failed and may have run."""
+
+    def reject_malformed(self, number: int | None, text: str, /) -> None:
+        """Says why the request is not accepted; it was never opened."""
 
-    def succeed(self, number: int, result: bytes, at: str | None = None) -> None: ...
-    def reject(self, number: int, come_back: int) -> None: ...
-    def fail(self, number: int) -> None: ...
-    def reject_malformed(self, number: int | None, text: str) -> None: ...
     def has_disconnected(self) -> bool:
-        """Whether it has gone, even if that was not read yet; may cost a system call."""
+        """Whether the client has gone, even if that was not read yet; may cost a system call."""
+
+    # The next two are called for requests that were forwarded in from another site only.
+
+    def on_attempt_sent(self, number: int, /) -> None:
+        """Tells the other site that the request has left for an engine."""
 
-    # Of an asker in another hall only: its submissions are foreign.
-    def on_attempt_sent(self, number: int) -> None: ...
-    def on_attempt_finished(self, number: int, ending: Outcome) -> None: ...
+    def on_attempt_finished(self, number: int, outcome: Outcome, /) -> None:
+        """Tells the other site how the request's attempt ended."""
 
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """One submission on its way."""
+    """One request on its way through the pipeline."""
 
     responder: Responder
     number: int
     query: Query
     request: Request
-    is_answered: bool = False  # or no longer owed an answer
+    is_answered: bool = False  # also True once its client has left and no answer is owed
     result: bytes | None = None
+
+
+class AttemptConnection(Protocol):
+    """What carries an attempt: a connection to an engine, or a link to another site."""
+
+    def send(self, message: bytes, /) -> None:
+        """Sends a further message for an attempt that was started."""
+
+    def finish(self, in_flight: Any, /) -> None:
+        """Forgets an attempt to which no further answer is expected."""
+
+    def abandon(self, in_flight: Any, /) -> bool:
+        """Cancels an attempt; False if it may go on running until the other side has confirmed."""
+
+
+class AttemptInFlight(Protocol):
+    """An attempt that was handed to a connection and has no outcome yet.
+
+    The packages of engines and sites carry these without knowing the policy's types; the pipeline makes
+    each of them and casts what it gets back to this view.
+    """
+
+    attempt: Attempt
+    connection: AttemptConnection | None
+    is_written: bool  # whether any of its bytes may have left
+    timeout: TimerHandle  # set before the attempt is handed to its connection
+
+
+class EngineAttemptInFlight(AttemptInFlight, Protocol):
+    """An attempt in flight on a connection to an engine of this site."""
+
+    name: bytes
+    pages: ResultPages | None
+    latest_send_us: int | None
+
+
+class IdempotencyHooks(Protocol):
+    """What the stages call where idempotency records are kept in a store."""
+
+    def may_send(self, request: Request) -> bool:
+        """Whether an attempt may leave now."""
+
+    def latest_send_us(self, request: Request) -> int | None:
+        """From when on no attempt may leave any more; None where no record sets a time."""
+
+    def on_attempt_sent(self, request: Request) -> None:
+        """An attempt was handed to a connection."""
+
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, now: int, /) -> None:
+        """An attempt has its outcome; called before the request is answered."""
+
+    def on_request_finished(self, request: Request, how: str, result: bytes | None = None) -> None:
+        """The request was answered, or its client has left."""
--- a/cresstray/pipeline/response.py
+++ b/cresstray/pipeline/response.py
@@ -1,8 +1,8 @@
-"""Fifth stage, on the way back: an engine's answers become the one ending of a relay."""
+"""Fifth stage: an engine's answers become the one outcome of an attempt."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 from cresstray.clock import Clock
 from cresstray.engines import codec
@@ -10,17 +10,22 @@
 from cresstray.engines.result_pages import ResultPages
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.accounting import RequestAccounting
+from cresstray.pipeline.request_context import (
+    AttemptConnection,
+    AttemptInFlight,
+    EngineAttemptInFlight,
+    IdempotencyHooks,
+)
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.types import Attempt, EndpointState, Outcome, Request
 
 if TYPE_CHECKING:
     from cresstray.membership.recovery import Keep
-    from cresstray.pipeline.idempotency_checks import IdempotencyChecks
     from cresstray.pipeline.replica_reads import ReplicaReads
 
-# A client is asked again whether it is there for what came longer ago; what is sent at once costs no call.
-_FRESH = 20_000
-_ENDINGS = {
+# A request that arrived longer ago may have lost its client. What is sent at once costs no system call.
+_CLIENT_CHECK_AGE_US = 20_000
+_OUTCOME_OF_ANSWER = {
     b"overload": Outcome.OVERLOADED,
     b"crashed": Outcome.FAILED,
     b"nobody": Outcome.EXPIRED_BEFORE_SEND,
@@ -28,111 +33,145 @@
 
 
 class ResponseHandler:
-    """The keeper of all exchanges with engines."""
-
-    def __init__(self, clock: Clock, counters: Counters, book: RequestAccounting) -> None:
-        self._clock, self._counters, self._book = clock, counters, book
-        self.controller: PolicyController | None = None
-        self.replica_reads: ReplicaReads | None = None  # where the fleet's rules place shards
-        self.membership: Keep | None = None  # where a list is kept on disk
-        self.idempotency: IdempotencyChecks | None = None  # where marks are kept in a store
-        self.in_flight: dict[Attempt, InFlightRequest] = {}
-        self._reports: dict[Attempt, dict[str, float]] = {}  # told with a first page, for the relay's end
-
-    def on_answer(self, exchange: InFlightRequest, answer: codec.Answer) -> bool:
-        """Whether it belongs to what is still awaited."""
-        attempt = exchange.attempt
-        if answer.kind == b"served" and exchange.pages is None:
-            exchange.pages = ResultPages(answer.pages, answer.body)
-            self._reports[attempt] = answer.report
-            if answer.pages > 1:
-                # All at once: a round trip for each would hold the permit and the client that much longer.
-                exchange.connection.send(codec.next_pages(exchange.name, answer.pages))
-        elif answer.kind == b"rows" and exchange.pages is not None:
-            if not exchange.pages.add(answer.page, answer.body):
+    """Owns the attempts in flight and listens to the connections to engines.
+
+    Guarantees one outcome to each attempt in flight. Where that is a result, the client is answered before
+    the policy hears of the outcome.
+    """
+
+    # Set by the composition root before the first request: the policy is made with the port, which needs
+    # this stage.
+    controller: PolicyController
+
+    def __init__(self, clock: Clock, counters: Counters, accounting: RequestAccounting) -> None:
+        self._clock = clock
+        self._counters = counters
+        self._accounting = accounting
+        self.replica_reads: ReplicaReads | None = None  # set where fleet configuration places replicas
+        self.membership: Keep | None = None  # set where the endpoint list is persisted
+        self.idempotency: IdempotencyHooks | None = None  # set where idempotency records are kept in a store
+        self.in_flight: dict[Attempt, AttemptInFlight] = {}
+        self._reports: dict[
+            Attempt, dict[str, float]
+        ] = {}  # load reports of first pages, until the last page
+
+    def on_answer(self, request_in_flight: InFlightRequest, answer: codec.Answer) -> bool:
+        """Takes an answer of an engine; returns False if nothing in flight awaits such an answer."""
+        in_flight = cast(EngineAttemptInFlight, request_in_flight)
+        connection = cast(AttemptConnection, in_flight.connection)
+        pages = in_flight.pages
+        if answer.kind == b"served" and pages is None:
+            pages = self._on_first_page(in_flight, connection, answer)
+        elif answer.kind == b"rows" and pages is not None:
+            if not pages.add(answer.page, answer.body):
                 return False
-        elif answer.kind in _ENDINGS and not (exchange.pages and answer.kind != b"crashed"):
-            if exchange.pages is None:
-                exchange.connection.finish(exchange)
+        elif answer.kind in _OUTCOME_OF_ANSWER and (pages is None or answer.kind == b"crashed"):
+            if pages is None:
+                connection.finish(in_flight)
             else:
-                exchange.connection.abandon(exchange)  # answers to the other pages may still come
-            self.finish_attempt(exchange, _ENDINGS[answer.kind], answer.report)
+                connection.abandon(in_flight)  # answers to the other pages may still arrive
+            self.finish_attempt(in_flight, _OUTCOME_OF_ANSWER[answer.kind], answer.report)
             return True
         else:
             return False
-        result = exchange.pages.assemble()
+        result = pages.assemble()
         if result is not None:
-            exchange.connection.finish(exchange)
-            self.finish_attempt(exchange, Outcome.SUCCEEDED, self._reports[attempt], result)
+            connection.finish(in_flight)
+            self.finish_attempt(in_flight, Outcome.SUCCEEDED, self._reports[in_flight.attempt], result)
         return True
 
-    def on_unreachable(self, exchange: InFlightRequest) -> None:
-        self.finish_attempt(exchange, Outcome.UNREACHABLE)
-
-    def on_connection_lost(self, exchange: InFlightRequest, spoilt: bool) -> None:
-        # Danger: part of its bytes may have gone out; it may have run.
-        self.finish_attempt(exchange, Outcome.PROTOCOL_ERROR if spoilt else Outcome.CONNECTION_LOST)
-
-    def may_send(self, exchange: InFlightRequest) -> bool:
-        """Whether what was decided when it was handed over still holds."""
-        attempt = exchange.attempt
-        if (
-            attempt.request.is_finished
-            or attempt.cancel_requested
-            or attempt.engine.state is not EndpointState.READY
-        ):
+    def _on_first_page(
+        self, in_flight: EngineAttemptInFlight, connection: AttemptConnection, answer: codec.Answer
+    ) -> ResultPages:
+        in_flight.pages = pages = ResultPages(answer.pages, answer.body)
+        self._reports[in_flight.attempt] = answer.report
+        if answer.pages > 1:
+            # All at once: a round trip for each page would hold the permit and the client that much longer.
+            connection.send(codec.next_pages(in_flight.name, answer.pages))
+        return pages
+
+    def on_unreachable(self, request_in_flight: InFlightRequest) -> None:
+        """No connection to the engine could be established; nothing was sent."""
+        self.finish_attempt(cast(EngineAttemptInFlight, request_in_flight), Outcome.UNREACHABLE)
+
+    def on_connection_lost(self, request_in_flight: InFlightRequest, spoilt: bool) -> None:
+        """Its connection has ended after part of it may have left: it may have run.
+
+        `spoilt`: the gateway ended the connection for an answer that violates the protocol.
+        """
+        outcome = Outcome.PROTOCOL_ERROR if spoilt else Outcome.CONNECTION_LOST
+        self.finish_attempt(cast(EngineAttemptInFlight, request_in_flight), outcome)
+
+    def may_send(self, request_in_flight: InFlightRequest) -> bool:
+        """Whether the decision to send still holds as the first bytes are about to leave."""
+        in_flight = cast(EngineAttemptInFlight, request_in_flight)
+        attempt = in_flight.attempt
+        if attempt.request.is_finished or attempt.cancel_requested:
+            return False
+        if attempt.engine.state is not EndpointState.READY:
             return False
-        over = exchange.latest_send_us is not None and self._clock.now() >= exchange.latest_send_us
-        return not over and not self.has_client_left(attempt.request)
+        latest_send_us = in_flight.latest_send_us
+        is_too_late = latest_send_us is not None and self._clock.now() >= latest_send_us
+        return not is_too_late and not self.has_client_left(attempt.request)
 
-    def on_sent(self, exchange: InFlightRequest) -> None:
-        self.controller.on_attempt_sent(exchange.attempt, self._clock.now())
+    def on_sent(self, request_in_flight: InFlightRequest) -> None:
+        """The first bytes of the attempt have left."""
+        in_flight = cast(EngineAttemptInFlight, request_in_flight)
+        self.controller.on_attempt_sent(in_flight.attempt, self._clock.now())
 
     def has_client_left(self, request: Request) -> bool:
-        """Whether it has gone, before its connection was read that far."""
-        if self._clock.now() - request.arrived_us < _FRESH:
+        """Whether the client has gone, even if its connection was not read that far."""
+        if self._clock.now() - request.arrived_us < _CLIENT_CHECK_AGE_US:
             return False
-        context = self._book.open.get(request)
+        context = self._accounting.open.get(request)
         return context is not None and not context.is_answered and context.responder.has_disconnected()
 
-    def on_unsent(self, exchange: InFlightRequest) -> None:
-        """Nothing of it has left, and nothing may any more."""
-        request = exchange.attempt.request
+    def on_unsent(self, request_in_flight: InFlightRequest) -> None:
+        """Nothing of the attempt has left, and nothing may any more."""
+        in_flight = cast(EngineAttemptInFlight, request_in_flight)
+        request = in_flight.attempt.request
         if self.has_client_left(request):
-            self._book.on_client_left(self._book.open[request])
+            self._accounting.on_client_left(self._accounting.open[request])
             self.controller.on_client_cancelled(request, self._clock.now())
-        self.finish_attempt(exchange, Outcome.EXPIRED_BEFORE_SEND)
+        self.finish_attempt(in_flight, Outcome.EXPIRED_BEFORE_SEND)
 
     def finish_attempt(
         self,
-        exchange: InFlightRequest,
-        ending: Outcome,
+        in_flight: AttemptInFlight,
+        outcome: Outcome,
         report: dict[str, float] | None = None,
         result: bytes | None = None,
-        travel: int = 0,
+        travel_us: int = 0,
     ) -> None:
-        """Books the ending, answers the client if that was the result, and tells the module.
+        """Accounts for the outcome, answers the client if it is a result, and then tells the policy.
 
-        `travel`: microseconds between halls, which say nothing about how long the work takes.
+        `report` is the engine's load report. `travel_us`: time between sites, which says nothing about how
+        long the work takes.
         """
-        attempt, request, now = exchange.attempt, exchange.attempt.request, self._clock.now()
-        exchange.timeout.cancel()
+        attempt = in_flight.attempt
+        request = attempt.request
+        now = self._clock.now()
+        in_flight.timeout.cancel()
         del self.in_flight[attempt]
         self._reports.pop(attempt, None)
-        self._book.count_attempt(ending)
-        if request.is_forwarded_in:
-            self._book.notify_remote(request, ending)
+        self._accounting.count_attempt(outcome)
+        self._notify_collaborators(attempt, outcome, report, now)
+        is_over = request.is_finished
+        if outcome is Outcome.SUCCEEDED and not is_over:
+            self._accounting.succeed(request, cast(bytes, result))  # comes with each success
+            is_over = True
+        latency_us = now - attempt.sent_us - travel_us
+        self.controller.on_attempt_finished(attempt, outcome, latency_us, is_over, report or {}, now)
+        self._accounting.release(request)
+
+    def _notify_collaborators(
+        self, attempt: Attempt, outcome: Outcome, report: dict[str, float] | None, now: int
+    ) -> None:
+        if attempt.request.is_forwarded_in:
+            self._accounting.notify_remote(attempt.request, outcome)
         if self.replica_reads is not None:
             self.replica_reads.on_attempt_finished(attempt, report, now)
         if self.membership is not None:
-            self.membership.ended(attempt, ending, now)
+            self.membership.ended(attempt, outcome, now)
         if self.idempotency is not None:
-            self.idempotency.on_attempt_finished(attempt, ending, now)
-        no_more = request.is_finished
-        if ending is Outcome.SUCCEEDED and not no_more:
-            self._book.succeed(request, result)
-            no_more = True
-        self.controller.on_attempt_finished(
-            attempt, ending, now - attempt.sent_us - travel, no_more, report or {}, now
-        )
-        self._book.release(request)
+            self.idempotency.on_attempt_finished(attempt, outcome, now)
--- a/cresstray/pipeline/routing.py
+++ b/cresstray/pipeline/routing.py
@@ -1,4 +1,4 @@
-"""Third stage: the engine that the module chose becomes the links to it."""
+"""Third stage: the engine that the policy chose becomes the connections to it."""
 
 from __future__ import annotations
 
@@ -9,104 +9,136 @@
 from cresstray.discovery.resolver import AddressResolver, Place
 from cresstray.engines.connection import SocketConnectionPool
 from cresstray.pipeline.dispatch import Dispatcher
-from cresstray.policy.types import Attempt, EndpointState, Engine
+from cresstray.pipeline.request_context import RequestContext
+from cresstray.policy.types import Attempt, EndpointState, Engine, Request
 
-if TYPE_CHECKING:  # a gateway without links loads none of it
+if TYPE_CHECKING:  # a gateway without links to other sites loads none of it
     from cresstray.pipeline.forwarding import Forwarder
     from cresstray.pipeline.replica_reads import ReplicaReads
 
+# Instance type, zone, cell, start in microseconds and state: what the policy takes of an endpoint.
+EngineEntry = tuple[int, int, int, int, EndpointState]
+
 
 class Router:
+    """Owns the engines of the endpoint list and one connection pool to each.
+
+    Guarantees that nothing is sent to an engine by an address that another engine has taken over.
+    """
+
     def __init__(
-        self, make_pool: Callable[[str, tuple[str, int]], SocketConnectionPool], onward: Dispatcher
+        self,
+        make_pool: Callable[[str, tuple[str, int]], SocketConnectionPool],
+        dispatcher: Dispatcher,
     ) -> None:
-        self._make_pool, self._onward = make_pool, onward
-        self.forwarder: Forwarder | None = None  # where there are links to other halls
-        self.replica_reads: ReplicaReads | None = None  # where there are rules of a fleet
+        self._make_pool = make_pool
+        self._dispatcher = dispatcher
+        self.forwarder: Forwarder | None = None  # set where there are links to other sites
+        self.replica_reads: ReplicaReads | None = None  # set where fleet configuration places replicas
         self._engines: dict[int, Engine] = {}
         self._pools: dict[Engine, SocketConnectionPool] = {}
         self._addresses = AddressResolver()
-        self._retired: list[SocketConnectionPool] = []  # since `recall`
+        self._retired: list[SocketConnectionPool] = []  # since the last `cancel_unsent`
 
     @property
     def engines(self) -> Mapping[int, Engine]:
-        """By the coordinator's ids."""
+        """The engines in use, by the coordinator's ids."""
         return self._engines
 
-    def route(self, attempt: Attempt, statement_of: Mapping, patience: int) -> None:
+    def route(self, attempt: Attempt, contexts: Mapping[Request, RequestContext], timeout_us: int) -> None:
+        """Sends the attempt to the engine, or the other site, that the policy chose."""
+        context = contexts[attempt.request]
         if attempt.engine.forwarding is not None:
-            self.forwarder.send(attempt, statement_of[attempt.request], patience)
+            assert self.forwarder is not None, "an engine of another site has a link"
+            self.forwarder.send(attempt, context, timeout_us)
             return
         if self.replica_reads is not None:
             self.replica_reads.on_attempt_sent(attempt, attempt.sent_us)
-        self._onward.send(attempt, statement_of[attempt.request], self._pools[attempt.engine], patience)
+        self._dispatcher.send(attempt, context, self._pools[attempt.engine], timeout_us)
 
-    def apply_event(self, event: EndpointEvent) -> list[tuple[Engine, tuple]]:
-        """The entries of an event as the module takes them; new engines get links, moved ones new ones.
+    def apply_event(self, event: EndpointEvent) -> list[tuple[Engine, EngineEntry]]:
+        """Makes, moves and retires connection pools; returns the event as the policy takes it.
 
-        Once the module has been told, `recall` is to be called.
+        Once the policy has been told, `cancel_unsent` is to be called.
         """
-        members, lost = self._addresses.resolve(event, self._places())
-        entries = []
-        for member in members:
-            engine = self._engine(member)
-            if engine is not None:
-                entry = (member.instance_type, member.zone, member.cell, member.started_us, member.state)
-                entries.append((engine, entry))
-        # Danger: an address has gone to another engine, and the one before is not told gone. What is sent to
-        # that one would reach the new one, which may be cold: it counts as gone.
-        for engine in [self._engines[number] for number in lost if number in self._engines]:
-            entry = (engine.instance_type, engine.zone, engine.cell, engine.started_us, EndpointState.REMOVED)
-            entries.append((engine, entry))
-        for engine, (*_, standing) in entries:
-            # Danger: should the module's hearing of it fail, it must not choose what has no links any more.
-            if standing is EndpointState.REMOVED:
-                engine.state = standing
-        for number in self._gone(event, members, lost):
-            # Danger: engines come under new ids for days. What is out on one that is gone still comes back on
-            # its old links, which know what they need; here it is forgotten.
-            engine = self._engines.pop(number, None)
-            if engine is not None:
-                self._retired.append(self._pools[engine])
-                self._pools.pop(engine).retire()
+        endpoints, lost_ids = self._addresses.resolve(event, self._places())
+        entries = self._entries(endpoints, lost_ids)
+        for engine, entry in entries:
+            state = entry[-1]
+            # At once: should telling the policy fail, it must not choose an engine that has no pool any more.
+            if state is EndpointState.REMOVED:
+                engine.state = state
+        for engine_id in self._removed_ids(event, endpoints, lost_ids):
+            # An attempt in flight on a removed engine still comes back by its connection, which knows what
+            # it needs. Engines come under new ids for days, so here they are forgotten.
+            removed = self._engines.pop(engine_id, None)
+            if removed is not None:
+                self._retired.append(self._pools[removed])
+                self._pools.pop(removed).retire()
         if self.replica_reads is not None:
             self.replica_reads.directory.apply_event(event, self._engines)
         return entries
 
-    def _engine(self, member: Endpoint) -> Engine | None:
-        """The engine of this record, with links to where it is now; None for one long gone."""
-        engine, gone = self._engines.get(member.id), member.state is EndpointState.REMOVED
-        address = (member.host, member.port)
+    def _entries(
+        self, endpoints: Iterable[Endpoint], lost_ids: Iterable[int]
+    ) -> list[tuple[Engine, EngineEntry]]:
+        entries: list[tuple[Engine, EngineEntry]] = []
+        for endpoint in endpoints:
+            engine = self._engine(endpoint)
+            if engine is not None:
+                entries.append((engine, _entry(endpoint, endpoint.state)))
+        # An address has gone to another engine, and its former engine was not reported as removed. What is
+        # sent to the former one would reach the new one, which may be warming up: the former one counts as
+        # removed.
+        for engine in [self._engines[number] for number in lost_ids if number in self._engines]:
+            entries.append((engine, _entry(engine, EndpointState.REMOVED)))
+        return entries
+
+    def _engine(self, endpoint: Endpoint) -> Engine | None:
+        """Returns the endpoint's engine, with a pool to where it is now; None for one removed before."""
+        engine = self._engines.get(endpoint.id)
+        is_removed = endpoint.state is EndpointState.REMOVED
+        address = (endpoint.host, endpoint.port)
         if engine is None:
-            if gone:
-                return None  # a late word on one that was forgotten
-            engine = self._engines[member.id] = Engine()
-            self._pools[engine] = self._make_pool(f"engine s-{member.id:08x}", address)
-        elif not gone and (self._pools[engine].address != address or member.started_us > engine.started_us):
-            self._pools[engine].move(address)
+            if is_removed:
+                return None
+            engine = self._engines[endpoint.id] = Engine()
+            self._pools[engine] = self._make_pool(f"engine s-{endpoint.id:08x}", address)
+        elif not is_removed:
+            has_moved = self._pools[engine].address != address
+            if has_moved or endpoint.started_us > engine.started_us:
+                self._pools[engine].move(address)
         return engine
 
-    def _gone(self, event: EndpointEvent, members: Iterable[Endpoint], lost: Iterable[int]) -> list[int]:
+    def _removed_ids(
+        self, event: EndpointEvent, endpoints: Iterable[Endpoint], lost_ids: Iterable[int]
+    ) -> list[int]:
         if event.is_complete:
-            used = {member.id for member in members if member.state is not EndpointState.REMOVED}
-            return [number for number in self._engines if number not in used]
-        return [member.id for member in members if member.state is EndpointState.REMOVED] + list(lost)
+            used = {endpoint.id for endpoint in endpoints if endpoint.state is not EndpointState.REMOVED}
+            return [engine_id for engine_id in self._engines if engine_id not in used]
+        removed = [endpoint.id for endpoint in endpoints if endpoint.state is EndpointState.REMOVED]
+        return removed + list(lost_ids)
 
     def cancel_unsent(self, event: EndpointEvent) -> None:
-        """After the module has heard of `event`: what has not left yet, and may not any more, never ran.
+        """Ends attempts that wait for a connection to an engine that is draining or removed, as never sent.
 
-        That is what waits for links to engines that drain or are gone.
+        Called after the policy has heard of the event.
         """
-        for member in event.endpoints:
-            engine = self._engines.get(member.id)
+        for endpoint in event.endpoints:
+            engine = self._engines.get(endpoint.id)
             if engine is not None and engine.state is not EndpointState.READY:
                 self._retired.append(self._pools[engine])
-        pools, self._retired = self._retired, []
+        pools = self._retired
+        self._retired = []
         for pool in pools:
             pool.cancel_unwritten()
 
     def _places(self) -> dict[int, Place]:
         return {
-            number: (self._pools[engine].address, engine.started_us)
-            for number, engine in self._engines.items()
+            engine_id: (self._pools[engine].address, engine.started_us)
+            for engine_id, engine in self._engines.items()
         }
+
+
+def _entry(described: Endpoint | Engine, state: EndpointState) -> EngineEntry:
+    return (described.instance_type, described.zone, described.cell, described.started_us, state)
