--- /dev/null
+++ b/cresstray/gateway/composition.py
@@ -0,0 +1,292 @@
+"""Composition root: makes all parts of one gateway and joins them.
+
+Optional parts are imported only where the operator's file asks for them: the platform may give a process 32
+MB.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import random
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any, cast
+
+from anyio.abc import TaskGroup
+
+from cresstray.clients.listener import Listener
+from cresstray.clock import Clock, Timers
+from cresstray.discovery.watch import EndpointWatch
+from cresstray.engines.connection import DescriptorQuota, SocketConnectionPool
+from cresstray.gateway.endpoint_updates import EndpointUpdates
+from cresstray.observability.counters import Counters
+from cresstray.observability.log import Log
+from cresstray.pipeline.accounting import RequestAccounting
+from cresstray.pipeline.admission import Admission
+from cresstray.pipeline.dispatch import Dispatcher
+from cresstray.pipeline.ingress import Ingress
+from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.response import ResponseHandler
+from cresstray.pipeline.routing import Router
+from cresstray.policy.controller import PolicyController
+from cresstray.transport.streams import tell_fault
+
+if TYPE_CHECKING:
+    from cresstray.background.worker import Worker
+    from cresstray.clients.session import RequestHandler
+    from cresstray.config.fleet import Fleet
+    from cresstray.config.idempotency import Store
+    from cresstray.config.operator import Halls, Operator
+    from cresstray.gateway.fleet_member import FleetMember
+    from cresstray.gateway.membership_jobs import MembershipJobs
+    from cresstray.membership.recovery import Keep
+    from cresstray.pipeline.idempotency_checks import IdempotencyChecks
+    from cresstray.sites.inbound import Front
+    from cresstray.sites.links import Hub
+
+# In overload more than 64 connections to engines cost half as much CPU again; on other days no more are
+# needed.
+_MAX_RESERVED_FOR_ENGINES = 64
+# Descriptors beside those of clients and engines: signals, the endpoint watch, the log, the event loop.
+_MIN_OTHER_DESCRIPTORS = 20
+_MAX_OTHER_DESCRIPTORS = 64
+
+
+class DescriptorPlan:
+    """Shares the process's file descriptors out among clients, engines and everything else.
+
+    Common clients hold a third at most: a half is theirs, and what connections to engines leave. A
+    connection to each of hundreds of engines finds room in the other half.
+    """
+
+    def __init__(self, descriptors: int) -> None:
+        self._descriptors = descriptors
+        others = min(descriptors // 8, _MAX_OTHER_DESCRIPTORS)
+        self._others = max(others, min(descriptors // 4, _MIN_OTHER_DESCRIPTORS))
+        self._reserved = min(descriptors // 4, _MAX_RESERVED_FOR_ENGINES)
+        self.engine_quota = DescriptorQuota(
+            self._reserved, max(self._reserved, descriptors // 2 - self._others)
+        )
+        self.many_clients = descriptors // 4
+
+    def max_clients(self) -> int:
+        """Returns how many clients may be connected now."""
+        return self._descriptors - self._others - max(self._reserved, self.engine_quota.used)
+
+
+class GatewayParts:
+    """All parts of one gateway.
+
+    Parts are made in the order of their dependencies, and rules of the policy are chained in the order fleet
+    configuration, membership, idempotency: each asks the one before it as well.
+    """
+
+    tasks: TaskGroup  # set by the service as it starts to run
+
+    def __init__(
+        self,
+        name: str,
+        seed: int,
+        settings: Mapping[str, Any],
+        coordinator: str | None,
+        last_event_index: int,
+        descriptors: int,
+        operator: Operator | None,
+    ) -> None:
+        self.settings = settings
+        self._seed = seed
+        fleet = operator.fleet if operator and operator.fleet and operator.fleet.member else None
+        store = operator.store if operator else None
+        sites = operator.halls if operator else None
+        folder = operator.kept.folder if operator and operator.kept else None
+        # Leases, of a name in the fleet or of an idempotency record, go on expiring while the machine sleeps.
+        self.clock = Clock(sleeps=fleet is not None or store is not None)
+        self.counters = Counters()
+        self.log = Log(name, self.clock)
+        self.timers = Timers(self.clock, self._on_timer_fault)
+        if sites:
+            from cresstray.sites.routing import AHEAD
+
+            settings = {**settings, "CrossingAhead": AHEAD / 1000}
+        self._make_pipeline(settings)
+        self._make_listener(settings, descriptors)
+        has_optional_part = any(part is not None for part in (sites, fleet, folder, store))
+        self.worker = self._make_worker() if has_optional_part else None
+        self.links = self._make_links(sites) if sites else None
+        self.fleet_member = self._make_fleet_member(fleet, settings) if fleet else None
+        self.endpoint_updates = EndpointUpdates(self.clock, self.router, self.controller)
+        self.watch = EndpointWatch(
+            coordinator,
+            last_event_index,
+            self.endpoint_updates.on_event,
+            self.counters,
+            self.log,
+            self.controller.random,
+        )
+        self.membership = self._make_membership(name, folder, settings) if folder is not None else None
+        self.membership_jobs = self._make_membership_jobs(self.membership) if self.membership else None
+        self.idempotency = self._make_idempotency(name, store, settings) if store else None
+
+    def _make_pipeline(self, settings: Mapping[str, Any]) -> None:
+        self.accounting = RequestAccounting(self.counters)
+        self.responses = ResponseHandler(self.clock, self.counters, self.accounting)
+        self.dispatcher = Dispatcher(self.clock, self.timers, self.counters, self.responses)
+        self.router = Router(self._make_pool, self.dispatcher)
+        port = SocketPort(self.router, self.dispatcher, self.accounting, self.timers, self.counters, self.log)
+        self.controller = PolicyController(port, settings, self._seed, self.clock.now())
+        self.admission = Admission(self.accounting)
+        self.responses.controller = self.controller
+        self.admission.controller = self.controller
+        self.ingress = Ingress(settings, self.controller.request_classes, self.clock, self.admission)
+
+    def _make_listener(self, settings: Mapping[str, Any], descriptors: int) -> None:
+        class_names = frozenset(service["Name"] for service in settings.get("Services", []))
+        plan = DescriptorPlan(descriptors)
+        self._engine_quota = plan.engine_quota
+        self.listener = Listener(
+            class_names,
+            cast("RequestHandler", self.ingress),  # its sessions are responders
+            plan.max_clients,
+            plan.many_clients,
+            self.clock.now,
+            self.counters,
+            self.log,
+        )
+
+    def _on_timer_fault(self, error: Exception) -> None:
+        tell_fault("a call that was due", error, self.counters, self.log)
+
+    def _make_pool(self, label: str, address: tuple[str, int]) -> SocketConnectionPool:
+        return SocketConnectionPool(
+            label,
+            address,
+            self.settings,
+            self._engine_quota,
+            self.tasks,
+            self.timers,
+            self.clock.now,
+            self.counters,
+            self.log,
+        )
+
+    def _chance_seed(self) -> str:
+        # Seeds are new with each start; the clock parts two starts that an operator gave the same seed.
+        return f"{self._seed}{self.clock.now()}"
+
+    def _require_worker(self) -> Worker:
+        assert self.worker is not None, "each optional part comes with a worker"
+        return self.worker
+
+    def _make_worker(self) -> Worker:
+        from cresstray.background import schedule, worker
+
+        chance = random.Random(self._chance_seed()).random
+        return worker.Worker(
+            schedule.Schedule(chance, worker.TICK, worker.BUDGET),
+            self.timers,
+            self.clock,
+            self.counters,
+            self.log,
+        )
+
+    def _make_links(self, sites: Halls) -> Hub:
+        from cresstray.pipeline.forwarding import Forwarder
+        from cresstray.sites.links import Hub
+
+        forwarder = self.router.forwarder = Forwarder(
+            self.clock, self.timers, self.counters, self.responses, self.dispatcher
+        )
+        # The clock parts two starts that an operator gave the same seed.
+        incarnation = f"{self._seed & 0xFFFFFFFF:08x}{self.clock.now():014x}"
+        links = Hub(
+            sites,
+            incarnation,
+            self._seed,
+            cast("Front", self.ingress),  # its ends of links are responders
+            forwarder,
+            lambda: self.controller.spare_capacity(self.clock.now()),
+            self.clock,
+            self.timers,
+            self.counters,
+            self.log,
+            self._require_worker(),
+        )
+        self.admission.forwarding_quota = links.share
+        return links
+
+    def _make_fleet_member(self, fleet: Fleet, settings: Mapping[str, Any]) -> FleetMember:
+        from cresstray.gateway.fleet_member import FleetMember
+
+        return FleetMember(
+            fleet,
+            settings,
+            self._seed,
+            self.clock,
+            self.controller,
+            self.router,
+            self.responses,
+            self.ingress,
+            self.timers,
+            self._require_worker(),
+            self.counters,
+            self.log,
+        )
+
+    def _make_membership(self, name: str, folder: str, settings: Mapping[str, Any]) -> Keep:
+        from cresstray.membership.guard import Guard
+        from cresstray.membership.recovery import Keep
+        from cresstray.membership.snapshot_files import Folder, Writer, moment
+
+        now = self.clock.now()
+        files = Folder(folder, name)
+        # Until the first write an operator's `forget` would find the folder unlocked and change it
+        # meanwhile. A preceding process may still hold the lock; it is tried again, and a write reports
+        # what is wrong with the disk.
+        with contextlib.suppress(OSError):
+            files.lock()
+        membership = Keep(
+            Writer(files),
+            settings,
+            self.controller,
+            random.Random(f"{self._seed}{now}").random,
+            self.counters,
+            lambda text: self.log.log("membership", text),
+            moment,
+            now,
+        )
+        self.controller.admission_rules = Guard(membership, self.controller)
+        self.admission.membership = membership
+        self.responses.membership = membership
+        self.endpoint_updates.membership = membership
+        self.watch.accepts_older_list = True
+        return membership
+
+    def _make_membership_jobs(self, membership: Keep) -> MembershipJobs:
+        from cresstray.gateway.membership_jobs import MembershipJobs
+
+        return MembershipJobs(
+            membership, self._require_worker(), self.endpoint_updates, self.ingress, self.clock
+        )
+
+    def _make_idempotency(self, name: str, store: Store, settings: Mapping[str, Any]) -> IdempotencyChecks:
+        from cresstray.pipeline.idempotency_checks import IdempotencyChecks
+
+        checks = IdempotencyChecks(
+            store,
+            settings,
+            name,
+            self._seed,
+            self.clock,
+            self.timers,
+            self.counters,
+            self.log,
+            self.controller,
+            self.accounting,
+            self._require_worker(),
+        )
+        self.admission.idempotency = checks
+        self.accounting.idempotency = checks
+        self.responses.idempotency = checks
+        self.dispatcher.idempotency = checks
+        if self.router.forwarder is not None:
+            self.router.forwarder.idempotency = checks
+        return checks
--- /dev/null
+++ b/cresstray/gateway/endpoint_updates.py
@@ -0,0 +1,41 @@
+"""Takes events of the endpoint list to the pipeline and the policy."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from cresstray.clock import Clock
+from cresstray.discovery.endpoint_list import EndpointEvent
+from cresstray.pipeline.routing import Router
+from cresstray.policy.controller import PolicyController
+
+if TYPE_CHECKING:
+    from cresstray.membership.recovery import Keep
+
+
+class EndpointUpdates:
+    """Applies each event in one step: connection pools first, then the policy, then what waits to be sent."""
+
+    def __init__(self, clock: Clock, router: Router, controller: PolicyController) -> None:
+        self._clock = clock
+        self._router = router
+        self._controller = controller
+        self.membership: Keep | None = None  # set where the endpoint list is persisted
+
+    def on_event(self, event: EndpointEvent) -> None:
+        """Takes an event of the coordinator or of the configuration."""
+        now = self._clock.now()
+        if self.membership is None:
+            self._apply(event, now)
+        else:
+            self.apply_filtered(self.membership, self.membership.told(event, now), now)
+
+    def apply_filtered(self, membership: Keep, event: EndpointEvent, now: int) -> None:
+        """Applies an event that the membership estimate has already filtered."""
+        self._apply(event, now)
+        membership.listed(event, self._router.engines, now)
+
+    def _apply(self, event: EndpointEvent, now: int) -> None:
+        entries = self._router.apply_event(event)
+        self._controller.on_endpoints_updated(entries, event.is_complete, now)
+        self._router.cancel_unsent(event)
--- /dev/null
+++ b/cresstray/gateway/shutdown.py
@@ -0,0 +1,90 @@
+"""Graceful shutdown: all that is owed is answered, then all connections end, before SIGKILL may come.
+
+SIGKILL comes no sooner than the longest timeout of a request class, three seconds at most, and 0.7 s after
+SIGTERM. New requests go on coming for 0.6 s at the most.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import anyio
+
+from cresstray.gateway.composition import GatewayParts
+
+if TYPE_CHECKING:
+    from cresstray.background.worker import Worker
+
+_ACCEPTING_SECONDS = 0.8
+# What is open has until half a second before SIGKILL: to be answered, to be written, and to be read by slow
+# clients.
+_MAX_TIMEOUT_US = 3_000_000
+_AFTER_TIMEOUT_US = 200_000
+# The policy answers late by no more than one of its sweeps.
+_LATE_ANSWER_US = 100_000
+_ALL_CLOSED_US = 400_000
+# Once nothing is owed: requests already on their way are still rejected, then clients read their answers
+# and leave.
+_LAST_REQUESTS_SECONDS = 0.05
+_DISCONNECT_SECONDS = 0.5
+# The last writes take some milliseconds; a disk that needs longer costs the succeeding process fresh data.
+_HAND_OVER_US = 300_000
+_POLL_SECONDS = 0.01
+_WORKER_POLL_SECONDS = 0.005
+
+
+class GracefulShutdown:
+    """Ends one gateway within the time that the platform leaves it after SIGTERM."""
+
+    def __init__(self, parts: GatewayParts) -> None:
+        self._parts = parts
+
+    async def run(self) -> None:
+        """Answers what is open and what still comes, then ends all connections and hands over.
+
+        Returns once every connection has ended, or the time for it is over.
+        """
+        parts = self._parts
+        unanswered = parts.accounting.unanswered_count()
+        parts.log.log("service", f"shutting down; {unanswered} requests are unanswered")
+        deadline_us = self._set_deadline()
+        await anyio.sleep(min(_ACCEPTING_SECONDS, self._seconds_until(deadline_us + _LATE_ANSWER_US)))
+        with anyio.move_on_after(self._seconds_until(deadline_us + _LATE_ANSWER_US)):
+            while parts.accounting.unanswered_count():
+                await anyio.sleep(_POLL_SECONDS)
+        # What came with a new connection from here on would be sent to an engine, and lost with the
+        # process. All that is read is rejected now.
+        parts.listener.stop_listening()
+        last_seconds = _LAST_REQUESTS_SECONDS + _DISCONNECT_SECONDS
+        with anyio.move_on_after(min(last_seconds, self._seconds_until(deadline_us + _ALL_CLOSED_US))):
+            await anyio.sleep(_LAST_REQUESTS_SECONDS)
+            parts.listener.close()
+            if parts.worker is not None:
+                await self._end_worker(parts.worker)
+            while parts.listener.connections or parts.listener.leaving:
+                await anyio.sleep(_POLL_SECONDS)
+
+    def _set_deadline(self) -> int:
+        """Returns by when all that is open, and all that still comes, is to be answered; makes it so."""
+        parts = self._parts
+        services = parts.settings.get("Services", [])
+        timeouts_us = [int(service.get("GiveUp", 0) * 1000) for service in services]
+        remaining_us = min(_MAX_TIMEOUT_US, max(timeouts_us, default=0)) + _AFTER_TIMEOUT_US
+        deadline_us = parts.ingress.shutdown_deadline_us = parts.clock.now() + remaining_us
+        if parts.links is not None:
+            parts.links.goodbye()
+        parts.accounting.limit_deadlines(deadline_us)
+        parts.timers.call_after(remaining_us, parts.dispatcher.abandon_all)
+        return deadline_us
+
+    def _seconds_until(self, moment_us: int) -> float:
+        return max(0.0, (moment_us - self._parts.clock.now()) / 1e6)
+
+    async def _end_worker(self, worker: Worker) -> None:
+        """Gives background jobs their last turns, as the hand-over, while the last answers are written."""
+        worker.stop(self._parts.clock.now(), _HAND_OVER_US)
+        with anyio.move_on_after(_HAND_OVER_US / 1e6):
+            while not worker.over:
+                await anyio.sleep(_WORKER_POLL_SECONDS)
+        if self._parts.membership is not None:
+            self._parts.membership.close()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -576,12 +576,12 @@
 
         with contextlib.redirect_stderr(io.StringIO()):
             anyio.run(main)
-        self.assertEqual(0, stage.service.counters.counts["faults"])
+        self.assertEqual(0, stage.service.parts.counters.counts["faults"])
         return stage
 
     async def answered(self, stage: Stage, text: str) -> None:
         with anyio.fail_after(5):
-            while not stage.service.counters.counts[text]:
+            while not stage.service.parts.counters.counts[text]:
                 await anyio.sleep(0.001)
 
     def test_the_client_withdraws_while_its_engine_is_dialled(self) -> None:
@@ -620,11 +620,11 @@
 
             async def scene(stage: Stage, client: ClientStandIn, dials: Dials, standing=standing) -> None:
                 second = member(stage.engines[1].port, 1, EndpointState.DRAINING)
-                stage.service._told(EndpointEvent(2, False, [second]))
+                stage.service.parts.endpoint_updates.on_event(EndpointEvent(2, False, [second]))
                 await client.ask(1, "plain")
                 await dials.begun.wait()
                 told = [member(stage.engines[0].port, 0, standing), member(stage.engines[1].port, 1)]
-                stage.service._told(EndpointEvent(3, False, told))
+                stage.service.parts.endpoint_updates.on_event(EndpointEvent(3, False, told))
                 dials.let.set()
                 self.assertIn("result", await client.hear())
 
@@ -644,7 +644,7 @@
             self.assertIn("result", await client.hear())
 
         stage = self.play(scene, Services=[{"Effect": "at_most_once"}])
-        counts = stage.service.counters.counts
+        counts = stage.service.parts.counters.counts
         self.assertEqual((0, 4), (counts["attempts unreachable"], counts["attempts expired before send"]))
 
     def test_an_engine_that_never_reads(self) -> None:
@@ -654,11 +654,13 @@
             dials.let.set()
             with socket.create_server(("127.0.0.1", 0)) as server:
                 server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-                stage.service._told(EndpointEvent(2, True, [member(server.getsockname()[1], 7)]))
+                stage.service.parts.endpoint_updates.on_event(
+                    EndpointEvent(2, True, [member(server.getsockname()[1], 7)])
+                )
                 await client.ask(1, "x" * 150_000)
                 server.settimeout(5)
                 accepted = (await anyio.to_thread.run_sync(server.accept))[0]
-                pool = next(iter(stage.service._route._pools.values()))
+                pool = next(iter(stage.service.parts.router._pools.values()))
                 while not (pool.connections and pool.connections[0].line):
                     await anyio.sleep(0.001)
                 waits = len(pool.connections[0].line.unsent)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -191,7 +191,7 @@
                 address = await tasks.start(service.run)
                 with anyio.fail_after(30):
                     async with await anyio.connect_tcp(*address) as stream:
-                        client, gateway = ClientStandIn(stream, []), service._gateway
+                        client, gateway = ClientStandIn(stream, []), service.parts.controller
 
                         async def look(text: str) -> None:
                             for number in range(40):
@@ -200,8 +200,8 @@
                             zones = len({one.zone for one in gateway.ready_engines})
                             lines.append(
                                 f"{text}: {len(gateway.ready_engines)} ready in {zones} zones, "
-                                f"{len(service._route._pools)} pools, "
-                                f"{service.counters.counts['requests succeeded']} fulfilled"
+                                f"{len(service.parts.router._pools)} pools, "
+                                f"{service.parts.counters.counts['requests succeeded']} fulfilled"
                             )
 
                         await look("at the start")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -115,7 +115,7 @@
                 await client.hear()
 
         stage = self.play("scene_pages", scene)
-        self.assertEqual(2, stage.service.counters.counts["requests succeeded"])
+        self.assertEqual(2, stage.service.parts.counters.counts["requests succeeded"])
 
     def test_malformed_lines_keep_the_connection(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
@@ -163,7 +163,7 @@
             await client.hear()
 
         stage = self.play("scene_left", scene)
-        self.assertEqual(2, stage.service.counters.counts["requests cancelled"])
+        self.assertEqual(2, stage.service.parts.counters.counts["requests cancelled"])
 
     def test_strangers_do_no_harm(self) -> None:
         """The id of an open request, one used again after it was withdrawn, too many open, only mistakes."""
@@ -197,7 +197,7 @@
             del stage.engines[0].lines[2:]
 
         stage = self.play("scene_strangers", scene)
-        self.assertEqual(1, stage.service.counters.counts["clients turned out"])
+        self.assertEqual(1, stage.service.parts.counters.counts["clients turned out"])
 
     def test_engine_faults(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
@@ -210,7 +210,7 @@
 
         # What was asked first is open on a link of its own until the gateway ends, a reset for it.
         stage = self.play("scene_faults", scene, Limits={"MaxAttempts": 1})
-        counts = stage.service.counters.counts
+        counts = stage.service.parts.counters.counts
         endings = [
             counts[f"attempts {how}"]
             for how in ("protocol error", "connection lost", "overloaded", "succeeded")
@@ -236,12 +236,12 @@
 
     def test_unreachable_engine(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            list(stage.service._route._pools.values())[0].address = ("127.0.0.1", 1)
+            list(stage.service.parts.router._pools.values())[0].address = ("127.0.0.1", 1)
             await client.ask(1, "plain", timeout=1000)
             await client.hear()
 
         stage = self.play("scene_unreachable", scene, Limits={"MaxAttempts": 1})
-        self.assertEqual(1, stage.service.counters.counts["attempts unreachable"])
+        self.assertEqual(1, stage.service.parts.counters.counts["attempts unreachable"])
 
     def test_last_stop(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
@@ -530,7 +530,7 @@
 
     def test_a_sweep_that_fails_is_followed_by_the_next(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            gateway, listen = stage.service._gateway, stage.service._gateway._listen
+            gateway, listen = stage.service.parts.controller, stage.service.parts.controller._listen
 
             def fails(now: int) -> None:
                 gateway._listen = listen
@@ -544,7 +544,7 @@
         stage = Stage(0)
         with contextlib.redirect_stderr(io.StringIO()) as said:
             anyio.run(stage.run, scene, None)
-        self.assertEqual(1, stage.service.counters.counts["faults"])
+        self.assertEqual(1, stage.service.parts.counters.counts["faults"])
         self.assertIn("ValueError: of ours", said.getvalue())
 
     def test_what_must_hold(self) -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,7 +15,7 @@
 from unittest import mock
 
 from cresstray import __main__ as program
-from cresstray.gateway import service
+from cresstray.gateway import signals
 from cresstray.gateway.service import Service
 from tests.scripted import Engine, Gateway, listed, request, status, usual, withdrawal
 
@@ -132,16 +132,19 @@
             masks.append(held())
 
         def held() -> set:
-            return set(service.CAUGHT) & signal.pthread_sigmask(signal.SIG_BLOCK, ())
+            return set(signals.HANDLED_SIGNALS) & signal.pthread_sigmask(signal.SIG_BLOCK, ())
 
-        before = signal.pthread_sigmask(signal.SIG_BLOCK, service.CAUGHT)
+        before = signal.pthread_sigmask(signal.SIG_BLOCK, signals.HANDLED_SIGNALS)
         try:
-            with mock.patch.object(service.anyio, "open_signal_receiver", receiver), service._caught():
+            with (
+                mock.patch.object(signals.anyio, "open_signal_receiver", receiver),
+                signals.receive_signals(),
+            ):
                 masks.append(held())
             masks.append(held())
         finally:
             signal.pthread_sigmask(signal.SIG_SETMASK, before)
-        every = set(service.CAUGHT)
+        every = set(signals.HANDLED_SIGNALS)
         self.assertEqual([every, set(), every, every], masks)
 
     def test_signals_before_it_serves(self) -> None:
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -24,6 +24,7 @@
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent, MalformedError, apply_final_states
 from cresstray.discovery.watch import EndpointWatch
 from cresstray.gateway import service as services
+from cresstray.gateway.errors import AddressError
 from cresstray.gateway.service import Service
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
@@ -824,15 +825,17 @@
             port = stage.engines[0].port
             made.send(frame(2, 2, record(5, port=port)))
             await self.served(client, range(1, 3))
-            old = stage.service._route.engines[5]
+            old = stage.service.parts.router.engines[5]
             made.send(frame(3, 2, record(6, port=port)))
-            while 6 not in stage.service._route.engines:
+            while 6 not in stage.service.parts.router.engines:
                 await anyio.sleep(0.01)
-            self.assertEqual([stage.service._route.engines[6]], stage.service._gateway.ready_engines)
+            self.assertEqual(
+                [stage.service.parts.router.engines[6]], stage.service.parts.controller.ready_engines
+            )
             self.assertEqual(EndpointState.REMOVED, old.state)
             made.send(frame(4, 1, record(6, port=port), record(5, port=port)))
             await self.served(client, range(3, 5))
-            self.assertEqual([6], list(stage.service._route.engines))
+            self.assertEqual([6], list(stage.service.parts.router.engines))
 
         self.play(scene, 1)
 
@@ -851,10 +854,10 @@
                 tasks.start_soon(service.run)
                 made, number = await coordinator.link()
                 with self.assertRaises(OSError):
-                    await connect(*service._listen)
+                    await connect(*service.listen)
                 made.send(frame(2, 2, record(1, DRAINING, engines[0].port)) + frame(2, 0))
-                await until(lambda: service._door._listener)
-                async with await anyio.connect_tcp(*service._listen) as stream:
+                await until(lambda: service.parts.listener._listener)
+                async with await anyio.connect_tcp(*service.listen) as stream:
                     client = ClientStandIn(stream, stage.lines)
                     for request in range(1, 9):
                         await client.ask(request, "plain", timeout=20_000)
@@ -875,14 +878,14 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ends, service)
                 made, _ = await coordinator.link()
-                with socket.create_server(service._listen):
+                with socket.create_server(service.listen):
                     made.send(frame(1, 0))
                     await until(lambda: told)
 
         async def ends(service: Service) -> None:
             try:
                 await service.run()
-            except services.AddressError as trouble:
+            except AddressError as trouble:
                 told.append(str(trouble))
 
         told: list[str] = []
@@ -901,7 +904,7 @@
         """Only the coordinator's word ends the wait for it."""
         with (
             mock.patch.object(feeds, "_SETTLED", LONG),
-            mock.patch.object(services, "_FIRST_WORD", LONG),
+            mock.patch.object(services, "_INITIAL_LIST_SECONDS", LONG),
             contextlib.redirect_stderr(io.StringIO()),
         ):
             anyio.run(main, backend_options={"use_uvloop": True})
@@ -914,10 +917,10 @@
 
         async def main() -> None:
             service = Service("n0", ("127.0.0.1", 0), 7, Stage(0).settings, [], "127.0.0.1:1")
-            service._hub = mock.Mock()
-            service._start_hub = lambda hub: noted("halls")
-            service._feed.wait_until_current = lambda within: noted("first word")
-            service._door.run = lambda listener: noted("clients")
+            service.parts.links = mock.Mock()
+            service._start_links = lambda links: noted("halls")
+            service.parts.watch.wait_until_current = lambda within: noted("first word")
+            service.parts.listener.run = lambda listener: noted("clients")
             async with anyio.create_task_group() as tasks:
                 await tasks.start(service.run)
                 await turns()
@@ -943,10 +946,10 @@
         async def scene(stage: Stage, client: ClientStandIn) -> None:
             made, _ = await self.coordinator.link()
             made.send(frame(2, 2, record(1, port=port)))
-            while not stage.service._gateway.ready_engines:
+            while not stage.service.parts.controller.ready_engines:
                 await anyio.sleep(0.01)
             await client.ask(1, "plain", timeout=20_000)
-            while not stage.service.counters.counts["attempts sent"]:
+            while not stage.service.parts.counters.counts["attempts sent"]:
                 await anyio.sleep(0.01)
             made.send(words(how, stage.engines[0].port))
             self.assertIn("result", await client.hear())
@@ -955,7 +958,7 @@
             with self.subTest(how):
                 # A connection that never comes up would be given up far later than the scene is.
                 stage = self.play(scene, 1, Limits={"ConnectTimeout": 60_000, "MaxAttempts": 3})
-                counts = stage.service.counters.counts
+                counts = stage.service.parts.counters.counts
                 self.assertEqual(
                     (1, 1), (counts["attempts expired before send"], counts["attempts succeeded"])
                 )
@@ -965,7 +968,7 @@
             made, _ = await self.coordinator.link()
             first, second = (engine.port for engine in stage.engines)
             made.send(frame(2, 2, record(1, port=first))[:20])
-            stage.service._feed.move(self.coordinator.address)
+            stage.service.parts.watch.move(self.coordinator.address)
             made, number = await self.coordinator.link()
             self.assertEqual(1, number)
             events = frame(2, 2, record(1, port=first)) + frame(3, 2, record(2, port=second))
@@ -981,7 +984,7 @@
         """The route has heard that one is gone, the module has not: the event comes again, and it is gone."""
 
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            gateway = stage.service._gateway
+            gateway = stage.service.parts.controller
             made, _ = await self.coordinator.link()
             first, second = (engine.port for engine in stage.engines)
             made.send(frame(2, 2, record(1, port=first), record(2, port=second)))
@@ -1005,7 +1008,7 @@
             self.assertEqual(([], 8), (stage.engines[0].lines, len(stage.engines[1].lines)))
 
         stage = self.play(scene, 2)
-        self.assertEqual(1, stage.service.counters.counts["faults"])
+        self.assertEqual(1, stage.service.parts.counters.counts["faults"])
         self.assertIn("RuntimeError: half way", self.said)
 
 
