--- a/cresstray/__main__.py
+++ b/cresstray/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cresstray`: a gateway as the platform starts it, or with words a command."""
+"""Starts one gateway as the platform does, or runs a command: `python -m cresstray [COMMAND ...]`."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 from cresstray.gateway.startup import run
 
 
-def main(words: list[str] | None = None) -> int:
-    """Exit code of a command line; without words, of one gateway."""
-    if words:
+def main(arguments: list[str] | None = None) -> int:
+    """Returns the exit code of a command line; without arguments, of one gateway."""
+    if arguments:
+        # Imported here: a gateway's memory has no room for what the command line needs.
         from cresstray.cli import cli
 
-        return cli(words)
+        return cli(arguments)
     return run()
 
 
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -1,6 +1,6 @@
-"""What a gateway of a fleet has beside: its follower of the keepers, the module's hook, pinned reads.
+"""What a gateway has as a member of a fleet: its control-plane client, admission rules and hinted reads.
 
-Loaded only where the operator's file names keepers and this gateway as a member.
+Loaded only where the operator's file names control-plane nodes and this gateway as a member.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from cresstray.background.schedule import Priority
 from cresstray.background.worker import Worker
 from cresstray.clock import Clock, Timers
-from cresstray.config.fleet import Fleet as Given
+from cresstray.config.fleet import Fleet
 from cresstray.fleet_config.active_config import Use
 from cresstray.fleet_config.admission import Admission
 from cresstray.fleet_config.follower import Follower
@@ -31,137 +31,188 @@
 from cresstray.replicas.read import Reads
 from cresstray.replicas.spread import Talk
 
-# Shards in a word to a keeper, told and asked for: four times a second some kilobyte, as docs/replicas.md has
-# measured.
-_MOST_SHARDS = 4
-# A read for which no copy is known to do waits so long for what keepers know: some round trips within a site.
-_PATIENCE = 30_000
-# One that came too soon behind another's word is asked for so much later, until there is a word for it.
-_SOON = 5_000
+# Shards in one message to a control-plane node, told and asked for: four times a second some kilobyte, as
+# docs/replicas.md has measured.
+_MAX_SHARDS_PER_MESSAGE = 4
+# A read that no known replica can serve waits so long for what control-plane nodes know: some round trips
+# within a site.
+_POSITIONS_TIMEOUT_US = 30_000
+# Added to that wait, so that the nodes' answer comes before the read is looked at.
+_POSITIONS_MARGIN_US = 1_000
+# A question that follows the one before it too soon is asked again so much later.
+_ASK_AGAIN_US = 5_000
 
 
 class FleetAdmissionRules:
-    """interface.Rules at the moment of acting, by this process's clock and not by when an event was read."""
+    """The fleet's rules at the moment of acting: by this process's clock, not by when an event was read."""
 
     def __init__(
-        self, admission: Admission, reads: Reads, now: Callable[[], int], ask: Callable[[], None]
+        self,
+        admission: Admission,
+        reads: Reads,
+        now: Callable[[], int],
+        request_positions: Callable[[], None],
     ) -> None:
-        self._admission, self._reads, self._now, self._ask = admission, reads, now, ask
-        self._moment = 0  # of the send or the offer that is being decided
+        self._admission = admission
+        self._reads = reads
+        self._now = now
+        self._request_positions = request_positions
+        self._decision_us = 0  # when the current decision was begun
 
     def gateway_count(self, now: int) -> int:
-        # Danger: a process that was frozen in the middle of a turn still holds the time from before.
-        self._moment = self._now()
-        return self._admission.gateway_count(self._moment)
+        """Returns how many gateways share the engines; begins a decision."""
+        # Read anew: a process that was stopped in the middle of a turn still holds the time from before.
+        self._decision_us = self._now()
+        return self._admission.gateway_count(self._decision_us)
 
     def admits(self, request: Request, now: int) -> bool:
-        self._moment = self._now()
-        return self._admission.admits(request, self._moment)
+        """Whether the request may be admitted; begins a decision."""
+        self._decision_us = self._now()
+        return self._admission.admits(request, self._decision_us)
 
     def allows(self, request: Request, engine: Engine, now: int) -> bool:
-        takes = self._admission.allows(request, engine, self._moment)
+        """Whether the request may be sent to the engine, by the time at which the decision was begun."""
+        is_allowed = self._admission.allows(request, engine, self._decision_us)
         if self._reads.urgent:
             self._reads.urgent = False
-            self._ask()
-        return takes
+            self._request_positions()
+        return is_allowed
 
     def retry_budget_scale(self, request: Request, now: int) -> float:
+        """Returns by how much the fleet scales the retry budget now."""
         return self._admission.retry_budget_scale(request, self._now())
 
 
-class _Heard(Talk):
-    """What a keeper tells; reads that wait for it are looked at as it comes."""
+class _PositionExchange(Talk):
+    """Exchanges replica positions on one link; has reads that wait for positions looked at as they come."""
 
-    def __init__(self, board: Board, reads: Reads, look: Callable[[], None]) -> None:
+    def __init__(self, board: Board, reads: Reads, on_awaited_positions: Callable[[], None]) -> None:
         super().__init__(
             board,
-            _MOST_SHARDS,
-            lambda now: reads.wanted(now)[:_MOST_SHARDS],
-            lambda now: reads.needs(now, _MOST_SHARDS),
+            _MAX_SHARDS_PER_MESSAGE,
+            lambda now: reads.wanted(now)[:_MAX_SHARDS_PER_MESSAGE],
+            lambda now: reads.needs(now, _MAX_SHARDS_PER_MESSAGE),
         )
-        self._reads, self._look = reads, look
+        self._reads = reads
+        self._on_awaited_positions = on_awaited_positions
 
     def hears(self, body: bytes, now: int) -> None:
         super().hears(body, now)
         if self._reads.waits(now):
-            self._look()
+            self._on_awaited_positions()
 
 
 class FleetMember:
-    """One gateway's part in its fleet."""
+    """Joins one gateway to its fleet: the fleet's rules to the policy, and hinted reads to the stages."""
 
     def __init__(
         self,
-        given: Given,
+        config: Fleet,
         settings: Mapping[str, Any],
         seed: int,
         clock: Clock,
-        gateway: PolicyController,
-        route: Router,
-        back: ResponseHandler,
-        take_in: Ingress,
+        controller: PolicyController,
+        router: Router,
+        responses: ResponseHandler,
+        ingress: Ingress,
         timers: Timers,
         worker: Worker,
         counters: Counters,
         log: Log,
     ) -> None:
-        self._timers, self._lease, self._gateway, self._worker = timers, given.lease, gateway, worker
-        # Seeds are new with each start; the clock parts two starts that an operator gave the same one.
-        life = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
+        self._config = config
+        self._timers = timers
+        self._controller = controller
+        self._worker = worker
+        # Seeds are new with each start; the clock parts two starts that an operator gave the same seed.
+        incarnation = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
         chance = random.Random(seed).random
-        self.use = use = Use(
-            given.member, given.lease, given.floor_lease, given.drift, given.most, waits=True, life=life
-        )
-        self.directory = directory = EngineDirectory(settings.get("Localities", []))
-        board = Board(lambda text: log.log("replicas", text), given.drift)
-        reads = Reads(
-            board, use, counters, chance, directory.cores, directory.zone_of, directory.is_full, time.time
-        )
-        self._reads, self._asks_again = reads, False
-        admission = Admission(
-            use,
-            [tenant["Name"] for tenant in settings.get("Tenants", [])],
-            [service.get("Name", "") for service in settings.get("Services", [])],
-            lambda engine: directory.ids.get(engine, ""),
+        self.use = self._make_active_config(incarnation)
+        self.directory = EngineDirectory(settings.get("Localities", []))
+        board = Board(lambda text: log.log("replicas", text), config.drift)
+        self._reads = Reads(
+            board,
+            self.use,
             counters,
+            chance,
+            self.directory.cores,
+            self.directory.zone_of,
+            self.directory.is_full,
+            time.time,
         )
+        self._is_asking_again = False
+        admission = self._make_admission(settings, counters)
         self.follower = Follower(
-            given,
-            given.member,
-            use,
+            config,
+            config.member,
+            self.use,
             chance,
             clock.now,
             counters,
-            lambda: _Heard(board, reads, lambda: timers.call_after(0, self._look)),
-            lambda up: setattr(reads, "patience", _PATIENCE if up else 0),
+            lambda: _PositionExchange(board, self._reads, self._look_soon),
+            self._on_link_changed,
+        )
+        controller.admission_rules = FleetAdmissionRules(
+            admission, self._reads, clock.now, self._request_positions
+        )
+        replica_reads = ReplicaReads(self._reads, self.directory)
+        router.replica_reads = replica_reads
+        responses.replica_reads = replica_reads
+        ingress.replica_reads = replica_reads
+
+    def _make_active_config(self, incarnation: str) -> Use:
+        config = self._config
+        return Use(
+            config.member,
+            config.lease,
+            config.floor_lease,
+            config.drift,
+            config.most,
+            waits=True,
+            life=incarnation,
+        )
+
+    def _make_admission(self, settings: Mapping[str, Any], counters: Counters) -> Admission:
+        return Admission(
+            self.use,
+            [tenant["Name"] for tenant in settings.get("Tenants", [])],
+            [service.get("Name", "") for service in settings.get("Services", [])],
+            lambda engine: self.directory.ids.get(engine, ""),
+            counters,
         )
-        gateway.admission_rules = FleetAdmissionRules(admission, reads, clock.now, self._ask)
-        route.replica_reads = back.replica_reads = take_in.replica_reads = ReplicaReads(reads, directory)
 
-    def _ask(self) -> None:
-        """Keepers are asked for positions at once, for a read that waits for no more than their answer."""
+    def _on_link_changed(self, is_linked: bool) -> None:
+        self._reads.patience = _POSITIONS_TIMEOUT_US if is_linked else 0
+
+    def _request_positions(self) -> None:
+        """Asks a node for positions at once, for a read that waits for no more than its answer."""
         self._ask_now()
-        # What waits is looked at then, and not with the next sweep only.
-        self._timers.call_after(_PATIENCE + 1000, self._look)
+        # The read is looked at then, and not with the policy's next sweep only.
+        self._timers.call_after(_POSITIONS_TIMEOUT_US + _POSITIONS_MARGIN_US, self._look)
 
     def _ask_now(self) -> None:
         self.follower.asks_at_once()
-        # Too soon behind another word: tried again, unless no keeper is there to hear it.
-        if self._reads.untold() and self._reads.patience and not self._asks_again:
-            self._asks_again = True
-            self._timers.call_after(_SOON, self._ask_again)
+        # Too soon after another question: asked again, unless there is no node to hear it.
+        if self._reads.untold() and self._reads.patience and not self._is_asking_again:
+            self._is_asking_again = True
+            self._timers.call_after(_ASK_AGAIN_US, self._ask_again)
 
     def _ask_again(self, now: int) -> None:
-        self._asks_again = False
+        self._is_asking_again = False
         if self._reads.untold():
             self._ask_now()
 
+    def _look_soon(self) -> None:
+        self._timers.call_after(0, self._look)
+
     def _look(self, now: int) -> None:
-        self._gateway.on_endpoints_updated((), False, now)
+        """Has the policy look at its queue."""
+        self._controller.on_endpoints_updated((), False, now)
 
     def start(self, tasks: TaskGroup) -> None:
-        # Danger: one that no list names would relay beside all that are named. Keepers within reach say so in
-        # a lease; where there are none, service goes on, by the smallest share there is.
-        floor = self._worker.does("floor", Priority.SAFETY, 0, lambda now: self.use.goes_on())
-        self._worker.later(floor, self._lease)
+        """Starts the connections to control-plane nodes."""
+        # A gateway that no document names would send beside all that are named. Nodes within reach say so
+        # in a lease; where there are none, service goes on with the smallest quota there is.
+        fallback = self._worker.does("floor", Priority.SAFETY, 0, lambda now: self.use.goes_on())
+        self._worker.later(fallback, self._config.lease)
         tasks.start_soon(self.follower.run, tasks)
