--- a/cresstray/gateway/composition.py
+++ b/cresstray/gateway/composition.py
@@ -9,7 +9,7 @@
 import contextlib
 import random
 from collections.abc import Mapping
-from typing import TYPE_CHECKING, Any, cast
+from typing import TYPE_CHECKING, Any
 
 from anyio.abc import TaskGroup
 
@@ -32,7 +32,6 @@
 
 if TYPE_CHECKING:
     from cresstray.background.worker import Worker
-    from cresstray.clients.session import RequestHandler
     from cresstray.config.fleet import Fleet
     from cresstray.config.idempotency import Store
     from cresstray.config.operator import Halls, Operator
@@ -40,7 +39,6 @@
     from cresstray.gateway.membership_jobs import MembershipJobs
     from cresstray.membership.recovery import Keep
     from cresstray.pipeline.idempotency_checks import IdempotencyChecks
-    from cresstray.sites.inbound import Front
     from cresstray.sites.links import Hub
 
 # In overload more than 64 connections to engines cost half as much CPU again; on other days no more are
@@ -113,6 +111,14 @@
         self.worker = self._make_worker() if has_optional_part else None
         self.links = self._make_links(sites) if sites else None
         self.fleet_member = self._make_fleet_member(fleet, settings) if fleet else None
+        self._make_watch(coordinator, last_event_index)
+        self.membership = self._make_membership(name, folder, settings) if folder is not None else None
+        self.membership_jobs: MembershipJobs | None = None
+        if self.membership is not None:
+            self.membership_jobs = self._make_membership_jobs(self.membership)
+        self.idempotency = self._make_idempotency(name, store, settings) if store else None
+
+    def _make_watch(self, coordinator: str | None, last_event_index: int) -> None:
         self.endpoint_updates = EndpointUpdates(self.clock, self.router, self.controller)
         self.watch = EndpointWatch(
             coordinator,
@@ -122,9 +128,6 @@
             self.log,
             self.controller.random,
         )
-        self.membership = self._make_membership(name, folder, settings) if folder is not None else None
-        self.membership_jobs = self._make_membership_jobs(self.membership) if self.membership else None
-        self.idempotency = self._make_idempotency(name, store, settings) if store else None
 
     def _make_pipeline(self, settings: Mapping[str, Any]) -> None:
         self.accounting = RequestAccounting(self.counters)
@@ -144,7 +147,7 @@
         self._engine_quota = plan.engine_quota
         self.listener = Listener(
             class_names,
-            cast("RequestHandler", self.ingress),  # its sessions are responders
+            self.ingress,
             plan.max_clients,
             plan.many_clients,
             self.clock.now,
@@ -201,7 +204,7 @@
             sites,
             incarnation,
             self._seed,
-            cast("Front", self.ingress),  # its ends of links are responders
+            self.ingress,
             forwarder,
             lambda: self.controller.spare_capacity(self.clock.now()),
             self.clock,
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -130,16 +130,7 @@
         self.use = self._make_active_config(incarnation)
         self.directory = EngineDirectory(settings.get("Localities", []))
         board = Board(lambda text: log.log("replicas", text), config.drift)
-        self._reads = Reads(
-            board,
-            self.use,
-            counters,
-            chance,
-            self.directory.cores,
-            self.directory.zone_of,
-            self.directory.is_full,
-            time.time,
-        )
+        self._reads = self._make_reads(board, counters, chance)
         self._is_asking_again = False
         admission = self._make_admission(settings, counters)
         self.follower = Follower(
@@ -152,14 +143,26 @@
             lambda: _PositionExchange(board, self._reads, self._look_soon),
             self._on_link_changed,
         )
-        controller.admission_rules = FleetAdmissionRules(
-            admission, self._reads, clock.now, self._request_positions
-        )
+        rules = FleetAdmissionRules(admission, self._reads, clock.now, self._request_positions)
+        controller.admission_rules = rules
         replica_reads = ReplicaReads(self._reads, self.directory)
         router.replica_reads = replica_reads
         responses.replica_reads = replica_reads
         ingress.replica_reads = replica_reads
 
+    def _make_reads(self, board: Board, counters: Counters, chance: Callable[[], float]) -> Reads:
+        directory = self.directory
+        return Reads(
+            board,
+            self.use,
+            counters,
+            chance,
+            directory.cores,
+            directory.zone_of,
+            directory.is_full,
+            time.time,
+        )
+
     def _make_active_config(self, incarnation: str) -> Use:
         config = self._config
         return Use(
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from typing import cast
+
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.request_context import IdempotencyHooks, RequestContext
+from cresstray.pipeline.request_context import IdempotencyHooks, RequestContext, SiteResponder
 from cresstray.policy import controller as policy
 from cresstray.policy.types import Outcome, Request
 
@@ -91,7 +93,7 @@
         """Tells the site that forwarded the request how its attempt ended, whatever the answer will be."""
         context = self.open.get(request)
         if context is not None:
-            context.responder.on_attempt_finished(context.number, outcome)
+            cast(SiteResponder, context.responder).on_attempt_finished(context.number, outcome)
 
     def release(self, request: Request) -> None:
         """Forgets a request that is answered and has no attempt in flight."""
--- a/cresstray/pipeline/dispatch.py
+++ b/cresstray/pipeline/dispatch.py
@@ -9,7 +9,12 @@
 from cresstray.engines.connection import SocketConnectionPool
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.observability.counters import Counters
-from cresstray.pipeline.request_context import EngineAttemptInFlight, IdempotencyHooks, RequestContext
+from cresstray.pipeline.request_context import (
+    EngineAttemptInFlight,
+    IdempotencyHooks,
+    RequestContext,
+    SiteResponder,
+)
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.policy.controller import DEDUP_MARGIN_US, NOT_EXECUTED
 from cresstray.policy.types import Attempt, Outcome
@@ -50,7 +55,7 @@
         )
         self._counters.add("attempts sent")
         if attempt.request.is_forwarded_in:
-            context.responder.on_attempt_sent(context.number)
+            cast(SiteResponder, context.responder).on_attempt_sent(context.number)
         if self.idempotency is not None:
             self.idempotency.on_attempt_sent(attempt.request)
         pool.start(request_in_flight)
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -83,8 +83,6 @@
         self._worker = worker
         self._scribe: Scribe | None = None
         self._waiting: set[Request] = set()  # requests that the policy has not heard of yet
-        # Seeds are new with each start; the clock parts two starts that an operator gave the same seed.
-        incarnation = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
         chance = random.Random(f"{seed}{clock.now()}").random
         self._client = Client(config, chance, clock, timers, counters, log)
         self.records = Marks(
@@ -93,7 +91,7 @@
             settings,
             controller.request_classes,
             name,
-            incarnation,
+            _incarnation(seed, clock.now()),
             chance,
             clock,
             timers,
@@ -212,6 +210,11 @@
             self._worker.later(self._write_job, _BUSY_INTERVAL_US)
 
 
+def _incarnation(seed: int, now: int) -> str:
+    """Returns the name of this run; the clock parts two starts that an operator gave the same seed."""
+    return f"{seed & 0xFFFFFFFF:08x}{now:014x}"
+
+
 class _RecordValidityRules(ChainedRules):
     """Lets nothing be sent, or forwarded to another site, for longer than its record is this gateway's."""
 
--- a/cresstray/pipeline/request_context.py
+++ b/cresstray/pipeline/request_context.py
@@ -13,14 +13,37 @@
 class Query(Protocol):
     """A decoded query of a client or of another site, whatever protocol it arrived by."""
 
-    name: str
-    class_name: str
-    tenant: str
-    timeout_ms: float
-    idempotency_key: str
-    estimated_work_ms: float
-    memory_mb: float
-    statement: bytes
+    @property
+    def name(self) -> str:
+        """The name under which engines know the request."""
+
+    @property
+    def class_name(self) -> str:
+        """The name of its request class."""
+
+    @property
+    def tenant(self) -> str:
+        """The name of its tenant."""
+
+    @property
+    def timeout_ms(self) -> float:
+        """How long the client waits, in milliseconds."""
+
+    @property
+    def idempotency_key(self) -> str:
+        """Under which engines discard repeats; empty without one."""
+
+    @property
+    def estimated_work_ms(self) -> float:
+        """The client's estimate of the work; 0 without one."""
+
+    @property
+    def memory_mb(self) -> float:
+        """The client's estimate of the memory; 0 without one."""
+
+    @property
+    def statement(self) -> bytes:
+        """The statement as it arrived."""
 
 
 class Responder(Protocol):
@@ -47,7 +70,9 @@
     def has_disconnected(self) -> bool:
         """Whether the client has gone, even if that was not read yet; may cost a system call."""
 
-    # The next two are called for requests that were forwarded in from another site only.
+
+class SiteResponder(Responder, Protocol):
+    """A link from another site: its requests were forwarded in, and it hears of their attempts as well."""
 
     def on_attempt_sent(self, number: int, /) -> None:
         """Tells the other site that the request has left for an engine."""
