--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -133,9 +133,20 @@
         self._reads = self._make_reads(board, counters, chance)
         self._is_asking_again = False
         admission = self._make_admission(settings, counters)
-        self.follower = Follower(
-            config,
-            config.member,
+        self.follower = self._make_follower(board, clock, counters, chance)
+        rules = FleetAdmissionRules(admission, self._reads, clock.now, self._request_positions)
+        controller.admission_rules = rules
+        replica_reads = ReplicaReads(self._reads, self.directory)
+        router.replica_reads = replica_reads
+        responses.replica_reads = replica_reads
+        ingress.replica_reads = replica_reads
+
+    def _make_follower(
+        self, board: Board, clock: Clock, counters: Counters, chance: Callable[[], float]
+    ) -> Follower:
+        return Follower(
+            self._config,
+            self._config.member,
             self.use,
             chance,
             clock.now,
@@ -143,12 +154,6 @@
             lambda: _PositionExchange(board, self._reads, self._look_soon),
             self._on_link_changed,
         )
-        rules = FleetAdmissionRules(admission, self._reads, clock.now, self._request_positions)
-        controller.admission_rules = rules
-        replica_reads = ReplicaReads(self._reads, self.directory)
-        router.replica_reads = replica_reads
-        responses.replica_reads = replica_reads
-        ingress.replica_reads = replica_reads
 
     def _make_reads(self, board: Board, counters: Counters, chance: Callable[[], float]) -> Reads:
         directory = self.directory
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -97,12 +97,18 @@
             timers,
             counters,
             UnavailableJournal("") if config.journal else None,
-            lambda text: log.log("idempotency", text),
+            self._print,
         )
+        self._add_jobs(worker)
+        controller.admission_rules = _RecordValidityRules(self.records, controller, clock.now)
+
+    def _add_jobs(self, worker: Worker) -> None:
         worker.does("store links", Priority.SERVICE, Client.EVERY, self._client.look)
         self._write_job = worker.does("marks", Priority.STATE, 0, self._step, last=self._write_last)
         worker.wake(self._write_job)
-        controller.admission_rules = _RecordValidityRules(self.records, controller, clock.now)
+
+    def _print(self, text: str) -> None:
+        self._log.log("idempotency", text)
 
     def start(self, tasks: TaskGroup) -> None:
         """Starts the connections to the store, and opens the journal where there is one."""
@@ -124,7 +130,7 @@
                 self.records.writes_to(UnavailableJournal(str(error)))
                 return
             for line in journal.told:
-                self._log.log("idempotency", line)
+                self._print(line)
             self._scribe = Scribe(journal)
             self.records.writes_to(self._scribe)
             self.records.recover(entries, self._clock.now())
