--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,7 +1,7 @@
 """Attempts beside the end of their request, engine, client or window: what still leaves, who ends, how, once.
 
-All stages and the module are the real ones. `Desk` has links that come up by the test's hand; `Scenes` play
-over loopback, with dials that wait for the test.
+All stages and the policy are the real ones. `Desk` has connections that come up by hand; `Scenes` play
+over loopback, with connections that wait for the test.
 """
 
 from __future__ import annotations
@@ -42,36 +42,36 @@
 
 
 class Query:
-    def __init__(self, name: str, request_class: str, patience: float) -> None:
-        self.name, self.class_name, self.timeout_ms, self.tenant = name, request_class, patience, ""
-        self.idempotency_key = name if request_class == "keyed" else ""
+    def __init__(self, name: str, class_name: str, timeout_ms: float) -> None:
+        self.name, self.class_name, self.timeout_ms, self.tenant = name, class_name, timeout_ms, ""
+        self.idempotency_key = name if class_name == "keyed" else ""
         self.estimated_work_ms, self.memory_mb, self.statement = 0.0, 0.0, b"select 1"
 
 
-class Asker:
+class RecordingClient:
     """A client; `shut`: it has closed its connection, and nobody has read that yet."""
 
     def __init__(self) -> None:
         self.open: dict[int, object] = {}
         self.answers: list[str] = []
-        self.shut = False
-        self.looks = 0
+        self.has_closed = False
+        self.disconnect_checks = 0
 
     def has_disconnected(self) -> bool:
-        self.looks += 1
-        return self.shut
+        self.disconnect_checks += 1
+        return self.has_closed
 
-    def _told(self, number: int, how: str) -> None:
+    def _answer(self, number: int, how: str) -> None:
         self.answers.append(f"{self.open.pop(number).query.name} {how}")
 
     def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
-        self._told(number, "fulfilled")
+        self._answer(number, "succeeded")
 
     def reject(self, number: int, come_back: int) -> None:
-        self._told(number, "denied")
+        self._answer(number, "rejected")
 
     def fail(self, number: int) -> None:
-        self._told(number, "abandoned")
+        self._answer(number, "failed")
 
     def reject_malformed(self, number: int | None, text: str) -> None:
         raise AssertionError(text)
@@ -84,18 +84,18 @@
         given = settings(*SERVICES, Limits={"Cancel": cancel, "StreamsPerConn": 32}, Safety=safety)
         self.clock, self.counters = VirtualClock(desk.START), Counters()
         self.pools: list[FakePool] = []
-        self.book = RequestAccounting(self.counters)
-        self.back = ResponseHandler(self.clock, self.counters, self.book)
+        self.accounting = RequestAccounting(self.counters)
+        self.responses = ResponseHandler(self.clock, self.counters, self.accounting)
         timers = self.timers = FakePool(self.clock).timers
-        self.send = Dispatcher(self.clock, timers, self.counters, self.back)
-        self.route = Router(self._make_pool, self.send)
+        self.dispatcher = Dispatcher(self.clock, timers, self.counters, self.responses)
+        self.router = Router(self._make_pool, self.dispatcher)
         log = type("NoLog", (), {"log": lambda self, kind, text: None})()
-        port = SocketPort(self.route, self.send, self.book, timers, self.counters, log)
-        self.gateway = PolicyController(port, given, 7, self.clock.now())
-        admit = Admission(self.book)
-        self.back.controller = admit.controller = self.gateway
-        self.take_in = Ingress(given, self.gateway.request_classes, self.clock, admit)
-        self.client, self.asked = Asker(), 0
+        port = SocketPort(self.router, self.dispatcher, self.accounting, timers, self.counters, log)
+        self.controller = PolicyController(port, given, 7, self.clock.now())
+        admit = Admission(self.accounting)
+        self.responses.controller = admit.controller = self.controller
+        self.ingress = Ingress(given, self.controller.request_classes, self.clock, admit)
+        self.client, self.request_count = RecordingClient(), 0
         self.list(*(EndpointState.READY for _ in range(engines)), complete=True)
 
     def _make_pool(self, label: str, address: tuple[str, int]) -> FakePool:
@@ -103,21 +103,21 @@
         self.pools[-1].address, self.pools[-1]._timers = address, self.timers
         return self.pools[-1]
 
-    def list(self, *standings: EndpointState, complete: bool = False) -> None:
-        """As service.py tells of an event."""
-        members = [Endpoint(n, "e", n, standing, 0, 0, 0, 0) for n, standing in enumerate(standings)]
+    def list(self, *states: EndpointState, complete: bool = False) -> None:
+        """As EndpointUpdates applies an event."""
+        members = [Endpoint(n, "e", n, state, 0, 0, 0, 0) for n, state in enumerate(states)]
         event = EndpointEvent(1, complete, members)
-        self.gateway.on_endpoints_updated(self.route.apply_event(event), complete, self.clock.now())
+        self.controller.on_endpoints_updated(self.router.apply_event(event), complete, self.clock.now())
 
-    def ask(self, name: str, request_class: str = "read", patience: float = 3000) -> None:
-        self.asked += 1
-        self.take_in.accept(self.client, self.asked, Query(name, request_class, patience))
+    def ask(self, name: str, class_name: str = "read", timeout_ms: float = 3000) -> None:
+        self.request_count += 1
+        self.ingress.accept(self.client, self.request_count, Query(name, class_name, timeout_ms))
 
-    def withdraw(self, number: int = 1) -> None:
-        self.take_in.cancel(self.client, number, None)
+    def cancel(self, number: int = 1) -> None:
+        self.ingress.cancel(self.client, number, None)
 
     def leave(self) -> None:
-        self.take_in.on_disconnected(self.client)
+        self.ingress.on_disconnected(self.client)
 
     def wait(self, milliseconds: float) -> None:
         until = self.clock.at + int(milliseconds * MILLI)
@@ -125,49 +125,55 @@
             self.clock.at += left
         self.clock.at = until
 
-    def stopped(self, milliseconds: int) -> None:
+    def stop_process(self, milliseconds: int) -> None:
         """The process gets no turn: no timer runs."""
         self.clock.at += milliseconds * MILLI
 
-    def link(self, engine: int = 0, number: int = -1) -> FakeLink:
+    def connection(self, engine: int = 0, number: int = -1) -> FakeLink:
         return self.pools[engine].made[number]
 
-    def links(self) -> list[FakeLink]:
+    def connections(self) -> list[FakeLink]:
         return [link for pool in self.pools for link in pool.made]
 
-    def heard(self) -> list[str]:
-        return [line for link in self.links() if link.line is not None for line in link.wire.heard()]
+    def sent_lines(self) -> list[str]:
+        return [line for link in self.connections() if link.line is not None for line in link.wire.heard()]
 
-    def ends(self) -> dict[str, int]:
-        """How relays have ended."""
-        how = {ending.value: self.counters.counts[f"attempts {ending.value}"] for ending in Outcome}
+    def outcomes(self) -> dict[str, int]:
+        """How attempts have ended."""
+        how = {outcome.value: self.counters.counts[f"attempts {outcome.value}"] for outcome in Outcome}
         return {name: count for name, count in how.items() if count}
 
 
 class DeskCase(unittest.TestCase):
-    def rests(self, made: Desk) -> None:
+    def assert_at_rest(self, made: Desk) -> None:
         """Nothing is owed, out, or open on a link."""
-        kept = [made.book.open, made.back.in_flight, made.back._reports, made.client.open, made.gateway.queue]
+        kept = [
+            made.accounting.open,
+            made.responses.in_flight,
+            made.responses._reports,
+            made.client.open,
+            made.controller.queue,
+        ]
         kept += [link.in_flight.open for pool in made.pools for link in pool.connections]
         self.assertEqual([], [one for one in kept if one])
-        self.assertEqual([], [trouble for pool in made.pools for trouble in pool.faults])
-        limiters = [engine.limiter for engine in made.gateway.engines]
+        self.assertEqual([], [error for pool in made.pools for error in pool.faults])
+        limiters = [engine.limiter for engine in made.controller.engines]
         self.assertEqual([], [one for one in limiters if one.threads or one.out])
 
 
-class LateDials(DeskCase):
+class LateConnections(DeskCase):
     """A connection comes up after something has ended; the engine's side of it must stay silent."""
 
     def test_its_client_has_withdrawn(self) -> None:
         for cancel in (True, False):
             made = Desk(cancel=cancel)
             made.ask("a")
-            made.withdraw()
-            made.link().come_up()  # before the timer of the withdrawal
-            self.assertEqual(([], {"expired before send": 1}), (made.heard(), made.ends()))
+            made.cancel()
+            made.connection().come_up()  # before the timer of the withdrawal
+            self.assertEqual(([], {"expired before send": 1}), (made.sent_lines(), made.outcomes()))
             made.wait(100)
             self.assertEqual([], made.client.answers)
-            self.rests(made)
+            self.assert_at_rest(made)
 
     def test_its_client_has_closed_and_that_was_read(self) -> None:
         for cancel in (True, False):
@@ -176,81 +182,83 @@
             made.leave()
             if cancel:
                 made.wait(1)
-            made.link().come_up()
-            self.assertEqual([], made.heard())
-            self.rests(made)
+            made.connection().come_up()
+            self.assertEqual([], made.sent_lines())
+            self.assert_at_rest(made)
 
     def test_its_client_has_closed_and_that_was_not_read_yet(self) -> None:
         made = Desk()
         made.ask("a")
-        made.client.shut = True
+        made.client.has_closed = True
         made.wait(30)
-        made.link().come_up()
+        made.connection().come_up()
         made.wait(10)
         self.assertEqual(
-            ([], {"expired before send": 1}, []), (made.heard(), made.ends(), made.client.answers)
+            ([], {"expired before send": 1}, []), (made.sent_lines(), made.outcomes(), made.client.answers)
         )
         self.assertEqual(1, made.counters.counts["requests cancelled"])
-        self.rests(made)
+        self.assert_at_rest(made)
 
     def test_what_was_written_stays_out_without_cancel(self) -> None:
         made = Desk(cancel=False)
         made.ask("a")
-        made.link().come_up()
-        made.withdraw()
+        made.connection().come_up()
+        made.cancel()
         made.wait(10)
-        self.assertEqual(["ASK a"], made.heard())
-        made.link().answer("a", "served", "sheets=1", "a\tb\tc\n")
-        self.assertEqual(([], {"succeeded": 1}), (made.client.answers, made.ends()))
-        self.rests(made)
+        self.assertEqual(["ASK a"], made.sent_lines())
+        made.connection().answer("a", "served", "sheets=1", "a\tb\tc\n")
+        self.assertEqual(([], {"succeeded": 1}), (made.client.answers, made.outcomes()))
+        self.assert_at_rest(made)
 
     def test_its_time_is_over_before_it_is_up(self) -> None:
-        """It never ran: what may run once only is denied, so that its client may come again."""
-        for request_class in ("read", "post"):
+        """It never ran: what may run once only is rejected, so that its client may come again."""
+        for class_name in ("read", "post"):
             made = Desk()
-            made.ask("a", request_class, patience=1000)
+            made.ask("a", class_name, timeout_ms=1000)
             made.wait(1000)
-            self.assertEqual((["a denied"], {"expired before send": 1}), (made.client.answers, made.ends()))
-            made.link().come_up()
-            self.assertEqual([], made.heard())
-            self.rests(made)
+            self.assertEqual(
+                (["a rejected"], {"expired before send": 1}), (made.client.answers, made.outcomes())
+            )
+            made.connection().come_up()
+            self.assertEqual([], made.sent_lines())
+            self.assert_at_rest(made)
 
     def test_its_time_is_over_when_it_is_out(self) -> None:
-        for request_class, answer in (("read", "denied"), ("post", "abandoned")):
+        for class_name, answer in (("read", "rejected"), ("post", "failed")):
             made = Desk()
-            made.ask("a", request_class, patience=1000)
-            made.link().come_up()
+            made.ask("a", class_name, timeout_ms=1000)
+            made.connection().come_up()
             made.wait(1000)
-            self.assertEqual(([f"a {answer}"], {"timed out": 1}), (made.client.answers, made.ends()))
-            self.rests(made)
+            self.assertEqual(([f"a {answer}"], {"timed out": 1}), (made.client.answers, made.outcomes()))
+            self.assert_at_rest(made)
 
     def test_its_engine_drains_is_gone_or_replaced(self) -> None:
-        for standing in (EndpointState.DRAINING, EndpointState.REMOVED):
+        for state in (EndpointState.DRAINING, EndpointState.REMOVED):
             made = Desk(engines=2)
             made.ask("a", "post")
-            first = next(link for link in made.links())
+            first = next(link for link in made.connections())
             pool = first.pool
             gone = made.pools.index(pool)
-            standings = [EndpointState.READY, EndpointState.READY]
-            standings[gone] = standing
-            made.list(*standings)
+            states = [EndpointState.READY, EndpointState.READY]
+            states[gone] = state
+            made.list(*states)
             first.come_up()
-            other = made.link(1 - gone)
+            other = made.connection(1 - gone)
             self.assertEqual([], first.wire.heard())
             self.assertEqual(["ASK a"], other.come_up().heard())
             other.answer("a", "served", "sheets=1", "a\tb\tc\n")
-            self.assertEqual(["a fulfilled"], made.client.answers)
-            self.rests(made)
+            self.assertEqual(["a succeeded"], made.client.answers)
+            self.assert_at_rest(made)
 
     def test_recalled_when_its_engine_drains(self) -> None:
-        """At once, not when its connection has come up; what the module frees goes elsewhere only."""
+        """At once, not when its connection has come up; what the policy frees goes elsewhere only."""
         made = Desk(engines=2)
         for name in "abcd":
             made.ask(name, "post")
-        drained = made.pools.index(made.links()[0].pool)
-        standings = [EndpointState.READY, EndpointState.READY]
-        standings[drained] = EndpointState.DRAINING
-        made.list(*standings)
+        drained = made.pools.index(made.connections()[0].pool)
+        states = [EndpointState.READY, EndpointState.READY]
+        states[drained] = EndpointState.DRAINING
+        made.list(*states)
         made.pools[drained].cancel_unwritten()
         made.pools[drained].cancel_unwritten()
         self.assertEqual(
@@ -259,83 +267,83 @@
         made.wait(1)
         for link in made.pools[1 - drained].made:
             link.come_up()
-        self.assertEqual(["ASK a", "ASK b", "ASK c", "ASK d"], sorted(made.heard()))
+        self.assertEqual(["ASK a", "ASK b", "ASK c", "ASK d"], sorted(made.sent_lines()))
 
     def test_its_engine_has_started_anew_elsewhere(self) -> None:
         made = Desk()
         made.ask("a", "post")
-        first = made.link()
+        first = made.connection()
         event = EndpointEvent(2, False, [Endpoint(0, "f", 9, EndpointState.READY, 0, 0, 0, 0)])
-        made.gateway.on_endpoints_updated(made.route.apply_event(event), False, made.clock.now())
+        made.controller.on_endpoints_updated(made.router.apply_event(event), False, made.clock.now())
         made.wait(1)
         self.assertEqual([], first.come_up().heard())
-        self.assertEqual(["ASK a"], made.link().come_up().heard())
-        self.assertEqual({"expired before send": 1}, made.ends())
+        self.assertEqual(["ASK a"], made.connection().come_up().heard())
+        self.assertEqual({"expired before send": 1}, made.outcomes())
 
     def test_the_window_for_repeats_is_over(self) -> None:
         """A part of a second before engines forget the first; with the window open it leaves."""
         for late, heard in ((949, ["ASK a", "ASK a"]), (950, ["ASK a"])):
             made = Desk(engines=2)
             made.ask("a", "keyed")
-            first = made.links()[0]
+            first = made.connections()[0]
             first.come_up()
             made.wait(5)
             first.on_closed()
-            second = next(link for link in made.links() if link is not first)
-            made.stopped(late - 5)
+            second = next(link for link in made.connections() if link is not first)
+            made.stop_process(late - 5)
             second.come_up()
-            self.assertEqual(heard, made.heard())
+            self.assertEqual(heard, made.sent_lines())
 
     def test_the_window_ends_while_the_process_is_stopped_within_a_turn(self) -> None:
         made = Desk(engines=2)
         made.ask("a", "keyed")
-        made.links()[0].come_up()
-        attempt, then = next(iter(made.back.in_flight)), made.clock.now()
-        made.back.in_flight.pop(attempt).timeout.cancel()
-        made.stopped(1000)
-        made.gateway.on_attempt_finished(attempt, Outcome.CONNECTION_LOST, 0, False, {}, then)
-        self.assertEqual(1, len(made.links()))
+        made.connections()[0].come_up()
+        attempt, then = next(iter(made.responses.in_flight)), made.clock.now()
+        made.responses.in_flight.pop(attempt).timeout.cancel()
+        made.stop_process(1000)
+        made.controller.on_attempt_finished(attempt, Outcome.CONNECTION_LOST, 0, False, {}, then)
+        self.assertEqual(1, len(made.connections()))
         made.wait(0)
-        self.assertEqual(({"expired before send": 1}, ["ASK a"]), (made.ends(), made.heard()))
+        self.assertEqual(({"expired before send": 1}, ["ASK a"]), (made.outcomes(), made.sent_lines()))
 
     def test_a_window_counts_from_attempts_that_may_have_run_only(self) -> None:
         made = Desk(engines=2)
         made.ask("a", "keyed")
-        first = made.links()[0]
+        first = made.connections()[0]
         first.come_up()
         first.answer("a", "overload")
-        second = next(link for link in made.links() if link is not first)
-        made.stopped(1500)
+        second = next(link for link in made.connections() if link is not first)
+        made.stop_process(1500)
         second.come_up()
-        self.assertEqual(["ASK a", "ASK a"], made.heard())
+        self.assertEqual(["ASK a", "ASK a"], made.sent_lines())
 
     def test_its_time_is_over_and_no_timer_has_run(self) -> None:
         made = Desk()
         made.ask("a", "post", 1000)
-        made.stopped(950)
-        made.link().come_up()
-        self.assertEqual(([], ["a denied"]), (made.heard(), made.client.answers))
-        self.rests(made)
+        made.stop_process(950)
+        made.connection().come_up()
+        self.assertEqual(([], ["a rejected"]), (made.sent_lines(), made.client.answers))
+        self.assert_at_rest(made)
 
     def test_called_back_while_it_is_dialled(self) -> None:
         made = Desk(engines=2)
         made.ask("a")
-        first = made.links()[0]
-        attempt = next(iter(made.back.in_flight))
-        made.gateway._call_back(attempt, made.clock.now())
+        first = made.connections()[0]
+        attempt = next(iter(made.responses.in_flight))
+        made.controller._call_back(attempt, made.clock.now())
         first.come_up()
         made.wait(1)
-        self.assertEqual(([], {"expired before send": 1}), (made.heard(), made.ends()))
+        self.assertEqual(([], {"expired before send": 1}), (made.sent_lines(), made.outcomes()))
 
     def test_it_is_never_up(self) -> None:
         """A refused connection proves that nothing ran: one that is unsafe to repeat goes elsewhere."""
         made = Desk(engines=2)
         made.ask("a", "post")
-        first = made.links()[0]
+        first = made.connections()[0]
         first.on_closed()
-        second = next(link for link in made.links() if link is not first)
+        second = next(link for link in made.connections() if link is not first)
         second.come_up()
-        self.assertEqual((["ASK a"], {"unreachable": 1}), (made.heard(), made.ends()))
+        self.assertEqual((["ASK a"], {"unreachable": 1}), (made.sent_lines(), made.outcomes()))
 
 
 class Repeats(DeskCase):
@@ -343,26 +351,28 @@
         """It has closed its connection, which nobody has read; its attempt ends, the next never begins."""
         made = Desk(engines=2)
         made.ask("a")
-        made.links()[0].come_up()
+        made.connections()[0].come_up()
         made.wait(30)
-        made.client.shut = True
-        made.links()[0].answer("a", "crashed")
+        made.client.has_closed = True
+        made.connections()[0].answer("a", "crashed")
         made.wait(0)
-        self.assertEqual((1, {"failed": 1, "expired before send": 1}), (len(made.links()), made.ends()))
+        self.assertEqual(
+            (1, {"failed": 1, "expired before send": 1}), (len(made.connections()), made.outcomes())
+        )
         self.assertEqual(([], 1), (made.client.answers, made.counters.counts["requests cancelled"]))
         made.leave()
-        self.rests(made)
+        self.assert_at_rest(made)
 
     def test_the_client_of_a_held_request_is_gone(self) -> None:
         made = Desk()
         made.list(EndpointState.DRAINING)
         made.ask("a")
         made.wait(30)
-        made.client.shut = True
+        made.client.has_closed = True
         made.list(EndpointState.READY)
         made.wait(0)
-        self.assertEqual(([], []), (made.links(), made.client.answers))
-        self.rests(made)
+        self.assertEqual(([], []), (made.connections(), made.client.answers))
+        self.assert_at_rest(made)
 
     def test_it_is_read_that_the_client_is_gone_before_the_relay_has_ended(self) -> None:
         for cancel in (True, False):
@@ -370,19 +380,19 @@
             made.list(EndpointState.DRAINING)
             made.ask("a")
             made.wait(30)
-            made.client.shut = True
+            made.client.has_closed = True
             made.list(EndpointState.READY)
             made.leave()
             made.wait(0)
-            self.assertEqual(([], 1), (made.links(), made.counters.counts["requests cancelled"]))
-            self.rests(made)
+            self.assertEqual(([], 1), (made.connections(), made.counters.counts["requests cancelled"]))
+            self.assert_at_rest(made)
 
     def test_what_is_sent_at_once_asks_nobody(self) -> None:
         made = Desk()
         made.ask("a")
-        made.link().come_up()
+        made.connection().come_up()
         made.ask("b")
-        self.assertEqual(0, made.client.looks)
+        self.assertEqual(0, made.client.disconnect_checks)
 
     def test_which_ends_are_proofs(self) -> None:
         """(what comes, how it ends, whether an unsafe request is sent again, what it is answered else)."""
@@ -397,12 +407,12 @@
             with self.subTest(how):
                 made = Desk(engines=2)
                 made.ask("a", "post")
-                first = made.links()[0]
+                first = made.connections()[0]
                 first.come_up()
                 comes(first)
-                self.assertEqual({how: 1}, made.ends())
-                self.assertEqual(2 if again else 1, len(made.links()))
-                self.assertEqual([] if again else ["a abandoned"], made.client.answers)
+                self.assertEqual({how: 1}, made.outcomes())
+                self.assertEqual(2 if again else 1, len(made.connections()))
+                self.assertEqual([] if again else ["a failed"], made.client.answers)
 
     def _spoils(self, link: FakeLink) -> None:
         with self.assertRaises(links.codec.BrokenError):
@@ -415,40 +425,40 @@
         for word in ("overload", "nobody", "green", "served"):
             made = Desk(engines=2)
             made.ask("a", "post", 1000)
-            first = made.links()[0]
+            first = made.connections()[0]
             first.come_up()
             first.answer("a", "rows", "sheet=1", "x\ty\tz\n")  # before there is a result
             first.answer("a", "served", "sheets=2", "a\tb\tc\n")
             first.answer("a", word, "-", "")
-            self.assertEqual(({}, 1, 2), (made.ends(), len(made.links()), self._unawaited(made)))
+            self.assertEqual(({}, 1, 2), (made.outcomes(), len(made.connections()), self._unawaited(made)))
             made.wait(1000)
-            self.assertEqual(({"timed out": 1}, ["a abandoned"]), (made.ends(), made.client.answers))
-            self.assertEqual(["ASK a", "NEXT a", "FREE a"], made.heard())
-            self.rests(made)
+            self.assertEqual(({"timed out": 1}, ["a failed"]), (made.outcomes(), made.client.answers))
+            self.assertEqual(["ASK a", "NEXT a", "FREE a"], made.sent_lines())
+            self.assert_at_rest(made)
 
     def test_an_error_after_part_of_a_result(self) -> None:
         made = Desk(engines=2)
         made.ask("a", "post")
-        first = made.links()[0]
+        first = made.connections()[0]
         first.come_up()
         first.answer("a", "served", "sheets=3", "a\tb\tc\n")
         first.answer("a", "crashed")
         first.answer("a", "crashed")  # to the other page
         first.answer("a", "rows", "sheet=1", "x\ty\tz\n")
-        self.assertEqual((["a abandoned"], {"failed": 1}), (made.client.answers, made.ends()))
+        self.assertEqual((["a failed"], {"failed": 1}), (made.client.answers, made.outcomes()))
         self.assertEqual(2, self._unawaited(made))
-        self.rests(made)
+        self.assert_at_rest(made)
 
     def test_pages_twice_and_beyond(self) -> None:
         made = Desk()
         made.ask("a")
-        link = made.link()
+        link = made.connection()
         link.come_up()
         link.answer("a", "served", "sheets=3", "0\t0\t0\n")
         link.answer("a", "rows", "sheet=2", "2\t2\t2\n")
         link.answer("a", "rows", "sheet=2", "3\t3\t3\n")
         link.answer("a", "rows", "sheet=1", "1\t1\t1\n")
-        self.assertEqual((["a fulfilled"], 1), (made.client.answers, self._unawaited(made)))
+        self.assertEqual((["a succeeded"], 1), (made.client.answers, self._unawaited(made)))
 
     def test_pages_that_cannot_be(self) -> None:
         """They end the link, as spoilt; what is unsafe to repeat has failed then."""
@@ -461,49 +471,49 @@
         ):
             made = Desk(engines=2)
             made.ask("a", "post")
-            link = made.links()[0]
+            link = made.connections()[0]
             link.come_up()
             with self.assertRaises(links.codec.BrokenError):
                 link.answer("a", "served", first, "x\ty\tz\n")
                 link.answer("a", "rows", second, "x\ty\tz\n")
             link.is_corrupt = True
             link.on_closed()
-            self.assertEqual((["a abandoned"], {"protocol error": 1}), (made.client.answers, made.ends()))
-            self.rests(made)
+            self.assertEqual((["a failed"], {"protocol error": 1}), (made.client.answers, made.outcomes()))
+            self.assert_at_rest(made)
 
     def test_an_answer_beside_a_cancel_and_a_time_out(self) -> None:
         """Whichever is first ends it; the other finds nothing."""
         for first, ends, answers in (
-            ("answer", {"succeeded": 1}, ["a fulfilled"]),
+            ("answer", {"succeeded": 1}, ["a succeeded"]),
             ("cancel", {"succeeded": 1}, []),
             ("cancel is due", {"cancelled": 1}, []),
-            ("time", {"timed out": 1}, ["a denied"]),
+            ("time", {"timed out": 1}, ["a rejected"]),
         ):
             with self.subTest(first):
                 made = Desk()
-                made.ask("a", patience=1000)
-                link = made.link()
+                made.ask("a", timeout_ms=1000)
+                link = made.connection()
                 link.come_up()
                 if first.startswith("cancel"):
-                    made.withdraw()
+                    made.cancel()
                 if first == "cancel is due":
                     made.wait(0)
                 if first == "time":
                     made.wait(900)
                 link.answer("a", "served", "sheets=1", "a\tb\tc\n")
-                made.withdraw()
+                made.cancel()
                 made.wait(1000)
-                self.assertEqual((ends, answers), (made.ends(), made.client.answers))
-                self.rests(made)
+                self.assertEqual((ends, answers), (made.outcomes(), made.client.answers))
+                self.assert_at_rest(made)
 
     def test_the_budget_at_the_edge_of_its_window(self) -> None:
-        """Two further attempts are never closer than the window, to the millisecond."""
+        """Two retries are never closer than the window, to the millisecond."""
         made = Desk(engines=3, BudgetWindow=1000.0, FreeResends=1, ResendRatio=0.0)
         sent: list[int] = []
         for turn in range(60):
-            made.ask(f"n{turn}", patience=60_000)
+            made.ask(f"n{turn}", timeout_ms=60_000)
             for _ in range(83):
-                for attempt, exchange in list(made.back.in_flight.items()):
+                for attempt, exchange in list(made.responses.in_flight.items()):
                     if exchange.connection.line is None:
                         exchange.connection.come_up()
                     sent += [attempt.sent_us] if attempt.number else []
@@ -521,19 +531,19 @@
         """Its connection comes up 200 ms late; the next one is a whole window behind that."""
         made = Desk(engines=2, BudgetWindow=1000.0, FreeResends=1, ResendRatio=0.0)
         began = made.clock.at
-        made.ask("a", patience=60_000)
-        first = next(iter(made.links()))
+        made.ask("a", timeout_ms=60_000)
+        first = next(iter(made.connections()))
         first.come_up()
         first.answer("a", "nobody")
-        late = next(link for link in made.links() if link is not first)
+        late = next(link for link in made.connections() if link is not first)
         made.wait(200)
         self.assertEqual(["ASK a"], late.come_up().heard())
         late.answer("a", "served", "sheets=1", "a\tb\tc\n")
         made.wait(830)
-        made.ask("b", patience=60_000)
-        taken = next(link for link in made.links() if link.in_flight.open)
+        made.ask("b", timeout_ms=60_000)
+        taken = next(link for link in made.connections() if link.in_flight.open)
         taken.answer("b", "nobody")
-        while made.heard().count("ASK b") < 2:
+        while made.sent_lines().count("ASK b") < 2:
             made.wait(1)
         self.assertGreaterEqual(made.clock.at - began, 1200 * MILLI)
         self.assertLess(made.clock.at - began, 1400 * MILLI)
@@ -616,14 +626,14 @@
 
     def test_the_engine_drains_while_it_is_dialled(self) -> None:
         """The request goes to the other one, although its class is unsafe to repeat."""
-        for standing in (EndpointState.DRAINING, EndpointState.REMOVED):
+        for state in (EndpointState.DRAINING, EndpointState.REMOVED):
 
-            async def scene(stage: Stage, client: ClientStandIn, dials: Dials, standing=standing) -> None:
+            async def scene(stage: Stage, client: ClientStandIn, dials: Dials, state=state) -> None:
                 second = member(stage.engines[1].port, 1, EndpointState.DRAINING)
                 stage.service.parts.endpoint_updates.on_event(EndpointEvent(2, False, [second]))
                 await client.ask(1, "plain")
                 await dials.begun.wait()
-                told = [member(stage.engines[0].port, 0, standing), member(stage.engines[1].port, 1)]
+                told = [member(stage.engines[0].port, 0, state), member(stage.engines[1].port, 1)]
                 stage.service.parts.endpoint_updates.on_event(EndpointEvent(3, False, told))
                 dials.let.set()
                 self.assertIn("result", await client.hear())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -33,8 +33,8 @@
 from tests.test_codecs import frame
 
 
-def member(port: int, number: int = 1, standing: EndpointState = EndpointState.READY) -> Endpoint:
-    return Endpoint(number, "127.0.0.1", port, standing, 0, 0, 0, 0)
+def member(port: int, number: int = 1, state: EndpointState = EndpointState.READY) -> Endpoint:
+    return Endpoint(number, "127.0.0.1", port, state, 0, 0, 0, 0)
 
 
 class Stage:
@@ -211,11 +211,11 @@
         # What was asked first is open on a link of its own until the gateway ends, a reset for it.
         stage = self.play("scene_faults", scene, Limits={"MaxAttempts": 1})
         counts = stage.service.parts.counters.counts
-        endings = [
+        outcomes = [
             counts[f"attempts {how}"]
             for how in ("protocol error", "connection lost", "overloaded", "succeeded")
         ]
-        self.assertEqual([3, 2, 1, 2], endings)
+        self.assertEqual([3, 2, 1, 2], outcomes)
         self.assertEqual(2, counts["answers not awaited"])
 
     def test_further_relay(self) -> None:
@@ -525,7 +525,7 @@
                     timers.run_due()
             else:
                 self.assertIsNone(timers.run_due())
-                self.assertEqual(["of ours"], [str(trouble) for trouble in told])
+                self.assertEqual(["of ours"], [str(error) for error in told])
         self.assertEqual([7], made)
 
     def test_a_sweep_that_fails_is_followed_by_the_next(self) -> None:
