--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -221,6 +221,6 @@
         """Starts the connections to control-plane nodes."""
         # A gateway that no document names would send beside all that are named. Nodes within reach say so
         # in a lease; where there are none, service goes on with the smallest quota there is.
-        fallback = self._worker.does("floor", Priority.SAFETY, 0, lambda now: self.use.goes_on())
+        fallback = self._worker.does("fallback quota", Priority.SAFETY, 0, lambda now: self.use.goes_on())
         self._worker.later(fallback, self._config.lease)
         tasks.start_soon(self.follower.run, tasks)
--- a/cresstray/gateway/membership_jobs.py
+++ b/cresstray/gateway/membership_jobs.py
@@ -42,10 +42,16 @@
         """Adds the jobs, in the order in which they have their last turns; `tasks` runs the probes."""
         self._tasks = tasks
         self._remember_names()
-        self._worker.does("listing", Priority.SAFETY, _INTERVAL_US, self._list, _MAX_RETRY_PAUSE_US)
-        self._worker.does("trials", Priority.SAFETY, _INTERVAL_US, self._choose_probes, _MAX_RETRY_PAUSE_US)
-        self._probe_job = self._worker.does("knocks", Priority.SAFETY, 0, self._probe, _MAX_RETRY_PAUSE_US)
-        self._worker.does("kept list", Priority.STATE, _INTERVAL_US, self._write, last=self._hand_over)
+        self._worker.does("endpoint updates", Priority.SAFETY, _INTERVAL_US, self._list, _MAX_RETRY_PAUSE_US)
+        self._worker.does(
+            "probe selection", Priority.SAFETY, _INTERVAL_US, self._choose_probes, _MAX_RETRY_PAUSE_US
+        )
+        self._probe_job = self._worker.does(
+            "connection probes", Priority.SAFETY, 0, self._probe, _MAX_RETRY_PAUSE_US
+        )
+        self._worker.does(
+            "membership snapshot", Priority.STATE, _INTERVAL_US, self._write, last=self._hand_over
+        )
 
     def _list(self, now: int) -> JobResult:
         event = self._membership.look(now, LISTED_AT_ONCE)
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -103,8 +103,10 @@
         controller.admission_rules = _RecordValidityRules(self.records, controller, clock.now)
 
     def _add_jobs(self, worker: Worker) -> None:
-        worker.does("store links", Priority.SERVICE, Client.EVERY, self._client.look)
-        self._write_job = worker.does("marks", Priority.STATE, 0, self._step, last=self._write_last)
+        worker.does("store connections", Priority.SERVICE, Client.EVERY, self._client.look)
+        self._write_job = worker.does(
+            "idempotency records", Priority.STATE, 0, self._step, last=self._write_last
+        )
         worker.wake(self._write_job)
 
     def _print(self, text: str) -> None:
--- a/tests/test_kept_join.py
+++ b/tests/test_kept_join.py
@@ -224,7 +224,11 @@
             counts = stage.counts()
             self.assertEqual(1, counts["kept: members of old lists left out"])
             self.assertGreaterEqual(counts["kept: engines contradicted"], 1)
-            self.assertTrue(all(counts[f"background: {job} turns"] for job in ("knocks", "kept list")))
+            self.assertTrue(
+                all(
+                    counts[f"background: {job} turns"] for job in ("connection probes", "membership snapshot")
+                )
+            )
             self.assertFalse(any(amount for name, amount in counts.items() if name.endswith("failures")))
             tasks.cancel_scope.cancel()
 
