--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -31,7 +31,7 @@
 from cresstray.replicas.read import Reads
 from cresstray.replicas.spread import Talk
 
-# Shards in one message to a control-plane node, told and asked for: four times a second some kilobyte, as
+# Shards in one message to a control-plane node, sent and requested: four times a second some kilobyte, as
 # docs/replicas.md has measured.
 _MAX_SHARDS_PER_MESSAGE = 4
 # A read that no known replica can serve waits so long for what control-plane nodes know: some round trips
--- a/cresstray/pipeline/routing.py
+++ b/cresstray/pipeline/routing.py
@@ -59,13 +59,13 @@
     def apply_event(self, event: EndpointEvent) -> list[tuple[Engine, EngineEntry]]:
         """Makes, moves and retires connection pools; returns the event as the policy takes it.
 
-        Once the policy has been told, `cancel_unsent` is to be called.
+        Once the policy has taken the entries, `cancel_unsent` is to be called.
         """
         endpoints, lost_ids = self._addresses.resolve(event, self._places())
         entries = self._entries(endpoints, lost_ids)
         for engine, entry in entries:
             state = entry[-1]
-            # At once: should telling the policy fail, it must not choose an engine that has no pool any more.
+            # At once: should the policy fail to take the entries, it must not choose an engine that has no pool any more.
             if state is EndpointState.REMOVED:
                 engine.state = state
         for engine_id in self._removed_ids(event, endpoints, lost_ids):
