--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -33,8 +33,8 @@
 from tests.test_codecs import frame
 
 
-def member(port: int, number: int = 1, standing: EndpointState = EndpointState.READY) -> Endpoint:
-    return Endpoint(number, "127.0.0.1", port, standing, 0, 0, 0, 0)
+def member(port: int, number: int = 1, state: EndpointState = EndpointState.READY) -> Endpoint:
+    return Endpoint(number, "127.0.0.1", port, state, 0, 0, 0, 0)
 
 
 class Stage:
@@ -115,7 +115,7 @@
                 await client.hear()
 
         stage = self.play("scene_pages", scene)
-        self.assertEqual(2, stage.service.counters.counts["requests succeeded"])
+        self.assertEqual(2, stage.service.parts.counters.counts["requests succeeded"])
 
     def test_malformed_lines_keep_the_connection(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
@@ -163,7 +163,7 @@
             await client.hear()
 
         stage = self.play("scene_left", scene)
-        self.assertEqual(2, stage.service.counters.counts["requests cancelled"])
+        self.assertEqual(2, stage.service.parts.counters.counts["requests cancelled"])
 
     def test_strangers_do_no_harm(self) -> None:
         """The id of an open request, one used again after it was withdrawn, too many open, only mistakes."""
@@ -197,7 +197,7 @@
             del stage.engines[0].lines[2:]
 
         stage = self.play("scene_strangers", scene)
-        self.assertEqual(1, stage.service.counters.counts["clients banned"])
+        self.assertEqual(1, stage.service.parts.counters.counts["clients banned"])
 
     def test_engine_faults(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
@@ -210,12 +210,12 @@
 
         # What was asked first is open on a link of its own until the gateway ends, a reset for it.
         stage = self.play("scene_faults", scene, Limits={"MaxAttempts": 1})
-        counts = stage.service.counters.counts
-        endings = [
+        counts = stage.service.parts.counters.counts
+        outcomes = [
             counts[f"attempts {how}"]
             for how in ("protocol error", "connection lost", "overloaded", "succeeded")
         ]
-        self.assertEqual([3, 2, 1, 2], endings)
+        self.assertEqual([3, 2, 1, 2], outcomes)
         self.assertEqual(2, counts["answers not awaited"])
 
     def test_further_relay(self) -> None:
@@ -236,12 +236,12 @@
 
     def test_unreachable_engine(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            list(stage.service._route._pools.values())[0].address = ("127.0.0.1", 1)
+            list(stage.service.parts.router._pools.values())[0].address = ("127.0.0.1", 1)
             await client.ask(1, "plain", timeout=1000)
             await client.hear()
 
         stage = self.play("scene_unreachable", scene, Limits={"MaxAttempts": 1})
-        self.assertEqual(1, stage.service.counters.counts["attempts unreachable"])
+        self.assertEqual(1, stage.service.parts.counters.counts["attempts unreachable"])
 
     def test_last_stop(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
@@ -525,12 +525,12 @@
                     timers.run_due()
             else:
                 self.assertIsNone(timers.run_due())
-                self.assertEqual(["of ours"], [str(trouble) for trouble in told])
+                self.assertEqual(["of ours"], [str(error) for error in told])
         self.assertEqual([7], made)
 
     def test_a_sweep_that_fails_is_followed_by_the_next(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            gateway, listen = stage.service._gateway, stage.service._gateway._listen
+            gateway, listen = stage.service.parts.controller, stage.service.parts.controller._listen
 
             def fails(now: int) -> None:
                 gateway._listen = listen
@@ -544,14 +544,14 @@
         stage = Stage(0)
         with contextlib.redirect_stderr(io.StringIO()) as said:
             anyio.run(stage.run, scene, None)
-        self.assertEqual(1, stage.service.counters.counts["faults"])
+        self.assertEqual(1, stage.service.parts.counters.counts["faults"])
         self.assertIn("ValueError: of ours", said.getvalue())
 
     def test_what_must_hold(self) -> None:
         counters = Counters()
         counters.check(True, "nothing")
         with self.assertRaises(AssertionError):
-            counters.check(False, "a submission is answered once")
+            counters.check(False, "a request is answered once")
 
     def test_configuration(self) -> None:
         lines = []
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,7 +15,7 @@
 from unittest import mock
 
 from cresstray import __main__ as program
-from cresstray.gateway import service
+from cresstray.gateway import signals
 from cresstray.gateway.service import Service
 from tests.scripted import Engine, Gateway, listed, request, status, usual, withdrawal
 
@@ -33,7 +33,7 @@
             first.say(request(1), request(2, "a" * 16))
             out = {name: link for _, name, link in (engine.next(), engine.next())}
             gateway.tell(ENDS)
-            gateway.until_said("ends; 2 submissions")
+            gateway.until_said("shutting down; 2 requests")
             gateway.tell(ENDS)
             first.say(withdrawal(2))
             self.assertEqual(("QUIT", "a" * 16), engine.next()[:2])
@@ -61,7 +61,7 @@
             client = gateway.up().client()
             client.say(request(1)[:30])
             gateway.tell(ENDS)
-            gateway.until_said("ends; 0 submissions")
+            gateway.until_said("shutting down; 0 requests")
             begun = time.monotonic()
             client.say(request(1)[30:])
             _, name, link = engine.next()
@@ -90,7 +90,7 @@
         settings["Services"][0]["GiveUp"] = 1000.0
         with Engine() as engine, Gateway(known=listed(engine), settings=settings) as gateway:
             gateway.up().tell(ENDS)
-            gateway.until_said("ends; 0 submissions")
+            gateway.until_said("shutting down; 0 requests")
             gateway.tell(signal.SIGSTOP)
             asking = [
                 gateway.client().say(request(1, f"{number:016x}", timeout=900)) for number in range(150)
@@ -132,16 +132,19 @@
             masks.append(held())
 
         def held() -> set:
-            return set(service.CAUGHT) & signal.pthread_sigmask(signal.SIG_BLOCK, ())
+            return set(signals.HANDLED_SIGNALS) & signal.pthread_sigmask(signal.SIG_BLOCK, ())
 
-        before = signal.pthread_sigmask(signal.SIG_BLOCK, service.CAUGHT)
+        before = signal.pthread_sigmask(signal.SIG_BLOCK, signals.HANDLED_SIGNALS)
         try:
-            with mock.patch.object(service.anyio, "open_signal_receiver", receiver), service._caught():
+            with (
+                mock.patch.object(signals.anyio, "open_signal_receiver", receiver),
+                signals.receive_signals(),
+            ):
                 masks.append(held())
             masks.append(held())
         finally:
             signal.pthread_sigmask(signal.SIG_SETMASK, before)
-        every = set(service.CAUGHT)
+        every = set(signals.HANDLED_SIGNALS)
         self.assertEqual([every, set(), every, every], masks)
 
     def test_signals_before_it_serves(self) -> None:
