--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -1,11 +1,11 @@
-"""One client on one connection, one engine on its links, and all between but the module.
-
-talk.py, pool.py, exchanges.py, both codecs and the stages are the real ones. In the module's place stands
-one that may do whatever its port allows at any moment, so that nothing rests on what the module happens to
-choose. Bytes lie in the network until they are read, whole or up to a cut within a message; the engine may
-answer twice, under a name that nobody gave, with noise, and close or reset its link at any moment. Worlds:
-`connection`; `exchange`, of one request with more faults; `ending`, where the gateway is told to end at any
-moment.
+"""One client on one connection, one engine on its connections, and all between but the policy.
+
+The session, the connection state and pool, both codecs and the pipeline are the real ones. In place of the
+policy stands one that may do whatever its port allows at any moment, so that nothing rests on what the policy
+happens to choose. Bytes stay in the network until they are read, whole or up to a cut within a message; the
+engine may answer twice, under a name that nobody gave, with noise, and close or reset its connection at any
+moment. Worlds: `connection`; `exchange`, of one request with more faults; `ending`, where the gateway may be
+shut down at any moment.
 """
 
 from __future__ import annotations
@@ -51,16 +51,16 @@
 }
 
 
-class Asked(NamedTuple):
+class ClientRequest(NamedTuple):
     name: str
-    number: int
-    tariff: str
-    patience: int  # milliseconds
+    request_id: int
+    class_name: str
+    timeout_ms: int  # milliseconds
 
 
 # One that may run again, and one that may not.
-ASKED = Asked("a", 1, "read", 600), Asked("b", 2, "post", 1200)
-_TARIFFS = [
+CLIENT_REQUESTS = ClientRequest("a", 1, "read", 600), ClientRequest("b", 2, "post", 1200)
+_REQUEST_CLASSES = [
     RequestClass(place, 1, 100 * MILLI, 0.0, 1.0, 0.0, idempotent, False, "all", 0, False, None, None)
     for place, idempotent in enumerate((True, False))
 ]
@@ -80,45 +80,45 @@
         return Classes, (tuple(sorted(self)),)
 
 
-class Account:
+class RequestRecord:
     """What the world knows of one request by what went over its seams."""
 
     __slots__ = (
-        "asked",
-        "stop",
-        "taken",
-        "withdrawn",
-        "heard",
-        "runs",
-        "out",
+        "request",
+        "deadline_us",
+        "is_accepted",
+        "is_cancelled",
+        "response",
+        "run_count",
+        "is_running",
         "may_have_run",
-        "called",
-        "late",
+        "is_called_back",
+        "is_late",
     )
 
-    def __init__(self, asked: Asked) -> None:
-        self.asked = asked
-        self.stop = 0
-        self.taken = self.withdrawn = False  # by the gateway
-        self.heard = ""  # the final answer
-        self.runs = 0  # sent so often
-        self.late = False  # it came when all is denied
-        self.out = False  # the engine has it, and neither answered nor was told to quit
-        self.may_have_run = self.called = False  # called: back, once
+    def __init__(self, request: ClientRequest) -> None:
+        self.request = request
+        self.deadline_us = 0
+        self.is_accepted = self.is_cancelled = False  # by the gateway
+        self.response = ""  # the final answer
+        self.run_count = 0  # sent so often
+        self.is_late = False  # it came when all is denied
+        self.is_running = False  # the engine has it, and neither answered nor was told to quit
+        self.may_have_run = self.is_called_back = False  # called: back, once
 
 
-class Module:
+class ScriptedController:
     """In the module's place: it relays, calls back and ends what it holds when the world says so."""
 
-    def __init__(self, world: Lines) -> None:
+    def __init__(self, world: ConnectionWorld) -> None:
         self._world, self.port = world, None
         self.queue: list[Request] = []
-        self.out: list[Attempt] = []
+        self.in_flight: list[Attempt] = []
         self.engine = Engine(state=EndpointState.READY)
 
     def accept(self, request: Request, now: int) -> None:
         self.queue.append(request)
-        self.tidy(now)
+        self.end_overdue(now)
 
     def on_client_cancelled(self, request: Request, now: int) -> None:
         request.is_finished = True
@@ -137,26 +137,26 @@
             return
         request = attempt.request
         attempt.outcome, request.current_attempt = ending, None
-        self.out.remove(attempt)
+        self.in_flight.remove(attempt)
         if no_more or request.is_finished:
             request.is_finished = True
         else:
             self.queue.append(request)
-            self.tidy(now)
+            self.end_overdue(now)
 
     def may_run(self, request: Request) -> bool:
         return request.request_class.is_idempotent or all(
             attempt.outcome in NOT_EXECUTED for attempt in request.attempts
         )
 
-    def relay(self, request: Request, now: int) -> None:
+    def dispatch(self, request: Request, now: int) -> None:
         self.queue.remove(request)
         attempt = request.current_attempt = Attempt(request, self.engine, len(request.attempts), now)
         request.attempts.append(attempt)
-        self.out.append(attempt)
+        self.in_flight.append(attempt)
         self.port.send_attempt(attempt, max(MILLI, request.deadline_us - now - _LATEST))
 
-    def end(self, request: Request) -> None:
+    def reject_or_fail(self, request: Request) -> None:
         self.queue.remove(request)
         request.is_finished = True
         if self.may_run(request):
@@ -164,34 +164,38 @@
         else:
             self.port.fail_request(request)
 
-    def due(self) -> int | None:
+    def next_deadline_us(self) -> int | None:
         return min((one.deadline_us - _LATEST for one in self.queue), default=None)
 
-    def tidy(self, now: int) -> None:
+    def end_overdue(self, now: int) -> None:
         """What is held can no longer be answered but with its end."""
         for request in list(self.queue):
             if now >= request.deadline_us - _LATEST:
-                self.end(request)
+                self.reject_or_fail(request)
 
 
-class ClientWire:
+class ClientTransport:
     """The client's connection, as its socket would be."""
 
-    def __init__(self, world: Lines) -> None:
+    def __init__(self, world: ConnectionWorld) -> None:
         self._world = world
         self.unsent = bytearray()
         self.unread = b""  # of the client, in the network
-        self.stalls = self.shutdown_write = self.dead = False  # the client reads nothing; has shut; has reset
-        self.ended = self.closed = self._finishing = False  # ended: asked to end, all written, or broken
-        self.drains = False  # we have shut our side
+        self.is_stalled = self.shutdown_write = self.is_reset = (
+            False  # the client reads nothing; has shut; has reset
+        )
+        self.is_ending = self.is_closed = self._finishing = (
+            False  # ended: asked to end, all written, or broken
+        )
+        self.is_draining = False  # we have shut our side
 
     def write(self, message: bytes) -> bool:
-        if self.dead or self.closed:
-            self.ended = True
+        if self.is_reset or self.is_closed:
+            self.is_ending = True
             return False
-        if self.stalls:
+        if self.is_stalled:
             self.unsent += message
-        self._world.client_hears(message)
+        self._world.on_response(message)
         return True
 
     def flushed(self) -> None:
@@ -201,19 +205,19 @@
 
     def write_eof_when_drained(self) -> None:
         self._finishing = bool(self.unsent)
-        self.ended = self.ended or not self.unsent
+        self.is_ending = self.is_ending or not self.unsent
 
     def close(self) -> None:
-        self.closed = True
+        self.is_closed = True
 
     def has_unread(self) -> bool:
         return bool(self.unread)
 
     def has_ended(self) -> bool:
-        return self.dead or self.closed or self.shutdown_write and not self.unread
+        return self.is_reset or self.is_closed or self.shutdown_write and not self.unread
 
 
-class EngineLink(EngineConnection):
+class ScriptedConnection(EngineConnection):
     """One link, with the engine at its other end. `has`: what it runs there; `told`: in the network."""
 
     unsent = bytearray()  # empty: the engine reads at once
@@ -222,36 +226,38 @@
         super().__init__(pool)
         self.name = name
         self.in_flight.abandoned = Names()
-        self.hung_up = self.dead = self.shutdown_write = False
-        self.has: list[str] = []
-        self.told: list[bytes] = []
-        self.last = ""  # what it answered last, for a second copy
+        self.is_aborted = self.is_reset = self.shutdown_write = False
+        self.running: list[str] = []
+        self.in_transit: list[bytes] = []
+        self.last_answer = ""  # what it answered last, for a second copy
 
     def abort(self) -> None:
-        self.hung_up = True
+        self.is_aborted = True
 
     def write(self, message: bytes) -> bool:
-        if self.dead or self.hung_up:
-            self.hung_up = True
+        if self.is_reset or self.is_aborted:
+            self.is_aborted = True
             return False
-        self.pool.world.engine_hears(self, message)
+        self.pool.world.on_command(self, message)
         return True
 
     def has_ended(self) -> bool:
-        return self.dead or self.shutdown_write and not self.told
+        return self.is_reset or self.shutdown_write and not self.in_transit
 
 
-class EnginePool(ConnectionPool):
-    def __init__(self, world: Lines) -> None:
+class ScriptedPool(ConnectionPool):
+    def __init__(self, world: ConnectionWorld) -> None:
         super().__init__(
             ("e", 1), _SETTINGS, DescriptorQuota(1, 3), world.timers, world.clock.now, world.counters
         )
         self.world = world
         self._is_sweep_scheduled = True  # what is idle for ten seconds is beyond this world
 
-    def connect(self) -> EngineLink:
+    def connect(self) -> ScriptedConnection:
         taken = {link.name for link in self.connections}
-        return EngineLink(self, next(name for name in ("l1", "l2", "l3", "l4", "l5") if name not in taken))
+        return ScriptedConnection(
+            self, next(name for name in ("l1", "l2", "l3", "l4", "l5") if name not in taken)
+        )
 
     def on_fault(self, trouble: Exception) -> None:
         raise trouble
@@ -261,37 +267,42 @@
     return 4
 
 
-class Lines(Copied):
+class ConnectionWorld(Copied):
     """`ends`: whether the gateway may begin to end; the others hold unless the bounds say so."""
 
     def __init__(self, bounds: Bounds, requests: int, faults: int, leaves: int, ends: bool) -> None:
         self.clock = clock = VirtualClock(START)
         self.timers = timers = VirtualTimers(clock)
         self.counters = counters = Uncounted()
-        self.book = RequestAccounting(counters)
-        self.back = ResponseHandler(clock, counters, self.book)
-        self.send = send = Dispatcher(clock, timers, counters, self.back)
-        self.route = Router(None, send)
-        self.module = module = Module(self)
-        module.port = SocketPort(self.route, send, self.book, timers, counters, NoLog())
-        self.back.controller = module
-        admit = Admission(self.book)
+        self.accounting = RequestAccounting(counters)
+        self.response_handler = ResponseHandler(clock, counters, self.accounting)
+        self.dispatcher = send = Dispatcher(clock, timers, counters, self.response_handler)
+        self.router = Router(None, send)
+        self.controller = module = ScriptedController(self)
+        module.port = SocketPort(self.router, send, self.accounting, timers, counters, NoLog())
+        self.response_handler.controller = module
+        admit = Admission(self.accounting)
         admit.controller = module
-        self.take_in = Ingress(_SETTINGS, _TARIFFS, clock, admit)
-        self.pool = self.route._pools[module.engine] = EnginePool(self)
-        self.house = ConnectionRegistry(
-            Classes(("read", "post")), self.take_in, _most, 4, clock.now, counters, NoLog().log
+        self.ingress = Ingress(_SETTINGS, _REQUEST_CLASSES, clock, admit)
+        self.pool = self.router._pools[module.engine] = ScriptedPool(self)
+        self.registry = ConnectionRegistry(
+            Classes(("read", "post")), self.ingress, _most, 4, clock.now, counters, NoLog().log
         )
-        self.wire = ClientWire(self)
-        self.talk: ClientSession | None = ClientSession(self.house, self.wire)
-        self.house.connections[self.talk] = None
-        self.then = NextAction.READ
-        self.accounts = [Account(asked) for asked in ASKED[: bounds.submissions or requests]]
+        self.transport = ClientTransport(self)
+        self.session: ClientSession | None = ClientSession(self.registry, self.transport)
+        self.registry.connections[self.session] = None
+        self.next_action = NextAction.READ
+        self.records = [
+            RequestRecord(request) for request in CLIENT_REQUESTS[: bounds.submissions or requests]
+        ]
         self.cuts = 1
         self.faults = faults if bounds.faults is None else bounds.faults
         self.leaves = leaves if bounds.leaves is None else bounds.leaves
-        self.ends = ends
-        self.ending, self.ends_at = "", 0  # "coming", "owed", "written", "over"; the next step's time
+        self.may_shut_down = ends
+        self.shutdown_phase, self.phase_ends_us = (
+            "",
+            0,
+        )  # "coming", "owed", "written", "over"; the next step's time
         self.broken: list[str] = []
 
     def breaks(self, name: str, seen: str) -> None:
@@ -299,91 +310,93 @@
 
     # What goes over the seams.
 
-    def client_hears(self, message: bytes) -> None:
+    def on_response(self, message: bytes) -> None:
         told = json.loads(message)
-        account = next((one for one in self.accounts if one.asked.number == told["id"]), None)
-        if account is None or not account.taken:
+        record = next((one for one in self.records if one.request.request_id == told["id"]), None)
+        if record is None or not record.is_accepted:
             self.breaks("one_answer", f"the client is answered what it did not ask, {told}")
             return
-        name, how = account.asked.name, "fulfilled" if "result" in told else told["error"]["message"]
-        if account.heard:
-            self.breaks("one_answer", f"{name} is answered {how} after {account.heard}")
-        if account.withdrawn:
+        name, how = record.request.name, "fulfilled" if "result" in told else told["error"]["message"]
+        if record.response:
+            self.breaks("one_answer", f"{name} is answered {how} after {record.response}")
+        if record.is_cancelled:
             self.breaks("one_answer", f"{name} is answered {how} after it was withdrawn")
-        if self.clock.at > account.stop > 1:
-            late = (self.clock.at - account.stop) // MILLI
+        if self.clock.at > record.deadline_us > 1:
+            late = (self.clock.at - record.deadline_us) // MILLI
             self.breaks("by_hard_stop", f"{name} is answered {late} ms late")
         if "result" in told and told["result"]["data"] != b64encode(_row(name)).decode():
             self.breaks("own_name", f"{name} is answered with {told['result']['data']}")
-        if how == "refused" and account.may_have_run and account.asked.tariff == "post":
+        if how == "refused" and record.may_have_run and record.request.class_name == "post":
             self.breaks("unrepeatable", f"{name} may have run and is denied")
-        account.heard = how
+        record.response = how
 
-    def engine_hears(self, link: EngineLink, message: bytes) -> None:
+    def on_command(self, link: ScriptedConnection, message: bytes) -> None:
         reader = hiredis.Reader()
         reader.feed(message)
         while (command := reader.gets()) is not False:
             word, name = command[0], chr(command[1][0])
-            account = next(one for one in self.accounts if one.asked.name == name)
+            record = next(one for one in self.records if one.request.name == name)
             if word in (b"QUIT", b"FREE"):
-                if name in link.has:
-                    link.has.remove(name)
-                    account.out = False
+                if name in link.running:
+                    link.running.remove(name)
+                    record.is_running = False
             elif word == b"ASK":
-                self._runs(link, account)
-            elif account.heard or account.withdrawn:
+                self._runs(link, record)
+            elif record.response or record.is_cancelled:
                 self.breaks("nothing_after", f"{name} gets {word.decode()} after its end")
 
-    def _runs(self, link: EngineLink, account: Account) -> None:
-        name = account.asked.name
-        if account.heard or account.withdrawn:
+    def _runs(self, link: ScriptedConnection, record: RequestRecord) -> None:
+        name = record.request.name
+        if record.response or record.is_cancelled:
             self.breaks("nothing_after", f"{name} is sent on {link.name} after its end")
-        if account.late:
+        if record.is_late:
             self.breaks("nothing_after", f"{name} is sent on {link.name} and came after the end")
-        if account.out:
+        if record.is_running:
             self.breaks("one_outstanding", f"{name} is sent on {link.name} while it is out")
-        if account.may_have_run and account.asked.tariff == "post":
+        if record.may_have_run and record.request.class_name == "post":
             self.breaks("unrepeatable", f"{name} may have run and is sent again")
-        account.out = account.may_have_run = True
-        account.runs += 1
-        link.has.append(name)
+        record.is_running = record.may_have_run = True
+        record.run_count += 1
+        link.running.append(name)
 
     # Choices.
 
     def choices(self) -> list[str]:
         over = (
-            self.talk is None
-            or not self.wire.unsent
-            and all(one.heard or one.withdrawn for one in self.accounts)
+            self.session is None
+            or not self.transport.unsent
+            and all(one.response or one.is_cancelled for one in self.records)
         )
-        if self.ending == "over" or over and self.quiet() and not self.module.queue:
+        if self.shutdown_phase == "over" or over and self.quiet() and not self.controller.queue:
             return []
         found: list[str] = []
         soon = False  # whether something comes before time passes
         found += self._client_choices()
-        for request in self.module.queue:
+        for request in self.controller.queue:
             name = self._name(request)
-            if len(request.attempts) < 3 and self.module.may_run(request):
+            if len(request.attempts) < 3 and self.controller.may_run(request):
                 found.append(f"gateway relays {name}")
             found.append(f"gateway ends {name}")
-        for attempt in self.module.out:
-            account = self._account(self._name(attempt.request))
+        for attempt in self.controller.in_flight:
+            record = self._account(self._name(attempt.request))
             if (
                 attempt.request.request_class.is_idempotent
-                and not account.called
+                and not record.is_called_back
                 and not attempt.request.is_finished
             ):
-                found.append(f"gateway calls back {account.asked.name}")
+                found.append(f"gateway calls back {record.request.name}")
         for link in self.pool.connections:
             more, pending = self._link_choices(link)
             found += more
             soon = soon or pending
-        if self.talk is not None and (self.wire.ended or self.wire.closed or self.then is NextAction.CLOSE):
+        if self.session is not None and (
+            self.transport.is_ending or self.transport.is_closed or self.next_action is NextAction.CLOSE
+        ):
             found.append("connection ends")
             soon = True
-        if self.ends and not self.ending and not over:
+        if self.may_shut_down and not self.shutdown_phase and not over:
             found.append("gateway begins to end")
-        elif self.ending and self._may_step():
+        elif self.shutdown_phase and self._may_step():
             found.append("gateway goes on ending")
             soon = True
         if not soon:
@@ -394,11 +407,11 @@
         return found
 
     def _client_choices(self) -> list[str]:
-        wire, found = self.wire, []
-        if self.talk is None:
+        transport, found = self.transport, []
+        if self.session is None:
             return found
-        if not (wire.shutdown_write or wire.dead):
-            asking = [one.asked.name for one in self.accounts if not one.stop]
+        if not (transport.shutdown_write or transport.is_reset):
+            asking = [one.request.name for one in self.records if not one.deadline_us]
             found += [f"client asks {name}" for name in asking]
             if len(asking) > 1:
                 found.append("client asks both")
@@ -406,31 +419,33 @@
                 found += [f"client asks {name} in part" for name in asking]
             if self.leaves:
                 found += [
-                    f"client withdraws {one.asked.name}"
-                    for one in self.accounts
-                    if one.stop and not one.heard and not one.withdrawn
+                    f"client withdraws {one.request.name}"
+                    for one in self.records
+                    if one.deadline_us and not one.response and not one.is_cancelled
                 ]
                 found += ["client shuts", "client resets"]
-                if not wire.stalls:
+                if not transport.is_stalled:
                     found.append("client stalls")
-        if wire.stalls and not wire.dead:
+        if transport.is_stalled and not transport.is_reset:
             found.append("client reads")
         if self._reads():
-            if wire.unread:
+            if transport.unread:
                 found.append("gateway reads")
-            elif wire.shutdown_write or wire.dead:
+            elif transport.shutdown_write or transport.is_reset:
                 found.append("gateway reads the end")
         return found
 
     def _reads(self) -> bool:
         """Whether the gateway reads from the client."""
-        return not (self.wire.ended or self.wire.closed) and self.then is NextAction.READ
+        return (
+            not (self.transport.is_ending or self.transport.is_closed) and self.next_action is NextAction.READ
+        )
 
-    def _link_choices(self, link: EngineLink) -> tuple[list[str], bool]:
+    def _link_choices(self, link: ScriptedConnection) -> tuple[list[str], bool]:
         found, name = [], link.name
-        if link.hung_up:
+        if link.is_aborted:
             # What has come may still be read before the end is seen.
-            if link.told and link.transport is not None:
+            if link.in_transit and link.transport is not None:
                 found.append(f"{name} is read")
             return [*found, f"{name} is gone"], True
         if link.transport is None:
@@ -438,27 +453,29 @@
             if self.faults:
                 found.append(f"{name} is not reached")
             return found, False
-        if not (link.dead or link.shutdown_write):
-            for one in link.has:
+        if not (link.is_reset or link.shutdown_write):
+            for one in link.running:
                 found.append(f"{name} serves {one}")
                 if self.faults:
                     found += [f"{name} {how} {one}" for how in ("refuses", "spoils", "mixes up")]
             if self.faults:
-                if link.last:
-                    found.append(f"{name} repeats {link.last}")
+                if link.last_answer:
+                    found.append(f"{name} repeats {link.last_answer}")
                 found += [f"{name} resets", f"{name} shuts"]
-        if link.told:
+        if link.in_transit:
             found.append(f"{name} is read")
             if self.cuts and not link.has_partial_answer():
                 found.append(f"{name} is read in part")
-        elif link.dead or link.shutdown_write:
+        elif link.is_reset or link.shutdown_write:
             found.append(f"{name} is gone")
         return found, False
 
     def _may_step(self) -> bool:
-        if self.ending == "owed":
-            return not self.book.unanswered_count()
-        return self.clock.at >= self.ends_at or self.ending == "written" and self.talk is None
+        if self.shutdown_phase == "owed":
+            return not self.accounting.unanswered_count()
+        return (
+            self.clock.at >= self.phase_ends_us or self.shutdown_phase == "written" and self.session is None
+        )
 
     def _is_due(self) -> bool:
         return bool(self.timers.line) and self.timers.line[0].due_us <= self.clock.at
@@ -466,17 +483,17 @@
     def _next(self) -> int | None:
         """When anything is due by itself."""
         at = [due.due_us for due in self.timers.line[:1]]
-        if self.module.queue:
-            at.append(self.module.due())
+        if self.controller.queue:
+            at.append(self.controller.next_deadline_us())
         at += [
             link.answer_deadline_us
             for link in self.pool.connections
-            if link.has_partial_answer() and not link.told
+            if link.has_partial_answer() and not link.in_transit
         ]
-        if self.ending in ("coming", "written"):
-            at.append(self.ends_at)
-        if self.talk is not None and self.talk in self.house.connections and not self.talk.open:
-            limit = -self.talk.idle_overdue_us(self.clock.at)
+        if self.shutdown_phase in ("coming", "written"):
+            at.append(self.phase_ends_us)
+        if self.session is not None and self.session in self.registry.connections and not self.session.open:
+            limit = -self.session.idle_overdue_us(self.clock.at)
             at.append(self.clock.at + (limit if limit > 0 else limit + 1_000_000))
         return max(self.clock.at, min(at)) if at else None
 
@@ -499,11 +516,15 @@
         if who == "clock":
             self.clock.at = self._next()
             for link in list(self.pool.connections):
-                if link.has_partial_answer() and not link.told and self.clock.at >= link.answer_deadline_us:
+                if (
+                    link.has_partial_answer()
+                    and not link.in_transit
+                    and self.clock.at >= link.answer_deadline_us
+                ):
                     self._read(link, None)
-            self.module.tidy(self.clock.at)
-            if self.talk is not None and self.talk.idle_overdue_us(self.clock.at) >= 0:
-                self.house.close_idle()
+            self.controller.end_overdue(self.clock.at)
+            if self.session is not None and self.session.idle_overdue_us(self.clock.at) >= 0:
+                self.registry.close_idle()
         elif who == "due":
             self.timers.run_due()
         elif who == "client":
@@ -516,17 +537,17 @@
             self._engine(next(one for one in self.pool.connections if one.name == who), verb, what)
 
     def _client(self, verb: str, what: str) -> None:
-        wire = self.wire
+        transport = self.transport
         if verb == "asks":
-            for account in self.accounts if what == "both" else [self._account(what[0])]:
-                asked = account.asked
-                account.stop = 1  # until it is read
-                wire.unread += _line(
-                    asked.tariff,
-                    asked.number,
+            for record in self.records if what == "both" else [self._account(what[0])]:
+                request = record.request
+                record.deadline_us = 1  # until it is read
+                transport.unread += _line(
+                    request.class_name,
+                    request.request_id,
                     {
-                        "req": asked.name * 16,
-                        "timeout": asked.patience,
+                        "req": request.name * 16,
+                        "timeout": request.timeout_ms,
                         "data": b64encode(b"select 1").decode(),
                     },
                 )
@@ -535,158 +556,163 @@
                 self._gateway_reads("in part" if what.endswith("in part") else "")
         elif verb == "withdraws":
             self.leaves -= 1
-            wire.unread += _line("withdraw", None, {"id": self._account(what).asked.number})
+            transport.unread += _line("withdraw", None, {"id": self._account(what).request.request_id})
             if self._reads():
                 self._gateway_reads("")
         elif verb == "reads":
-            wire.stalls = False
-            wire.flushed()
+            transport.is_stalled = False
+            transport.flushed()
         else:
             self.leaves -= 1
             if verb == "stalls":
-                wire.stalls = True
+                transport.is_stalled = True
             elif verb == "shuts":
-                wire.shutdown_write = True
+                transport.shutdown_write = True
             else:
-                wire.dead, wire.unread = True, b""
+                transport.is_reset, transport.unread = True, b""
 
     def _gateway(self, verb: str, what: str) -> None:
         if verb == "reads":
             self._gateway_reads(what)
         elif verb == "relays":
-            self.module.relay(self._held(what), self.clock.at)
+            self.controller.dispatch(self._held(what), self.clock.at)
         elif verb == "ends":
-            self.module.end(self._held(what))
+            self.controller.reject_or_fail(self._held(what))
         elif verb == "calls":
             name = what.removeprefix("back ")
-            self._account(name).called = True
-            attempt = next(one for one in self.module.out if self._name(one.request) == name)
-            self.module.port.cancel_attempt(attempt)
+            self._account(name).is_called_back = True
+            attempt = next(one for one in self.controller.in_flight if self._name(one.request) == name)
+            self.controller.port.cancel_attempt(attempt)
         else:
             self._end()
 
     def _gateway_reads(self, what: str) -> None:
-        wire = self.wire
+        transport = self.transport
         if what == "the end":
             self._connection_ends()
             return
-        data = wire.unread
+        data = transport.unread
         if what == "in part":
             self.cuts -= 1
             # Within the last line: what is before it comes with half of it.
             data = data[: (data.rfind(b"\n", 0, -1) + 1 + len(data)) // 2]
-        wire.unread = wire.unread[len(data) :]
-        for account in self.accounts:
+        transport.unread = transport.unread[len(data) :]
+        for record in self.records:
             # A request's time runs from when the gateway has all of it; a withdrawal counts from there on.
-            if account.stop and not account.taken:
-                account.stop = self.clock.at + account.asked.patience * MILLI
-                if self.ending in ("coming", "owed"):
-                    account.stop = min(account.stop, self.take_in.shutdown_deadline_us)
+            if record.deadline_us and not record.is_accepted:
+                record.deadline_us = self.clock.at + record.request.timeout_ms * MILLI
+                if self.shutdown_phase in ("coming", "owed"):
+                    record.deadline_us = min(record.deadline_us, self.ingress.shutdown_deadline_us)
         left = self._mark_taken(data)
-        ended = wire.shutdown_write and not wire.unread
-        self.then = self.talk.receive(data, ended)
-        for account in left:
-            account.withdrawn = not account.heard
+        ended = transport.shutdown_write and not transport.unread
+        self.next_action = self.session.receive(data, ended)
+        for record in left:
+            record.is_cancelled = not record.response
         if ended:
             self._connection_ends()
 
-    def _mark_taken(self, data: bytes) -> list[Account]:
+    def _mark_taken(self, data: bytes) -> list[RequestRecord]:
         """Which requests are whole with this piece; returns those that are withdrawn by it."""
-        left, whole = [], bytes(self.talk._buffer) + data
+        left, whole = [], bytes(self.session._buffer) + data
         for line in whole[: whole.rfind(b"\n") + 1].splitlines():
             told = json.loads(line)
             number = told.get("id") or told["params"]["id"]
-            account = next(one for one in self.accounts if one.asked.number == number)
+            record = next(one for one in self.records if one.request.request_id == number)
             if "id" in told:
-                account.taken, account.late = True, self.house.is_closing
+                record.is_accepted, record.is_late = True, self.registry.is_closing
             else:
-                left.append(account)
+                left.append(record)
         return left
 
     def _ends_in_order(self) -> None:
         """What has come is read and our side shut; what comes then is thrown away in a step after that."""
-        wire, came = self.wire, bool(self.wire.unread)
-        if came and not wire.drains:
+        transport, came = self.transport, bool(self.transport.unread)
+        if came and not transport.is_draining:
             self._gateway_reads("")
-        if self.talk is None:
+        if self.session is None:
             return
-        if wire.drains or wire.dead or wire.shutdown_write or self.then is NextAction.CLOSE:
-            self.talk.receive(wire.unread)
+        if (
+            transport.is_draining
+            or transport.is_reset
+            or transport.shutdown_write
+            or self.next_action is NextAction.CLOSE
+        ):
+            self.session.receive(transport.unread)
             self._connection_ends()
-        elif self.talk.can_shut_down(came):
-            wire.drains = True
+        elif self.session.can_shut_down(came):
+            transport.is_draining = True
         else:
-            wire.ended = wire._finishing = False
-            self.talk.resume()
+            transport.is_ending = transport._finishing = False
+            self.session.resume()
 
     def _connection_ends(self) -> None:
-        wire = self.wire
-        if wire.drains and self.talk.open:
+        transport = self.transport
+        if transport.is_draining and self.session.open:
             self.breaks("one_answer", "a request is taken after our side was shut")
-        left = wire.dead or wire.shutdown_write or wire.stalls
-        for account in self.accounts:
-            if account.taken and not account.heard and not account.withdrawn:
+        left = transport.is_reset or transport.shutdown_write or transport.is_stalled
+        for record in self.records:
+            if record.is_accepted and not record.response and not record.is_cancelled:
                 if not left:
-                    self.breaks("one_answer", f"the connection ends and {account.asked.name} gets no answer")
-                account.withdrawn = True
-        talk, self.talk = self.talk, None
-        wire.closed, wire.unread = True, b""
-        wire.unsent.clear()
-        talk.on_disconnected()
-
-    def _engine(self, link: EngineLink, verb: str, what: str) -> None:
+                    self.breaks("one_answer", f"the connection ends and {record.request.name} gets no answer")
+                record.is_cancelled = True
+        session, self.session = self.session, None
+        transport.is_closed, transport.unread = True, b""
+        transport.unsent.clear()
+        session.on_disconnected()
+
+    def _engine(self, link: ScriptedConnection, verb: str, what: str) -> None:
         if verb == "is":
             self._link(link, what)
             return
         if verb != "serves":
             self.faults -= 1
         if verb == "resets":
-            link.dead, link.told = True, []
+            link.is_reset, link.in_transit = True, []
             self._lost(link)
         elif verb == "shuts":
             link.shutdown_write = True
             self._lost(link)
         elif verb == "repeats":
-            link.told.append(_answer(link.last[-1], link.last.split(" ")[0]))
+            link.in_transit.append(_answer(link.last_answer[-1], link.last_answer.split(" ")[0]))
         else:
             how, _, name = f"{verb} {what}".rpartition(" ")
-            account = self._account(name)
+            record = self._account(name)
             if how != "mixes up":
-                link.has.remove(name)
-                account.out = False
+                link.running.remove(name)
+                record.is_running = False
             if how == "refuses":
-                account.may_have_run = False
-            link.told.append(_answer(name, how))
+                record.may_have_run = False
+            link.in_transit.append(_answer(name, how))
             if how in ("serves", "refuses"):
-                link.last = f"{how} {name}"
+                link.last_answer = f"{how} {name}"
 
-    def _link(self, link: EngineLink, what: str) -> None:
+    def _link(self, link: ScriptedConnection, what: str) -> None:
         if what == "up":
             link.on_connected(link)
         elif what == "not reached":
             self.faults -= 1
             link.on_closed()
         elif what == "gone":
-            if link.hung_up or self._read(link, b""):
+            if link.is_aborted or self._read(link, b""):
                 self._lost(link)
                 link.on_closed()
         else:
-            data = link.told.pop(0) if what == "read in part" else b"".join(link.told)
+            data = link.in_transit.pop(0) if what == "read in part" else b"".join(link.in_transit)
             if what == "read in part":
                 self.cuts -= 1
-                link.told.insert(0, data[len(data) // 2 :])
+                link.in_transit.insert(0, data[len(data) // 2 :])
                 data = data[: len(data) // 2]
             else:
-                link.told = []
+                link.in_transit = []
             self._read(link, data)
 
-    def _lost(self, link: EngineLink) -> None:
+    def _lost(self, link: ScriptedConnection) -> None:
         """What an engine had is ended with its link; it may have run."""
-        for name in link.has:
-            self._account(name).out = False
-        link.has = []
+        for name in link.running:
+            self._account(name).is_running = False
+        link.running = []
 
-    def _read(self, link: EngineLink, data: bytes | None) -> bool:
+    def _read(self, link: ScriptedConnection, data: bytes | None) -> bool:
         """As the reader of a link does: what came, b"" for its end, None for the time being over.
 
         False where the link has been dropped for it.
@@ -708,75 +734,79 @@
     def _end(self) -> None:
         """The next step of the service's end."""
         now = self.clock.at
-        if not self.ending:
-            self.ending, self.ends_at = "coming", now + _STILL_COMING
+        if not self.shutdown_phase:
+            self.shutdown_phase, self.phase_ends_us = "coming", now + _STILL_COMING
             left = 750 * MILLI + _AFTER_LIMIT
-            self.take_in.shutdown_deadline_us = now + left
-            for account in self.accounts:
-                account.stop = min(account.stop, now + left)
-            self.book.limit_deadlines(now + left)
-            self.timers.call_after(left, self.send.abandon_all)
-        elif self.ending == "coming":
-            self.ending = "owed"
-        elif self.ending == "owed":
-            self.ending, self.ends_at = "written", now + _WRITTEN
-            self.house.is_closing = True
-            for connection in list(self.house.connections):
+            self.ingress.shutdown_deadline_us = now + left
+            for record in self.records:
+                record.deadline_us = min(record.deadline_us, now + left)
+            self.accounting.limit_deadlines(now + left)
+            self.timers.call_after(left, self.dispatcher.abandon_all)
+        elif self.shutdown_phase == "coming":
+            self.shutdown_phase = "owed"
+        elif self.shutdown_phase == "owed":
+            self.shutdown_phase, self.phase_ends_us = "written", now + _WRITTEN
+            self.registry.is_closing = True
+            for connection in list(self.registry.connections):
                 connection.close()
         else:
-            self.ending = "over"
-            if self.talk is not None:
+            self.shutdown_phase = "over"
+            if self.session is not None:
                 self._connection_ends()
 
     # States.
 
     def _name(self, request: Request) -> str:
-        context = self.book.open.get(request)
+        context = self.accounting.open.get(request)
         return context.query.name[0] if context is not None else "?"
 
     def _held(self, name: str) -> Request:
-        return next(one for one in self.module.queue if self._name(one) == name)
+        return next(one for one in self.controller.queue if self._name(one) == name)
 
-    def _account(self, name: str) -> Account:
-        return next(one for one in self.accounts if one.asked.name == name)
+    def _account(self, name: str) -> RequestRecord:
+        return next(one for one in self.records if one.request.name == name)
 
     def _mind_left(self) -> None:
         """Of a client that has gone the gateway may know before it reads that far; nothing is owed then."""
-        if self.talk is not None and (self.wire.shutdown_write or self.wire.dead):
-            for account in self.accounts:
-                if account.taken and not account.heard and account.asked.number not in self.talk.open:
-                    account.withdrawn = True
+        if self.session is not None and (self.transport.shutdown_write or self.transport.is_reset):
+            for record in self.records:
+                if (
+                    record.is_accepted
+                    and not record.response
+                    and record.request.request_id not in self.session.open
+                ):
+                    record.is_cancelled = True
 
     def _mind_time(self) -> None:
-        for account in self.accounts:
+        for record in self.records:
             if (
-                account.taken
-                and not account.heard
-                and not account.withdrawn
-                and self.talk is not None
-                and self.clock.at > account.stop
+                record.is_accepted
+                and not record.response
+                and not record.is_cancelled
+                and self.session is not None
+                and self.clock.at > record.deadline_us
             ):
-                self.breaks("by_hard_stop", f"{account.asked.name} is not answered by its hard stop")
+                self.breaks("by_hard_stop", f"{record.request.name} is not answered by its hard stop")
 
     def quiet(self) -> bool:
         return (
-            all(one.heard or one.withdrawn or not one.taken for one in self.accounts)
-            and not any(link.told or link.hung_up for link in self.pool.connections)
-            and not self.back.in_flight
+            all(one.response or one.is_cancelled or not one.is_accepted for one in self.records)
+            and not any(link.in_transit or link.is_aborted for link in self.pool.connections)
+            and not self.response_handler.in_flight
             and not self._is_due()
         )
 
     def _mind_rest(self) -> None:
         links = self.pool.connections
         kept = {
-            "open": self.book.open,
-            "pages told": self.back._reports,
-            "held": self.module.queue,
-            "out": self.module.out,
+            "open": self.accounting.open,
+            "pages told": self.response_handler._reports,
+            "held": self.controller.queue,
+            "out": self.controller.in_flight,
             "on links": [one for link in links for one in link.in_flight.open],
             "idle and no link": [link for link in self.pool.quota.idle if link not in links],
-            "owed": self.talk.open if self.talk is not None else (),
-            "half lines": self.house.buffered_bytes and self.talk is None and "some" or "",
+            "owed": self.session.open if self.session is not None else (),
+            "half lines": self.registry.buffered_bytes and self.session is None and "some" or "",
         }
         for name, what in kept.items():
             if what:
@@ -793,19 +823,24 @@
 
     def _tidy(self) -> None:
         """What is remembered and no longer has a future is dropped, so that states are the same that are."""
-        self.take_in._names.clear()
-        self.take_in._turn = 0
-        for context in self.book.open.values():
+        self.ingress._names.clear()
+        self.ingress._turn = 0
+        for context in self.accounting.open.values():
             # How decoders share what they read is no part of a state.
             query = context.query
             query.class_name, query.tenant, query.idempotency_key = map(
                 intern, (query.class_name, query.tenant, query.idempotency_key)
             )
-        for account in self.accounts:
-            if (account.heard or account.withdrawn) and not account.out:
-                account.heard = intern(account.heard)
-                account.runs, account.called, account.may_have_run, account.stop = 0, False, False, 1
-                account.late = False
+        for record in self.records:
+            if (record.response or record.is_cancelled) and not record.is_running:
+                record.response = intern(record.response)
+                record.run_count, record.is_called_back, record.may_have_run, record.deadline_us = (
+                    0,
+                    False,
+                    False,
+                    1,
+                )
+                record.is_late = False
         for link in self.pool.connections:
             # Of how often it was heard, only what is the same is asked.
             life = link.in_flight
@@ -816,12 +851,18 @@
 
     def __setstate__(self, state: dict[str, Any]) -> None:
         super().__setstate__(state)
-        self.ending = intern(self.ending)
-        for account in self.accounts:
-            account.asked = Asked(*(intern(one) if type(one) is str else one for one in account.asked))
-            account.heard = intern(account.heard)
+        self.shutdown_phase = intern(self.shutdown_phase)
+        for record in self.records:
+            record.request = ClientRequest(
+                *(intern(one) if type(one) is str else one for one in record.request)
+            )
+            record.response = intern(record.response)
         for link in self.pool.connections:
-            link.name, link.last, link.has = intern(link.name), intern(link.last), list(map(intern, link.has))
+            link.name, link.last_answer, link.running = (
+                intern(link.name),
+                intern(link.last_answer),
+                list(map(intern, link.running)),
+            )
         self._tidy()
 
     def moment(self) -> float:
@@ -848,10 +889,10 @@
     return hiredis.pack_command(parts)
 
 
-CONFIGURATIONS: dict[str, Callable[[Bounds], Lines]] = {
-    "connection": lambda bounds: Lines(bounds, 2, 1, 1, False),
-    "exchange": lambda bounds: Lines(bounds, 1, 3, 0, False),
-    "ending": lambda bounds: Lines(bounds, 2, 0, 1, True),
+CONFIGURATIONS: dict[str, Callable[[Bounds], ConnectionWorld]] = {
+    "connection": lambda bounds: ConnectionWorld(bounds, 2, 1, 1, False),
+    "exchange": lambda bounds: ConnectionWorld(bounds, 1, 3, 0, False),
+    "ending": lambda bounds: ConnectionWorld(bounds, 2, 0, 1, True),
 }
 
 MUTANTS: tuple[Mutant, ...] = (
