--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -1,4 +1,4 @@
-"""Scripted peers: a door with what is behind it, and a gateway in a process of its own with plain sockets."""
+"""Scripted peers: a listener for clients with a recording handler, and a gateway in a process of its own."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return line({"jsonrpc": "2.0", "id": number, "method": CLASS, "params": params})
 
 
-def withdrawal(number: int) -> bytes:
+def cancellation(number: int) -> bytes:
     return line({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": number}})
 
 
@@ -65,40 +65,47 @@
     client.close()
 
 
-class Front:
-    """In the place of what is behind the door: takes all, and answers when the test does."""
+class RecordingHandler:
+    """In place of the pipeline: accepts all requests, and the test answers them."""
 
     def __init__(self) -> None:
-        self.taken: list[int] = []
-        self.withdrawn: list[int] = []
-        self.talks: list[ClientSession] = []
-        self.breaks_on: int | None = None  # the number of a request that is a fault of ours
-        self.breaks_at_the_end = False
+        self.accepted: list[int] = []
+        self.cancelled: list[int] = []
+        self.sessions: list[ClientSession] = []
+        self.fails_on: int | None = None  # the number of a request that is a failure of the handler
+        self.fails_on_disconnect = False
 
     def accept(self, connection: ClientSession, number: int, _query: object) -> None:
-        if number == self.breaks_on:
-            raise RuntimeError("a fault of ours")
+        if number == self.fails_on:
+            raise RuntimeError("a failure of the handler")
         connection.open[number] = None
-        self.taken.append(number)
-        self.talks.append(connection)
+        self.accepted.append(number)
+        self.sessions.append(connection)
 
     def cancel(self, connection: ClientSession, number: int | None, _name: str | None) -> None:
         if number in connection.open:
             del connection.open[number]
-            self.withdrawn.append(number)
+            self.cancelled.append(number)
 
     def on_disconnected(self, connection: ClientSession) -> None:
-        if self.breaks_at_the_end:
-            raise RuntimeError("a fault of ours")
-        self.withdrawn += connection.open
+        if self.fails_on_disconnect:
+            raise RuntimeError("a failure of the handler")
+        self.cancelled += connection.open
         connection.open.clear()
 
 
-class Stage:
-    """A door on loopback, its front, its clock, and clients of it, all in one thread: nothing overtakes."""
+class ListenerHarness:
+    """A listener on loopback, its handler and clock, and clients of it, all in one thread, so in order."""
 
-    def __init__(self, door: Listener, front: Front, listener: socket.socket, clock: list[int]) -> None:
-        self.door, self.front, self.listener, self.clock = door, front, listener, clock
+    def __init__(
+        self, client_listener: Listener, handler: RecordingHandler, listener: socket.socket, clock: list[int]
+    ) -> None:
+        self.client_listener, self.handler, self.listener, self.clock = (
+            client_listener,
+            handler,
+            listener,
+            clock,
+        )
         self.address = listener.getsockname()
         self._open = contextlib.ExitStack()
 
@@ -114,13 +121,13 @@
         self._open.close()
 
 
-def on_stage(scene: Callable[[Stage], Awaitable], most: Callable[[], int] = lambda: 100) -> str:
-    """Plays it with a door that runs, and returns what was logged. Clients left open are closed behind it."""
+def run_scene(scene: Callable[[ListenerHarness], Awaitable], most: Callable[[], int] = lambda: 100) -> str:
+    """Runs a scene with a listener that accepts, closes clients left open, and returns what was logged."""
 
     async def main() -> None:
-        clock, front = [0], Front()
-        door = Listener(
-            frozenset((CLASS,)), front, most, 100, lambda: clock[0], Counters(), Log("n0", Clock())
+        clock, handler = [0], RecordingHandler()
+        client_listener = Listener(
+            frozenset((CLASS,)), handler, most, 100, lambda: clock[0], Counters(), Log("n0", Clock())
         )
         with socket.socket() as listener:
             # Whole scenes fit into it, so that what is written lies in the kernel before anything is read.
@@ -128,14 +135,14 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(200)
             listener.setblocking(False)
-            stage = Stage(door, front, listener, clock)
+            harness = ListenerHarness(client_listener, handler, listener, clock)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(door.run, listener)
+                tasks.start_soon(client_listener.run, listener)
                 try:
                     with anyio.fail_after(LONG):
-                        await scene(stage)
+                        await scene(harness)
                 finally:
-                    stage.close()
+                    harness.close()
                     tasks.cancel_scope.cancel()
 
     with contextlib.redirect_stderr(io.StringIO()) as said:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -17,7 +17,7 @@
 from cresstray import __main__ as program
 from cresstray.gateway import service
 from cresstray.gateway.service import Service
-from tests.scripted import Engine, Gateway, listed, request, status, usual, withdrawal
+from tests.scripted import Engine, Gateway, cancellation, listed, request, status, usual
 
 DEEP = b'{"settings":{"a":' + b"[" * 100_000
 ENDS, HUP, USR1 = signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1
@@ -35,7 +35,7 @@
             gateway.tell(ENDS)
             gateway.until_said("ends; 2 submissions")
             gateway.tell(ENDS)
-            first.say(withdrawal(2))
+            first.say(cancellation(2))
             self.assertEqual(("QUIT", "a" * 16), engine.next()[:2])
             second = gateway.client().say(request(1, "b" * 16))
             word, name, link = engine.next()
