--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -358,7 +358,7 @@
             link.answer("partly", "overload")
         link.is_corrupt = True
         link.on_closed()
-        self.assertEqual(["first corrupt", "partly is_corrupt"], self.listener.notified)
+        self.assertEqual(["first corrupt", "partly corrupt"], self.listener.notified)
 
     def test_an_answer_to_what_was_not_written(self) -> None:
         pool = self.pool(share=1)
