--- a/cresstray/consensus/peers.py
+++ b/cresstray/consensus/peers.py
@@ -30,6 +30,10 @@
         self.snapshot: Snapshot | None = None
         self.check = self.offset = self.sent = self.part_round = 0
 
+    def is_replicating(self) -> bool:
+        """Returns whether entries are sent to it without waiting for answers."""
+        return self.way is Way.REPLICATE
+
     def room(self) -> bool:
         return self._flying < _FLYING and len(self._flight) < _FRAMES
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -16,7 +16,7 @@
 from unittest import mock
 from zlib import crc32
 
-from cresstray.consensus import codec, log, raft
+from cresstray.consensus import codec, log, log_sending, membership_changes
 from cresstray.consensus.entries import Durable, Entry, Keep, Kind, Members, Snapshot
 from cresstray.consensus.raft import Node, Role, Times
 from cresstray.consensus.storage import Storage, UnusableError
@@ -285,7 +285,8 @@
         for seed in range(SEEDS):
             with (
                 self.subTest(seed=seed),
-                mock.patch.object(raft, "MOST_DATA", 60),
+                mock.patch.object(log_sending, "MOST_DATA", 60),
+                mock.patch.object(membership_changes, "MOST_DATA", 60),
                 mock.patch.object(log, "_BEHIND", 6),
             ):
                 net = Net(seed, "abc" if seed % 2 else "abcde", "xy"[: seed % 3])
@@ -569,7 +570,11 @@
         self.assertEqual(net.leader().members, Members(tuple(sorted({*rest, other}))))
 
     def test_install_while_members_change(self) -> None:
-        with mock.patch.object(raft, "MOST_DATA", 60), mock.patch.object(log, "_BEHIND", 2):
+        with (
+            mock.patch.object(log_sending, "MOST_DATA", 60),
+            mock.patch.object(membership_changes, "MOST_DATA", 60),
+            mock.patch.object(log, "_BEHIND", 2),
+        ):
             net = Net(3, "abc", "x")
             node = net.elected()
             for number in range(40):
