--- a/cresstray/consensus/codec.py
+++ b/cresstray/consensus/codec.py
@@ -1,4 +1,4 @@
-"""The frames of the log, kinds 32 to 47, as docs/consensus.md writes them down. Decides nothing."""
+"""Messages of the Raft protocol, frames of kinds 32 to 47; docs/consensus.md has their form."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PreVote(Frame):
-    """Would you vote for me in `term`? My log ends at `index`, whose entry is of `log_term`."""
+    """Asks for a pre-vote in `term`. The sender's log ends at `index`, whose entry is of `log_term`."""
 
     kind = 32
     term: Number
@@ -25,7 +25,7 @@
 
 
 class PreVoted(Frame):
-    """`term` is the one asked for where granted, else the answerer's own."""
+    """Answers a PreVote. `term` is the one asked for where granted, else the answerer's own."""
 
     kind = 33
     term: Number
@@ -33,7 +33,7 @@
 
 
 class Vote(Frame):
-    """Vote for me. `transfer`: the leader itself wants it, so no one keeps to it."""
+    """Asks for a vote. With `transfer` the leader itself wants it, so that no voter keeps to the leader."""
 
     kind = 34
     term: Number
@@ -43,13 +43,15 @@
 
 
 class Voted(Frame):
+    """Answers a Vote."""
+
     kind = 35
     term: Number
     granted: bool
 
 
 class Append(Frame):
-    """Entries behind `index`, whose entry is of `log_term`; a beat has none. The answer names `round`."""
+    """Entries after `index`, whose entry is of `log_term`; a heartbeat has none. The answer names `round`."""
 
     kind = 36
     term: Number
@@ -61,8 +63,12 @@
 
 
 class Appended(Frame):
-    """`ok`: the log is the leader's up to `index`. Else it is not at `index`, which was asked for: of term
-    `hint_term` there (0: it is shorter), and may be the leader's before `hint_index`."""
+    """Answers an Append.
+
+    With `ok` the log equals the leader's up to `index`. Else it differs at `index`, which was asked for:
+    its entry there is of `hint_term` (0: the log is shorter), and before `hint_index` the logs may be
+    equal.
+    """
 
     kind = 37
     term: Number
@@ -74,7 +80,7 @@
 
 
 class Install(Frame):
-    """Part of a snapshot from `offset` on; without data it asks what has come. `check`: CRC-32 of all."""
+    """Part of a snapshot from `offset` on; without data it asks what has arrived. `check`: CRC-32 of all."""
 
     kind = 38
     term: Number
@@ -89,7 +95,7 @@
 
 
 class Installed(Frame):
-    """Bytes up to `offset` of that snapshot are here; with all of them it is synced and in use."""
+    """Answers an Install: bytes up to `offset` have arrived; with all of them it is synced and in use."""
 
     kind = 39
     term: Number
@@ -100,7 +106,7 @@
 
 
 class Now(Frame):
-    """The leader of `term` wants this voter to be elected at once."""
+    """The leader of `term` asks this voter to stand for election at once (leadership transfer)."""
 
     kind = 40
     term: Number
--- a/cresstray/consensus/entries.py
+++ b/cresstray/consensus/entries.py
@@ -1,4 +1,4 @@
-"""What the log is made of, what a file holds of it, and what one round of a node hands out."""
+"""Entries, members and snapshots of the log, what a file holds of it, and what a node hands out."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 # Bytes of one entry, of the entries of one frame, and of one part of a snapshot: half a frame.
 MOST_DATA = 128 * 1024
-# Danger: a size that lies would have memory taken for it. Rules, moves and pins of 300 engines take a few MB.
+# A wrong size would have memory reserved for it. The configuration, moves and pins of 300 engines take a
+# few MB.
 MOST_SNAPSHOT = 64 * 1024 * 1024
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
@@ -21,27 +22,33 @@
 
 
 class Kind(IntEnum):
+    """What an entry is."""
+
     NOTHING = 0  # a leader's first, so that something of its own term can be committed
     DATA = 1
     MEMBERS = 2  # in force for the log as soon as it is in it
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
+    """One entry of the log; its index is its place."""
+
     term: Number
     kind: Annotated[int, msgspec.Meta(ge=0, le=2)]
     data: Annotated[bytes, msgspec.Meta(max_length=MOST_DATA)]
 
 
 class Members(msgspec.Struct, array_like=True, frozen=True):
-    """Who votes, and who only listens. Names are sorted, each there once."""
+    """Voters and learners. Names are sorted, each there once."""
 
     voters: _Names
     learners: _Names = ()
 
     def names(self) -> tuple[str, ...]:
+        """Returns voters, then learners."""
         return self.voters + self.learners
 
     def encoded(self) -> bytes:
+        """Returns the data of an entry of kind MEMBERS."""
         return msgspec.msgpack.encode(self)
 
 
@@ -49,12 +56,12 @@
 
 
 def members_of(data: bytes) -> Members:
-    """The list in an entry of kind MEMBERS; ValueError where there is none."""
+    """Returns the list in an entry of kind MEMBERS; ValueError where there is none."""
     return _members.decode(data)
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """What was applied up to `index`, as bytes of whoever applies it, and the members as of there."""
+    """The applied state up to `index`, as bytes of the state machine, and the members as of there."""
 
     index: Number
     term: Number
@@ -64,7 +71,7 @@
 
 @dataclass
 class Durable:
-    """What a file holds. `entries` follow the snapshot without a gap; the first snapshot is of index 0."""
+    """The content of a file. `entries` follow the snapshot without a gap; the first snapshot has index 0."""
 
     name: str
     term: int
@@ -91,7 +98,7 @@
 
 @dataclass
 class Ready:
-    """What one round wants done, in the order of its fields. False where there is nothing."""
+    """What is to be done after a call, in the order of its fields. False where there is nothing."""
 
     keep: Keep | None = None
     frames: list[tuple[str, Frame]] = field(default_factory=list)
--- a/cresstray/consensus/storage.py
+++ b/cresstray/consensus/storage.py
@@ -1,4 +1,4 @@
-"""What a keeper must never forget, in one SQLite file. At load nothing in it is guessed at."""
+"""Durable state of one node in a SQLite file. Nothing in it is repaired or guessed at when it is loaded."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 from cresstray.consensus.entries import Durable, Entry, Keep, Kind, Members, Snapshot, members_of
 
-# "cray"; says whose file it is, before anything in it is read.
-_APPLICATION, _FORMAT = 0x63726179, 1
-# A damaged file's error names so much of what SQLite says.
-_MOST_TOLD = 120
+# "cray": whose file it is, before anything in it is read.
+_APPLICATION = 0x63726179
+_FORMAT = 1
+# A damaged file's error has so many characters of what SQLite says.
+_MAX_ERROR_CHARACTERS = 120
 _TABLES = """
     CREATE TABLE meta (one INTEGER PRIMARY KEY CHECK (one = 1), name TEXT NOT NULL, term INTEGER NOT NULL,
                        voted_for TEXT, sum INTEGER NOT NULL) STRICT;
@@ -38,10 +39,10 @@
 
 
 class Storage:
-    """One keeper's file, locked for as long as it is open.
+    """One node's file, locked for as long as it is open.
 
     With a rollback journal, not a write-ahead log: SQLite takes a damaged place in such a log for its end,
-    and would drop what was acknowledged behind it without a word. It costs two syncs more a write.
+    and would drop what was acknowledged after it without notice. It costs two more syncs for each write.
     """
 
     @staticmethod
@@ -61,7 +62,7 @@
                     f"PRAGMA application_id = {_APPLICATION}; "
                     f"PRAGMA user_version = {_FORMAT}; BEGIN; {_TABLES}"
                 )
-                # Danger: the founders' list stands in no entry. As it is behind the first one, who comes
+                # The first list of members is in no entry. With a snapshot of index 1, a node that joins
                 # later and empty gets it as a snapshot, and never the entries without it.
                 begun = 1 if members.voters else 0
                 _put_meta(base, name, begun, None)
@@ -69,7 +70,7 @@
                 base.execute("COMMIT")
             finally:
                 base.close()
-        # Danger: a crash on the way must not leave half a file under the name that is looked for.
+        # A crash must not leave half a file under the name that is looked for.
         try:
             os.link(fresh, path)
         except FileExistsError:
@@ -118,7 +119,7 @@
         return row[0], row[1], row[2]
 
     def load(self) -> Durable:
-        """All of it, each row checked; UnusableError where anything is not as it was written."""
+        """Reads all of it, each row checked; UnusableError where anything is not as it was written."""
         with _told(self.path):
             name, term, voted_for = self._meta()
             snapshot = self._snapshot()
@@ -136,7 +137,8 @@
             raise UnusableError(f"{self.path}: damaged: the snapshot's members") from None
 
     def _entries(self, snapshot: Snapshot, most: int) -> list[Entry]:
-        found, term = [], snapshot.term
+        found = []
+        term = snapshot.term
         rows = self._base.execute("SELECT at, term, kind, data, sum FROM entries ORDER BY at")
         for due, row in enumerate(rows, snapshot.index + 1):
             if row[0] != due:
@@ -153,7 +155,7 @@
         return found
 
     def write(self, keep: Keep) -> None:
-        """All of it, synced, or nothing; OSError where that can't be, such as a full disk."""
+        """Writes and syncs all of it, or nothing; OSError where that can't be, such as a full disk."""
         base = self._base
         with _told(self.path, OSError):
             try:
@@ -178,11 +180,12 @@
                 raise
 
     def close(self) -> None:
+        """Closes the file and releases its lock."""
         self._base.close()
 
 
 def _open(path: str, mode: str) -> sqlite3.Connection:
-    """One that keeps each lock it once has. It may be used by one thread after another."""
+    """Opens a connection that keeps its locks. It may be used by one thread after another."""
     base = sqlite3.connect(
         f"{Path(path).absolute().as_uri()}?mode={mode}",
         uri=True,
@@ -226,12 +229,12 @@
 
 
 def _short(text: str) -> str:
-    return " ".join(str(text).split())[:_MOST_TOLD]
+    return " ".join(str(text).split())[:_MAX_ERROR_CHARACTERS]
 
 
 @contextmanager
 def _told(path: str, kind: type[Exception] = UnusableError) -> Iterator[None]:
-    """SQLite's errors as ours, in one line."""
+    """Raises SQLite's errors as this kind, in one line."""
     try:
         yield
     except sqlite3.Error as trouble:
