--- a/cresstray/membership/guard.py
+++ b/cresstray/membership/guard.py
@@ -4,7 +4,8 @@
 
 from cresstray.membership.recovery import Keep
 from cresstray.policy.controller import PolicyController
-from cresstray.policy.types import ChainedRules, Engine, Request
+from cresstray.policy.ports import ChainedRules
+from cresstray.policy.types import Engine, Request
 
 
 class Guard(ChainedRules):
--- a/cresstray/membership/recovery.py
+++ b/cresstray/membership/recovery.py
@@ -18,7 +18,8 @@
 from cresstray.membership.estimate import Beliefs, How, Source, State
 from cresstray.membership.snapshot_files import Found, Writer, WriteResult
 from cresstray.observability.counters import Counters
-from cresstray.policy.controller import Limiter, PolicyController, micros
+from cresstray.policy.controller import Limiter, PolicyController
+from cresstray.policy.settings import to_microseconds
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
 # What a relay's end says of a remembered engine. Faults of work say nothing: it runs work, so it is one. An
@@ -63,9 +64,12 @@
         self._counters, self._say = counters, say
         self._names = [service.get("Name", "") for service in settings.get("Services", [])]
         self._zones, self._machines = settings.get("Localities", []), settings.get("Flavors", [])
-        self._patience = micros(limits.get("ConnectTimeout", 250))
+        self._patience = to_microseconds(limits.get("ConnectTimeout", 250))
         self.beliefs = Beliefs(
-            micros(safety.get("DrainGrace", _GRACE)), micros(limits.get("MaxRetryAfter", 0)), chance, now
+            to_microseconds(safety.get("DrainGrace", _GRACE)),
+            to_microseconds(limits.get("MaxRetryAfter", 0)),
+            chance,
+            now,
         )
         self.behind = Behind(chance, now)
         self._pending: dict[int, Endpoint] = {}  # to be listed at the next step
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -847,7 +847,7 @@
         lines(
             (
                 PolicyController._send,
-                "request.deadline_us - now - (DEADLINE_MARGIN_US - SWEEP_INTERVAL_US)",
+                "request.deadline_us - now - ATTEMPT_MARGIN_US",
                 "request.deadline_us - now",
             )
         ),
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -31,9 +31,16 @@
 from cresstray.pipeline.policy_port import SocketPort
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
-from cresstray.policy import controller as logic
-from cresstray.policy.controller import NOT_EXECUTED
-from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request, RequestClass
+from cresstray.policy import deadlines
+from cresstray.policy.types import (
+    NOT_EXECUTED,
+    Attempt,
+    EndpointState,
+    Engine,
+    Outcome,
+    Request,
+    RequestClass,
+)
 
 START = 1_000_000_000_000
 MILLI = 1_000
@@ -912,7 +919,7 @@
         "the_last_stop_is_not_told",
         "by_hard_stop",
         "ending",
-        lines((logic.limit_deadline, "min(request.deadline_us, hard_stop)", "request.deadline_us")),
+        lines((deadlines.limit_deadline, "min(request.deadline_us, shutdown_us)", "request.deadline_us")),
     ),
     Mutant(
         "who_has_left_is_not_told",
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -6,7 +6,7 @@
 
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.request_context import RequestContext
-from cresstray.policy import controller as logic
+from cresstray.policy import deadlines
 from cresstray.policy.types import Outcome, Request
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
     def limit_deadlines(self, last_stop: int) -> None:
         """The gateway ends then: that is a hard stop for all that is open."""
         for request in self.open:
-            logic.limit_deadline(request, last_stop)
+            deadlines.limit_deadline(request, last_stop)
 
     def succeed(self, request: Request, result: bytes) -> None:
         context = self._answer(request, "succeeded")
--- a/cresstray/pipeline/dispatch.py
+++ b/cresstray/pipeline/dispatch.py
@@ -11,8 +11,8 @@
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.pipeline.response import ResponseHandler
-from cresstray.policy.controller import DEDUP_MARGIN_US, NOT_EXECUTED
-from cresstray.policy.types import Attempt, Outcome
+from cresstray.policy.controller import DEDUP_MARGIN_US
+from cresstray.policy.types import NOT_EXECUTED, Attempt, Outcome
 
 if TYPE_CHECKING:
     from cresstray.pipeline.idempotency_checks import IdempotencyChecks
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -27,7 +27,8 @@
 from cresstray.pipeline.accounting import RequestAccounting
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.policy.controller import PolicyController
-from cresstray.policy.types import Attempt, ChainedRules, Engine, Outcome, Request
+from cresstray.policy.ports import ChainedRules
+from cresstray.policy.types import Attempt, Engine, Outcome, Request
 
 # Microseconds: while outcomes wait to be written, and while there is nothing but the store to be looked at.
 _BUSY, _QUIET = 20_000, 500_000
--- a/cresstray/policy/controller.py
+++ b/cresstray/policy/controller.py
@@ -13,30 +13,27 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
+from cresstray.policy.deadlines import (
+    ATTEMPT_MARGIN_US,
+    DEADLINE_MARGIN_US,
+    SWEEP_INTERVAL_US,
+    WINDOW_US,
+)
+from cresstray.policy.ports import AdmissionRules, PolicyPort
+from cresstray.policy.settings import to_microseconds
 from cresstray.policy.sliding_window import SlidingWindow
 from cresstray.policy.types import (
-    AdmissionRules,
+    NOT_EXECUTED,
+    POSSIBLY_RUNNING,
     Attempt,
     EndpointState,
     Engine,
     Outcome,
-    PolicyPort,
     ProgressKind,
     Request,
     RequestClass,
 )
 
-# Endings that prove a relay never ran; after any other it may have run.
-NOT_EXECUTED = {Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.EXPIRED_BEFORE_SEND}
-# Endings after which a relay may still be running.
-POSSIBLY_RUNNING = {Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.PROTOCOL_ERROR, Outcome.CANCELLED}
-# Length of a sample window: the design's.
-WINDOW_US = 1_000_000
-# The sweep over what is held and out: a tenth of a window is fine enough for limits of whole seconds.
-SWEEP_INTERVAL_US = 100_000
-# Danger: on a late loop what ends at its hard stop is lost; it ends 100 ms sooner, held work a sweep more.
-DEADLINE_MARGIN_US = SWEEP_INTERVAL_US + 100_000
-
 # Danger: a repeat must reach its engine within the memory of the first; it leaves this long before its end.
 DEDUP_MARGIN_US = 50_000
 
@@ -46,17 +43,6 @@
 STARVED_RANK = -1e6  # in the held line: before any payoff for work in microseconds
 
 
-def micros(milliseconds: float) -> int:
-    return int(milliseconds * 1000)
-
-
-def limit_deadline(request: Request, hard_stop: int) -> None:
-    """It is to be answered by then, as the gateway ends."""
-    request.deadline_us = min(request.deadline_us, hard_stop)
-    # Danger: held up to the very end, it would be sent as others are given up, with no time left to run.
-    request.latest_dispatch_us = min(request.latest_dispatch_us, request.deadline_us - DEADLINE_MARGIN_US)
-
-
 class LatencyEstimate:
     """What a tariff's answers usually take, learnt from this gateway's own fulfilled relays."""
 
@@ -205,7 +191,7 @@
         self.random = random.Random(seed).random
         parts = ("FamilyInfo", "Safety", "Limits")
         self.family, self.rules, self.limits = (settings.get(part, {}) for part in parts)
-        self.fall = micros(self.rules.get("Fall", 1000))
+        self.fall = to_microseconds(self.rules.get("Fall", 1000))
         self.admission_rules: AdmissionRules | None = None  # what the fleet has agreed on, where it does
         self.gateway_count = max(1, settings.get("Balancers", 1))
         self.request_classes = [
@@ -219,7 +205,10 @@
         self.key_free: dict[int, int] = {}
         # Danger: a further relay that crosses halls is sent later than it is counted here, by so much at
         # most.
-        budget, ahead = micros(self.rules.get("BudgetWindow", 0)), micros(settings.get("CrossingAhead", 0))
+        budget, ahead = (
+            to_microseconds(self.rules.get("BudgetWindow", 0)),
+            to_microseconds(settings.get("CrossingAhead", 0)),
+        )
         self.accepted = SlidingWindow(max(0, budget - ahead), 20)  # rounding costs a twentieth
         self.relayed_again = SlidingWindow(budget + ahead, 20)
         self.remote_sites: list[
@@ -240,14 +229,14 @@
         request_class = RequestClass(
             index,
             threads[index] if index < len(threads) else 1,
-            micros(given.get("GoalTime", 1000)),
+            to_microseconds(given.get("GoalTime", 1000)),
             given.get("AimStretch", 0.0),
             given.get("Worth", 1.0),
             given.get("LateValue", 0.0),
             given.get("Effect") == "idempotent",
             given.get("Effect") == "deduplicated",
             given.get("Group", "all"),
-            micros(given.get("KeyTtl", 0)),
+            to_microseconds(given.get("KeyTtl", 0)),
             bool(given.get("ByArrival")),
             None if zones is None else frozenset(zones),
             None if machines is None else frozenset(machines),
@@ -330,7 +319,7 @@
         )
         # Danger: what has no time beyond the margin would only be sent to be given up, on links made for it.
         barred = self.admission_rules and not self.admission_rules.admits(request, now)
-        in_time = now < request.deadline_us - (DEADLINE_MARGIN_US - SWEEP_INTERVAL_US)
+        in_time = now < request.deadline_us - ATTEMPT_MARGIN_US
         goes = in_time and not (behind or barred) and self._is_turn(request, now)
         if goes and self._send(request, now):
             return
@@ -500,7 +489,7 @@
         )
 
     def _cold_room(self, engine: Engine, request_class: RequestClass, now: int) -> bool:
-        if not engine.limiter.cold or now >= engine.started_us + micros(self.rules.get("WarmUp", 0)):
+        if not engine.limiter.cold or now >= engine.started_us + to_microseconds(self.rules.get("WarmUp", 0)):
             engine.limiter.cold = 0
             return True
         # In turn, and nothing that alone is over our part of a window and a tenth of all gateways' part.
@@ -564,9 +553,7 @@
             limiter.trial_at = now + 4 * WINDOW_US  # one at a time, unless it is answered sooner
         (self.relayed_again if again else request_class.latency.dispatched).add(now)
         self._terms(request)
-        self.port.send_attempt(
-            attempt, max(1000, request.deadline_us - now - (DEADLINE_MARGIN_US - SWEEP_INTERVAL_US))
-        )
+        self.port.send_attempt(attempt, max(1000, request.deadline_us - now - ATTEMPT_MARGIN_US))
         return True
 
     def _counted(self, now: int) -> bool:
@@ -629,7 +616,7 @@
         if ending in POSSIBLY_RUNNING and request.request_class.is_ordered and request.ordering_key:
             # Danger: the relay may run on, and the key's next would run beside it.
             self.key_free[request.ordering_key] = (
-                now + micros(self.rules.get("TurnGap", 0)) + 1000
+                now + to_microseconds(self.rules.get("TurnGap", 0)) + 1000
             )  # rounded up
         if no_more or request.is_finished:
             self._close(request)
@@ -724,7 +711,9 @@
                 # Danger: an engine cut off, dead or stuck, or a link that loses answers, gives no samples.
                 # Four times the expected time, as work spreads widely, at the fleet's pace, no note of late.
                 expected, age = attempt.request.expected_latency_us, now - attempt.sent_us
-                silent = now - attempt.last_progress_us > 1.5 * micros(self.family.get("TellsEvery", 0))
+                silent = now - attempt.last_progress_us > 1.5 * to_microseconds(
+                    self.family.get("TellsEvery", 0)
+                )
                 overdue = silent and age > 4 * expected * max(1.0, self.pace) + 200_000
                 if overdue and not attempt.is_overdue:
                     attempt.is_overdue = True
@@ -776,7 +765,9 @@
         if not self._may_deny(request):
             self.port.fail_request(request)
         else:
-            most = micros(self.limits.get("MaxRetryAfter", 0)) if self.limits.get("RetryAfter") else 0
+            most = (
+                to_microseconds(self.limits.get("MaxRetryAfter", 0)) if self.limits.get("RetryAfter") else 0
+            )
             # Come back spread over the longest wait that clients honour, so that they do not return together.
             self.port.reject_request(request, int(most * (0.5 + 0.5 * self.random())))
 
@@ -803,7 +794,9 @@
         attempt.engine.limiter.hear(now)
         if topic is ProgressKind.WAITING_FOR_DATA_SET and value == 2:
             # Minded for two notes' time; what waits may run elsewhere, and has lost nothing yet.
-            attempt.engine.limiter.blocked[request.data_set] = now + 2 * micros(self.family["TellsEvery"])
+            attempt.engine.limiter.blocked[request.data_set] = now + 2 * to_microseconds(
+                self.family["TellsEvery"]
+            )
             others = (one for one in self.ready_engines if not self._stalls(request, one, now))
             if len(request.attempts) == 1 and any(one.limiter.permits(request, now) for one in others):
                 self._call_back(attempt, now)
@@ -843,7 +836,7 @@
                 if engine.limiter is not None:
                     limiter.out, limiter.threads = engine.limiter.out, engine.limiter.threads
                 engine.limiter = limiter
-                if now < started + micros(self.rules.get("WarmUp", 0)):
+                if now < started + to_microseconds(self.rules.get("WarmUp", 0)):
                     # Danger: all gateways hear of it at once; each begins at some time of its first turn.
                     limiter.cold = now + 1 + int(self._cold_turn(engine) * self.random())
             engine.instance_type, engine.zone, engine.cell = machine, zone, cell
--- a/cresstray/simulation/cold.py
+++ b/cresstray/simulation/cold.py
@@ -21,7 +21,8 @@
 from cresstray.membership.reconciliation import Tomb
 from cresstray.membership.snapshot import Tariff
 from cresstray.pipeline.routing import Router
-from cresstray.policy.controller import PolicyController, micros
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import to_microseconds
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
 MS, SECOND = 1_000, 1_000_000
@@ -303,7 +304,7 @@
         request = Request(
             request_class,
             now,
-            now + micros(KINDS[kind].hard * 1000),
+            now + to_microseconds(KINDS[kind].hard * 1000),
             estimated_work_us=int(estimate * SECOND),
         )
         if self.beliefs and self.beliefs.refuses(request_class.is_idempotent, now) is not None:
--- a/cresstray/sites/inbound.py
+++ b/cresstray/sites/inbound.py
@@ -10,8 +10,7 @@
 from typing import Protocol
 
 from cresstray.observability.counters import Counters
-from cresstray.policy.controller import NOT_EXECUTED
-from cresstray.policy.types import Outcome
+from cresstray.policy.types import NOT_EXECUTED, Outcome
 from cresstray.sites import codec
 from cresstray.sites.codec import BrokenError
 from cresstray.sites.ends import WINDOW, End, Place
--- a/cresstray/sites/routing.py
+++ b/cresstray/sites/routing.py
@@ -9,8 +9,7 @@
 
 from collections.abc import Callable
 
-from cresstray.policy.controller import NOT_EXECUTED
-from cresstray.policy.types import Request
+from cresstray.policy.types import NOT_EXECUTED, Request
 from cresstray.sites.flow_control import Credit, Ramp, Share
 from cresstray.sites.health import Health, State
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -4,7 +4,8 @@
 import io
 import struct
 
-from cresstray.policy.controller import WINDOW_US, Limiter, LoadSignals
+from cresstray.policy.controller import Limiter, LoadSignals
+from cresstray.policy.deadlines import WINDOW_US
 from cresstray.policy.types import Outcome, ProgressKind
 from cresstray.simulator import host as wirehost
 from cresstray.simulator import wire
