--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -114,7 +114,10 @@
 
     result["choice, us"] = best(choose, 200)
     for engine in gateway.ready_engines:
-        engine.limiter.full_until, engine.limiter.limit = clock.now() + 60_000_000, 0.0
+        engine.policy_state.signals.overloaded_until_us, engine.policy_state.limit.value = (
+            clock.now() + 60_000_000,
+            0.0,
+        )
     result["choice in vain, us"] = best(choose, 50)
     for number in range(200):
         now = clock.now()
--- a/cresstray/fleet_config/admission.py
+++ b/cresstray/fleet_config/admission.py
@@ -168,8 +168,8 @@
     def _room(self, request: Request, engine: Engine, name: str, rule: EngineRule, use: InUse) -> bool:
         """All gateways together have at most that part of what the engine is given on it, and as much again
         in seats, or one: where a gateway's part is less than a thread, a few of them have a whole."""
-        own, threads = engine.limiter.threads, request.request_class.threads
-        whole = rule.work * _FULL * engine.limiter.cores
+        own, threads = engine.policy_state.limit.running_threads, request.request_class.threads
+        whole = rule.work * _FULL * engine.policy_state.limit.cores
         if own + threads <= whole / use.gateways:
             return True
         # Danger: one each for 230 gateways would be many times what a limited engine is to have.
--- a/cresstray/membership/learned_state.py
+++ b/cresstray/membership/learned_state.py
@@ -7,7 +7,8 @@
 from cresstray.membership.confidence import LIMIT, PACE, TIMES, faded, faded_ratio, weight
 from cresstray.membership.estimate import Belief
 from cresstray.membership.snapshot import Limit, Tariff
-from cresstray.policy.controller import Limiter, PolicyController
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.engine_state import EngineState
 from cresstray.policy.types import Engine
 
 # Danger: a tariff with fewer than five known answers weighs its soft limit on a cold engine. With many
@@ -34,13 +35,18 @@
 
 
 def limits(
-    engines: Mapping[int, tuple[Engine, Limiter]], beliefs: Mapping[int, Belief]
+    engines: Mapping[int, tuple[Engine, EngineState]], beliefs: Mapping[int, Belief]
 ) -> list[tuple[int, int, float, float]]:
     """Of those that have learnt anything, as record.Limit has it."""
     return [
-        (number, beliefs[number].member.started_us, limiter.limit / limiter.start, limiter.pace)
+        (
+            number,
+            beliefs[number].member.started_us,
+            limiter.limit.value / limiter.limit.initial,
+            limiter.limit.slowdown,
+        )
         for number, (_, limiter) in engines.items()
-        if limiter.seen >= 10 and number in beliefs
+        if limiter.limit.sample_count >= 10 and number in beliefs
     ]
 
 
@@ -59,47 +65,30 @@
     return put
 
 
-def put_limit(limiter: Limiter, kept: Limit, started: int | None, age: int) -> bool:
+def put_limit(limiter: EngineState, kept: Limit, started: int | None, age: int) -> bool:
     """Into a limiter that has seen nothing yet. `started`: as the register told it; None: nobody has.
 
     What was learnt of one life of an engine says nothing of the next. Where its life is not known, only what
     lowers a limit is kept: that is the safe side.
     """
-    if limiter.seen or started is not None and started != kept.started:
+    if limiter.limit.sample_count or started is not None and started != kept.started:
         return False
     ratio = faded_ratio(kept.ratio, age, LIMIT)
     if started is None:
         ratio = min(1.0, ratio)
-    limiter.limit = min(max(ratio, 0.1), 1.99) * limiter.start
-    limiter.pace = faded(kept.pace, 1.0, age, PACE)
+    limiter.limit.value = min(max(ratio, 0.1), 1.99) * limiter.limit.initial
+    limiter.limit.slowdown = faded(kept.pace, 1.0, age, PACE)
     return True
 
 
-def carry(old: Limiter, new: Limiter) -> None:
+def carry(old: EngineState, new: EngineState) -> None:
     """From a limiter of this process to the one that took its place, where the engine's life is the same."""
-    new.limit = old.limit / old.start * new.start
-    for name in (
-        "pace",
-        "seen",
-        "average",
-        "best",
-        "heard",
-        "lost",
-        "fails",
-        "answers",
-        "doubted",
-        "mute",
-        "trial_at",
-        "streak",
-        "signs",
-        "idle",
-        "full_until",
-        "blocked",
-    ):
-        setattr(new, name, getattr(old, name))
-
-
-def on_trial(limiter: Limiter, chance: Callable[[], float], now: int) -> None:
+    new.take_over(old)
+
+
+def on_trial(limiter: EngineState, chance: Callable[[], float], now: int) -> None:
     """Its first turn is drawn over twice as long: half of our part of what a cold engine may get."""
-    if limiter.cold > now:
-        limiter.cold = now + int((limiter.cold - now) / _TRIAL_SHARE * (0.5 + 0.5 * chance()))
+    if limiter.slow_start.next_send_us > now:
+        limiter.slow_start.next_send_us = now + int(
+            (limiter.slow_start.next_send_us - now) / _TRIAL_SHARE * (0.5 + 0.5 * chance())
+        )
--- a/cresstray/membership/recovery.py
+++ b/cresstray/membership/recovery.py
@@ -18,7 +18,8 @@
 from cresstray.membership.estimate import Beliefs, How, Source, State
 from cresstray.membership.snapshot_files import Found, Writer, WriteResult
 from cresstray.observability.counters import Counters
-from cresstray.policy.controller import Limiter, PolicyController
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.engine_state import EngineState
 from cresstray.policy.settings import to_microseconds
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
@@ -74,7 +75,7 @@
         self.behind = Behind(chance, now)
         self._pending: dict[int, Endpoint] = {}  # to be listed at the next step
         self._asked: deque[Endpoint] = deque()  # on trial, and still to be connected to
-        self._engines: dict[int, tuple[Engine, Limiter]] = {}
+        self._engines: dict[int, tuple[Engine, EngineState]] = {}
         self._ids: dict[Engine, int] = {}
         self._same: set[int] = set()  # told, in the life that they were remembered in
         self._limits: dict[int, record.Limit] = {}
@@ -141,27 +142,27 @@
         """After the module has heard of `event`; `engines`: the route's, by id. Limits start as they were."""
         for member in event.endpoints:
             engine = engines.get(member.id)
-            if engine is None or engine.limiter is None:
+            if engine is None or engine.policy_state is None:
                 continue
             old = self._engines.get(member.id)
-            if old is None or old[0] is not engine or old[1] is not engine.limiter:
+            if old is None or old[0] is not engine or old[1] is not engine.policy_state:
                 self._start(member, engine, old[1] if old and old[0] is engine else None, now)
-            self._engines[member.id], self._ids[engine] = (engine, engine.limiter), member.id
+            self._engines[member.id], self._ids[engine] = (engine, engine.policy_state), member.id
         if len(self._engines) > len(engines):
             self._engines = {number: held for number, held in self._engines.items() if number in engines}
             self._ids = {held[0]: number for number, held in self._engines.items()}
 
-    def _start(self, member: Endpoint, engine: Engine, old: Limiter | None, now: int) -> None:
+    def _start(self, member: Endpoint, engine: Engine, old: EngineState | None, now: int) -> None:
         told = self.beliefs.state(member.id) is State.TOLD
         if old is not None and member.id in self._same:
-            learnt.carry(old, engine.limiter)
+            learnt.carry(old, engine.policy_state)
             return
         kept = self._limits.get(member.id)
         if kept is not None:
             passed = min(OLDEST, self._age + max(0, now - self._begun))
-            learnt.put_limit(engine.limiter, kept, member.started_us if told else None, passed)
+            learnt.put_limit(engine.policy_state, kept, member.started_us if told else None, passed)
         if not told:
-            learnt.on_trial(engine.limiter, self._chance, now)
+            learnt.on_trial(engine.policy_state, self._chance, now)
 
     # What happens meanwhile.
 
--- a/cresstray/model_checking/crossing.py
+++ b/cresstray/model_checking/crossing.py
@@ -581,7 +581,7 @@
             kept |= {
                 f"open in the {hall.name} hall": len(hall.book.open),
                 f"held in the {hall.name} hall": len(gateway.queue + gateway.retry_queue),
-                f"threads in the {hall.name} hall": hall.engine.limiter.threads
+                f"threads in the {hall.name} hall": hall.engine.policy_state.limit.running_threads
                 + gateway.fleet.running_threads,
                 f"calls to come in the {hall.name} hall": len(hall.timers.line) - 1,
             }
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -35,7 +35,9 @@
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
-from cresstray.policy.controller import LatencyEstimate, PolicyController
+from cresstray.policy.concurrency_limit import ConcurrencyLimit
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.latency_estimate import LatencyEstimate
 from cresstray.policy.types import EndpointState
 
 # The first moment: a multiple of all widths of rings, so that their buckets turn with the ticks.
@@ -600,8 +602,8 @@
             "pages told": self.back._reports,
             "owed": self.asker.open,
             "on links": [one for links in self.route._pools.values() for one in links.open],
-            "on engines": [one for engine in engines for one in engine.limiter.out],
-            "threads": [engine for engine in engines if engine.limiter.threads],
+            "on engines": [one for engine in engines for one in engine.policy_state.limit.attempts],
+            "threads": [engine for engine in engines if engine.policy_state.limit.running_threads],
             "calls to come": self.timers.line[1:],
         }
         for name, what in kept.items():
@@ -945,8 +947,8 @@
         "attempt",
         lines(
             (
-                PolicyController.on_attempt_finished,
-                "limiter.threads -= request.request_class.threads",
+                ConcurrencyLimit.finish_attempt,
+                "self.running_threads -= attempt.request.request_class.threads",
                 "pass",
             )
         ),
@@ -989,7 +991,7 @@
         "restart_forgets_out",
         "sound",
         "drain",
-        lines((PolicyController.on_endpoints_updated, "if engine.limiter is not None:", "if False:")),
+        lines((PolicyController.on_endpoints_updated, "if engine.policy_state is not None:", "if False:")),
     ),
     Mutant(
         "left_keeps_budget",
--- a/cresstray/pipeline/replica_reads.py
+++ b/cresstray/pipeline/replica_reads.py
@@ -48,12 +48,14 @@
     def cores(self, name: str) -> float:
         """0 for one that is not listed."""
         engine = self.engines.get(name)
-        return engine.limiter.cores if engine is not None and engine.limiter is not None else 0.0
+        return (
+            engine.policy_state.limit.cores if engine is not None and engine.policy_state is not None else 0.0
+        )
 
     def is_full(self, name: str, request: Request, now: int) -> bool:
         """Whether its limit lets no such work onto it now."""
         engine = self.engines.get(name)
-        return engine is None or engine.limiter is None or not engine.limiter.permits(request, now)
+        return engine is None or engine.policy_state is None or not engine.policy_state.permits(request, now)
 
 
 class ReplicaReads:
--- a/cresstray/policy/controller.py
+++ b/cresstray/policy/controller.py
@@ -19,12 +19,16 @@
     SWEEP_INTERVAL_US,
     WINDOW_US,
 )
+from cresstray.policy.engine_state import EngineState
+from cresstray.policy.latency_estimate import LatencyEstimate
+from cresstray.policy.load_signals import FleetSignals
 from cresstray.policy.ports import AdmissionRules, PolicyPort
 from cresstray.policy.settings import to_microseconds
 from cresstray.policy.sliding_window import SlidingWindow
 from cresstray.policy.types import (
     NOT_EXECUTED,
     POSSIBLY_RUNNING,
+    STARVED_RANK,
     Attempt,
     EndpointState,
     Engine,
@@ -40,148 +44,6 @@
 # Danger: together the gateways may push a cold engine over. Its capacity is taken as what it starts with
 # until it must be warm, at 0.85 busy and 0.9 of nominal speed, and 0.7 of the budget is used.
 COLD_PART = 0.85 * 0.9 * 0.7
-STARVED_RANK = -1e6  # in the held line: before any payoff for work in microseconds
-
-
-class LatencyEstimate:
-    """What a tariff's answers usually take, learnt from this gateway's own fulfilled relays."""
-
-    def __init__(self, request_class: RequestClass) -> None:
-        self.threads, self.sample_count = request_class.threads, 0
-        # Before the first answers: a quarter of the soft limit, since limits are set to be met with room.
-        self.mean_us = request_class.latency_objective_us / 4.0
-        self.mean_work_us, self.work_factor = 0.0, 1.0  # mean time by estimate, and latency against that
-        self.dispatched, self.never_dispatched = (
-            SlidingWindow(5 * WINDOW_US, 10),
-            SlidingWindow(5 * WINDOW_US, 10),
-        )  # first relays, or ended without
-
-    def expected_us(self, request: Request) -> int:
-        return max(1000, int(request.estimated_work_us / self.threads * self.work_factor or self.mean_us))
-
-    def learn(self, request: Request, latency: int) -> None:
-        # A mean over the last 200 or so: long enough for widely spread work, short enough to follow a day.
-        self.sample_count += 1
-        weight = 1.0 / min(self.sample_count, 200)
-        self.mean_us += weight * (latency - self.mean_us)
-        self.mean_work_us += weight * (request.estimated_work_us / self.threads - self.mean_work_us)
-        self.work_factor = self.mean_us / max(1.0, self.mean_work_us)
-
-
-class LoadSignals:
-    """What reports tell and when: the threads of others a core, and memory against what binds."""
-
-    def __init__(self) -> None:
-        self.other_threads_per_core, self.resource_pressure, self.updated_us = 0.0, 0.0, 0
-        self.running_threads, self.total_limit = (
-            0,
-            0.0,
-        )  # of the fleet: ours that run on all engines, and all limits
-
-    def update(self, weight: float, others: float, strain: float, now: int) -> None:
-        self.other_threads_per_core += weight * (others - self.other_threads_per_core)
-        self.resource_pressure += weight * (strain - self.resource_pressure)
-        self.updated_us = now
-
-
-class Limiter:
-    """The thread limit on this gateway's running work on one engine, moved by the Gradient law."""
-
-    def __init__(self, cores: float, gateways: int, fleet: LoadSignals) -> None:
-        self.cores, self.fleet, self.signs = (
-            cores,
-            fleet,
-            LoadSignals(),
-        )  # signs of all engines, and of this one
-        self.start = self.limit = cores / gateways  # a thread a core, shared by the gateways
-        self.draw = 1.0  # the chance draw for work wider than the free limit, once a window
-        self.out: dict[Attempt, None] = {}
-        self.threads = 0
-        self.total, self.count, self.failed = 0.0, 0, False  # the open window
-        self.seen, self.average, self.best, self.pace = 0, 0.0, 0.0, 1.0
-        self.full_until, self.idle = 0, False  # idle: its cores have room, as it last told
-        self.heard, self.lost = 0, 0  # when it last answered anything; relays and probes lost since
-        self.fails, self.answers = SlidingWindow(5 * WINDOW_US, 10), SlidingWindow(5 * WINDOW_US, 10)
-        self.doubted, self.mute = False, False  # mute: in doubt for silence, not for errors
-        self.trial_at, self.streak = 0, 0  # the next trial; answers in a row, below none failed trials
-        self.cold = 0  # while it is cold: when this gateway may send to it again
-        self.blocked: dict[int, int] = {}  # data sets that a load was seen to hold, and until when to mind it
-
-    def hear(self, now: int) -> None:
-        self.heard, self.lost = now, 0
-
-    def sample(self, ratio: float) -> None:
-        self.seen, self.count, self.total = self.seen + 1, self.count + 1, self.total + ratio
-        # Over the last 20 samples or so: a thin window's mean says too little to choose by.
-        self.pace += 0.05 * (ratio - self.pace)
-
-    def close_window(self) -> None:
-        """The Gradient law, once a closed window; the first window with an average only holds."""
-        count, mean, failed = self.count, self.total / max(1, self.count), self.failed
-        self.count, self.total, self.failed = 0, 0.0, False
-        # Ten samples of warmup, and below smoothing, tolerance and ratio: the source's defaults.
-        if self.seen < 10 or not (count or failed):
-            return
-        first, gradient = not self.average, 0.0
-        if count:
-            self.average = mean if first else 0.2 * mean + 0.8 * self.average
-            self.best = self.average if first else min(self.best * 1.01, self.average)
-            gradient = (mean - self.average) / self.average
-        if failed:
-            self.limit *= 0.5
-        elif not first:
-            step = 2 if gradient < -0.1 else 1
-            self.limit = self.limit + step if gradient <= 0.1 else self.limit * max(1 - gradient * 0.5, 0.5)
-        # Floor and cap as the design gives them, the cap below twice the start.
-        self.limit = min(max(self.limit, 0.1 * self.start), 1.99 * self.start)
-
-    def load(self, more: int, now: int) -> float:
-        return ((self.threads + more) / self.cores + self.by_now(now)[0]) * self.pace
-
-    def by_now(self, now: int) -> tuple[float, float, float]:
-        # Danger: no relays, no reports; an engine seen busy would be shunned for good, one seen idle flooded.
-        # What is known of it goes over into what is known of the fleet, by half in two seconds.
-        fleet, own = self.fleet, self.signs
-        kept = 0.5 ** ((now - own.updated_us) / WINDOW_US / 2)
-        others = (
-            fleet.other_threads_per_core + (own.other_threads_per_core - fleet.other_threads_per_core) * kept
-        )
-        strain = fleet.resource_pressure + (own.resource_pressure - fleet.resource_pressure) * kept
-        return others, strain, kept
-
-    def pressed(self, now: int) -> bool:
-        """Whether the limit binds: lately full, or busy by its reports, or without them slow for once."""
-        if now < self.full_until:
-            return True
-        if self.fleet.updated_us:
-            # Three threads for two cores if they are busy or nothing tells of late, up to two a core if not,
-            # as some wait for disks. Half of those not known are busier than the mean: a quarter sooner.
-            others, strain, kept = self.by_now(now)
-            busy = self.threads / self.cores + others >= 1.5 + 0.5 * kept * self.idle
-            return busy or strain >= 0.75 + 0.25 * kept
-        return self.average > 1.5 * self.best > 0
-
-    def spare(self, now: int, most: float) -> float:
-        """Threads that another hall's work may take, up to so many a core with all that runs there."""
-        others, strain, _ = self.by_now(now)
-        busy = self.doubted or self.cold or now < self.full_until or strain >= 0.75
-        return 0.0 if busy else (most - others) * self.cores - self.threads
-
-    def permits(self, request: Request, now: int) -> bool:
-        threads = request.request_class.threads
-        if self.threads + threads <= self.limit or not self.pressed(now):
-            return True
-        # Danger: limits of a part of a thread let one of ours onto each engine. As answers slow down, all
-        # gateways are many times over; what runs stays under three times all limits, as some see several
-        # times the mean, or one over it, as narrow work would never leave room for wide.
-        if self.fleet.running_threads >= max(1.0, 3 * self.fleet.total_limit):
-            return False
-        # Danger: a draw a window keeps short work far under the limit; the chance is for the time it takes.
-        # As answers slow down it would shut out long work: a window at most for what was passed over.
-        lasts = min(
-            request.expected_latency_us / WINDOW_US, 1.0 if request.queue_rank < STARVED_RANK / 2 else 1e9
-        )
-        return self.threads == 0 and self.draw * threads * lasts < self.limit
 
 
 class PolicyController:
@@ -215,7 +77,7 @@
             Engine
         ] = []  # gateways of other halls, each as one engine that is never drawn
         self.payoff = self.work = self.time = self.pace = 1.0  # means; pace: latency against expected time
-        self.swept, self.fleet, self.doubt_counts = 0, LoadSignals(), True
+        self.swept, self.fleet, self.doubt_counts = 0, FleetSignals(), True
         self.idlest: list[Engine] = []  # the one of late, or none
         self.probes, self.trials, self.probed_last = 0.0, 0.0, 0  # probes and trials that may be spent
         if settings.get("MembershipMode") == "ask":
@@ -355,26 +217,31 @@
         for left in range(len(pool), 0, -1):
             at = left - 1 if left > len(self.ready_engines) else int(self.random() * left)
             engine, pool[at] = pool[at], pool[left - 1]
-            limiter = engine.limiter
+            state = engine.policy_state
             if len(drawn) == picks and engine.zone != self.zone:
                 continue
-            if not limiter.permits(request, now):
+            if not state.permits(request, now):
                 self._lapse(engine, now)
                 continue
-            full = request.is_forwarded_in and limiter.spare(now, 1.0) < request.request_class.threads
+            full = request.is_forwarded_in and state.spare_threads(now, 1.0) < request.request_class.threads
             if full or not self._may_take(request, engine, now):
                 continue
             # A doubted engine gets one relay at a time that may safely run again, now and then. Danger: while
             # the others are full, one that fails has room, and fails all that could still wait for them. If
             # it answers, it gets what has no other chance left, as part of that ends well.
-            doubted = limiter.doubted and self.doubt_counts
-            awaited = doubted and (now < limiter.trial_at or self.trials < 1)
-            if doubted and not idempotent or awaited and (limiter.mute or now < request.latest_dispatch_us):
+            doubted = state.health.is_suspected and self.doubt_counts
+            awaited = doubted and (now < state.health.next_probe_us or self.trials < 1)
+            if (
+                doubted
+                and not idempotent
+                or awaited
+                and (state.health.is_unresponsive or now < request.latest_dispatch_us)
+            ):
                 continue
             if awaited or engine in tried or self._stalls(request, engine, now):
                 spare = spare or engine
                 continue
-            found = (limiter.load(request.request_class.threads, now), left, engine)
+            found = (state.load(request.request_class.threads, now), left, engine)
             if len(drawn) < picks:
                 drawn.append(found)
             if engine.zone == self.zone:
@@ -404,25 +271,23 @@
             return near
         if attempts and not self._budget_left(request, now):
             return near
-        load = near.limiter.load(request_class.threads, now) if near else None
+        load = near.policy_state.load(request_class.threads, now) if near else None
         for hall in self.remote_sites:
-            limiter = hall.limiter
-            permitted = limiter.threads + request_class.threads <= limiter.limit
+            state = hall.policy_state
+            permitted = state.limit.running_threads + request_class.threads <= state.limit.value
             permitted = permitted and self._may_take(request, hall, now)
-            believed = not limiter.doubted or now >= limiter.trial_at
+            believed = not state.health.is_suspected or now >= state.health.next_probe_us
             if permitted and believed and hall.forwarding.accepts(request, load, now):
                 request.was_forwarded = True
                 return hall
         return near
 
     def on_site_updated(self, hall: Engine, cores: float, standing: EndpointState, now: int) -> None:
-        """A gateway of another hall, with what its hall has for us in cores; its limiter always binds."""
-        if hall.limiter is None:
-            hall.limiter = Limiter(max(1.0, cores), 1, self.fleet)
+        """A gateway of another hall, with what its hall has for us in cores; its limit always binds."""
+        if hall.policy_state is None:
+            hall.policy_state = EngineState(max(1.0, cores), 1, self.fleet)
             self.remote_sites.append(hall)
-        limiter, cores = hall.limiter, max(1.0, cores)
-        limiter.limit *= cores / limiter.cores
-        limiter.cores = limiter.start = cores
+        hall.policy_state.limit.resize(max(1.0, cores))
         hall.state = standing
         self._release(now)
 
@@ -432,8 +297,8 @@
     def spare_capacity(self, now: int) -> tuple[float, float, float]:
         """What other halls may be told: our part of the threads to spare and of all cores, and our pace."""
         # From a thread a core on, ours slows down; what is told is behind, and others are told the like.
-        spare = sum(max(0.0, engine.limiter.spare(now, 0.95)) for engine in self.ready_engines)
-        cores = sum(engine.limiter.cores for engine in self.ready_engines)
+        spare = sum(max(0.0, engine.policy_state.spare_threads(now, 0.95)) for engine in self.ready_engines)
+        cores = sum(engine.policy_state.limit.cores for engine in self.ready_engines)
         return 0.0 if self.queue else spare / self.gateway_count, cores / self.gateway_count, self.pace
 
     def on_deadline_unreachable(self, attempt: Attempt, now: int) -> None:
@@ -470,12 +335,12 @@
 
     def _stalls(self, request: Request, engine: Engine, now: int) -> bool:
         # Danger: beside a load of its data set it would stand still, and keep its memory and our permit.
-        data_set, limiter = request.data_set, engine.limiter
+        data_set, state = request.data_set, engine.policy_state
         if not request.request_class.waits_for_data_set:
             return False
-        ours = (attempt.request for attempt in limiter.out)
+        ours = (attempt.request for attempt in state.limit.attempts)
         held = any(other.request_class.locks_data_set and other.data_set == data_set for other in ours)
-        return held or now < limiter.blocked.get(data_set, 0)
+        return held or now < state.signals.locked_until_us.get(data_set, 0)
 
     def _load_must_wait(self, request: Request, now: int) -> bool:
         # Danger: loads of a hot data set, spread over all engines, leave nowhere to read it. A third of the
@@ -489,16 +354,18 @@
         )
 
     def _cold_room(self, engine: Engine, request_class: RequestClass, now: int) -> bool:
-        if not engine.limiter.cold or now >= engine.started_us + to_microseconds(self.rules.get("WarmUp", 0)):
-            engine.limiter.cold = 0
+        if not engine.policy_state.slow_start.next_send_us or now >= engine.started_us + to_microseconds(
+            self.rules.get("WarmUp", 0)
+        ):
+            engine.policy_state.slow_start.next_send_us = 0
             return True
         # In turn, and nothing that alone is over our part of a window and a tenth of all gateways' part.
         most = self._cold_ration(engine) * self.fall * max(1.0, self.gateway_count / 10)
-        return now >= engine.limiter.cold and self._cold_weight(request_class) <= most
+        return now >= engine.policy_state.slow_start.next_send_us and self._cold_weight(request_class) <= most
 
     def _cold_ration(self, engine: Engine) -> float:
         most = self.rules.get("OverloadFactor", 1) * self.rules.get("ColdShare", 0.1)
-        return most * engine.limiter.cores * COLD_PART / self.gateway_count
+        return most * engine.policy_state.limit.cores * COLD_PART / self.gateway_count
 
     def _cold_turn(self, engine: Engine) -> float:
         """How long a gateway's share of a cold engine takes to earn its lightest work."""
@@ -510,12 +377,15 @@
         # Danger: turns that wait while a cold engine counts as busy would be taken by all gateways at once
         # when that ends. One that has waited for a window of the rule is drawn anew, where one call of each
         # gateway is more than the budget and what the rule puts down to chance.
-        if not engine.limiter.cold or now <= engine.limiter.cold + self.fall:
+        if (
+            not engine.policy_state.slow_start.next_send_us
+            or now <= engine.policy_state.slow_start.next_send_us + self.fall
+        ):
             return
         turn = self._cold_turn(engine)
         calls = self.gateway_count * self.fall / (turn * COLD_PART)
         if self.gateway_count > calls + 2 * calls**0.5 + 2:
-            engine.limiter.cold = now + 1 + int(turn * self.random())
+            engine.policy_state.slow_start.next_send_us = now + 1 + int(turn * self.random())
 
     def _cold_weight(self, request_class: RequestClass) -> float:
         # Unlearnt, a tariff weighs as heavily as its soft limit lets it: silence is no proof of light work.
@@ -537,20 +407,21 @@
         if engine is None:
             return False
         self._unhold(request)
-        request_class, limiter = request.request_class, engine.limiter
+        request_class, state = request.request_class, engine.policy_state
         attempt = Attempt(request, engine, len(request.attempts), now)
         request.attempts.append(attempt)
         request.current_attempt = attempt
-        limiter.out[attempt] = None
-        limiter.threads += request_class.threads
+        state.limit.start_attempt(attempt)
         self.fleet.running_threads += request_class.threads
-        if limiter.threads > limiter.limit:
-            limiter.draw = self.random()
-        if limiter.cold:
-            limiter.cold = now + int(self._cold_weight(request_class) / self._cold_ration(engine))
-        if limiter.doubted:
+        if state.limit.running_threads > state.limit.value:
+            state.limit.draw = self.random()
+        if state.slow_start.next_send_us:
+            state.slow_start.next_send_us = now + int(
+                self._cold_weight(request_class) / self._cold_ration(engine)
+            )
+        if state.health.is_suspected:
             self.trials = max(0.0, self.trials - 1)
-            limiter.trial_at = now + 4 * WINDOW_US  # one at a time, unless it is answered sooner
+            state.health.next_probe_us = now + 4 * WINDOW_US  # one at a time, unless it is answered sooner
         (self.relayed_again if again else request_class.latency.dispatched).add(now)
         self._terms(request)
         self.port.send_attempt(attempt, max(1000, request.deadline_us - now - ATTEMPT_MARGIN_US))
@@ -560,9 +431,8 @@
         """Whether this gateway may relay; shares follow the number of gateways that the fleet agrees on."""
         count = self.admission_rules.gateway_count(now)
         if count not in (0, self.gateway_count):
-            for limiter in [engine.limiter for engine in self.engines]:
-                limiter.start *= self.gateway_count / count
-                limiter.limit *= self.gateway_count / count
+            for state in [engine.policy_state for engine in self.engines]:
+                state.limit.scale(self.gateway_count / count)
             self.gateway_count = count
         return count > 0
 
@@ -603,11 +473,10 @@
     ) -> None:
         if attempt.outcome is not None:
             return
-        request, limiter = attempt.request, attempt.engine.limiter
+        request, state = attempt.request, attempt.engine.policy_state
         attempt.outcome = ending
         request.current_attempt = None
-        del limiter.out[attempt]
-        limiter.threads -= request.request_class.threads
+        state.limit.finish_attempt(attempt)
         self.fleet.running_threads = max(0, self.fleet.running_threads - request.request_class.threads)
         if attempt.engine.forwarding and ending is Outcome.EXPIRED_BEFORE_SEND:
             request.attempts.remove(attempt)  # no engine of either hall has seen it
@@ -632,11 +501,11 @@
         self._release(now, attempt.engine)
 
     def _learn(self, attempt: Attempt, ending: Outcome, latency: int, now: int) -> None:
-        request, limiter = attempt.request, attempt.engine.limiter
+        request, state = attempt.request, attempt.engine.policy_state
         if ending is Outcome.SUCCEEDED:
             # Danger: one heavy draw in a thin window would cut a healthy limit; a sample counts four at most.
             ratio = min(4.0, latency / request.expected_latency_us)
-            limiter.sample(ratio)
+            state.limit.record_sample(ratio)
             self.pace += 0.01 * (ratio - self.pace)  # some hundred samples: the fleet's pace, not a moment's
             request.request_class.latency.learn(request, latency)
             self.payoff += 0.005 * (
@@ -644,61 +513,41 @@
             )  # over some two hundred answers
             self.time += 0.005 * (request.expected_latency_us - self.time)
             self.work += 0.005 * (request.expected_latency_us * request.request_class.threads - self.work)
-            limiter.answers.add(now)
-            limiter.hear(now)
-            limiter.trial_at, limiter.streak = now, max(0, limiter.streak) + 1
-            # Three trials in a row: one can succeed by luck on an engine that fails half of its work.
-            if limiter.doubted and (limiter.streak >= 3 or limiter.mute):
-                limiter.doubted, limiter.fails = False, SlidingWindow(5 * WINDOW_US, 10)
+            state.health.on_success(now)
         elif ending is Outcome.OVERLOADED:
-            limiter.failed, limiter.full_until = True, now + WINDOW_US
+            state.limit.has_window_failed, state.signals.overloaded_until_us = True, now + WINDOW_US
         elif ending in (Outcome.FAILED, Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST):
             # Danger: links between healthy ends are reset too. Cuts for that leave limits that are all or
             # none, and doubt takes away engines that are needed. A dead one refuses the next connection.
             if ending is not Outcome.CONNECTION_LOST:
-                limiter.hear(now)
+                state.health.on_answer(now)
             self._fault(attempt.engine, 0, ending is Outcome.FAILED, now)
         elif ending is Outcome.UNREACHABLE:
-            self._fault(attempt.engine, 2 * (limiter.heard < attempt.sent_us), True, now)
+            self._fault(attempt.engine, 2 * (state.health.last_answer_us < attempt.sent_us), True, now)
 
     def _fault(self, engine: Engine, lost: int, counts: bool, now: int) -> None:
-        limiter = engine.limiter
-        limiter.failed = limiter.failed or counts
-        # Danger: one lost relay may be a heavy draw or a cut link, and all that one of many gateways has on
-        # an engine. Silence takes two lost in a row, or a failed connection.
-        limiter.lost += lost
-        mute = lost > 0 and limiter.lost >= 2
-        limiter.answers.add(now)
-        limiter.fails.add(now)
-        fails, answers = limiter.fails.upper_bound(now), limiter.answers.upper_bound(now)
-        # Three faults that make up a fifth of its answers: far above stray errors, soon enough to matter; one
-        # failure where answers are so few that three would take too long.
-        if limiter.doubted or mute or fails >= 0.2 * answers and (fails >= 3 or counts and answers <= 5):
-            if not limiter.doubted:
-                self.port.log_event(
-                    f"{now / 1e6:.1f} s: an engine in doubt, {'silent' if mute else 'failing'}"
-                )
-            limiter.mute = mute or limiter.doubted and limiter.mute
-            # Half a second to the next trial, doubled with each failed one up to four.
-            limiter.streak = min(0, limiter.streak) - 1 if limiter.doubted else 0
-            limiter.doubted, limiter.trial_at = True, now + (500_000 << min(-limiter.streak, 3))
+        state = engine.policy_state
+        state.limit.has_window_failed = state.limit.has_window_failed or counts
+        if state.health.on_fault(lost, counts, now):
+            kind = "silent" if state.health.is_unresponsive else "failing"
+            self.port.log_event(f"{now / 1e6:.1f} s: an engine in doubt, {kind}")
 
     def _heed(self, engine: Engine, report: Mapping[str, float], now: int) -> None:
         if not report:
             return
-        limiter, rare = engine.limiter, now - engine.limiter.signs.updated_us > 2 * WINDOW_US
+        state, rare = engine.policy_state, now - engine.policy_state.signals.updated_us > 2 * WINDOW_US
         # What others run there is what the engine holds beyond our own, at a tariff mix like ours.
-        held = max(0.0, report.get("concurrent", 0.0) - len(limiter.out) - 1)
-        limiter.idle = report.get("load_share", 1.0) <= 0.9
+        held = max(0.0, report.get("concurrent", 0.0) - len(state.limit.attempts) - 1)
+        state.signals.has_idle_cores = report.get("load_share", 1.0) <= 0.9
         # Memory overgranted beyond a report's noise strains it, or a line for it.
         strain = max(report.get("x0", 0.0) / 1.15, float(report.get("depth", 0.0) >= 1))
-        told = (held * self.work / self.time / limiter.cores, strain, now)
+        told = (held * self.work / self.time / state.limit.cores, strain, now)
         # The older what was known, the more the new counts; of the fleet over two seconds, or four reports.
-        limiter.signs.update(min(1.0, max(0.3, (now - limiter.signs.updated_us) / WINDOW_US / 2)), *told)
+        state.signals.update(min(1.0, max(0.3, (now - state.signals.updated_us) / WINDOW_US / 2)), *told)
         self.fleet.update(min(0.25, (now - self.fleet.updated_us) / WINDOW_US / 2), *told)
         # Danger: known to all, the idlest would be flooded. Where most are seldom heard of, each gateway
         # knows another, and it is a third choice.
-        if rare and all(limiter.load(0, now) <= other.limiter.load(0, now) for other in self.idlest):
+        if rare and all(state.load(0, now) <= other.policy_state.load(0, now) for other in self.idlest):
             self.idlest = [engine]
 
     # Doubt: an engine that fails, is silent or cannot be reached loses new work until trials go well.
@@ -706,8 +555,8 @@
     def _listen(self, now: int) -> None:
         """Looks after what is out: relays that should long be back, and engines that answer nothing."""
         for engine in (*self.engines, *self.remote_sites):
-            limiter = engine.limiter
-            for attempt in list(limiter.out):
+            state = engine.policy_state
+            for attempt in list(state.limit.attempts):
                 # Danger: an engine cut off, dead or stuck, or a link that loses answers, gives no samples.
                 # Four times the expected time, as work spreads widely, at the fleet's pace, no note of late.
                 expected, age = attempt.request.expected_latency_us, now - attempt.sent_us
@@ -717,8 +566,10 @@
                 overdue = silent and age > 4 * expected * max(1.0, self.pace) + 200_000
                 if overdue and not attempt.is_overdue:
                     attempt.is_overdue = True
-                    self._fault(engine, limiter.heard < attempt.sent_us, False, now)
-                if limiter.doubted and (overdue or limiter.mute and age >= expected + WINDOW_US // 2):
+                    self._fault(engine, state.health.last_answer_us < attempt.sent_us, False, now)
+                if state.health.is_suspected and (
+                    overdue or state.health.is_unresponsive and age >= expected + WINDOW_US // 2
+                ):
                     self._call_back(attempt, now)
 
     def _call_back(self, attempt: Attempt, now: int) -> None:
@@ -791,14 +642,14 @@
 
     def on_progress(self, attempt: Attempt, topic: ProgressKind, value: float, now: int) -> None:
         request, attempt.last_progress_us = attempt.request, now
-        attempt.engine.limiter.hear(now)
+        attempt.engine.policy_state.health.on_answer(now)
         if topic is ProgressKind.WAITING_FOR_DATA_SET and value == 2:
             # Minded for two notes' time; what waits may run elsewhere, and has lost nothing yet.
-            attempt.engine.limiter.blocked[request.data_set] = now + 2 * to_microseconds(
+            attempt.engine.policy_state.signals.locked_until_us[request.data_set] = now + 2 * to_microseconds(
                 self.family["TellsEvery"]
             )
             others = (one for one in self.ready_engines if not self._stalls(request, one, now))
-            if len(request.attempts) == 1 and any(one.limiter.permits(request, now) for one in others):
+            if len(request.attempts) == 1 and any(one.policy_state.permits(request, now) for one in others):
                 self._call_back(attempt, now)
         early = topic is not ProgressKind.FRACTION_DONE or request.request_class.latency.sample_count < 10
         if early or attempt.outcome or request.is_finished:
@@ -827,25 +678,25 @@
         cores, named = self.family.get("CpuOfKind", []), set()
         for engine, (machine, zone, cell, started, standing) in known:
             named.add(engine)
-            if engine.limiter is None or started != engine.started_us and started > 0:
+            if engine.policy_state is None or started != engine.started_us and started > 0:
                 # Danger: a restarted engine is cold; what was learnt before says nothing now, but what was
                 # sent to it is still to come back.
-                limiter = Limiter(
+                state = EngineState(
                     cores[machine] if machine < len(cores) else 1, self.gateway_count, self.fleet
                 )
-                if engine.limiter is not None:
-                    limiter.out, limiter.threads = engine.limiter.out, engine.limiter.threads
-                engine.limiter = limiter
+                if engine.policy_state is not None:
+                    state.limit.take_over_attempts(engine.policy_state.limit)
+                engine.policy_state = state
                 if now < started + to_microseconds(self.rules.get("WarmUp", 0)):
                     # Danger: all gateways hear of it at once; each begins at some time of its first turn.
-                    limiter.cold = now + 1 + int(self._cold_turn(engine) * self.random())
+                    state.slow_start.next_send_us = now + 1 + int(self._cold_turn(engine) * self.random())
             engine.instance_type, engine.zone, engine.cell = machine, zone, cell
             engine.started_us, engine.state = started, standing
             self.engines[engine] = None
         for engine in list(self.engines):
             if complete and engine not in named:
                 engine.state = EndpointState.REMOVED
-            if engine.state is EndpointState.REMOVED and not engine.limiter.out:
+            if engine.state is EndpointState.REMOVED and not engine.policy_state.limit.attempts:
                 del self.engines[engine]
         # Danger: nothing new goes to an engine that drains or is gone; the grace is not used.
         self.ready_engines = [engine for engine in self.engines if engine.state is EndpointState.READY]
@@ -859,10 +710,9 @@
     def on_probe_finished(
         self, engine: Engine, ending: Outcome, report: Mapping[str, float], now: int
     ) -> None:
-        limiter = engine.limiter
+        state = engine.policy_state
         if ending is Outcome.SUCCEEDED:
-            limiter.hear(now)
-            limiter.trial_at = now if limiter.mute else limiter.trial_at
+            state.health.on_check_success(now)
         elif ending is not Outcome.OVERLOADED:
             self._fault(engine, 1, False, now)
         self._heed(engine, report, now)
@@ -873,21 +723,25 @@
         self.swept += 1
         if self.swept % (WINDOW_US // SWEEP_INTERVAL_US) == 0:
             for engine in (*self.engines, *self.remote_sites):
-                engine.limiter.close_window()
-                engine.limiter.draw = self.random()
+                engine.policy_state.limit.close_window()
+                engine.policy_state.limit.draw = self.random()
         # Where half of the engines are in doubt, they are not the odd ones out, and doubt decides nothing.
         # With another hall to go to, those of this one need not be the measure: most of them may be dead.
         elsewhere = any(hall.state is EndpointState.READY for hall in self.remote_sites)
-        doubted = sum(engine.limiter.doubted for engine in self.ready_engines)
+        doubted = sum(engine.policy_state.health.is_suspected for engine in self.ready_engines)
         self.doubt_counts = elsewhere or 2 * doubted <= len(self.ready_engines)
         # Danger: what engines that have fallen silent hold would leave no room for any other.
         self.fleet.running_threads = sum(
-            engine.limiter.threads for engine in self.ready_engines if not engine.limiter.mute
+            engine.policy_state.limit.running_threads
+            for engine in self.ready_engines
+            if not engine.policy_state.health.is_unresponsive
         )
-        self.fleet.total_limit = sum(engine.limiter.limit for engine in self.ready_engines)
+        self.fleet.total_limit = sum(engine.policy_state.limit.value for engine in self.ready_engines)
         self._listen(now)
         failing = [
-            engine for engine in self.ready_engines if engine.limiter.doubted and not engine.limiter.mute
+            engine
+            for engine in self.ready_engines
+            if engine.policy_state.health.is_suspected and not engine.policy_state.health.is_unresponsive
         ]
         for request in [held for held in self.queue + self.retry_queue if now >= held.latest_dispatch_us]:
             turn = self._is_turn(request, now)
--- /dev/null
+++ b/cresstray/policy/latency_estimate.py
@@ -0,0 +1,56 @@
+"""What the requests of a class usually take, learnt from this gateway's own completed attempts."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from cresstray.policy.deadlines import WINDOW_US
+from cresstray.policy.sliding_window import SlidingWindow
+
+if TYPE_CHECKING:
+    from cresstray.policy.types import Request, RequestClass
+
+# The mean covers about this many samples: enough for widely spread work, few enough to follow a day.
+MEAN_SAMPLES = 200
+MIN_EXPECTED_US = 1000
+# Before the first samples: this part of the latency objective, as objectives are set to be met with reserve.
+INITIAL_PART_OF_OBJECTIVE = 4.0
+
+
+class LatencyEstimate:
+    """The expected latency of one request class, and how often its requests are dispatched."""
+
+    __slots__ = (
+        "threads",
+        "sample_count",
+        "mean_us",
+        "mean_work_us",
+        "work_factor",
+        "dispatched",
+        "never_dispatched",
+    )
+
+    def __init__(self, request_class: RequestClass) -> None:
+        self.threads = request_class.threads
+        self.sample_count = 0
+        self.mean_us = request_class.latency_objective_us / INITIAL_PART_OF_OBJECTIVE
+        self.mean_work_us = 0.0  # by the requests' own estimates, as time on all threads
+        self.work_factor = 1.0  # mean latency over mean estimate
+        self.dispatched = SlidingWindow(5 * WINDOW_US, 10)  # first attempts
+        self.never_dispatched = SlidingWindow(5 * WINDOW_US, 10)  # requests finished without any
+
+    def expected_us(self, request: Request) -> int:
+        """Returns the expected latency: from the request's estimate, or else the mean."""
+        return max(
+            MIN_EXPECTED_US,
+            int(request.estimated_work_us / self.threads * self.work_factor or self.mean_us),
+        )
+
+    def learn(self, request: Request, latency_us: int) -> None:
+        """Includes the latency of a completed attempt."""
+        self.sample_count += 1
+        weight = 1.0 / min(self.sample_count, MEAN_SAMPLES)
+        estimate_us = request.estimated_work_us / self.threads
+        self.mean_us += weight * (latency_us - self.mean_us)
+        self.mean_work_us += weight * (estimate_us - self.mean_work_us)
+        self.work_factor = self.mean_us / max(1.0, self.mean_work_us)
--- a/cresstray/policy/types.py
+++ b/cresstray/policy/types.py
@@ -10,7 +10,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from cresstray.policy.controller import LatencyEstimate, Limiter
+    from cresstray.policy.engine_state import EngineState
+    from cresstray.policy.latency_estimate import LatencyEstimate
     from cresstray.policy.ports import ForwardingRoute
     from cresstray.replicas.read import Read
 
@@ -34,6 +35,9 @@
 # Outcomes after which the engine may still be executing the attempt.
 POSSIBLY_RUNNING = {Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.PROTOCOL_ERROR, Outcome.CANCELLED}
 
+# The queue rank of a request of a starved class: before that of any value for work in microseconds.
+STARVED_RANK = -1e6
+
 
 class EndpointState(Enum):
     """What the endpoint list says of one engine."""
@@ -84,7 +88,7 @@
     started_us: int = 0  # 0: long ago
     state: EndpointState = EndpointState.REMOVED
     # Set by the controller when it first lists the engine; None before.
-    limiter: Limiter = field(default=None)  # type: ignore[assignment]
+    policy_state: EngineState = field(default=None)  # type: ignore[assignment]
     forwarding: ForwardingRoute | None = None  # the way to it, if it stands for a gateway of another site
 
 
--- a/cresstray/simulation/cold.py
+++ b/cresstray/simulation/cold.py
@@ -263,7 +263,7 @@
 
     def list(self, event: EndpointEvent) -> None:
         now = self.world.now
-        before = {number: engine.limiter for number, engine in self.route.engines.items()}
+        before = {number: engine.policy_state for number, engine in self.route.engines.items()}
         entries = self.route.apply_event(event)
         # What is held may be sent while the module hears of it.
         self.ids = {engine: number for number, engine in self.route.engines.items()}
@@ -271,8 +271,8 @@
         self.route.cancel_unsent(event)
         for member in event.endpoints if self.beliefs else ():
             engine = self.route.engines.get(member.id)
-            if engine and engine.limiter is not before.get(member.id) and self.on_trial(engine):
-                learnt.on_trial(engine.limiter, self.chance, now)
+            if engine and engine.policy_state is not before.get(member.id) and self.on_trial(engine):
+                learnt.on_trial(engine.policy_state, self.chance, now)
 
     def on_trial(self, engine: Engine) -> bool:
         number = self.ids.get(engine)
--- a/cresstray/simulation/joined.py
+++ b/cresstray/simulation/joined.py
@@ -179,7 +179,9 @@
         )
         self.engines = {
             engine: Engine(
-                machine, state=EndpointState.READY, limiter=SimpleNamespace(threads=0, cores=CORES)
+                machine,
+                state=EndpointState.READY,
+                policy_state=SimpleNamespace(limit=SimpleNamespace(running_threads=0, cores=CORES)),
             )
             for machine, engine in enumerate(ENGINES)
         }
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -56,7 +56,7 @@
             agreed.count = count
             desk.submit(f"{count} count")
             desk.run(200)
-            limits.append([round(engine.limiter.limit, 6) for engine in desk.engines])
+            limits.append([round(engine.policy_state.limit.value, 6) for engine in desk.engines])
         self.assertEqual(limits, [[1.0] * 3, [0.5] * 3, [2.0] * 3, [2.0] * 3, [1.0] * 3])
         self.assertEqual(desk.gateway.gateway_count, 4)
         self.check("agreed_count", desk.lines)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -151,8 +151,8 @@
         kept += [link.in_flight.open for pool in made.pools for link in pool.connections]
         self.assertEqual([], [one for one in kept if one])
         self.assertEqual([], [trouble for pool in made.pools for trouble in pool.faults])
-        limiters = [engine.limiter for engine in made.gateway.engines]
-        self.assertEqual([], [one for one in limiters if one.threads or one.out])
+        limiters = [engine.policy_state for engine in made.gateway.engines]
+        self.assertEqual([], [one for one in limiters if one.limit.running_threads or one.limit.attempts])
 
 
 class LateDials(DeskCase):
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -11,8 +11,11 @@
 from typing import Any
 from unittest.mock import Mock, patch
 
-from cresstray.policy.controller import STARVED_RANK, Limiter, LoadSignals, PolicyController
-from cresstray.policy.types import EndpointState, Outcome, Request
+from cresstray.policy.concurrency_limit import ConcurrencyLimit
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.engine_state import EngineState
+from cresstray.policy.load_signals import FleetSignals
+from cresstray.policy.types import STARVED_RANK, EndpointState, Outcome, Request
 from tests.desk import START, Desk, settings
 
 FAR = START * 100
@@ -42,7 +45,7 @@
 
     def fill(self) -> list[Request]:
         """All permits of engine 0 taken, under pressure for good."""
-        self.engines[0].limiter.full_until = FAR
+        self.engines[0].policy_state.signals.overloaded_until_us = FAR
         return [self.submit(f"filler {n}", left=FAR // 1000) for n in range(4)]
 
 
@@ -54,8 +57,8 @@
     works = [desk.submit(str(n), request_class) for n, request_class in enumerate(row["works"])]
     for work in works[: row["back"]]:
         desk.drop(work)
-    limiter = desk.engines[0].limiter
-    return {"threads": limiter.threads, "out": len(limiter.out)}
+    state = desk.engines[0].policy_state
+    return {"threads": state.limit.running_threads, "out": len(state.limit.attempts)}
 
 
 def windows(row: Row) -> Row:
@@ -63,43 +66,43 @@
     for n in range(row["answers"]):
         desk.back(desk.submit(str(n)), Outcome.SUCCEEDED)
     desk.run(row["run"])
-    return {"open": desk.engines[0].limiter.count}
+    return {"open": desk.engines[0].policy_state.limit.window_count}
 
 
 def start(row: Row) -> Row:
     given = settings(Balancers=row["gateways"], FamilyInfo={"CpuOfKind": [row["cores"]]})
-    limiter = Teller(given, engines=1).engines[0].limiter
-    began, ends = limiter.limit, []
+    state = Teller(given, engines=1).engines[0].policy_state
+    began, ends = state.limit.value, []
     for _ in range(10):
-        limiter.sample(1.0)
+        state.limit.record_sample(1.0)
     for failed in (True, False):
         for _ in range(200):
-            limiter.failed = failed
-            limiter.sample(1.0)
-            limiter.close_window()
-        ends.append(limiter.limit)
+            state.limit.has_window_failed = failed
+            state.limit.record_sample(1.0)
+            state.limit.close_window()
+        ends.append(state.limit.value)
     return {"start": began, "least": ends[0], "most": ends[1]}
 
 
 def pressure(row: Row) -> Row:
     desk = Teller(settings(), engines=1)
-    limiter = desk.engines[0].limiter
-    limiter.average, limiter.best = row.get("average", 0.0), row.get("best", 0.0)
-    limiter.threads = row.get("threads", 0)
+    state = desk.engines[0].policy_state
+    state.limit.average_ratio, state.limit.best_ratio = row.get("average", 0.0), row.get("best", 0.0)
+    state.limit.running_threads = row.get("threads", 0)
     for report in row.get("reports", ()):
         desk.gateway.on_probe_finished(desk.engines[0], Outcome.SUCCEEDED, report, desk.now)
     if "full" in row:
         desk.back(desk.submit("refused"), Outcome.OVERLOADED)
     now = desk.now + int(1000 * (row.get("full", 0) or row.get("since", 0)))
-    return {"binds": limiter.pressed(now), "others": limiter.by_now(now)[0]}
+    return {"binds": state.is_under_pressure(now), "others": state.signals.other_threads_now(now)}
 
 
 def permits(row: Row) -> Row:
-    fleet = LoadSignals()
+    fleet = FleetSignals()
     fleet.running_threads, fleet.total_limit = row.get("all_running", 0), row.get("all_limits", 1e9)
-    limiter = Limiter(4, 1, fleet)
-    limiter.limit, limiter.threads = row["limit"], row["running"]
-    limiter.full_until = FAR if row.get("bound", True) else 0
+    state = EngineState(4, 1, fleet)
+    state.limit.value, state.limit.running_threads = row["limit"], row["running"]
+    state.signals.overloaded_until_us = FAR if row.get("bound", True) else 0
     request_class = Teller(settings()).gateway.request_classes[0]
     request_class.threads = row["threads"]
     work = Request(
@@ -111,32 +114,33 @@
     )
     chance = 0
     for drawn in range(1000):
-        limiter.draw = (drawn + 0.5) / 1000
-        chance += limiter.permits(work, START)
+        state.limit.draw = (drawn + 0.5) / 1000
+        chance += state.permits(work, START)
     return {"chance": chance}
 
 
 def draws(row: Row) -> Row:
     desk = Teller(settings(), engines=1)
-    limiter = desk.engines[0].limiter
-    limiter.full_until, limiter.limit, limiter.draw = FAR, row["limit"], 1e-9
+    state = desk.engines[0].policy_state
+    state.signals.overloaded_until_us, state.limit.value, state.limit.draw = FAR, row["limit"], 1e-9
     for n in range(row["sends"]):
         desk.submit(str(n), 1, left=9000)
-    assert len(limiter.out) == row["sends"], "nothing was sent"
+    assert len(state.limit.attempts) == row["sends"], "nothing was sent"
     desk.run(row["run"])
-    return {"anew": limiter.draw != 1e-9}
+    return {"anew": state.limit.draw != 1e-9}
 
 
 def samples(row: Row) -> Row:
     desk = Teller(settings(), engines=1)
-    limiter, ratio = desk.engines[0].limiter, 0.0
+    state, ratio = desk.engines[0].policy_state, 0.0
     for estimate, latency in (*row.get("taught", ()), (row["estimate"], row["latency"])):
         work = desk.submit("work", row["tariff"], left=9000, estimated_work_us=estimate * 1000)
-        before, closed = limiter.total, limiter.close_window
-        limiter.close_window = lambda: None  # the open window is looked at, not moved by
-        desk.run(latency)
-        desk.back(work, Outcome.SUCCEEDED)
-        limiter.close_window, ratio = closed, limiter.total - before
+        before = state.limit.window_total
+        # The open window is looked at, and not closed by the time that passes.
+        with patch.object(ConcurrencyLimit, "close_window", lambda limit: None):
+            desk.run(latency)
+            desk.back(work, Outcome.SUCCEEDED)
+        ratio = state.limit.window_total - before
     return {"ratio": ratio}
 
 
@@ -149,12 +153,20 @@
         }
     )
     for engine, given in zip(desk.engines, row["engines"]):
-        limiter, limiter.pace = engine.limiter, given.get("pace", 1.0)
-        limiter.threads, limiter.doubted = given["threads"], given.get("doubted", False)
-        limiter.trial_at = FAR
-        limiter.signs.updated_us, limiter.signs.other_threads_per_core = desk.now, given.get("others", 0.0)
-        limiter.full_until = FAR if given.get("full") else 0
-    desk.gateway.doubt_counts = 2 * sum(e.limiter.doubted for e in desk.engines) <= len(desk.engines)
+        state, state.limit.slowdown = engine.policy_state, given.get("pace", 1.0)
+        state.limit.running_threads, state.health.is_suspected = (
+            given["threads"],
+            given.get("doubted", False),
+        )
+        state.health.next_probe_us = FAR
+        state.signals.updated_us, state.signals.other_threads_per_core = (
+            desk.now,
+            given.get("others", 0.0),
+        )
+        state.signals.overloaded_until_us = FAR if given.get("full") else 0
+    desk.gateway.doubt_counts = 2 * sum(e.policy_state.health.is_suspected for e in desk.engines) <= len(
+        desk.engines
+    )
     desk.gateway.idlest = [desk.engines[row["idlest"]]] if "idlest" in row else []
     wins = dict.fromkeys(desk.engines, 0)
     for n in range(1500):
@@ -187,7 +199,7 @@
     del desk.lines[:]
     if row.get("again"):
         desk.back(fillers[0], Outcome.OVERLOADED)
-        desk.engines[0].limiter.full_until = FAR
+        desk.engines[0].policy_state.signals.overloaded_until_us = FAR
     for out in (*fillers, *works):
         if out.current_attempt:
             desk.drop(out)
@@ -223,31 +235,31 @@
 
 
 def law(row: Row) -> Row:
-    limiter, limits, averages = Limiter(20, 1, LoadSignals()), [], []
+    state, limits, averages = EngineState(20, 1, FleetSignals()), [], []
     if "warm" in row:
         for _ in range(10):
-            limiter.sample(row["warm"])
-        limiter.close_window()
+            state.limit.record_sample(row["warm"])
+        state.limit.close_window()
     for number, window in enumerate(row["windows"]):
         for ratio in window:
-            limiter.sample(ratio)
-        limiter.failed = number in row.get("failed", ())
-        limiter.close_window()
-        limits.append(limiter.limit)
-        averages.append(limiter.average)
+            state.limit.record_sample(ratio)
+        state.limit.has_window_failed = number in row.get("failed", ())
+        state.limit.close_window()
+        limits.append(state.limit.value)
+        averages.append(state.limit.average_ratio)
     return {"limits": limits, "averages": averages}
 
 
 def failures(row: Row) -> Row:
     desk = Teller(settings(FamilyInfo={"CpuOfKind": [20]}, Limits={"MaxAttempts": 1}), engines=1)
-    limiter = desk.engines[0].limiter
-    limiter.seen, limiter.average = 10, 1.0
+    state = desk.engines[0].policy_state
+    state.limit.sample_count, state.limit.average_ratio = 10, 1.0
     works = [desk.submit(str(n), left=60_000) for n in range(len(row["endings"]))]
     for work, ending in zip(works, row["endings"]):
         desk.back(work, Outcome(ending))
-    limiter.close_window()
-    limiter.close_window()  # a window of its own: what the first had is not counted again
-    return {"left": limiter.limit / limiter.start}
+    state.limit.close_window()
+    state.limit.close_window()  # a window of its own: what the first had is not counted again
+    return {"left": state.limit.value / state.limit.initial}
 
 
 def agreed(row: Row) -> Row:
@@ -257,8 +269,8 @@
         admits=lambda request, now: True,
         allows=lambda request, engine, now: True,
     )
-    work, limiter = desk.submit("work"), desk.engines[0].limiter
-    return {"limit": limiter.limit, "start": limiter.start, "sent": bool(work.attempts)}
+    work, state = desk.submit("work"), desk.engines[0].policy_state
+    return {"limit": state.limit.value, "start": state.limit.initial, "sent": bool(work.attempts)}
 
 
 DRIVERS = {
@@ -315,28 +327,94 @@
 
 
 VARIANTS = {
-    "a warm-up of nine": ("law", Limiter, "close_window", "self.seen < 10", "self.seen < 9"),
-    "a quicker average": ("law", Limiter, "close_window", "0.2 * mean + 0.8", "0.3 * mean + 0.7"),
-    "a first window that moves": ("law", Limiter, "close_window", "elif not first", "else"),
-    "two threads at the edge": ("law", Limiter, "close_window", "gradient < -0.1", "gradient <= -0.1"),
-    "a cut at the edge": ("law", Limiter, "close_window", "gradient <= 0.1", "gradient < 0.1"),
-    "cut by more than half": ("law", Limiter, "close_window", "0.5, 0.5)", "0.5, 0.4)"),
-    "a failure and the law's step": ("law", Limiter, "close_window", "elif not first", "if not first"),
-    "a failure counted again": ("failures", Limiter, "close_window", "0, 0.0, False", "0, 0.0, failed"),
-    "a cap of three times": ("start", Limiter, "close_window", "1.99", "3.0"),
-    "a floor of a fifth": ("start", Limiter, "close_window", "0.1 * self.start", "0.2 * self.start"),
-    "no number of gateways": ("start", Limiter, "__init__", "cores / gateways", "cores"),
-    "a limit that always binds": ("permits", Limiter, "permits", "or not self.pressed(now)", ""),
-    "a chance beside our own": ("permits", Limiter, "permits", "self.threads == 0 and", ""),
-    "a chance whatever the width": ("permits", Limiter, "permits", "self.draw * threads", "self.draw"),
-    "no sum of all limits": ("permits", Limiter, "permits", "3 * self.fleet.total_limit", "1e9"),
-    "full for half a window": ("pressure", Limiter, "pressed", "self.full_until", "self.full_until - 5e5"),
+    "a warm-up of nine": (
+        "law",
+        ConcurrencyLimit,
+        "close_window",
+        "self.sample_count < MIN_SAMPLES",
+        "self.sample_count < 9",
+    ),
+    "a quicker average": (
+        "law",
+        ConcurrencyLimit,
+        "_update_average",
+        "AVERAGE_WEIGHT * mean + (1 - AVERAGE_WEIGHT)",
+        "0.3 * mean + 0.7",
+    ),
+    "a first window that moves": ("law", ConcurrencyLimit, "close_window", "elif not is_first", "else"),
+    "two threads at the edge": (
+        "law",
+        ConcurrencyLimit,
+        "_move",
+        "gradient < -TOLERANCE",
+        "gradient <= -TOLERANCE",
+    ),
+    "a cut at the edge": ("law", ConcurrencyLimit, "_move", "gradient > TOLERANCE", "gradient >= TOLERANCE"),
+    "cut by more than half": ("law", ConcurrencyLimit, "_move", ", DECREASE_RATIO)", ", 0.4)"),
+    "a failure and the law's step": (
+        "law",
+        ConcurrencyLimit,
+        "close_window",
+        "elif not is_first",
+        "if not is_first",
+    ),
+    "a failure counted again": (
+        "failures",
+        ConcurrencyLimit,
+        "close_window",
+        "self.has_window_failed = False",
+        "self.has_window_failed = has_failed",
+    ),
+    "a cap of three times": ("start", ConcurrencyLimit, "close_window", "MAX_PART_OF_INITIAL", "3.0"),
+    "a floor of a fifth": (
+        "start",
+        ConcurrencyLimit,
+        "close_window",
+        "MIN_PART_OF_INITIAL * self.initial",
+        "0.2 * self.initial",
+    ),
+    "no number of gateways": ("start", ConcurrencyLimit, "__init__", "cores / gateway_count", "cores"),
+    "a limit that always binds": (
+        "permits",
+        EngineState,
+        "permits",
+        "not self.is_under_pressure(now_us)",
+        "False",
+    ),
+    "a chance beside our own": (
+        "permits",
+        ConcurrencyLimit,
+        "admits_by_chance",
+        "self.running_threads == 0 and",
+        "",
+    ),
+    "a chance whatever the width": (
+        "permits",
+        ConcurrencyLimit,
+        "admits_by_chance",
+        "self.draw * request.request_class.threads",
+        "self.draw",
+    ),
+    "no sum of all limits": (
+        "permits",
+        EngineState,
+        "permits",
+        "MAX_FLEET_LIMITS * fleet.total_limit",
+        "1e9",
+    ),
+    "full for half a window": (
+        "pressure",
+        EngineState,
+        "is_under_pressure",
+        "signals.overloaded_until_us",
+        "signals.overloaded_until_us - 5e5",
+    ),
     "latency for all": (
         "pressure",
-        Limiter,
-        "pressed",
+        EngineState,
+        "is_under_pressure",
         "self.fleet.updated_us",
-        "self.fleet.updated_us and not self.best",
+        "(self.fleet.updated_us and not self.limit.best_ratio)",
     ),
     "the more loaded": ("choose", PolicyController, "_choose", "min(drawn, default", "max(drawn, default"),
     "one choice": ("choose", PolicyController, "_choose", "2 + len(", "1 + len("),
@@ -349,8 +427,14 @@
     ),
     "held for a fifth": ("leave", PolicyController, "accept", "// 10", "// 5"),
     "held in arrival order": ("hold", PolicyController, "_offer", "one.queue_rank", "one.arrived_us"),
-    "a reset as a failure": ("failures", PolicyController, "_fault", "limiter.failed or counts", "True"),
-    "limits that stay": ("agreed", PolicyController, "_counted", "limiter.limit *=", "limiter.best *="),
+    "a reset as a failure": (
+        "failures",
+        PolicyController,
+        "_fault",
+        "state.limit.has_window_failed or counts",
+        "True",
+    ),
+    "limits that stay": ("agreed", ConcurrencyLimit, "scale", "self.value *=", "self.best_ratio *="),
     "denied after a run": ("refuse", PolicyController, "_end", "not self._may_deny(request)", "False"),
 }
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -4,8 +4,9 @@
 import io
 import struct
 
-from cresstray.policy.controller import Limiter, LoadSignals
 from cresstray.policy.deadlines import WINDOW_US
+from cresstray.policy.engine_state import EngineState
+from cresstray.policy.load_signals import FleetSignals
 from cresstray.policy.types import Outcome, ProgressKind
 from cresstray.simulator import host as wirehost
 from cresstray.simulator import wire
@@ -15,7 +16,7 @@
 
 class Decisions(TraceCase):
     def test_gradient_window(self) -> None:
-        limiter, lines = Limiter(8, 2, LoadSignals()), []
+        state, lines = EngineState(8, 2, FleetSignals()), []
         plan = [
             ("warmup, nine samples", [1.0] * 9, False),
             ("first average only holds", [1.0] * 4, False),
@@ -32,10 +33,10 @@
         ]
         for text, samples, failed in plan:
             for ratio in samples:
-                limiter.sample(ratio)
-            limiter.failed = failed
-            limiter.close_window()
-            lines.append(f"{text}: limit {limiter.limit:.2f}, average {limiter.average:.2f}")
+                state.limit.record_sample(ratio)
+            state.limit.has_window_failed = failed
+            state.limit.close_window()
+            lines.append(f"{text}: limit {state.limit.value:.2f}, average {state.limit.average_ratio:.2f}")
         self.check("gradient", lines)
 
     def test_holding_and_denial(self) -> None:
@@ -49,7 +50,7 @@
             desk.run(20)
             if request is running[0]:
                 desk.back(request, Outcome.OVERLOADED)
-                desk.engines[0].limiter.full_until = desk.now + 60_000_000
+                desk.engines[0].policy_state.signals.overloaded_until_us = desk.now + 60_000_000
             else:
                 desk.back(request, Outcome.SUCCEEDED)
         desk.back(running[3], Outcome.SUCCEEDED)
@@ -60,7 +61,7 @@
     def test_less_loaded_of_two(self) -> None:
         desk = Desk(settings(), engines=3)
         for threads, engine in zip((1, 2, 3), desk.engines):
-            engine.limiter.threads = threads
+            engine.policy_state.limit.running_threads = threads
         drawn = [desk.gateway._choose(desk.submit("one"), desk.now) for _ in range(12)]
         self.check("two_choice", [f"engine {desk.engines.index(engine)}" for engine in drawn])
 
@@ -77,7 +78,9 @@
             desk.run(150)
             if request.current_attempt:
                 desk.back(request, Outcome.SUCCEEDED)
-        desk.lines.append("doubted: " + ", ".join(str(engine.limiter.doubted) for engine in desk.engines))
+        desk.lines.append(
+            "doubted: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
+        )
         self.check("fast_errors", desk.lines)
 
     def test_silence_raises_doubt_and_calls_back(self) -> None:
@@ -92,7 +95,9 @@
             if request.current_attempt and request.current_attempt.cancel_requested:
                 desk.back(request, Outcome.CANCELLED)
         desk.submit("after the doubt")
-        desk.lines.append("doubted: " + ", ".join(str(engine.limiter.doubted) for engine in desk.engines))
+        desk.lines.append(
+            "doubted: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
+        )
         self.check("silence", desk.lines)
 
     def test_bad_plan_called_back_once(self) -> None:
@@ -117,8 +122,12 @@
         desk.gateway.on_probe_finished(busy, Outcome.SUCCEEDED, {"concurrent": 13.0}, desk.now)
         for crowd in (1.0, 13.0):
             for seconds in range(4):
-                told = ", ".join(f"{value:.2f}" for value in busy.limiter.by_now(desk.now))
-                pressed = busy.limiter.pressed(desk.now)
+                signals = busy.policy_state.signals
+                told = (
+                    f"{signals.other_threads_now(desk.now):.2f}, "
+                    f"{signals.resource_pressure_now(desk.now):.2f}, {signals.freshness(desk.now):.2f}"
+                )
+                pressed = busy.policy_state.is_under_pressure(desk.now)
                 lines.append(f"{seconds} s on, others with {crowd}: {told}, pressed {pressed}")
                 for engine in others:
                     desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, {"concurrent": crowd}, desk.now)
@@ -136,31 +145,40 @@
                 str(desk.engines.index(desk.gateway._choose(desk.submit("one"), desk.now))) for _ in range(6)
             )
         )
-        doubted = desk.engines[3].limiter
+        doubted = desk.engines[3].policy_state
         for engine in desk.engines:
-            engine.limiter.limit, engine.limiter.full_until = 0.0, desk.now + WINDOW_US
-        doubted.limit, doubted.doubted, doubted.trial_at = 9.0, True, desk.now + WINDOW_US
-        for doubted.mute in (False, True):
+            engine.policy_state.limit.value, engine.policy_state.signals.overloaded_until_us = (
+                0.0,
+                desk.now + WINDOW_US,
+            )
+        doubted.limit.value, doubted.health.is_suspected, doubted.health.next_probe_us = (
+            9.0,
+            True,
+            desk.now + WINDOW_US,
+        )
+        for doubted.health.is_unresponsive in (False, True):
             waits = desk.submit("two")
             for at, text in ((desk.now, "it can wait"), (waits.latest_dispatch_us, "it can't")):
                 chosen = desk.gateway._choose(waits, at)
-                lines.append(
-                    f"the rest full, one {'silent' if doubted.mute else 'failing'}, {text}: "
-                    f"{chosen and desk.engines.index(chosen)}"
-                )
+                kind = "silent" if doubted.health.is_unresponsive else "failing"
+                lines.append(f"the rest full, one {kind}, {text}: {chosen and desk.engines.index(chosen)}")
         self.check("choices", lines)
 
     def test_what_waits_is_not_given_to_an_engine_that_fails(self) -> None:
         desk = Desk(settings(), engines=2)
         failing, full = desk.engines
         for engine in desk.engines:
-            engine.limiter.full_until = desk.now + 10 * WINDOW_US
-        full.limiter.limit = 0.0
-        failing.limiter.doubted, failing.limiter.trial_at, failing.limiter.streak = True, 2**60, -3
+            engine.policy_state.signals.overloaded_until_us = desk.now + 10 * WINDOW_US
+        full.policy_state.limit.value = 0.0
+        (
+            failing.policy_state.health.is_suspected,
+            failing.policy_state.health.next_probe_us,
+            failing.policy_state.health.probe_streak,
+        ) = True, 2**60, -3
         for number in range(3):
             desk.submit(f"s{number}", left=4000)
         desk.run(200)
-        full.limiter.limit = 2.0
+        full.policy_state.limit.value = 2.0
         desk.run(4000)
         self.check("last_chance", desk.lines)
 
@@ -180,10 +198,10 @@
                     request = desk.submit(f"s{number}")
                     if request.current_attempt:  # else held: the only engine is in doubt
                         desk.back(request, Outcome.SUCCEEDED if number < good else ending)
-                limiter = desk.engines[0].limiter
+                state = desk.engines[0].policy_state
                 lines.append(
-                    f"up to 3 {ending.value} behind {good} good: cut {limiter.failed}, doubted "
-                    f"{limiter.doubted}, silent {limiter.mute}"
+                    f"up to 3 {ending.value} behind {good} good: cut {state.limit.has_window_failed}, "
+                    f"doubted {state.health.is_suspected}, silent {state.health.is_unresponsive}"
                 )
         self.check("links_of_late", lines)
 
@@ -191,8 +209,10 @@
         desk, lines = Desk(settings(), engines=3), []
         for lost, text in ((0, "an error"), (2, "no connection"), (0, "an error again")):
             desk.gateway._fault(desk.engines[0], lost, True, desk.now)
-            limiter = desk.engines[0].limiter
-            lines.append(f"after {text}: doubted {limiter.doubted}, silent {limiter.mute}")
+            state = desk.engines[0].policy_state
+            lines.append(
+                f"after {text}: doubted {state.health.is_suspected}, silent {state.health.is_unresponsive}"
+            )
         self.check("gone_silent", lines)
 
     def test_malformed_frames(self) -> None:
@@ -266,7 +286,7 @@
 
     def test_signs_of_pressure(self) -> None:
         desk, lines = Desk(settings(), engines=1), []
-        limiter = desk.engines[0].limiter
+        state = desk.engines[0].policy_state
         for report in (
             {"concurrent": 7.0},
             {"concurrent": 7.0, "load_share": 0.5},
@@ -277,9 +297,9 @@
             {"x0": 1.1},
             {"depth": 2.0},
         ):
-            limiter.signs.updated_us = desk.gateway.fleet.updated_us = 0
+            state.signals.updated_us = desk.gateway.fleet.updated_us = 0
             desk.gateway.on_probe_finished(desk.engines[0], Outcome.SUCCEEDED, report, desk.now)
-            lines.append(f"{report}: pressed {limiter.pressed(desk.now)}")
+            lines.append(f"{report}: pressed {state.is_under_pressure(desk.now)}")
             desk.run(2000)
         self.check("pressure", lines)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 
 def out(desk: Desk) -> int:
     """Threads that run on all engines."""
-    return sum(engine.limiter.threads for engine in desk.engines)
+    return sum(engine.policy_state.limit.running_threads for engine in desk.engines)
 
 
 class Fleet(TraceCase):
@@ -36,7 +36,7 @@
                 for number in range(20):
                     desk.submit(f"s{second}.{number}", left=60_000, estimated_work_us=100_000)
                     desk.run(50)
-            limits = sum(engine.limiter.limit for engine in desk.engines)
+            limits = sum(engine.policy_state.limit.value for engine in desk.engines)
             lines.append(
                 f"{gateways} gateways, none answered for 6 s: {out(desk)} threads out, limits {limits:.1f}"
             )
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -37,7 +37,8 @@
 from cresstray.fleet_config.strictest import divisor, strictest
 from cresstray.fleet_config.validation import checked
 from cresstray.observability.counters import Counters
-from cresstray.policy.controller import Limiter, LoadSignals
+from cresstray.policy.engine_state import EngineState
+from cresstray.policy.load_signals import FleetSignals
 from cresstray.policy.types import Engine, Request, RequestClass
 
 LEASE, FLOOR_LEASE, DRIFT, MOST = 2_000_000, 8_000_000, 0.01, 20
@@ -585,7 +586,7 @@
         )
         self.engines = [Engine(instance_type=n) for n in range(4)]
         for engine in self.engines:
-            engine.limiter = Limiter(8, 4, LoadSignals())
+            engine.policy_state = EngineState(8, 4, FleetSignals())
 
     def hear(self, turn: int, lease: bool = True, **given: Any) -> None:
         documents = parsed(
@@ -721,10 +722,10 @@
                 me.take(Granted(me.asks(1).number, 2), 1)
                 rules = Admission(me, (), (), lambda engine: f"s-{engine.instance_type}")
                 engine, one = self.engines[1], self.ask(threads=threads)
-                engine.limiter = Limiter(cores, 64, LoadSignals())
+                engine.policy_state = EngineState(cores, 64, FleetSignals())
                 while rules.allows(one, engine, 2):
-                    engine.limiter.threads += threads
-                total += engine.limiter.threads
+                    engine.policy_state.limit.running_threads += threads
+                total += engine.policy_state.limit.running_threads
             seats[total] = threads
         self.assertEqual({4: 1, 3: 3, 320: 1, 0: 1, 9: 9}, seats)
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -762,8 +762,12 @@
         fleet = Fleet(self.path)
         fleet.tell(EndpointEvent(50, True, [member(1, started=7), member(2, started=7), member(3, DRAINING)]))
         for number in (1, 2):
-            limiter = fleet.engine(number).limiter
-            limiter.seen, limiter.limit, limiter.pace = 50, limiter.start * (0.5, 1.5)[number - 1], 1.4
+            limiter = fleet.engine(number).policy_state
+            limiter.limit.sample_count, limiter.limit.value, limiter.limit.slowdown = (
+                50,
+                limiter.limit.initial * (0.5, 1.5)[number - 1],
+                1.4,
+            )
         usual = fleet.gateway.request_classes[0].latency
         usual.sample_count, usual.mean_us, usual.work_factor = 150, 90_000.0, 1.2
         return fleet
@@ -797,16 +801,18 @@
         for number in (1, 2):
             again.keep._answered(number, How.LISTENS, again.now)
         again.step()
-        one, two = again.engine(1).limiter, again.engine(2).limiter
-        self.assertTrue(one.cold and two.cold)
-        self.assertTrue(0.5 < one.limit / one.start < 0.6, one.limit)
-        self.assertEqual(two.limit, two.start)  # of a life that is not known nothing raises a limit
-        two.seen, two.pace = 40, 1.9
+        one, two = again.engine(1).policy_state, again.engine(2).policy_state
+        self.assertTrue(one.slow_start.next_send_us and two.slow_start.next_send_us)
+        self.assertTrue(0.5 < one.limit.value / one.limit.initial < 0.6, one.limit.value)
+        self.assertEqual(
+            two.limit.value, two.limit.initial
+        )  # of a life that is not known nothing raises a limit
+        two.limit.sample_count, two.limit.slowdown = 40, 1.9
         again.keep._answered(2, How.SERVED, again.now)
         again.tell(EndpointEvent(51, True, [member(2, started=7), member(4)]))
         # The same life: what was learnt stays, and so does its coldness, of which the register knows nothing.
-        self.assertIs(again.engine(2).limiter, two)
-        self.assertTrue(two.cold)
+        self.assertIs(again.engine(2).policy_state, two)
+        self.assertTrue(two.slow_start.next_send_us)
         self.assertEqual({again.keep.beliefs.state(n) for n in (1, 3)}, {State.GONE})
         self.assertEqual(set(again.route._engines), {2, 4})
 
@@ -829,7 +835,7 @@
         self.assertIn(1, [m.id for m in again.keep.beliefs.due(again.now)])
         again.keep._answered(1, How.LISTENS, again.now)
         again.step()
-        self.assertTrue(again.engine(1).limiter.cold)
+        self.assertTrue(again.engine(1).policy_state.slow_start.next_send_us)
 
     def test_all_gateways_restart_at_once_and_no_engine_gets_more_than_a_cold_one_may(self) -> None:
         fleet = self.first()
@@ -844,7 +850,7 @@
             one.step()
             begun, ids = one.now, {one.engine(number): number for number in (1, 2)}
             firsts += [
-                (engine.limiter.cold - begun)
+                (engine.policy_state.slow_start.next_send_us - begun)
                 * one.gateway._cold_ration(engine)
                 / min(map(one.gateway._cold_weight, one.gateway.request_classes))
                 for engine in ids
@@ -888,7 +894,9 @@
         ]
         self.assertEqual(sorted(started), [1, 2])
         successor.step()
-        self.assertEqual([bool(successor.engine(n).limiter.cold) for n in (1, 2)], [False, False])
+        self.assertEqual(
+            [bool(successor.engine(n).policy_state.slow_start.next_send_us) for n in (1, 2)], [False, False]
+        )
         self.assertIsNone(successor.keep.refuses(successor.submit("one"), successor.now))
         successor.written()
         self.assertEqual(successor.counters.counts["kept: writes"], 2)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 def fill(desk: Desk, request_class: int = 0) -> list:
     """Takes every permit: a full engine makes the limit bind."""
     for engine in desk.engines:
-        engine.limiter.full_until = desk.now + 60_000_000
+        engine.policy_state.signals.overloaded_until_us = desk.now + 60_000_000
     return [desk.submit(f"filler {n}", request_class, left=60_000) for n in range(4 * len(desk.engines))]
 
 
@@ -20,7 +20,7 @@
         desk.submit("out of time", left=100)
         desk.run(3000)
         late = desk.submit("timed out", left=2000)
-        desk.engines[0].limiter.full_until = 0
+        desk.engines[0].policy_state.signals.overloaded_until_us = 0
         desk.run(100)
         desk.run(1990)
         desk.back(late, Outcome.TIMED_OUT)
@@ -123,7 +123,7 @@
         for request in tried:
             desk.back(request, Outcome.OVERLOADED)
         for engine in desk.engines:
-            engine.limiter.full_until = 0
+            engine.policy_state.signals.overloaded_until_us = 0
         desk.run(5600)
         self.check("budget", desk.lines)
 
