--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -21,6 +21,7 @@
 from cresstray.observability.log import Log
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import Attempt, Outcome, Request
 
 SIZES, ZONES, GATEWAYS = (10, 100, 1024), 8, 1024
@@ -82,7 +83,7 @@
     clock, counters, port = Clock(), Counters(), Silent()
     timers, log = Timers(clock), Log("n0", clock)
     quota = DescriptorQuota(64, 200)
-    gateway = PolicyController(port, settings(GATEWAYS), seed, clock.now())
+    gateway = PolicyController(port, parse_settings(settings(GATEWAYS)), seed, clock.now())
     route = Router(
         lambda label, address: SocketConnectionPool(
             label, address, {}, quota, None, timers, clock.now, counters, log
--- a/cresstray/gateway/service.py
+++ b/cresstray/gateway/service.py
@@ -27,6 +27,7 @@
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.transport.streams import tell_fault
 
 if TYPE_CHECKING:
@@ -141,7 +142,7 @@
 
             settings = {**settings, "CrossingAhead": AHEAD / 1000}
         port = SocketPort(self._route, send, self._book, self._timers, self.counters, self._log)
-        self._gateway = PolicyController(port, settings, seed, self._clock.now())
+        self._gateway = PolicyController(port, parse_settings(settings), seed, self._clock.now())
         admit = self._admit = Admission(self._book)
         self._back.controller = admit.controller = self._gateway
         self._take_in = take_in = Ingress(settings, self._gateway.request_classes, self._clock, admit)
--- a/cresstray/model_checking/beliefs.py
+++ b/cresstray/model_checking/beliefs.py
@@ -33,6 +33,7 @@
 )
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import Attempt, EndpointState, Outcome, Request
 
 START = 1_000_000_000_000
@@ -277,7 +278,7 @@
         self.timers = VirtualTimers(self.clock)
         self.counters = Uncounted()
         self.route = Router(Pool, self)
-        self.gateway = PolicyController(self, _given(""), 0, now)
+        self.gateway = PolicyController(self, parse_settings(_given("")), 0, now)
         self.gateway.random = fixed
         self.keep = Keep(self.disk, _given(""), self.gateway, fixed, self.counters, untold, self._moment, now)
         self.gateway.admission_rules = Guard(self.keep, self.gateway)
--- a/cresstray/model_checking/crossing.py
+++ b/cresstray/model_checking/crossing.py
@@ -35,6 +35,7 @@
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import EndpointState, Engine
 from cresstray.sites import codec, ledger
 from cresstray.sites.codec import BrokenError
@@ -215,7 +216,7 @@
         self.across = self.route.forwarder = Forwarder(clock, self.timers, counters, self.back, send)
         port = SocketPort(self.route, send, self.book, self.timers, counters, NoLog())
         given = _given("")
-        self.gateway = PolicyController(port, given, 0, clock.now())
+        self.gateway = PolicyController(port, parse_settings(given), 0, clock.now())
         self.gateway.random = fixed
         admit = Admission(self.book)
         self.back.controller = admit.controller = self.gateway
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -38,6 +38,7 @@
 from cresstray.policy.concurrency_limit import ConcurrencyLimit
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.latency_estimate import LatencyEstimate
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import EndpointState
 
 # The first moment: a multiple of all widths of rings, so that their buckets turn with the ticks.
@@ -258,7 +259,7 @@
         self.route = Router(self._make_links, send)
         settings = _given(shape.name, "")
         port = SocketPort(self.route, send, self.book, timers, counters, NoLog())
-        self.gateway = PolicyController(port, settings, 0, START)
+        self.gateway = PolicyController(port, parse_settings(settings), 0, START)
         self.gateway.random = fixed if bounds.seed is None else random.Random(bounds.seed).random
         admit = Keyed(self.book)
         self.back.controller = admit.controller = self.gateway
--- a/cresstray/policy/controller.py
+++ b/cresstray/policy/controller.py
@@ -11,7 +11,6 @@
 from bisect import insort
 from collections import deque
 from collections.abc import Iterable, Mapping
-from typing import Any
 
 from cresstray.policy.deadlines import (
     ATTEMPT_MARGIN_US,
@@ -20,11 +19,12 @@
     WINDOW_US,
 )
 from cresstray.policy.engine_state import EngineState
-from cresstray.policy.latency_estimate import LatencyEstimate
 from cresstray.policy.load_signals import FleetSignals
+from cresstray.policy.outlier_detection import OutlierDetector, is_overdue
 from cresstray.policy.ports import AdmissionRules, PolicyPort
-from cresstray.policy.settings import to_microseconds
+from cresstray.policy.settings import MissingSettingError, PolicySettings
 from cresstray.policy.sliding_window import SlidingWindow
+from cresstray.policy.slow_start import SlowStartPolicy
 from cresstray.policy.types import (
     NOT_EXECUTED,
     POSSIBLY_RUNNING,
@@ -41,24 +41,15 @@
 # Danger: a repeat must reach its engine within the memory of the first; it leaves this long before its end.
 DEDUP_MARGIN_US = 50_000
 
-# Danger: together the gateways may push a cold engine over. Its capacity is taken as what it starts with
-# until it must be warm, at 0.85 busy and 0.9 of nominal speed, and 0.7 of the budget is used.
-COLD_PART = 0.85 * 0.9 * 0.7
-
 
 class PolicyController:
-    def __init__(self, port: PolicyPort, settings: Mapping[str, Any], seed: int, now: int) -> None:
+    def __init__(self, port: PolicyPort, settings: PolicySettings, seed: int, now: int) -> None:
         self.port = port
-        self.settings, self.zone = settings, settings.get("Zone")
+        self.settings = settings
         self.random = random.Random(seed).random
-        parts = ("FamilyInfo", "Safety", "Limits")
-        self.family, self.rules, self.limits = (settings.get(part, {}) for part in parts)
-        self.fall = to_microseconds(self.rules.get("Fall", 1000))
         self.admission_rules: AdmissionRules | None = None  # what the fleet has agreed on, where it does
-        self.gateway_count = max(1, settings.get("Balancers", 1))
-        self.request_classes = [
-            self._tariff(n, given) for n, given in enumerate(settings.get("Services", []))
-        ]
+        self.gateway_count = settings.gateway_count
+        self.request_classes = settings.request_classes
         self.engines: dict[Engine, None] = {}
         self.ready_engines: list[Engine] = []
         self.queue: list[Request] = []  # first relays, by rank
@@ -67,47 +58,26 @@
         self.key_free: dict[int, int] = {}
         # Danger: a further relay that crosses halls is sent later than it is counted here, by so much at
         # most.
-        budget, ahead = (
-            to_microseconds(self.rules.get("BudgetWindow", 0)),
-            to_microseconds(settings.get("CrossingAhead", 0)),
-        )
+        budget = settings.retry.budget_window_us or 0
+        ahead = settings.retry.forwarding_delay_us
         self.accepted = SlidingWindow(max(0, budget - ahead), 20)  # rounding costs a twentieth
         self.relayed_again = SlidingWindow(budget + ahead, 20)
         self.remote_sites: list[
             Engine
         ] = []  # gateways of other halls, each as one engine that is never drawn
         self.payoff = self.work = self.time = self.pace = 1.0  # means; pace: latency against expected time
-        self.swept, self.fleet, self.doubt_counts = 0, FleetSignals(), True
+        self.swept = 0
+        self.fleet = FleetSignals()
+        self.outliers = OutlierDetector()
+        self.slow_start = SlowStartPolicy(
+            settings.slow_start, settings.request_classes, settings.gateway_count
+        )
         self.idlest: list[Engine] = []  # the one of late, or none
-        self.probes, self.trials, self.probed_last = 0.0, 0.0, 0  # probes and trials that may be spent
-        if settings.get("MembershipMode") == "ask":
+        self.probes, self.probed_last = 0.0, 0  # probes that may be spent
+        if settings.must_subscribe:
             port.subscribe_to_endpoints()
         port.call_later(SWEEP_INTERVAL_US, self._sweep)
 
-    def _tariff(self, index: int, given: Mapping[str, Any]) -> RequestClass:
-        threads = self.family.get("Dop", [])
-        zones, machines = given.get("StaysIn"), given.get("FlavorsOpen")
-        loads, waits = self.family.get("Loads", []), self.family.get("WaitsForLoads", [])
-        request_class = RequestClass(
-            index,
-            threads[index] if index < len(threads) else 1,
-            to_microseconds(given.get("GoalTime", 1000)),
-            given.get("AimStretch", 0.0),
-            given.get("Worth", 1.0),
-            given.get("LateValue", 0.0),
-            given.get("Effect") == "idempotent",
-            given.get("Effect") == "deduplicated",
-            given.get("Group", "all"),
-            to_microseconds(given.get("KeyTtl", 0)),
-            bool(given.get("ByArrival")),
-            None if zones is None else frozenset(zones),
-            None if machines is None else frozenset(machines),
-        )
-        request_class.locks_data_set = index < len(loads) and loads[index]
-        request_class.waits_for_data_set = request_class.locks_data_set or index < len(waits) and waits[index]
-        request_class.latency = LatencyEstimate(request_class)
-        return request_class
-
     # Accept: from here on the submission is owed one final answer.
 
     def accept(self, request: Request, now: int) -> None:
@@ -131,8 +101,7 @@
             self.accepted.add(arrived)
             # Danger: many gateways' probes at a fixed rate cost more than they tell. One for two of these.
             self.probes = min(self.probes + 0.5, 1 + len(self.ready_engines) / 5)
-            # Danger: many gateways' trials alone are as much as a fair share of work. One for ten of these.
-            self.trials = min(self.trials + 0.1, 2.0)
+            self.outliers.on_accepted()
         if request_class.is_ordered and request.ordering_key:
             self.queues.setdefault(request.ordering_key, deque()).append(request)
         self._offer(request, now)
@@ -218,10 +187,10 @@
             at = left - 1 if left > len(self.ready_engines) else int(self.random() * left)
             engine, pool[at] = pool[at], pool[left - 1]
             state = engine.policy_state
-            if len(drawn) == picks and engine.zone != self.zone:
+            if len(drawn) == picks and engine.zone != self.settings.zone:
                 continue
             if not state.permits(request, now):
-                self._lapse(engine, now)
+                self.slow_start.on_refused(state, now, self.random)
                 continue
             full = request.is_forwarded_in and state.spare_threads(now, 1.0) < request.request_class.threads
             if full or not self._may_take(request, engine, now):
@@ -229,22 +198,20 @@
             # A doubted engine gets one relay at a time that may safely run again, now and then. Danger: while
             # the others are full, one that fails has room, and fails all that could still wait for them. If
             # it answers, it gets what has no other chance left, as part of that ends well.
-            doubted = state.health.is_suspected and self.doubt_counts
-            awaited = doubted and (now < state.health.next_probe_us or self.trials < 1)
-            if (
-                doubted
-                and not idempotent
-                or awaited
-                and (state.health.is_unresponsive or now < request.latest_dispatch_us)
-            ):
-                continue
-            if awaited or engine in tried or self._stalls(request, engine, now):
+            must_wait = False
+            if state.health.is_suspected and self.outliers.is_decisive:
+                if not idempotent:
+                    continue
+                must_wait = not self.outliers.may_probe(state.health, now)
+                if must_wait and (state.health.is_unresponsive or now < request.latest_dispatch_us):
+                    continue
+            if must_wait or engine in tried or self._stalls(request, engine, now):
                 spare = spare or engine
                 continue
             found = (state.load(request.request_class.threads, now), left, engine)
             if len(drawn) < picks:
                 drawn.append(found)
-            if engine.zone == self.zone:
+            if engine.zone == self.settings.zone:
                 near.append(found)
                 if len(near) == picks:
                     break
@@ -331,7 +298,7 @@
                 over = now >= attempt.sent_us + request_class.dedup_window_us - DEDUP_MARGIN_US
                 if over or not same.get(request_class.dedup_scope, request_class.dedup_scope == "all"):
                     return False
-        return self._cold_room(engine, request_class, now)
+        return self.slow_start.has_capacity(engine, request_class, now)
 
     def _stalls(self, request: Request, engine: Engine, now: int) -> bool:
         # Danger: beside a load of its data set it would stand still, and keep its memory and our permit.
@@ -353,48 +320,6 @@
             self.ready_engines
         )
 
-    def _cold_room(self, engine: Engine, request_class: RequestClass, now: int) -> bool:
-        if not engine.policy_state.slow_start.next_send_us or now >= engine.started_us + to_microseconds(
-            self.rules.get("WarmUp", 0)
-        ):
-            engine.policy_state.slow_start.next_send_us = 0
-            return True
-        # In turn, and nothing that alone is over our part of a window and a tenth of all gateways' part.
-        most = self._cold_ration(engine) * self.fall * max(1.0, self.gateway_count / 10)
-        return now >= engine.policy_state.slow_start.next_send_us and self._cold_weight(request_class) <= most
-
-    def _cold_ration(self, engine: Engine) -> float:
-        most = self.rules.get("OverloadFactor", 1) * self.rules.get("ColdShare", 0.1)
-        return most * engine.policy_state.limit.cores * COLD_PART / self.gateway_count
-
-    def _cold_turn(self, engine: Engine) -> float:
-        """How long a gateway's share of a cold engine takes to earn its lightest work."""
-        return max(1.0, min(map(self._cold_weight, self.request_classes), default=1.0)) / self._cold_ration(
-            engine
-        )
-
-    def _lapse(self, engine: Engine, now: int) -> None:
-        # Danger: turns that wait while a cold engine counts as busy would be taken by all gateways at once
-        # when that ends. One that has waited for a window of the rule is drawn anew, where one call of each
-        # gateway is more than the budget and what the rule puts down to chance.
-        if (
-            not engine.policy_state.slow_start.next_send_us
-            or now <= engine.policy_state.slow_start.next_send_us + self.fall
-        ):
-            return
-        turn = self._cold_turn(engine)
-        calls = self.gateway_count * self.fall / (turn * COLD_PART)
-        if self.gateway_count > calls + 2 * calls**0.5 + 2:
-            engine.policy_state.slow_start.next_send_us = now + 1 + int(turn * self.random())
-
-    def _cold_weight(self, request_class: RequestClass) -> float:
-        # Unlearnt, a tariff weighs as heavily as its soft limit lets it: silence is no proof of light work.
-        return request_class.threads * (
-            request_class.latency.mean_us
-            if request_class.latency.sample_count >= 5
-            else request_class.latency_objective_us
-        )
-
     def _send(self, request: Request, now: int, freed: Engine | None = None) -> bool:
         again = bool(request.attempts)
         if self.admission_rules and not self._counted(now):
@@ -416,12 +341,9 @@
         if state.limit.running_threads > state.limit.value:
             state.limit.draw = self.random()
         if state.slow_start.next_send_us:
-            state.slow_start.next_send_us = now + int(
-                self._cold_weight(request_class) / self._cold_ration(engine)
-            )
+            self.slow_start.on_sent(state, request_class, now)
         if state.health.is_suspected:
-            self.trials = max(0.0, self.trials - 1)
-            state.health.next_probe_us = now + 4 * WINDOW_US  # one at a time, unless it is answered sooner
+            self.outliers.on_probe_sent(state.health, now)
         (self.relayed_again if again else request_class.latency.dispatched).add(now)
         self._terms(request)
         self.port.send_attempt(attempt, max(1000, request.deadline_us - now - ATTEMPT_MARGIN_US))
@@ -434,15 +356,15 @@
             for state in [engine.policy_state for engine in self.engines]:
                 state.limit.scale(self.gateway_count / count)
             self.gateway_count = count
+            self.slow_start.gateway_count = count
         return count > 0
 
     def _budget_left(self, request: Request, now: int) -> bool:
         # Danger: relays beyond the first are rationed over any window; the ring rounds to the safe side.
-        most = self.rules.get("FreeResends", 0) + self.rules.get(
-            "ResendRatio", 0
-        ) * self.accepted.lower_bound(now)
+        retry = self.settings.retry
+        most = retry.free_retries + retry.retry_ratio * self.accepted.lower_bound(now)
         scale = self.admission_rules.retry_budget_scale(request, now) if self.admission_rules else 1
-        if scale <= 0 or "BudgetWindow" not in self.rules:
+        if scale <= 0 or retry.budget_window_us is None:
             return scale > 0
         return self.relayed_again.upper_bound(now) + 1 <= most * scale
 
@@ -454,8 +376,8 @@
 
     def _terms(self, request: Request) -> None:
         # Three tenths over the estimate: enough for a close one, little taken from others.
-        megabytes, priority = request.memory_mb * 1.3 if self.family.get("MemoryHeeded") else 0.0, 1
-        if self.family.get("RanksHeeded"):
+        megabytes, priority = request.memory_mb * 1.3 if self.settings.grants_memory else 0.0, 1
+        if self.settings.grants_priority:
             # Four ranks by payoff for work against the mean of all: twice and half the mean part them.
             density = -request.queue_rank * self.work / self.payoff
             priority = 3 if density > 2 else 2 if density > 1 else 1 if density > 0.5 else 0
@@ -484,9 +406,7 @@
         self._learn(attempt, ending, latency, now)
         if ending in POSSIBLY_RUNNING and request.request_class.is_ordered and request.ordering_key:
             # Danger: the relay may run on, and the key's next would run beside it.
-            self.key_free[request.ordering_key] = (
-                now + to_microseconds(self.rules.get("TurnGap", 0)) + 1000
-            )  # rounded up
+            self.key_free[request.ordering_key] = now + self.settings.ordering_gap_us + 1000  # rounded up
         if no_more or request.is_finished:
             self._close(request)
         elif self._worth_again(request, now):
@@ -560,10 +480,7 @@
                 # Danger: an engine cut off, dead or stuck, or a link that loses answers, gives no samples.
                 # Four times the expected time, as work spreads widely, at the fleet's pace, no note of late.
                 expected, age = attempt.request.expected_latency_us, now - attempt.sent_us
-                silent = now - attempt.last_progress_us > 1.5 * to_microseconds(
-                    self.family.get("TellsEvery", 0)
-                )
-                overdue = silent and age > 4 * expected * max(1.0, self.pace) + 200_000
+                overdue = is_overdue(attempt, self.pace, self.settings.progress_interval_us or 0, now)
                 if overdue and not attempt.is_overdue:
                     attempt.is_overdue = True
                     self._fault(engine, state.health.last_answer_us < attempt.sent_us, False, now)
@@ -574,15 +491,10 @@
 
     def _call_back(self, attempt: Attempt, now: int) -> None:
         request = attempt.request
-        if (
-            attempt.cancel_requested
-            or attempt.outcome
-            or request.is_finished
-            or not self.limits.get("Cancel")
-        ):
+        if attempt.cancel_requested or attempt.outcome or request.is_finished or not self.settings.can_cancel:
             return
         again = self._worth_again(request, now) and self._budget_left(request, now)
-        if again and self.doubt_counts:
+        if again and self.outliers.is_decisive:
             attempt.cancel_requested = True
             self.port.cancel_attempt(attempt)
 
@@ -590,7 +502,7 @@
         stop = request.deadline_us if request.request_class.late_value > 0 else request.objective_deadline_us
         if now + request.expected_latency_us >= stop or now >= request.deadline_us - DEADLINE_MARGIN_US:
             return False
-        most = 1 if request.is_forwarded_in else self.limits.get("MaxAttempts", 1)
+        most = 1 if request.is_forwarded_in else self.settings.retry.max_attempts
         # Danger: what no engine can run would use up the ration; two of them have said so by then.
         errors = [attempt.outcome for attempt in request.attempts].count(Outcome.FAILED)
         if len(request.attempts) >= most or errors >= 2:
@@ -616,9 +528,7 @@
         if not self._may_deny(request):
             self.port.fail_request(request)
         else:
-            most = (
-                to_microseconds(self.limits.get("MaxRetryAfter", 0)) if self.limits.get("RetryAfter") else 0
-            )
+            most = self.settings.max_retry_after_us
             # Come back spread over the longest wait that clients honour, so that they do not return together.
             self.port.reject_request(request, int(most * (0.5 + 0.5 * self.random())))
 
@@ -637,7 +547,7 @@
         if not request.is_forwarded_in:
             self.accepted.add(request.arrived_us, -1)
         self._close(request)
-        if request.current_attempt is not None and self.limits.get("Cancel"):
+        if request.current_attempt is not None and self.settings.can_cancel:
             self.port.cancel_attempt(request.current_attempt)
 
     def on_progress(self, attempt: Attempt, topic: ProgressKind, value: float, now: int) -> None:
@@ -645,9 +555,10 @@
         attempt.engine.policy_state.health.on_answer(now)
         if topic is ProgressKind.WAITING_FOR_DATA_SET and value == 2:
             # Minded for two notes' time; what waits may run elsewhere, and has lost nothing yet.
-            attempt.engine.policy_state.signals.locked_until_us[request.data_set] = now + 2 * to_microseconds(
-                self.family["TellsEvery"]
-            )
+            if self.settings.progress_interval_us is None:
+                raise MissingSettingError("TellsEvery")
+            locked_until = now + 2 * self.settings.progress_interval_us
+            attempt.engine.policy_state.signals.locked_until_us[request.data_set] = locked_until
             others = (one for one in self.ready_engines if not self._stalls(request, one, now))
             if len(request.attempts) == 1 and any(one.policy_state.permits(request, now) for one in others):
                 self._call_back(attempt, now)
@@ -671,25 +582,21 @@
         if attempt.projected_latency_us > max(usual, 2 * earlier):
             self._call_back(attempt, now)
         elif late or earlier and self.queue and attempt.projected_latency_us > 3 * usual:
-            if self._may_deny(request) and not attempt.cancel_requested and self.limits.get("Cancel"):
+            if self._may_deny(request) and not attempt.cancel_requested and self.settings.can_cancel:
                 self.on_deadline_unreachable(attempt, now)
 
     def on_endpoints_updated(self, known: Iterable[tuple[Engine, tuple]], complete: bool, now: int) -> None:
-        cores, named = self.family.get("CpuOfKind", []), set()
+        named = set()
         for engine, (machine, zone, cell, started, standing) in known:
             named.add(engine)
             if engine.policy_state is None or started != engine.started_us and started > 0:
                 # Danger: a restarted engine is cold; what was learnt before says nothing now, but what was
                 # sent to it is still to come back.
-                state = EngineState(
-                    cores[machine] if machine < len(cores) else 1, self.gateway_count, self.fleet
-                )
+                state = EngineState(self.settings.cores(machine), self.gateway_count, self.fleet)
                 if engine.policy_state is not None:
                     state.limit.take_over_attempts(engine.policy_state.limit)
                 engine.policy_state = state
-                if now < started + to_microseconds(self.rules.get("WarmUp", 0)):
-                    # Danger: all gateways hear of it at once; each begins at some time of its first turn.
-                    state.slow_start.next_send_us = now + 1 + int(self._cold_turn(engine) * self.random())
+                self.slow_start.begin(engine.policy_state, started, now, self.random)
             engine.instance_type, engine.zone, engine.cell = machine, zone, cell
             engine.started_us, engine.state = started, standing
             self.engines[engine] = None
@@ -729,7 +636,7 @@
         # With another hall to go to, those of this one need not be the measure: most of them may be dead.
         elsewhere = any(hall.state is EndpointState.READY for hall in self.remote_sites)
         doubted = sum(engine.policy_state.health.is_suspected for engine in self.ready_engines)
-        self.doubt_counts = elsewhere or 2 * doubted <= len(self.ready_engines)
+        self.outliers.update(doubted, len(self.ready_engines), elsewhere)
         # Danger: what engines that have fallen silent hold would leave no room for any other.
         self.fleet.running_threads = sum(
             engine.policy_state.limit.running_threads
@@ -748,7 +655,7 @@
             if not (turn and any(self._send(request, now, engine) for engine in failing)):
                 self._end(request, now)
         self.key_free = {key: free for key, free in self.key_free.items() if now < free}
-        if self.settings.get("Report", {}).get("Source") == "on_probe" and self.limits.get("Probes"):
+        if self.settings.can_probe:
             # One after the other, each twice a second at the most: reports are about that fresh.
             while self.probes >= 1 and self.ready_engines:
                 self.probes -= 1
--- a/cresstray/policy/outlier_detection.py
+++ b/cresstray/policy/outlier_detection.py
@@ -5,9 +5,14 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from cresstray.policy.deadlines import WINDOW_US
 from cresstray.policy.sliding_window import SlidingWindow
 
+if TYPE_CHECKING:
+    from cresstray.policy.types import Attempt
+
 # Lost attempts or health checks in a row that make an engine unresponsive: a single one may be a heavy
 # request or a broken connection, and all that this gateway has on the engine.
 LOST_IN_A_ROW = 2
@@ -21,6 +26,12 @@
 # Time to the next probe request, doubled with each failed one, at most three times.
 PROBE_DELAY_US = 500_000
 MAX_PROBE_DOUBLINGS = 3
+# A probe request counts as lost after this long.
+PROBE_TIMEOUT_US = 4 * WINDOW_US
+PROBES_PER_REQUEST = 0.1
+MAX_PROBE_BUDGET = 2.0
+OVERDUE_FACTOR = 4
+OVERDUE_MARGIN_US = 200_000
 
 
 def _recent() -> SlidingWindow:
@@ -98,6 +109,44 @@
             return False
         return faults >= MIN_FAULTS or (is_failed_request and answers <= FEW_ANSWERS)
 
-    def may_probe(self, now_us: int) -> bool:
-        """Returns whether the next probe request is due."""
-        return now_us >= self.next_probe_us
+
+class OutlierDetector:
+    """The budget of probe requests, and whether suspicion counts at all."""
+
+    __slots__ = ("probe_budget", "is_decisive")
+
+    def __init__(self) -> None:
+        self.probe_budget = 0.0  # probe requests that may be sent
+        self.is_decisive = True
+
+    def on_accepted(self) -> None:
+        """Earns probe requests: one for ten accepted requests, or all gateways' would be a share of work."""
+        self.probe_budget = min(self.probe_budget + PROBES_PER_REQUEST, MAX_PROBE_BUDGET)
+
+    def on_probe_sent(self, health: EngineHealth, now_us: int) -> None:
+        """Counts a request sent to a suspected engine; one at a time, unless it is answered sooner."""
+        self.probe_budget = max(0.0, self.probe_budget - 1)
+        health.next_probe_us = now_us + PROBE_TIMEOUT_US
+
+    def may_probe(self, health: EngineHealth, now_us: int) -> bool:
+        """Returns whether a suspected engine may get a probe request."""
+        return now_us >= health.next_probe_us and self.probe_budget >= 1
+
+    def update(self, suspected_count: int, engine_count: int, has_other_site: bool) -> None:
+        """Decides whether suspicion counts.
+
+        Where half of the engines are suspected they are no outliers, and it does not. With another site to
+        forward to it does, as most engines here may be dead.
+        """
+        self.is_decisive = has_other_site or 2 * suspected_count <= engine_count
+
+
+def is_overdue(attempt: Attempt, slowdown: float, progress_interval_us: int, now_us: int) -> bool:
+    """Returns whether an attempt should long have ended.
+
+    An engine that is dead, stuck or cut off, or a connection that loses responses, gives no samples. Four
+    times the expected latency, as work spreads widely, and no progress update of late.
+    """
+    is_silent = now_us - attempt.last_progress_us > 1.5 * progress_interval_us
+    expected_us = OVERDUE_FACTOR * attempt.request.expected_latency_us * max(1.0, slowdown)
+    return is_silent and now_us - attempt.sent_us > expected_us + OVERDUE_MARGIN_US
--- a/cresstray/simulation/cold.py
+++ b/cresstray/simulation/cold.py
@@ -22,7 +22,7 @@
 from cresstray.membership.snapshot import Tariff
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
-from cresstray.policy.settings import to_microseconds
+from cresstray.policy.settings import parse_settings, to_microseconds
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
 MS, SECOND = 1_000, 1_000_000
@@ -228,7 +228,9 @@
     def __init__(self, world: Cold, number: int, listens: bool) -> None:
         self.world, self.works = world, {}  # of each submission that is not over, seconds
         self.chance = Random(f"{world.seed} gateway {number}").random
-        self.module = PolicyController(self, settings(world.gateways), world.seed * 1000 + number, world.now)
+        self.module = PolicyController(
+            self, parse_settings(settings(world.gateways)), world.seed * 1000 + number, world.now
+        )
         self.route = Router(lambda label, address: Unlinked(address), self)
         self.beliefs = Beliefs(GRACE, WAIT, self.chance, world.now) if listens else None
         if listens:
--- a/cresstray/simulator/host.py
+++ b/cresstray/simulator/host.py
@@ -12,6 +12,7 @@
 from typing import BinaryIO
 
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, ProgressKind, Request
 from cresstray.simulator import wire
 
@@ -48,7 +49,7 @@
         self._wakes: dict[int, Callable[[int], None]] = {}
         self._last_tag = 0
         self._report_names = settings.get("Report", {}).get("Names", [])
-        self._gateway = PolicyController(self, settings, seed, now)
+        self._gateway = PolicyController(self, parse_settings(settings), seed, now)
 
     # What the module asks for.
 
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -18,6 +18,7 @@
 import hiredis
 
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
 TRACES = Path(__file__).parent / "traces"
@@ -59,7 +60,7 @@
         self.now = START
         self.wakes: list[tuple[int, int, object]] = []
         self.names: dict[object, str] = {}
-        self.gateway = PolicyController(self, given, seed, self.now)
+        self.gateway = PolicyController(self, parse_settings(given), seed, self.now)
         self.engines = [Engine() for _ in range(engines)]
         for number, engine in enumerate(self.engines):
             self.names[engine] = f"engine {number}"
--- a/tests/halls.py
+++ b/tests/halls.py
@@ -14,6 +14,7 @@
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import EndpointState, Engine
 from cresstray.sites.ends import Place
 from cresstray.sites.flow_control import Credit, Share
@@ -122,7 +123,7 @@
         )
         log = type("NoLog", (), {"log": lambda self, kind, text: None})()
         port = SocketPort(self.route, self.send, self.book, self.timers, self.counters, log)
-        self.gateway = PolicyController(port, given, 7, clock.now())
+        self.gateway = PolicyController(port, parse_settings(given), 7, clock.now())
         admit = Admission(self.book)
         self.back.controller = admit.controller = self.gateway
         self.share = admit.forwarding_quota = Share(1.0)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -29,6 +29,7 @@
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import EndpointState, Outcome
 from cresstray.transport.streams import connect
 from tests import desk
@@ -91,7 +92,7 @@
         self.route = Router(self._make_pool, self.send)
         log = type("NoLog", (), {"log": lambda self, kind, text: None})()
         port = SocketPort(self.route, self.send, self.book, timers, self.counters, log)
-        self.gateway = PolicyController(port, given, 7, self.clock.now())
+        self.gateway = PolicyController(port, parse_settings(given), 7, self.clock.now())
         admit = Admission(self.book)
         self.back.controller = admit.controller = self.gateway
         self.take_in = Ingress(given, self.gateway.request_classes, self.clock, admit)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -8,6 +8,7 @@
 from itertools import count
 
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 
 SECOND = 1_000_000
@@ -28,7 +29,9 @@
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self._fleet = fleet
         self.warm, self.cold = Engine(), Engine()
-        self.gateway = PolicyController(self, SETTINGS | {"Balancers": fleet.size}, seed, fleet.now)
+        self.gateway = PolicyController(
+            self, parse_settings(SETTINGS | {"Balancers": fleet.size}), seed, fleet.now
+        )
         self.gateway.on_endpoints_updated([(self.warm, (0, 0, 0, 0, EndpointState.READY))], True, fleet.now)
 
     def ask(self) -> None:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -223,7 +223,7 @@
             self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 1.0, load=1.5).run(4).fallen, 0)
 
     def test_engines_fall_where_nobody_minds_that_they_are_cold(self) -> None:
-        with mock.patch("cresstray.policy.controller.PolicyController._cold_room", lambda *_: True):
+        with mock.patch("cresstray.policy.slow_start.SlowStartPolicy.has_capacity", lambda *_: True):
             self.assertGreater(Cold(3, 10, 24, 10 * SECOND, 0.0, 4.0, load=2.0).run(3).fallen, 0)
 
     def test_seconds_to_nine_tenths(self) -> None:
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -164,9 +164,9 @@
             given.get("others", 0.0),
         )
         state.signals.overloaded_until_us = FAR if given.get("full") else 0
-    desk.gateway.doubt_counts = 2 * sum(e.policy_state.health.is_suspected for e in desk.engines) <= len(
-        desk.engines
-    )
+    desk.gateway.outliers.is_decisive = 2 * sum(
+        e.policy_state.health.is_suspected for e in desk.engines
+    ) <= len(desk.engines)
     desk.gateway.idlest = [desk.engines[row["idlest"]]] if "idlest" in row else []
     wins = dict.fromkeys(desk.engines, 0)
     for n in range(1500):
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -776,7 +776,7 @@
         self.first().written()
         again = Fleet(self.path)
         again.sent = []
-        again.gateway.rules["WarmUp"] = 0
+        again.gateway.slow_start.warm_up_us = 0
         again.gateway.admission_rules = Guard(again.keep, again.gateway)
         once = again.submit("once", left=20_000)
         once.request_class = dataclasses.replace(once.request_class, is_idempotent=False)
@@ -851,8 +851,8 @@
             begun, ids = one.now, {one.engine(number): number for number in (1, 2)}
             firsts += [
                 (engine.policy_state.slow_start.next_send_us - begun)
-                * one.gateway._cold_ration(engine)
-                / min(map(one.gateway._cold_weight, one.gateway.request_classes))
+                * one.gateway.slow_start.ration(engine.policy_state)
+                / min(map(one.gateway.slow_start.weight, one.gateway.request_classes))
                 for engine in ids
             ]
             one.sent = []
