--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -124,7 +124,7 @@
         now = clock.now()
         gateway.accept(Request(gateway.request_classes[number % 2], now, now + 60_000_000), now)
     result["sweep, 200 held, us"] = best(lambda: gateway._sweep(clock.now()), 30)
-    result["held"] = len(gateway.queue)
+    result["held"] = len(gateway.admission_queue.first_attempts)
     return result
 
 
--- a/cresstray/model_checking/crossing.py
+++ b/cresstray/model_checking/crossing.py
@@ -36,6 +36,7 @@
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.settings import parse_settings
+from cresstray.policy.site_forwarding import SiteForwarding
 from cresstray.policy.types import EndpointState, Engine
 from cresstray.sites import codec, ledger
 from cresstray.sites.codec import BrokenError
@@ -581,7 +582,9 @@
             gateway = hall.gateway
             kept |= {
                 f"open in the {hall.name} hall": len(hall.book.open),
-                f"held in the {hall.name} hall": len(gateway.queue + gateway.retry_queue),
+                f"held in the {hall.name} hall": len(
+                    gateway.admission_queue.first_attempts + gateway.admission_queue.retries
+                ),
                 f"threads in the {hall.name} hall": hall.engine.policy_state.limit.running_threads
                 + gateway.fleet.running_threads,
                 f"calls to come in the {hall.name} hall": len(hall.timers.line) - 1,
@@ -660,7 +663,7 @@
         "halls",
         lines(
             (
-                PolicyController._cross,
+                SiteForwarding.may_forward,
                 "request.was_forwarded or request.is_forwarded_in",
                 "request.is_forwarded_in",
             )
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -35,9 +35,11 @@
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
+from cresstray.policy.admission_queue import OrderedTurns
 from cresstray.policy.concurrency_limit import ConcurrencyLimit
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.latency_estimate import LatencyEstimate
+from cresstray.policy.retry_policy import RetryPolicy
 from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import EndpointState
 
@@ -568,7 +570,9 @@
                 for request_class in self.gateway.request_classes:
                     if request_class.latency.sample_count:
                         request_class.latency = LatencyEstimate(request_class)
-                self.gateway.payoff = self.gateway.work = self.gateway.time = 1.0
+                self.gateway.averages.value = 1.0
+                self.gateway.averages.work_us = 1.0
+                self.gateway.averages.expected_us = 1.0
 
     def __setstate__(self, state: dict[str, Any]) -> None:
         super().__setstate__(state)
@@ -596,8 +600,8 @@
     def _mind_rest(self) -> None:
         gateway, engines = self.gateway, self.gateway.engines
         kept = {
-            "held": gateway.queue + gateway.retry_queue,
-            "turns": gateway.queues,
+            "held": gateway.admission_queue.first_attempts + gateway.admission_queue.retries,
+            "turns": gateway.admission_queue.turns.queues,
             "open": self.book.open,
             "out": self.back.in_flight,
             "pages told": self.back._reports,
@@ -626,7 +630,7 @@
         if account.out is None or account.asked.key:
             return False
         parts = one.split(" ")
-        return len(parts) == 3 and parts[2] != who and not self.gateway.queue
+        return len(parts) == 3 and parts[2] != who and not self.gateway.admission_queue.first_attempts
 
 
 def _one(value: object) -> object:
@@ -743,8 +747,8 @@
 
 _AS_READY = (
     PolicyController.on_endpoints_updated,
-    "if engine.state is EndpointState.READY]",
-    "if engine.state is not EndpointState.REMOVED]",
+    "engine for engine in self.engines if engine.state is EndpointState.READY",
+    "engine for engine in self.engines if engine.state is not EndpointState.REMOVED",
 )
 MUTANTS: tuple[Mutant, ...] = (
     Mutant(
@@ -754,7 +758,7 @@
         lines(
             (
                 PolicyController.on_attempt_finished,
-                "else:\n        self._end(request, now)",
+                "else:\n        self._answer_unserved(request, now)",
                 "else:\n        pass",
             )
         ),
@@ -763,13 +767,13 @@
         "reset_never_ran",
         "unrepeatable",
         "attempt",
-        lines((PolicyController._may_deny, "in NOT_EXECUTED", "in NOT_EXECUTED | {Outcome.CONNECTION_LOST}")),
+        lines((RetryPolicy.may_reject, "in NOT_EXECUTED", "in NOT_EXECUTED | {Outcome.CONNECTION_LOST}")),
     ),
     Mutant(
         "spoilt_never_ran",
         "unrepeatable",
         "attempt",
-        lines((PolicyController._may_deny, "in NOT_EXECUTED", "in NOT_EXECUTED | {Outcome.PROTOCOL_ERROR}")),
+        lines((RetryPolicy.may_reject, "in NOT_EXECUTED", "in NOT_EXECUTED | {Outcome.PROTOCOL_ERROR}")),
     ),
     Mutant(
         "failure_never_ran",
@@ -787,13 +791,13 @@
         "time_out_never_ran",
         "unrepeatable",
         "attempt",
-        lines((PolicyController._may_deny, "in NOT_EXECUTED", "in NOT_EXECUTED | {Outcome.TIMED_OUT}")),
+        lines((RetryPolicy.may_reject, "in NOT_EXECUTED", "in NOT_EXECUTED | {Outcome.TIMED_OUT}")),
     ),
     Mutant(
         "all_denied",
         "unrepeatable",
         "attempt",
-        lines((PolicyController._end, "not self._may_deny(request)", "False")),
+        lines((PolicyController._answer_unserved, "not self.retry_policy.may_reject(request)", "False")),
     ),
     Mutant(
         "group_unasked",
@@ -801,9 +805,9 @@
         "attempt",
         lines(
             (
-                PolicyController._may_take,
-                ' or not same.get(request_class.dedup_scope, request_class.dedup_scope == "all")',
-                "",
+                RetryPolicy.may_repeat_on,
+                "not _is_in_scope(request_class.dedup_scope, attempt.engine, engine)",
+                "False",
             )
         ),
     ),
@@ -813,8 +817,8 @@
         "repeat",
         lines(
             (
-                PolicyController._may_take,
-                "now >= attempt.sent_us + request_class.dedup_window_us - DEDUP_MARGIN_US",
+                RetryPolicy.may_repeat_on,
+                "now_us >= attempt.sent_us + request_class.dedup_window_us - DEDUP_MARGIN_US",
                 "False",
             )
         ),
@@ -825,9 +829,9 @@
         "repeat",
         lines(
             (
-                PolicyController._may_take,
-                "now >= attempt.sent_us + request_class.dedup_window_us - DEDUP_MARGIN_US",
-                "now >= request.attempts[-1].sent_us + request_class.dedup_window_us - DEDUP_MARGIN_US",
+                RetryPolicy.may_repeat_on,
+                "now_us >= attempt.sent_us + request_class.dedup_window_us - DEDUP_MARGIN_US",
+                "now_us >= request.attempts[-1].sent_us + request_class.dedup_window_us - DEDUP_MARGIN_US",
             )
         ),
     ),
@@ -837,8 +841,8 @@
         "repeat",
         lines(
             (
-                PolicyController._may_deny,
-                'request_class.is_deduplicated\n        and request_class.dedup_scope == "all"',
+                RetryPolicy.may_reject,
+                'request_class.is_deduplicated and request_class.dedup_scope == "all"',
                 "request_class.is_deduplicated",
             )
         ),
@@ -862,8 +866,8 @@
         lines(
             (
                 PolicyController.on_attempt_finished,
-                "request.deadline_us - DEADLINE_MARGIN_US, max(",
-                "request.deadline_us, max(",
+                "min(request.deadline_us - DEADLINE_MARGIN_US, latest_us)",
+                "min(request.deadline_us, latest_us)",
             )
         ),
     ),
@@ -871,13 +875,13 @@
         "sent_stays_held",
         "one_outstanding",
         "order",
-        lines((PolicyController._send, "self._unhold(request)", "pass")),
+        lines((PolicyController._try_send, "self.admission_queue.discard(request)", "pass")),
     ),
     Mutant(
         "ended_stays_held",
         "sound",
         "budget",
-        lines((PolicyController._close, "self._unhold(request)", "pass")),
+        lines((PolicyController._finish, "self.admission_queue.discard(request)", "pass")),
     ),
     Mutant(
         "sent_before_heard",
@@ -915,7 +919,7 @@
         "attempt",
         lines(
             (ResponseHandler.finish_attempt, "no_more = request.is_finished", "no_more = False"),
-            (PolicyController.on_attempt_finished, "if no_more or request.is_finished:", "if no_more:"),
+            (PolicyController.on_attempt_finished, "if is_final or request.is_finished:", "if is_final:"),
         ),
     ),
     Mutant(
@@ -973,7 +977,7 @@
         lines(
             _AS_READY,
             (
-                PolicyController._may_take,
+                PolicyController._may_send,
                 "engine.state is not EndpointState.READY",
                 "engine.state is EndpointState.REMOVED",
             ),
@@ -984,7 +988,7 @@
         "gone",
         "drain",
         lines(
-            (PolicyController.on_endpoints_updated, "if complete and engine not in named:", "if False:"),
+            (PolicyController.on_endpoints_updated, "if is_complete and engine not in listed:", "if False:"),
             (Router.apply_event, "self._pools.pop(engine).retire()", "self._pools[engine].retire()"),
         ),
     ),
@@ -992,13 +996,13 @@
         "restart_forgets_out",
         "sound",
         "drain",
-        lines((PolicyController.on_endpoints_updated, "if engine.policy_state is not None:", "if False:")),
+        lines((PolicyController._update_engine, "if engine.policy_state is not None:", "if False:")),
     ),
     Mutant(
         "left_keeps_budget",
         "further_budget",
         "budget",
-        lines((PolicyController.on_client_cancelled, "self.accepted.add(request.arrived_us, -1)", "pass")),
+        lines((RetryPolicy.on_client_cancelled, "self.accepted.add(request.arrived_us, -1)", "pass")),
     ),
     Mutant(
         "budget_rounded_up",
@@ -1006,9 +1010,9 @@
         "budget",
         lines(
             (
-                PolicyController._budget_left,
-                "self.accepted.lower_bound(now)",
-                "self.accepted.upper_bound(now)",
+                RetryPolicy.has_budget,
+                "self.accepted.lower_bound(now_us)",
+                "self.accepted.upper_bound(now_us)",
             )
         ),
     ),
@@ -1018,9 +1022,9 @@
         "budget",
         lines(
             (
-                PolicyController._budget_left,
-                "self.relayed_again.upper_bound(now) + 1",
-                "self.relayed_again.upper_bound(now)",
+                RetryPolicy.has_budget,
+                "self.retries.upper_bound(now_us) + 1",
+                "self.retries.upper_bound(now_us)",
             )
         ),
     ),
@@ -1031,7 +1035,7 @@
         lines(
             (
                 PolicyController._send,
-                "(self.relayed_again if again else request_class.latency.dispatched).add(now)",
+                "self.retry_policy.on_retry(now)",
                 "request_class.latency.dispatched.add(now)",
             )
         ),
@@ -1042,9 +1046,9 @@
         "budget",
         lines(
             (
-                PolicyController._send,
-                "again and not self._budget_left(request, now)",
-                "again and not request.is_queued and not self._budget_left(request, now)",
+                PolicyController._try_send,
+                "is_retry and not self._has_retry_budget(request, now)",
+                "is_retry and not request.is_queued and not self._has_retry_budget(request, now)",
             )
         ),
     ),
@@ -1054,7 +1058,7 @@
         "order",
         lines(
             (
-                PolicyController._give_up_turn,
+                OrderedTurns.release,
                 "request.is_finished and not request.current_attempt",
                 "request.is_finished",
             )
@@ -1064,7 +1068,7 @@
         "no_gap",
         "key_order",
         "order",
-        lines((PolicyController._is_turn, "now >= self.key_free.get(request.ordering_key, 0)", "True")),
+        lines((OrderedTurns.is_turn, "now_us < self.free_at_us.get(request.ordering_key, 0)", "False")),
     ),
     Mutant(
         "gap_not_after_reset",
@@ -1073,8 +1077,8 @@
         lines(
             (
                 PolicyController.on_attempt_finished,
-                "if ending in POSSIBLY_RUNNING and",
-                "if ending in POSSIBLY_RUNNING - {Outcome.CONNECTION_LOST} and",
+                "if outcome in POSSIBLY_RUNNING:",
+                "if outcome in POSSIBLY_RUNNING - {Outcome.CONNECTION_LOST}:",
             )
         ),
     ),
@@ -1085,8 +1089,8 @@
         lines(
             (
                 PolicyController.on_attempt_finished,
-                "if ending in POSSIBLY_RUNNING and",
-                "if ending in POSSIBLY_RUNNING - {Outcome.CANCELLED} and",
+                "if outcome in POSSIBLY_RUNNING:",
+                "if outcome in POSSIBLY_RUNNING - {Outcome.CANCELLED}:",
             )
         ),
     ),
@@ -1094,12 +1098,12 @@
         "turn_unasked",
         "key_order",
         "order",
-        lines((PolicyController._is_turn, "self.queues[request.ordering_key][0] is request", "True")),
+        lines((OrderedTurns.is_turn, "self.queues[request.ordering_key][0] is request", "True")),
     ),
     Mutant(
         "turn_kept",
         "nothing_kept",
         "order",
-        lines((PolicyController._give_up_turn, "queue.remove(request)", "pass")),
+        lines((OrderedTurns.release, "queue.remove(request)", "pass")),
     ),
 )
--- a/cresstray/pipeline/dispatch.py
+++ b/cresstray/pipeline/dispatch.py
@@ -11,7 +11,7 @@
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.pipeline.response import ResponseHandler
-from cresstray.policy.controller import DEDUP_MARGIN_US
+from cresstray.policy.retry_policy import DEDUP_MARGIN_US
 from cresstray.policy.types import NOT_EXECUTED, Attempt, Outcome
 
 if TYPE_CHECKING:
--- a/cresstray/policy/engine_state.py
+++ b/cresstray/policy/engine_state.py
@@ -2,14 +2,17 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
 from cresstray.policy.concurrency_limit import ConcurrencyLimit
+from cresstray.policy.deadlines import WINDOW_US
 from cresstray.policy.load_signals import EngineSignals, FleetSignals
 from cresstray.policy.outlier_detection import EngineHealth
 from cresstray.policy.slow_start import SlowStart
 
 if TYPE_CHECKING:
+    from cresstray.policy.latency_estimate import WorkloadAverages
     from cresstray.policy.types import Request
 
 # The limit binds from so many threads per core on: three threads for two cores if these are busy or nothing
@@ -22,6 +25,13 @@
 FRESH_PRESSURE = 0.25
 # This gateway runs at most so many times the sum of its limits, as some gateways see several times the mean.
 MAX_FLEET_LIMITS = 3
+# Cores that are less loaded than this count as idle.
+BUSY_LOAD_SHARE = 0.9
+# Memory granted over what there is, beyond the noise of reports.
+MEMORY_NOISE = 1.15
+# The older what is known, the more a report counts; of the fleet, over two seconds or four reports.
+MIN_REPORT_WEIGHT = 0.3
+MAX_FLEET_REPORT_WEIGHT = 0.25
 
 
 class EngineState:
@@ -87,3 +97,21 @@
         if fleet.running_threads >= max(1.0, MAX_FLEET_LIMITS * fleet.total_limit):
             return False
         return limit.admits_by_chance(request)
+
+    def on_report(self, report: Mapping[str, float], averages: WorkloadAverages, now_us: int) -> None:
+        """Includes a load report in the signals of the engine and of the fleet.
+
+        What others run there is what the engine runs beside this gateway's requests and the one that the
+        report came with, of the same mix of classes.
+        """
+        signals = self.signals
+        cores = self.limit.cores
+        others = max(0.0, report.get("concurrent", 0.0) - len(self.limit.attempts) - 1)
+        other_threads = others * averages.work_us / averages.expected_us / cores
+        is_waiting_for_memory = report.get("depth", 0.0) >= 1
+        pressure = max(report.get("x0", 0.0) / MEMORY_NOISE, float(is_waiting_for_memory))
+        signals.has_idle_cores = report.get("load_share", 1.0) <= BUSY_LOAD_SHARE
+        age = (now_us - signals.updated_us) / WINDOW_US / 2
+        signals.update(min(1.0, max(MIN_REPORT_WEIGHT, age)), other_threads, pressure, now_us)
+        fleet_age = (now_us - self.fleet.updated_us) / WINDOW_US / 2
+        self.fleet.update(min(MAX_FLEET_REPORT_WEIGHT, fleet_age), other_threads, pressure, now_us)
--- a/cresstray/policy/latency_estimate.py
+++ b/cresstray/policy/latency_estimate.py
@@ -15,6 +15,9 @@
 MIN_EXPECTED_US = 1000
 # Before the first samples: this part of the latency objective, as objectives are set to be met with reserve.
 INITIAL_PART_OF_OBJECTIVE = 4.0
+# The averages of all classes cover some two hundred samples, the slowdown a hundred.
+AVERAGE_WEIGHT = 0.005
+SLOWDOWN_WEIGHT = 0.01
 
 
 class LatencyEstimate:
@@ -54,3 +57,24 @@
         self.mean_us += weight * (latency_us - self.mean_us)
         self.mean_work_us += weight * (estimate_us - self.mean_work_us)
         self.work_factor = self.mean_us / max(1.0, self.mean_work_us)
+
+
+class WorkloadAverages:
+    """Means over the completed attempts of all classes."""
+
+    __slots__ = ("value", "work_us", "expected_us", "slowdown")
+
+    def __init__(self) -> None:
+        self.value = 1.0
+        self.work_us = 1.0  # expected, of all threads of a request
+        self.expected_us = 1.0  # latency
+        self.slowdown = 1.0  # latency over expected latency
+
+    def learn(self, request: Request, latency_ratio: float) -> None:
+        """Includes a completed attempt, and its latency over the expected one."""
+        request_class = request.request_class
+        expected_us = request.expected_latency_us
+        self.slowdown += SLOWDOWN_WEIGHT * (latency_ratio - self.slowdown)
+        self.value += AVERAGE_WEIGHT * (request_class.value - self.value)
+        self.expected_us += AVERAGE_WEIGHT * (expected_us - self.expected_us)
+        self.work_us += AVERAGE_WEIGHT * (expected_us * request_class.threads - self.work_us)
--- a/cresstray/policy/types.py
+++ b/cresstray/policy/types.py
@@ -78,6 +78,10 @@
     latency: LatencyEstimate = field(default=None)  # type: ignore[assignment]
 
 
+# An engine of the endpoint list: its instance type, zone, cell, start and state.
+EndpointDescription = tuple[int, int, int, int, EndpointState]
+
+
 @dataclass(slots=True, eq=False)
 class Engine:
     """One query engine, as the endpoint list last described it."""
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -148,7 +148,13 @@
 class DeskCase(unittest.TestCase):
     def rests(self, made: Desk) -> None:
         """Nothing is owed, out, or open on a link."""
-        kept = [made.book.open, made.back.in_flight, made.back._reports, made.client.open, made.gateway.queue]
+        kept = [
+            made.book.open,
+            made.back.in_flight,
+            made.back._reports,
+            made.client.open,
+            made.gateway.admission_queue.first_attempts,
+        ]
         kept += [link.in_flight.open for pool in made.pools for link in pool.connections]
         self.assertEqual([], [one for one in kept if one])
         self.assertEqual([], [trouble for pool in made.pools for trouble in pool.faults])
@@ -323,7 +329,7 @@
         made.ask("a")
         first = made.links()[0]
         attempt = next(iter(made.back.in_flight))
-        made.gateway._call_back(attempt, made.clock.now())
+        made.gateway._cancel_and_retry(attempt, made.clock.now())
         first.come_up()
         made.wait(1)
         self.assertEqual(([], {"expired before send": 1}), (made.heard(), made.ends()))
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -11,9 +11,11 @@
 from typing import Any
 from unittest.mock import Mock, patch
 
+from cresstray.policy.admission_queue import AdmissionQueue
 from cresstray.policy.concurrency_limit import ConcurrencyLimit
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.engine_state import EngineState
+from cresstray.policy.load_balancing import LoadBalancer
 from cresstray.policy.load_signals import FleetSignals
 from cresstray.policy.types import STARVED_RANK, EndpointState, Outcome, Request
 from tests.desk import START, Desk, settings
@@ -167,7 +169,7 @@
     desk.gateway.outliers.is_decisive = 2 * sum(
         e.policy_state.health.is_suspected for e in desk.engines
     ) <= len(desk.engines)
-    desk.gateway.idlest = [desk.engines[row["idlest"]]] if "idlest" in row else []
+    desk.gateway.load_balancer.least_loaded = [desk.engines[row["idlest"]]] if "idlest" in row else []
     wins = dict.fromkeys(desk.engines, 0)
     for n in range(1500):
         work = desk.submit(str(n))
@@ -416,26 +418,32 @@
         "self.fleet.updated_us",
         "(self.fleet.updated_us and not self.limit.best_ratio)",
     ),
-    "the more loaded": ("choose", PolicyController, "_choose", "min(drawn, default", "max(drawn, default"),
-    "one choice": ("choose", PolicyController, "_choose", "2 + len(", "1 + len("),
+    "the more loaded": ("choose", LoadBalancer, "_less_loaded", "min(drawn)", "max(drawn)"),
+    "one choice": ("choose", LoadBalancer, "choose", "CHOICES + len(", "1 + len("),
     "samples of any size": (
         "samples",
         PolicyController,
-        "_learn",
-        "min(4.0, latency / request.expected_latency_us)",
-        "latency / request.expected_latency_us",
+        "_record_outcome",
+        "min(MAX_SAMPLE, latency_us / request.expected_latency_us)",
+        "latency_us / request.expected_latency_us",
     ),
-    "held for a fifth": ("leave", PolicyController, "accept", "// 10", "// 5"),
-    "held in arrival order": ("hold", PolicyController, "_offer", "one.queue_rank", "one.arrived_us"),
+    "held for a fifth": ("leave", AdmissionQueue, "schedule", "// MIN_WAIT_PART", "// 5"),
+    "held in arrival order": ("hold", AdmissionQueue, "push", "queued.queue_rank", "queued.arrived_us"),
     "a reset as a failure": (
         "failures",
         PolicyController,
-        "_fault",
-        "state.limit.has_window_failed or counts",
+        "_on_fault",
+        "state.limit.has_window_failed or is_failed_request",
         "True",
     ),
     "limits that stay": ("agreed", ConcurrencyLimit, "scale", "self.value *=", "self.best_ratio *="),
-    "denied after a run": ("refuse", PolicyController, "_end", "not self._may_deny(request)", "False"),
+    "denied after a run": (
+        "refuse",
+        PolicyController,
+        "_answer_unserved",
+        "not self.retry_policy.may_reject(request)",
+        "False",
+    ),
 }
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,11 +3,13 @@
 import contextlib
 import io
 import struct
+from unittest import mock
 
+from cresstray.policy.admission_queue import OrderedTurns
 from cresstray.policy.deadlines import WINDOW_US
 from cresstray.policy.engine_state import EngineState
 from cresstray.policy.load_signals import FleetSignals
-from cresstray.policy.types import Outcome, ProgressKind
+from cresstray.policy.types import Outcome, ProgressKind, Request
 from cresstray.simulator import host as wirehost
 from cresstray.simulator import wire
 from tests.desk import Desk, TraceCase, settings
@@ -208,7 +210,7 @@
     def test_failing_engine_gone_silent(self) -> None:
         desk, lines = Desk(settings(), engines=3), []
         for lost, text in ((0, "an error"), (2, "no connection"), (0, "an error again")):
-            desk.gateway._fault(desk.engines[0], lost, True, desk.now)
+            desk.gateway._on_fault(desk.engines[0], lost, True, desk.now)
             state = desk.engines[0].policy_state
             lines.append(
                 f"after {text}: doubted {state.health.is_suspected}, silent {state.health.is_unresponsive}"
@@ -352,8 +354,13 @@
         for number in range(200):
             desk.submit(f"held {number}", left=9000, estimated_work_us=1000)
         tried = []
-        desk.gateway._is_turn = lambda request, now: tried.append(request) or False
-        desk.back(running[0], Outcome.SUCCEEDED)
-        few = len(tried)
-        desk.run(100)
+
+        def is_turn(turns: OrderedTurns, request: Request, now_us: int) -> bool:
+            tried.append(request)
+            return False
+
+        with mock.patch.object(OrderedTurns, "is_turn", is_turn):
+            desk.back(running[0], Outcome.SUCCEEDED)
+            few = len(tried)
+            desk.run(100)
         self.check("few_tried", [f"an answer looks at {few}, the sweep at {len(tried) - few}"])
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -173,7 +173,7 @@
         world.b.ask("own", "lookup")
         world.fresh()
         world.outward.way.threads = 50.0
-        world.a.gateway.remote_sites[0].policy_state.limit.value = 50.0
+        world.a.gateway.site_forwarding.sites[0].policy_state.limit.value = 50.0
         for number in range(3):
             world.a.ask(f"one {number}", "lookup", 2000)
         # The far gateway has a way back that would take anything.
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -530,13 +530,13 @@
 
     def test_a_sweep_that_fails_is_followed_by_the_next(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            gateway, listen = stage.service._gateway, stage.service._gateway._listen
+            gateway, listen = stage.service._gateway, stage.service._gateway._check_attempts
 
             def fails(now: int) -> None:
-                gateway._listen = listen
+                gateway._check_attempts = listen
                 raise ValueError("of ours")
 
-            gateway._listen = fails
+            gateway._check_attempts = fails
             # Held, as no engine is there: only the sweep can answer it.
             await client.ask(1, "plain", timeout=600)
             self.assertEqual(-32000, (await client.hear())["error"]["code"])
