--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -978,7 +978,7 @@
             _AS_READY,
             (
                 PolicyController._may_send,
-                "engine.state is not EndpointState.READY",
+                "engine.state is not _READY",
                 "engine.state is EndpointState.REMOVED",
             ),
         ),
--- a/cresstray/policy/controller.py
+++ b/cresstray/policy/controller.py
@@ -63,6 +63,8 @@
 MIN_KNOWN_ANSWERS = 10
 # Rounds a gap up to a whole millisecond.
 ROUNDING_US = 1000
+# Enum members are looked up slowly, and this one for each engine that is drawn.
+_READY = EndpointState.READY
 
 
 class PolicyController:
@@ -108,7 +110,7 @@
         if not request.is_forwarded_in:
             # One from another site counts, and earns retries, where it was accepted.
             self.retry_policy.on_accepted(request)
-            max_checks = 1 + len(self.ready_engines) / SAVED_CHECKS_PART
+            max_checks = 1 + len(self.load_balancer.ready_engines) / SAVED_CHECKS_PART
             self._health_checks = min(self._health_checks + HEALTH_CHECKS_PER_REQUEST, max_checks)
             self.outliers.on_accepted()
         self.admission_queue.turns.enqueue(request)
@@ -134,7 +136,7 @@
     def _may_send(self, request: Request, engine: Engine, now: int) -> bool:
         """Returns whether an engine may get a request at all, whatever its load."""
         # An engine that is draining still reports, and may be the least loaded.
-        if engine.state is not EndpointState.READY:
+        if engine.state is not _READY:
             return False
         request_class = request.request_class
         zones = request_class.allowed_zones
@@ -147,6 +149,8 @@
             return False
         if request.attempts and not self.retry_policy.may_repeat_on(request, engine, now):
             return False
+        if not engine.policy_state.slow_start.next_send_us:
+            return True
         return self.slow_start.has_capacity(engine, request_class, now)
 
     def _try_send(self, request: Request, now: int, freed: Engine | None = None) -> bool:
--- a/cresstray/policy/engine_state.py
+++ b/cresstray/policy/engine_state.py
@@ -66,10 +66,10 @@
         if not self.fleet.updated_us:
             return self.limit.has_high_latency()
         freshness = signals.freshness(now_us)
-        threads = self.limit.running_threads / self.limit.cores + signals.other_threads_now(now_us)
+        threads = self.limit.running_threads / self.limit.cores + signals.other_threads_at(freshness)
         if threads >= BUSY_THREADS_PER_CORE + IDLE_THREADS_PER_CORE * freshness * signals.has_idle_cores:
             return True
-        return signals.resource_pressure_now(now_us) >= STALE_PRESSURE + FRESH_PRESSURE * freshness
+        return signals.resource_pressure_at(freshness) >= STALE_PRESSURE + FRESH_PRESSURE * freshness
 
     def spare_threads(self, now_us: int, max_threads_per_core: float) -> float:
         """Returns the threads that another site's requests may use."""
@@ -77,10 +77,13 @@
         is_unfit = (
             self.health.is_suspected or self.slow_start.next_send_us or now_us < signals.overloaded_until_us
         )
-        if is_unfit or signals.resource_pressure_now(now_us) >= STALE_PRESSURE:
+        if is_unfit:
+            return 0.0
+        freshness = signals.freshness(now_us)
+        if signals.resource_pressure_at(freshness) >= STALE_PRESSURE:
             return 0.0
         limit = self.limit
-        others = signals.other_threads_now(now_us)
+        others = signals.other_threads_at(freshness)
         return (max_threads_per_core - others) * limit.cores - limit.running_threads
 
     def permits(self, request: Request, now_us: int) -> bool:
--- a/cresstray/policy/load_balancing.py
+++ b/cresstray/policy/load_balancing.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator, Sequence
 from enum import Enum
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from cresstray.policy.deadlines import WINDOW_US
 
@@ -13,6 +13,10 @@
     from cresstray.policy.slow_start import SlowStartPolicy
     from cresstray.policy.types import Engine, Request, RequestClass
 
+    # An engine that was drawn: its load, the draws left then, and the engine. The least of several is the
+    # less loaded one, or of equals the last drawn.
+    Candidate = tuple[float, int, Engine]
+
 CHOICES = 2
 # Crossing zones costs: engines of the own zone get up to so many threads per core more.
 ZONE_PREFERENCE = 0.6
@@ -32,12 +36,10 @@
     FULL = 2
 
 
-class Candidate(NamedTuple):
-    """An engine that was drawn; compared by load, then by the order of the draw."""
-
-    load: float
-    draws_left: int
-    engine: Engine
+# Enum members are looked up slowly, and these for each engine that is drawn.
+_NONE = Suitability.NONE
+_LAST_RESORT = Suitability.LAST_RESORT
+_FULL = Suitability.FULL
 
 
 class LoadBalancer:
@@ -87,11 +89,11 @@
                     self._slow_start.on_refused(state, now_us, chance)
                 continue
             suitability = self._suitability(request, engine, tried, may_send, now_us)
-            if suitability is Suitability.LAST_RESORT:
+            if suitability is _LAST_RESORT:
                 last_resort = last_resort or engine
-            elif suitability is Suitability.FULL:
+            elif suitability is _FULL:
                 load = state.load(request.request_class.threads, now_us)
-                candidate = Candidate(load, draws_left, engine)
+                candidate = (load, draws_left, engine)
                 if len(drawn) < choices:
                     drawn.append(candidate)
                 if is_near:
@@ -122,23 +124,25 @@
         state = engine.policy_state
         if request.is_forwarded_in:
             if state.spare_threads(now_us, MAX_FORWARDED_LOAD) < request.request_class.threads:
-                return Suitability.NONE
+                return _NONE
         if not may_send(request, engine, now_us):
-            return Suitability.NONE
+            return _NONE
         health = state.health
         if health.is_suspected and self._outliers.is_decisive:
             # A suspected engine gets one probe request at a time, which must be safe to repeat. While the
             # others are full, one that fails has capacity, and would fail all that could still wait for
             # them. If it answers, it gets what has no other chance left.
             if not request.request_class.is_idempotent:
-                return Suitability.NONE
+                return _NONE
             if not self._outliers.may_probe(health, now_us):
                 if health.is_unresponsive or now_us < request.latest_dispatch_us:
-                    return Suitability.NONE
-                return Suitability.LAST_RESORT
-        if engine in tried or self.would_wait(request, engine, now_us):
-            return Suitability.LAST_RESORT
-        return Suitability.FULL
+                    return _NONE
+                return _LAST_RESORT
+        if engine in tried:
+            return _LAST_RESORT
+        if request.request_class.waits_for_data_set and self.would_wait(request, engine, now_us):
+            return _LAST_RESORT
+        return _FULL
 
     def _less_loaded(
         self,
@@ -154,9 +158,11 @@
             return None
         if not drawn:
             return last_resort
-        best = min(drawn)
-        best_near = min(near, default=best)
-        return best_near.engine if best_near.load <= best.load + ZONE_PREFERENCE else best.engine
+        best_load, _, best = min(drawn)
+        if not near:
+            return best
+        near_load, _, best_near = min(near)
+        return best_near if near_load <= best_load + ZONE_PREFERENCE else best
 
     def would_wait(self, request: Request, engine: Engine, now_us: int) -> bool:
         """Returns whether the request would stand still there, as a load has locked its data set.
--- a/cresstray/policy/load_signals.py
+++ b/cresstray/policy/load_signals.py
@@ -65,10 +65,15 @@
         fleet_threads = self.fleet.other_threads_per_core
         return fleet_threads + (self.other_threads_per_core - fleet_threads) * freshness
 
-    def resource_pressure_now(self, now_us: int) -> float:
-        """Returns the resource pressure that is believed to be there."""
+    def other_threads_at(self, freshness: float) -> float:
+        """Returns the same at a known freshness."""
+        fleet_threads = self.fleet.other_threads_per_core
+        return fleet_threads + (self.other_threads_per_core - fleet_threads) * freshness
+
+    def resource_pressure_at(self, freshness: float) -> float:
+        """Returns the resource pressure that is believed to be there, at a known freshness."""
         fleet_pressure = self.fleet.resource_pressure
-        return fleet_pressure + (self.resource_pressure - fleet_pressure) * self.freshness(now_us)
+        return fleet_pressure + (self.resource_pressure - fleet_pressure) * freshness
 
     def is_data_set_locked(self, data_set: int, now_us: int) -> bool:
         """Returns whether a request was lately seen to wait for this data set."""
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -125,9 +125,10 @@
         for crowd in (1.0, 13.0):
             for seconds in range(4):
                 signals = busy.policy_state.signals
+                freshness = signals.freshness(desk.now)
                 told = (
                     f"{signals.other_threads_now(desk.now):.2f}, "
-                    f"{signals.resource_pressure_now(desk.now):.2f}, {signals.freshness(desk.now):.2f}"
+                    f"{signals.resource_pressure_at(freshness):.2f}, {freshness:.2f}"
                 )
                 pressed = busy.policy_state.is_under_pressure(desk.now)
                 lines.append(f"{seconds} s on, others with {crowd}: {told}, pressed {pressed}")
