--- a/cresstray/simulator/host.py
+++ b/cresstray/simulator/host.py
@@ -1,22 +1,22 @@
 """Hosts any number of gateways on the simulator's wire, by standard input and output.
 
-Each event becomes one call on the instance it names, each answer one record; ids become objects here and
-nothing is shared between instances.
+Each event becomes one call on the instance that it names, each action of an instance one record of the reply.
+Ids become objects here, and nothing is shared between instances.
 """
 
 from __future__ import annotations
 
 import json
 import sys
-from collections.abc import Callable
-from typing import BinaryIO
+from collections.abc import Callable, Mapping
+from typing import Any, BinaryIO
 
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, ProgressKind, Request
 from cresstray.simulator import wire
 
-_ENDINGS = {
+_OUTCOMES = {
     200: Outcome.SUCCEEDED,
     502: Outcome.FAILED,
     429: Outcome.OVERLOADED,
@@ -26,215 +26,256 @@
     444: Outcome.CANCELLED,
     409: Outcome.EXPIRED_BEFORE_SEND,
 }
-_STANDINGS = {0: EndpointState.REMOVED, 1: EndpointState.READY, 2: EndpointState.DRAINING}
-_TOPICS = {1: ProgressKind.FRACTION_DONE, 2: ProgressKind.SPILLING, 3: ProgressKind.WAITING_FOR_DATA_SET}
-_FAILED_LIST, _DELTA = 3, 0
+_ENDPOINT_STATES = {0: EndpointState.REMOVED, 1: EndpointState.READY, 2: EndpointState.DRAINING}
+_PROGRESS_KINDS = {
+    1: ProgressKind.FRACTION_DONE,
+    2: ProgressKind.SPILLING,
+    3: ProgressKind.WAITING_FOR_DATA_SET,
+}
+# Kinds of endpoint updates; any other is a complete list.
+_CHANGES = 0
+_LIST_FAILED = 3
+_HAS_ESTIMATE = 1  # a flag of a new request
+_EXIT_OK = 0
+_EXIT_WIRE_ERROR = 2
 
 
-def micros(milliseconds: float) -> int:
-    """Whole microseconds of a wire time."""
+def to_microseconds(milliseconds: float) -> int:
+    """Converts a time of the wire to whole microseconds."""
     return round(milliseconds * 1000)
 
 
 class Instance:
-    """One gateway at the door: its ids, and the port that turns its answers into records."""
+    """One gateway: its ids, and the port that turns the actions of its policy into records."""
 
-    def __init__(self, who: int, reply: wire.Reply, settings: dict, seed: int, now: int) -> None:
-        self._who = who
+    def __init__(
+        self, instance_id: int, reply: wire.Reply, settings: Mapping[str, Any], seed: int, now_us: int
+    ) -> None:
+        self._id = instance_id
         self._reply = reply
-        self._calls: dict[int, Request] = {}
-        self._call_ids: dict[Request, int] = {}
+        self._requests: dict[int, Request] = {}
+        self._request_ids: dict[Request, int] = {}
         self._engines: dict[int, Engine] = {}
         self._engine_ids: dict[Engine, int] = {}
-        self._wakes: dict[int, Callable[[int], None]] = {}
-        self._last_tag = 0
-        self._report_names = settings.get("Report", {}).get("Names", [])
-        self._gateway = PolicyController(self, parse_settings(settings), seed, now)
+        self._timers: dict[int, Callable[[int], None]] = {}
+        self._last_timer_id = 0
+        self._report_names: list[str] = settings.get("Report", {}).get("Names", [])
+        self._controller = PolicyController(self, parse_settings(settings), seed, now_us)
 
-    # What the module asks for.
+    # The policy's port.
 
-    def send_attempt(self, attempt: Attempt, patience: int) -> None:
-        call = self._call_ids[attempt.request]
-        self._reply.transmit(self._who, call, self._engine_ids[attempt.engine], patience / 1000)
+    def send_attempt(self, attempt: Attempt, timeout_us: int) -> None:
+        """Sends an attempt to its engine."""
+        request_id = self._request_ids[attempt.request]
+        self._reply.send_attempt(self._id, request_id, self._engine_ids[attempt.engine], timeout_us / 1000)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        self._reply.drop_attempt(self._who, self._call_ids[attempt.request], attempt.number)
+        """Cancels an attempt in flight."""
+        self._reply.cancel_attempt(self._id, self._request_ids[attempt.request], attempt.number)
 
-    def reject_request(self, request: Request, come_back: int) -> None:
-        self._reply.not_now(self._who, self._call_ids[request], come_back / 1000)
+    def reject_request(self, request: Request, retry_after_us: int) -> None:
+        """Rejects a request."""
+        self._reply.reject_request(self._id, self._request_ids[request], retry_after_us / 1000)
         self._forget(request)
 
     def fail_request(self, request: Request) -> None:
-        self._reply.fail(self._who, self._call_ids[request])
+        """Fails a request that may have been executed."""
+        self._reply.fail_request(self._id, self._request_ids[request])
         self._forget(request)
 
-    def assign_resources(self, request: Request, megabytes: float, priority: int) -> None:
-        self._reply.allot(self._who, self._call_ids[request], megabytes, priority)
+    def assign_resources(self, request: Request, memory_mb: float, priority: int) -> None:
+        """Grants memory and a priority to the request's next attempt."""
+        self._reply.assign_resources(self._id, self._request_ids[request], memory_mb, priority)
 
-    def call_later(self, delay: int, call: Callable[[int], None]) -> None:
-        self._last_tag += 1
-        self._wakes[self._last_tag] = call
-        self._reply.arm(self._who, delay / 1000, self._last_tag)
+    def call_later(self, delay_us: int, callback: Callable[[int], None]) -> None:
+        """Calls back once, with the time then."""
+        self._last_timer_id += 1
+        self._timers[self._last_timer_id] = callback
+        self._reply.set_timer(self._id, delay_us / 1000, self._last_timer_id)
 
     def probe_engine(self, engine: Engine) -> None:
-        self._reply.health_check(self._who, self._engine_ids[engine])
+        """Sends a health check to an engine."""
+        self._reply.check_health(self._id, self._engine_ids[engine])
 
     def subscribe_to_endpoints(self) -> None:
-        self._reply.stream_changes(self._who, True)
+        """Asks for the endpoint list and its changes."""
+        self._reply.subscribe_to_endpoints(self._id)
 
     def log_event(self, text: str) -> None:
-        self._reply.remark(self._who, text)
+        """Logs an event."""
+        self._reply.log_event(self._id, text)
 
-    # What the wire brings.
+    # Events.
 
-    def work_item(self, now: int, fields: tuple) -> None:
-        call, request_class, tenant, key, left, estimate, megabytes, data_set, flags = fields
+    def on_request(self, event: wire.NewRequest, now_us: int) -> None:
+        """Hands a new request to the policy."""
         request = Request(
-            self._gateway.request_classes[request_class],
-            now,
-            now + int(left * 1000),
-            tenant,
-            key,
-            micros(estimate) if flags & 1 else 0,
-            megabytes,
-            int(data_set),
+            request_class=self._controller.request_classes[event.request_class],
+            arrived_us=now_us,
+            deadline_us=now_us + int(event.time_left_ms * 1000),
+            tenant=event.tenant,
+            ordering_key=event.ordering_key,
+            estimated_work_us=to_microseconds(event.estimated_work_ms) if event.flags & _HAS_ESTIMATE else 0,
+            memory_mb=event.memory_mb,
+            data_set=int(event.data_set),
         )
-        self._calls[call] = request
-        self._call_ids[request] = call
-        self._gateway.accept(request, now)
-
-    def verdict(self, now: int, fields: tuple, tail: bytes) -> None:
-        call, number, engine, code, duration, no_more, _, _ = fields
-        request = self._calls.get(call)
-        if request is None or number >= len(request.attempts):
+        self._requests[event.request_id] = request
+        self._request_ids[request] = event.request_id
+        self._controller.accept(request, now_us)
+
+    def on_attempt_result(self, event: wire.AttemptResult, load_values: bytes, now_us: int) -> None:
+        """Reports the end of an attempt, if it is still known."""
+        request = self._requests.get(event.request_id)
+        if request is None or event.number >= len(request.attempts):
             return
-        attempt = request.attempts[number]
-        self._gateway.on_attempt_finished(
-            attempt,
-            _ENDINGS.get(code, Outcome.FAILED),
-            micros(duration),
-            bool(no_more),
-            self._report(tail),
-            now,
+        self._controller.on_attempt_finished(
+            request.attempts[event.number],
+            _OUTCOMES.get(event.status, Outcome.FAILED),
+            to_microseconds(event.latency_ms),
+            bool(event.is_final),
+            self._load_report(load_values),
+            now_us,
         )
         self._forget(request)
 
-    def progress(self, now: int, fields: tuple) -> None:
-        call, value, _, number, topic = fields
-        request = self._calls.get(call)
-        if request is not None and number < len(request.attempts) and topic in _TOPICS:
-            self._gateway.on_progress(request.attempts[number], _TOPICS[topic], value, now)
+    def on_progress(self, event: wire.ProgressUpdate, now_us: int) -> None:
+        """Reports the progress of an attempt in flight."""
+        request = self._requests.get(event.request_id)
+        kind = _PROGRESS_KINDS.get(event.kind)
+        if request is not None and kind is not None and event.number < len(request.attempts):
+            self._controller.on_progress(request.attempts[event.number], kind, event.value, now_us)
 
-    def client_gone(self, now: int, fields: tuple) -> None:
-        request = self._calls.get(fields[0])
+    def on_request_cancelled(self, request_id: int, now_us: int) -> None:
+        """Reports that the client no longer waits for a request."""
+        request = self._requests.get(request_id)
         if request is not None:
-            self._gateway.on_client_cancelled(request, now)
+            self._controller.on_client_cancelled(request, now_us)
             self._forget(request)
 
-    def members(self, now: int, how: int, listed: list[tuple]) -> None:
-        if how == _FAILED_LIST:
-            self._gateway.on_endpoint_list_failed(now)
+    def on_endpoints(self, kind: int, listed: list[wire.EndpointEntry], now_us: int) -> None:
+        """Reports the endpoint list or changes to it, or that it could not be had."""
+        if kind == _LIST_FAILED:
+            self._controller.on_endpoint_list_failed(now_us)
             return
         known = []
-        for number, cell, started, machine, _, zone, standing in listed:
-            engine = self._engines.get(number)
+        for entry in listed:
+            engine = self._engines.get(entry.engine_id)
             if engine is None:
-                engine = self._engines[number] = Engine()
-                self._engine_ids[engine] = number
-            entry = (machine, zone, cell, micros(started), _STANDINGS.get(standing, EndpointState.REMOVED))
-            known.append((engine, entry))
-        self._gateway.on_endpoints_updated(known, how != _DELTA, now)
-
-    def alarm(self, now: int, fields: tuple) -> None:
-        call = self._wakes.pop(fields[0], None)
-        if call is not None:
-            call(now)
-
-    def probed(self, now: int, fields: tuple, tail: bytes) -> None:
-        engine = self._engines.get(fields[0])
+                engine = Engine()
+                self._engines[entry.engine_id] = engine
+                self._engine_ids[engine] = entry.engine_id
+            state = _ENDPOINT_STATES.get(entry.state, EndpointState.REMOVED)
+            started_us = to_microseconds(entry.started_ms)
+            known.append((engine, (entry.instance_type, entry.zone, entry.cell, started_us, state)))
+        self._controller.on_endpoints_updated(known, kind != _CHANGES, now_us)
+
+    def on_timer(self, timer_id: int, now_us: int) -> None:
+        """Calls back, once for each timer."""
+        callback = self._timers.pop(timer_id, None)
+        if callback is not None:
+            callback(now_us)
+
+    def on_health_check_result(self, event: wire.HealthCheckResult, load_values: bytes, now_us: int) -> None:
+        """Reports the end of a health check."""
+        engine = self._engines.get(event.engine_id)
         if engine is not None:
-            self._gateway.on_probe_finished(
-                engine, _ENDINGS.get(fields[1], Outcome.FAILED), self._report(tail), now
-            )
+            outcome = _OUTCOMES.get(event.status, Outcome.FAILED)
+            self._controller.on_probe_finished(engine, outcome, self._load_report(load_values), now_us)
 
-    def _report(self, tail: bytes) -> dict[str, float]:
-        return dict(zip(self._report_names, wire.load_values(tail))) if tail else {}
+    def _load_report(self, load_values: bytes) -> dict[str, float]:
+        return dict(zip(self._report_names, wire.load_values(load_values))) if load_values else {}
 
     def _forget(self, request: Request) -> None:
-        # An ended submission stays known while a relay of it is out: its verdict is still to come.
-        if request.is_finished and request.current_attempt is None and request in self._call_ids:
-            del self._calls[self._call_ids.pop(request)]
+        # A finished request stays known while an attempt of it is in flight: its result is still to come.
+        if request.is_finished and request.current_attempt is None and request in self._request_ids:
+            del self._requests[self._request_ids.pop(request)]
 
 
 class Host:
-    """All instances of one process, and the numbered lists that their events refer to."""
+    """All instances of one process, and the numbered endpoint lists that their events refer to."""
 
     def __init__(self) -> None:
         self._reply = wire.Reply()
         self._instances: dict[int, Instance] = {}
-        self._lists: dict[int, list[tuple]] = {}
+        self._lists: dict[int, list[wire.EndpointEntry]] = {}
 
     def answer(self, frame: bytes) -> bytes:
-        """The reply to one batch."""
-        now = micros(wire.clock(frame))
-        who: int | None = None
-        for code, fields, tail in wire.records(frame):
-            if code == wire.ON:
-                (who,) = fields
-            elif code == wire.CATALOG:
-                self._lists[fields[0]] = wire.entries(tail)
-            elif who is None:
-                raise wire.WireError(f"event {code} before any 'on'")
-            elif code == wire.MEMBERS and fields[0] != _FAILED_LIST and fields[2] not in self._lists:
-                raise wire.WireError(f"members refers to unknown list {fields[2]}")
+        """Returns the reply to one batch.
+
+        Raises:
+            WireError: The batch does not follow the description of the wire.
+        """
+        now_us = to_microseconds(wire.clock(frame))
+        instance_id: int | None = None
+        for record in wire.records(frame):
+            if record.code == wire.ON:
+                (instance_id,) = record.fields
+            elif record.code == wire.ENDPOINT_LIST:
+                self._lists[record.fields[0]] = wire.entries(record.tail)
+            elif instance_id is None:
+                raise wire.WireError(f"event {record.code} before any 'on'")
             else:
-                try:
-                    self._deliver(who, now, code, fields, tail)
-                except Exception as trouble:  # the wire wants to hear of it, whatever it was
-                    self._reply.panic(who, f"{type(trouble).__name__}: {trouble}")
-                    self._instances.pop(who, None)
+                self._check_list(record)
+                self._deliver_safely(instance_id, record, now_us)
         return self._reply.take()
 
-    def _deliver(self, who: int, now: int, code: int, fields: tuple, tail: bytes) -> None:
-        if code == wire.CREATE:
-            settings = json.loads(tail)
-            self._instances[who] = Instance(who, self._reply, settings, fields[0], now)
-            return
-        if code == wire.STOP:
-            self._instances.pop(who, None)
-            return
-        instance = self._instances.get(who)
-        if instance is None:
+    def _check_list(self, record: wire.Record) -> None:
+        if record.code != wire.ENDPOINTS:
             return
-        if code == wire.WORK_ITEM:
-            instance.work_item(now, fields)
-        elif code == wire.VERDICT:
-            instance.verdict(now, fields, tail)
-        elif code == wire.ALARM:
-            instance.alarm(now, fields)
+        update = wire.EndpointUpdate(*record.fields)
+        if update.kind != _LIST_FAILED and update.list_id not in self._lists:
+            raise wire.WireError(f"members refers to unknown list {update.list_id}")
+
+    def _deliver_safely(self, instance_id: int, record: wire.Record, now_us: int) -> None:
+        try:
+            self._deliver(instance_id, record, now_us)
+        except Exception as error:  # the simulator is to hear of it, whatever it was
+            self._reply.report_crash(instance_id, f"{type(error).__name__}: {error}")
+            self._instances.pop(instance_id, None)
+
+    def _deliver(self, instance_id: int, record: wire.Record, now_us: int) -> None:
+        if record.code == wire.CREATE:
+            settings = json.loads(record.tail)
+            self._instances[instance_id] = Instance(
+                instance_id, self._reply, settings, record.fields[0], now_us
+            )
+        elif record.code == wire.STOP:
+            self._instances.pop(instance_id, None)
+        elif instance_id in self._instances:
+            self._deliver_to(self._instances[instance_id], record, now_us)
+
+    def _deliver_to(self, instance: Instance, record: wire.Record, now_us: int) -> None:
+        code, fields, tail = record
+        if code == wire.NEW_REQUEST:
+            instance.on_request(wire.NewRequest(*fields), now_us)
+        elif code == wire.ATTEMPT_RESULT:
+            instance.on_attempt_result(wire.AttemptResult(*fields), tail, now_us)
+        elif code == wire.TIMER:
+            instance.on_timer(fields[0], now_us)
         elif code == wire.PROGRESS:
-            instance.progress(now, fields)
-        elif code == wire.MEMBERS:
-            instance.members(now, fields[0], self._lists.get(fields[2], []))
-        elif code == wire.CLIENT_GONE:
-            instance.client_gone(now, fields)
-        elif code == wire.PROBED:
-            instance.probed(now, fields, tail)
-        # OPENED and NEIGHBOUR_SAYS bear on nothing that is decided here.
+            instance.on_progress(wire.ProgressUpdate(*fields), now_us)
+        elif code == wire.ENDPOINTS:
+            update = wire.EndpointUpdate(*fields)
+            instance.on_endpoints(update.kind, self._lists.get(update.list_id, []), now_us)
+        elif code == wire.REQUEST_CANCELLED:
+            instance.on_request_cancelled(fields[0], now_us)
+        elif code == wire.HEALTH_CHECK_RESULT:
+            instance.on_health_check_result(wire.HealthCheckResult(*fields), tail, now_us)
+        # Opened connections and messages of peers bear on nothing that is decided here.
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answers frames until the input ends; the exit code."""
+    """Answers frames until the input ends; returns the exit code."""
     host = Host()
     while True:
         try:
             frame = wire.read_frame(source)
             if frame is None:
-                return 0
+                return _EXIT_OK
             reply = host.answer(frame)
-        except wire.WireError as trouble:
-            print(f"cresstray: {trouble}", file=sys.stderr)
-            return 2
+        except wire.WireError as error:
+            print(f"cresstray: {error}", file=sys.stderr)
+            return _EXIT_WIRE_ERROR
         sink.write(reply)
         sink.flush()
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -229,12 +229,12 @@
             "ends within its body": frame(1, on)[:-2],
             "length below a header": struct.pack("<I", 3),
             "unknown event": frame(2, on + b"\xc8"),
-            "event cut short": frame(2, on + bytes([wire.ALARM, 1])),
+            "event cut short": frame(2, on + bytes([wire.TIMER, 1])),
             "fewer records than counted": frame(2, on),
             "more bytes than records": frame(1, on + b"\x00"),
-            "event before any on": frame(1, struct.pack("<BI", wire.CLIENT_GONE, 1)),
-            "unknown list": frame(2, on + struct.pack("<BBIH", wire.MEMBERS, 1, 1, 9)),
-            "instance never created": frame(2, on + struct.pack("<BI", wire.CLIENT_GONE, 1)),
+            "event before any on": frame(1, struct.pack("<BI", wire.REQUEST_CANCELLED, 1)),
+            "unknown list": frame(2, on + struct.pack("<BBIH", wire.ENDPOINTS, 1, 1, 9)),
+            "instance never created": frame(2, on + struct.pack("<BI", wire.REQUEST_CANCELLED, 1)),
             "failing decisions": frame(2, on + struct.pack("<BQI", wire.CREATE, 1, 2) + b"[]"),
         }
         lines = []
