--- a/cresstray/policy/controller.py
+++ b/cresstray/policy/controller.py
@@ -301,8 +301,8 @@
         state = engine.policy_state
         state.limit.has_window_failed = state.limit.has_window_failed or is_failed_request
         if state.health.on_fault(lost, is_failed_request, now):
-            kind = "silent" if state.health.is_unresponsive else "failing"
-            self.port.log_event(f"{now / 1e6:.1f} s: an engine in doubt, {kind}")
+            kind = "unresponsive" if state.health.is_unresponsive else "failing"
+            self.port.log_event(f"{now / 1e6:.1f} s: an engine is suspected, {kind}")
 
     def _record_report(self, engine: Engine, report: Mapping[str, float], now: int) -> None:
         if not report:
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -69,17 +69,17 @@
     def say(self, text: str) -> None:
         self.lines.append(f"{(self.now - START) / 1000:8.0f} ms  {text}")
 
-    def send_attempt(self, attempt: Attempt, patience: int) -> None:
-        self.say(f"relay {self.names[attempt.request]} #{attempt.number} to {self.names[attempt.engine]}")
+    def send_attempt(self, attempt: Attempt, timeout_us: int) -> None:
+        self.say(f"send {self.names[attempt.request]} #{attempt.number} to {self.names[attempt.engine]}")
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        self.say(f"withdraw {self.names[attempt.request]} #{attempt.number}")
+        self.say(f"cancel {self.names[attempt.request]} #{attempt.number}")
 
-    def reject_request(self, request: Request, come_back: int) -> None:
-        self.say(f"deny {self.names[request]}, come back {'later' if come_back else 'at will'}")
+    def reject_request(self, request: Request, retry_after_us: int) -> None:
+        self.say(f"reject {self.names[request]}, retry {'later' if retry_after_us else 'at will'}")
 
     def fail_request(self, request: Request) -> None:
-        self.say(f"abandon {self.names[request]}")
+        self.say(f"fail {self.names[request]}")
 
     def assign_resources(self, request: Request, megabytes: float, priority: int) -> None:
         self.say(f"grant {self.names[request]} {megabytes:.0f} MB, priority {priority}")
@@ -91,7 +91,7 @@
         self.say("subscribe")
 
     def log_event(self, text: str) -> None:
-        self.say(f"remark {text}")
+        self.say(f"log {text}")
 
     def call_later(self, delay: int, call: object) -> None:
         self.wakes.append((self.now + delay, len(self.names), call))
@@ -120,12 +120,12 @@
         self.gateway.accept(request, self.now)
         return request
 
-    def back(self, request: Request, ending: Outcome, report: dict | None = None) -> None:
+    def back(self, request: Request, outcome: Outcome, report: dict | None = None) -> None:
         attempt = request.attempts[-1]
-        done = ending is Outcome.SUCCEEDED or request.is_finished
-        self.say(f"        {self.names[request]} #{attempt.number} comes back {ending.value}")
+        done = outcome is Outcome.SUCCEEDED or request.is_finished
+        self.say(f"        {self.names[request]} #{attempt.number} ends {outcome.value}")
         self.gateway.on_attempt_finished(
-            attempt, ending, self.now - attempt.sent_us, done, report or {}, self.now
+            attempt, outcome, self.now - attempt.sent_us, done, report or {}, self.now
         )
 
     def run(self, milliseconds: int) -> None:
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -32,14 +32,14 @@
 
 
 class Hook(TraceCase):
-    def test_what_is_agreed_holds_from_the_next_relay_on(self) -> None:
+    def test_what_is_agreed_holds_from_the_next_attempt_on(self) -> None:
         desk, agreed = desk_under()
         first = desk.submit("any engine")
         agreed.barred = set(desk.engines[:2])
         for number in range(4):
             desk.submit(f"one engine, {number}")
         agreed.stopped = {0}
-        desk.submit("a stopped tariff")
+        desk.submit("a stopped class")
         agreed.stopped = set()
         agreed.barred = set(desk.engines)
         held = desk.submit("none may take it")
@@ -72,7 +72,7 @@
             [desk.names[one] for one in desk.names if isinstance(one, Request) and one.current_attempt],
         )
 
-    def test_the_budget_of_further_relays_is_scaled(self) -> None:
+    def test_the_retry_budget_is_scaled(self) -> None:
         made = []
         for scale in (1.0, 0.5, 0.0):
             desk, agreed = desk_under()
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -205,7 +205,7 @@
     for out in (*fillers, *works):
         if out.current_attempt:
             desk.drop(out)
-    relayed = [line.split()[3:5] for line in desk.lines if " relay " in line]
+    relayed = [line.split()[3:5] for line in desk.lines if " send " in line]
     return {"order": [int(number) if kind == "work" else -1 for kind, number in relayed]}
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -41,13 +41,15 @@
             lines.append(f"{text}: limit {state.limit.value:.2f}, average {state.limit.average_ratio:.2f}")
         self.check("gradient", lines)
 
-    def test_holding_and_denial(self) -> None:
+    def test_queueing_and_rejection(self) -> None:
         desk = Desk(settings(), engines=1)
         running = fill(desk)
-        again = desk.submit("further relay", left=6000, estimated_work_us=1000)
-        desk.submit("heavy first relay", 1, left=9000, estimated_work_us=4_000_000)
-        desk.submit("light first relay", 0, left=6000, estimated_work_us=100_000)
-        desk.submit("huge, denied when its time to wait is over", 1, left=6000, estimated_work_us=90_000_000)
+        again = desk.submit("retry", left=6000, estimated_work_us=1000)
+        desk.submit("heavy first attempt", 1, left=9000, estimated_work_us=4_000_000)
+        desk.submit("light first attempt", 0, left=6000, estimated_work_us=100_000)
+        desk.submit(
+            "huge, rejected when its time to wait is over", 1, left=6000, estimated_work_us=90_000_000
+        )
         for request in running[:3]:
             desk.run(20)
             if request is running[0]:
@@ -67,7 +69,7 @@
         drawn = [desk.gateway._choose(desk.submit("one"), desk.now) for _ in range(12)]
         self.check("two_choice", [f"engine {desk.engines.index(engine)}" for engine in drawn])
 
-    def test_fast_errors_raise_doubt(self) -> None:
+    def test_fast_errors_raise_suspicion(self) -> None:
         desk = Desk(settings(), engines=3)
         for number in range(12):
             request = desk.submit(f"s{number}")
@@ -81,11 +83,11 @@
             if request.current_attempt:
                 desk.back(request, Outcome.SUCCEEDED)
         desk.lines.append(
-            "doubted: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
+            "suspected: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
         )
         self.check("fast_errors", desk.lines)
 
-    def test_silence_raises_doubt_and_calls_back(self) -> None:
+    def test_silence_raises_suspicion_and_cancels(self) -> None:
         desk = Desk(settings(), engines=3)
         out = [desk.submit(f"s{number}", 1, left=9000, estimated_work_us=200_000) for number in range(3)]
         for request in out:
@@ -96,9 +98,9 @@
         for request in out:
             if request.current_attempt and request.current_attempt.cancel_requested:
                 desk.back(request, Outcome.CANCELLED)
-        desk.submit("after the doubt")
+        desk.submit("after the suspicion")
         desk.lines.append(
-            "doubted: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
+            "suspected: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
         )
         self.check("silence", desk.lines)
 
@@ -148,22 +150,22 @@
                 str(desk.engines.index(desk.gateway._choose(desk.submit("one"), desk.now))) for _ in range(6)
             )
         )
-        doubted = desk.engines[3].policy_state
+        suspected = desk.engines[3].policy_state
         for engine in desk.engines:
             engine.policy_state.limit.value, engine.policy_state.signals.overloaded_until_us = (
                 0.0,
                 desk.now + WINDOW_US,
             )
-        doubted.limit.value, doubted.health.is_suspected, doubted.health.next_probe_us = (
+        suspected.limit.value, suspected.health.is_suspected, suspected.health.next_probe_us = (
             9.0,
             True,
             desk.now + WINDOW_US,
         )
-        for doubted.health.is_unresponsive in (False, True):
+        for suspected.health.is_unresponsive in (False, True):
             waits = desk.submit("two")
             for at, text in ((desk.now, "it can wait"), (waits.latest_dispatch_us, "it can't")):
                 chosen = desk.gateway._choose(waits, at)
-                kind = "silent" if doubted.health.is_unresponsive else "failing"
+                kind = "unresponsive" if suspected.health.is_unresponsive else "failing"
                 lines.append(f"the rest full, one {kind}, {text}: {chosen and desk.engines.index(chosen)}")
         self.check("choices", lines)
 
@@ -194,17 +196,17 @@
 
     def test_faults_of_links_are_none_of_queries(self) -> None:
         lines = []
-        for ending in (Outcome.FAILED, Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHABLE):
+        for outcome in (Outcome.FAILED, Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHABLE):
             for good in (8, 0):
                 desk = Desk(settings(), engines=1)
                 for number in range(good + 3):
                     request = desk.submit(f"s{number}")
-                    if request.current_attempt:  # else held: the only engine is in doubt
-                        desk.back(request, Outcome.SUCCEEDED if number < good else ending)
+                    if request.current_attempt:  # else queued: the only engine is suspected
+                        desk.back(request, Outcome.SUCCEEDED if number < good else outcome)
                 state = desk.engines[0].policy_state
                 lines.append(
-                    f"up to 3 {ending.value} behind {good} good: cut {state.limit.has_window_failed}, "
-                    f"doubted {state.health.is_suspected}, silent {state.health.is_unresponsive}"
+                    f"up to 3 {outcome.value} behind {good} good: cut {state.limit.has_window_failed}, "
+                    f"suspected {state.health.is_suspected}, unresponsive {state.health.is_unresponsive}"
                 )
         self.check("links_of_late", lines)
 
@@ -214,7 +216,8 @@
             desk.gateway._on_fault(desk.engines[0], lost, True, desk.now)
             state = desk.engines[0].policy_state
             lines.append(
-                f"after {text}: doubted {state.health.is_suspected}, silent {state.health.is_unresponsive}"
+                f"after {text}: suspected {state.health.is_suspected}, "
+                f"unresponsive {state.health.is_unresponsive}"
             )
         self.check("gone_silent", lines)
 
@@ -284,7 +287,7 @@
         desk.gateway.on_probe_finished(lost.current_attempt.engine, Outcome.SUCCEEDED, {}, desk.now)
         desk.back(lost, Outcome.FAILED)
         for number in range(4):
-            desk.submit(f"unrepeatable {number}", left=9000)
+            desk.submit(f"at most once {number}", left=9000)
         self.check("avoids_faults", desk.lines)
 
     def test_signs_of_pressure(self) -> None:
@@ -316,7 +319,7 @@
         desk.run(1000)
         self.check("probes", [line for line in desk.lines if "probe" in line])
 
-    def test_heavy_by_itself_given_up_while_others_are_held(self) -> None:
+    def test_heavy_by_itself_given_up_while_others_are_queued(self) -> None:
         desk = Desk(settings(FamilyInfo={"TellsEvery": 500.0}))
         (
             desk.gateway.request_classes[1].latency.sample_count,
@@ -349,11 +352,11 @@
             desk.back(slow, Outcome.CANCELLED if slow.is_finished else Outcome.SUCCEEDED)
         self.check("too_late", desk.lines)
 
-    def test_an_answer_tries_few_of_many_held(self) -> None:
+    def test_a_response_tries_few_of_many_queued(self) -> None:
         desk = Desk(settings(), engines=1)
         running = fill(desk)
         for number in range(200):
-            desk.submit(f"held {number}", left=9000, estimated_work_us=1000)
+            desk.submit(f"queued {number}", left=9000, estimated_work_us=1000)
         tried = []
 
         def is_turn(turns: OrderedTurns, request: Request, now_us: int) -> bool:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -96,7 +96,7 @@
         seconds: int = 60,
         pause: int = 100,
     ) -> str:
-        """What each tariff gets on busy engines: each asks every `pause` ms, answers take `answer` ms."""
+        """What each class gets on busy engines: each asks every `pause` ms, answers take `answer` ms."""
         desk = Desk(given, engines=engines)
         desk.list(
             {
@@ -125,9 +125,9 @@
             f"{sum(bool(one.attempts) for one in made[index])} of {len(made[index])}"
             for index in request_classes
         ]
-        return ", ".join(parts) + " relayed"
+        return ", ".join(parts) + " dispatched"
 
-    def test_no_tariff_is_passed_over_for_good(self) -> None:
+    def test_no_class_is_starved_for_good(self) -> None:
         plain = {
             "Effect": "idempotent",
             "GoalTime": 400.0,
@@ -138,7 +138,7 @@
         kinds = {
             "wide and long": plain | {"GoalTime": 2000.0},
             "worth little": plain | {"Worth": 0.01, "GoalTime": 2000.0},
-            "unrepeatable": plain | {"Effect": "at_most_once", "GoalTime": 2000.0},
+            "at most once": plain | {"Effect": "at_most_once", "GoalTime": 2000.0},
             "of one zone": plain | {"StaysIn": [1], "GoalTime": 2000.0},
             "of one kind of machine": plain | {"FlavorsOpen": [1], "GoalTime": 2000.0},
         }
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,7 +15,7 @@
     def test_one_final_answer_in_time(self) -> None:
         desk = Desk(settings(), engines=1)
         fill(desk)
-        desk.submit("held", left=5000)
+        desk.submit("queued", left=5000)
         desk.submit("short of time", left=160)
         desk.submit("out of time", left=100)
         desk.run(3000)
@@ -36,9 +36,9 @@
             engines=3,
         )
         desk.list({desk.engines[0]: {"zone": 1}, desk.engines[1]: {"zone": 2}, desk.engines[2]: {"zone": 1}})
-        for ending in (Outcome.UNREACHABLE, Outcome.CONNECTION_LOST, Outcome.FAILED):
-            desk.back(desk.submit(f"unrepeatable, {ending.value}", left=9000), ending)
-        twice = desk.submit("unrepeatable unreached then timed out", left=9000)
+        for outcome in (Outcome.UNREACHABLE, Outcome.CONNECTION_LOST, Outcome.FAILED):
+            desk.back(desk.submit(f"at most once, {outcome.value}", left=9000), outcome)
+        twice = desk.submit("at most once unreached then timed out", left=9000)
         desk.run(3000)
         desk.back(twice, Outcome.OVERLOADED)
         desk.back(twice, Outcome.TIMED_OUT)
@@ -116,7 +116,7 @@
         desk.run(1500)
         self.check("placement", desk.lines)
 
-    def test_further_relays_rationed(self) -> None:
+    def test_retries_are_rationed(self) -> None:
         budget = {"BudgetWindow": 5000.0, "FreeResends": 1.0, "ResendRatio": 0.25}
         desk = Desk(settings(Safety=budget), engines=4)
         tried = [desk.submit(f"s{number}", left=60_000) for number in range(8)]
@@ -127,7 +127,7 @@
         desk.run(5600)
         self.check("budget", desk.lines)
 
-    def test_what_is_withdrawn_earns_no_relays(self) -> None:
+    def test_cancelled_requests_earn_no_retries(self) -> None:
         budget = {"BudgetWindow": 5000.0, "FreeResends": 1.0, "ResendRatio": 0.25}
         desk = Desk(settings(Safety=budget), engines=4)
         for number in range(40):
@@ -139,9 +139,9 @@
             desk.back(request, Outcome.OVERLOADED)
         self.check("withdrawn", desk.lines)
 
-    def test_relays_end_before_the_hard_stop(self) -> None:
+    def test_attempts_end_before_the_deadline(self) -> None:
         desk = Desk(settings(), engines=1)
-        desk.send_attempt = lambda attempt, patience: desk.say(f"relay may take {patience / 1000:.0f} ms")
+        desk.send_attempt = lambda attempt, timeout_us: desk.say(f"send may take {timeout_us / 1000:.0f} ms")
         for left in (2000, 100, 20):
             desk.submit(f"{left} ms left", left=left)
         self.check("patience", desk.lines)
