--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -38,6 +38,7 @@
 from cresstray.policy.admission_queue import OrderedTurns
 from cresstray.policy.concurrency_limit import ConcurrencyLimit
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.engine_registry import EngineRegistry
 from cresstray.policy.latency_estimate import LatencyEstimate
 from cresstray.policy.retry_policy import RetryPolicy
 from cresstray.policy.settings import parse_settings
@@ -746,7 +747,7 @@
 }
 
 _AS_READY = (
-    PolicyController.on_endpoints_updated,
+    EngineRegistry.ready_engines,
     "engine for engine in self.engines if engine.state is EndpointState.READY",
     "engine for engine in self.engines if engine.state is not EndpointState.REMOVED",
 )
@@ -988,7 +989,7 @@
         "gone",
         "drain",
         lines(
-            (PolicyController.on_endpoints_updated, "if is_complete and engine not in listed:", "if False:"),
+            (EngineRegistry.update, "if is_complete and engine not in listed:", "if False:"),
             (Router.apply_event, "self._pools.pop(engine).retire()", "self._pools[engine].retire()"),
         ),
     ),
@@ -996,7 +997,7 @@
         "restart_forgets_out",
         "sound",
         "drain",
-        lines((PolicyController._update_engine, "if engine.policy_state is not None:", "if False:")),
+        lines((EngineRegistry._update_engine, "if engine.policy_state is not None:", "if False:")),
     ),
     Mutant(
         "left_keeps_budget",
--- a/cresstray/policy/controller.py
+++ b/cresstray/policy/controller.py
@@ -17,12 +17,14 @@
     SWEEP_INTERVAL_US,
     WINDOW_US,
 )
-from cresstray.policy.engine_state import EngineState
+from cresstray.policy.engine_registry import EngineRegistry
+from cresstray.policy.health_checks import HealthCheckSchedule
 from cresstray.policy.latency_estimate import WorkloadAverages
 from cresstray.policy.load_balancing import RARE_REPORT_US, LoadBalancer
 from cresstray.policy.load_signals import FleetSignals
 from cresstray.policy.outlier_detection import OutlierDetector, is_overdue
 from cresstray.policy.ports import AdmissionRules, PolicyPort
+from cresstray.policy.progress import ProgressVerdict, judge_progress
 from cresstray.policy.retry_policy import RetryPolicy
 from cresstray.policy.settings import MissingSettingError, PolicySettings
 from cresstray.policy.site_forwarding import SiteForwarding, SpareCapacity, spare_capacity
@@ -42,10 +44,6 @@
 MIN_TIMEOUT_US = 1000
 # One heavy request in a window with few samples must not cut a healthy limit.
 MAX_SAMPLE = 4.0
-# Health checks at a fixed rate, of many gateways, cost more than they tell: one for two accepted requests.
-HEALTH_CHECKS_PER_REQUEST = 0.5
-# Health checks that may be saved up, beside one: a part of the ready engines.
-SAVED_CHECKS_PART = 5
 # Memory over the estimate: enough for a close one, and little taken from others.
 MEMORY_RESERVE = 1.3
 DEFAULT_PRIORITY = 1
@@ -53,12 +51,6 @@
 PRIORITY_STEPS = (0.5, 1, 2)
 # The value of a progress update by which a request stands still, as a load has locked its data set.
 DATA_SET_LOCKED = 2
-# An attempt that takes so many times its expected latency has a bad plan, or is heavy by itself.
-BAD_PLAN_FACTOR = 4
-# Requests as heavy as a dozen usual ones hold up a dozen.
-HEAVY_FACTOR = 3
-# Progress is rough: this part of the latency that it projects must fit before the deadline.
-CERTAIN_PART = 0.7
 # Below so many answers, what a class usually takes is not known well enough to call an attempt slow.
 MIN_KNOWN_ANSWERS = 10
 # Rounds a gap up to a whole millisecond.
@@ -77,26 +69,30 @@
         self.admission_rules: AdmissionRules | None = None  # of the fleet's configuration, if there is any
         self.gateway_count = settings.gateway_count
         self.request_classes = settings.request_classes
-        self.engines: dict[Engine, None] = {}
         self.fleet = FleetSignals()
         self.averages = WorkloadAverages()
         self.outliers = OutlierDetector()
         self.slow_start = SlowStartPolicy(
             settings.slow_start, settings.request_classes, settings.gateway_count
         )
+        self.engine_registry = EngineRegistry(settings, self.fleet, self.slow_start)
         self.retry_policy = RetryPolicy(settings.retry)
         self.admission_queue = AdmissionQueue(settings.request_classes)
         self.load_balancer = LoadBalancer(
             settings.zone, self.outliers, self.slow_start, settings.request_classes
         )
         self.site_forwarding = SiteForwarding(self.fleet)
+        self.health_checks = HealthCheckSchedule()
         self._sweep_count = 0
-        self._health_checks = 0.0  # that may be sent
-        self._last_checked = 0
         if settings.must_subscribe:
             port.subscribe_to_endpoints()
         port.call_later(SWEEP_INTERVAL_US, self._sweep)
 
+    @property
+    def engines(self) -> dict[Engine, None]:
+        """The listed engines, and removed ones until their attempts have ended."""
+        return self.engine_registry.engines
+
     @property
     def ready_engines(self) -> list[Engine]:
         """The engines that may get requests."""
@@ -110,8 +106,7 @@
         if not request.is_forwarded_in:
             # One from another site counts, and earns retries, where it was accepted.
             self.retry_policy.on_accepted(request)
-            max_checks = 1 + len(self.load_balancer.ready_engines) / SAVED_CHECKS_PART
-            self._health_checks = min(self._health_checks + HEALTH_CHECKS_PER_REQUEST, max_checks)
+            self.health_checks.on_accepted(len(self.load_balancer.ready_engines))
             self.outliers.on_accepted()
         self.admission_queue.turns.enqueue(request)
         self._send_or_queue(request, now)
@@ -139,11 +134,7 @@
         if engine.state is not _READY:
             return False
         request_class = request.request_class
-        zones = request_class.allowed_zones
-        if zones is not None and engine.zone not in zones:
-            return False
-        instance_types = request_class.allowed_instance_types
-        if instance_types is not None and engine.instance_type not in instance_types:
+        if not request_class.allows_placement(engine):
             return False
         if self.admission_rules and not self.admission_rules.allows(request, engine, now):
             return False
@@ -206,8 +197,7 @@
             return True
         count = self.admission_rules.gateway_count(now)
         if count not in (0, self.gateway_count):
-            for engine in self.engines:
-                engine.policy_state.limit.scale(self.gateway_count / count)
+            self.engine_registry.scale_limits(self.gateway_count / count)
             self.gateway_count = count
             self.slow_start.gateway_count = count
         return count > 0
@@ -374,31 +364,14 @@
             self._cancel_and_retry(attempt, now)
 
     def _on_fraction_done(self, attempt: Attempt, fraction: float, now: int) -> None:
-        """Retries an attempt that has drawn a bad plan; gives up one that is too heavy or will be late.
-
-        A bad plan, drawn for each attempt anew, holds threads and memory many times as long. A request that
-        was as heavy in an earlier attempt is heavy by itself.
-        """
         request = attempt.request
-        projected_us = (now - attempt.sent_us) / max(fraction, 0.01)
-        attempt.projected_latency_us = projected_us
-        earlier_us = min(
-            (other.projected_latency_us for other in request.attempts[:-1] if other.projected_latency_us),
-            default=0,
-        )
-        slow_us = BAD_PLAN_FACTOR * request.expected_latency_us * max(1.0, self.averages.slowdown)
-        if projected_us > max(slow_us, 2 * earlier_us):
+        has_queue = bool(self.admission_queue.first_attempts)
+        verdict = judge_progress(attempt, fraction, self.averages.slowdown, has_queue, now)
+        if verdict is ProgressVerdict.RETRY:
             self._cancel_and_retry(attempt, now)
-            return
-        is_past_window = now > attempt.sent_us + WINDOW_US
-        is_late = is_past_window and attempt.sent_us + CERTAIN_PART * projected_us > request.deadline_us
-        holds_up_others = bool(earlier_us and self.admission_queue.first_attempts)
-        is_too_heavy = holds_up_others and projected_us > HEAVY_FACTOR * slow_us
-        if not is_late and not is_too_heavy:
-            return
-        can_give_up = self.retry_policy.may_reject(request) and not attempt.cancel_requested
-        if can_give_up and self.settings.can_cancel:
-            self.on_deadline_unreachable(attempt, now)
+        elif verdict is ProgressVerdict.GIVE_UP and self.settings.can_cancel:
+            if self.retry_policy.may_reject(request) and not attempt.cancel_requested:
+                self.on_deadline_unreachable(attempt, now)
 
     def _check_attempts(self, now: int) -> None:
         """Finds attempts that should long have ended, and retries those on suspected engines elsewhere."""
@@ -435,39 +408,10 @@
         self, known: Iterable[tuple[Engine, EndpointDescription]], is_complete: bool, now: int
     ) -> None:
         """Takes the endpoint list, or with `is_complete` False the changes to it."""
-        listed = set()
-        for engine, description in known:
-            listed.add(engine)
-            self._update_engine(engine, description, now)
-        for engine in list(self.engines):
-            if is_complete and engine not in listed:
-                engine.state = EndpointState.REMOVED
-            if engine.state is EndpointState.REMOVED and not engine.policy_state.limit.attempts:
-                del self.engines[engine]
-        # Nothing new goes to an engine that is draining or removed: its grace period is not used.
-        self.load_balancer.ready_engines = [
-            engine for engine in self.engines if engine.state is EndpointState.READY
-        ]
+        self.engine_registry.update(known, is_complete, self.gateway_count, now, self.random)
+        self.load_balancer.ready_engines = self.engine_registry.ready_engines()
         self._dispatch_queued(now)
 
-    def _update_engine(self, engine: Engine, description: EndpointDescription, now: int) -> None:
-        instance_type, zone, cell, started_us, endpoint_state = description
-        has_restarted = started_us != engine.started_us and started_us > 0
-        if engine.policy_state is None or has_restarted:
-            # What was learnt of an engine before it restarted says nothing now, but the attempts that were
-            # sent to it are still to end.
-            state = EngineState(self.settings.cores(instance_type), self.gateway_count, self.fleet)
-            if engine.policy_state is not None:
-                state.limit.take_over_attempts(engine.policy_state.limit)
-            engine.policy_state = state
-            self.slow_start.begin(state, started_us, now, self.random)
-        engine.instance_type = instance_type
-        engine.zone = zone
-        engine.cell = cell
-        engine.started_us = started_us
-        engine.state = endpoint_state
-        self.engines[engine] = None
-
     def on_endpoint_list_failed(self, now: int) -> None:
         """Asks for the endpoint list again, a window later: a failed call has ended the subscription."""
         self.port.call_later(WINDOW_US, lambda _: self.port.subscribe_to_endpoints())
@@ -511,7 +455,8 @@
         self._answer_expired(now)
         self.admission_queue.turns.forget_expired(now)
         if self.settings.can_probe:
-            self._send_health_checks()
+            for engine in self.health_checks.due(self.ready_engines):
+                self.port.probe_engine(engine)
         self._dispatch_queued(now)
 
     def _update_fleet(self) -> None:
@@ -535,10 +480,3 @@
             is_turn = self.admission_queue.turns.is_turn(request, now)
             if not (is_turn and any(self._try_send(request, now, engine) for engine in failing)):
                 self._answer_unserved(request, now)
-
-    def _send_health_checks(self) -> None:
-        """Checks one engine after the other, each about twice a second: reports are about that fresh."""
-        while self._health_checks >= 1 and self.ready_engines:
-            self._health_checks -= 1
-            self._last_checked = (self._last_checked + 1) % len(self.ready_engines)
-            self.port.probe_engine(self.ready_engines[self._last_checked])
--- a/cresstray/policy/types.py
+++ b/cresstray/policy/types.py
@@ -77,6 +77,13 @@
     # Set by the controller before any request refers to the class; None before.
     latency: LatencyEstimate = field(default=None)  # type: ignore[assignment]
 
+    def allows_placement(self, engine: Engine) -> bool:
+        """Returns whether requests of the class may run in the zone and on the instance type of an engine."""
+        if self.allowed_zones is not None and engine.zone not in self.allowed_zones:
+            return False
+        types = self.allowed_instance_types
+        return types is None or engine.instance_type in types
+
 
 # An engine of the endpoint list: its instance type, zone, cell, start and state.
 EndpointDescription = tuple[int, int, int, int, EndpointState]
