--- a/cresstray/policy/controller.py
+++ b/cresstray/policy/controller.py
@@ -20,11 +20,13 @@
 from cresstray.policy.engine_registry import EngineRegistry
 from cresstray.policy.health_checks import HealthCheckSchedule
 from cresstray.policy.latency_estimate import WorkloadAverages
-from cresstray.policy.load_balancing import RARE_REPORT_US, LoadBalancer
+from cresstray.policy.load_balancing import LoadBalancer
 from cresstray.policy.load_signals import FleetSignals
+from cresstray.policy.outcome_recorder import OutcomeRecorder
 from cresstray.policy.outlier_detection import OutlierDetector, is_overdue
 from cresstray.policy.ports import AdmissionRules, PolicyPort
 from cresstray.policy.progress import ProgressVerdict, judge_progress
+from cresstray.policy.resource_grants import grant_resources
 from cresstray.policy.retry_policy import RetryPolicy
 from cresstray.policy.settings import MissingSettingError, PolicySettings
 from cresstray.policy.site_forwarding import SiteForwarding, SpareCapacity, spare_capacity
@@ -42,13 +44,6 @@
 
 SWEEPS_PER_WINDOW = WINDOW_US // SWEEP_INTERVAL_US
 MIN_TIMEOUT_US = 1000
-# One heavy request in a window with few samples must not cut a healthy limit.
-MAX_SAMPLE = 4.0
-# Memory over the estimate: enough for a close one, and little taken from others.
-MEMORY_RESERVE = 1.3
-DEFAULT_PRIORITY = 1
-# The value for work, against the mean of all requests, above which a request has priority 1, 2 and 3.
-PRIORITY_STEPS = (0.5, 1, 2)
 # The value of a progress update by which a request stands still, as a load has locked its data set.
 DATA_SET_LOCKED = 2
 # Below so many answers, what a class usually takes is not known well enough to call an attempt slow.
@@ -81,6 +76,7 @@
         self.load_balancer = LoadBalancer(
             settings.zone, self.outliers, self.slow_start, settings.request_classes
         )
+        self.recorder = OutcomeRecorder(self.averages, self.load_balancer, self._log_event)
         self.site_forwarding = SiteForwarding(self.fleet)
         self.health_checks = HealthCheckSchedule()
         self._sweep_count = 0
@@ -88,6 +84,9 @@
             port.subscribe_to_endpoints()
         port.call_later(SWEEP_INTERVAL_US, self._sweep)
 
+    def _log_event(self, text: str) -> None:
+        self.port.log_event(text)
+
     @property
     def engines(self) -> dict[Engine, None]:
         """The listed engines, and removed ones until their attempts have ended."""
@@ -187,7 +186,9 @@
             self.retry_policy.on_retry(now)
         else:
             request_class.latency.dispatched.add(now)
-        self._assign_resources(request)
+        grant = grant_resources(request, self.settings, self.averages)
+        if grant:
+            self.port.assign_resources(request, grant.memory_mb, grant.priority)
         timeout_us = max(MIN_TIMEOUT_US, request.deadline_us - now - ATTEMPT_MARGIN_US)
         self.port.send_attempt(attempt, timeout_us)
 
@@ -206,15 +207,6 @@
         scale = self.admission_rules.retry_budget_scale(request, now) if self.admission_rules else 1
         return self.retry_policy.has_budget(now, scale)
 
-    def _assign_resources(self, request: Request) -> None:
-        memory_mb = request.memory_mb * MEMORY_RESERVE if self.settings.grants_memory else 0.0
-        priority = DEFAULT_PRIORITY
-        if self.settings.grants_priority:
-            density = -request.queue_rank * self.averages.work_us / self.averages.value
-            priority = sum(density > step for step in PRIORITY_STEPS)
-        if memory_mb or priority != DEFAULT_PRIORITY:
-            self.port.assign_resources(request, memory_mb, priority)
-
     def on_attempt_sent(self, attempt: Attempt, now: int) -> None:
         """Takes notice that an attempt has been written to its connection."""
         if attempt.number:
@@ -244,8 +236,8 @@
         self.fleet.running_threads = max(0, self.fleet.running_threads - request.request_class.threads)
         if attempt.engine.forwarding and outcome is Outcome.EXPIRED_BEFORE_SEND:
             request.attempts.remove(attempt)  # no engine of either site has seen it
-        self._record_report(attempt.engine, report, now)
-        self._record_outcome(attempt, outcome, latency_us, now)
+        self.recorder.on_report(attempt.engine, report, now)
+        self.recorder.on_outcome(attempt, outcome, latency_us, now)
         if outcome in POSSIBLY_RUNNING:
             gap_us = self.settings.ordering_gap_us + ROUNDING_US
             self.admission_queue.turns.hold(request, now + gap_us)
@@ -264,44 +256,6 @@
     def _dispatch_queued(self, now: int, freed: Engine | None = None) -> None:
         self.admission_queue.dispatch(now, freed, self._try_send)
 
-    def _record_outcome(self, attempt: Attempt, outcome: Outcome, latency_us: int, now: int) -> None:
-        state = attempt.engine.policy_state
-        if outcome is Outcome.SUCCEEDED:
-            request = attempt.request
-            ratio = min(MAX_SAMPLE, latency_us / request.expected_latency_us)
-            state.limit.record_sample(ratio)
-            self.averages.learn(request, ratio)
-            request.request_class.latency.learn(request, latency_us)
-            state.health.on_success(now)
-        elif outcome is Outcome.OVERLOADED:
-            state.limit.has_window_failed = True
-            state.signals.overloaded_until_us = now + WINDOW_US
-        elif outcome is Outcome.CONNECTION_LOST:
-            # Connections between healthy ends are lost too. To cut the limit for that leaves all or nothing;
-            # an engine that is dead refuses the next connection.
-            self._on_fault(attempt.engine, 0, False, now)
-        elif outcome in (Outcome.FAILED, Outcome.PROTOCOL_ERROR):
-            state.health.on_answer(now)
-            self._on_fault(attempt.engine, 0, outcome is Outcome.FAILED, now)
-        elif outcome is Outcome.UNREACHABLE:
-            is_silent = state.health.last_answer_us < attempt.sent_us
-            self._on_fault(attempt.engine, 2 * is_silent, True, now)
-
-    def _on_fault(self, engine: Engine, lost: int, is_failed_request: bool, now: int) -> None:
-        state = engine.policy_state
-        state.limit.has_window_failed = state.limit.has_window_failed or is_failed_request
-        if state.health.on_fault(lost, is_failed_request, now):
-            kind = "unresponsive" if state.health.is_unresponsive else "failing"
-            self.port.log_event(f"{now / 1e6:.1f} s: an engine is suspected, {kind}")
-
-    def _record_report(self, engine: Engine, report: Mapping[str, float], now: int) -> None:
-        if not report:
-            return
-        state = engine.policy_state
-        is_rare = now - state.signals.updated_us > RARE_REPORT_US
-        state.on_report(report, self.averages, now)
-        self.load_balancer.on_report(engine, is_rare, now)
-
     def _answer_unserved(self, request: Request, now: int) -> None:
         """Gives the final answer: a rejection where a repeat does no harm, or else a failure."""
         self._finish(request)
@@ -383,7 +337,7 @@
                 has_overrun = is_overdue(attempt, self.averages.slowdown, progress_interval_us, now)
                 if has_overrun and not attempt.is_overdue:
                     attempt.is_overdue = True
-                    self._on_fault(engine, health.last_answer_us < attempt.sent_us, False, now)
+                    self.recorder.on_fault(engine, health.last_answer_us < attempt.sent_us, False, now)
                 if not health.is_suspected:
                     continue
                 late_us = now - attempt.sent_us - attempt.request.expected_latency_us
@@ -423,8 +377,8 @@
         if outcome is Outcome.SUCCEEDED:
             engine.policy_state.health.on_check_success(now)
         elif outcome is not Outcome.OVERLOADED:
-            self._on_fault(engine, 1, False, now)
-        self._record_report(engine, report, now)
+            self.recorder.on_fault(engine, 1, False, now)
+        self.recorder.on_report(engine, report, now)
 
     def on_site_updated(self, site: Engine, cores: float, state: EndpointState, now: int) -> None:
         """Takes the state of another site's gateway, and the cores that it has for this one."""
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -17,6 +17,7 @@
 from cresstray.policy.engine_state import EngineState
 from cresstray.policy.load_balancing import LoadBalancer
 from cresstray.policy.load_signals import FleetSignals
+from cresstray.policy.outcome_recorder import OutcomeRecorder
 from cresstray.policy.types import STARVED_RANK, EndpointState, Outcome, Request
 from tests.desk import START, Desk, settings
 
@@ -422,8 +423,8 @@
     "one choice": ("choose", LoadBalancer, "choose", "CHOICES + len(", "1 + len("),
     "samples of any size": (
         "samples",
-        PolicyController,
-        "_record_outcome",
+        OutcomeRecorder,
+        "on_outcome",
         "min(MAX_SAMPLE, latency_us / request.expected_latency_us)",
         "latency_us / request.expected_latency_us",
     ),
@@ -431,8 +432,8 @@
     "held in arrival order": ("hold", AdmissionQueue, "push", "queued.queue_rank", "queued.arrived_us"),
     "a reset as a failure": (
         "failures",
-        PolicyController,
-        "_on_fault",
+        OutcomeRecorder,
+        "on_fault",
         "state.limit.has_window_failed or is_failed_request",
         "True",
     ),
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -213,7 +213,7 @@
     def test_failing_engine_gone_silent(self) -> None:
         desk, lines = Desk(settings(), engines=3), []
         for lost, text in ((0, "an error"), (2, "no connection"), (0, "an error again")):
-            desk.gateway._on_fault(desk.engines[0], lost, True, desk.now)
+            desk.gateway.recorder.on_fault(desk.engines[0], lost, True, desk.now)
             state = desk.engines[0].policy_state
             lines.append(
                 f"after {text}: suspected {state.health.is_suspected}, "
