--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -21,6 +21,7 @@
 from cresstray.observability.log import Log
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import Attempt, Outcome, Request
 
 SIZES, ZONES, GATEWAYS = (10, 100, 1024), 8, 1024
@@ -82,7 +83,7 @@
     clock, counters, port = Clock(), Counters(), Silent()
     timers, log = Timers(clock), Log("n0", clock)
     quota = DescriptorQuota(64, 200)
-    gateway = PolicyController(port, settings(GATEWAYS), seed, clock.now())
+    gateway = PolicyController(port, parse_settings(settings(GATEWAYS)), seed, clock.now())
     route = Router(
         lambda label, address: SocketConnectionPool(
             label, address, {}, quota, None, timers, clock.now, counters, log
@@ -114,13 +115,16 @@
 
     result["choice, us"] = best(choose, 200)
     for engine in gateway.ready_engines:
-        engine.limiter.full_until, engine.limiter.limit = clock.now() + 60_000_000, 0.0
+        engine.policy_state.signals.overloaded_until_us, engine.policy_state.limit.value = (
+            clock.now() + 60_000_000,
+            0.0,
+        )
     result["choice in vain, us"] = best(choose, 50)
     for number in range(200):
         now = clock.now()
         gateway.accept(Request(gateway.request_classes[number % 2], now, now + 60_000_000), now)
     result["sweep, 200 held, us"] = best(lambda: gateway._sweep(clock.now()), 30)
-    result["held"] = len(gateway.queue)
+    result["held"] = len(gateway.admission_queue.first_attempts)
     return result
 
 
--- a/cresstray/fleet_config/admission.py
+++ b/cresstray/fleet_config/admission.py
@@ -223,9 +223,9 @@
         All gateways together have at most that part on it, and as much again in seats, or one: where a
         gateway's part is less than a thread, a few of them have a whole one.
         """
-        own = engine.limiter.threads
+        own = engine.policy_state.limit.running_threads
         threads = request.request_class.threads
-        whole = rule.work_fraction * _MAX_THREADS_PER_CORE * engine.limiter.cores
+        whole = rule.work_fraction * _MAX_THREADS_PER_CORE * engine.policy_state.limit.cores
         if own + threads <= whole / config.gateway_count:
             return True
         # A thread each for 230 gateways would be many times what a limited engine is to have.
--- a/cresstray/gateway/composition.py
+++ b/cresstray/gateway/composition.py
@@ -28,6 +28,7 @@
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.transport.streams import log_fault
 
 if TYPE_CHECKING:
@@ -135,7 +136,7 @@
         self.dispatcher = Dispatcher(self.clock, self.timers, self.counters, self.responses)
         self.router = Router(self._make_pool, self.dispatcher)
         port = SocketPort(self.router, self.dispatcher, self.accounting, self.timers, self.counters, self.log)
-        self.controller = PolicyController(port, settings, self._seed, self.clock.now())
+        self.controller = PolicyController(port, parse_settings(settings), self._seed, self.clock.now())
         self.admission = Admission(self.accounting)
         self.responses.controller = self.controller
         self.admission.controller = self.controller
--- a/cresstray/membership/guard.py
+++ b/cresstray/membership/guard.py
@@ -5,7 +5,8 @@
 from typing import Protocol
 
 from cresstray.policy.controller import PolicyController
-from cresstray.policy.types import ChainedRules, Engine, Request
+from cresstray.policy.ports import ChainedRules
+from cresstray.policy.types import Engine, Request
 
 
 class UnprovenEndpoints(Protocol):
--- a/cresstray/membership/learned_state.py
+++ b/cresstray/membership/learned_state.py
@@ -15,7 +15,8 @@
 )
 from cresstray.membership.estimate_states import EndpointEstimate
 from cresstray.membership.snapshot import LatencyEntry, LimitEntry
-from cresstray.policy.controller import Limiter, PolicyController
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.engine_state import EngineState
 from cresstray.policy.types import Engine
 
 # A request class with fewer known answers weighs its whole latency objective on an engine that warms up. With
@@ -23,7 +24,7 @@
 # Latencies of an old snapshot count as no more than this, so the first answers correct them.
 _MIN_SAMPLE_COUNT = 5
 _MAX_SAMPLE_COUNT = 200
-# A limiter with fewer samples has learned nothing worth storing.
+# A limit with fewer samples has learned nothing worth storing.
 _MIN_LIMIT_SAMPLES = 10
 # The bounds that the concurrency limit itself keeps to, as factors of what it starts with.
 _MIN_LIMIT_RATIO = 0.1
@@ -57,18 +58,18 @@
 
 
 def collect_limits(
-    engines: Mapping[int, tuple[Engine, Limiter]], estimates: Mapping[int, EndpointEstimate]
+    engines: Mapping[int, tuple[Engine, EngineState]], estimates: Mapping[int, EndpointEstimate]
 ) -> list[LearnedLimit]:
     """Returns the limits of all engines that have learned any, by endpoint id."""
     return [
         LearnedLimit(
             endpoint_id,
             estimates[endpoint_id].endpoint.started_us,
-            limiter.limit / limiter.start,
-            limiter.pace,
+            state.limit.value / state.limit.initial,
+            state.limit.slowdown,
         )
-        for endpoint_id, (_, limiter) in engines.items()
-        if limiter.seen >= _MIN_LIMIT_SAMPLES and endpoint_id in estimates
+        for endpoint_id, (_, state) in engines.items()
+        if state.limit.sample_count >= _MIN_LIMIT_SAMPLES and endpoint_id in estimates
     ]
 
 
@@ -97,51 +98,35 @@
     return restored
 
 
-def restore_limit(limiter: Limiter, entry: LimitEntry, started_us: int | None, age_us: int) -> bool:
-    """Restores a limit into a limiter that has no samples; returns whether it did.
+def restore_limit(state: EngineState, entry: LimitEntry, started_us: int | None, age_us: int) -> bool:
+    """Restores a limit into a state without samples; returns whether it did.
 
     Args:
-        limiter: The limiter of the endpoint.
+        state: What the policy knows of the engine.
         entry: What an earlier process learned.
         started_us: The start of the endpoint as discovery names it; None where it has not been named.
         age_us: The age of the entry in microseconds.
     """
     # What was learned before an engine restarted says nothing of it now.
     has_restarted = started_us is not None and started_us != entry.started_us
-    if limiter.seen or has_restarted:
+    if state.limit.sample_count or has_restarted:
         return False
     ratio = decayed_ratio(entry.ratio, age_us, LIMIT_HALF_LIFE_US)
     if started_us is None:
         # It may have restarted: then only a lower limit is safe to restore.
         ratio = min(1.0, ratio)
-    limiter.limit = min(max(ratio, _MIN_LIMIT_RATIO), _MAX_LIMIT_RATIO) * limiter.start
-    limiter.pace = decayed(entry.slowdown, 1.0, age_us, SLOWDOWN_HALF_LIFE_US)
+    state.limit.value = min(max(ratio, _MIN_LIMIT_RATIO), _MAX_LIMIT_RATIO) * state.limit.initial
+    state.limit.slowdown = decayed(entry.slowdown, 1.0, age_us, SLOWDOWN_HALF_LIFE_US)
     return True
 
 
-def copy_learned_state(old: Limiter, new: Limiter) -> None:
-    """Copies what was learned to the limiter that replaces `old`, of an engine that has not restarted."""
-    new.limit = old.limit / old.start * new.start
-    new.pace = old.pace
-    new.seen = old.seen
-    new.average = old.average
-    new.best = old.best
-    new.heard = old.heard
-    new.lost = old.lost
-    new.fails = old.fails
-    new.answers = old.answers
-    new.doubted = old.doubted
-    new.mute = old.mute
-    new.trial_at = old.trial_at
-    new.streak = old.streak
-    new.signs = old.signs
-    new.idle = old.idle
-    new.full_until = old.full_until
-    new.blocked = old.blocked
-
-
-def delay_first_turn(limiter: Limiter, chance: Callable[[], float], now_us: int) -> None:
+def copy_learned_state(old: EngineState, new: EngineState) -> None:
+    """Copies what was learned to the state that replaces `old`, of an engine that has not restarted."""
+    new.take_over(old)
+
+
+def delay_first_turn(state: EngineState, chance: Callable[[], float], now_us: int) -> None:
     """Draws the first turn of an unproven endpoint over twice the time of one that only warms up."""
-    if limiter.cold > now_us:
-        delay_us = int((limiter.cold - now_us) / _UNPROVEN_SHARE * (0.5 + 0.5 * chance()))
-        limiter.cold = now_us + delay_us
+    if state.slow_start.next_send_us > now_us:
+        delay_us = int((state.slow_start.next_send_us - now_us) / _UNPROVEN_SHARE * (0.5 + 0.5 * chance()))
+        state.slow_start.next_send_us = now_us + delay_us
--- a/cresstray/membership/listed_engines.py
+++ b/cresstray/membership/listed_engines.py
@@ -8,7 +8,7 @@
 from cresstray.membership import learned_state
 from cresstray.membership.confidence import UNKNOWN_AGE_US
 from cresstray.membership.snapshot import LimitEntry
-from cresstray.policy.controller import Limiter
+from cresstray.policy.engine_state import EngineState
 from cresstray.policy.types import Engine
 
 
@@ -16,11 +16,11 @@
     """Restores learned limits as endpoints are listed.
 
     Attributes:
-        by_id: The engine and the limiter of each listed endpoint.
+        by_id: The engine and its state in the policy of each listed endpoint.
     """
 
     def __init__(self, chance: Callable[[], float], now_us: int) -> None:
-        self.by_id: dict[int, tuple[Engine, Limiter]] = {}
+        self.by_id: dict[int, tuple[Engine, EngineState]] = {}
         self._chance = chance
         self._started_us = now_us
         self._id_by_engine: dict[Engine, int] = {}
@@ -52,14 +52,14 @@
         """Restores what was learned of the endpoints of an event that the controller has applied."""
         for endpoint in event.endpoints:
             engine = engines.get(endpoint.id)
-            if engine is None or engine.limiter is None:
+            if engine is None or engine.policy_state is None:
                 continue
             known = self.by_id.get(endpoint.id)
             is_known = known is not None and known[0] is engine
-            if known is None or not is_known or known[1] is not engine.limiter:
+            if known is None or not is_known or known[1] is not engine.policy_state:
                 former = known[1] if known is not None and is_known else None
                 self._restore(endpoint, engine, former, is_registered(endpoint.id), now_us)
-            self.by_id[endpoint.id] = (engine, engine.limiter)
+            self.by_id[endpoint.id] = (engine, engine.policy_state)
             self._id_by_engine[engine] = endpoint.id
         if len(self.by_id) > len(engines):
             self.by_id = {number: listed for number, listed in self.by_id.items() if number in engines}
@@ -69,17 +69,17 @@
         self,
         endpoint: Endpoint,
         engine: Engine,
-        former: Limiter | None,
+        former: EngineState | None,
         is_registered: bool,
         now_us: int,
     ) -> None:
         if former is not None and endpoint.id in self._same_start:
-            learned_state.copy_learned_state(former, engine.limiter)
+            learned_state.copy_learned_state(former, engine.policy_state)
             return
         entry = self._limits.get(endpoint.id)
         if entry is not None:
             age_us = min(UNKNOWN_AGE_US, self._limits_age_us + max(0, now_us - self._started_us))
             started_us = endpoint.started_us if is_registered else None
-            learned_state.restore_limit(engine.limiter, entry, started_us, age_us)
+            learned_state.restore_limit(engine.policy_state, entry, started_us, age_us)
         if not is_registered:
-            learned_state.delay_first_turn(engine.limiter, self._chance, now_us)
+            learned_state.delay_first_turn(engine.policy_state, self._chance, now_us)
--- a/cresstray/membership/settings.py
+++ b/cresstray/membership/settings.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
 
-from cresstray.policy.controller import micros
+from cresstray.policy.settings import to_microseconds
 
 _DEFAULT_CONNECT_TIMEOUT_MS = 250
 _DEFAULT_DRAIN_GRACE_MS = 10_000
@@ -39,7 +39,7 @@
         request_class_names=[service.get("Name", "") for service in settings.get("Services", [])],
         zones=settings.get("Localities", []),
         instance_types=settings.get("Flavors", []),
-        probe_timeout_us=micros(limits.get("ConnectTimeout", _DEFAULT_CONNECT_TIMEOUT_MS)),
-        drain_grace_us=micros(safety.get("DrainGrace", _DEFAULT_DRAIN_GRACE_MS)),
-        max_retry_after_us=micros(limits.get("MaxRetryAfter", 0)),
+        probe_timeout_us=to_microseconds(limits.get("ConnectTimeout", _DEFAULT_CONNECT_TIMEOUT_MS)),
+        drain_grace_us=to_microseconds(safety.get("DrainGrace", _DEFAULT_DRAIN_GRACE_MS)),
+        max_retry_after_us=to_microseconds(limits.get("MaxRetryAfter", 0)),
     )
--- a/cresstray/model_checking/membership_process.py
+++ b/cresstray/model_checking/membership_process.py
@@ -22,6 +22,7 @@
 )
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import Attempt, EndpointState, Outcome, Request
 
 START_US = 1_000_000_000_000
@@ -99,7 +100,7 @@
         self.counters = Uncounted()
         # Stand-ins have what the real ones are called by.
         self.route = Router(cast(Any, Pool), cast(Any, self))
-        self.gateway = PolicyController(cast(Any, self), shared_settings(""), 0, now)
+        self.gateway = PolicyController(cast(Any, self), parse_settings(shared_settings("")), 0, now)
         self.gateway.random = fixed
         self.membership = Membership(
             cast(Any, self.disk),
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -6,7 +6,7 @@
 
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.request_context import IdempotencyHooks, RequestContext, SiteResponder
-from cresstray.policy import controller as policy
+from cresstray.policy import deadlines
 from cresstray.policy.types import Outcome, Request
 
 
@@ -35,7 +35,7 @@
     def limit_deadlines(self, shutdown_deadline_us: int) -> None:
         """Brings forward the deadline of each open request to the end of the process."""
         for request in self.open:
-            policy.limit_deadline(request, shutdown_deadline_us)
+            deadlines.limit_deadline(request, shutdown_deadline_us)
 
     def succeed(self, request: Request, result: bytes) -> None:
         """Answers with the result, unless the request was answered before."""
--- a/cresstray/pipeline/dispatch.py
+++ b/cresstray/pipeline/dispatch.py
@@ -16,8 +16,8 @@
     SiteResponder,
 )
 from cresstray.pipeline.response import ResponseHandler
-from cresstray.policy.controller import DEDUP_MARGIN_US, NOT_EXECUTED
-from cresstray.policy.types import Attempt, Outcome
+from cresstray.policy.retry_policy import DEDUP_MARGIN_US
+from cresstray.policy.types import NOT_EXECUTED, Attempt, Outcome
 
 
 class Dispatcher:
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -28,7 +28,8 @@
 from cresstray.pipeline.accounting import RequestAccounting
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.policy.controller import PolicyController
-from cresstray.policy.types import Attempt, ChainedRules, Engine, Outcome, Request
+from cresstray.policy.ports import ChainedRules
+from cresstray.policy.types import Attempt, Engine, Outcome, Request
 
 # How often records are looked at while outcomes wait to be written, and while none does.
 _BUSY_INTERVAL_US = 20_000
--- a/cresstray/pipeline/policy_port.py
+++ b/cresstray/pipeline/policy_port.py
@@ -10,7 +10,8 @@
 from cresstray.pipeline.accounting import RequestAccounting
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.routing import Router
-from cresstray.policy.types import Attempt, Engine, PolicyPort, Request
+from cresstray.policy.ports import PolicyPort
+from cresstray.policy.types import Attempt, Engine, Request
 
 
 class SocketPort(PolicyPort):
--- a/cresstray/pipeline/replica_reads.py
+++ b/cresstray/pipeline/replica_reads.py
@@ -51,14 +51,14 @@
     def cores(self, name: str) -> float:
         """Returns the engine's cores; 0 for one that is not listed."""
         engine = self.engines.get(name)
-        if engine is None or engine.limiter is None:
+        if engine is None or engine.policy_state is None:
             return 0.0
-        return float(engine.limiter.cores)
+        return float(engine.policy_state.limit.cores)
 
     def is_full(self, name: str, request: Request, now: int) -> bool:
         """Whether the engine's limit has no permit for the request now; True for one not listed."""
         engine = self.engines.get(name)
-        return engine is None or engine.limiter is None or not engine.limiter.permits(request, now)
+        return engine is None or engine.policy_state is None or not engine.policy_state.permits(request, now)
 
 
 class ReplicaReads:
--- a/cresstray/policy/controller.py
+++ b/cresstray/policy/controller.py
@@ -1,910 +1,436 @@
-"""All decisions of one gateway; its types and the port it speaks through are in interface.py.
+"""The controller: takes the events of one gateway, and joins the parts of the policy that decide on them.
 
-An adapter makes one Gateway, hands it each event as a call with the clock in whole microseconds, and does
-what it asks of its Port. A submission goes down the chain accept > take turns > hold > choose > send; what
-comes back goes up it, came_back > learn > relay again or end > give up its turn > release.
+An adapter makes one `PolicyController`, hands it each event as a call with the time in whole microseconds,
+and carries out what it asks of its `PolicyPort`. A request is scheduled, waits for its turn and for a permit,
+is sent to an engine, and is retried or finished as its attempt ends. Each request gets one final answer.
 """
 
 from __future__ import annotations
 
 import random
-from bisect import insort
-from collections import deque
 from collections.abc import Iterable, Mapping
-from typing import Any
 
-from cresstray.policy.sliding_window import SlidingWindow
+from cresstray.policy.admission_queue import AdmissionQueue
+from cresstray.policy.deadlines import (
+    ATTEMPT_MARGIN_US,
+    DEADLINE_MARGIN_US,
+    SWEEP_INTERVAL_US,
+    WINDOW_US,
+)
+from cresstray.policy.engine_registry import EngineRegistry
+from cresstray.policy.health_checks import HealthCheckSchedule
+from cresstray.policy.latency_estimate import WorkloadAverages
+from cresstray.policy.load_balancing import LoadBalancer
+from cresstray.policy.load_signals import FleetSignals
+from cresstray.policy.outcome_recorder import OutcomeRecorder
+from cresstray.policy.outlier_detection import OutlierDetector, is_overdue
+from cresstray.policy.ports import AdmissionRules, PolicyPort
+from cresstray.policy.progress import ProgressVerdict, judge_progress
+from cresstray.policy.resource_grants import grant_resources
+from cresstray.policy.retry_policy import RetryPolicy
+from cresstray.policy.settings import MissingSettingError, PolicySettings
+from cresstray.policy.site_forwarding import SiteForwarding, SpareCapacity, spare_capacity
+from cresstray.policy.slow_start import SlowStartPolicy
 from cresstray.policy.types import (
-    AdmissionRules,
+    POSSIBLY_RUNNING,
     Attempt,
+    EndpointDescription,
     EndpointState,
     Engine,
     Outcome,
-    PolicyPort,
     ProgressKind,
     Request,
-    RequestClass,
 )
 
-# Endings that prove a relay never ran; after any other it may have run.
-NOT_EXECUTED = {Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.EXPIRED_BEFORE_SEND}
-# Endings after which a relay may still be running.
-POSSIBLY_RUNNING = {Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.PROTOCOL_ERROR, Outcome.CANCELLED}
-# Length of a sample window: the design's.
-WINDOW_US = 1_000_000
-# The sweep over what is held and out: a tenth of a window is fine enough for limits of whole seconds.
-SWEEP_INTERVAL_US = 100_000
-# Danger: on a late loop what ends at its hard stop is lost; it ends 100 ms sooner, held work a sweep more.
-DEADLINE_MARGIN_US = SWEEP_INTERVAL_US + 100_000
-
-# Danger: a repeat must reach its engine within the memory of the first; it leaves this long before its end.
-DEDUP_MARGIN_US = 50_000
-
-# Danger: together the gateways may push a cold engine over. Its capacity is taken as what it starts with
-# until it must be warm, at 0.85 busy and 0.9 of nominal speed, and 0.7 of the budget is used.
-COLD_PART = 0.85 * 0.9 * 0.7
-STARVED_RANK = -1e6  # in the held line: before any payoff for work in microseconds
-
-
-def micros(milliseconds: float) -> int:
-    return int(milliseconds * 1000)
-
-
-def limit_deadline(request: Request, hard_stop: int) -> None:
-    """It is to be answered by then, as the gateway ends."""
-    request.deadline_us = min(request.deadline_us, hard_stop)
-    # Danger: held up to the very end, it would be sent as others are given up, with no time left to run.
-    request.latest_dispatch_us = min(request.latest_dispatch_us, request.deadline_us - DEADLINE_MARGIN_US)
-
-
-class LatencyEstimate:
-    """What a tariff's answers usually take, learnt from this gateway's own fulfilled relays."""
-
-    def __init__(self, request_class: RequestClass) -> None:
-        self.threads, self.sample_count = request_class.threads, 0
-        # Before the first answers: a quarter of the soft limit, since limits are set to be met with room.
-        self.mean_us = request_class.latency_objective_us / 4.0
-        self.mean_work_us, self.work_factor = 0.0, 1.0  # mean time by estimate, and latency against that
-        self.dispatched, self.never_dispatched = (
-            SlidingWindow(5 * WINDOW_US, 10),
-            SlidingWindow(5 * WINDOW_US, 10),
-        )  # first relays, or ended without
-
-    def expected_us(self, request: Request) -> int:
-        return max(1000, int(request.estimated_work_us / self.threads * self.work_factor or self.mean_us))
-
-    def learn(self, request: Request, latency: int) -> None:
-        # A mean over the last 200 or so: long enough for widely spread work, short enough to follow a day.
-        self.sample_count += 1
-        weight = 1.0 / min(self.sample_count, 200)
-        self.mean_us += weight * (latency - self.mean_us)
-        self.mean_work_us += weight * (request.estimated_work_us / self.threads - self.mean_work_us)
-        self.work_factor = self.mean_us / max(1.0, self.mean_work_us)
-
-
-class LoadSignals:
-    """What reports tell and when: the threads of others a core, and memory against what binds."""
-
-    def __init__(self) -> None:
-        self.other_threads_per_core, self.resource_pressure, self.updated_us = 0.0, 0.0, 0
-        self.running_threads, self.total_limit = (
-            0,
-            0.0,
-        )  # of the fleet: ours that run on all engines, and all limits
-
-    def update(self, weight: float, others: float, strain: float, now: int) -> None:
-        self.other_threads_per_core += weight * (others - self.other_threads_per_core)
-        self.resource_pressure += weight * (strain - self.resource_pressure)
-        self.updated_us = now
-
-
-class Limiter:
-    """The thread limit on this gateway's running work on one engine, moved by the Gradient law."""
-
-    def __init__(self, cores: float, gateways: int, fleet: LoadSignals) -> None:
-        self.cores, self.fleet, self.signs = (
-            cores,
-            fleet,
-            LoadSignals(),
-        )  # signs of all engines, and of this one
-        self.start = self.limit = cores / gateways  # a thread a core, shared by the gateways
-        self.draw = 1.0  # the chance draw for work wider than the free limit, once a window
-        self.out: dict[Attempt, None] = {}
-        self.threads = 0
-        self.total, self.count, self.failed = 0.0, 0, False  # the open window
-        self.seen, self.average, self.best, self.pace = 0, 0.0, 0.0, 1.0
-        self.full_until, self.idle = 0, False  # idle: its cores have room, as it last told
-        self.heard, self.lost = 0, 0  # when it last answered anything; relays and probes lost since
-        self.fails, self.answers = SlidingWindow(5 * WINDOW_US, 10), SlidingWindow(5 * WINDOW_US, 10)
-        self.doubted, self.mute = False, False  # mute: in doubt for silence, not for errors
-        self.trial_at, self.streak = 0, 0  # the next trial; answers in a row, below none failed trials
-        self.cold = 0  # while it is cold: when this gateway may send to it again
-        self.blocked: dict[int, int] = {}  # data sets that a load was seen to hold, and until when to mind it
-
-    def hear(self, now: int) -> None:
-        self.heard, self.lost = now, 0
-
-    def sample(self, ratio: float) -> None:
-        self.seen, self.count, self.total = self.seen + 1, self.count + 1, self.total + ratio
-        # Over the last 20 samples or so: a thin window's mean says too little to choose by.
-        self.pace += 0.05 * (ratio - self.pace)
-
-    def close_window(self) -> None:
-        """The Gradient law, once a closed window; the first window with an average only holds."""
-        count, mean, failed = self.count, self.total / max(1, self.count), self.failed
-        self.count, self.total, self.failed = 0, 0.0, False
-        # Ten samples of warmup, and below smoothing, tolerance and ratio: the source's defaults.
-        if self.seen < 10 or not (count or failed):
-            return
-        first, gradient = not self.average, 0.0
-        if count:
-            self.average = mean if first else 0.2 * mean + 0.8 * self.average
-            self.best = self.average if first else min(self.best * 1.01, self.average)
-            gradient = (mean - self.average) / self.average
-        if failed:
-            self.limit *= 0.5
-        elif not first:
-            step = 2 if gradient < -0.1 else 1
-            self.limit = self.limit + step if gradient <= 0.1 else self.limit * max(1 - gradient * 0.5, 0.5)
-        # Floor and cap as the design gives them, the cap below twice the start.
-        self.limit = min(max(self.limit, 0.1 * self.start), 1.99 * self.start)
-
-    def load(self, more: int, now: int) -> float:
-        return ((self.threads + more) / self.cores + self.by_now(now)[0]) * self.pace
-
-    def by_now(self, now: int) -> tuple[float, float, float]:
-        # Danger: no relays, no reports; an engine seen busy would be shunned for good, one seen idle flooded.
-        # What is known of it goes over into what is known of the fleet, by half in two seconds.
-        fleet, own = self.fleet, self.signs
-        kept = 0.5 ** ((now - own.updated_us) / WINDOW_US / 2)
-        others = (
-            fleet.other_threads_per_core + (own.other_threads_per_core - fleet.other_threads_per_core) * kept
-        )
-        strain = fleet.resource_pressure + (own.resource_pressure - fleet.resource_pressure) * kept
-        return others, strain, kept
-
-    def pressed(self, now: int) -> bool:
-        """Whether the limit binds: lately full, or busy by its reports, or without them slow for once."""
-        if now < self.full_until:
-            return True
-        if self.fleet.updated_us:
-            # Three threads for two cores if they are busy or nothing tells of late, up to two a core if not,
-            # as some wait for disks. Half of those not known are busier than the mean: a quarter sooner.
-            others, strain, kept = self.by_now(now)
-            busy = self.threads / self.cores + others >= 1.5 + 0.5 * kept * self.idle
-            return busy or strain >= 0.75 + 0.25 * kept
-        return self.average > 1.5 * self.best > 0
-
-    def spare(self, now: int, most: float) -> float:
-        """Threads that another hall's work may take, up to so many a core with all that runs there."""
-        others, strain, _ = self.by_now(now)
-        busy = self.doubted or self.cold or now < self.full_until or strain >= 0.75
-        return 0.0 if busy else (most - others) * self.cores - self.threads
-
-    def permits(self, request: Request, now: int) -> bool:
-        threads = request.request_class.threads
-        if self.threads + threads <= self.limit or not self.pressed(now):
-            return True
-        # Danger: limits of a part of a thread let one of ours onto each engine. As answers slow down, all
-        # gateways are many times over; what runs stays under three times all limits, as some see several
-        # times the mean, or one over it, as narrow work would never leave room for wide.
-        if self.fleet.running_threads >= max(1.0, 3 * self.fleet.total_limit):
-            return False
-        # Danger: a draw a window keeps short work far under the limit; the chance is for the time it takes.
-        # As answers slow down it would shut out long work: a window at most for what was passed over.
-        lasts = min(
-            request.expected_latency_us / WINDOW_US, 1.0 if request.queue_rank < STARVED_RANK / 2 else 1e9
-        )
-        return self.threads == 0 and self.draw * threads * lasts < self.limit
+SWEEPS_PER_WINDOW = WINDOW_US // SWEEP_INTERVAL_US
+MIN_TIMEOUT_US = 1000
+# The value of a progress update by which a request stands still, as a load has locked its data set.
+DATA_SET_LOCKED = 2
+# Below so many answers, what a class usually takes is not known well enough to call an attempt slow.
+MIN_KNOWN_ANSWERS = 10
+# Rounds a gap up to a whole millisecond.
+ROUNDING_US = 1000
+# Enum members are looked up slowly, and this one for each engine that is drawn.
+_READY = EndpointState.READY
 
 
 class PolicyController:
-    def __init__(self, port: PolicyPort, settings: Mapping[str, Any], seed: int, now: int) -> None:
+    """All decisions of one gateway on engines, queueing, retries and load shedding."""
+
+    def __init__(self, port: PolicyPort, settings: PolicySettings, seed: int, now: int) -> None:
         self.port = port
-        self.settings, self.zone = settings, settings.get("Zone")
+        self.settings = settings
         self.random = random.Random(seed).random
-        parts = ("FamilyInfo", "Safety", "Limits")
-        self.family, self.rules, self.limits = (settings.get(part, {}) for part in parts)
-        self.fall = micros(self.rules.get("Fall", 1000))
-        self.admission_rules: AdmissionRules | None = None  # what the fleet has agreed on, where it does
-        self.gateway_count = max(1, settings.get("Balancers", 1))
-        self.request_classes = [
-            self._tariff(n, given) for n, given in enumerate(settings.get("Services", []))
-        ]
-        self.engines: dict[Engine, None] = {}
-        self.ready_engines: list[Engine] = []
-        self.queue: list[Request] = []  # first relays, by rank
-        self.retry_queue: list[Request] = []  # further relays, in a line of their own behind them
-        self.queues: dict[int, deque[Request]] = {}
-        self.key_free: dict[int, int] = {}
-        # Danger: a further relay that crosses halls is sent later than it is counted here, by so much at
-        # most.
-        budget, ahead = micros(self.rules.get("BudgetWindow", 0)), micros(settings.get("CrossingAhead", 0))
-        self.accepted = SlidingWindow(max(0, budget - ahead), 20)  # rounding costs a twentieth
-        self.relayed_again = SlidingWindow(budget + ahead, 20)
-        self.remote_sites: list[
-            Engine
-        ] = []  # gateways of other halls, each as one engine that is never drawn
-        self.payoff = self.work = self.time = self.pace = 1.0  # means; pace: latency against expected time
-        self.swept, self.fleet, self.doubt_counts = 0, LoadSignals(), True
-        self.idlest: list[Engine] = []  # the one of late, or none
-        self.probes, self.trials, self.probed_last = 0.0, 0.0, 0  # probes and trials that may be spent
-        if settings.get("MembershipMode") == "ask":
+        self.admission_rules: AdmissionRules | None = None  # of the fleet's configuration, if there is any
+        self.gateway_count = settings.gateway_count
+        self.request_classes = settings.request_classes
+        self.fleet = FleetSignals()
+        self.averages = WorkloadAverages()
+        self.outliers = OutlierDetector()
+        self.slow_start = SlowStartPolicy(
+            settings.slow_start, settings.request_classes, settings.gateway_count
+        )
+        self.engine_registry = EngineRegistry(settings, self.fleet, self.slow_start)
+        self.retry_policy = RetryPolicy(settings.retry)
+        self.admission_queue = AdmissionQueue(settings.request_classes)
+        self.load_balancer = LoadBalancer(
+            settings.zone, self.outliers, self.slow_start, settings.request_classes
+        )
+        self.recorder = OutcomeRecorder(self.averages, self.load_balancer, self._log_event)
+        self.site_forwarding = SiteForwarding(self.fleet)
+        self.health_checks = HealthCheckSchedule()
+        self._sweep_count = 0
+        if settings.must_subscribe:
             port.subscribe_to_endpoints()
         port.call_later(SWEEP_INTERVAL_US, self._sweep)
 
-    def _tariff(self, index: int, given: Mapping[str, Any]) -> RequestClass:
-        threads = self.family.get("Dop", [])
-        zones, machines = given.get("StaysIn"), given.get("FlavorsOpen")
-        loads, waits = self.family.get("Loads", []), self.family.get("WaitsForLoads", [])
-        request_class = RequestClass(
-            index,
-            threads[index] if index < len(threads) else 1,
-            micros(given.get("GoalTime", 1000)),
-            given.get("AimStretch", 0.0),
-            given.get("Worth", 1.0),
-            given.get("LateValue", 0.0),
-            given.get("Effect") == "idempotent",
-            given.get("Effect") == "deduplicated",
-            given.get("Group", "all"),
-            micros(given.get("KeyTtl", 0)),
-            bool(given.get("ByArrival")),
-            None if zones is None else frozenset(zones),
-            None if machines is None else frozenset(machines),
-        )
-        request_class.locks_data_set = index < len(loads) and loads[index]
-        request_class.waits_for_data_set = request_class.locks_data_set or index < len(waits) and waits[index]
-        request_class.latency = LatencyEstimate(request_class)
-        return request_class
+    def _log_event(self, text: str) -> None:
+        self.port.log_event(text)
 
-    # Accept: from here on the submission is owed one final answer.
+    @property
+    def engines(self) -> dict[Engine, None]:
+        """The listed engines, and removed ones until their attempts have ended."""
+        return self.engine_registry.engines
 
-    def accept(self, request: Request, now: int) -> None:
-        request_class, arrived = request.request_class, request.arrived_us
-        request.expected_latency_us = request_class.latency.expected_us(request)
-        request.objective_deadline_us = arrived + int(
-            request_class.latency_objective_us + request_class.objective_stretch * request.expected_latency_us
-        )
-        # Held until it can no longer be answered within its soft limit, a tenth of its time at the least.
-        tenth = now + (request.deadline_us - now) // 10
-        in_time = request.objective_deadline_us - 3 * request.expected_latency_us // 2
-        request.latest_dispatch_us = min(request.deadline_us - DEADLINE_MARGIN_US, max(tenth, in_time))
-        density = request_class.value / (request.expected_latency_us * request_class.threads)
-        request.queue_rank = STARVED_RANK * self._passed_over(request_class, now) - density
-        if request.is_forwarded_in:
-            # It counts, and earns further relays, where it was accepted; here it gives way to our own.
-            request.latest_dispatch_us = min(
-                request.latest_dispatch_us, now + (0 if self.queue else request.max_queue_us)
-            )
-        else:
-            self.accepted.add(arrived)
-            # Danger: many gateways' probes at a fixed rate cost more than they tell. One for two of these.
-            self.probes = min(self.probes + 0.5, 1 + len(self.ready_engines) / 5)
-            # Danger: many gateways' trials alone are as much as a fair share of work. One for ten of these.
-            self.trials = min(self.trials + 0.1, 2.0)
-        if request_class.is_ordered and request.ordering_key:
-            self.queues.setdefault(request.ordering_key, deque()).append(request)
-        self._offer(request, now)
-
-    def _passed_over(self, request_class: RequestClass, now: int) -> bool:
-        # Danger: while the line is never empty, what pays least for its work would never run. A tariff of
-        # which less than half as much gets its relay as of all goes before the others.
-        usual = [
-            (one.latency.dispatched.upper_bound(now), one.latency.never_dispatched.upper_bound(now))
-            for one in self.request_classes
-        ]
-        sent, unsent = map(sum, zip(*usual))
-        own, lost = usual[request_class.index]
-        return lost >= 2 and 2 * own * (sent + unsent) < sent * (own + lost)
+    @property
+    def ready_engines(self) -> list[Engine]:
+        """The engines that may get requests."""
+        return self.load_balancer.ready_engines
 
-    # Turns: submissions of one key run one after another, in the order they were accepted.
+    # Requests: admission, queueing and dispatch.
 
-    def _is_turn(self, request: Request, now: int) -> bool:
-        if not (request.request_class.is_ordered and request.ordering_key):
-            return True
-        rested = bool(request.attempts) or now >= self.key_free.get(request.ordering_key, 0)
-        return rested and self.queues[request.ordering_key][0] is request
-
-    def _give_up_turn(self, request: Request) -> None:
-        # Danger: an ended submission whose relay is still out keeps its turn, or two of a key would run.
-        queue = self.queues.get(request.ordering_key) if request.request_class.is_ordered else None
-        if queue and request.is_finished and not request.current_attempt and request in queue:
-            queue.remove(request)
-            if not queue:
-                del self.queues[request.ordering_key]
-
-    # Hold: first relays by payoff for their expected work, further relays in their own line behind them.
-
-    def _offer(self, request: Request, now: int) -> None:
-        # Danger: in overload each arrival would try the whole fleet; behind its own tariff it waits.
-        request_class, last = request.request_class, request.is_forwarded_in or bool(request.attempts)
-        alike = (
-            None
-            if request_class.locks_data_set or request_class.is_ordered
-            else request.replica_read or request_class
-        )
-        behind = (
-            self.queue
-            if last
-            else any((held.replica_read or held.request_class) is alike for held in self.queue)
-        )
-        # Danger: what has no time beyond the margin would only be sent to be given up, on links made for it.
-        barred = self.admission_rules and not self.admission_rules.admits(request, now)
-        in_time = now < request.deadline_us - (DEADLINE_MARGIN_US - SWEEP_INTERVAL_US)
-        goes = in_time and not (behind or barred) and self._is_turn(request, now)
-        if goes and self._send(request, now):
-            return
-        if barred or now >= request.latest_dispatch_us:
-            self._end(request, now)
+    def accept(self, request: Request, now: int) -> None:
+        """Takes a request, which gets exactly one final answer from here on."""
+        self.admission_queue.schedule(request, now)
+        if not request.is_forwarded_in:
+            # One from another site counts, and earns retries, where it was accepted.
+            self.retry_policy.on_accepted(request)
+            self.health_checks.on_accepted(len(self.load_balancer.ready_engines))
+            self.outliers.on_accepted()
+        self.admission_queue.turns.enqueue(request)
+        self._send_or_queue(request, now)
+
+    def _send_or_queue(self, request: Request, now: int) -> None:
+        queue = self.admission_queue
+        must_wait = queue.must_wait(request)
+        is_barred = self.admission_rules is not None and not self.admission_rules.admits(request, now)
+        # With no time beyond the margin it would be sent only to time out, on connections made for it.
+        has_time = now < request.deadline_us - ATTEMPT_MARGIN_US
+        if has_time and not must_wait and not is_barred and queue.turns.is_turn(request, now):
+            if self._try_send(request, now):
+                return
+        if is_barred or now >= request.latest_dispatch_us:
+            self._answer_unserved(request, now)
             return
-        request.is_queued = True
-        insort(self.retry_queue if last else self.queue, request, key=lambda one: one.queue_rank)
-
-    def _release(self, now: int, freed: Engine | None = None) -> None:
-        # Danger: the whole fleet tried for each answer is too slow; one frees a permit on its engine only.
-        # It tries the first of the line, some for each tariff; the others wait for the sweep.
-        for line in (self.queue, self.retry_queue):
-            stuck = set()
-            for request in line[:64] if freed else list(line):
-                # Danger: thousands held would be tried for each permit; one failure speaks for its like.
-                kind = request.replica_read or request.request_class
-                if kind in stuck or not self._is_turn(request, now):
-                    continue
-                if not self._send(request, now, freed):
-                    stuck.add(kind)
-
-    # Choose: of two random engines that may take it, the less loaded.
+        queue.push(request)
 
     def _choose(self, request: Request, now: int, freed: Engine | None = None) -> Engine | None:
-        idempotent, tried = (
-            request.request_class.is_idempotent,
-            {attempt.engine for attempt in request.attempts},
-        )
-        drawn, near, spare = [], [], None
-        # Danger: ranking a large fleet for each send is too slow; they are drawn until two and two are found.
-        pool, picks = [freed] if freed else self.ready_engines + self.idlest, 2 + len(self.idlest)
-        for left in range(len(pool), 0, -1):
-            at = left - 1 if left > len(self.ready_engines) else int(self.random() * left)
-            engine, pool[at] = pool[at], pool[left - 1]
-            limiter = engine.limiter
-            if len(drawn) == picks and engine.zone != self.zone:
-                continue
-            if not limiter.permits(request, now):
-                self._lapse(engine, now)
-                continue
-            full = request.is_forwarded_in and limiter.spare(now, 1.0) < request.request_class.threads
-            if full or not self._may_take(request, engine, now):
-                continue
-            # A doubted engine gets one relay at a time that may safely run again, now and then. Danger: while
-            # the others are full, one that fails has room, and fails all that could still wait for them. If
-            # it answers, it gets what has no other chance left, as part of that ends well.
-            doubted = limiter.doubted and self.doubt_counts
-            awaited = doubted and (now < limiter.trial_at or self.trials < 1)
-            if doubted and not idempotent or awaited and (limiter.mute or now < request.latest_dispatch_us):
-                continue
-            if awaited or engine in tried or self._stalls(request, engine, now):
-                spare = spare or engine
-                continue
-            found = (limiter.load(request.request_class.threads, now), left, engine)
-            if len(drawn) < picks:
-                drawn.append(found)
-            if engine.zone == self.zone:
-                near.append(found)
-                if len(near) == picks:
-                    break
-        if not (drawn or spare) or self._load_must_wait(request, now):
-            return None
-        # Crossing zones costs: engines of our own zone will do up to 0.6 threads a core more.
-        best = min(drawn, default=(0.0, 0, spare))
-        own = min(near, default=best)
-        return own[-1] if own[0] <= best[0] + 0.6 else best[-1]
-
-    def _cross(self, request: Request, near: Engine | None, freed: Engine | None, now: int) -> Engine | None:
-        """A far hall in place of the near engine, if any, where the way to it takes the submission."""
-        request_class, attempts = request.request_class, request.attempts
-        # Danger: halls that each believe the other idle would pass work back and forth: one crossing in a
-        # life. What must run in order, or on certain engines only, stays, as the far hall knows neither from
-        # here.
-        stays = request.was_forwarded or request.is_forwarded_in or freed and not freed.forwarding
-        if (
-            stays
-            or request_class.is_ordered
-            or request_class.allowed_zones is not None
-            or request_class.allowed_instance_types is not None
-        ):
-            return near
-        if attempts and not self._budget_left(request, now):
-            return near
-        load = near.limiter.load(request_class.threads, now) if near else None
-        for hall in self.remote_sites:
-            limiter = hall.limiter
-            permitted = limiter.threads + request_class.threads <= limiter.limit
-            permitted = permitted and self._may_take(request, hall, now)
-            believed = not limiter.doubted or now >= limiter.trial_at
-            if permitted and believed and hall.forwarding.accepts(request, load, now):
-                request.was_forwarded = True
-                return hall
-        return near
-
-    def on_site_updated(self, hall: Engine, cores: float, standing: EndpointState, now: int) -> None:
-        """A gateway of another hall, with what its hall has for us in cores; its limiter always binds."""
-        if hall.limiter is None:
-            hall.limiter = Limiter(max(1.0, cores), 1, self.fleet)
-            self.remote_sites.append(hall)
-        limiter, cores = hall.limiter, max(1.0, cores)
-        limiter.limit *= cores / limiter.cores
-        limiter.cores = limiter.start = cores
-        hall.state = standing
-        self._release(now)
-
-    def on_site_capacity(self, hall: Engine, now: int) -> None:
-        self._release(now, hall)
-
-    def spare_capacity(self, now: int) -> tuple[float, float, float]:
-        """What other halls may be told: our part of the threads to spare and of all cores, and our pace."""
-        # From a thread a core on, ours slows down; what is told is behind, and others are told the like.
-        spare = sum(max(0.0, engine.limiter.spare(now, 0.95)) for engine in self.ready_engines)
-        cores = sum(engine.limiter.cores for engine in self.ready_engines)
-        return 0.0 if self.queue else spare / self.gateway_count, cores / self.gateway_count, self.pace
+        return self.load_balancer.choose(request, now, self.random, self._may_send, freed)
 
-    def on_deadline_unreachable(self, attempt: Attempt, now: int) -> None:
-        """What is out can't be answered in time any more: the final answer goes at once."""
-        if attempt.outcome is None and not attempt.request.is_finished:
-            self.port.cancel_attempt(attempt)
-            self._end(attempt.request, now)
-
-    def _may_take(self, request: Request, engine: Engine, now: int) -> bool:
-        request_class = request.request_class
-        # Danger: an engine that drains still reports, and may be the idlest.
-        if engine.state is not EndpointState.READY:
+    def _may_send(self, request: Request, engine: Engine, now: int) -> bool:
+        """Returns whether an engine may get a request at all, whatever its load."""
+        # An engine that is draining still reports, and may be the least loaded.
+        if engine.state is not _READY:
             return False
-        elsewhere = request_class.allowed_zones is not None and engine.zone not in request_class.allowed_zones
-        if (
-            elsewhere
-            or request_class.allowed_instance_types is not None
-            and engine.instance_type not in request_class.allowed_instance_types
-        ):
+        request_class = request.request_class
+        if not request_class.allows_placement(engine):
             return False
         if self.admission_rules and not self.admission_rules.allows(request, engine, now):
             return False
-        for attempt in request.attempts:
-            if attempt.outcome not in NOT_EXECUTED and request_class.is_deduplicated:
-                # Danger: a repeat outside the group, or past its memory, would take effect twice.
-                same = {
-                    "zone": engine.zone == attempt.engine.zone,
-                    "cell": engine.cell == attempt.engine.cell,
-                }
-                over = now >= attempt.sent_us + request_class.dedup_window_us - DEDUP_MARGIN_US
-                if over or not same.get(request_class.dedup_scope, request_class.dedup_scope == "all"):
-                    return False
-        return self._cold_room(engine, request_class, now)
-
-    def _stalls(self, request: Request, engine: Engine, now: int) -> bool:
-        # Danger: beside a load of its data set it would stand still, and keep its memory and our permit.
-        data_set, limiter = request.data_set, engine.limiter
-        if not request.request_class.waits_for_data_set:
-            return False
-        ours = (attempt.request for attempt in limiter.out)
-        held = any(other.request_class.locks_data_set and other.data_set == data_set for other in ours)
-        return held or now < limiter.blocked.get(data_set, 0)
-
-    def _load_must_wait(self, request: Request, now: int) -> bool:
-        # Danger: loads of a hot data set, spread over all engines, leave nowhere to read it. A third of the
-        # engines may hold one, where other tariffs stand still for it.
-        if not request.request_class.locks_data_set or not any(
-            one.waits_for_data_set and not one.locks_data_set for one in self.request_classes
-        ):
+        if request.attempts and not self.retry_policy.may_repeat_on(request, engine, now):
             return False
-        return 3 * sum(self._stalls(request, one, now) for one in self.ready_engines) >= len(
-            self.ready_engines
-        )
-
-    def _cold_room(self, engine: Engine, request_class: RequestClass, now: int) -> bool:
-        if not engine.limiter.cold or now >= engine.started_us + micros(self.rules.get("WarmUp", 0)):
-            engine.limiter.cold = 0
+        if not engine.policy_state.slow_start.next_send_us:
             return True
-        # In turn, and nothing that alone is over our part of a window and a tenth of all gateways' part.
-        most = self._cold_ration(engine) * self.fall * max(1.0, self.gateway_count / 10)
-        return now >= engine.limiter.cold and self._cold_weight(request_class) <= most
-
-    def _cold_ration(self, engine: Engine) -> float:
-        most = self.rules.get("OverloadFactor", 1) * self.rules.get("ColdShare", 0.1)
-        return most * engine.limiter.cores * COLD_PART / self.gateway_count
+        return self.slow_start.has_capacity(engine, request_class, now)
 
-    def _cold_turn(self, engine: Engine) -> float:
-        """How long a gateway's share of a cold engine takes to earn its lightest work."""
-        return max(1.0, min(map(self._cold_weight, self.request_classes), default=1.0)) / self._cold_ration(
-            engine
-        )
-
-    def _lapse(self, engine: Engine, now: int) -> None:
-        # Danger: turns that wait while a cold engine counts as busy would be taken by all gateways at once
-        # when that ends. One that has waited for a window of the rule is drawn anew, where one call of each
-        # gateway is more than the budget and what the rule puts down to chance.
-        if not engine.limiter.cold or now <= engine.limiter.cold + self.fall:
-            return
-        turn = self._cold_turn(engine)
-        calls = self.gateway_count * self.fall / (turn * COLD_PART)
-        if self.gateway_count > calls + 2 * calls**0.5 + 2:
-            engine.limiter.cold = now + 1 + int(turn * self.random())
-
-    def _cold_weight(self, request_class: RequestClass) -> float:
-        # Unlearnt, a tariff weighs as heavily as its soft limit lets it: silence is no proof of light work.
-        return request_class.threads * (
-            request_class.latency.mean_us
-            if request_class.latency.sample_count >= 5
-            else request_class.latency_objective_us
-        )
-
-    def _send(self, request: Request, now: int, freed: Engine | None = None) -> bool:
-        again = bool(request.attempts)
-        if self.admission_rules and not self._counted(now):
+    def _try_send(self, request: Request, now: int, freed: Engine | None = None) -> bool:
+        """Sends a request, on the freed engine alone if there is one; returns whether it was sent."""
+        is_retry = bool(request.attempts)
+        if self.admission_rules and not self._update_gateway_count(now):
             return False
-        far_only = freed is not None and freed.forwarding is not None
-        stays = far_only or again and not self._budget_left(request, now)
-        engine = None if stays else self._choose(request, now, freed)
-        if self.remote_sites:
-            engine = self._cross(request, engine, freed, now)
+        is_site_only = freed is not None and freed.forwarding is not None
+        is_local_barred = is_site_only or is_retry and not self._has_retry_budget(request, now)
+        engine = None if is_local_barred else self._choose(request, now, freed)
+        if self.site_forwarding.sites:
+            engine = self._forward_or_keep(request, engine, freed, now)
         if engine is None:
             return False
-        self._unhold(request)
-        request_class, limiter = request.request_class, engine.limiter
+        self.admission_queue.discard(request)
+        self._send(request, engine, is_retry, now)
+        return True
+
+    def _forward_or_keep(
+        self, request: Request, near: Engine | None, freed: Engine | None, now: int
+    ) -> Engine | None:
+        if not self.site_forwarding.may_forward(request, freed):
+            return near
+        if request.attempts and not self._has_retry_budget(request, now):
+            return near
+        return self.site_forwarding.choose(request, near, self._may_send, now)
+
+    def _send(self, request: Request, engine: Engine, is_retry: bool, now: int) -> None:
+        request_class = request.request_class
+        state = engine.policy_state
         attempt = Attempt(request, engine, len(request.attempts), now)
         request.attempts.append(attempt)
         request.current_attempt = attempt
-        limiter.out[attempt] = None
-        limiter.threads += request_class.threads
+        state.limit.start_attempt(attempt)
         self.fleet.running_threads += request_class.threads
-        if limiter.threads > limiter.limit:
-            limiter.draw = self.random()
-        if limiter.cold:
-            limiter.cold = now + int(self._cold_weight(request_class) / self._cold_ration(engine))
-        if limiter.doubted:
-            self.trials = max(0.0, self.trials - 1)
-            limiter.trial_at = now + 4 * WINDOW_US  # one at a time, unless it is answered sooner
-        (self.relayed_again if again else request_class.latency.dispatched).add(now)
-        self._terms(request)
-        self.port.send_attempt(
-            attempt, max(1000, request.deadline_us - now - (DEADLINE_MARGIN_US - SWEEP_INTERVAL_US))
-        )
-        return True
-
-    def _counted(self, now: int) -> bool:
-        """Whether this gateway may relay; shares follow the number of gateways that the fleet agrees on."""
+        if state.limit.running_threads > state.limit.value:
+            state.limit.draw = self.random()
+        if state.slow_start.next_send_us:
+            self.slow_start.on_sent(state, request_class, now)
+        if state.health.is_suspected:
+            self.outliers.on_probe_sent(state.health, now)
+        if is_retry:
+            self.retry_policy.on_retry(now)
+        else:
+            request_class.latency.dispatched.add(now)
+        grant = grant_resources(request, self.settings, self.averages)
+        if grant:
+            self.port.assign_resources(request, grant.memory_mb, grant.priority)
+        timeout_us = max(MIN_TIMEOUT_US, request.deadline_us - now - ATTEMPT_MARGIN_US)
+        self.port.send_attempt(attempt, timeout_us)
+
+    def _update_gateway_count(self, now: int) -> bool:
+        """Follows the number of gateways that the fleet agrees on; returns whether this one may send."""
+        if self.admission_rules is None:
+            return True
         count = self.admission_rules.gateway_count(now)
         if count not in (0, self.gateway_count):
-            for limiter in [engine.limiter for engine in self.engines]:
-                limiter.start *= self.gateway_count / count
-                limiter.limit *= self.gateway_count / count
+            self.engine_registry.scale_limits(self.gateway_count / count)
             self.gateway_count = count
+            self.slow_start.gateway_count = count
         return count > 0
 
-    def _budget_left(self, request: Request, now: int) -> bool:
-        # Danger: relays beyond the first are rationed over any window; the ring rounds to the safe side.
-        most = self.rules.get("FreeResends", 0) + self.rules.get(
-            "ResendRatio", 0
-        ) * self.accepted.lower_bound(now)
+    def _has_retry_budget(self, request: Request, now: int) -> bool:
         scale = self.admission_rules.retry_budget_scale(request, now) if self.admission_rules else 1
-        if scale <= 0 or "BudgetWindow" not in self.rules:
-            return scale > 0
-        return self.relayed_again.upper_bound(now) + 1 <= most * scale
+        return self.retry_policy.has_budget(now, scale)
 
     def on_attempt_sent(self, attempt: Attempt, now: int) -> None:
-        # Danger: counted as chosen, one whose connection comes up late would leave beside the next window's.
+        """Takes notice that an attempt has been written to its connection."""
         if attempt.number:
-            self.relayed_again.add(attempt.sent_us, -1)
-            self.relayed_again.add(now)
-
-    def _terms(self, request: Request) -> None:
-        # Three tenths over the estimate: enough for a close one, little taken from others.
-        megabytes, priority = request.memory_mb * 1.3 if self.family.get("MemoryHeeded") else 0.0, 1
-        if self.family.get("RanksHeeded"):
-            # Four ranks by payoff for work against the mean of all: twice and half the mean part them.
-            density = -request.queue_rank * self.work / self.payoff
-            priority = 3 if density > 2 else 2 if density > 1 else 1 if density > 0.5 else 0
-        if megabytes or priority != 1:
-            self.port.assign_resources(request, megabytes, priority)
+            self.retry_policy.on_retry_sent(attempt, now)
+
+    # Attempts: outcomes, retries and final answers.
 
     def on_attempt_finished(
         self,
         attempt: Attempt,
-        ending: Outcome,
-        latency: int,
-        no_more: bool,
+        outcome: Outcome,
+        latency_us: int,
+        is_final: bool,
         report: Mapping[str, float],
         now: int,
     ) -> None:
+        """Records the outcome, then retries the request or finishes it.
+
+        `is_final`: the client has its answer; `report`: the engine's load report, empty if there is none.
+        """
         if attempt.outcome is not None:
             return
-        request, limiter = attempt.request, attempt.engine.limiter
-        attempt.outcome = ending
+        request = attempt.request
+        attempt.outcome = outcome
         request.current_attempt = None
-        del limiter.out[attempt]
-        limiter.threads -= request.request_class.threads
+        attempt.engine.policy_state.limit.finish_attempt(attempt)
         self.fleet.running_threads = max(0, self.fleet.running_threads - request.request_class.threads)
-        if attempt.engine.forwarding and ending is Outcome.EXPIRED_BEFORE_SEND:
-            request.attempts.remove(attempt)  # no engine of either hall has seen it
-        self._heed(attempt.engine, report, now)
-        self._learn(attempt, ending, latency, now)
-        if ending in POSSIBLY_RUNNING and request.request_class.is_ordered and request.ordering_key:
-            # Danger: the relay may run on, and the key's next would run beside it.
-            self.key_free[request.ordering_key] = (
-                now + micros(self.rules.get("TurnGap", 0)) + 1000
-            )  # rounded up
-        if no_more or request.is_finished:
-            self._close(request)
-        elif self._worth_again(request, now):
-            # A further relay waits as long as a first one would, a window at the least.
-            request.latest_dispatch_us = min(
-                request.deadline_us - DEADLINE_MARGIN_US, max(request.latest_dispatch_us, now + WINDOW_US)
-            )
-            self._offer(request, now)
+        if attempt.engine.forwarding and outcome is Outcome.EXPIRED_BEFORE_SEND:
+            request.attempts.remove(attempt)  # no engine of either site has seen it
+        self.recorder.on_report(attempt.engine, report, now)
+        self.recorder.on_outcome(attempt, outcome, latency_us, now)
+        if outcome in POSSIBLY_RUNNING:
+            gap_us = self.settings.ordering_gap_us + ROUNDING_US
+            self.admission_queue.turns.hold(request, now + gap_us)
+        if is_final or request.is_finished:
+            self._finish(request)
+        elif self.retry_policy.is_worth_retrying(request, now):
+            # A retry waits as long as a first attempt would, for a window at least.
+            latest_us = max(request.latest_dispatch_us, now + WINDOW_US)
+            request.latest_dispatch_us = min(request.deadline_us - DEADLINE_MARGIN_US, latest_us)
+            self._send_or_queue(request, now)
         else:
-            self._end(request, now)
-        self._give_up_turn(request)
-        self._release(now, attempt.engine)
-
-    def _learn(self, attempt: Attempt, ending: Outcome, latency: int, now: int) -> None:
-        request, limiter = attempt.request, attempt.engine.limiter
-        if ending is Outcome.SUCCEEDED:
-            # Danger: one heavy draw in a thin window would cut a healthy limit; a sample counts four at most.
-            ratio = min(4.0, latency / request.expected_latency_us)
-            limiter.sample(ratio)
-            self.pace += 0.01 * (ratio - self.pace)  # some hundred samples: the fleet's pace, not a moment's
-            request.request_class.latency.learn(request, latency)
-            self.payoff += 0.005 * (
-                request.request_class.value - self.payoff
-            )  # over some two hundred answers
-            self.time += 0.005 * (request.expected_latency_us - self.time)
-            self.work += 0.005 * (request.expected_latency_us * request.request_class.threads - self.work)
-            limiter.answers.add(now)
-            limiter.hear(now)
-            limiter.trial_at, limiter.streak = now, max(0, limiter.streak) + 1
-            # Three trials in a row: one can succeed by luck on an engine that fails half of its work.
-            if limiter.doubted and (limiter.streak >= 3 or limiter.mute):
-                limiter.doubted, limiter.fails = False, SlidingWindow(5 * WINDOW_US, 10)
-        elif ending is Outcome.OVERLOADED:
-            limiter.failed, limiter.full_until = True, now + WINDOW_US
-        elif ending in (Outcome.FAILED, Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST):
-            # Danger: links between healthy ends are reset too. Cuts for that leave limits that are all or
-            # none, and doubt takes away engines that are needed. A dead one refuses the next connection.
-            if ending is not Outcome.CONNECTION_LOST:
-                limiter.hear(now)
-            self._fault(attempt.engine, 0, ending is Outcome.FAILED, now)
-        elif ending is Outcome.UNREACHABLE:
-            self._fault(attempt.engine, 2 * (limiter.heard < attempt.sent_us), True, now)
-
-    def _fault(self, engine: Engine, lost: int, counts: bool, now: int) -> None:
-        limiter = engine.limiter
-        limiter.failed = limiter.failed or counts
-        # Danger: one lost relay may be a heavy draw or a cut link, and all that one of many gateways has on
-        # an engine. Silence takes two lost in a row, or a failed connection.
-        limiter.lost += lost
-        mute = lost > 0 and limiter.lost >= 2
-        limiter.answers.add(now)
-        limiter.fails.add(now)
-        fails, answers = limiter.fails.upper_bound(now), limiter.answers.upper_bound(now)
-        # Three faults that make up a fifth of its answers: far above stray errors, soon enough to matter; one
-        # failure where answers are so few that three would take too long.
-        if limiter.doubted or mute or fails >= 0.2 * answers and (fails >= 3 or counts and answers <= 5):
-            if not limiter.doubted:
-                self.port.log_event(
-                    f"{now / 1e6:.1f} s: an engine in doubt, {'silent' if mute else 'failing'}"
-                )
-            limiter.mute = mute or limiter.doubted and limiter.mute
-            # Half a second to the next trial, doubled with each failed one up to four.
-            limiter.streak = min(0, limiter.streak) - 1 if limiter.doubted else 0
-            limiter.doubted, limiter.trial_at = True, now + (500_000 << min(-limiter.streak, 3))
-
-    def _heed(self, engine: Engine, report: Mapping[str, float], now: int) -> None:
-        if not report:
-            return
-        limiter, rare = engine.limiter, now - engine.limiter.signs.updated_us > 2 * WINDOW_US
-        # What others run there is what the engine holds beyond our own, at a tariff mix like ours.
-        held = max(0.0, report.get("concurrent", 0.0) - len(limiter.out) - 1)
-        limiter.idle = report.get("load_share", 1.0) <= 0.9
-        # Memory overgranted beyond a report's noise strains it, or a line for it.
-        strain = max(report.get("x0", 0.0) / 1.15, float(report.get("depth", 0.0) >= 1))
-        told = (held * self.work / self.time / limiter.cores, strain, now)
-        # The older what was known, the more the new counts; of the fleet over two seconds, or four reports.
-        limiter.signs.update(min(1.0, max(0.3, (now - limiter.signs.updated_us) / WINDOW_US / 2)), *told)
-        self.fleet.update(min(0.25, (now - self.fleet.updated_us) / WINDOW_US / 2), *told)
-        # Danger: known to all, the idlest would be flooded. Where most are seldom heard of, each gateway
-        # knows another, and it is a third choice.
-        if rare and all(limiter.load(0, now) <= other.limiter.load(0, now) for other in self.idlest):
-            self.idlest = [engine]
-
-    # Doubt: an engine that fails, is silent or cannot be reached loses new work until trials go well.
-
-    def _listen(self, now: int) -> None:
-        """Looks after what is out: relays that should long be back, and engines that answer nothing."""
-        for engine in (*self.engines, *self.remote_sites):
-            limiter = engine.limiter
-            for attempt in list(limiter.out):
-                # Danger: an engine cut off, dead or stuck, or a link that loses answers, gives no samples.
-                # Four times the expected time, as work spreads widely, at the fleet's pace, no note of late.
-                expected, age = attempt.request.expected_latency_us, now - attempt.sent_us
-                silent = now - attempt.last_progress_us > 1.5 * micros(self.family.get("TellsEvery", 0))
-                overdue = silent and age > 4 * expected * max(1.0, self.pace) + 200_000
-                if overdue and not attempt.is_overdue:
-                    attempt.is_overdue = True
-                    self._fault(engine, limiter.heard < attempt.sent_us, False, now)
-                if limiter.doubted and (overdue or limiter.mute and age >= expected + WINDOW_US // 2):
-                    self._call_back(attempt, now)
-
-    def _call_back(self, attempt: Attempt, now: int) -> None:
-        request = attempt.request
-        if (
-            attempt.cancel_requested
-            or attempt.outcome
-            or request.is_finished
-            or not self.limits.get("Cancel")
-        ):
-            return
-        again = self._worth_again(request, now) and self._budget_left(request, now)
-        if again and self.doubt_counts:
-            attempt.cancel_requested = True
-            self.port.cancel_attempt(attempt)
+            self._answer_unserved(request, now)
+        self.admission_queue.turns.release(request)
+        self._dispatch_queued(now, attempt.engine)
 
-    def _worth_again(self, request: Request, now: int) -> bool:
-        stop = request.deadline_us if request.request_class.late_value > 0 else request.objective_deadline_us
-        if now + request.expected_latency_us >= stop or now >= request.deadline_us - DEADLINE_MARGIN_US:
-            return False
-        most = 1 if request.is_forwarded_in else self.limits.get("MaxAttempts", 1)
-        # Danger: what no engine can run would use up the ration; two of them have said so by then.
-        errors = [attempt.outcome for attempt in request.attempts].count(Outcome.FAILED)
-        if len(request.attempts) >= most or errors >= 2:
-            return False
-        return request.request_class.is_deduplicated or self._may_deny(request)
+    def _dispatch_queued(self, now: int, freed: Engine | None = None) -> None:
+        self.admission_queue.dispatch(now, freed, self._try_send)
 
-    def _may_deny(self, request: Request) -> bool:
-        # Danger: an unrepeatable submission that may have run must not be sent or denied again.
-        request_class = request.request_class
-        if (
-            request_class.is_idempotent
-            or request_class.is_deduplicated
-            and request_class.dedup_scope == "all"
-        ):
-            return True
-        return all(attempt.outcome in NOT_EXECUTED for attempt in request.attempts)
-
-    def _end(self, request: Request, now: int) -> None:
-        """The final answer: a denial where a repeat does no harm, else an abandonment; at once."""
-        self._close(request)
+    def _answer_unserved(self, request: Request, now: int) -> None:
+        """Gives the final answer: a rejection where a repeat does no harm, or else a failure."""
+        self._finish(request)
         if not request.attempts:
             request.request_class.latency.never_dispatched.add(now)
-        if not self._may_deny(request):
+        if not self.retry_policy.may_reject(request):
             self.port.fail_request(request)
         else:
-            most = micros(self.limits.get("MaxRetryAfter", 0)) if self.limits.get("RetryAfter") else 0
-            # Come back spread over the longest wait that clients honour, so that they do not return together.
-            self.port.reject_request(request, int(most * (0.5 + 0.5 * self.random())))
+            # Spread over the longest wait that clients honour, so that they do not return together.
+            retry_after_us = int(self.settings.max_retry_after_us * (0.5 + 0.5 * self.random()))
+            self.port.reject_request(request, retry_after_us)
 
-    def _close(self, request: Request) -> None:
+    def _finish(self, request: Request) -> None:
         request.is_finished = True
-        self._unhold(request)
-        self._give_up_turn(request)
-
-    def _unhold(self, request: Request) -> None:
-        if request.is_queued:
-            request.is_queued = False
-            (self.retry_queue if request in self.retry_queue else self.queue).remove(request)
+        self.admission_queue.discard(request)
+        self.admission_queue.turns.release(request)
 
     def on_client_cancelled(self, request: Request, now: int) -> None:
-        # Danger: a flood that is asked and withdrawn would earn relays for others; it earns nothing.
+        """Finishes a request that its client no longer waits for."""
         if not request.is_forwarded_in:
-            self.accepted.add(request.arrived_us, -1)
-        self._close(request)
-        if request.current_attempt is not None and self.limits.get("Cancel"):
+            self.retry_policy.on_client_cancelled(request)
+        self._finish(request)
+        if request.current_attempt is not None and self.settings.can_cancel:
             self.port.cancel_attempt(request.current_attempt)
 
-    def on_progress(self, attempt: Attempt, topic: ProgressKind, value: float, now: int) -> None:
-        request, attempt.last_progress_us = attempt.request, now
-        attempt.engine.limiter.hear(now)
-        if topic is ProgressKind.WAITING_FOR_DATA_SET and value == 2:
-            # Minded for two notes' time; what waits may run elsewhere, and has lost nothing yet.
-            attempt.engine.limiter.blocked[request.data_set] = now + 2 * micros(self.family["TellsEvery"])
-            others = (one for one in self.ready_engines if not self._stalls(request, one, now))
-            if len(request.attempts) == 1 and any(one.limiter.permits(request, now) for one in others):
-                self._call_back(attempt, now)
-        early = topic is not ProgressKind.FRACTION_DONE or request.request_class.latency.sample_count < 10
-        if early or attempt.outcome or request.is_finished:
+    def on_deadline_unreachable(self, attempt: Attempt, now: int) -> None:
+        """Answers a request at once whose attempt can't be answered in time any more."""
+        if attempt.outcome is None and not attempt.request.is_finished:
+            self.port.cancel_attempt(attempt)
+            self._answer_unserved(attempt.request, now)
+
+    # Attempts in flight: progress, and attempts that should have ended.
+
+    def on_progress(self, attempt: Attempt, kind: ProgressKind, value: float, now: int) -> None:
+        """Takes a progress update of an attempt in flight."""
+        attempt.last_progress_us = now
+        attempt.engine.policy_state.health.on_answer(now)
+        if kind is ProgressKind.WAITING_FOR_DATA_SET and value == DATA_SET_LOCKED:
+            self._on_data_set_locked(attempt, now)
+        if kind is not ProgressKind.FRACTION_DONE:
             return
-        # Danger: a bad plan, drawn for each relay anew, holds threads and memory many times as long. Four
-        # times the expected time; work that was as heavy on an earlier relay is heavy by itself.
-        attempt.projected_latency_us = (now - attempt.sent_us) / max(value, 0.01)
-        earlier = min(
-            (other.projected_latency_us for other in request.attempts[:-1] if other.projected_latency_us),
-            default=0,
-        )
-        usual = 4 * request.expected_latency_us * max(1.0, self.pace)
-        # Danger: one as heavy as a dozen holds up a dozen, and one that will be late wastes its work. The
-        # share told is rough: after a window, seven tenths of what it projects must fit.
-        late = (
-            now > attempt.sent_us + WINDOW_US
-            and attempt.sent_us + 0.7 * attempt.projected_latency_us > request.deadline_us
-        )
-        if attempt.projected_latency_us > max(usual, 2 * earlier):
-            self._call_back(attempt, now)
-        elif late or earlier and self.queue and attempt.projected_latency_us > 3 * usual:
-            if self._may_deny(request) and not attempt.cancel_requested and self.limits.get("Cancel"):
+        request = attempt.request
+        if request.request_class.latency.sample_count < MIN_KNOWN_ANSWERS:
+            return
+        if not attempt.outcome and not request.is_finished:
+            self._on_fraction_done(attempt, value, now)
+
+    def _on_data_set_locked(self, attempt: Attempt, now: int) -> None:
+        """Avoids the engine for two updates' time; what waits may run elsewhere, and has lost nothing yet."""
+        if self.settings.progress_interval_us is None:
+            raise MissingSettingError("TellsEvery")
+        request = attempt.request
+        locked_until_us = now + 2 * self.settings.progress_interval_us
+        attempt.engine.policy_state.signals.locked_until_us[request.data_set] = locked_until_us
+        if len(request.attempts) != 1:
+            return
+        would_wait = self.load_balancer.would_wait
+        others = (engine for engine in self.ready_engines if not would_wait(request, engine, now))
+        if any(engine.policy_state.permits(request, now) for engine in others):
+            self._cancel_and_retry(attempt, now)
+
+    def _on_fraction_done(self, attempt: Attempt, fraction: float, now: int) -> None:
+        request = attempt.request
+        has_queue = bool(self.admission_queue.first_attempts)
+        verdict = judge_progress(attempt, fraction, self.averages.slowdown, has_queue, now)
+        if verdict is ProgressVerdict.RETRY:
+            self._cancel_and_retry(attempt, now)
+        elif verdict is ProgressVerdict.GIVE_UP and self.settings.can_cancel:
+            if self.retry_policy.may_reject(request) and not attempt.cancel_requested:
                 self.on_deadline_unreachable(attempt, now)
 
-    def on_endpoints_updated(self, known: Iterable[tuple[Engine, tuple]], complete: bool, now: int) -> None:
-        cores, named = self.family.get("CpuOfKind", []), set()
-        for engine, (machine, zone, cell, started, standing) in known:
-            named.add(engine)
-            if engine.limiter is None or started != engine.started_us and started > 0:
-                # Danger: a restarted engine is cold; what was learnt before says nothing now, but what was
-                # sent to it is still to come back.
-                limiter = Limiter(
-                    cores[machine] if machine < len(cores) else 1, self.gateway_count, self.fleet
-                )
-                if engine.limiter is not None:
-                    limiter.out, limiter.threads = engine.limiter.out, engine.limiter.threads
-                engine.limiter = limiter
-                if now < started + micros(self.rules.get("WarmUp", 0)):
-                    # Danger: all gateways hear of it at once; each begins at some time of its first turn.
-                    limiter.cold = now + 1 + int(self._cold_turn(engine) * self.random())
-            engine.instance_type, engine.zone, engine.cell = machine, zone, cell
-            engine.started_us, engine.state = started, standing
-            self.engines[engine] = None
-        for engine in list(self.engines):
-            if complete and engine not in named:
-                engine.state = EndpointState.REMOVED
-            if engine.state is EndpointState.REMOVED and not engine.limiter.out:
-                del self.engines[engine]
-        # Danger: nothing new goes to an engine that drains or is gone; the grace is not used.
-        self.ready_engines = [engine for engine in self.engines if engine.state is EndpointState.READY]
-        self._release(now)
+    def _check_attempts(self, now: int) -> None:
+        """Finds attempts that should long have ended, and retries those on suspected engines elsewhere."""
+        progress_interval_us = self.settings.progress_interval_us or 0
+        for engine in (*self.engines, *self.site_forwarding.sites):
+            state = engine.policy_state
+            health = state.health
+            for attempt in list(state.limit.attempts):
+                has_overrun = is_overdue(attempt, self.averages.slowdown, progress_interval_us, now)
+                if has_overrun and not attempt.is_overdue:
+                    attempt.is_overdue = True
+                    self.recorder.on_fault(engine, health.last_answer_us < attempt.sent_us, False, now)
+                if not health.is_suspected:
+                    continue
+                late_us = now - attempt.sent_us - attempt.request.expected_latency_us
+                if has_overrun or (health.is_unresponsive and late_us >= WINDOW_US // 2):
+                    self._cancel_and_retry(attempt, now)
+
+    def _cancel_and_retry(self, attempt: Attempt, now: int) -> None:
+        """Cancels an attempt whose request may be retried; the retry follows when the attempt has ended."""
+        request = attempt.request
+        has_ended = attempt.cancel_requested or attempt.outcome or request.is_finished
+        if has_ended or not self.settings.can_cancel:
+            return
+        if not self.retry_policy.is_worth_retrying(request, now):
+            return
+        if self._has_retry_budget(request, now) and self.outliers.is_decisive:
+            attempt.cancel_requested = True
+            self.port.cancel_attempt(attempt)
+
+    # Engines and other sites.
+
+    def on_endpoints_updated(
+        self, known: Iterable[tuple[Engine, EndpointDescription]], is_complete: bool, now: int
+    ) -> None:
+        """Takes the endpoint list, or with `is_complete` False the changes to it."""
+        self.engine_registry.update(known, is_complete, self.gateway_count, now, self.random)
+        self.load_balancer.ready_engines = self.engine_registry.ready_engines()
+        self._dispatch_queued(now)
 
     def on_endpoint_list_failed(self, now: int) -> None:
-        self.port.call_later(
-            WINDOW_US, lambda _: self.port.subscribe_to_endpoints()
-        )  # a failed call costs the list too
+        """Asks for the endpoint list again, a window later: a failed call has ended the subscription."""
+        self.port.call_later(WINDOW_US, lambda _: self.port.subscribe_to_endpoints())
 
     def on_probe_finished(
-        self, engine: Engine, ending: Outcome, report: Mapping[str, float], now: int
+        self, engine: Engine, outcome: Outcome, report: Mapping[str, float], now: int
     ) -> None:
-        limiter = engine.limiter
-        if ending is Outcome.SUCCEEDED:
-            limiter.hear(now)
-            limiter.trial_at = now if limiter.mute else limiter.trial_at
-        elif ending is not Outcome.OVERLOADED:
-            self._fault(engine, 1, False, now)
-        self._heed(engine, report, now)
+        """Takes the outcome of a health check, and the engine's load report if there is one."""
+        if outcome is Outcome.SUCCEEDED:
+            engine.policy_state.health.on_check_success(now)
+        elif outcome is not Outcome.OVERLOADED:
+            self.recorder.on_fault(engine, 1, False, now)
+        self.recorder.on_report(engine, report, now)
+
+    def on_site_updated(self, site: Engine, cores: float, state: EndpointState, now: int) -> None:
+        """Takes the state of another site's gateway, and the cores that it has for this one."""
+        self.site_forwarding.update_site(site, cores, state)
+        self._dispatch_queued(now)
+
+    def on_site_capacity(self, site: Engine, now: int) -> None:
+        """Offers queued requests to another site that has capacity again."""
+        self._dispatch_queued(now, site)
+
+    def spare_capacity(self, now: int) -> SpareCapacity:
+        """Returns what other sites may be told of the capacity here."""
+        has_queued = bool(self.admission_queue.first_attempts)
+        return spare_capacity(self.ready_engines, self.gateway_count, has_queued, self.averages.slowdown, now)
+
+    # The sweep, ten times a second.
 
     def _sweep(self, now: int) -> None:
-        # Danger: should this one fail, the next must come all the same, or nothing held is ever answered.
+        # Should this sweep fail, the next must come all the same, or no queued request is ever answered.
         self.port.call_later(SWEEP_INTERVAL_US, self._sweep)
-        self.swept += 1
-        if self.swept % (WINDOW_US // SWEEP_INTERVAL_US) == 0:
-            for engine in (*self.engines, *self.remote_sites):
-                engine.limiter.close_window()
-                engine.limiter.draw = self.random()
-        # Where half of the engines are in doubt, they are not the odd ones out, and doubt decides nothing.
-        # With another hall to go to, those of this one need not be the measure: most of them may be dead.
-        elsewhere = any(hall.state is EndpointState.READY for hall in self.remote_sites)
-        doubted = sum(engine.limiter.doubted for engine in self.ready_engines)
-        self.doubt_counts = elsewhere or 2 * doubted <= len(self.ready_engines)
-        # Danger: what engines that have fallen silent hold would leave no room for any other.
+        self._sweep_count += 1
+        if self._sweep_count % SWEEPS_PER_WINDOW == 0:
+            for engine in (*self.engines, *self.site_forwarding.sites):
+                engine.policy_state.limit.close_window()
+                engine.policy_state.limit.draw = self.random()
+        self._update_fleet()
+        self._check_attempts(now)
+        self._answer_expired(now)
+        self.admission_queue.turns.forget_expired(now)
+        if self.settings.can_probe:
+            for engine in self.health_checks.due(self.ready_engines):
+                self.port.probe_engine(engine)
+        self._dispatch_queued(now)
+
+    def _update_fleet(self) -> None:
+        states = [engine.policy_state for engine in self.ready_engines]
+        suspected = sum(state.health.is_suspected for state in states)
+        self.outliers.update(suspected, len(states), self.site_forwarding.has_ready_site())
+        # What unresponsive engines hold would leave no capacity for any other.
         self.fleet.running_threads = sum(
-            engine.limiter.threads for engine in self.ready_engines if not engine.limiter.mute
+            state.limit.running_threads for state in states if not state.health.is_unresponsive
         )
-        self.fleet.total_limit = sum(engine.limiter.limit for engine in self.ready_engines)
-        self._listen(now)
+        self.fleet.total_limit = sum(state.limit.value for state in states)
+
+    def _answer_expired(self, now: int) -> None:
+        """Answers the queued requests that can wait no longer, unless a failing engine takes them."""
         failing = [
-            engine for engine in self.ready_engines if engine.limiter.doubted and not engine.limiter.mute
+            engine
+            for engine in self.ready_engines
+            if engine.policy_state.health.is_suspected and not engine.policy_state.health.is_unresponsive
         ]
-        for request in [held for held in self.queue + self.retry_queue if now >= held.latest_dispatch_us]:
-            turn = self._is_turn(request, now)
-            if not (turn and any(self._send(request, now, engine) for engine in failing)):
-                self._end(request, now)
-        self.key_free = {key: free for key, free in self.key_free.items() if now < free}
-        if self.settings.get("Report", {}).get("Source") == "on_probe" and self.limits.get("Probes"):
-            # One after the other, each twice a second at the most: reports are about that fresh.
-            while self.probes >= 1 and self.ready_engines:
-                self.probes -= 1
-                self.probed_last = (self.probed_last + 1) % len(self.ready_engines)
-                self.port.probe_engine(self.ready_engines[self.probed_last])
-        self._release(now)
+        for request in self.admission_queue.expired(now):
+            is_turn = self.admission_queue.turns.is_turn(request, now)
+            if not (is_turn and any(self._try_send(request, now, engine) for engine in failing)):
+                self._answer_unserved(request, now)
--- a/cresstray/simulation/cold_gateway.py
+++ b/cresstray/simulation/cold_gateway.py
@@ -15,7 +15,8 @@
 from cresstray.membership.reconciliation import Tombstone
 from cresstray.membership.snapshot import LatencyEntry
 from cresstray.pipeline.routing import Router
-from cresstray.policy.controller import PolicyController, micros
+from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings, to_microseconds
 from cresstray.policy.types import Attempt, EndpointState, Engine, Outcome, Request
 from cresstray.simulation.cold_engine import AddressOnly, EngineWorld, Job, SimulatedEngine
 from cresstray.simulation.cold_workload import (
@@ -70,7 +71,7 @@
         self._work_s: dict[Request, float] = {}
         self._chance = Random(f"{world.seed} gateway {number}").random
         self._controller = PolicyController(
-            self, make_settings(world.gateway_count), world.seed * 1000 + number, world.now
+            self, parse_settings(make_settings(world.gateway_count)), world.seed * 1000 + number, world.now
         )
         # The router is typed for connections; addresses have what it calls.
         make_pool = cast(Any, lambda label, address: AddressOnly(address))
@@ -124,7 +125,7 @@
 
     def _apply(self, event: EndpointEvent) -> None:
         now_us = self._world.now
-        limiters_before = {number: engine.limiter for number, engine in self.router.engines.items()}
+        states_before = {number: engine.policy_state for number, engine in self.router.engines.items()}
         entries = self.router.apply_event(event)
         # Queued requests may be sent while the controller is told of the event.
         self._id_by_engine = {engine: number for number, engine in self.router.engines.items()}
@@ -134,10 +135,10 @@
             return
         for endpoint in event.endpoints:
             engine = self.router.engines.get(endpoint.id)
-            if engine is None or engine.limiter is limiters_before.get(endpoint.id):
+            if engine is None or engine.policy_state is states_before.get(endpoint.id):
                 continue
             if self.is_unproven(engine):
-                delay_first_turn(engine.limiter, self._chance, now_us)
+                delay_first_turn(engine.policy_state, self._chance, now_us)
 
     def is_unproven(self, engine: Engine) -> bool:
         """Returns whether the engine is listed by a probe only."""
@@ -176,7 +177,7 @@
         request = Request(
             request_class,
             now_us,
-            now_us + micros(REQUEST_CLASSES[class_number].deadline_s * 1000),
+            now_us + to_microseconds(REQUEST_CLASSES[class_number].deadline_s * 1000),
             estimated_work_us=int(estimated_work_s * SECOND_US),
         )
         if self._estimate is not None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -29,6 +29,7 @@
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
+from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import EndpointState, Outcome
 from cresstray.transport.streams import connect
 from tests import desk
@@ -91,7 +92,7 @@
         self.router = Router(self._make_pool, self.dispatcher)
         log = type("NoLog", (), {"log": lambda self, kind, text: None})()
         port = SocketPort(self.router, self.dispatcher, self.accounting, timers, self.counters, log)
-        self.controller = PolicyController(port, given, 7, self.clock.now())
+        self.controller = PolicyController(port, parse_settings(given), 7, self.clock.now())
         admit = Admission(self.accounting)
         self.responses.controller = admit.controller = self.controller
         self.ingress = Ingress(given, self.controller.request_classes, self.clock, admit)
@@ -154,13 +155,13 @@
             made.responses.in_flight,
             made.responses._reports,
             made.client.open,
-            made.controller.queue,
+            made.controller.admission_queue.first_attempts,
         ]
         kept += [link.in_flight.open for pool in made.pools for link in pool.connections]
         self.assertEqual([], [one for one in kept if one])
         self.assertEqual([], [error for pool in made.pools for error in pool.faults])
-        limiters = [engine.limiter for engine in made.controller.engines]
-        self.assertEqual([], [one for one in limiters if one.threads or one.out])
+        limiters = [engine.policy_state for engine in made.controller.engines]
+        self.assertEqual([], [one for one in limiters if one.limit.running_threads or one.limit.attempts])
 
 
 class LateConnections(DeskCase):
@@ -332,7 +333,7 @@
         made.ask("a")
         first = made.connections()[0]
         attempt = next(iter(made.responses.in_flight))
-        made.controller._call_back(attempt, made.clock.now())
+        made.controller._cancel_and_retry(attempt, made.clock.now())
         first.come_up()
         made.wait(1)
         self.assertEqual(([], {"expired before send": 1}), (made.sent_lines(), made.outcomes()))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,9 +3,13 @@
 import contextlib
 import io
 import struct
+from unittest import mock
 
-from cresstray.policy.controller import WINDOW_US, Limiter, LoadSignals
-from cresstray.policy.types import Outcome, ProgressKind
+from cresstray.policy.admission_queue import OrderedTurns
+from cresstray.policy.deadlines import WINDOW_US
+from cresstray.policy.engine_state import EngineState
+from cresstray.policy.load_signals import FleetSignals
+from cresstray.policy.types import Outcome, ProgressKind, Request
 from cresstray.simulator import host as wirehost
 from cresstray.simulator import wire
 from tests.desk import Desk, TraceCase, settings
@@ -14,7 +18,7 @@
 
 class Decisions(TraceCase):
     def test_gradient_window(self) -> None:
-        limiter, lines = Limiter(8, 2, LoadSignals()), []
+        state, lines = EngineState(8, 2, FleetSignals()), []
         plan = [
             ("warmup, nine samples", [1.0] * 9, False),
             ("first average only holds", [1.0] * 4, False),
@@ -31,24 +35,26 @@
         ]
         for text, samples, failed in plan:
             for ratio in samples:
-                limiter.sample(ratio)
-            limiter.failed = failed
-            limiter.close_window()
-            lines.append(f"{text}: limit {limiter.limit:.2f}, average {limiter.average:.2f}")
+                state.limit.record_sample(ratio)
+            state.limit.has_window_failed = failed
+            state.limit.close_window()
+            lines.append(f"{text}: limit {state.limit.value:.2f}, average {state.limit.average_ratio:.2f}")
         self.check("gradient", lines)
 
-    def test_holding_and_denial(self) -> None:
+    def test_queueing_and_rejection(self) -> None:
         desk = Desk(settings(), engines=1)
         running = fill(desk)
-        again = desk.submit("further relay", left=6000, estimated_work_us=1000)
-        desk.submit("heavy first relay", 1, left=9000, estimated_work_us=4_000_000)
-        desk.submit("light first relay", 0, left=6000, estimated_work_us=100_000)
-        desk.submit("huge, denied when its time to wait is over", 1, left=6000, estimated_work_us=90_000_000)
+        again = desk.submit("retry", left=6000, estimated_work_us=1000)
+        desk.submit("heavy first attempt", 1, left=9000, estimated_work_us=4_000_000)
+        desk.submit("light first attempt", 0, left=6000, estimated_work_us=100_000)
+        desk.submit(
+            "huge, rejected when its time to wait is over", 1, left=6000, estimated_work_us=90_000_000
+        )
         for request in running[:3]:
             desk.run(20)
             if request is running[0]:
                 desk.back(request, Outcome.OVERLOADED)
-                desk.engines[0].limiter.full_until = desk.now + 60_000_000
+                desk.engines[0].policy_state.signals.overloaded_until_us = desk.now + 60_000_000
             else:
                 desk.back(request, Outcome.SUCCEEDED)
         desk.back(running[3], Outcome.SUCCEEDED)
@@ -59,11 +65,11 @@
     def test_less_loaded_of_two(self) -> None:
         desk = Desk(settings(), engines=3)
         for threads, engine in zip((1, 2, 3), desk.engines):
-            engine.limiter.threads = threads
+            engine.policy_state.limit.running_threads = threads
         drawn = [desk.gateway._choose(desk.submit("one"), desk.now) for _ in range(12)]
         self.check("two_choice", [f"engine {desk.engines.index(engine)}" for engine in drawn])
 
-    def test_fast_errors_raise_doubt(self) -> None:
+    def test_fast_errors_raise_suspicion(self) -> None:
         desk = Desk(settings(), engines=3)
         for number in range(12):
             request = desk.submit(f"s{number}")
@@ -76,10 +82,12 @@
             desk.run(150)
             if request.current_attempt:
                 desk.back(request, Outcome.SUCCEEDED)
-        desk.lines.append("doubted: " + ", ".join(str(engine.limiter.doubted) for engine in desk.engines))
+        desk.lines.append(
+            "suspected: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
+        )
         self.check("fast_errors", desk.lines)
 
-    def test_silence_raises_doubt_and_calls_back(self) -> None:
+    def test_silence_raises_suspicion_and_cancels(self) -> None:
         desk = Desk(settings(), engines=3)
         out = [desk.submit(f"s{number}", 1, left=9000, estimated_work_us=200_000) for number in range(3)]
         for request in out:
@@ -90,8 +98,10 @@
         for request in out:
             if request.current_attempt and request.current_attempt.cancel_requested:
                 desk.back(request, Outcome.CANCELLED)
-        desk.submit("after the doubt")
-        desk.lines.append("doubted: " + ", ".join(str(engine.limiter.doubted) for engine in desk.engines))
+        desk.submit("after the suspicion")
+        desk.lines.append(
+            "suspected: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
+        )
         self.check("silence", desk.lines)
 
     def test_bad_plan_called_back_once(self) -> None:
@@ -116,8 +126,13 @@
         desk.gateway.on_probe_finished(busy, Outcome.SUCCEEDED, {"concurrent": 13.0}, desk.now)
         for crowd in (1.0, 13.0):
             for seconds in range(4):
-                told = ", ".join(f"{value:.2f}" for value in busy.limiter.by_now(desk.now))
-                pressed = busy.limiter.pressed(desk.now)
+                signals = busy.policy_state.signals
+                freshness = signals.freshness(desk.now)
+                told = (
+                    f"{signals.other_threads_now(desk.now):.2f}, "
+                    f"{signals.resource_pressure_at(freshness):.2f}, {freshness:.2f}"
+                )
+                pressed = busy.policy_state.is_under_pressure(desk.now)
                 lines.append(f"{seconds} s on, others with {crowd}: {told}, pressed {pressed}")
                 for engine in others:
                     desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, {"concurrent": crowd}, desk.now)
@@ -135,31 +150,40 @@
                 str(desk.engines.index(desk.gateway._choose(desk.submit("one"), desk.now))) for _ in range(6)
             )
         )
-        doubted = desk.engines[3].limiter
+        suspected = desk.engines[3].policy_state
         for engine in desk.engines:
-            engine.limiter.limit, engine.limiter.full_until = 0.0, desk.now + WINDOW_US
-        doubted.limit, doubted.doubted, doubted.trial_at = 9.0, True, desk.now + WINDOW_US
-        for doubted.mute in (False, True):
+            engine.policy_state.limit.value, engine.policy_state.signals.overloaded_until_us = (
+                0.0,
+                desk.now + WINDOW_US,
+            )
+        suspected.limit.value, suspected.health.is_suspected, suspected.health.next_probe_us = (
+            9.0,
+            True,
+            desk.now + WINDOW_US,
+        )
+        for suspected.health.is_unresponsive in (False, True):
             waits = desk.submit("two")
             for at, text in ((desk.now, "it can wait"), (waits.latest_dispatch_us, "it can't")):
                 chosen = desk.gateway._choose(waits, at)
-                lines.append(
-                    f"the rest full, one {'silent' if doubted.mute else 'failing'}, {text}: "
-                    f"{chosen and desk.engines.index(chosen)}"
-                )
+                kind = "unresponsive" if suspected.health.is_unresponsive else "failing"
+                lines.append(f"the rest full, one {kind}, {text}: {chosen and desk.engines.index(chosen)}")
         self.check("choices", lines)
 
     def test_what_waits_is_not_given_to_an_engine_that_fails(self) -> None:
         desk = Desk(settings(), engines=2)
         failing, full = desk.engines
         for engine in desk.engines:
-            engine.limiter.full_until = desk.now + 10 * WINDOW_US
-        full.limiter.limit = 0.0
-        failing.limiter.doubted, failing.limiter.trial_at, failing.limiter.streak = True, 2**60, -3
+            engine.policy_state.signals.overloaded_until_us = desk.now + 10 * WINDOW_US
+        full.policy_state.limit.value = 0.0
+        (
+            failing.policy_state.health.is_suspected,
+            failing.policy_state.health.next_probe_us,
+            failing.policy_state.health.probe_streak,
+        ) = True, 2**60, -3
         for number in range(3):
             desk.submit(f"s{number}", left=4000)
         desk.run(200)
-        full.limiter.limit = 2.0
+        full.policy_state.limit.value = 2.0
         desk.run(4000)
         self.check("last_chance", desk.lines)
 
@@ -172,26 +196,29 @@
 
     def test_faults_of_links_are_none_of_queries(self) -> None:
         lines = []
-        for ending in (Outcome.FAILED, Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHABLE):
+        for outcome in (Outcome.FAILED, Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHABLE):
             for good in (8, 0):
                 desk = Desk(settings(), engines=1)
                 for number in range(good + 3):
                     request = desk.submit(f"s{number}")
-                    if request.current_attempt:  # else held: the only engine is in doubt
-                        desk.back(request, Outcome.SUCCEEDED if number < good else ending)
-                limiter = desk.engines[0].limiter
+                    if request.current_attempt:  # else queued: the only engine is suspected
+                        desk.back(request, Outcome.SUCCEEDED if number < good else outcome)
+                state = desk.engines[0].policy_state
                 lines.append(
-                    f"up to 3 {ending.value} behind {good} good: cut {limiter.failed}, doubted "
-                    f"{limiter.doubted}, silent {limiter.mute}"
+                    f"up to 3 {outcome.value} behind {good} good: cut {state.limit.has_window_failed}, "
+                    f"suspected {state.health.is_suspected}, unresponsive {state.health.is_unresponsive}"
                 )
         self.check("links_of_late", lines)
 
     def test_failing_engine_gone_silent(self) -> None:
         desk, lines = Desk(settings(), engines=3), []
         for lost, text in ((0, "an error"), (2, "no connection"), (0, "an error again")):
-            desk.gateway._fault(desk.engines[0], lost, True, desk.now)
-            limiter = desk.engines[0].limiter
-            lines.append(f"after {text}: doubted {limiter.doubted}, silent {limiter.mute}")
+            desk.gateway.recorder.on_fault(desk.engines[0], lost, True, desk.now)
+            state = desk.engines[0].policy_state
+            lines.append(
+                f"after {text}: suspected {state.health.is_suspected}, "
+                f"unresponsive {state.health.is_unresponsive}"
+            )
         self.check("gone_silent", lines)
 
     def test_malformed_frames(self) -> None:
@@ -205,12 +232,12 @@
             "ends within its body": frame(1, on)[:-2],
             "length below a header": struct.pack("<I", 3),
             "unknown event": frame(2, on + b"\xc8"),
-            "event cut short": frame(2, on + bytes([wire.ALARM, 1])),
+            "event cut short": frame(2, on + bytes([wire.TIMER, 1])),
             "fewer records than counted": frame(2, on),
             "more bytes than records": frame(1, on + b"\x00"),
-            "event before any on": frame(1, struct.pack("<BI", wire.CLIENT_GONE, 1)),
-            "unknown list": frame(2, on + struct.pack("<BBIH", wire.MEMBERS, 1, 1, 9)),
-            "instance never created": frame(2, on + struct.pack("<BI", wire.CLIENT_GONE, 1)),
+            "event before any on": frame(1, struct.pack("<BI", wire.REQUEST_CANCELLED, 1)),
+            "unknown list": frame(2, on + struct.pack("<BBIH", wire.ENDPOINTS, 1, 1, 9)),
+            "instance never created": frame(2, on + struct.pack("<BI", wire.REQUEST_CANCELLED, 1)),
             "failing decisions": frame(2, on + struct.pack("<BQI", wire.CREATE, 1, 2) + b"[]"),
         }
         lines = []
@@ -260,12 +287,12 @@
         desk.gateway.on_probe_finished(lost.current_attempt.engine, Outcome.SUCCEEDED, {}, desk.now)
         desk.back(lost, Outcome.FAILED)
         for number in range(4):
-            desk.submit(f"unrepeatable {number}", left=9000)
+            desk.submit(f"at most once {number}", left=9000)
         self.check("avoids_faults", desk.lines)
 
     def test_signs_of_pressure(self) -> None:
         desk, lines = Desk(settings(), engines=1), []
-        limiter = desk.engines[0].limiter
+        state = desk.engines[0].policy_state
         for report in (
             {"concurrent": 7.0},
             {"concurrent": 7.0, "load_share": 0.5},
@@ -276,9 +303,9 @@
             {"x0": 1.1},
             {"depth": 2.0},
         ):
-            limiter.signs.updated_us = desk.gateway.fleet.updated_us = 0
+            state.signals.updated_us = desk.gateway.fleet.updated_us = 0
             desk.gateway.on_probe_finished(desk.engines[0], Outcome.SUCCEEDED, report, desk.now)
-            lines.append(f"{report}: pressed {limiter.pressed(desk.now)}")
+            lines.append(f"{report}: pressed {state.is_under_pressure(desk.now)}")
             desk.run(2000)
         self.check("pressure", lines)
 
@@ -292,7 +319,7 @@
         desk.run(1000)
         self.check("probes", [line for line in desk.lines if "probe" in line])
 
-    def test_heavy_by_itself_given_up_while_others_are_held(self) -> None:
+    def test_heavy_by_itself_given_up_while_others_are_queued(self) -> None:
         desk = Desk(settings(FamilyInfo={"TellsEvery": 500.0}))
         (
             desk.gateway.request_classes[1].latency.sample_count,
@@ -325,14 +352,19 @@
             desk.back(slow, Outcome.CANCELLED if slow.is_finished else Outcome.SUCCEEDED)
         self.check("too_late", desk.lines)
 
-    def test_an_answer_tries_few_of_many_held(self) -> None:
+    def test_a_response_tries_few_of_many_queued(self) -> None:
         desk = Desk(settings(), engines=1)
         running = fill(desk)
         for number in range(200):
-            desk.submit(f"held {number}", left=9000, estimated_work_us=1000)
+            desk.submit(f"queued {number}", left=9000, estimated_work_us=1000)
         tried = []
-        desk.gateway._is_turn = lambda request, now: tried.append(request) or False
-        desk.back(running[0], Outcome.SUCCEEDED)
-        few = len(tried)
-        desk.run(100)
+
+        def is_turn(turns: OrderedTurns, request: Request, now_us: int) -> bool:
+            tried.append(request)
+            return False
+
+        with mock.patch.object(OrderedTurns, "is_turn", is_turn):
+            desk.back(running[0], Outcome.SUCCEEDED)
+            few = len(tried)
+            desk.run(100)
         self.check("few_tried", [f"an answer looks at {few}, the sweep at {len(tried) - few}"])
