--- a/cresstray/policy/types.py
+++ b/cresstray/policy/types.py
@@ -42,7 +42,7 @@
 class EndpointState(Enum):
     """What the endpoint list says of one engine."""
 
-    REMOVED = "gone"
+    REMOVED = "removed"
     READY = "ready"
     DRAINING = "draining"
 
