--- a/cresstray/engines/connection_pool.py
+++ b/cresstray/engines/connection_pool.py
@@ -155,7 +155,7 @@
     def _sweep(self, now_us: int) -> None:
         for connection in list(self.connections):
             is_idle = not connection.in_flight.open
-            if is_idle and now_us - connection.idle_since >= self._idle_timeout_us:
+            if is_idle and now_us - connection.idle_since_us >= self._idle_timeout_us:
                 connection.close()
         self._is_sweep_scheduled = bool(self.connections)
         if self._is_sweep_scheduled:
--- a/cresstray/engines/connection_state.py
+++ b/cresstray/engines/connection_state.py
@@ -43,7 +43,7 @@
         self.is_corrupt = False  # what came on it cannot be an answer
         self.is_out_of_descriptors = False  # there was none for it, which says nothing about its engine
         self.is_outdated = False  # its engine has another address by now, or has restarted
-        self.idle_since = 0  # microseconds
+        self.idle_since_us = 0
         self.transport: Transport | None = None  # once it is connected
         self.answer_deadline_us = 0  # for the rest of an answer that has begun
         self._decoder = codec.AnswerDecoder()
@@ -155,7 +155,7 @@
 
     def _update_idle(self) -> None:
         if not self.in_flight.open:
-            self.idle_since = self.pool.now()
+            self.idle_since_us = self.pool.now()
             if self.in_flight.is_retired:
                 self.close()
             elif not self.in_flight.is_closed:
--- a/cresstray/transport/peers.py
+++ b/cresstray/transport/peers.py
@@ -60,6 +60,7 @@
     on_closed: Callable[[Link], None]
 
     async def serve(self, link: Link) -> None:
+        """Serves the link until it has ended."""
         self.on_connected(link)
         try:
             await link.serve(lambda frame: self.on_frame(link, frame))
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -11,16 +11,16 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as some
 
-from cresstray.clients import codec as rpc
+from cresstray.clients import codec as client_codec
 from cresstray.clients.connection_registry import ConnectionRegistry
 from cresstray.clients.session import ClientSession, NextAction
 from cresstray.config import lines as conf_lines
 from cresstray.config import operator
 from cresstray.consensus import codec as consensus
 from cresstray.control_plane import codec as keeper
-from cresstray.discovery import codec as frames
-from cresstray.discovery import endpoint_list as known
-from cresstray.engines import codec as resp
+from cresstray.discovery import codec as event_codec
+from cresstray.discovery import endpoint_list
+from cresstray.engines import codec as engine_codec
 from cresstray.engines.result_pages import ResultPages
 from cresstray.fleet_config import codec as rules
 from cresstray.membership import snapshot as record
@@ -84,10 +84,10 @@
             ("an estimate below zero", call(params={"ms": -1})),
         ]:
             try:
-                number, message = rpc.decode(line, frozenset(("report",)))
+                number, message = client_codec.decode(line, frozenset(("report",)))
                 lines.append(f"{text}: {number} {message}")
-            except rpc.MalformedMessageError as trouble:
-                lines.append(f"{text}: {trouble.code} to {trouble.request_id}")
+            except client_codec.MalformedMessageError as error:
+                lines.append(f"{text}: {error.code} to {error.request_id}")
         self.check("rpc_lines", lines)
 
     def test_answers(self) -> None:
@@ -96,11 +96,11 @@
             [
                 answer.decode().rstrip("\n")
                 for answer in (
-                    rpc.encode_success(7, b"a\tb\tc\n"),
-                    rpc.encode_status(1),
-                    rpc.encode_rejection(7, 200),
-                    rpc.encode_rejection(7, 0),
-                    rpc.encode_error(None, rpc.PARSE_ERROR, "no JSON"),
+                    client_codec.encode_success(7, b"a\tb\tc\n"),
+                    client_codec.encode_status(1),
+                    client_codec.encode_rejection(7, 200),
+                    client_codec.encode_rejection(7, 0),
+                    client_codec.encode_error(None, client_codec.PARSE_ERROR, "no JSON"),
                 )
             ],
         )
@@ -118,8 +118,8 @@
             + array(b"q1", b"rows", b"sheet=1", b"\r\n\t\n")
             + array(b"t", b"green", b"-", b"")
         )
-        whole = resp.AnswerDecoder().feed(stream)
-        bytewise, answers = [], resp.AnswerDecoder()
+        whole = engine_codec.AnswerDecoder().feed(stream)
+        bytewise, answers = [], engine_codec.AnswerDecoder()
         for at in range(len(stream)):
             bytewise += answers.feed(stream[at : at + 1])
         self.assertEqual(whole, bytewise)
@@ -147,16 +147,16 @@
             ("a report beyond all bounds", array(b"q", b"served", b"load=util:1e300", b"")),
             ("a report below none", array(b"q", b"served", b"load=util:-1", b"")),
         ]:
-            with self.assertRaises(resp.EngineProtocolError, msg=text) as caught:
-                resp.AnswerDecoder().feed(data)
+            with self.assertRaises(engine_codec.EngineProtocolError, msg=text) as caught:
+                engine_codec.AnswerDecoder().feed(data)
             lines.append(f"{text}: {caught.exception}")
         self.check("resp_malformed", lines)
 
     def test_what_came_whole_before_noise_counts(self) -> None:
-        answers, good = resp.AnswerDecoder(), array(b"q", b"served", b"-", b"a\tb\tc\n")
+        answers, good = engine_codec.AnswerDecoder(), array(b"q", b"served", b"-", b"a\tb\tc\n")
         self.assertEqual([b"q"], [one.name for one in answers.feed(good + b"noise\r\n" + good)])
         for _ in range(2):
-            with self.assertRaises(resp.EngineProtocolError):
+            with self.assertRaises(engine_codec.EngineProtocolError):
                 answers.feed(b"")
 
     def test_requests(self) -> None:
@@ -165,11 +165,11 @@
             [
                 repr(message)
                 for message in (
-                    resp.encode_request(b"9b1f", "report", 1500, "", b"select 1"),
-                    resp.encode_request(b"9b1f", "load", 1500, "5c0f", b"\r\n"),
-                    resp.encode_page_requests(b"9b1f", 3),
-                    resp.encode_cancellation(b"9b1f"),
-                    resp.encode_release(b"9b1f"),
+                    engine_codec.encode_request(b"9b1f", "report", 1500, "", b"select 1"),
+                    engine_codec.encode_request(b"9b1f", "load", 1500, "5c0f", b"\r\n"),
+                    engine_codec.encode_page_requests(b"9b1f", 3),
+                    engine_codec.encode_cancellation(b"9b1f"),
+                    engine_codec.encode_release(b"9b1f"),
                 )
             ],
         )
@@ -192,8 +192,8 @@
             try:
                 kind = "new" if pages.add(number, body) else "a copy"
                 lines.append(f"page {number}: {kind}, {pages.assemble()}")
-            except resp.EngineProtocolError as trouble:
-                lines.append(str(trouble))
+            except engine_codec.EngineProtocolError as error:
+                lines.append(str(error))
         lines.append(f"a single page: {ResultPages(1, b'').assemble()}")
         self.check("pages", lines)
 
@@ -210,20 +210,20 @@
     def test_any_cut_and_both_forms(self) -> None:
         late = (1, 0x7F000001, 80, 2, 0, 1, 0, 0, 0)
         stream = frame(41, 1, self.RECORD) + frame(41, 0) + frame(42, 2, late)
-        whole = frames.EventDecoder().feed(stream)
-        bytewise, reader = [], frames.EventDecoder()
+        whole = event_codec.EventDecoder().feed(stream)
+        bytewise, reader = [], event_codec.EventDecoder()
         for at in range(len(stream)):
             bytewise += reader.feed(stream[at : at + 1])
         self.assertEqual(whole, bytewise)
-        given = known.InitialList(
+        given = endpoint_list.InitialList(
             41,
             [
-                known._Update(
+                endpoint_list._Update(
                     41,
-                    known._Endpoints(
+                    endpoint_list._Endpoints(
                         True,
                         [
-                            known._Member(
+                            endpoint_list._Member(
                                 "s-00c41f7a",
                                 "10.1.0.9:7001",
                                 "west",
@@ -237,7 +237,7 @@
                 )
             ],
         )
-        self.assertEqual(known.initial_events(given, self.SETTINGS), whole[:1])
+        self.assertEqual(endpoint_list.initial_events(given, self.SETTINGS), whole[:1])
         self.check("events", [str(event) for event in whole])
 
     def test_malformed(self) -> None:
@@ -249,31 +249,33 @@
             ("a record cut short", struct.pack(">IQB", 12, 1, 2) + b"abc"),
             ("an unknown state", frame(1, 2, (1, 1, 1, 3, 0, 0, 0, 0, 0))),
         ]:
-            with self.assertRaises(known.MalformedEventError, msg=text) as caught:
-                frames.EventDecoder().feed(data)
+            with self.assertRaises(endpoint_list.MalformedEventError, msg=text) as caught:
+                event_codec.EventDecoder().feed(data)
             lines.append(f"{text}: {caught.exception}")
         for name, change in [("id", "x"), ("host_port", "10.1.0.9"), ("phase", "asleep")]:
-            member = known._Member("s-1", "10.1.0.9:7001", "east", "std")
+            member = endpoint_list._Member("s-1", "10.1.0.9:7001", "east", "std")
             setattr(member, name, change)
-            given = known.InitialList(1, [known._Update(1, known._Endpoints(True, [member]))])
-            with self.assertRaises(known.MalformedEventError, msg=name) as caught:
-                known.initial_events(given, self.SETTINGS)
+            given = endpoint_list.InitialList(
+                1, [endpoint_list._Update(1, endpoint_list._Endpoints(True, [member]))]
+            )
+            with self.assertRaises(endpoint_list.MalformedEventError, msg=name) as caught:
+                endpoint_list.initial_events(given, self.SETTINGS)
             lines.append(f"{name} {change}: {caught.exception}")
         self.check("events_malformed", lines)
 
     def test_zones_and_kinds_that_the_settings_do_not_name(self) -> None:
-        (event,) = frames.EventDecoder().feed(
+        (event,) = event_codec.EventDecoder().feed(
             frame(1, 1, (1, 1, 1, 0, 7, 9, 0, 0, 0), (2, 1, 1, 0, 1, 0, 0, 0, 0))
         )
-        given = known.InitialList(
+        given = endpoint_list.InitialList(
             1,
             [
-                known._Update(
+                endpoint_list._Update(
                     1,
-                    known._Endpoints(
+                    endpoint_list._Endpoints(
                         True,
                         [
-                            known._Member(f"s-{number}", "10.1.0.9:7001", zone, kind)
+                            endpoint_list._Member(f"s-{number}", "10.1.0.9:7001", zone, kind)
                             for number, (zone, kind) in enumerate(
                                 [("west", "std"), ("north", "huge"), ("south", "std"), ("north", "big")]
                             )
@@ -284,8 +286,8 @@
         )
         told = [
             (f"frame {event.index}", event),
-            ("known", known.initial_events(given, self.SETTINGS)[0]),
-            ("settings without any", known.initial_events(given, {})[0]),
+            ("known", endpoint_list.initial_events(given, self.SETTINGS)[0]),
+            ("settings without any", endpoint_list.initial_events(given, {})[0]),
         ]
         self.check(
             "events_unnamed",
@@ -440,7 +442,7 @@
 ANSWERS = some.builds(
     array,
     some.binary(max_size=64),
-    some.sampled_from(sorted(resp.WORDS)),
+    some.sampled_from(sorted(engine_codec.WORDS)),
     some.sampled_from((b"-", b"sheets=2", b"sheet=1", b"load=util:0.5;inflight:2")),
     some.binary(max_size=60),
 )
@@ -494,20 +496,20 @@
         @given(almost(REQUESTS) | some.binary(max_size=80))
         def never_fails(line: bytes) -> None:
             try:
-                rpc.decode(line, frozenset(("report",)))
-            except rpc.MalformedMessageError as trouble:
-                self.assertTrue(trouble.request_id is None or trouble.request_id >= 1)
+                client_codec.decode(line, frozenset(("report",)))
+            except client_codec.MalformedMessageError as error:
+                self.assertTrue(error.request_id is None or error.request_id >= 1)
 
         @usually
         @given(REQUESTS)
         def round_trip(line: bytes) -> None:
-            number, query = rpc.decode(line, frozenset(("report",)))
+            number, query = client_codec.decode(line, frozenset(("report",)))
             told = json.loads(line)
             self.assertEqual(
                 (told["id"], told["params"]["req"], base64.b64decode(told["params"]["data"])),
                 (number, query.name, query.statement),
             )
-            answer = json.loads(rpc.encode_success(number, query.statement))
+            answer = json.loads(client_codec.encode_success(number, query.statement))
             self.assertEqual(query.statement, base64.b64decode(answer["result"]["data"]))
 
         never_fails()
@@ -516,37 +518,37 @@
     def test_a_connection_of_lines(self) -> None:
         """What is taken does not rest on how it is cut; nothing but half a line is kept."""
 
-        def talked(data: bytes, sizes: list[int]) -> list[str]:
+        def received_lines(data: bytes, sizes: list[int]) -> list[str]:
             lines: list[str] = []
-            front = type(
+            handler = type(
                 "Front",
                 (),
                 {
-                    "accept": lambda self, talk, number, query: lines.append(f"{number} {query}"),
-                    "cancel": lambda self, talk, number, name: lines.append(f"withdraw {number} {name}"),
-                    "on_disconnected": lambda self, talk: lines.append("gone"),
+                    "accept": lambda self, session, number, query: lines.append(f"{number} {query}"),
+                    "cancel": lambda self, session, number, name: lines.append(f"withdraw {number} {name}"),
+                    "on_disconnected": lambda self, session: lines.append("gone"),
                 },
             )()
-            wire = type(
+            transport = type(
                 "Wire", (), {"unsent": b"", "write": lambda self, line: lines.append(line.decode())}
             )()
-            house = ConnectionRegistry(
-                frozenset(("report",)), front, lambda: 1, 1, lambda: 0, Counters(), lambda *_: None
+            registry = ConnectionRegistry(
+                frozenset(("report",)), handler, lambda: 1, 1, lambda: 0, Counters(), lambda *_: None
             )
-            talk = ClientSession(house, wire)
+            session = ClientSession(registry, transport)
             for piece in cut(data, sizes):
-                if talk.receive(piece) is not NextAction.READ:
+                if session.receive(piece) is not NextAction.READ:
                     break
-                self.assertEqual(house.buffered_bytes, len(talk._buffer))
-                self.assertNotIn(b"\n", talk._buffer)
-            talk.on_disconnected()
-            self.assertEqual(0, house.buffered_bytes)
+                self.assertEqual(registry.buffered_bytes, len(session._buffer))
+                self.assertNotIn(b"\n", session._buffer)
+            session.on_disconnected()
+            self.assertEqual(0, registry.buffered_bytes)
             return lines
 
         @usually
         @given(some.lists(almost(REQUESTS) | some.binary(max_size=20), max_size=4).map(b"\n".join), CUTS)
         def any_cut(data: bytes, sizes: list[int]) -> None:
-            self.assertEqual(talked(data, []), talked(data, sizes))
+            self.assertEqual(received_lines(data, []), received_lines(data, sizes))
 
         any_cut()
 
@@ -556,17 +558,21 @@
         @usually
         @given(almost(some.lists(ANSWERS, max_size=3).map(b"".join)) | some.binary(max_size=60), CUTS)
         def never_fails(data: bytes, sizes: list[int]) -> None:
-            reader = resp.AnswerDecoder()
-            self.read(reader.feed, data, sizes, resp.EngineProtocolError, lambda: len(reader._buffer), most)
+            reader = engine_codec.AnswerDecoder()
+            self.read(
+                reader.feed, data, sizes, engine_codec.EngineProtocolError, lambda: len(reader._buffer), most
+            )
 
         @usually
         @given(some.lists(ANSWERS, max_size=3), CUTS)
         def any_cut(answers: list[bytes], sizes: list[int]) -> None:
             data = b"".join(answers)
-            whole, pieces = resp.AnswerDecoder(), resp.AnswerDecoder()
-            found = self.read(whole.feed, data, [], resp.EngineProtocolError, lambda: len(whole._buffer), 0)
+            whole, pieces = engine_codec.AnswerDecoder(), engine_codec.AnswerDecoder()
+            found = self.read(
+                whole.feed, data, [], engine_codec.EngineProtocolError, lambda: len(whole._buffer), 0
+            )
             told = self.read(
-                pieces.feed, data, sizes, resp.EngineProtocolError, lambda: len(pieces._buffer), most
+                pieces.feed, data, sizes, engine_codec.EngineProtocolError, lambda: len(pieces._buffer), most
             )
             self.assertEqual(found, told)
             if found is not None:
@@ -579,15 +585,20 @@
         @usually
         @given(almost(some.lists(EVENTS, max_size=3).map(b"".join)) | some.binary(max_size=60), CUTS)
         def never_fails(data: bytes, sizes: list[int]) -> None:
-            reader = frames.EventDecoder()
+            reader = event_codec.EventDecoder()
             self.read(
-                reader.feed, data, sizes, known.MalformedEventError, lambda: len(reader._buffer), 4_000_004
+                reader.feed,
+                data,
+                sizes,
+                endpoint_list.MalformedEventError,
+                lambda: len(reader._buffer),
+                4_000_004,
             )
 
         @usually
         @given(some.lists(EVENTS, max_size=3), CUTS)
         def any_cut(events: list[bytes], sizes: list[int]) -> None:
-            whole, pieces = frames.EventDecoder(), frames.EventDecoder()
+            whole, pieces = event_codec.EventDecoder(), event_codec.EventDecoder()
             found = whole.feed(b"".join(events))
             told = [one for piece in cut(b"".join(events), sizes) for one in pieces.feed(piece)]
             self.assertEqual(found, told)
@@ -644,8 +655,8 @@
         def never_fails(data: bytes) -> None:
             try:
                 record.decoded(data, "n0")
-            except record.UnusableError as trouble:
-                self.assertNotIn("\n", str(trouble))
+            except record.UnusableError as error:
+                self.assertNotIn("\n", str(error))
 
         round_trip()
         never_fails()
@@ -668,7 +679,7 @@
         def never_fails(text: str) -> None:
             try:
                 self.assertIsInstance(operator.parse("FILE", text), operator.Operator)
-            except conf_lines.UnusableError as trouble:
-                self.assertTrue(all(fault.startswith("FILE:") for fault in trouble.faults))
+            except conf_lines.UnusableError as error:
+                self.assertTrue(all(fault.startswith("FILE:") for fault in error.faults))
 
         never_fails()
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -18,8 +18,8 @@
 
 from cresstray import __main__ as program
 from cresstray.clock import Clock
-from cresstray.discovery import endpoint_list as known
-from cresstray.discovery import watch as feeds
+from cresstray.discovery import endpoint_list
+from cresstray.discovery import watch as discovery_watch
 from cresstray.discovery.codec import EventDecoder
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent, MalformedEventError, apply_final_states
 from cresstray.discovery.watch import EndpointWatch
@@ -137,12 +137,12 @@
             self.assertEqual("draining", watch.told[-1][1][5], number)
 
     def test_nothing_new_is_an_end_of_the_wait(self) -> None:
-        with mock.patch.object(feeds, "_SETTLED_AFTER_S", LONG):
+        with mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", LONG):
             self.assertLess(self.waits(Watch(self.coordinator.address), frame(1, 0), LONG), LONG)
 
     def test_a_coordinator_that_is_silent_or_away_is_not_waited_for(self) -> None:
         self.assertLess(self.waits(Watch(self.coordinator.address), b"", LONG), LONG)
-        with mock.patch.object(feeds, "_SETTLED_AFTER_S", LONG):
+        with mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", LONG):
             self.assertGreater(self.waits(Watch(self.coordinator.address), None, 0.1), 0.09)
         self.coordinator.close()
         self.assertGreater(self.waits(Watch(self.coordinator.address), None, 0.1), 0.09)
@@ -261,12 +261,17 @@
 
     def test_a_stop_is_heard_of_in_time(self) -> None:
         """What there is to tell counts as told four seconds after a stop, two after a break."""
-        longest = feeds._MAX_BACKOFF_S * 1.5 + feeds._CONNECT_TIMEOUT_S
-        self.assertLess(feeds._FRAME_TIMEOUT_S + feeds._FIRST_BACKOFF_S * 1.5 + feeds._CONNECT_TIMEOUT_S, 4)
-        self.assertLess(feeds._SILENCE_TIMEOUT_S + longest + feeds._SILENCE_TIMEOUT_S, 4)
+        longest = discovery_watch._MAX_BACKOFF_S * 1.5 + discovery_watch._CONNECT_TIMEOUT_S
+        self.assertLess(
+            discovery_watch._FRAME_TIMEOUT_S
+            + discovery_watch._FIRST_BACKOFF_S * 1.5
+            + discovery_watch._CONNECT_TIMEOUT_S,
+            4,
+        )
+        self.assertLess(discovery_watch._SILENCE_TIMEOUT_S + longest + discovery_watch._SILENCE_TIMEOUT_S, 4)
         self.assertLess(longest, 2)
         self.assertLess(
-            1024 * 27 / feeds._FRAME_TIMEOUT_S, 10_000, "bytes a second for a list of 1,024 engines"
+            1024 * 27 / discovery_watch._FRAME_TIMEOUT_S, 10_000, "bytes a second for a list of 1,024 engines"
         )
 
     def test_cut_within_a_frame(self) -> None:
@@ -793,9 +798,12 @@
                 self.assertEqual(1, said.getvalue().count("\n"), said.getvalue())
 
     def test_all_that_a_frame_can_hold_can_be_known(self) -> None:
-        engine = known._Member("s-fFffffff", "255.255.255.255:65535", up_since_ms=2.0**63)
-        (event,) = known.initial_events(
-            known.InitialList(1, [known._Update(2**64 - 1, known._Endpoints(True, [engine]))]), {}
+        engine = endpoint_list._Member("s-fFffffff", "255.255.255.255:65535", up_since_ms=2.0**63)
+        (event,) = endpoint_list.initial_events(
+            endpoint_list.InitialList(
+                1, [endpoint_list._Update(2**64 - 1, endpoint_list._Endpoints(True, [engine]))]
+            ),
+            {},
         )
         told = event.endpoints[0]
         self.assertEqual((2**32 - 1, 65_535, 2**63 * 1000), (told.id, told.port, told.started_us))
@@ -884,8 +892,8 @@
         async def ends(service: Service) -> None:
             try:
                 await service.run()
-            except services.AddressError as trouble:
-                told.append(str(trouble))
+            except services.AddressError as error:
+                told.append(str(error))
 
         told: list[str] = []
         coordinator = Coordinator()
@@ -902,7 +910,7 @@
     def run_slowly(self, main: Callable[[], Awaitable]) -> None:
         """Only the coordinator's word ends the wait for it."""
         with (
-            mock.patch.object(feeds, "_SETTLED_AFTER_S", LONG),
+            mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", LONG),
             mock.patch.object(services, "_FIRST_WORD", LONG),
             contextlib.redirect_stderr(io.StringIO()),
         ):
