--- a/cresstray/idempotency/coordinator.py
+++ b/cresstray/idempotency/coordinator.py
@@ -106,10 +106,7 @@
         self._timers = timers
         self._counters = counters
         self._names = _DeploymentNames(deployment_settings)
-        self.guard_modes = [
-            guard_mode_of(request_class, name, operator_settings)
-            for request_class, name in zip(request_classes, self._names.classes)
-        ]
+        self.guard_modes = self._guard_modes(request_classes)
         self._journal_slot = JournalSlot(journal)
         self.health = StoreHealth(operator_settings, chance, clock.now())
         self.store_clock = StoreClock()
@@ -122,6 +119,12 @@
         self.writer = self._make_writer(session)
         self._monitor = self._make_monitor(session, log)
 
+    def _guard_modes(self, request_classes: Sequence[RequestClass]) -> list[GuardMode]:
+        return [
+            guard_mode_of(request_class, name, self._settings)
+            for request_class, name in zip(request_classes, self._names.classes)
+        ]
+
     def _make_open_requests(self) -> OpenRequests:
         return OpenRequests(
             self._holder,
--- a/cresstray/model_checking/marked.py
+++ b/cresstray/model_checking/marked.py
@@ -9,166 +9,27 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
-from sys import intern
-from typing import Any, NamedTuple
-
-from cresstray.config.idempotency import IdempotencySettings
-from cresstray.idempotency import codec, records
-from cresstray.idempotency import execution_guard as guard
-from cresstray.idempotency.codec import Command
-from cresstray.idempotency.coordinator import IdempotencyCoordinator
-from cresstray.idempotency.execution_guard import (
-    Decision,
-    ExecutionGuard,
-    Proceed,
-    ProceedUnguarded,
-    Reject,
-    ReplayResult,
-)
-from cresstray.idempotency.open_requests import OpenRequests
-from cresstray.idempotency.record_lookup import RecordLookup
-from cresstray.model_checking.patching import Mutant, lines
-from cresstray.model_checking.world import (
-    Bounds,
-    Copied,
-    Uncounted,
-    VirtualClock,
-    VirtualDue,
-    VirtualTimers,
-    fixed,
-    untold,
-)
-from cresstray.policy.types import Outcome, Request, RequestClass
+from typing import Any
+
+from cresstray.model_checking.idempotency_mutants import MUTANTS
+from cresstray.model_checking.idempotency_parties import MILLI, ModelGateway, ModelRequest, StoreCall
+from cresstray.model_checking.world import Bounds, Copied, VirtualClock
+from cresstray.policy.types import Outcome, RequestClass
+
+__all__ = ["CONFIGURATIONS", "MUTANTS", "IdempotencyWorld"]
 
 # The first moment: a multiple of the widths of all sliding windows, so that their buckets turn with the
 # ticks.
 START = 1_000_000_000_000
-MILLI = 1_000
 # Short ones, so that windows end within few choices; a slack of 100 ms bounds lookups and waits.
 _DEDUP_WINDOW_US = 2_000 * MILLI
 _LATENCY_OBJECTIVE_US = 120 * MILLI
-_DEADLINE_US = 1_000 * MILLI
 _DEADLINE_MARGIN_US = 200 * MILLI
-_MAX_RETRY_AFTER_US = 1_000 * MILLI
-_OPERATOR_SETTINGS = IdempotencySettings(request_classes=("load",), max_result_bytes=64)
-_DEPLOYMENT_SETTINGS = {
-    "Limits": {"RetryAfter": True, "MaxRetryAfter": 1000},
-    "Services": [{"Name": "load", "Effect": "deduplicated"}],
-}
 # How an attempt may end by the choice's words; what is cut off may have run.
 _OUTCOMES = {"serve": Outcome.SUCCEEDED, "cut off": Outcome.CONNECTION_LOST}
 _HOW_FINISHED = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}
 
 
-class Query:
-    """The client's query, as far as it matters."""
-
-    idempotency_key = "m"
-
-
-class ModelRequest:
-    """One request at one gateway, and what its pipeline knows of it."""
-
-    def __init__(self, gateway: ModelGateway, request_class: RequestClass, now_us: int) -> None:
-        self.gateway = gateway
-        self.request = Request(request_class, now_us, now_us + _DEADLINE_US)
-        self.query = Query()
-        self.may_be_sent: bool | None = None  # None until there is a decision
-        self.is_unguarded = False
-        self.is_sent = False
-        self.has_returned = False
-        self.is_finished = False
-        self.was_stopped = False  # its gateway was, while it was open
-
-    def on_decision(self, decision: Decision) -> None:
-        """Takes the coordinator's decision, and checks that it is the only one and a sound one."""
-        world = self.gateway.world
-        name = self.gateway.name
-        if self.may_be_sent is not None:
-            world.breaks("one_answer", f"{name} is told twice what to do")
-            return
-        self.may_be_sent = isinstance(decision, Proceed | ProceedUnguarded)
-        self.is_unguarded = isinstance(decision, ProceedUnguarded)
-        if self.may_be_sent:
-            return
-        self.is_finished = True
-        if isinstance(decision, Reject) and not 0 <= decision.retry_after_us <= _MAX_RETRY_AFTER_US:
-            world.breaks("sound", f"{name} denies until {decision.retry_after_us}")
-        if isinstance(decision, ReplayResult) and not world.executions:
-            world.breaks("own_name", f"{name} answers from what never ran")
-
-    def finish(self, how: str, result: bytes | None = None) -> None:
-        """Its final answer is out."""
-        self.is_finished = True
-        self.gateway.coordinator.on_request_finished(self.request, how, result, self.gateway.world.clock.at)
-
-    def is_idle(self) -> bool:
-        """Whether the client may ask again at this gateway."""
-        return self.is_finished and (not self.is_sent or self.has_returned)
-
-
-class StoreCall(NamedTuple):
-    """Commands at the store.
-
-    `on_done` is None where nobody waits any more; `replies` is None until the store has executed them;
-    `timeout` is the caller's time limit.
-    """
-
-    number: int
-    gateway: int
-    incarnation: int
-    commands: tuple[tuple[bytes, ...], ...]
-    on_done: Callable[[list[Any] | None], None] | None
-    replies: tuple[Any, ...] | None
-    timeout: VirtualDue
-
-
-class ModelGateway:
-    """One gateway: its coordinator, its timers, and its client to the store."""
-
-    def __init__(self, world: IdempotencyWorld, number: int, incarnation: int) -> None:
-        self.world = world
-        self.number = number
-        self.incarnation = incarnation
-        self.name = intern(f"g{number}")
-        self.timers = VirtualTimers(world.clock)
-        self.is_stopped = False
-        self.current: ModelRequest | None = None
-        self.coordinator = IdempotencyCoordinator(
-            self,
-            _OPERATOR_SETTINGS,
-            _DEPLOYMENT_SETTINGS,
-            [world.request_class],
-            self.name,
-            str(incarnation),
-            fixed,
-            world.clock,
-            self.timers,
-            Uncounted(),
-            None,
-            untold,
-        )
-
-    def submit(
-        self, commands: Sequence[Command], deadline_us: int, on_done: Callable[[list[Any] | None], None]
-    ) -> None:
-        """Hands commands to the store's model; as idempotency.client."""
-        world = self.world
-        arguments = tuple(command.arguments for command in commands)
-        if arguments[0][0] == b"TIME":
-            # Probes and readings of the clock succeed: no request waits for them.
-            self.timers.call_after(0, lambda _: on_done([world.execute(one) for one in arguments]))
-            return
-        number = min({*range(len(world.calls) + 1)} - {call.number for call in world.calls})
-        timeout = self.timers.call_after(
-            deadline_us - world.clock.at, lambda _: world.on_timeout(number, self.number, self.incarnation)
-        )
-        world.calls.append(
-            StoreCall(number, self.number, self.incarnation, arguments, on_done, None, timeout)
-        )
-
-
 class IdempotencyWorld(Copied):
     """Both gateways, the store and the engines."""
 
@@ -508,111 +369,3 @@
 
 
 CONFIGURATIONS = {"marks": IdempotencyWorld}
-
-MUTANTS = (
-    Mutant(
-        "marked_after_the_relay",
-        "deduplicated",
-        "marks",
-        lines(
-            (
-                RecordLookup.start,
-                "health = self._session.health",
-                "guarded.dispatch_until_us = guarded.timing.deadline_us; "
-                "self._open_requests.deliver(guarded, Proceed(0, 0), now_us); return",
-            )
-        ),
-    ),
-    Mutant(
-        "fence_ignored",
-        "deduplicated",
-        "marks",
-        lines(
-            (
-                records._is_holder,
-                "(record.fence, record.owner, record.incarnation) "
-                "== (event.fence, event.owner, event.incarnation)",
-                "True",
-            )
-        ),
-    ),
-    Mutant(
-        "lease_by_timer_alone",
-        "deduplicated",
-        "marks",
-        lines((OpenRequests.may_dispatch, "and now_us < guarded.dispatch_until_us", "")),
-    ),
-    Mutant(
-        "unknown_is_unrun",
-        "deduplicated",
-        "marks",
-        lines(
-            (
-                OpenRequests.settle,
-                "EventKind.UNKNOWN if guarded.may_have_run else EventKind.NOT_EXECUTED",
-                "EventKind.NOT_EXECUTED",
-            )
-        ),
-    ),
-    Mutant(
-        "set_for_compare_and_set",
-        "deduplicated",
-        "marks",
-        lines(
-            (
-                codec.compare_and_set,
-                '(b"EVALSHA", COMPARE_AND_SET_SHA, *rest)',
-                '(b"SET", COMPARE_AND_SET_SHA, *rest)',
-            )
-        ),
-    ),
-    Mutant(
-        "takeover_forgets_the_first",
-        "deduplicated",
-        "marks",
-        lines(
-            (ExecutionGuard.make_claim, "min(record.earliest_dispatch_ms, store_now_ms)", "store_now_ms"),
-            (
-                records._on_claim,
-                "min(record.earliest_dispatch_ms, event.earliest_dispatch_ms)",
-                "event.earliest_dispatch_ms",
-            ),
-        ),
-    ),
-    Mutant(
-        "doubt_is_cleared",
-        "deduplicated",
-        "marks",
-        lines(
-            (
-                records._on_not_executed,
-                "RecordState.UNKNOWN if record.has_uncertain_predecessor else RecordState.ABSENT",
-                "RecordState.ABSENT",
-            )
-        ),
-    ),
-    Mutant(
-        "asked_until_the_hard_stop",
-        "by_hard_stop",
-        "marks",
-        lines(
-            (
-                RecordLookup.start,
-                "now_us + health.time_budget(slack_us, now_us)",
-                "guarded.timing.deadline_us",
-            )
-        ),
-    ),
-    Mutant(
-        "memory_without_its_margin",
-        "deduplicated",
-        "marks",
-        lines(
-            (
-                guard.dedup_safety_margin_us,
-                "_TRANSFER_MARGIN_US + dedup_window_us // _CLOCK_DRIFT_DIVISOR",
-                "-2 * dedup_window_us",
-            )
-        ),
-    ),
-)
