--- a/cresstray/pipeline/routing.py
+++ b/cresstray/pipeline/routing.py
@@ -65,7 +65,7 @@
         entries = self._entries(endpoints, lost_ids)
         for engine, entry in entries:
             state = entry[-1]
-            # At once: should the policy fail to take the entries, it must not choose an engine that has no pool any more.
+            # At once: should the policy fail to take the entries, it must not choose one without a pool.
             if state is EndpointState.REMOVED:
                 engine.state = state
         for engine_id in self._removed_ids(event, endpoints, lost_ids):
