--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -19,6 +19,8 @@
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.engines import connection as links
+from cresstray.engines.connection_state import EngineConnection
+from cresstray.engines.in_flight import InFlightRequest
 from cresstray.model_checking.world import VirtualClock
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.accounting import RequestAccounting
@@ -676,7 +678,6 @@
                 pool = next(iter(stage.service.parts.router._pools.values()))
                 while not (pool.connections and pool.connections[0].transport):
                     await anyio.sleep(0.001)
-                waits = len(pool.connections[0].transport.unsent)
                 await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
                 with anyio.fail_after(5):
                     while pool.connections:
@@ -689,9 +690,21 @@
             reader = hiredis.Reader()
             reader.feed(received)
             # A kernel that takes it all leaves nothing to be seen here.
-            self.assertEqual(waits > 0, reader.gets() is False)
+            self.assertEqual(1, len(unsent))
+            self.assertEqual(unsent[0] > 0, reader.gets() is False)
 
-        with mock.patch.object(socket.socket, "send", _sparing):
+        unsent: list[int] = []
+        abandon = EngineConnection.abandon
+
+        def record_unsent(connection: EngineConnection, request: InFlightRequest) -> bool:
+            # Until the request is withdrawn, more of it may leave.
+            unsent.append(len(connection.transport.unsent))
+            return abandon(connection, request)
+
+        with (
+            mock.patch.object(socket.socket, "send", _sparing),
+            mock.patch.object(EngineConnection, "abandon", record_unsent),
+        ):
             self.play(scene, Limits={"Cancel": True, "ConnectTimeout": 10_000})
 
 
