--- a/cresstray/emulators/engine.py
+++ b/cresstray/emulators/engine.py
@@ -16,7 +16,7 @@
 from anyio.abc import TaskGroup
 
 from cresstray.emulators.account import Account, Run
-from cresstray.emulators.sockets import Peer, listen, serve
+from cresstray.emulators.sockets import Peer, hold_port, listen, listen_again, serve
 
 
 class Marks:
@@ -71,18 +71,22 @@
         self.got = 0
 
     async def run(self) -> None:
-        async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._work)
-            while True:
-                await serve(self._listener, self._serve)
-                while not self.alive:
-                    await anyio.sleep(0.02)
+        try:
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(self._work)
+                while True:
+                    await serve(self._listener, self._serve)
+                    while not self.alive:
+                        await anyio.sleep(0.02)
+        finally:
+            self._listener.close()
 
     def die(self) -> None:
         """The process ends: connections are reset, new ones refused, what ran is lost."""
         self.alive = False
         anyio.notify_closing(self._listener)
         self._listener.close()
+        self._listener = hold_port(self.port)
         for job in list(self._jobs):
             self._drop(job)
         self._waiting.clear()
@@ -91,7 +95,7 @@
 
     def start_again(self) -> None:
         """At the same port, and knowing nothing of what was."""
-        self._listener = listen(self.port)
+        listen_again(self._listener)
         self._at = self._now()
         self.refused_after = None
         self.alive = True
--- a/cresstray/emulators/sockets.py
+++ b/cresstray/emulators/sockets.py
@@ -11,12 +11,30 @@
 from cresstray.transport.streams import CONNECTION_ENDED, SocketStream
 
 
+_BACKLOG = 1024
+
+
 def listen(port: int = 0) -> socket.socket:
-    listener = socket.create_server(("127.0.0.1", port), backlog=1024)
+    """Returns a listener on loopback; port 0 takes any that is free."""
+    listener = socket.create_server(("127.0.0.1", port), backlog=_BACKLOG)
     listener.setblocking(False)
     return listener
 
 
+def hold_port(port: int) -> socket.socket:
+    """Returns a socket that refuses connections to a port, and keeps other processes from taking it."""
+    holder = socket.socket()
+    holder.setblocking(False)
+    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    holder.bind(("127.0.0.1", port))
+    return holder
+
+
+def listen_again(holder: socket.socket) -> None:
+    """Listens on the port of `hold_port`."""
+    holder.listen(_BACKLOG)
+
+
 class Peer:
     """One connection: `line` to write to, `scope` to end it."""
 
