--- a/cresstray/discovery/watch.py
+++ b/cresstray/discovery/watch.py
@@ -53,11 +53,13 @@
     | backing off | `_stream` is None       | the end of the pause: connecting                   |
 
     Args:
-        address: host:port of the coordinator, or None. last_index: the index of the last event that is known.
-        on_event: is called with each new event. One that it fails with comes again, some times. counters:
-        counts frames, events and ends of connections. log: gets a line for each end. random: returns a number
-        from 0 to 1, which spreads the pauses before reconnecting by a half either way,
-            since all gateways lose the coordinator at once.
+        address: host:port of the coordinator, or None.
+        last_index: the index of the last event that is known.
+        on_event: is called with each new event. One that it fails with comes again, some times.
+        counters: counts frames, events and ends of connections.
+        log: gets a line for each end.
+        random: returns a number from 0 to 1, which spreads the pauses before reconnecting by a half either
+            way, since all gateways lose the coordinator at once.
         silence_timeout_s: how long no byte may come.
         frame_timeout_s: how long no whole frame may come.
         connect_timeout_s: how long making a connection may take.
