--- a/cresstray/emulators/sockets.py
+++ b/cresstray/emulators/sockets.py
@@ -10,7 +10,6 @@
 
 from cresstray.transport.streams import CONNECTION_ENDED, SocketStream
 
-
 _BACKLOG = 1024
 
 
