--- a/cresstray/membership/learned_state.py
+++ b/cresstray/membership/learned_state.py
@@ -120,11 +120,6 @@
     return True
 
 
-def copy_learned_state(old: EngineState, new: EngineState) -> None:
-    """Copies what was learned to the state that replaces `old`, of an engine that has not restarted."""
-    new.take_over(old)
-
-
 def delay_first_turn(state: EngineState, chance: Callable[[], float], now_us: int) -> None:
     """Draws the first turn of an unproven endpoint over twice the time of one that only warms up."""
     if state.slow_start.next_send_us > now_us:
--- a/cresstray/membership/listed_engines.py
+++ b/cresstray/membership/listed_engines.py
@@ -74,7 +74,7 @@
         now_us: int,
     ) -> None:
         if former is not None and endpoint.id in self._same_start:
-            learned_state.copy_learned_state(former, engine.policy_state)
+            engine.policy_state.take_over(former)
             return
         entry = self._limits.get(endpoint.id)
         if entry is not None:
--- a/cresstray/pipeline/response.py
+++ b/cresstray/pipeline/response.py
@@ -26,9 +26,9 @@
 # A request that arrived longer ago may have lost its client. What is sent at once costs no system call.
 _CLIENT_CHECK_AGE_US = 20_000
 _OUTCOME_OF_ANSWER = {
-    b"overload": Outcome.OVERLOADED,
-    b"crashed": Outcome.FAILED,
-    b"nobody": Outcome.EXPIRED_BEFORE_SEND,
+    codec.OVERLOADED: Outcome.OVERLOADED,
+    codec.CRASHED: Outcome.FAILED,
+    codec.EXPIRED: Outcome.EXPIRED_BEFORE_SEND,
 }
 
 
@@ -60,12 +60,12 @@
         in_flight = cast(EngineAttemptInFlight, request_in_flight)
         connection = cast(AttemptConnection, in_flight.connection)
         pages = in_flight.pages
-        if answer.kind == b"served" and pages is None:
+        if answer.kind == codec.SERVED and pages is None:
             pages = self._on_first_page(in_flight, connection, answer)
-        elif answer.kind == b"rows" and pages is not None:
+        elif answer.kind == codec.ROWS and pages is not None:
             if not pages.add(answer.page, answer.body):
                 return False
-        elif answer.kind in _OUTCOME_OF_ANSWER and (pages is None or answer.kind == b"crashed"):
+        elif answer.kind in _OUTCOME_OF_ANSWER and (pages is None or answer.kind == codec.CRASHED):
             if pages is None:
                 connection.finish(in_flight)
             else:
