--- a/cresstray/cli/fleet.py
+++ b/cresstray/cli/fleet.py
@@ -16,7 +16,7 @@
 from cresstray.config import operator
 from cresstray.config.fleet import Fleet, Keeper
 from cresstray.config.lines import UnusableError
-from cresstray.consensus.storage import UnusableError as UnusableFileError
+from cresstray.consensus.storage import UnusableFileError
 from cresstray.control_plane.codec import Ask, Gather, requests
 from cresstray.fleet_config import documents
 from cresstray.fleet_config.codec import MAX_PARTS, Greeting, OperatorReply
--- a/cresstray/consensus/codec.py
+++ b/cresstray/consensus/codec.py
@@ -6,63 +6,63 @@
 
 import msgspec
 
-from cresstray.consensus.entries import MOST_DATA, MOST_SNAPSHOT, Entry, Members, Number
+from cresstray.consensus.entries import MAX_DATA_BYTES, MAX_SNAPSHOT_BYTES, Entry, Members, UnsignedInt
 from cresstray.transport.framing import Frame
 
 # Entries of one frame; small ones cost some ten bytes each beside their data.
-MOST_ENTRIES = 1_024
+MAX_FRAME_ENTRIES = 1_024
 
-_Size = Annotated[int, msgspec.Meta(ge=0, le=MOST_SNAPSHOT)]
+_SnapshotSize = Annotated[int, msgspec.Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
 
 
-class PreVote(Frame):
+class PreVoteRequest(Frame):
     """Asks for a pre-vote in `term`. The sender's log ends at `index`, whose entry is of `log_term`."""
 
     kind = 32
-    term: Number
-    index: Number
-    log_term: Number
+    term: UnsignedInt
+    last_log_index: UnsignedInt
+    last_log_term: UnsignedInt
 
 
-class PreVoted(Frame):
+class PreVoteResponse(Frame):
     """Answers a PreVote. `term` is the one asked for where granted, else the answerer's own."""
 
     kind = 33
-    term: Number
+    term: UnsignedInt
     granted: bool
 
 
-class Vote(Frame):
+class VoteRequest(Frame):
     """Asks for a vote. With `transfer` the leader itself wants it, so that no voter keeps to the leader."""
 
     kind = 34
-    term: Number
-    index: Number
-    log_term: Number
-    transfer: bool
+    term: UnsignedInt
+    last_log_index: UnsignedInt
+    last_log_term: UnsignedInt
+    is_transfer: bool
 
 
-class Voted(Frame):
+class VoteResponse(Frame):
     """Answers a Vote."""
 
     kind = 35
-    term: Number
+    term: UnsignedInt
     granted: bool
 
 
-class Append(Frame):
+class AppendEntries(Frame):
     """Entries after `index`, whose entry is of `log_term`; a heartbeat has none. The answer names `round`."""
 
     kind = 36
-    term: Number
-    round: Number
-    index: Number
-    log_term: Number
-    commit: Number
-    entries: Annotated[list[Entry], msgspec.Meta(max_length=MOST_ENTRIES)]
+    term: UnsignedInt
+    round: UnsignedInt
+    prev_log_index: UnsignedInt
+    prev_log_term: UnsignedInt
+    leader_commit: UnsignedInt
+    entries: Annotated[list[Entry], msgspec.Meta(max_length=MAX_FRAME_ENTRIES)]
 
 
-class Appended(Frame):
+class AppendEntriesResponse(Frame):
     """Answers an Append.
 
     With `ok` the log equals the leader's up to `index`. Else it differs at `index`, which was asked for:
@@ -71,45 +71,55 @@
     """
 
     kind = 37
-    term: Number
-    round: Number
-    ok: bool
-    index: Number
-    hint_term: Number
-    hint_index: Number
+    term: UnsignedInt
+    round: UnsignedInt
+    is_success: bool
+    index: UnsignedInt
+    hint_term: UnsignedInt
+    hint_index: UnsignedInt
 
 
-class Install(Frame):
+class InstallSnapshot(Frame):
     """Part of a snapshot from `offset` on; without data it asks what has arrived. `check`: CRC-32 of all."""
 
     kind = 38
-    term: Number
-    round: Number
-    index: Number
-    log_term: Number
+    term: UnsignedInt
+    round: UnsignedInt
+    last_included_index: UnsignedInt
+    last_included_term: UnsignedInt
     members: Members
-    size: _Size
-    check: Number
-    offset: _Size
-    data: Annotated[bytes, msgspec.Meta(max_length=MOST_DATA)]
+    size: _SnapshotSize
+    checksum: UnsignedInt
+    offset: _SnapshotSize
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_DATA_BYTES)]
 
 
-class Installed(Frame):
+class InstallSnapshotResponse(Frame):
     """Answers an Install: bytes up to `offset` have arrived; with all of them it is synced and in use."""
 
     kind = 39
-    term: Number
-    round: Number
-    index: Number
-    check: Number
-    offset: _Size
+    term: UnsignedInt
+    round: UnsignedInt
+    last_included_index: UnsignedInt
+    checksum: UnsignedInt
+    offset: _SnapshotSize
 
 
-class Now(Frame):
+class TimeoutNow(Frame):
     """The leader of `term` asks this voter to stand for election at once (leadership transfer)."""
 
     kind = 40
-    term: Number
-
-
-KINDS = (PreVote, PreVoted, Vote, Voted, Append, Appended, Install, Installed, Now)
+    term: UnsignedInt
+
+
+KINDS = (
+    PreVoteRequest,
+    PreVoteResponse,
+    VoteRequest,
+    VoteResponse,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    TimeoutNow,
+)
--- a/cresstray/consensus/election.py
+++ b/cresstray/consensus/election.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cresstray.consensus.codec import Now, PreVote, PreVoted, Vote, Voted
-from cresstray.consensus.entries import Entry, Kind
+from cresstray.consensus.codec import PreVoteRequest, PreVoteResponse, TimeoutNow, VoteRequest, VoteResponse
+from cresstray.consensus.entries import Entry, EntryKind
 from cresstray.consensus.node_state import Role
 from cresstray.consensus.replication import Replication
 from cresstray.transport.framing import Frame
@@ -12,101 +12,103 @@
 class Election(Replication):
     """Votes, and stands for election."""
 
-    def _ask(self, now: int) -> None:
+    def _start_pre_vote(self, now_us: int) -> None:
         """Asks the voters whether it would be elected."""
-        self.role = Role.ASKING
+        self.role = Role.PRE_CANDIDATE
         self.leader = None
         self._votes = {self.name}
-        self._to_voters(PreVote(self.term + 1, self._log.last, self._log.last_term))
-        if self._majority():
-            self._stand(now, False)
+        self._send_to_voters(PreVoteRequest(self.term + 1, self._log.last_index, self._log.last_term))
+        if self._has_majority():
+            self._start_election(now_us, False)
 
-    def _stand(self, now: int, transfer: bool) -> None:
-        assert transfer or not self._keeps_to_leader(now), "it promised not to vote so soon"
-        self._new_term(self.term + 1)
+    def _start_election(self, now_us: int, transfer: bool) -> None:
+        assert transfer or not self._has_active_leader(now_us), "it promised not to vote so soon"
+        self._enter_term(self.term + 1)
         self.role = Role.CANDIDATE
         self._voted_for = self.name
         self._votes = {self.name}
-        self._put_off(now)
-        self._to_voters(Vote(self.term, self._log.last, self._log.last_term, transfer))
+        self._reset_election_timer(now_us)
+        self._send_to_voters(VoteRequest(self.term, self._log.last_index, self._log.last_term, transfer))
 
-    def _to_voters(self, frame: Frame) -> None:
-        self._frames += [(to, frame) for to in self.members.voters if to != self.name]
+    def _send_to_voters(self, frame: Frame) -> None:
+        self._messages += [(to, frame) for to in self.members.voters if to != self.name]
 
-    def _majority(self) -> bool:
+    def _has_majority(self) -> bool:
         voters = self.members.voters
         return sum(name in self._votes for name in voters) > len(voters) // 2
 
-    def _won(self) -> bool:
-        return self._term_stored == self.term and self._majority()
+    def _has_won(self) -> bool:
+        return self._persisted_term == self.term and self._has_majority()
 
-    def _keeps_to_leader(self, now: int) -> bool:
+    def _has_active_leader(self, now_us: int) -> bool:
         """Returns whether it heard a leader within the election timeout, or is one.
 
         The lease rests on this.
         """
-        return self.role is Role.LEADER or now - self._heard < self._times.election
+        return (
+            self.role is Role.LEADER or now_us - self._leader_contact_at_us < self._timing.election_timeout_us
+        )
 
-    def _up_to_date(self, index: int, term: int) -> bool:
-        return (term, index) >= (self._log.last_term, self._log.last)
+    def _is_up_to_date(self, index: int, term: int) -> bool:
+        return (term, index) >= (self._log.last_term, self._log.last_index)
 
-    def _lead(self, now: int) -> None:
+    def _become_leader(self, now_us: int) -> None:
         self.role = Role.LEADER
         self.leader = self.name
-        self.led_since = now
+        self.elected_at_us = now_us
         self._peers = {}
-        self._open = 0
-        self._know_peers()
-        self._log.append(Entry(self.term, Kind.NOTHING, b""))
-        self._beat_at = now + self._times.beat
-        self._broadcast(now, fresh=True)
+        self._uncommitted_bytes = 0
+        self._update_peers()
+        self._log.append(Entry(self.term, EntryKind.NO_OP, b""))
+        self._next_heartbeat_us = now_us + self._timing.heartbeat_interval_us
+        self._broadcast(now_us, with_heartbeat=True)
 
-    def _on_pre_vote(self, sender: str, frame: PreVote, now: int) -> None:
+    def _on_pre_vote_request(self, sender: str, frame: PreVoteRequest, now_us: int) -> None:
         granted = (
             frame.term > self.term
-            and not self._keeps_to_leader(now)
-            and self._up_to_date(frame.index, frame.log_term)
+            and not self._has_active_leader(now_us)
+            and self._is_up_to_date(frame.last_log_index, frame.last_log_term)
         )
-        self._frames.append((sender, PreVoted(frame.term if granted else self.term, granted)))
+        self._messages.append((sender, PreVoteResponse(frame.term if granted else self.term, granted)))
 
-    def _on_vote(self, sender: str, frame: Vote, now: int) -> None:
+    def _on_vote_request(self, sender: str, frame: VoteRequest, now_us: int) -> None:
         # A vote within the election timeout would break the lease of the leader it heard, also where it has
         # learnt of the later term in other ways meanwhile.
-        transfer = frame.transfer and sender in self.members.names()
-        if frame.term >= self.term and self._keeps_to_leader(now) and not transfer:
+        transfer = frame.is_transfer and sender in self.members.names()
+        if frame.term >= self.term and self._has_active_leader(now_us) and not transfer:
             return
         if frame.term > self.term:
-            self._follow(frame.term, None, now)
+            self._become_follower(frame.term, None, now_us)
         granted = (
             frame.term == self.term
-            and self.role in (Role.FOLLOWER, Role.ASKING)
+            and self.role in (Role.FOLLOWER, Role.PRE_CANDIDATE)
             and self.leader is None
             and self._voted_for in (None, sender)
-            and self._up_to_date(frame.index, frame.log_term)
+            and self._is_up_to_date(frame.last_log_index, frame.last_log_term)
         )
         if granted:
             self.role = Role.FOLLOWER
             if self._voted_for is None:
                 self._voted_for = sender
-                self._dirty = True
-            self._put_off(now)
-        self._frames.append((sender, Voted(self.term, granted)))
+                self._hard_state_changed = True
+            self._reset_election_timer(now_us)
+        self._messages.append((sender, VoteResponse(self.term, granted)))
 
-    def _on_pre_voted(self, sender: str, frame: PreVoted, now: int) -> None:
+    def _on_pre_vote_response(self, sender: str, frame: PreVoteResponse, now_us: int) -> None:
         """Counts a granted pre-vote."""
-        if self.role is Role.ASKING and frame.term == self.term + 1:
+        if self.role is Role.PRE_CANDIDATE and frame.term == self.term + 1:
             self._votes.add(sender)
-            if self._majority() and not self._keeps_to_leader(now):
-                self._stand(now, False)
+            if self._has_majority() and not self._has_active_leader(now_us):
+                self._start_election(now_us, False)
 
-    def _on_voted(self, sender: str, frame: Voted, now: int) -> None:
+    def _on_vote_response(self, sender: str, frame: VoteResponse, now_us: int) -> None:
         """Counts a vote of this term."""
         if self.role is Role.CANDIDATE and frame.granted:
             self._votes.add(sender)
-            if self._won():
-                self._lead(now)
+            if self._has_won():
+                self._become_leader(now_us)
 
-    def _on_now(self, sender: str, frame: Now, now: int) -> None:
+    def _on_timeout_now(self, sender: str, frame: TimeoutNow, now_us: int) -> None:
         is_of_leader = frame.term == self.term and self.role is Role.FOLLOWER and sender == self.leader
         if is_of_leader and self.name in self.members.voters:
-            self._stand(now, True)
+            self._start_election(now_us, True)
--- a/cresstray/consensus/log_sending.py
+++ b/cresstray/consensus/log_sending.py
@@ -4,10 +4,10 @@
 
 from zlib import crc32
 
-from cresstray.consensus.codec import Append, Install
-from cresstray.consensus.entries import MOST_DATA, Entry
+from cresstray.consensus.codec import AppendEntries, InstallSnapshot
+from cresstray.consensus.entries import MAX_DATA_BYTES, Entry
 from cresstray.consensus.node_state import NodeState
-from cresstray.consensus.peers import Peer, Way
+from cresstray.consensus.peers import PeerProgress, ProgressState
 
 # Rounds of one leader begin no closer than this: an older one only makes the lease shorter.
 _MIN_ROUND_INTERVAL_US = 1_000
@@ -18,84 +18,91 @@
 class LogSending(NodeState):
     """Sends to each member what it may be sent now, in rounds that its answers name."""
 
-    def _know_peers(self) -> None:
+    def _update_peers(self) -> None:
         names = [name for name in self.members.names() if name != self.name]
-        self._peers = {name: self._peers.get(name) or Peer(self._log.last + 1) for name in names}
+        self._peers = {
+            name: self._peers.get(name) or PeerProgress(self._log.last_index + 1) for name in names
+        }
 
-    def _broadcast(self, now: int, fresh: bool = False) -> None:
+    def _broadcast(self, now_us: int, with_heartbeat: bool = False) -> None:
         """Sends to all members; `fresh`: at least a heartbeat, of a round that begins now."""
-        self._begin_round(now, fresh)
+        self._start_round(now_us, with_heartbeat)
         for to in self._peers:
-            self._feed(to, now, fresh)
+            self._send_to_peer(to, now_us, with_heartbeat)
 
-    def _begin_round(self, now: int, fresh: bool) -> None:
-        is_due = not self._rounds or now - self._rounds[-1][1] >= _MIN_ROUND_INTERVAL_US
-        if not fresh and not is_due:
+    def _start_round(self, now_us: int, with_heartbeat: bool) -> None:
+        is_due = not self._round_starts or now_us - self._round_starts[-1][1] >= _MIN_ROUND_INTERVAL_US
+        if not with_heartbeat and not is_due:
             return
         self._round += 1
-        self._rounds.append((self._round, now))
-        while self._rounds[0][1] < now - 2 * self._times.election:
-            self._rounds.popleft()
+        self._round_starts.append((self._round, now_us))
+        while self._round_starts[0][1] < now_us - 2 * self._timing.election_timeout_us:
+            self._round_starts.popleft()
 
-    def _feed(self, to: str, now: int, beat: bool = False) -> None:
+    def _send_to_peer(self, to: str, now_us: int, with_heartbeat: bool = False) -> None:
         """Sends what this member lacks; `beat`: at least a heartbeat."""
         peer = self._peers[to]
-        self._switch_to_snapshot(peer, now)
-        if peer.way is Way.SNAPSHOT:
-            self._send_part(to, peer, beat)
-        elif peer.way is Way.PROBE:
-            if beat or not peer.asked:
-                peer.asked = True
-                self._append(to, peer, [])
+        self._switch_to_snapshot(peer, now_us)
+        if peer.state is ProgressState.SNAPSHOT:
+            self._send_snapshot_chunk(to, peer, with_heartbeat)
+        elif peer.state is ProgressState.PROBE:
+            if with_heartbeat or not peer.is_probe_in_flight:
+                peer.is_probe_in_flight = True
+                self._send_entries(to, peer, [])
         else:
-            self._replicate(to, peer, beat)
+            self._replicate(to, peer, with_heartbeat)
 
-    def _switch_to_snapshot(self, peer: Peer, now: int) -> None:
+    def _switch_to_snapshot(self, peer: PeerProgress, now_us: int) -> None:
         """Starts a snapshot where its next entries are gone, or where it was silent during an older one."""
         log = self._log
-        if peer.way is Way.SNAPSHOT:
-            is_silent = peer.acked is None or now - peer.acked > _SILENT_ELECTIONS * self._times.election
+        if peer.state is ProgressState.SNAPSHOT:
+            is_silent = (
+                peer.acked_at_us is None
+                or now_us - peer.acked_at_us > _SILENT_ELECTIONS * self._timing.election_timeout_us
+            )
             is_needed = peer.snapshot is not log.snapshot and is_silent
         else:
-            is_needed = log.term_at(peer.next - 1) is None
+            is_needed = log.term_at(peer.next_index - 1) is None
         if is_needed:
-            peer.install(log.snapshot, crc32(log.snapshot.data))
+            peer.start_snapshot(log.snapshot, crc32(log.snapshot.data))
 
-    def _replicate(self, to: str, peer: Peer, beat: bool) -> None:
-        while peer.next <= self._log.last and peer.room():
-            entries, size = self._log.batch(peer.next)
-            self._append(to, peer, entries)
-            peer.flies(peer.next + len(entries) - 1, size)
-            beat = False
-        if beat:
-            self._append(to, peer, [])
+    def _replicate(self, to: str, peer: PeerProgress, with_heartbeat: bool) -> None:
+        while peer.next_index <= self._log.last_index and peer.has_room():
+            entries, size = self._log.batch(peer.next_index)
+            self._send_entries(to, peer, entries)
+            peer.record_sent(peer.next_index + len(entries) - 1, size)
+            with_heartbeat = False
+        if with_heartbeat:
+            self._send_entries(to, peer, [])
 
-    def _append(self, to: str, peer: Peer, entries: list[Entry]) -> None:
-        index = peer.next - 1
+    def _send_entries(self, to: str, peer: PeerProgress, entries: list[Entry]) -> None:
+        index = peer.next_index - 1
         term = self._log.term_at(index)
         assert term is not None, "what is sent is here"
-        self._frames.append((to, Append(self.term, self._round, index, term, self.commit, entries)))
+        self._messages.append(
+            (to, AppendEntries(self.term, self._round, index, term, self.commit_index, entries))
+        )
 
-    def _send_part(self, to: str, peer: Peer, beat: bool) -> None:
+    def _send_snapshot_chunk(self, to: str, peer: PeerProgress, with_heartbeat: bool) -> None:
         """Sends the next part of a snapshot, if the last one has arrived; a heartbeat only asks."""
         snapshot = peer.snapshot
         assert snapshot is not None
         data = b""
-        if peer.sent == peer.offset and not peer.part_round:
-            data = snapshot.data[peer.offset : peer.offset + MOST_DATA]
-            peer.sent = peer.offset + len(data)
-            peer.part_round = self._round
-        elif not beat:
+        if peer.sent_bytes == peer.received_bytes and not peer.chunk_round:
+            data = snapshot.data[peer.received_bytes : peer.received_bytes + MAX_DATA_BYTES]
+            peer.sent_bytes = peer.received_bytes + len(data)
+            peer.chunk_round = self._round
+        elif not with_heartbeat:
             return
-        part = Install(
+        part = InstallSnapshot(
             self.term,
             self._round,
             snapshot.index,
             snapshot.term,
             snapshot.members,
             len(snapshot.data),
-            peer.check,
-            peer.offset,
+            peer.checksum,
+            peer.received_bytes,
             data,
         )
-        self._frames.append((to, part))
+        self._messages.append((to, part))
--- a/cresstray/consensus/membership_changes.py
+++ b/cresstray/consensus/membership_changes.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from cresstray.consensus.codec import Now
+from cresstray.consensus.codec import TimeoutNow
 from cresstray.consensus.commitment import Commitment
-from cresstray.consensus.entries import MOST_DATA, Entry, Kind, Members
+from cresstray.consensus.entries import MAX_DATA_BYTES, Entry, EntryKind, Members
 from cresstray.consensus.node_state import Role
 
 # Without a majority a leader would keep all that is proposed until it steps down.
@@ -18,72 +18,72 @@
     """What a caller asks of a leader that appends to the log, or ends its leadership."""
 
     def _accepts_proposals(self) -> bool:
-        return self.role is Role.LEADER and self._heir is None
+        return self.role is Role.LEADER and self._transfer_target is None
 
-    def _propose_data(self, data: bytes, now: int) -> tuple[int, int] | None:
-        if len(data) > MOST_DATA:
-            raise ValueError(f"an entry of {len(data)} bytes; {MOST_DATA} at most")
+    def _propose_data(self, data: bytes, now_us: int) -> tuple[int, int] | None:
+        if len(data) > MAX_DATA_BYTES:
+            raise ValueError(f"an entry of {len(data)} bytes; {MAX_DATA_BYTES} at most")
         if not self._accepts_proposals():
             return None
-        is_full = self._open + len(data) > _MAX_OPEN_BYTES
-        if is_full or self._log.last - self.commit >= _MAX_OPEN_ENTRIES:
+        is_full = self._uncommitted_bytes + len(data) > _MAX_OPEN_BYTES
+        if is_full or self._log.last_index - self.commit_index >= _MAX_OPEN_ENTRIES:
             return None
-        return self._propose(Kind.DATA, data, now)
+        return self._propose(EntryKind.DATA, data, now_us)
 
-    def _propose_members(self, members: Members, now: int) -> tuple[int, int] | None:
+    def _propose_members(self, members: Members, now_us: int) -> tuple[int, int] | None:
         if not self._accepts_proposals():
             return None
-        self._check(members, now)
-        made = self._propose(Kind.MEMBERS, members.encoded(), now)
-        self._know_peers()
-        self._broadcast(now)
-        self._count(now)
-        return made
-
-    def _propose(self, kind: Kind, data: bytes, now: int) -> tuple[int, int]:
+        self._check_members_change(members, now_us)
+        proposed = self._propose(EntryKind.MEMBERS, members.encode(), now_us)
+        self._update_peers()
+        self._broadcast(now_us)
+        self._advance_commit_index(now_us)
+        return proposed
+
+    def _propose(self, kind: EntryKind, data: bytes, now_us: int) -> tuple[int, int]:
         index = self._log.append(Entry(self.term, kind, data))
-        self._open += len(data)
-        if kind is Kind.DATA:
-            self._broadcast(now)
+        self._uncommitted_bytes += len(data)
+        if kind is EntryKind.DATA:
+            self._broadcast(now_us)
         return index, self.term
 
-    def _start_transfer(self, to: str, now: int) -> bool:
+    def _start_transfer(self, to: str, now_us: int) -> bool:
         if not self._accepts_proposals() or to == self.name or to not in self.members.voters:
             return False
-        self._heir = to
-        self._heir_until = now + self._times.election
-        self._hand_over(now)
-        self._feed(to, now)
+        self._transfer_target = to
+        self._transfer_deadline_us = now_us + self._timing.election_timeout_us
+        self._continue_transfer(now_us)
+        self._send_to_peer(to, now_us)
         return True
 
-    def _hand_over(self, now: int) -> None:
+    def _continue_transfer(self, now_us: int) -> None:
         """Tells the target to stand once it has all of the log; from then on there is no lease."""
-        assert self._heir is not None
-        if self._peers[self._heir].match == self._log.last:
-            self._sent_now = True
-            self._frames.append((self._heir, Now(self.term)))
+        assert self._transfer_target is not None
+        if self._peers[self._transfer_target].match_index == self._log.last_index:
+            self._sent_timeout_now = True
+            self._messages.append((self._transfer_target, TimeoutNow(self.term)))
 
-    def _check(self, members: Members, now: int) -> None:
+    def _check_members_change(self, members: Members, now_us: int) -> None:
         """Raises ValueError where the list cannot follow the present one now."""
         _check_names(members)
-        if self._log.term_at(self.commit) != self.term:
+        if self._log.term_at(self.commit_index) != self.term:
             raise ValueError("this leader has committed nothing yet; try again")
-        if self._log.changed > self.commit:
+        if self._log.members_index > self.commit_index:
             raise ValueError("another change of members is not yet committed")
         changed = _changed_names(self.members, members)
         if len(changed) != 1:
             raise ValueError(f"one name at a time; {len(changed)} would change")
         if changed[0] in members.voters:
-            self._check_new_voter(changed[0], now)
+            self._check_new_voter(changed[0], now_us)
 
-    def _check_new_voter(self, name: str, now: int) -> None:
+    def _check_new_voter(self, name: str, now_us: int) -> None:
         if name not in self.members.learners:
             raise ValueError(f"{name} is to be a learner first")
-        if not self.hears(name, now):
+        if not self.is_recently_active(name, now_us):
             raise ValueError(f"{name} is not heard of")
         peer = self._peers[name]
-        if peer.match + _MAX_LEARNER_LAG < self._log.last:
-            raise ValueError(f"{name} is {self._log.last - peer.match} entries behind")
+        if peer.match_index + _MAX_LEARNER_LAG < self._log.last_index:
+            raise ValueError(f"{name} is {self._log.last_index - peer.match_index} entries behind")
 
 
 def _check_names(members: Members) -> None:
--- a/cresstray/consensus/peers.py
+++ b/cresstray/consensus/peers.py
@@ -13,7 +13,7 @@
 _MAX_IN_FLIGHT_FRAMES = 64
 
 
-class Way(Enum):
+class ProgressState(Enum):
     """How entries are sent to a member."""
 
     PROBE = "probe"  # looks for where the logs part, one question at a time
@@ -21,7 +21,7 @@
     SNAPSHOT = "snapshot"  # what it misses is no longer in the log
 
 
-class Peer:
+class PeerProgress:
     """Progress with one member.
 
     Attributes:
@@ -38,92 +38,92 @@
         part_round: The round in which the last part was sent; 0 for none.
     """
 
-    def __init__(self, following: int) -> None:
-        self.way = Way.PROBE
-        self.match = 0
-        self.next = following
-        self.asked = False
-        self._flight: deque[tuple[int, int]] = deque()  # last index and bytes of each frame in flight
-        self._flying = 0  # bytes in flight
-        self.round = 0
-        self.acked: int | None = None
+    def __init__(self, next_index: int) -> None:
+        self.state = ProgressState.PROBE
+        self.match_index = 0
+        self.next_index = next_index
+        self.is_probe_in_flight = False
+        self._in_flight: deque[tuple[int, int]] = deque()  # last index and bytes of each frame in flight
+        self._in_flight_bytes = 0  # bytes in flight
+        self.acked_round = 0
+        self.acked_at_us: int | None = None
         self.snapshot: Snapshot | None = None
-        self.check = 0
-        self.offset = 0
-        self.sent = 0
-        self.part_round = 0
+        self.checksum = 0
+        self.received_bytes = 0
+        self.sent_bytes = 0
+        self.chunk_round = 0
 
     def is_replicating(self) -> bool:
         """Returns whether entries are sent to it without waiting for answers."""
-        return self.way is Way.REPLICATE
+        return self.state is ProgressState.REPLICATE
 
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         """Returns whether another frame may be sent."""
-        return self._flying < _MAX_IN_FLIGHT_BYTES and len(self._flight) < _MAX_IN_FLIGHT_FRAMES
+        return self._in_flight_bytes < _MAX_IN_FLIGHT_BYTES and len(self._in_flight) < _MAX_IN_FLIGHT_FRAMES
 
-    def flies(self, index: int, size: int) -> None:
+    def record_sent(self, index: int, byte_count: int) -> None:
         """A frame was sent whose last entry is `index`, with so many bytes of data."""
-        self._flight.append((index, size))
-        self._flying += size
-        self.next = index + 1
+        self._in_flight.append((index, byte_count))
+        self._in_flight_bytes += byte_count
+        self.next_index = index + 1
 
-    def probe(self, following: int) -> None:
+    def start_probing(self, next_index: int) -> None:
         """Looks from `following` on for where the logs part."""
-        self.way = Way.PROBE
-        self.asked = False
-        self.next = following
-        self._flight.clear()
-        self._flying = 0
+        self.state = ProgressState.PROBE
+        self.is_probe_in_flight = False
+        self.next_index = next_index
+        self._in_flight.clear()
+        self._in_flight_bytes = 0
         self.snapshot = None
 
-    def matched(self, index: int) -> bool:
+    def record_match(self, index: int) -> bool:
         """Its log matches up to `index`; returns whether that is news."""
-        news = index > self.match
-        self.match = max(self.match, index)
-        while self._flight and self._flight[0][0] <= self.match:
-            self._flying -= self._flight.popleft()[1]
-        if self.snapshot is not None and self.match >= self.snapshot.index:
-            self.probe(self.match + 1)
-        if self.way is Way.PROBE:
-            self.way = Way.REPLICATE
-            self.next = self.match + 1
-        self.next = max(self.next, self.match + 1)
-        return news
-
-    def differs(self, index: int, following: int) -> bool:
+        is_advance = index > self.match_index
+        self.match_index = max(self.match_index, index)
+        while self._in_flight and self._in_flight[0][0] <= self.match_index:
+            self._in_flight_bytes -= self._in_flight.popleft()[1]
+        if self.snapshot is not None and self.match_index >= self.snapshot.index:
+            self.start_probing(self.match_index + 1)
+        if self.state is ProgressState.PROBE:
+            self.state = ProgressState.REPLICATE
+            self.next_index = self.match_index + 1
+        self.next_index = max(self.next_index, self.match_index + 1)
+        return is_advance
+
+    def record_mismatch(self, index: int, next_index: int) -> bool:
         """Its log differs at `index`, and may match before `following`.
 
         Returns False where that is old news.
         """
-        if self.way is Way.SNAPSHOT or index <= self.match:
+        if self.state is ProgressState.SNAPSHOT or index <= self.match_index:
             return False
-        if self.way is Way.PROBE and index != self.next - 1:
+        if self.state is ProgressState.PROBE and index != self.next_index - 1:
             return False
-        self.probe(max(self.match + 1, min(following, index)))
+        self.start_probing(max(self.match_index + 1, min(next_index, index)))
         return True
 
-    def install(self, snapshot: Snapshot, check: int) -> None:
+    def start_snapshot(self, snapshot: Snapshot, checksum: int) -> None:
         """Begins to send a snapshot."""
-        self.way = Way.SNAPSHOT
+        self.state = ProgressState.SNAPSHOT
         self.snapshot = snapshot
-        self.check = check
-        self.offset = 0
-        self.sent = 0
-        self._flight.clear()
-        self._flying = 0
-        self.part_round = 0
+        self.checksum = checksum
+        self.received_bytes = 0
+        self.sent_bytes = 0
+        self._in_flight.clear()
+        self._in_flight_bytes = 0
+        self.chunk_round = 0
 
     def fingerprint(self) -> tuple[Any, ...]:
         """Returns a value equal for two members to which the leader will do the same."""
         return (
-            self.way.value,
-            self.match,
-            self.next,
-            self.asked,
-            tuple(self._flight),
-            self.round,
+            self.state.value,
+            self.match_index,
+            self.next_index,
+            self.is_probe_in_flight,
+            tuple(self._in_flight),
+            self.acked_round,
             self.snapshot and self.snapshot.index,
-            self.offset,
-            self.sent,
-            self.part_round,
+            self.received_bytes,
+            self.sent_bytes,
+            self.chunk_round,
         )
--- a/cresstray/consensus/read_index.py
+++ b/cresstray/consensus/read_index.py
@@ -4,7 +4,7 @@
 
 from cresstray.consensus.log_sending import LogSending
 from cresstray.consensus.node_state import Role
-from cresstray.consensus.peers import Peer
+from cresstray.consensus.peers import PeerProgress
 
 _MAX_READS = 10_000
 
@@ -12,61 +12,76 @@
 class ReadIndex(LogSending):
     """The leader's lease, and reads that wait for a confirmed round."""
 
-    def leads(self, now: int) -> bool:
+    def has_leader_lease(self, now_us: int) -> bool:
         """Returns whether it is the leader, and no other can have been elected by `now`."""
-        if self.role is not Role.LEADER or self._sent_now or self._log.term_at(self.commit) != self.term:
+        if (
+            self.role is not Role.LEADER
+            or self._sent_timeout_now
+            or self._log.term_at(self.commit_index) != self.term
+        ):
             return False
-        since = self._acked(now)
+        acked_at_us = self._quorum_acked_at_us(now_us)
         # This clock may be slow by the drift, and a follower's, whose promise it counts on, fast.
-        lease_us = int(self._times.election * (1 - 2 * self._times.drift))
-        return since is not None and now < since + lease_us
+        lease_us = int(self._timing.election_timeout_us * (1 - 2 * self._timing.clock_drift))
+        return acked_at_us is not None and now_us < acked_at_us + lease_us
 
-    def hears(self, name: str, now: int) -> bool:
+    def is_recently_active(self, name: str, now_us: int) -> bool:
         """Returns whether another member has answered this leader within an election timeout."""
         peer = self._peers.get(name)
-        return peer is not None and peer.acked is not None and now - peer.acked <= self._times.election
+        return (
+            peer is not None
+            and peer.acked_at_us is not None
+            and now_us - peer.acked_at_us <= self._timing.election_timeout_us
+        )
 
-    def _request_read(self, ticket: object, now: int) -> bool:
-        if self.role is not Role.LEADER or len(self._reads) >= _MAX_READS:
+    def _request_read(self, token: object, now_us: int) -> bool:
+        if self.role is not Role.LEADER or len(self._pending_reads) >= _MAX_READS:
             return False
-        if self.leads(now):
-            self._answers.append((ticket, self.commit))
+        if self.has_leader_lease(now_us):
+            self._read_results.append((token, self.commit_index))
             return True
         # A round that began before the question proves nothing of what was committed in between.
-        alone = not self._reads or self._reads[-1][1] <= self._confirmed()
-        self._reads.append((ticket, self._round + 1))
-        if alone:
-            self._broadcast(now, fresh=True)
+        needs_round = not self._pending_reads or self._pending_reads[-1][1] <= self._quorum_acked_round()
+        self._pending_reads.append((token, self._round + 1))
+        if needs_round:
+            self._broadcast(now_us, with_heartbeat=True)
         self._serve_reads()
         return True
 
-    def _acknowledged(self, peer: Peer, number: int) -> None:
+    def _record_ack(self, peer: PeerProgress, number: int) -> None:
         """Notes that it has received that round: it votes for no other within a timeout from its start."""
-        if number > peer.round and self._rounds and self._rounds[0][0] <= number <= self._round:
-            peer.round = number
-            peer.acked = self._rounds[number - self._rounds[0][0]][1]
+        if (
+            number > peer.acked_round
+            and self._round_starts
+            and self._round_starts[0][0] <= number <= self._round
+        ):
+            peer.acked_round = number
+            peer.acked_at_us = self._round_starts[number - self._round_starts[0][0]][1]
             self._serve_reads()
 
-    def _acked(self, now: int) -> int | None:
+    def _quorum_acked_at_us(self, now_us: int) -> int | None:
         """Returns when the latest round began that a majority of voters has received; itself, now."""
-        since = []
+        acked_times_us = []
         for name in self.members.voters:
-            at = now if name == self.name else self._peers[name].acked
-            since.append(-1 if at is None else at)
-        latest = self._quorum(since)
+            acked_at_us = now_us if name == self.name else self._peers[name].acked_at_us
+            acked_times_us.append(-1 if acked_at_us is None else acked_at_us)
+        latest = self._quorum_value(acked_times_us)
         return None if latest < 0 else latest
 
-    def _confirmed(self) -> int:
+    def _quorum_acked_round(self) -> int:
         """Returns the latest round that a majority of voters has received."""
-        return self._quorum(
-            [self._round if name == self.name else self._peers[name].round for name in self.members.voters]
+        return self._quorum_value(
+            [
+                self._round if name == self.name else self._peers[name].acked_round
+                for name in self.members.voters
+            ]
         )
 
     def _serve_reads(self) -> None:
-        if not self._reads or self._log.term_at(self.commit) != self.term:
+        if not self._pending_reads or self._log.term_at(self.commit_index) != self.term:
             return
-        confirmed = self._confirmed()
-        while self._reads and self._reads[0][1] <= confirmed:
-            self._answers.append((self._reads.popleft()[0], self.commit))
-        if self._reads and self._reads[0][1] > self._round:
-            self._broadcast(self._now, fresh=True)
+        confirmed = self._quorum_acked_round()
+        while self._pending_reads and self._pending_reads[0][1] <= confirmed:
+            self._read_results.append((self._pending_reads.popleft()[0], self.commit_index))
+        if self._pending_reads and self._pending_reads[0][1] > self._round:
+            self._broadcast(self._now_us, with_heartbeat=True)
--- a/cresstray/consensus/replication.py
+++ b/cresstray/consensus/replication.py
@@ -7,8 +7,13 @@
 
 from zlib import crc32
 
-from cresstray.consensus.codec import Append, Appended, Install, Installed
-from cresstray.consensus.entries import Kind, Snapshot, members_of
+from cresstray.consensus.codec import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+)
+from cresstray.consensus.entries import EntryKind, Snapshot, decode_members
 from cresstray.consensus.membership_changes import MembershipChanges
 from cresstray.consensus.node_state import Role
 from cresstray.transport.framing import FramingError
@@ -17,153 +22,161 @@
 class Replication(MembershipChanges):
     """Handles Append and Install as a follower, Appended and Installed as a leader."""
 
-    def _hear(self, sender: str, term: int, now: int) -> bool:
+    def _accept_leader(self, sender: str, term: int, now_us: int) -> bool:
         """Takes a leader's message; returns False where its term is over."""
         if term < self.term:
             return False
         if term == self.term and (self.role is Role.LEADER or self.leader not in (None, sender)):
             raise FramingError(f"a second leader of term {term}")
-        self._follow(term, sender, now)
-        self._heard = now
-        self._put_off(now)
+        self._become_follower(term, sender, now_us)
+        self._leader_contact_at_us = now_us
+        self._reset_election_timer(now_us)
         return True
 
     # As a follower: entries.
 
-    def _on_append(self, sender: str, frame: Append, now: int) -> None:
+    def _on_append_entries(self, sender: str, frame: AppendEntries, now_us: int) -> None:
         _check_entries(frame)
-        previous = frame.index
-        if not self._hear(sender, frame.term, now):
-            self._frames.append((sender, Appended(self.term, frame.round, False, previous, 0, 0)))
+        previous = frame.prev_log_index
+        if not self._accept_leader(sender, frame.term, now_us):
+            self._messages.append(
+                (sender, AppendEntriesResponse(self.term, frame.round, False, previous, 0, 0))
+            )
             return
         self._check_against_committed(frame)
-        if previous >= self.commit and self._log.term_at(previous) != frame.log_term:
+        if previous >= self.commit_index and self._log.term_at(previous) != frame.prev_log_term:
             self._reject_append(sender, frame)
             return
         end = previous + len(frame.entries)
-        self._take_entries(frame)
-        self.commit = max(self.commit, min(frame.commit, end))
-        match = max(end, self.commit)
-        self._frames.append((sender, Appended(self.term, frame.round, True, match, 0, 0)))
-
-    def _check_against_committed(self, frame: Append) -> None:
-        terms = [frame.log_term, *(entry.term for entry in frame.entries)]
-        for index, term in enumerate(terms, frame.index):
-            if self._log.base <= index <= self.commit and self._log.term_at(index) != term:
+        self._store_entries(frame)
+        self.commit_index = max(self.commit_index, min(frame.leader_commit, end))
+        match = max(end, self.commit_index)
+        self._messages.append((sender, AppendEntriesResponse(self.term, frame.round, True, match, 0, 0)))
+
+    def _check_against_committed(self, frame: AppendEntries) -> None:
+        terms = [frame.prev_log_term, *(entry.term for entry in frame.entries)]
+        for index, term in enumerate(terms, frame.prev_log_index):
+            if self._log.base_index <= index <= self.commit_index and self._log.term_at(index) != term:
                 raise FramingError(f"another entry {index} than was committed here")
 
-    def _reject_append(self, sender: str, frame: Append) -> None:
+    def _reject_append(self, sender: str, frame: AppendEntries) -> None:
         """Answers with a hint from where on the logs may agree."""
         log = self._log
-        previous = frame.index
+        previous = frame.prev_log_index
         known_term = log.term_at(previous)
-        hint = log.last + 1
+        hint_index = log.last_index + 1
         if known_term is not None:
-            hint = log.first_of(known_term, self.commit + 1, previous)
-        answer = Appended(self.term, frame.round, False, previous, known_term or 0, hint)
-        self._frames.append((sender, answer))
+            hint_index = log.first_index_of_term(known_term, self.commit_index + 1, previous)
+        answer = AppendEntriesResponse(self.term, frame.round, False, previous, known_term or 0, hint_index)
+        self._messages.append((sender, answer))
 
-    def _take_entries(self, frame: Append) -> None:
+    def _store_entries(self, frame: AppendEntries) -> None:
         log = self._log
-        for index, entry in enumerate(frame.entries, frame.index + 1):
+        for index, entry in enumerate(frame.entries, frame.prev_log_index + 1):
             # What is committed here is the leader's as well.
-            if index <= self.commit:
+            if index <= self.commit_index:
                 continue
-            if index <= log.last and log.term_at(index) != entry.term:
-                log.cut(index)
-            if index > log.last:
+            if index <= log.last_index and log.term_at(index) != entry.term:
+                log.truncate_from(index)
+            if index > log.last_index:
                 log.append(entry)
 
     # As a follower: snapshots.
 
-    def _on_install(self, sender: str, frame: Install, now: int) -> None:
+    def _on_install_snapshot(self, sender: str, frame: InstallSnapshot, now_us: int) -> None:
         received = 0
-        if self._hear(sender, frame.term, now):
-            if frame.index <= self.commit:
-                self._part = None
+        if self._accept_leader(sender, frame.term, now_us):
+            if frame.last_included_index <= self.commit_index:
+                self._incoming_snapshot = None
                 received = frame.size
             else:
-                received = self._collect(frame)
-        answer = Installed(self.term, frame.round, frame.index, frame.check, received)
-        self._frames.append((sender, answer))
+                received = self._receive_chunk(frame)
+        answer = InstallSnapshotResponse(
+            self.term, frame.round, frame.last_included_index, frame.checksum, received
+        )
+        self._messages.append((sender, answer))
 
-    def _collect(self, frame: Install) -> int:
+    def _receive_chunk(self, frame: InstallSnapshot) -> int:
         """Returns how many bytes of that snapshot have arrived; with all of them it is in use."""
-        if self._part is not None and _snapshot_id(self._part[0]) != _snapshot_id(frame):
-            self._part = None
-        if self._part is None:
-            self._part = frame, bytearray()
-        data = self._part[1]
+        if self._incoming_snapshot is not None and _snapshot_id(self._incoming_snapshot[0]) != _snapshot_id(
+            frame
+        ):
+            self._incoming_snapshot = None
+        if self._incoming_snapshot is None:
+            self._incoming_snapshot = frame, bytearray()
+        data = self._incoming_snapshot[1]
         if frame.offset == len(data):
             if len(data) + len(frame.data) > frame.size:
                 raise FramingError("a snapshot that is longer than it says")
             data += frame.data
         if len(data) < frame.size:
             return len(data)
-        self._part = None
-        if crc32(data) != frame.check:
+        self._incoming_snapshot = None
+        if crc32(data) != frame.checksum:
             return 0
-        self._restored = Snapshot(frame.index, frame.log_term, frame.members, bytes(data))
-        self._log.restore(self._restored)
-        self.commit = frame.index
-        self._applied = frame.index
+        self._restored_snapshot = Snapshot(
+            frame.last_included_index, frame.last_included_term, frame.members, bytes(data)
+        )
+        self._log.restore(self._restored_snapshot)
+        self.commit_index = frame.last_included_index
+        self._applied_index = frame.last_included_index
         return len(data)
 
     # As a leader: answers.
 
-    def _on_appended(self, sender: str, frame: Appended, now: int) -> None:
+    def _on_append_entries_response(self, sender: str, frame: AppendEntriesResponse, now_us: int) -> None:
         peer = self._peers[sender]
         log = self._log
-        if frame.ok:
-            if frame.index > log.last:
+        if frame.is_success:
+            if frame.index > log.last_index:
                 raise FramingError("more of the log than there is")
-            if peer.matched(frame.index):
-                self._count(now)
+            if peer.record_match(frame.index):
+                self._advance_commit_index(now_us)
             if self._is_leading(sender):
-                if self._heir == sender:
-                    self._hand_over(now)
-                self._feed(sender, now)
+                if self._transfer_target == sender:
+                    self._continue_transfer(now_us)
+                self._send_to_peer(sender, now_us)
             return
-        following = frame.hint_index
+        next_index = frame.hint_index
         if frame.hint_term:
-            known = log.last_of(frame.hint_term, min(frame.index, log.last))
-            following = frame.hint_index if known is None else known + 1
-        if peer.differs(frame.index, max(1, following)):
-            self._feed(sender, now)
+            known = log.last_index_of_term(frame.hint_term, min(frame.index, log.last_index))
+            next_index = frame.hint_index if known is None else known + 1
+        if peer.record_mismatch(frame.index, max(1, next_index)):
+            self._send_to_peer(sender, now_us)
 
-    def _on_installed(self, sender: str, frame: Installed, now: int) -> None:
+    def _on_install_snapshot_response(self, sender: str, frame: InstallSnapshotResponse, now_us: int) -> None:
         peer = self._peers[sender]
         snapshot = peer.snapshot
-        if snapshot is None or (frame.index, frame.check) != (snapshot.index, peer.check):
+        if snapshot is None or (frame.last_included_index, frame.checksum) != (snapshot.index, peer.checksum):
             return
         if frame.offset >= len(snapshot.data):
-            peer.matched(snapshot.index)
-            self._count(now)
-        elif frame.offset > peer.offset or frame.round > peer.part_round:
+            peer.record_match(snapshot.index)
+            self._advance_commit_index(now_us)
+        elif frame.offset > peer.received_bytes or frame.round > peer.chunk_round:
             # Further on; or a later question shows that the part was lost, or that all begins anew.
-            peer.offset = frame.offset
-            peer.sent = frame.offset
-            peer.part_round = 0
+            peer.received_bytes = frame.offset
+            peer.sent_bytes = frame.offset
+            peer.chunk_round = 0
         if self._is_leading(sender):
-            self._feed(sender, now)
+            self._send_to_peer(sender, now_us)
 
     def _is_leading(self, name: str) -> bool:
         """Counting may have ended its leadership, or removed the member."""
         return self.role is Role.LEADER and name in self._peers
 
 
-def _snapshot_id(frame: Install) -> tuple[int, int, int, int]:
-    return frame.index, frame.log_term, frame.size, frame.check
+def _snapshot_id(frame: InstallSnapshot) -> tuple[int, int, int, int]:
+    return frame.last_included_index, frame.last_included_term, frame.size, frame.checksum
 
 
-def _check_entries(frame: Append) -> None:
-    previous_term = frame.log_term
+def _check_entries(frame: AppendEntries) -> None:
+    previous_term = frame.prev_log_term
     for entry in frame.entries:
         if not previous_term <= entry.term <= frame.term:
             raise FramingError("entries whose terms don't grow")
         previous_term = entry.term
-        if entry.kind == Kind.MEMBERS:
+        if entry.kind == EntryKind.MEMBERS:
             try:
-                members_of(entry.data)
+                decode_members(entry.data)
             except ValueError as error:
                 raise FramingError(f"an entry that is no list of members: {error}") from None
--- a/cresstray/consensus/storage.py
+++ b/cresstray/consensus/storage.py
@@ -11,11 +11,19 @@
 
 import msgspec
 
-from cresstray.consensus.entries import Durable, Entry, Keep, Kind, Members, Snapshot, members_of
+from cresstray.consensus.entries import (
+    Entry,
+    EntryKind,
+    Members,
+    PendingWrite,
+    PersistentState,
+    Snapshot,
+    decode_members,
+)
 
 # "cray": whose file it is, before anything in it is read.
-_APPLICATION = 0x63726179
-_FORMAT = 1
+_APPLICATION_ID = 0x63726179
+_FORMAT_VERSION = 1
 # A damaged file's error has so many characters of what SQLite says.
 _MAX_ERROR_CHARACTERS = 120
 _TABLES = """
@@ -29,11 +37,11 @@
 """
 
 
-class UnusableError(ValueError):
+class UnusableFileError(ValueError):
     """The file can't be used as it is; one line that says why."""
 
 
-def _sum(*parts: object) -> int:
+def _checksum(*parts: object) -> int:
     """CRC-32 over all columns of a row."""
     return crc32(msgspec.msgpack.encode(parts))
 
@@ -46,158 +54,166 @@
     """
 
     @staticmethod
-    def found(path: str, name: str, members: Members) -> None:
+    def create(path: str, name: str, members: Members) -> None:
         """Writes a first file, whole or not at all; UnusableError where there is one. OSError."""
         if os.path.exists(path):
-            raise UnusableError(f"{path}: there is a file already")
-        fresh = f"{path}.new"
-        for leftover in (fresh, f"{fresh}-journal"):
-            if os.path.exists(leftover):
-                os.unlink(leftover)
-        with _told(fresh, OSError):
-            base = _open(fresh, "rwc")
+            raise UnusableFileError(f"{path}: there is a file already")
+        new_path = f"{path}.new"
+        for leftover_path in (new_path, f"{new_path}-journal"):
+            if os.path.exists(leftover_path):
+                os.unlink(leftover_path)
+        with _sqlite_errors_as(new_path, OSError):
+            connection = _open(new_path, "rwc")
             try:
-                _set(base)
-                base.executescript(
-                    f"PRAGMA application_id = {_APPLICATION}; "
-                    f"PRAGMA user_version = {_FORMAT}; BEGIN; {_TABLES}"
+                _configure(connection)
+                connection.executescript(
+                    f"PRAGMA application_id = {_APPLICATION_ID}; "
+                    f"PRAGMA user_version = {_FORMAT_VERSION}; BEGIN; {_TABLES}"
                 )
                 # The first list of members is in no entry. With a snapshot of index 1, a node that joins
                 # later and empty gets it as a snapshot, and never the entries without it.
-                begun = 1 if members.voters else 0
-                _put_meta(base, name, begun, None)
-                _put_snapshot(base, Snapshot(begun, begun, members, b""))
-                base.execute("COMMIT")
+                first_index = 1 if members.voters else 0
+                _write_meta(connection, name, first_index, None)
+                _write_snapshot(connection, Snapshot(first_index, first_index, members, b""))
+                connection.execute("COMMIT")
             finally:
-                base.close()
+                connection.close()
         # A crash must not leave half a file under the name that is looked for.
         try:
-            os.link(fresh, path)
+            os.link(new_path, path)
         except FileExistsError:
-            raise UnusableError(f"{path}: there is a file already") from None
+            raise UnusableFileError(f"{path}: there is a file already") from None
         finally:
-            os.unlink(fresh)
+            os.unlink(new_path)
         _sync_directory(path)
 
     def __init__(self, path: str) -> None:
         self.path = path
         if not os.path.isfile(path):
-            raise UnusableError(f"{path}: there is no such file")
-        with _told(path):
-            self._base = _open(path, "rw")
+            raise UnusableFileError(f"{path}: there is no such file")
+        with _sqlite_errors_as(path):
+            self._connection = _open(path, "rw")
             try:
-                self._name = self._known()
+                self._name = self._check_file()
             except BaseException:
-                self._base.close()
+                self._connection.close()
                 raise
 
-    def _known(self) -> str:
+    def _check_file(self) -> str:
         """The name in a file of this format, which nobody else uses. A foreign one is left as it is."""
-        base = self._base
+        connection = self._connection
         try:
-            base.executescript("BEGIN EXCLUSIVE; COMMIT;")
-        except sqlite3.OperationalError as trouble:
-            if trouble.sqlite_errorcode == sqlite3.SQLITE_BUSY:
-                raise UnusableError(f"{self.path}: another process uses it") from None
+            connection.executescript("BEGIN EXCLUSIVE; COMMIT;")
+        except sqlite3.OperationalError as error:
+            if error.sqlite_errorcode == sqlite3.SQLITE_BUSY:
+                raise UnusableFileError(f"{self.path}: another process uses it") from None
             raise
-        application = base.execute("PRAGMA application_id").fetchone()[0]
-        if application != _APPLICATION:
-            raise UnusableError(f"{self.path}: not a keeper's file")
-        version = base.execute("PRAGMA user_version").fetchone()[0]
-        if version != _FORMAT:
-            raise UnusableError(f"{self.path}: of format {version}; this build knows {_FORMAT}")
-        damage = base.execute("PRAGMA quick_check(1)").fetchone()[0]
-        if damage != "ok":
-            raise UnusableError(f"{self.path}: damaged: {_short(damage)}")
-        _set(base)
-        return self._meta()[0]
-
-    def _meta(self) -> tuple[str, int, str | None]:
-        row = self._base.execute("SELECT name, term, voted_for, sum FROM meta").fetchone()
-        if row is None or row[3] != _sum(*row[:3]):
-            raise UnusableError(f"{self.path}: damaged: name, term and vote")
+        application_id = connection.execute("PRAGMA application_id").fetchone()[0]
+        if application_id != _APPLICATION_ID:
+            raise UnusableFileError(f"{self.path}: not a keeper's file")
+        version = connection.execute("PRAGMA user_version").fetchone()[0]
+        if version != _FORMAT_VERSION:
+            raise UnusableFileError(f"{self.path}: of format {version}; this build knows {_FORMAT_VERSION}")
+        check_result = connection.execute("PRAGMA quick_check(1)").fetchone()[0]
+        if check_result != "ok":
+            raise UnusableFileError(f"{self.path}: damaged: {_one_line(check_result)}")
+        _configure(connection)
+        return self._load_meta()[0]
+
+    def _load_meta(self) -> tuple[str, int, str | None]:
+        row = self._connection.execute("SELECT name, term, voted_for, sum FROM meta").fetchone()
+        if row is None or row[3] != _checksum(*row[:3]):
+            raise UnusableFileError(f"{self.path}: damaged: name, term and vote")
         return row[0], row[1], row[2]
 
-    def load(self) -> Durable:
+    def load(self) -> PersistentState:
         """Reads all of it, each row checked; UnusableError where anything is not as it was written."""
-        with _told(self.path):
-            name, term, voted_for = self._meta()
-            snapshot = self._snapshot()
+        with _sqlite_errors_as(self.path):
+            name, term, voted_for = self._load_meta()
+            snapshot = self._load_snapshot()
             if snapshot.term > term:
-                raise UnusableError(f"{self.path}: damaged: the snapshot is of a later term")
-            return Durable(name, term, voted_for, snapshot, self._entries(snapshot, term))
+                raise UnusableFileError(f"{self.path}: damaged: the snapshot is of a later term")
+            return PersistentState(name, term, voted_for, snapshot, self._load_entries(snapshot, term))
 
-    def _snapshot(self) -> Snapshot:
-        row = self._base.execute("SELECT at, term, members, data, sum FROM snapshot").fetchone()
-        if row is None or row[4] != _sum(*row[:4]):
-            raise UnusableError(f"{self.path}: damaged: the snapshot")
+    def _load_snapshot(self) -> Snapshot:
+        row = self._connection.execute("SELECT at, term, members, data, sum FROM snapshot").fetchone()
+        if row is None or row[4] != _checksum(*row[:4]):
+            raise UnusableFileError(f"{self.path}: damaged: the snapshot")
         try:
-            return Snapshot(row[0], row[1], members_of(row[2]), row[3])
+            return Snapshot(row[0], row[1], decode_members(row[2]), row[3])
         except ValueError:
-            raise UnusableError(f"{self.path}: damaged: the snapshot's members") from None
+            raise UnusableFileError(f"{self.path}: damaged: the snapshot's members") from None
 
-    def _entries(self, snapshot: Snapshot, most: int) -> list[Entry]:
-        found = []
+    def _load_entries(self, snapshot: Snapshot, max_term: int) -> list[Entry]:
+        create = []
         term = snapshot.term
-        rows = self._base.execute("SELECT at, term, kind, data, sum FROM entries ORDER BY at")
-        for due, row in enumerate(rows, snapshot.index + 1):
-            if row[0] != due:
-                raise UnusableError(f"{self.path}: damaged: entry {row[0]} where {due} was to be")
-            if row[4] != _sum(*row[:4]) or not term <= row[1] <= most:
-                raise UnusableError(f"{self.path}: damaged: entry {due}")
-            if row[2] == Kind.MEMBERS:
+        rows = self._connection.execute("SELECT at, term, kind, data, sum FROM entries ORDER BY at")
+        for expected_index, row in enumerate(rows, snapshot.index + 1):
+            if row[0] != expected_index:
+                raise UnusableFileError(
+                    f"{self.path}: damaged: entry {row[0]} where {expected_index} was to be"
+                )
+            if row[4] != _checksum(*row[:4]) or not term <= row[1] <= max_term:
+                raise UnusableFileError(f"{self.path}: damaged: entry {expected_index}")
+            if row[2] == EntryKind.MEMBERS:
                 try:
-                    members_of(row[3])
+                    decode_members(row[3])
                 except ValueError:
-                    raise UnusableError(f"{self.path}: damaged: entry {due}") from None
+                    raise UnusableFileError(f"{self.path}: damaged: entry {expected_index}") from None
             term = row[1]
-            found.append(Entry(*row[1:4]))
-        return found
+            create.append(Entry(*row[1:4]))
+        return create
 
-    def write(self, keep: Keep) -> None:
+    def write(self, pending_write: PendingWrite) -> None:
         """Writes and syncs all of it, or nothing; OSError where that can't be, such as a full disk."""
-        base = self._base
-        with _told(self.path, OSError):
+        connection = self._connection
+        with _sqlite_errors_as(self.path, OSError):
             try:
-                base.execute("BEGIN IMMEDIATE")
-                if keep.cut is not None:
-                    base.execute("DELETE FROM entries WHERE at >= ?", (keep.cut,))
-                base.executemany(
+                connection.execute("BEGIN IMMEDIATE")
+                if pending_write.truncate_from is not None:
+                    connection.execute("DELETE FROM entries WHERE at >= ?", (pending_write.truncate_from,))
+                connection.executemany(
                     "INSERT INTO entries VALUES (?, ?, ?, ?, ?)",
                     (
-                        (at, one.term, int(one.kind), one.data, _sum(at, one.term, int(one.kind), one.data))
-                        for at, one in enumerate(keep.entries, keep.first)
+                        (
+                            index,
+                            entry.term,
+                            int(entry.kind),
+                            entry.data,
+                            _checksum(index, entry.term, int(entry.kind), entry.data),
+                        )
+                        for index, entry in enumerate(pending_write.entries, pending_write.first_index)
                     ),
                 )
-                if keep.snapshot is not None:
-                    _put_snapshot(base, keep.snapshot)
-                    base.execute("DELETE FROM entries WHERE at <= ?", (keep.snapshot.index,))
-                _put_meta(base, self._name, keep.term, keep.voted_for)
-                base.execute("COMMIT")
+                if pending_write.snapshot is not None:
+                    _write_snapshot(connection, pending_write.snapshot)
+                    connection.execute("DELETE FROM entries WHERE at <= ?", (pending_write.snapshot.index,))
+                _write_meta(connection, self._name, pending_write.term, pending_write.voted_for)
+                connection.execute("COMMIT")
             except BaseException:
-                if base.in_transaction:
-                    base.execute("ROLLBACK")
+                if connection.in_transaction:
+                    connection.execute("ROLLBACK")
                 raise
 
     def close(self) -> None:
         """Closes the file and releases its lock."""
-        self._base.close()
+        self._connection.close()
 
 
 def _open(path: str, mode: str) -> sqlite3.Connection:
     """Opens a connection that keeps its locks. It may be used by one thread after another."""
-    base = sqlite3.connect(
+    connection = sqlite3.connect(
         f"{Path(path).absolute().as_uri()}?mode={mode}",
         uri=True,
         isolation_level=None,
         timeout=0,
         check_same_thread=False,
     )
-    base.execute("PRAGMA locking_mode = EXCLUSIVE")
-    return base
+    connection.execute("PRAGMA locking_mode = EXCLUSIVE")
+    return connection
 
 
-def _set(base: sqlite3.Connection) -> None:
+def _configure(connection: sqlite3.Connection) -> None:
     # EXTRA is FULL and one sync more: a journal whose removal was lost would undo what was committed.
     for line in (
         "journal_mode = DELETE",
@@ -205,19 +221,19 @@
         "temp_store = MEMORY",
         "cell_size_check = ON",
     ):
-        base.execute(f"PRAGMA {line}").fetchall()
+        connection.execute(f"PRAGMA {line}").fetchall()
 
 
-def _put_meta(base: sqlite3.Connection, name: str, term: int, voted_for: str | None) -> None:
-    base.execute(
+def _write_meta(connection: sqlite3.Connection, name: str, term: int, voted_for: str | None) -> None:
+    connection.execute(
         "INSERT OR REPLACE INTO meta VALUES (1, ?, ?, ?, ?)",
-        (name, term, voted_for, _sum(name, term, voted_for)),
+        (name, term, voted_for, _checksum(name, term, voted_for)),
     )
 
 
-def _put_snapshot(base: sqlite3.Connection, made: Snapshot) -> None:
-    row = made.index, made.term, made.members.encoded(), made.data
-    base.execute("INSERT OR REPLACE INTO snapshot VALUES (1, ?, ?, ?, ?, ?)", (*row, _sum(*row)))
+def _write_snapshot(connection: sqlite3.Connection, snapshot: Snapshot) -> None:
+    row = snapshot.index, snapshot.term, snapshot.members.encode(), snapshot.data
+    connection.execute("INSERT OR REPLACE INTO snapshot VALUES (1, ?, ?, ?, ?, ?)", (*row, _checksum(*row)))
 
 
 def _sync_directory(path: str) -> None:
@@ -228,14 +244,14 @@
         os.close(directory)
 
 
-def _short(text: str) -> str:
+def _one_line(text: str) -> str:
     return " ".join(str(text).split())[:_MAX_ERROR_CHARACTERS]
 
 
 @contextmanager
-def _told(path: str, kind: type[Exception] = UnusableError) -> Iterator[None]:
+def _sqlite_errors_as(path: str, error_type: type[Exception] = UnusableFileError) -> Iterator[None]:
     """Raises SQLite's errors as this kind, in one line."""
     try:
         yield
-    except sqlite3.Error as trouble:
-        raise kind(f"{path}: {_short(str(trouble))}") from None
+    except sqlite3.Error as error:
+        raise error_type(f"{path}: {_one_line(str(error))}") from None
--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -21,10 +21,9 @@
 from cresstray.config import operator
 from cresstray.config.fleet import Fleet
 from cresstray.config.lines import UnusableError
-from cresstray.consensus.entries import Keep, Kind, Members
-from cresstray.consensus.raft import Node, Role, Times
-from cresstray.consensus.storage import Storage
-from cresstray.consensus.storage import UnusableError as UnusableFileError
+from cresstray.consensus.entries import EntryKind, Members, PendingWrite
+from cresstray.consensus.raft import Node, Role, Timing
+from cresstray.consensus.storage import Storage, UnusableFileError
 from cresstray.control_plane import codec
 from cresstray.control_plane.codec import Alive
 from cresstray.control_plane.node_controller import Core, Guest
@@ -66,7 +65,7 @@
     """Writes the file of a keeper of a new fleet; its path. UnusableError where there is one."""
     path = path_of(given, name)
     Path(given.folder).mkdir(parents=True, exist_ok=True)
-    Storage.found(path, f"{name}/1", Members(tuple(sorted(f"{one.name}/1" for one in given.keepers))))
+    Storage.create(path, f"{name}/1", Members(tuple(sorted(f"{one.name}/1" for one in given.keepers))))
     return path
 
 
@@ -82,7 +81,7 @@
         stranger = not os.path.exists(path)
         if stranger:
             Path(given.folder).mkdir(parents=True, exist_ok=True)
-            Storage.found(path, f"{name}/{os.urandom(4).hex()}", Members(()))
+            Storage.create(path, f"{name}/{os.urandom(4).hex()}", Members(()))
         self._storage = Storage(path)
         durable = self._storage.load()
         own, _, self.life = durable.name.partition("/")
@@ -99,7 +98,7 @@
         started = now()
         moves = Moves()
         state = ConfigState(world(given), {"moves": moves})
-        node = Node(durable, Times(given.beat, given.election, given.drift), chance, started)
+        node = Node(durable, Timing(given.beat, given.election, given.drift), chance, started)
         self._positions = Positions(given.drift, self._say, self.counters)
         self._moving = Moving(moves, now, self.counters, self._say)
         leases = LeaseTable(given.lease, given.floor_lease, given.drift)
@@ -130,7 +129,7 @@
         if self._positions.seen(disk, at):
             self._wake()  # who waits is told now, and not with the next round only
 
-    def _write(self, keep: Keep) -> None:
+    def _write(self, keep: PendingWrite) -> None:
         began = time.monotonic()
         self._storage.write(keep)
         took = time.monotonic() - began
@@ -324,7 +323,7 @@
         if node.role is not Role.LEADER:
             return
         heirs = [name for name in node.members.voters if name in self._core.keepers]
-        if not any(node.transfer(name, now()) for name in heirs):
+        if not any(node.transfer_leadership(name, now()) for name in heirs):
             return
         self._wake()
         with anyio.move_on_after(_HAND_OVER):
@@ -372,7 +371,7 @@
     if durable.snapshot.data:
         state.restore(durable.snapshot.data)
     for index, entry in enumerate(durable.entries, durable.snapshot.index + 1):
-        if entry.kind == Kind.DATA:
+        if entry.kind == EntryKind.DATA:
             state.apply(index, entry.data)
     return {
         "keeper": durable.name,
--- a/cresstray/control_plane/node_controller.py
+++ b/cresstray/control_plane/node_controller.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from cresstray.config.fleet import Fleet
-from cresstray.consensus.entries import Keep, Kind, Snapshot
+from cresstray.consensus.entries import EntryKind, PendingWrite, Snapshot
 from cresstray.consensus.raft import Node, Role
 from cresstray.control_plane import codec
 from cresstray.control_plane.codec import Alive, Gather
@@ -79,7 +79,7 @@
         node: Node,
         state: ConfigState,
         leases: LeaseTable,
-        write: Callable[[Keep], None],
+        write: Callable[[PendingWrite], None],
         say: Callable[..., None],
         counters: Counters,
         now: int,
@@ -182,7 +182,7 @@
         elif isinstance(frame, rules.OperatorRequest):
             self._request(guest, frame, now)
         else:
-            self.node.receive(f"{guest.name}/{guest.life}", frame, now)
+            self.node.step(f"{guest.name}/{guest.life}", frame, now)
 
     def _renew(self, guest: Guest, frame: rules.RenewLease) -> None:
         # Danger: with a longer lease of its own it would act when the leader takes it for stopped.
@@ -265,7 +265,7 @@
 
     def ready(self, now: int) -> bool:
         """Whether it leads, with all before its own term applied: what is decided rests on all there is."""
-        return self._term_ready == self.node.term and self.node.leads(now)
+        return self._term_ready == self.node.term and self.node.has_leader_lease(now)
 
     def propose(self, data: bytes, then: Callable[[bytes | None], None], now: int) -> bool:
         """`then` hears the outcome once it is applied, None where it can't be told; False: not the leader."""
@@ -278,7 +278,7 @@
 
     def read(self, then: Callable[[bool], None], now: int) -> None:
         """`then` hears True once all that was committed before this is applied; False: not the leader."""
-        if not self.node.read(then, now):
+        if not self.node.request_read(then, now):
             then(False)
 
     # One round.
@@ -286,7 +286,7 @@
     def round(self, now: int) -> int:
         """All that is to be done now, synced before it is told; the moment to call again, at the latest."""
         self.now = now
-        if now >= self.node.due:
+        if now >= self.node.next_tick_us:
             self.node.tick(now)
         self._drain(now)
         self._lead(now)
@@ -296,7 +296,7 @@
         self._drain(now)
         self._push(now)
         self._spread(now)
-        due = [self.node.due, self._spread_at]
+        due = [self.node.next_tick_us, self._spread_at]
         due += [at for each in self.each_round if (at := each(now)) is not None]
         self._drain(now)
         self._tell()
@@ -307,18 +307,18 @@
         return max(now, min(due))
 
     def _drain(self, now: int) -> None:
-        while ready := self.node.take():
-            if ready.keep is not None:
-                self._write(ready.keep)
-            for to, frame in ready.frames:
+        while ready := self.node.ready():
+            if ready.pending_write is not None:
+                self._write(ready.pending_write)
+            for to, frame in ready.messages:
                 far = self.keepers.get(to)
                 if far is not None:
                     far.put(frame)
-            if ready.restored is not None:
-                self._restore(ready.restored)
-            for index, entry in ready.committed:
+            if ready.restored_snapshot is not None:
+                self._restore(ready.restored_snapshot)
+            for index, entry in ready.committed_entries:
                 self._apply(index, entry)
-            for then, index in ready.reads:
+            for then, index in ready.read_results:
                 if index is None:
                     then(False)
                 else:
@@ -337,7 +337,7 @@
             self.waiting.pop(index)[1](None)
 
     def _apply(self, index: int, entry: Any) -> None:
-        outcome = self.state.apply(index, entry.data) if entry.kind == Kind.DATA else b""
+        outcome = self.state.apply(index, entry.data) if entry.kind == EntryKind.DATA else b""
         self.applied = index
         self._entries, self._bytes = self._entries + 1, self._bytes + len(entry.data)
         self.counters.add("entries applied")
@@ -360,11 +360,11 @@
         if self._term_ready != node.term:
             # Danger: before something of our own term is applied, turns that an earlier leader made may be
             # missing here, and a lease for what we have would be for what is no longer in force.
-            if not node.leads(now) or self.applied < node.commit:
+            if not node.has_leader_lease(now) or self.applied < node.commit_index:
                 return
             self._term_ready = node.term
             self._out.clear()
-            self.leases.on_elected(self.state.counting_gateways(), node.led_since)
+            self.leases.on_elected(self.state.counting_gateways(), node.elected_at_us)
         turn = self.state.pending_turn()
         if turn is None or self._advancing == (node.term, turn):
             return
@@ -453,7 +453,7 @@
     def _tell(self) -> None:
         node = self.node
         led = node.term if node.role is Role.LEADER else 0
-        now = (node.role.name.lower(), led, node.leader, node.members)
+        now = (node.role.value, led, node.leader, node.members)
         if now != self._was:
             if not self._was or now[:3] != self._was[:3]:
                 self.say("log", "is " + now[0], term=node.term, leader=node.leader)
@@ -470,10 +470,10 @@
         node = self.node
         return {
             "name": node.name,
-            "role": node.role.name.lower(),
+            "role": node.role.value,
             "term": node.term,
             "leader": node.leader,
-            "commit": node.commit,
+            "commit": node.commit_index,
             "applied": self.applied,
             "turn": self.state.turn,
         }
--- a/cresstray/control_plane/request_handlers.py
+++ b/cresstray/control_plane/request_handlers.py
@@ -246,7 +246,7 @@
             | {
                 "leader": node.leader,
                 "term": node.term,
-                "commit": node.commit,
+                "commit": node.commit_index,
                 "voters": list(node.members.voters),
                 "learners": list(node.members.learners),
                 "strangers": strangers,
@@ -300,7 +300,7 @@
                 tuple(name for name in voters if name != old[0]),
                 tuple(name for name in learners if name != old[0]),
             )
-        elif fresh != node.name and not node.hears(fresh, core.now):
+        elif fresh != node.name and not node.is_recently_active(fresh, core.now):
             # Danger: the link of a keeper that lost its disk may stand for a while; nothing was replaced.
             reply(
                 self._turns()
@@ -311,7 +311,7 @@
             reply(self._turns() | {"step": "done", "name": fresh, "done": True})
             return
         try:
-            if node.change(members, core.now) is None:
+            if node.propose_members(members, core.now) is None:
                 reply({"error": "there is no leader", "again": True})
                 return
         except ValueError as trouble:  # it is behind, or an earlier step is still on its way
--- a/cresstray/simulation/fleet.py
+++ b/cresstray/simulation/fleet.py
@@ -18,9 +18,18 @@
 
 from cresstray.config.fleet import Fleet
 from cresstray.config.fleet import Keeper as Named
-from cresstray.consensus.codec import Appended, Voted
-from cresstray.consensus.entries import Durable, Entry, Keep, Kind, Members, Ready, Snapshot, members_of
-from cresstray.consensus.raft import Node, Role, Times
+from cresstray.consensus.codec import AppendEntriesResponse, VoteResponse
+from cresstray.consensus.entries import (
+    Entry,
+    EntryKind,
+    Members,
+    PendingWrite,
+    PersistentState,
+    Ready,
+    Snapshot,
+    decode_members,
+)
+from cresstray.consensus.raft import Node, Role, Timing
 from cresstray.control_plane import codec
 from cresstray.control_plane.node_controller import Core, Guest
 from cresstray.fleet_config import codec as rules
@@ -80,13 +89,13 @@
     def last(self) -> int:
         return max(self.entries, default=self.snapshot.index)
 
-    def write(self, keep: Keep) -> None:
+    def write(self, keep: PendingWrite) -> None:
         torn, self.torn = self.torn, 0
         if torn == 1:
             raise CrashError
-        if keep.cut is not None:
-            self.entries = {at: entry for at, entry in self.entries.items() if at < keep.cut}
-        self.entries |= dict(enumerate(keep.entries, keep.first))
+        if keep.truncate_from is not None:
+            self.entries = {at: entry for at, entry in self.entries.items() if at < keep.truncate_from}
+        self.entries |= dict(enumerate(keep.entries, keep.first_index))
         if keep.snapshot is not None:
             self.world.check_snapshot(self.name, keep.snapshot)
             self.snapshot = keep.snapshot
@@ -95,23 +104,27 @@
         if torn == 2:
             raise CrashError
 
-    def load(self) -> Durable:
+    def load(self) -> PersistentState:
         entries = [self.entries[at] for at in range(self.snapshot.index + 1, self.last + 1)]
-        return Durable(self.name, self.term, self.voted_for, self.snapshot, entries)
+        return PersistentState(self.name, self.term, self.voted_for, self.snapshot, entries)
 
 
 class SeenNode(Node):
     world: World
 
-    def take(self) -> Ready:
-        ready = super().take()
-        for index, entry in ready.committed:
+    def ready(self) -> Ready:
+        ready = super().ready()
+        for index, entry in ready.committed_entries:
             self.world.check_committed(self, index, entry)
-        if self.role is Role.LEADER and ready.committed and ready.committed[-1][1].term != self.term:
+        if (
+            self.role is Role.LEADER
+            and ready.committed_entries
+            and ready.committed_entries[-1][1].term != self.term
+        ):
             self.world.breach(
                 "own-term",
                 f"{self.name} commits an entry of term "
-                f"{ready.committed[-1][1].term} as leader of {self.term}",
+                f"{ready.committed_entries[-1][1].term} as leader of {self.term}",
             )
         return ready
 
@@ -277,7 +290,7 @@
         self.node = SeenNode.__new__(SeenNode)
         self.node.world = world
         world.check_remembered(self)
-        self.node.__init__(self.disk.load(), Times(drift=plan.drift), world.random.random, now)
+        self.node.__init__(self.disk.load(), Timing(clock_drift=plan.drift), world.random.random, now)
         self.state = SeenState(world.rules)
         self.state.seen_by = world
         self.core = Core(
@@ -297,7 +310,7 @@
                 self.reach(other)
         self.soon()
 
-    def write(self, keep: Keep) -> None:
+    def write(self, keep: PendingWrite) -> None:
         self.disk.write(keep)
         self.busy = max(self.busy, self.world.now) + self.world.random.randint(*self.world.plan.sync)
 
@@ -775,7 +788,7 @@
             if keeper.alive
             and self.now >= keeper.frozen
             and keeper.node.role is Role.LEADER
-            and keeper.node.leads(keeper.clock())
+            and keeper.node.has_leader_lease(keeper.clock())
         ]
         if len(led) > 1:
             self.breach(
@@ -917,8 +930,8 @@
         known = self.log.setdefault(index, entry)
         if known != entry:
             self.breach("one-log", f"{node.name} has another entry {index} than was committed")
-        if entry.kind == Kind.MEMBERS:
-            self.members_at[index] = members_of(entry.data)
+        if entry.kind == EntryKind.MEMBERS:
+            self.members_at[index] = decode_members(entry.data)
 
     def check_applied(self, told: ConfigState, index: int, outcome: bytes) -> None:
         made = hashlib.blake2b(outcome + f"{told.turn} {told.version}".encode(), digest_size=8).hexdigest()
@@ -938,13 +951,13 @@
         if not isinstance(own, Keeper):
             return
         disk = own.disk
-        if isinstance(frame, Voted) and frame.granted:
+        if isinstance(frame, VoteResponse) and frame.granted:
             to = end.link.full
             if disk.term < frame.term or (disk.term == frame.term and disk.voted_for != to):
                 self.breach("synced", f"{own.name} votes for {to} in term {frame.term}, unsynced")
             if self.votes.setdefault((disk.name, frame.term), to) != to:
                 self.breach("one-vote", f"{own.name} votes twice in term {frame.term}")
-        elif isinstance(frame, Appended) and frame.ok and disk.last < frame.index:
+        elif isinstance(frame, AppendEntriesResponse) and frame.is_success and disk.last < frame.index:
             self.breach("synced", f"{own.name} tells entry {frame.index}, its disk has {disk.last}")
 
     def check_remembered(self, keeper: Keeper) -> None:
@@ -1074,7 +1087,7 @@
     leader = world.leader()
     if leader is not None:
         to = world.random.choice(leader.node.members.voters)
-        leader.run(lambda: (leader.node.transfer(to, leader.clock()), leader.soon()))
+        leader.run(lambda: (leader.node.transfer_leadership(to, leader.clock()), leader.soon()))
 
 
 FAULTS: dict[str, Callable[[World, Keeper, Gateway, int], None]] = {
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -17,21 +17,21 @@
 from zlib import crc32
 
 from cresstray.consensus import codec, log, log_sending, membership_changes
-from cresstray.consensus.entries import Durable, Entry, Keep, Kind, Members, Snapshot
-from cresstray.consensus.raft import Node, Role, Times
-from cresstray.consensus.storage import Storage, UnusableError
+from cresstray.consensus.entries import Entry, EntryKind, Members, PendingWrite, PersistentState, Snapshot
+from cresstray.consensus.raft import Node, Role, Timing
+from cresstray.consensus.storage import Storage, UnusableFileError
 from cresstray.transport import framing as frames
 
-TIMES = Times()
+TIMES = Timing()
 
 
-def written(durable: Durable, keep: Keep) -> None:
+def written(durable: PersistentState, keep: PendingWrite) -> None:
     """What Storage.write does, in memory."""
     durable.term, durable.voted_for = keep.term, keep.voted_for
     rows = dict(enumerate(durable.entries, durable.snapshot.index + 1))
-    if keep.cut is not None:
-        rows = {at: one for at, one in rows.items() if at < keep.cut}
-    for at, one in enumerate(keep.entries, keep.first):
+    if keep.truncate_from is not None:
+        rows = {at: one for at, one in rows.items() if at < keep.truncate_from}
+    for at, one in enumerate(keep.entries, keep.first_index):
         assert at not in rows
         rows[at] = one
     durable.snapshot = keep.snapshot or durable.snapshot
@@ -46,10 +46,10 @@
     def __init__(self, seed: int, names: str, strangers: str = "") -> None:
         self.random, self.at, self.count = random.Random(seed), 0, 0
         members = Members(tuple(names))
-        self.files = {name: Durable(name, 0, None, Snapshot(0, 0, members, b"")) for name in names}
+        self.files = {name: PersistentState(name, 0, None, Snapshot(0, 0, members, b"")) for name in names}
         for name in strangers:
-            self.files[name] = Durable(name, 0, None, Snapshot(0, 0, Members((), (name,)), b""))
-        rates = [1 - TIMES.drift / 1.01, 1 + TIMES.drift / 1.01, 1.0]
+            self.files[name] = PersistentState(name, 0, None, Snapshot(0, 0, Members((), (name,)), b""))
+        rates = [1 - TIMES.clock_drift / 1.01, 1 + TIMES.clock_drift / 1.01, 1.0]
         self.rates = {name: rates[(seed + at) % 3] for at, name in enumerate(self.files)}
         self.cut: set[tuple[str, str]] = set()
         self.drop = self.double = self.crash = self.compacts = 0.0
@@ -86,28 +86,30 @@
 
     def pump(self, name: str) -> None:
         node, file = self.nodes[name], self.files[name]
-        while ready := node.take():
+        while ready := node.ready():
             # A crash before the sync, and one after it with some of the frames out.
             dies = self.random.random() if self.crash else 1.0
             if dies < self.crash:
                 return self.stop(name)
-            if ready.keep:
-                written(file, ready.keep)
-            for to, frame in ready.frames[:1] if dies < 2 * self.crash else ready.frames:
+            if ready.pending_write:
+                written(file, ready.pending_write)
+            for to, frame in ready.messages[:1] if dies < 2 * self.crash else ready.messages:
                 self.send(name, to, frame)
             if dies < 2 * self.crash:
                 return self.stop(name)
-            if ready.restored:
-                at = ready.restored.index
-                assert self.states[at] == ready.restored.data and at > self.applied[name], "the same state"
+            if ready.restored_snapshot:
+                at = ready.restored_snapshot.index
+                assert self.states[at] == ready.restored_snapshot.data and at > self.applied[name], (
+                    "the same state"
+                )
                 self.applied[name] = at
-            for index, entry in ready.committed:
+            for index, entry in ready.committed_entries:
                 self.apply(name, index, entry)
-            for ticket, index in ready.reads:
+            for ticket, index in ready.read_results:
                 assert ticket not in self.told, "told once"
                 assert index is None or index >= self.reads[ticket], "a read that went back"
                 self.told[ticket] = index
-            if ready.committed and self.compacts and self.random.random() < self.compacts:
+            if ready.committed_entries and self.compacts and self.random.random() < self.compacts:
                 node.compact(self.applied[name], self.states[self.applied[name]])
         if node.role is Role.LEADER and self.leaders.setdefault(node.term, name) != name:
             raise AssertionError("two leaders of one term")
@@ -133,7 +135,7 @@
     def step(self, until: int) -> bool:
         """The next frame or tick; False where there is none before `until`."""
         wakes = [
-            (max(self.frozen.get(name, 0), int((node.due - 1_000_000) / self.rates[name]) + 1), name)
+            (max(self.frozen.get(name, 0), int((node.next_tick_us - 1_000_000) / self.rates[name]) + 1), name)
             for name, node in self.nodes.items()
         ]
         at, name = min(wakes, default=(until, ""))
@@ -152,7 +154,7 @@
                 return True
             if name not in self.nodes or (sender, name) in self.cut:
                 return True
-            self.nodes[name].receive(sender, frame, self.clock(name))
+            self.nodes[name].step(sender, frame, self.clock(name))
         self.pump(name)
         self.check(name)
         return True
@@ -161,13 +163,13 @@
         leading = [
             one
             for one, node in self.nodes.items()
-            if node.role is Role.LEADER and node.leads(self.clock(one))
+            if node.role is Role.LEADER and node.has_leader_lease(self.clock(one))
         ]
         assert len(leading) < 2, f"both lead: {leading}"
         node = self.nodes.get(name)
-        if node is not None and node.role is Role.LEADER and node.led_since == self.clock(name):
+        if node is not None and node.role is Role.LEADER and node.elected_at_us == self.clock(name):
             for index, entry in self.chosen.items():
-                if index > node._log.base and self.chosen_in[index] < node.term:
+                if index > node._log.base_index and self.chosen_in[index] < node.term:
                     assert node._log.entry(index) == entry, "a leader without what is committed"
 
     def run(self, span: int) -> None:
@@ -182,7 +184,9 @@
         for one in logs:
             for other in logs:
                 same = False
-                for index in range(min(one.last, other.last), max(one.base, other.base), -1):
+                for index in range(
+                    min(one.last_index, other.last_index), max(one.base_index, other.base_index), -1
+                ):
                     same = same or one.term_at(index) == other.term_at(index)
                     assert not same or one.entry(index) == other.entry(index), "logs don't match"
 
@@ -196,13 +200,13 @@
     def read(self, node: Node) -> int:
         ticket = len(self.reads)
         self.reads[ticket] = max(self.acknowledged, default=0)
-        if not node.read(ticket, self.clock(node.name)):
+        if not node.request_read(ticket, self.clock(node.name)):
             self.told[ticket] = None
         self.pump(node.name)
         return ticket
 
     def change(self, node: Node, members: Members) -> tuple[int, int] | None:
-        made = node.change(members, self.clock(node.name))
+        made = node.propose_members(members, self.clock(node.name))
         self.pump(node.name)
         return made
 
@@ -220,7 +224,7 @@
         for _ in range(60):
             self.run(50_000)
             node = self.leader()
-            if node is not None and node.leads(self.clock(node.name)):
+            if node is not None and node.has_leader_lease(self.clock(node.name)):
                 return node
         raise AssertionError("no leader")
 
@@ -255,7 +259,7 @@
             if node.name in self.nodes and chance() < 0.5:
                 self.read(node)
             if node.name in self.nodes and chance() < 0.04:
-                node.transfer(self.random.choice(sorted(self.files)), self.clock(node.name))
+                node.transfer_leadership(self.random.choice(sorted(self.files)), self.clock(node.name))
                 self.pump(node.name)
             if node.name in self.nodes and chance() < 0.15:
                 try:
@@ -285,8 +289,8 @@
         for seed in range(SEEDS):
             with (
                 self.subTest(seed=seed),
-                mock.patch.object(log_sending, "MOST_DATA", 60),
-                mock.patch.object(membership_changes, "MOST_DATA", 60),
+                mock.patch.object(log_sending, "MAX_DATA_BYTES", 60),
+                mock.patch.object(membership_changes, "MAX_DATA_BYTES", 60),
                 mock.patch.object(log, "_BEHIND", 6),
             ):
                 net = Net(seed, "abc" if seed % 2 else "abcde", "xy"[: seed % 3])
@@ -316,8 +320,8 @@
         self.assertGreater(min(steps // 100, acknowledged // 10, restored, changed), 100)
 
 
-NOTHING, DATA = Entry(1, Kind.NOTHING, b""), Entry(1, Kind.DATA, b"x")
-ELECTION, LEASE = TIMES.election, int(TIMES.election * (1 - 2 * TIMES.drift))
+NOTHING, DATA = Entry(1, EntryKind.NO_OP, b""), Entry(1, EntryKind.DATA, b"x")
+ELECTION, LEASE = TIMES.election_timeout_us, int(TIMES.election_timeout_us * (1 - 2 * TIMES.clock_drift))
 
 
 class Edges(unittest.TestCase):
@@ -332,7 +336,7 @@
         name: str = "a",
     ) -> Node:
         members = Members(tuple(voters), tuple(learners))
-        self.file = Durable(name, term, None, Snapshot(0, 0, members, b""), list(entries))
+        self.file = PersistentState(name, term, None, Snapshot(0, 0, members, b""), list(entries))
         return self.again(0)
 
     def again(self, now: int) -> Node:
@@ -341,12 +345,12 @@
     def out(self, node: Node) -> list[tuple[str, frames.Frame]]:
         """What goes out; reads and what is committed are kept aside."""
         found, self.reads, self.committed = [], [], []
-        while ready := node.take():
-            if ready.keep:
-                written(self.file, ready.keep)
-            found += ready.frames
-            self.reads += ready.reads
-            self.committed += ready.committed
+        while ready := node.ready():
+            if ready.pending_write:
+                written(self.file, ready.pending_write)
+            found += ready.messages
+            self.reads += ready.read_results
+            self.committed += ready.committed_entries
         return found
 
     def led(self, **given: object) -> Node:
@@ -354,9 +358,9 @@
         node = self.node(**given)
         node.tick(ELECTION)
         self.out(node)
-        node.receive("b", codec.PreVoted(node.term + 1, True), ELECTION)
+        node.step("b", codec.PreVoteResponse(node.term + 1, True), ELECTION)
         self.out(node)
-        node.receive("b", codec.Voted(node.term, True), ELECTION)
+        node.step("b", codec.VoteResponse(node.term, True), ELECTION)
         self.assertIs(node.role, Role.LEADER)
         self.out(node)
         return node
@@ -364,12 +368,14 @@
     def hears(self, node: Node, now: int, sender: str = "b", number: int | None = None) -> list:
         """The follower has all, and has heard the last round, or that one."""
         number = node._round if number is None else number
-        node.receive(sender, codec.Appended(node.term, number, True, node._log.last, 0, 0), now)
+        node.step(
+            sender, codec.AppendEntriesResponse(node.term, number, True, node._log.last_index, 0, 0), now
+        )
         return self.out(node)
 
     def test_promise_to_a_leader(self) -> None:
-        vote = codec.Vote(2, 9, 9, False)
-        handed = codec.Vote(2, 9, 9, True)
+        vote = codec.VoteRequest(2, 9, 9, False)
+        handed = codec.VoteRequest(2, 9, 9, True)
         for sender, frame, at, granted in (
             ("c", vote, 1_000 + ELECTION - 1, None),
             ("c", vote, 1_000 + ELECTION, True),
@@ -378,80 +384,80 @@
         ):
             for learns in (False, True):  # of the later term, from elsewhere, before it is asked
                 node = self.node()
-                node.receive("b", codec.Append(1, 1, 0, 0, 0, []), 1_000)
+                node.step("b", codec.AppendEntries(1, 1, 0, 0, 0, []), 1_000)
                 if learns:
-                    node.receive("c", codec.PreVoted(2, False), 1_500)
+                    node.step("c", codec.PreVoteResponse(2, False), 1_500)
                 self.out(node)
                 self.asks(node, sender, frame, at, granted)
 
-    def asks(self, node: Node, sender: str, frame: codec.Vote, at: int, granted: bool | None) -> None:
+    def asks(self, node: Node, sender: str, frame: codec.VoteRequest, at: int, granted: bool | None) -> None:
         """For a vote; None: it is not even answered."""
-        node.receive(sender, frame, at)
+        node.step(sender, frame, at)
         self.assertEqual([one.granted for _, one in self.out(node)], [] if granted is None else [granted])
 
     def test_promises_outlive_a_restart(self) -> None:
-        self.asks(self.node(), "c", codec.Vote(2, 0, 0, False), ELECTION, True)
+        self.asks(self.node(), "c", codec.VoteRequest(2, 0, 0, False), ELECTION, True)
         for sender, at, granted in (("c", ELECTION - 1, None), ("c", ELECTION, True), ("b", ELECTION, False)):
-            self.asks(self.again(0), sender, codec.Vote(2, 9, 9, False), at, granted)
+            self.asks(self.again(0), sender, codec.VoteRequest(2, 9, 9, False), at, granted)
 
     def test_lease_counts_from_when_the_round_began(self) -> None:
         node = self.led()
-        self.assertFalse(node.leads(ELECTION))
+        self.assertFalse(node.has_leader_lease(ELECTION))
         self.hears(node, ELECTION + 250_000)
-        self.assertTrue(node.leads(ELECTION + LEASE - 1))
-        self.assertFalse(node.leads(ELECTION + LEASE))
+        self.assertTrue(node.has_leader_lease(ELECTION + LEASE - 1))
+        self.assertFalse(node.has_leader_lease(ELECTION + LEASE))
 
     def test_alone_nothing_is_committed_before_it_is_synced(self) -> None:
         node = self.node("a")
         node.tick(ELECTION)
         self.assertIs(node.role, Role.CANDIDATE)
         self.out(node)
-        node.tick(node.due)
-        ready = node.take()
-        self.assertEqual((len(ready.keep.entries), ready.committed), (1, []))
-        self.assertEqual(node.take().committed, [(1, NOTHING)])
-        node.change(Members(("a",), ("b",)), node._now)
-        self.assertEqual((node.take().committed, len(node.take().committed)), ([], 1))
+        node.tick(node.next_tick_us)
+        ready = node.ready()
+        self.assertEqual((len(ready.pending_write.entries), ready.committed_entries), (1, []))
+        self.assertEqual(node.ready().committed_entries, [(1, NOTHING)])
+        node.propose_members(Members(("a",), ("b",)), node._now_us)
+        self.assertEqual((node.ready().committed_entries, len(node.ready().committed_entries)), ([], 1))
 
     def test_heard_by_none_though_it_hears(self) -> None:
         node = self.led()
         self.hears(node, ELECTION)
-        while node._now <= 2 * ELECTION and node.role is Role.LEADER:
-            node.receive("b", codec.PreVote(2, 9, 9), node._now)
-            node.receive("c", codec.Appended(1, 0, True, 0, 0, 0), node._now)
-            node.tick(node.due)
+        while node._now_us <= 2 * ELECTION and node.role is Role.LEADER:
+            node.step("b", codec.PreVoteRequest(2, 9, 9), node._now_us)
+            node.step("c", codec.AppendEntriesResponse(1, 0, True, 0, 0, 0), node._now_us)
+            node.tick(node.next_tick_us)
         self.assertIs(node.role, Role.FOLLOWER)
-        self.assertLessEqual(node._now, 2 * ELECTION + TIMES.beat)
+        self.assertLessEqual(node._now_us, 2 * ELECTION + TIMES.heartbeat_interval_us)
 
     def test_back_by_whole_terms(self) -> None:
         for term, index, found in ((0, 7, 6), (2, 20, 19), (1, 1, 50)):
-            node = self.led(term=3, entries=(DATA,) * 50 + (Entry(3, Kind.DATA, b""),) * 50)
-            node.receive("b", codec.Appended(4, 1, False, 100, term, index), ELECTION)
-            self.assertEqual([frame.index for _, frame in self.out(node)], [found])
+            node = self.led(term=3, entries=(DATA,) * 50 + (Entry(3, EntryKind.DATA, b""),) * 50)
+            node.step("b", codec.AppendEntriesResponse(4, 1, False, 100, term, index), ELECTION)
+            self.assertEqual([frame.prev_log_index for _, frame in self.out(node)], [found])
 
     def test_an_old_term_is_committed_with_the_own_only(self) -> None:
         node = self.led(term=1, entries=(DATA,))
-        node.receive("b", codec.Appended(2, node._round, True, 1, 0, 0), ELECTION)
-        self.assertEqual((node.commit, node.leads(ELECTION)), (0, False))
-        self.assertRaisesRegex(ValueError, "nothing yet", node.change, Members(("a", "b")), ELECTION)
+        node.step("b", codec.AppendEntriesResponse(2, node._round, True, 1, 0, 0), ELECTION)
+        self.assertEqual((node.commit_index, node.has_leader_lease(ELECTION)), (0, False))
+        self.assertRaisesRegex(ValueError, "nothing yet", node.propose_members, Members(("a", "b")), ELECTION)
         self.hears(node, ELECTION)
-        self.assertEqual((node.commit, node.leads(ELECTION)), (2, True))
+        self.assertEqual((node.commit_index, node.has_leader_lease(ELECTION)), (2, True))
 
     def test_a_read_waits_for_a_round_after_it(self) -> None:
         node = self.led()
         self.hears(node, ELECTION)
         late = ELECTION + LEASE
         before = node._round
-        self.assertTrue(node.read("t", late))
+        self.assertTrue(node.request_read("t", late))
         self.hears(node, late, number=before)
         self.assertEqual(self.reads, [])
         self.hears(node, late)
         self.assertEqual(self.reads, [("t", 1)])
-        node.read("lease", late)
+        node.request_read("lease", late)
         self.out(node)
         self.assertEqual(self.reads, [("lease", 1)])
-        node.read("lost", late + LEASE)
-        node.receive("c", codec.Append(9, 1, 0, 0, 0, []), late + LEASE)
+        node.request_read("lost", late + LEASE)
+        node.step("c", codec.AppendEntries(9, 1, 0, 0, 0, []), late + LEASE)
         self.out(node)
         self.assertEqual(self.reads, [("lost", None)])
 
@@ -459,13 +465,13 @@
         for voters, learners in (("", "a"), ("bc", "a"), ("bc", "")):
             node = self.node(voters, learners)
             for _ in range(9):
-                node.tick(node.due)
+                node.tick(node.next_tick_us)
             self.assertEqual((self.out(node), node.term), ([], 0))
         node = self.node("ab", "cd")
         node.tick(ELECTION)
         for sender in "cdz":
-            node.receive(sender, codec.PreVoted(1, True), ELECTION)
-        self.assertIs(node.role, Role.ASKING)
+            node.step(sender, codec.PreVoteResponse(1, True), ELECTION)
+        self.assertIs(node.role, Role.PRE_CANDIDATE)
 
     def test_changes_refused(self) -> None:
         node = self.led(learners="d")
@@ -481,66 +487,68 @@
         ):
             with self.subTest(why):
                 members = Members(tuple(voters), tuple(learners))
-                self.assertRaisesRegex(ValueError, why, node.change, members, ELECTION)
+                self.assertRaisesRegex(ValueError, why, node.propose_members, members, ELECTION)
         self.hears(node, ELECTION, "d")
-        self.assertEqual(node.change(Members(tuple("abcd")), ELECTION), (2, 1))
-        self.assertRaisesRegex(ValueError, "not yet committed", node.change, Members(tuple("abc")), ELECTION)
+        self.assertEqual(node.propose_members(Members(tuple("abcd")), ELECTION), (2, 1))
+        self.assertRaisesRegex(
+            ValueError, "not yet committed", node.propose_members, Members(tuple("abc")), ELECTION
+        )
 
     def test_a_removed_leader_hands_over_once_that_is_committed(self) -> None:
         node = self.led()
         self.hears(node, ELECTION)
-        node.change(Members(("b", "c")), ELECTION)
+        node.propose_members(Members(("b", "c")), ELECTION)
         self.hears(node, ELECTION)
         self.assertIs(node.role, Role.LEADER)
-        self.assertIn(("b", codec.Now(1)), self.hears(node, ELECTION, "c"))
+        self.assertIn(("b", codec.TimeoutNow(1)), self.hears(node, ELECTION, "c"))
         self.assertIs(node.role, Role.FOLLOWER)
 
     def test_transfer_ends_the_lease_for_the_rest_of_the_term(self) -> None:
         node = self.led()
-        self.assertTrue(node.transfer("b", ELECTION))
-        self.assertIn(("b", codec.Now(1)), self.hears(node, ELECTION))
+        self.assertTrue(node.transfer_leadership("b", ELECTION))
+        self.assertIn(("b", codec.TimeoutNow(1)), self.hears(node, ELECTION))
         self.assertIsNone(node.propose(b"", ELECTION))
         while node.role is Role.LEADER:
-            self.assertFalse(node.leads(node.due))
-            node.tick(node.due)
-            self.hears(node, node._now)
-        self.assertLessEqual(node._now, 2 * ELECTION + TIMES.beat)
+            self.assertFalse(node.has_leader_lease(node.next_tick_us))
+            node.tick(node.next_tick_us)
+            self.hears(node, node._now_us)
+        self.assertLessEqual(node._now_us, 2 * ELECTION + TIMES.heartbeat_interval_us)
         # To one that is never up to date: given up, and the leader goes on.
         node = self.led()
-        self.assertTrue(node.transfer("c", ELECTION))
-        while node._now < 2 * ELECTION:
-            node.tick(node.due)
-            self.hears(node, node._now)
-        self.assertTrue(node.leads(node._now) and node.propose(b"", node._now))
+        self.assertTrue(node.transfer_leadership("c", ELECTION))
+        while node._now_us < 2 * ELECTION:
+            node.tick(node.next_tick_us)
+            self.hears(node, node._now_us)
+        self.assertTrue(node.has_leader_lease(node._now_us) and node.propose(b"", node._now_us))
 
     def test_a_snapshot_that_is_damaged_on_its_way(self) -> None:
         node = self.node()
         members = Members(("a", "b"))
         for check, here in ((7, 0), (crc32(b"ab"), 2)):
             for offset, part in ((0, b"a"), (1, b"b")):
-                node.receive("b", codec.Install(1, 1, 5, 1, members, 2, check, offset, part), 0)
+                node.step("b", codec.InstallSnapshot(1, 1, 5, 1, members, 2, check, offset, part), 0)
             self.assertEqual(self.out(node)[-1][1].offset, here)
-        self.assertEqual((node.commit, node.members, self.file.snapshot.data), (5, members, b"ab"))
+        self.assertEqual((node.commit_index, node.members, self.file.snapshot.data), (5, members, b"ab"))
 
     def test_a_list_that_is_cut_counts_no_more(self) -> None:
         node = self.node()
-        listed = Entry(1, Kind.MEMBERS, Members(("a", "b")).encoded())
-        node.receive("b", codec.Append(1, 1, 0, 0, 0, [listed]), 0)
+        listed = Entry(1, EntryKind.MEMBERS, Members(("a", "b")).encode())
+        node.step("b", codec.AppendEntries(1, 1, 0, 0, 0, [listed]), 0)
         self.assertEqual(node.members, Members(("a", "b")))
-        node.receive("c", codec.Append(2, 1, 0, 0, 0, [Entry(2, 0, b"")]), 0)
+        node.step("c", codec.AppendEntries(2, 1, 0, 0, 0, [Entry(2, 0, b"")]), 0)
         self.assertEqual(node.members, Members(tuple("abc")))
 
     def test_wrong_frames(self) -> None:
         for frame in (
-            codec.Append(1, 1, 0, 0, 0, [Entry(2, 0, b"")]),
-            codec.Append(1, 1, 0, 0, 0, [Entry(1, Kind.MEMBERS, b"?")]),
-            codec.Append(1, 1, 0, 5, 0, []),
-            codec.Install(1, 1, 5, 1, Members(()), 1, 0, 0, b"ab"),
+            codec.AppendEntries(1, 1, 0, 0, 0, [Entry(2, 0, b"")]),
+            codec.AppendEntries(1, 1, 0, 0, 0, [Entry(1, EntryKind.MEMBERS, b"?")]),
+            codec.AppendEntries(1, 1, 0, 5, 0, []),
+            codec.InstallSnapshot(1, 1, 5, 1, Members(()), 1, 0, 0, b"ab"),
         ):
-            self.assertRaises(frames.FramingError, self.node().receive, "b", frame, 0)
+            self.assertRaises(frames.FramingError, self.node().step, "b", frame, 0)
         node = self.node()
-        node.receive("b", codec.Append(1, 1, 0, 0, 0, []), 0)
-        self.assertRaises(frames.FramingError, node.receive, "c", codec.Append(1, 1, 0, 0, 0, []), 0)
+        node.step("b", codec.AppendEntries(1, 1, 0, 0, 0, []), 0)
+        self.assertRaises(frames.FramingError, node.step, "c", codec.AppendEntries(1, 1, 0, 0, 0, []), 0)
 
 
 class Together(unittest.TestCase):
@@ -548,7 +556,7 @@
         net = Net(1, "abc")
         first = net.elected()
         net.cut = {(first.name, other) for other in "abc"}
-        net.run(ELECTION + 2 * TIMES.beat)
+        net.run(ELECTION + 2 * TIMES.heartbeat_interval_us)
         self.assertIs(first.role, Role.FOLLOWER)
         self.assertNotEqual(net.elected().name, first.name)
 
@@ -566,13 +574,13 @@
         net.run(100_000)
         net.heal()
         net.run(1_000_000)
-        self.assertNotEqual(net.chosen[made[0]].data, Members(tuple(sorted({*rest, old.name}))).encoded())
+        self.assertNotEqual(net.chosen[made[0]].data, Members(tuple(sorted({*rest, old.name}))).encode())
         self.assertEqual(net.leader().members, Members(tuple(sorted({*rest, other}))))
 
     def test_install_while_members_change(self) -> None:
         with (
-            mock.patch.object(log_sending, "MOST_DATA", 60),
-            mock.patch.object(membership_changes, "MOST_DATA", 60),
+            mock.patch.object(log_sending, "MAX_DATA_BYTES", 60),
+            mock.patch.object(membership_changes, "MAX_DATA_BYTES", 60),
             mock.patch.object(log, "_BEHIND", 2),
         ):
             net = Net(3, "abc", "x")
@@ -583,7 +591,7 @@
             node.compact(net.applied[node.name], net.states[net.applied[node.name]])
             net.change(node, Members(tuple("abc"), ("x",)))
             net.run(6_000)
-            self.assertTrue(0 < node._peers["x"].offset < len(node._log.snapshot.data))
+            self.assertTrue(0 < node._peers["x"].received_bytes < len(node._log.snapshot.data))
             net.cut = {(node.name, "x")}
             net.change(node, Members(tuple(sorted({*"abc"} - {"abc".replace(node.name, "")[0]})), ("x",)))
             net.run(100_000)
@@ -598,16 +606,22 @@
         self.place = tempfile.TemporaryDirectory()
         self.addCleanup(self.place.cleanup)
         self.path = os.path.join(self.place.name, "k1")
-        Storage.found(self.path, "k1/1", Members(("k1/1",)))
+        Storage.create(self.path, "k1/1", Members(("k1/1",)))
 
     def fill(self) -> None:
         file = Storage(self.path)
-        file.write(Keep(3, "k2/1", None, None, 1, [Entry(1, Kind.DATA, b"%d" % at * 99) for at in range(60)]))
-        file.write(Keep(3, "k2/1", Snapshot(20, 1, Members(("k1/1", "k2/1")), b"s" * 9000), 50, 50, [DATA]))
+        file.write(
+            PendingWrite(
+                3, "k2/1", None, None, 1, [Entry(1, EntryKind.DATA, b"%d" % at * 99) for at in range(60)]
+            )
+        )
+        file.write(
+            PendingWrite(3, "k2/1", Snapshot(20, 1, Members(("k1/1", "k2/1")), b"s" * 9000), 50, 50, [DATA])
+        )
         file.close()
 
     def refused(self, why: str) -> None:
-        with self.assertRaisesRegex(UnusableError, why) as told:
+        with self.assertRaisesRegex(UnusableFileError, why) as told:
             with contextlib.closing(Storage(self.path)) as file:
                 file.load()
         self.assertNotIn("\n", str(told.exception))
@@ -616,15 +630,15 @@
         self.fill()
         file = Storage(self.path)
         self.refused("another process")
-        self.assertRaisesRegex(UnusableError, "already", Storage.found, self.path, "k", Members(()))
+        self.assertRaisesRegex(UnusableFileError, "already", Storage.create, self.path, "k", Members(()))
         found = file.load()
         self.assertEqual(
             (found.name, found.term, found.voted_for, len(found.entries), found.snapshot.index),
             ("k1/1", 3, "k2/1", 30, 20),
         )
-        file._base.execute("PRAGMA max_page_count = 1")
-        big = [Entry(3, Kind.DATA, b"x" * 100_000)] * 9
-        self.assertRaisesRegex(OSError, "full", file.write, Keep(4, None, None, 30, 30, big))
+        file._connection.execute("PRAGMA max_page_count = 1")
+        big = [Entry(3, EntryKind.DATA, b"x" * 100_000)] * 9
+        self.assertRaisesRegex(OSError, "full", file.write, PendingWrite(4, None, None, 30, 30, big))
         self.assertEqual(file.load(), found)
         file.close()
         again = Storage(self.path)
@@ -689,7 +703,7 @@
                 found = file.load()
                 file.close()
                 self.assertEqual((found.term, len(found.entries), found.entries[0].data), (3, 30, b"20" * 99))
-            except UnusableError:
+            except UnusableFileError:
                 pass
         os.unlink(self.path)
         self.refused("no such file")
@@ -700,7 +714,7 @@
             net = Net(5, "ab", "c")
             for name, members in [*((one, Members(("a", "b"))) for one in "ab"), ("c", Members((), ("c",)))]:
                 path = f"{folders.enter_context(tempfile.TemporaryDirectory())}/k"
-                Storage.found(path, name, members)
+                Storage.create(path, name, members)
                 file = Storage(path)
                 net.files[name] = file.load()
                 file.close()
@@ -709,20 +723,20 @@
                 net.start(name)
             net.run(2_000_000)
             leader = net.leader()
-            leader.change(Members(("a", "b"), ("c",)), net.clock(leader.name))
+            leader.propose_members(Members(("a", "b"), ("c",)), net.clock(leader.name))
             net.pump(leader.name)
             net.run(1_000_000)
             c = net.nodes["c"]
-            self.assertEqual((c.members, c.commit), (leader.members, leader.commit))
+            self.assertEqual((c.members, c.commit_index), (leader.members, leader.commit_index))
             # All that a snapshot of what it has by now would name, also before the first change.
-            self.assertTrue(all("a" in members.voters for _, members in c._log._changes))
+            self.assertTrue(all("a" in members.voters for _, members in c._log._member_lists))
 
     def test_killed_while_it_writes(self) -> None:
         code = (
             "import sys; from cresstray.consensus.storage import *\n"
             "file = Storage(sys.argv[1]); at = len(file.load().entries)\n"
             "while True:\n"
-            "    file.write(Keep(at + 1, None, None, None, at + 2, [Entry(1, 1, b'x' * 3000)] * 3))\n"
+            "    file.write(PendingWrite(at + 1, None, None, None, at + 2, [Entry(1, 1, b'x' * 3000)] * 3))\n"
             "    at += 3\n"
             "    print(at, flush=True)\n"
         )
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -35,16 +35,16 @@
 
 
 def _dropped(keeps: Callable[[Any], bool]) -> Any:
-    """Node.take without what of `keep` is told apart."""
-    take = Node.take
+    """Node.ready without what of `keep` is told apart."""
+    take = Node.ready
 
     def taken(node: Node) -> Any:
         ready = take(node)
-        if ready.keep is not None and keeps(ready.keep):
-            ready.keep = None
+        if ready.pending_write is not None and keeps(ready.pending_write):
+            ready.pending_write = None
         return ready
 
-    return patch.object(Node, "take", taken)
+    return patch.object(Node, "ready", taken)
 
 
 def _from_arrival() -> Any:
@@ -136,7 +136,7 @@
     def without(log: Log, index: int, data: bytes) -> None:
         old = log.snapshot.members
         compact(log, index, data)
-        log.snapshot = log._fresh = msgspec.structs.replace(log.snapshot, members=old)
+        log.snapshot = log._pending_snapshot = msgspec.structs.replace(log.snapshot, members=old)
 
     return patch.object(Log, "compact", without)
 
@@ -145,13 +145,13 @@
     """A leader answers from what it has, and asks nobody whether it still leads."""
 
     def read(node: Node, ticket: object, now: int) -> bool:
-        node._begin(now)
+        node._advance_clock(now)
         if node.role is not Role.LEADER:
             return False
-        node._answers.append((ticket, node.commit))
+        node._read_results.append((ticket, node.commit_index))
         return True
 
-    return patch.object(Node, "read", read)
+    return patch.object(Node, "request_read", read)
 
 
 def _old_name() -> Any:
@@ -196,28 +196,28 @@
 # Each: what is patched, the run that shows it soonest, and the properties of which one must break.
 VARIANTS: dict[str, tuple[Callable[[], Any], dict[str, Any], tuple[str, ...]]] = {
     "vote not synced": (
-        lambda: _dropped(lambda keep: not (keep.entries or keep.snapshot or keep.cut)),
+        lambda: _dropped(lambda keep: not (keep.entries or keep.snapshot or keep.truncate_from)),
         MIXED,
         ("synced",),
     ),
     "entries not synced": (lambda: _dropped(lambda keep: bool(keep.entries)), MIXED, ("synced",)),
     "commit by counting an old term": (
-        lambda: broken(Node, "_count", " or log.term_at(reached) != self.term", ""),
+        lambda: broken(Node, "_advance_commit_index", " or log.term_at(quorum_index) != self.term", ""),
         MIXED,
         ("own-term", "one-log"),
     ),
     "elected with an old log": (
-        lambda: patch.object(Node, "_up_to_date", lambda *_: True),
+        lambda: patch.object(Node, "_is_up_to_date", lambda *_: True),
         CUTS,
         ("one-log", "acknowledged", "one-state"),
     ),
     "votes in spite of a leader": (
-        lambda: patch.object(Node, "_keeps_to_leader", lambda *_: False),
+        lambda: patch.object(Node, "_has_active_leader", lambda *_: False),
         ONE_CUT,
         ("one-leader",),
     ),
     "leads while it believes so": (
-        lambda: patch.object(Node, "leads", lambda node, now: node.role is Role.LEADER),
+        lambda: patch.object(Node, "has_leader_lease", lambda node, now: node.role is Role.LEADER),
         ROUSED,
         ("one-leader",),
     ),
