--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,7 +20,7 @@
 import anyio
 import click
 
-from cresstray.control_plane.codec import Ask
+from cresstray.control_plane.codec import OperatorCommand
 from cresstray.emulators.account import PROMISES
 from cresstray.emulators.clients import draw
 from cresstray.emulators.fleet.accounts import contradictions, spread, without_commit
@@ -198,7 +198,7 @@
     shard = {SHARD: Shard(("s-00000001",), epoch=2**50)}
     change = encode_delta(EMPTY, Documents(placement=Placement(shard)))
     for number in itertools.count():
-        ask = Ask("propose", f"{operator.name}-{number}", {"placement": 2**50}, change)
+        ask = OperatorCommand("propose", f"{operator.name}-{number}", {"placement": 2**50}, change)
         answer = await operator.ask(ask, 1.0, keeper)
         if answer is not None and "accepted" in answer:
             commits.append(anyio.current_time())
@@ -282,7 +282,7 @@
 
 async def _told(trial: Trial, began: float, until: float) -> dict:
     fleet = trial.fleet
-    answer = await trial.asker.ask(Ask("past"), 5) or {"past": [], "stated_us": 0}
+    answer = await trial.asker.ask(OperatorCommand("past"), 5) or {"past": [], "stated_us": 0}
     kept = {past["version"] for past in answer["past"]}
     # `past` is bounded; what is older than all it tells is not said to be lost.
     oldest = min(kept, default=0)
--- a/cresstray/cli/fleet.py
+++ b/cresstray/cli/fleet.py
@@ -17,7 +17,7 @@
 from cresstray.config.fleet import Fleet, Keeper
 from cresstray.config.lines import UnusableError
 from cresstray.consensus.storage import UnusableFileError
-from cresstray.control_plane.codec import Ask, Gather, requests
+from cresstray.control_plane.codec import OperatorCommand, PartAssembler, encode_command
 from cresstray.fleet_config import documents
 from cresstray.fleet_config.codec import MAX_PARTS, Greeting, OperatorReply
 from cresstray.observability.counters import Counters
@@ -76,11 +76,11 @@
         self._until = time.monotonic() + seconds
         self._keepers = list(given.keepers)
 
-    def ask(self, ask: Ask) -> dict[str, Any]:
+    def ask(self, ask: OperatorCommand) -> dict[str, Any]:
         """The answer; NoAnswerError."""
         return anyio.run(self._ask, ask)
 
-    async def _ask(self, ask: Ask) -> dict[str, Any]:
+    async def _ask(self, ask: OperatorCommand) -> dict[str, Any]:
         faults: dict[str, str] = {}
         while True:
             for keeper in list(self._keepers):
@@ -101,9 +101,9 @@
                     )
             await anyio.sleep(0.1)
 
-    async def _of(self, keeper: Keeper, ask: Ask) -> dict[str, Any]:
+    async def _of(self, keeper: Keeper, ask: OperatorCommand) -> dict[str, Any]:
         self._number += 1
-        number, gather = self._number, Gather(MAX_PARTS)
+        number, gather = self._number, PartAssembler(MAX_PARTS)
         found: list[dict[str, Any]] = []
 
         def check(greeting: Frame, names: set[str] | None) -> None:
@@ -112,7 +112,7 @@
                 raise FramingError(f"the {greet.role} {greet.name!r} where {keeper.name!r} should be")
 
         def talk(link: Link) -> None:
-            for part in requests(number, ask):
+            for part in encode_command(number, ask):
                 link.put(part)
 
         def taken(link: Link, frame: Frame) -> None:
@@ -222,8 +222,8 @@
     request = request or secrets.token_hex(8)
     bases, delta = {}, b""
     if not back_to:
-        bases, delta = change_of(_well(line.ask(Ask("show")))["documents"], change, whole)
-    asked = Ask("check" if dry_run else "propose", request, bases, delta, why, who, back_to)
+        bases, delta = change_of(_well(line.ask(OperatorCommand("show")))["documents"], change, whole)
+    asked = OperatorCommand("check" if dry_run else "propose", request, bases, delta, why, who, back_to)
     began = time.monotonic()
     answer = _well(line.ask(asked))
     if not answer["accepted"]:
@@ -254,7 +254,7 @@
             break
         time.sleep(0.02)
         line._until = time.monotonic() + _ALL
-        answer = _well(line.ask(Ask("where")))
+        answer = _well(line.ask(OperatorCommand("where")))
     return told
 
 
@@ -263,7 +263,7 @@
     began, step = time.monotonic(), ""
     while True:
         line._until = time.monotonic() + _ALL
-        answer = _well(line.ask(Ask("replace", name=name)))
+        answer = _well(line.ask(OperatorCommand("replace", name=name)))
         if answer["step"] != step:
             step = answer["step"]
             say(f"{answer['name']}: {step}" + (f" ({answer['why']})" if "why" in answer else ""))
@@ -279,7 +279,7 @@
 
 def ask(line: Line, what: str, **more: Any) -> dict[str, Any]:
     """ValueError with what the keepers say against it."""
-    return _well(line.ask(Ask(what, **more)))
+    return _well(line.ask(OperatorCommand(what, **more)))
 
 
 def _well(answer: dict[str, Any]) -> dict[str, Any]:
@@ -331,7 +331,7 @@
             return _tell(process.dump(given, name), True, [])
         if not founds:
             return process.run(given, name, path)
-        click.echo(process.found(given, name))
+        click.echo(process.create_storage(given, name))
         return 0
 
     return _typed(act)
--- a/cresstray/cli/placement.py
+++ b/cresstray/cli/placement.py
@@ -249,7 +249,11 @@
     for part, entry in enumerate(moves.begin(made.id, line.who, made.plan, made.limits, made.headroom)):
         # Its name is drawn anew each time: what was refused once may be taken now, and is begun once anyway.
         told = fleet.ask(
-            line, "section", name=moves.NAME, change=entry, request=f"{made.id}/{part}/{secrets.token_hex(4)}"
+            line,
+            "section",
+            name=moves.NAME,
+            delta=entry,
+            request_id=f"{made.id}/{part}/{secrets.token_hex(4)}",
         )
         if told["outcome"] not in (moves.DONE, moves.BEFORE):
             return told["outcome"].decode()
@@ -309,8 +313,8 @@
             line,
             "section",
             name=moves.NAME,
-            request=f"cancel/{now['plan']}",
-            change=moves.encode(moves.Cancel(now["plan"], line.who)),
+            request_id=f"cancel/{now['plan']}",
+            delta=moves.encode(moves.Cancel(now["plan"], line.who)),
         )
         if told["outcome"] not in (moves.DONE, moves.BEFORE):
             raise ValueError(told["outcome"].decode())
--- a/cresstray/control_plane/codec.py
+++ b/cresstray/control_plane/codec.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from cresstray.consensus import codec as log
-from cresstray.fleet_config import codec as rules
+from cresstray.consensus import codec as consensus_codec
+from cresstray.fleet_config import codec as config_codec
 from cresstray.fleet_config.codec import (
     MAX_PART_BYTES,
     MAX_PARTS,
@@ -23,10 +23,10 @@
 
 _Text = Annotated[str, msgspec.Meta(max_length=128)]
 # Danger: a question without end would be kept without end. A change of documents fits into one entry.
-_MOST_PARTS = 8
+_MAX_COMMAND_PARTS = 8
 
 
-class Alive(Frame):
+class KeepAlive(Frame):
     """From the keeper that made the link; sent back as it came. Without it, silence could mean anything."""
 
     kind = 79
@@ -34,71 +34,76 @@
 
 
 # What a keeper takes on a link that was made to it, by the role of who made it.
-FROM_KEEPER = (*log.KINDS, rules.ForwardedFrame, ReplicaPositions, Alive)
-FROM_GATEWAY = (rules.RenewLease, rules.GetConfig, ReplicaPositions)
+FROM_NODE = (*consensus_codec.KINDS, config_codec.ForwardedFrame, ReplicaPositions, KeepAlive)
+FROM_GATEWAY = (config_codec.RenewLease, config_codec.GetConfig, ReplicaPositions)
 FROM_OPERATOR = (OperatorRequest,)
-TAKEN: dict[str, tuple[type[Frame], ...]] = {
-    "keeper": FROM_KEEPER,
+ACCEPTED_BY_ROLE: dict[str, tuple[type[Frame], ...]] = {
+    "keeper": FROM_NODE,
     "gateway": FROM_GATEWAY,
     "operator": FROM_OPERATOR,
 }
-ALL = (Greeting, *FROM_KEEPER, *FROM_GATEWAY[:2], OperatorRequest)
+ACCEPTED_FRAMES = (Greeting, *FROM_NODE, *FROM_GATEWAY[:2], OperatorRequest)
 # What comes back on a link that a keeper made.
-BACK = (Greeting, Alive, ReplicaPositions)
+RETURNED_FRAMES = (Greeting, KeepAlive, ReplicaPositions)
 # What may be carried to the leader, and what back from it.
-TO_LEADER = (rules.RenewLease, OperatorRequest)
-FROM_LEADER = (rules.LeaseGranted, rules.LeaseBehind, rules.LeaseRefused, OperatorReply)
+FORWARDED_REQUESTS = (config_codec.RenewLease, OperatorRequest)
+FORWARDED_REPLIES = (
+    config_codec.LeaseGranted,
+    config_codec.LeaseBehind,
+    config_codec.LeaseRefused,
+    OperatorReply,
+)
 
 
-class Ask(msgspec.Struct, omit_defaults=True):
+class OperatorCommand(msgspec.Struct, omit_defaults=True):
     """A question. `what` is one of answers.py's kinds, the rest is theirs."""
 
-    what: _Text
-    request: _Text = ""
-    bases: dict[str, int] = {}
-    change: bytes = b""
-    why: Annotated[str, msgspec.Meta(max_length=1000)] = ""
+    kind: _Text = msgspec.field(name="what")
+    request_id: _Text = msgspec.field(default="", name="request")
+    base_versions: dict[str, int] = msgspec.field(default_factory=dict, name="bases")
+    delta: bytes = msgspec.field(default=b"", name="change")
+    reason: Annotated[str, msgspec.Meta(max_length=1000)] = msgspec.field(default="", name="why")
     name: _Text = ""
     version: Annotated[int, msgspec.Meta(ge=0, le=2**53)] = 0
 
 
-_ask = msgspec.msgpack.Decoder(Ask)
+_command_decoder = msgspec.msgpack.Decoder(OperatorCommand)
 
 
-def asked(body: bytes) -> Ask:
+def decode_command(body: bytes) -> OperatorCommand:
     """BrokenError where it can't be a question."""
     try:
-        return _ask.decode(body)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-        raise FramingError(f"a question: {trouble}") from None
+        return _command_decoder.decode(body)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise FramingError(f"a question: {error}") from None
 
 
-def _cut(body: bytes) -> list[bytes]:
+def _split(body: bytes) -> list[bytes]:
     """Parts that still fit when another frame carries them."""
     size = MAX_PART_BYTES - 1024
-    return [body[at : at + size] for at in range(0, len(body), size)]
+    return [body[position : position + size] for position in range(0, len(body), size)]
 
 
-def requests(number: int, ask: Ask) -> list[OperatorRequest]:
+def encode_command(number: int, command: OperatorCommand) -> list[OperatorRequest]:
     """ValueError where it is too long."""
-    cut = _cut(msgspec.msgpack.encode(ask))
-    if len(cut) > _MOST_PARTS:
+    parts = _split(msgspec.msgpack.encode(command))
+    if len(parts) > _MAX_COMMAND_PARTS:
         raise ValueError("a question that is too long")
-    return [OperatorRequest(number, part, at == len(cut) - 1) for at, part in enumerate(cut)]
+    return [OperatorRequest(number, part, position == len(parts) - 1) for position, part in enumerate(parts)]
 
 
-def replies(number: int, answer: dict[str, Any]) -> list[OperatorReply]:
-    cut = _cut(msgspec.msgpack.encode(answer))
-    if len(cut) > MAX_PARTS:
-        cut = [msgspec.msgpack.encode({"error": f"an answer of {len(cut)} parts; {MAX_PARTS} at most"})]
-    return [OperatorReply(number, part, at == len(cut) - 1) for at, part in enumerate(cut)]
+def encode_reply(number: int, answer: dict[str, Any]) -> list[OperatorReply]:
+    parts = _split(msgspec.msgpack.encode(answer))
+    if len(parts) > MAX_PARTS:
+        parts = [msgspec.msgpack.encode({"error": f"an answer of {len(parts)} parts; {MAX_PARTS} at most"})]
+    return [OperatorReply(number, part, position == len(parts) - 1) for position, part in enumerate(parts)]
 
 
-class Gather:
+class PartAssembler:
     """Puts together what comes in parts, from one side; a new number drops what was before."""
 
-    def __init__(self, most: int = _MOST_PARTS) -> None:
-        self._most = most
+    def __init__(self, max_parts: int = _MAX_COMMAND_PARTS) -> None:
+        self._max_parts = max_parts
         self._number, self._parts = -1, []
 
     def add(self, frame: OperatorRequest | OperatorReply) -> bytes | None:
@@ -106,17 +111,17 @@
         if frame.number != self._number:
             self._number, self._parts = frame.number, []
         self._parts.append(frame.body)
-        if len(self._parts) > self._most:
-            raise FramingError(f"more than {self._most} parts")
+        if len(self._parts) > self._max_parts:
+            raise FramingError(f"more than {self._max_parts} parts")
         if not frame.is_last:
             return None
-        whole, self._parts = b"".join(self._parts), []
-        return whole
+        body, self._parts = b"".join(self._parts), []
+        return body
 
 
-def carried(body: bytes, kinds: tuple[type[Frame], ...]) -> Frame:
+def decode_forwarded(body: bytes, kinds: tuple[type[Frame], ...]) -> Frame:
     """The one frame that another carries; BrokenError."""
-    found = FrameDecoder(kinds).feed(body)
-    if len(found) != 1 or len(body) != len(encode_frame(found[0])):
+    frames = FrameDecoder(kinds).feed(body)
+    if len(frames) != 1 or len(body) != len(encode_frame(frames[0])):
         raise FramingError("what is carried is not one frame")
-    return found[0]
+    return frames[0]
--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -25,9 +25,9 @@
 from cresstray.consensus.raft import Node, Role, Timing
 from cresstray.consensus.storage import Storage, UnusableFileError
 from cresstray.control_plane import codec
-from cresstray.control_plane.codec import Alive
-from cresstray.control_plane.node_controller import Core, Guest
-from cresstray.control_plane.replica_positions import Moving, Positions
+from cresstray.control_plane.codec import KeepAlive
+from cresstray.control_plane.node_controller import IncomingLink, NodeController
+from cresstray.control_plane.replica_positions import MoveCoordinator, PositionDistributor
 from cresstray.fleet_config import documents
 from cresstray.fleet_config.codec import ReplicaPositions
 from cresstray.fleet_config.documents import FleetState
@@ -47,212 +47,228 @@
     from cresstray.sites.tls import Contexts
 
 # Between words on a link that we made, and how long none may come back: some elections, well under a lease.
-_ALIVE, _SILENT = 0.4, 1.5
+_KEEP_ALIVE_INTERVAL_S, _SILENCE_TIMEOUT_S = 0.4, 1.5
 # How long a leader that ends waits for another to take over.
-_HAND_OVER = 1.0
+_TRANSFER_TIMEOUT_S = 1.0
 
 
-def now() -> int:
+def now_us() -> int:
     """Microseconds of a clock that neither a stopped process nor a sleeping machine stops."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-def path_of(given: Fleet, name: str) -> str:
-    return str(Path(given.folder) / f"{name}.db")
+def storage_path(settings: Fleet, name: str) -> str:
+    return str(Path(settings.folder) / f"{name}.db")
 
 
-def found(given: Fleet, name: str) -> str:
+def create_storage(settings: Fleet, name: str) -> str:
     """Writes the file of a keeper of a new fleet; its path. UnusableError where there is one."""
-    path = path_of(given, name)
-    Path(given.folder).mkdir(parents=True, exist_ok=True)
-    Storage.create(path, f"{name}/1", Members(tuple(sorted(f"{one.name}/1" for one in given.keepers))))
+    path = storage_path(settings, name)
+    Path(settings.folder).mkdir(parents=True, exist_ok=True)
+    Storage.create(path, f"{name}/1", Members(tuple(sorted(f"{one.name}/1" for one in settings.keepers))))
     return path
 
 
-class Process:
+class NodeProcess:
     """UnusableError where the file can't be used, OSError where keys or the address can't."""
 
-    def __init__(self, given: Fleet, name: str, file: str = "") -> None:
+    def __init__(self, settings: Fleet, name: str, settings_path: str = "") -> None:
         """`file`: the operator's, read again after SIGHUP."""
-        self._given, self.name, self._path = given, name, file
-        self._said = EventLog(now, keeper=name)
+        self._settings, self.name, self._settings_path = settings, name, settings_path
+        self._event_log = EventLog(now_us, keeper=name)
         self.counters = Counters()
-        path = path_of(given, name)
-        stranger = not os.path.exists(path)
-        if stranger:
-            Path(given.folder).mkdir(parents=True, exist_ok=True)
+        path = storage_path(settings, name)
+        is_new = not os.path.exists(path)
+        if is_new:
+            Path(settings.folder).mkdir(parents=True, exist_ok=True)
             Storage.create(path, f"{name}/{os.urandom(4).hex()}", Members(()))
         self._storage = Storage(path)
-        durable = self._storage.load()
-        own, _, self.life = durable.name.partition("/")
-        if own != name:
-            raise UnusableError([f"{path}: expected the file of {name}; it is of {durable.name}"])
-        if stranger or not durable.snapshot.members.names() and not durable.entries:
-            self._say(
+        persistent_state = self._storage.load()
+        owner_name, _, self.incarnation = persistent_state.name.partition("/")
+        if owner_name != name:
+            raise UnusableError([f"{path}: expected the file of {name}; it is of {persistent_state.name}"])
+        if is_new or not persistent_state.snapshot.members.names() and not persistent_state.entries:
+            self._log_event(
                 "keeper",
                 "a stranger: it has no part in the log until an operator types: "
                 f"cresstray rules members FILE --replace {name}",
-                name=durable.name,
+                name=persistent_state.name,
             )
-        chance = Random(os.urandom(16)).random
-        started = now()
+        random = Random(os.urandom(16)).random
+        started_at_us = now_us()
         moves = Moves()
-        state = ConfigState(world(given), {"moves": moves})
-        node = Node(durable, Timing(given.beat, given.election, given.drift), chance, started)
-        self._positions = Positions(given.drift, self._say, self.counters)
-        self._moving = Moving(moves, now, self.counters, self._say)
-        leases = LeaseTable(given.lease, given.floor_lease, given.drift)
-        self._core = Core(
-            given, node, state, leases, self._write, self._say, self.counters, started, self._positions.talk
+        state = ConfigState(initial_fleet_state(settings), {"moves": moves})
+        node = Node(
+            persistent_state, Timing(settings.beat, settings.election, settings.drift), random, started_at_us
+        )
+        self._positions = PositionDistributor(settings.drift, self._log_event, self.counters)
+        self._move_coordinator = MoveCoordinator(moves, now_us, self.counters, self._log_event)
+        leases = LeaseTable(settings.lease, settings.floor_lease, settings.drift)
+        self._controller = NodeController(
+            settings,
+            node,
+            state,
+            leases,
+            self._persist,
+            self._log_event,
+            self.counters,
+            started_at_us,
+            self._positions.new_exchange,
+        )
+        self._positions.attach(self._controller, self._move_coordinator.hands.ask)
+        self._move_coordinator.hands.seen = self._on_disk_report
+        self._move_coordinator.attach(self._controller)
+        self._update_engines(settings)
+        self._address = settings.keeper(name).address
+        contexts = _contexts(settings)
+        self._incoming = PeerLinkManager(
+            codec.ACCEPTED_FRAMES, contexts, random, self._event_log, self.counters
+        )
+        self._outgoing = PeerLinkManager(
+            codec.RETURNED_FRAMES, contexts, random, self._event_log, self.counters
         )
-        self._positions.join(self._core, self._moving.hands.ask)
-        self._moving.hands.seen = self._seen
-        self._moving.join(self._core)
-        self._know_engines(given)
-        self._address = given.keeper(name).address
-        contexts = _contexts(given)
-        self._in = PeerLinkManager(codec.ALL, contexts, chance, self._said, self.counters)
-        self._out = PeerLinkManager(codec.BACK, contexts, chance, self._said, self.counters)
         self._timer: asyncio.TimerHandle | None = None
-        self._woken, self._serial = False, 0
-        self.failed = ""
+        self._is_round_scheduled, self._operator_serial = False, 0
+        self.failure = ""
         self._tasks: TaskGroup
 
-    def _say(self, kind: str, event: str, **more: object) -> None:
-        self._said.log(kind, event, **more)
+    def _log_event(self, kind: str, event: str, **more: object) -> None:
+        self._event_log.log(kind, event, **more)
 
-    def _know_engines(self, given: Fleet) -> None:
-        self._moving.addresses = {one.id: one.address for one in given.engines}
-        self._core.answers.zones = {one.id: one.zone for one in given.engines}
+    def _update_engines(self, settings: Fleet) -> None:
+        self._move_coordinator.addresses = {one.id: one.address for one in settings.engines}
+        self._controller.request_handlers.zones = {one.id: one.zone for one in settings.engines}
 
-    def _seen(self, disk: Disk, at: int) -> None:
-        if self._positions.seen(disk, at):
-            self._wake()  # who waits is told now, and not with the next round only
+    def _on_disk_report(self, disk: Disk, at: int) -> None:
+        if self._positions.on_disk_report(disk, at):
+            self._schedule_round()  # who waits is told now, and not with the next round only
 
-    def _write(self, keep: PendingWrite) -> None:
-        began = time.monotonic()
-        self._storage.write(keep)
-        took = time.monotonic() - began
+    def _persist(self, pending_write: PendingWrite) -> None:
+        started_s = time.monotonic()
+        self._storage.write(pending_write)
+        duration_s = time.monotonic() - started_s
         self.counters.add("syncs")
-        if took > 0.1:
-            self._say("file", "slow to sync", ms=round(took * 1000))
+        if duration_s > 0.1:
+            self._log_event("file", "slow to sync", ms=round(duration_s * 1000))
 
     # Rounds.
 
-    def _wake(self) -> None:
+    def _schedule_round(self) -> None:
         """A round for all that has come in this turn of the loop."""
-        if not self._woken:
-            self._woken = True
-            asyncio.get_running_loop().call_soon(self._round)
+        if not self._is_round_scheduled:
+            self._is_round_scheduled = True
+            asyncio.get_running_loop().call_soon(self._run_round)
 
-    def _round(self) -> None:
-        self._woken = False
-        if self.failed:
+    def _run_round(self) -> None:
+        self._is_round_scheduled = False
+        if self.failure:
             return
         if self._timer is not None:
             self._timer.cancel()
         try:
-            due = self._core.round(now())
-        except (OSError, sqlite3.Error, UnusableFileError) as trouble:
+            next_round_us = self._controller.run_round(now_us())
+        except (OSError, sqlite3.Error, UnusableFileError) as error:
             # Danger: what could not be synced may be asked for again as if it had been. It steps out.
-            self._step_out(f"its file can't be written, it steps out: {trouble!r}")
+            self._fail(f"its file can't be written, it steps out: {error!r}")
             return
         except Exception:
             # Danger: after a fault of ours its state may be half changed; what is in the file is whole.
-            self._step_out(f"a fault, it steps out: {traceback.format_exc()}")
+            self._fail(f"a fault, it steps out: {traceback.format_exc()}")
             return
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(max(0, due - now()) / 1e6, self._round)
+        self._timer = loop.call_later(max(0, next_round_us - now_us()) / 1e6, self._run_round)
 
-    def _step_out(self, why: str) -> None:
-        self.failed = why
+    def _fail(self, why: str) -> None:
+        self.failure = why
         self._tasks.cancel_scope.cancel()
 
     # Links that others make.
 
-    def _check(self, greeting: Frame, names: set[str] | None) -> None:
-        greet = peers.check_greeting(greeting, self._given, names)
-        if greet.role == "keeper" and greet.name == self.name:
+    def _check_greeting(self, greeting: Frame, names: set[str] | None) -> None:
+        peer = peers.check_greeting(greeting, self._settings, names)
+        if peer.role == "keeper" and peer.name == self.name:
             raise FramingError("this keeper's own name")
 
-    def _hello(self, _greeting: Frame | None = None) -> Frame:
+    def _make_greeting(self, _greeting: Frame | None = None) -> Frame:
         return peers.make_greeting(
-            "keeper", self._given.name, self.name, self.life, peers.settings_digest(self._given)
+            "keeper", self._settings.name, self.name, self.incarnation, peers.settings_digest(self._settings)
         )
 
-    def _come(self, link: Link) -> None:
-        greet = link.greeting
-        self._serial += 1
+    def _on_incoming_connected(self, link: Link) -> None:
+        peer = link.greeting
+        self._operator_serial += 1
         key = {
-            "keeper": f"keeper:{greet.name}/{greet.incarnation}",
-            "gateway": f"gateway:{greet.name}",
-            "operator": f"operator:{self._serial}",
-        }[greet.role]
-        agrees = greet.nonce == peers.settings_digest(self._given)
-        link.guest = Guest(link, greet.role, greet.name, greet.incarnation, key, agrees)
-        self._core.come(link.guest)
-
-    def _taken(self, link: Link, frame: Frame) -> None:
+            "keeper": f"keeper:{peer.name}/{peer.incarnation}",
+            "gateway": f"gateway:{peer.name}",
+            "operator": f"operator:{self._operator_serial}",
+        }[peer.role]
+        agrees = peer.nonce == peers.settings_digest(self._settings)
+        link.guest = IncomingLink(link, peer.role, peer.name, peer.incarnation, key, agrees)
+        self._controller.on_incoming_connected(link.guest)
+
+    def _on_incoming_frame(self, link: Link, frame: Frame) -> None:
         try:
-            self._core.received(link.guest, frame, now())
+            self._controller.on_incoming_frame(link.guest, frame, now_us())
         except FramingError:
             raise
         except Exception:
             if link.guest.role == "keeper":
-                self._step_out(f"a fault, it steps out: {traceback.format_exc()}")
+                self._fail(f"a fault, it steps out: {traceback.format_exc()}")
                 return
             self.counters.add("faults")
-            self._say("fault", traceback.format_exc(), of=link.guest.name)
+            self._log_event("fault", traceback.format_exc(), of=link.guest.name)
             raise FramingError("a fault of ours") from None
         finally:
-            self._wake()
+            self._schedule_round()
 
-    def _gone(self, link: Link) -> None:
-        self._core.gone(link.guest)
+    def _on_incoming_closed(self, link: Link) -> None:
+        self._controller.on_incoming_closed(link.guest)
 
     # Links that we make.
 
-    async def _keep_up(self, name: str, address: tuple[str, int], tasks: TaskGroup) -> None:
-        pause = self._out.new_backoff()
-        full, heard = "", 0.0
+    async def _maintain_outgoing(self, name: str, address: tuple[str, int], tasks: TaskGroup) -> None:
+        backoff = self._outgoing.new_backoff()
+        member_name, last_heard_s = "", 0.0
 
         def check(greeting: Frame, names: set[str] | None) -> None:
-            greet = peers.check_greeting(greeting, self._given, names)
-            if greet.role != "keeper" or greet.name != name:
-                raise FramingError(f"the {greet.role} {greet.name!r} where {name!r} should be")
-
-        def talk(link: Link) -> None:
-            nonlocal full, heard
-            full, heard = f"{name}/{link.greeting.incarnation}", time.monotonic()
-            self._core.connected(full, link)
-            asyncio.get_running_loop().call_soon(beat, link, 1)
-            self._say("link", "made", to=full)
-
-        def beat(link: Link, number: int) -> None:
+            peer = peers.check_greeting(greeting, self._settings, names)
+            if peer.role != "keeper" or peer.name != name:
+                raise FramingError(f"the {peer.role} {peer.name!r} where {name!r} should be")
+
+        def on_connected(link: Link) -> None:
+            nonlocal member_name, last_heard_s
+            member_name, last_heard_s = f"{name}/{link.greeting.incarnation}", time.monotonic()
+            self._controller.on_outgoing_connected(member_name, link)
+            asyncio.get_running_loop().call_soon(send_keep_alive, link, 1)
+            self._log_event("link", "made", to=member_name)
+
+        def send_keep_alive(link: Link, number: int) -> None:
             if link.why:
                 return
-            if time.monotonic() - heard > _SILENT:
-                link.end(f"silent for {_SILENT} s")
+            if time.monotonic() - last_heard_s > _SILENCE_TIMEOUT_S:
+                link.end(f"silent for {_SILENCE_TIMEOUT_S} s")
                 return
-            link.put(Alive(number))
-            asyncio.get_running_loop().call_later(_ALIVE, beat, link, number + 1)
+            link.put(KeepAlive(number))
+            asyncio.get_running_loop().call_later(_KEEP_ALIVE_INTERVAL_S, send_keep_alive, link, number + 1)
 
-        def taken(link: Link, frame: Frame) -> None:
-            nonlocal heard
+        def on_frame(link: Link, frame: Frame) -> None:
+            nonlocal last_heard_s
             if isinstance(frame, ReplicaPositions):
-                self._core.heard_back(full, frame, now())
-                self._wake()
-            elif not isinstance(frame, Alive):
+                self._controller.on_positions(member_name, frame, now_us())
+                self._schedule_round()
+            elif not isinstance(frame, KeepAlive):
                 raise FramingError(f"a {type(frame).__name__} on a link that this keeper made")
-            heard = time.monotonic()
+            last_heard_s = time.monotonic()
 
-        def lost(link: Link) -> None:
-            self._core.disconnected(full, link)
+        def on_closed(link: Link) -> None:
+            self._controller.on_outgoing_closed(member_name, link)
 
         while True:
-            began = time.monotonic()
-            await self._out.run_outgoing(address, name, self._hello(), check, talk, taken, lost, tasks)
-            await anyio.sleep(pause.next_pause_s(time.monotonic() - began))
+            started_s = time.monotonic()
+            await self._outgoing.run_outgoing(
+                address, name, self._make_greeting(), check, on_connected, on_frame, on_closed, tasks
+            )
+            await anyio.sleep(backoff.next_pause_s(time.monotonic() - started_s))
 
     # Its life.
 
@@ -260,133 +276,133 @@
         """Serves until SIGTERM or SIGINT; its exit code."""
         listener = socket.create_server(self._address, backlog=1024)
         listener.setblocking(False)
-        self._say(
+        self._log_event(
             "keeper",
             "serves",
-            name=f"{self.name}/{self.life}",
+            name=f"{self.name}/{self.incarnation}",
             address="{}:{}".format(*listener.getsockname()[:2]),
-            stated_ms=self._given.stated // 1000,
+            stated_ms=self._settings.stated // 1000,
         )
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(
-                self._in.run_incoming,
+                self._incoming.run_incoming,
                 listener,
-                self._hello,
-                self._check,
-                self._come,
-                self._taken,
-                self._gone,
+                self._make_greeting,
+                self._check_greeting,
+                self._on_incoming_connected,
+                self._on_incoming_frame,
+                self._on_incoming_closed,
                 tasks,
             )
-            for one in self._given.keepers:
+            for one in self._settings.keepers:
                 if one.name != self.name:
-                    tasks.start_soon(self._keep_up, one.name, one.address, tasks)
-            tasks.start_soon(self._moving.hands.run)
-            self._wake()
+                    tasks.start_soon(self._maintain_outgoing, one.name, one.address, tasks)
+            tasks.start_soon(self._move_coordinator.hands.run)
+            self._schedule_round()
             with anyio.open_signal_receiver(
                 signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP
             ) as signals:
                 async for received in signals:
                     if received == signal.SIGUSR1:
-                        self._report()
+                        self._log_status()
                     elif received == signal.SIGHUP:
                         self._reload()
                     else:
-                        await self._hand_over()
+                        await self._transfer_leadership()
                         break
             tasks.cancel_scope.cancel()
-        if not self.failed:
+        if not self.failure:
             self._storage.close()
-        self._say("keeper", self.failed or "ends", name=f"{self.name}/{self.life}")
-        return 1 if self.failed else 0
+        self._log_event("keeper", self.failure or "ends", name=f"{self.name}/{self.incarnation}")
+        return 1 if self.failure else 0
 
     def _reload(self) -> None:
         """Keys of new links, and engines; the rest takes a restart."""
         try:
-            given = operator.read(self._path).fleet if self._path else None
-            if given is None:
+            settings = operator.read(self._settings_path).fleet if self._settings_path else None
+            if settings is None:
                 raise ValueError("it has no section 'fleet' any more")
-            contexts = _contexts(given)
-        except (ValueError, OSError) as trouble:
-            self._say("keeper", "the new file can't be used, the old one stays", why=str(trouble))
+            contexts = _contexts(settings)
+        except (ValueError, OSError) as error:
+            self._log_event("keeper", "the new file can't be used, the old one stays", why=str(error))
             return
-        self._in.contexts = self._out.contexts = contexts
-        self._know_engines(given)
-        if msgspec.structs.replace(given, engines=(), tls=None) != msgspec.structs.replace(
-            self._given, engines=(), tls=None
+        self._incoming.contexts = self._outgoing.contexts = contexts
+        self._update_engines(settings)
+        if msgspec.structs.replace(settings, engines=(), tls=None) != msgspec.structs.replace(
+            self._settings, engines=(), tls=None
         ):
-            self._say("keeper", "of the new file only keys and engines are used until a restart")
+            self._log_event("keeper", "of the new file only keys and engines are used until a restart")
 
-    async def _hand_over(self) -> None:
-        node = self._core.node
+    async def _transfer_leadership(self) -> None:
+        node = self._controller.node
         if node.role is not Role.LEADER:
             return
-        heirs = [name for name in node.members.voters if name in self._core.keepers]
-        if not any(node.transfer_leadership(name, now()) for name in heirs):
+        successors = [name for name in node.members.voters if name in self._controller.node_links]
+        if not any(node.transfer_leadership(name, now_us()) for name in successors):
             return
-        self._wake()
-        with anyio.move_on_after(_HAND_OVER):
+        self._schedule_round()
+        with anyio.move_on_after(_TRANSFER_TIMEOUT_S):
             while node.role is Role.LEADER:
                 await anyio.sleep(0.01)
         # What a leader says last is written before the links close.
         await anyio.sleep(0.02)
 
-    def _report(self) -> None:
-        self._say(
+    def _log_status(self) -> None:
+        self._log_event(
             "status",
             "is",
-            **self._core.status(),
-            gateways=sum(guest.role == "gateway" for guest in self._core.guests.values()),
+            **self._controller.status(),
+            gateways=sum(guest.role == "gateway" for guest in self._controller.incoming_links.values()),
         )
         for line in self.counters.lines():
             print(f"{self.name} counter: {line}", file=sys.stderr, flush=True)
 
 
-def world(given: Fleet) -> FleetState:
+def initial_fleet_state(settings: Fleet) -> FleetState:
     """What all keepers check changes by, so that one log makes one state of all of them."""
-    return FleetState(max_gateways=given.most, max_barred_fraction=given.barred)
+    return FleetState(max_gateways=settings.most, max_barred_fraction=settings.barred)
 
 
-def _contexts(given: Fleet) -> Contexts | None:
-    if given.tls is None:
+def _contexts(settings: Fleet) -> Contexts | None:
+    if settings.tls is None:
         return None
     from cresstray.sites.tls import Contexts
 
-    return Contexts(given.tls)
+    return Contexts(settings.tls)
 
 
-def dump(given: Fleet, name: str) -> dict:
+def dump(settings: Fleet, name: str) -> dict:
     """The latest documents in a keeper's file, for when a majority is lost for good. UnusableError.
 
     Danger: what stands behind the last commit may never have been committed, and what other keepers had
     committed may be missing.
     """
-    storage = Storage(path_of(given, name))
+    storage = Storage(storage_path(settings, name))
     try:
-        durable = storage.load()
+        persistent_state = storage.load()
     finally:
         storage.close()
-    state = ConfigState(world(given), {"moves": Moves()})
-    if durable.snapshot.data:
-        state.restore(durable.snapshot.data)
-    for index, entry in enumerate(durable.entries, durable.snapshot.index + 1):
+    state = ConfigState(initial_fleet_state(settings), {"moves": Moves()})
+    if persistent_state.snapshot.data:
+        state.restore(persistent_state.snapshot.data)
+    for index, entry in enumerate(persistent_state.entries, persistent_state.snapshot.index + 1):
         if entry.kind == EntryKind.DATA:
             state.apply(index, entry.data)
     return {
-        "keeper": durable.name,
-        "term": durable.term,
-        "index": durable.snapshot.index + len(durable.entries),
+        "keeper": persistent_state.name,
+        "term": persistent_state.term,
+        "index": persistent_state.snapshot.index + len(persistent_state.entries),
         "turn": state.turn,
         "latest": state.version,
         "documents": documents.to_plain(state.latest),
     }
 
 
-def run(given: Fleet, name: str, file: str = "") -> int:
+def run(settings: Fleet, name: str, settings_path: str = "") -> int:
     """One keeper in the foreground; its exit code. UnusableError, OSError."""
-    made = Process(given, name, file)
+    process = NodeProcess(settings, name, settings_path)
     # Danger: each gateway takes a descriptor, and the usual 1,024 are fewer than the gateways there may be.
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
-    return anyio.run(made.run, backend_options={"use_uvloop": True})
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
+    return anyio.run(process.run, backend_options={"use_uvloop": True})
--- a/cresstray/control_plane/node_controller.py
+++ b/cresstray/control_plane/node_controller.py
@@ -16,10 +16,10 @@
 from cresstray.consensus.entries import EntryKind, PendingWrite, Snapshot
 from cresstray.consensus.raft import Node, Role
 from cresstray.control_plane import codec
-from cresstray.control_plane.codec import Alive, Gather
-from cresstray.control_plane.request_handlers import Answers
-from cresstray.fleet_config import codec as rules
-from cresstray.fleet_config import commands as commands
+from cresstray.control_plane.codec import KeepAlive, PartAssembler
+from cresstray.control_plane.request_handlers import RequestHandlers
+from cresstray.fleet_config import codec as config_codec
+from cresstray.fleet_config import commands
 from cresstray.fleet_config.codec import ReplicaPositions
 from cresstray.fleet_config.leases import LeaseTable
 from cresstray.fleet_config.state import ConfigState, ConfigUpdates
@@ -27,18 +27,18 @@
 from cresstray.transport.framing import Frame, FramingError, encode_frame
 
 # The log is cut once so much of it has been applied since: a restart reads it in well under a second.
-_MOST_ENTRIES, _MOST_BYTES = 4096, 4 * 1024 * 1024
+_SNAPSHOT_AFTER_ENTRIES, _SNAPSHOT_AFTER_BYTES = 4096, 4 * 1024 * 1024
 # Whole documents, in bytes a second over all gateways, and the most at once. 230 gateways that return with
 # nothing get 20 kB each in some three seconds; what differs from a version that they know is never held up.
-_PACE, _BURST = 1_500_000, 256 * 1024
+_FULL_COPY_BYTES_PER_S, _FULL_COPY_BURST_BYTES = 1_500_000, 256 * 1024
 # What was seen of copies: a word so often to other keepers; who asks is answered at once, not more often than
 # this.
-_SPREAD, _AT_ONCE = 250_000, 20_000
+_POSITIONS_INTERVAL_US, _MIN_POSITIONS_REPLY_INTERVAL_US = 250_000, 20_000
 # Danger: what a gateway doesn't read would be kept; one that has so much unread gets nothing more.
-_LAGGING = 1024 * 1024
+_MAX_UNREAD_BYTES = 1024 * 1024
 
 
-class Far(Protocol):
+class PeerLink(Protocol):
     """The other side of one link."""
 
     def put(self, frame: Frame) -> None: ...
@@ -49,422 +49,459 @@
 
 
 @dataclass(eq=False)
-class Guest:
+class IncomingLink:
     """Who made a link to this keeper, and what it has been given."""
 
-    far: Far
+    link: PeerLink
     role: str
     name: str
-    life: str
+    incarnation: str
     key: str  # by which the leader's answers find it
-    agrees: bool = True  # its file has the same times and bounds
-    renewed: int = -1  # the last renewal's number
+    has_same_settings: bool = True  # its file has the same times and bounds
+    last_renewal: int = -1  # the last renewal's number
     turn: int | None = None  # the turn whose content it has; None before it has told
-    talk: Talk | None = None  # once it has told of positions
-    spoke: int = 0  # when it was last answered
-    gathers: dict[str, Gather] = field(default_factory=dict)
+    exchange: PositionExchange | None = None  # once it has told of positions
+    positions_sent_at_us: int = 0  # when it was last answered
+    assemblers: dict[str, PartAssembler] = field(default_factory=dict)
 
 
-class Talk(Protocol):
+class PositionExchange(Protocol):
     """What is said of positions on one link: made with it, gone with it. `hears`: BrokenError."""
 
-    def says(self, now: int) -> bytes: ...
-    def hears(self, body: bytes, now: int) -> None: ...
+    def says(self, now_us: int) -> bytes: ...
+    def hears(self, body: bytes, now_us: int) -> None: ...
 
 
-class Core:
+class NodeController:
     def __init__(
         self,
-        given: Fleet,
+        settings: Fleet,
         node: Node,
         state: ConfigState,
         leases: LeaseTable,
-        write: Callable[[PendingWrite], None],
-        say: Callable[..., None],
+        persist: Callable[[PendingWrite], None],
+        log_event: Callable[..., None],
         counters: Counters,
-        now: int,
-        talks: Callable[[], Talk] | None = None,
+        now_us: int,
+        new_exchange: Callable[[], PositionExchange] | None = None,
     ) -> None:
-        self.given, self.node, self.state, self.leases = given, node, state, leases
-        self._write, self.say, self.counters, self._talks = write, say, counters, talks
-        self.keepers: dict[str, Far] = {}  # links that we made, by the far keeper's name in the log
-        self.guests: dict[str, Guest] = {}  # links that others made
-        self.talking: dict[str, tuple[Far, Talk]] = {}  # about positions, on links that we made
-        self.heard: dict[str, str] = {}  # the last generation that greeted, by keeper
-        self.applied = 0
-        self._entries = self._bytes = 0  # applied since the last snapshot
-        self.waiting: dict[int, tuple[int, Callable[[bytes | None], None]]] = {}  # by index: term, who waits
-        self._reads: list[tuple[int, Callable[[bool], None]]] = []  # to be answered once this is applied
-        self._renewals: list[tuple[Callable[[Frame], None], str, rules.RenewLease]] = []
-        self.now = now  # of this call
-        self._term_ready = 0  # the term that we lead, once all before it is applied
-        self._out: dict[str, int] = {}  # ghosts that are out, and the term in which that was proposed
-        self._advancing = (0, 0)  # term and turn that have been proposed
+        self.settings, self.node, self.state, self.leases = settings, node, state, leases
+        self._persist, self.log_event, self.counters, self._new_exchange = (
+            persist,
+            log_event,
+            counters,
+            new_exchange,
+        )
+        self.node_links: dict[str, PeerLink] = {}  # links that we made, by the far keeper's name in the log
+        self.incoming_links: dict[str, IncomingLink] = {}  # links that others made
+        self.node_exchanges: dict[
+            str, tuple[PeerLink, PositionExchange]
+        ] = {}  # about positions, on links that we made
+        self.seen_incarnations: dict[str, str] = {}  # the last generation that greeted, by keeper
+        self.applied_index = 0
+        self._entries_since_snapshot = self._bytes_since_snapshot = 0  # applied since the last snapshot
+        self.pending_proposals: dict[
+            int, tuple[int, Callable[[bytes | None], None]]
+        ] = {}  # by index: term, who waits
+        self._pending_reads: list[
+            tuple[int, Callable[[bool], None]]
+        ] = []  # to be answered once this is applied
+        self._pending_renewals: list[tuple[Callable[[Frame], None], str, config_codec.RenewLease]] = []
+        self.now_us = now_us  # of this call
+        self._ready_term = 0  # the term that we lead, once all before it is applied
+        self._departure_terms: dict[
+            str, int
+        ] = {}  # ghosts that are out, and the term in which that was proposed
+        self._proposed_turn = (0, 0)  # term and turn that have been proposed
         # By the turn that a gateway has: the turn that it is led on from, and the encoded frames.
-        self._deltas: dict[int, tuple[int, list[bytes]]] = {}
-        self._pushed = -1
-        self._wanting: deque[Guest] = deque()  # that wait for their turn to get all of it
-        self._bucket, self._bucket_at = float(_BURST), now
-        self._spread_at = now + _SPREAD
-        self._was: tuple[object, ...] = ()
-        self.answers = Answers(self)
-        self.turned: list[Callable[[int], None]] = []  # of other packages: the turn has changed
-        self.each_round: list[Callable[[int], int | None]] = []  # of other packages: each tells its due
+        self._updates_by_turn: dict[int, tuple[int, list[bytes]]] = {}
+        self._pushed_turn = -1
+        self._full_copy_queue: deque[IncomingLink] = deque()  # that wait for their turn to get all of it
+        self._full_copy_budget_bytes, self._budget_updated_us = float(_FULL_COPY_BURST_BYTES), now_us
+        self._next_positions_us = now_us + _POSITIONS_INTERVAL_US
+        self._logged_state: tuple[object, ...] = ()
+        self.request_handlers = RequestHandlers(self)
+        self.turn_hooks: list[Callable[[int], None]] = []  # of other packages: the turn has changed
+        self.round_hooks: list[Callable[[int], int | None]] = []  # of other packages: each tells its due
 
     # Who is there.
 
-    def connected(self, name: str, far: Far) -> None:
+    def on_outgoing_connected(self, name: str, link: PeerLink) -> None:
         """A link that we made to the keeper of this name in the log."""
-        self.keepers[name] = far
+        self.node_links[name] = link
         # One of both talks for the two, or each would be told all twice.
-        if self._talks is not None and self.node.name < name:
-            self.talking[name] = far, self._talks()
+        if self._new_exchange is not None and self.node.name < name:
+            self.node_exchanges[name] = link, self._new_exchange()
 
-    def disconnected(self, name: str, far: Far) -> None:
-        if self.keepers.get(name) is far:
-            del self.keepers[name]
-            self.talking.pop(name, None)
+    def on_outgoing_closed(self, name: str, link: PeerLink) -> None:
+        if self.node_links.get(name) is link:
+            del self.node_links[name]
+            self.node_exchanges.pop(name, None)
 
-    def heard_back(self, name: str, frame: ReplicaPositions, now: int) -> None:
+    def on_positions(self, name: str, frame: ReplicaPositions, now_us: int) -> None:
         """On a link that we made."""
-        if name in self.talking:
-            self.talking[name][1].hears(frame.body, now)
+        if name in self.node_exchanges:
+            self.node_exchanges[name][1].hears(frame.body, now_us)
 
-    def come(self, guest: Guest) -> None:
-        before = self.guests.get(guest.key)
-        if before is not None:
+    def on_incoming_connected(self, guest: IncomingLink) -> None:
+        previous = self.incoming_links.get(guest.key)
+        if previous is not None:
             # Danger: what an earlier connection still holds unread must not be taken behind this one's.
-            before.far.end("a newer link has taken its place")
-        self.guests[guest.key] = guest
+            previous.link.end("a newer link has taken its place")
+        self.incoming_links[guest.key] = guest
         if guest.role == "keeper":
-            if self.heard.get(guest.name) != guest.life and f"{guest.name}/{guest.life}" not in self._known():
-                self.say(
+            if (
+                self.seen_incarnations.get(guest.name) != guest.incarnation
+                and f"{guest.name}/{guest.incarnation}" not in self._member_names()
+            ):
+                self.log_event(
                     "keeper",
                     f"a stranger has come; to admit it: cresstray rules members FILE --replace {guest.name}",
-                    name=f"{guest.name}/{guest.life}",
+                    name=f"{guest.name}/{guest.incarnation}",
                 )
-            self.heard[guest.name] = guest.life
+            self.seen_incarnations[guest.name] = guest.incarnation
 
-    def gone(self, guest: Guest) -> None:
-        if self.guests.get(guest.key) is guest:
-            del self.guests[guest.key]
+    def on_incoming_closed(self, guest: IncomingLink) -> None:
+        if self.incoming_links.get(guest.key) is guest:
+            del self.incoming_links[guest.key]
 
-    def _known(self) -> tuple[str, ...]:
+    def _member_names(self) -> tuple[str, ...]:
         return self.node.members.voters + self.node.members.learners
 
     # What comes.
 
-    def received(self, guest: Guest, frame: Frame, now: int) -> None:
+    def on_incoming_frame(self, guest: IncomingLink, frame: Frame, now_us: int) -> None:
         """BrokenError for what that side may not send, or not now."""
-        self.now = now
-        if self.guests.get(guest.key) is not guest:
+        self.now_us = now_us
+        if self.incoming_links.get(guest.key) is not guest:
             raise FramingError("a newer link has taken its place")
-        if not isinstance(frame, codec.TAKEN[guest.role]):
+        if not isinstance(frame, codec.ACCEPTED_BY_ROLE[guest.role]):
             raise FramingError(f"a {type(frame).__name__} from the role {guest.role}")
-        if isinstance(frame, rules.RenewLease):
-            self._renew(guest, frame)
-        elif isinstance(frame, rules.GetConfig):
+        if isinstance(frame, config_codec.RenewLease):
+            self._on_renewal(guest, frame)
+        elif isinstance(frame, config_codec.GetConfig):
             guest.turn = frame.turn
-            self._push_to(guest)
+            self._push_config_to(guest)
         elif isinstance(frame, ReplicaPositions):
-            if guest.talk is None and self._talks is not None:
-                guest.talk = self._talks()
-            if guest.talk is not None:
-                guest.talk.hears(frame.body, now)
+            if guest.exchange is None and self._new_exchange is not None:
+                guest.exchange = self._new_exchange()
+            if guest.exchange is not None:
+                guest.exchange.hears(frame.body, now_us)
                 # At once: an age counts from the word that is answered. Danger: one that talks without end.
-                if now - guest.spoke >= _AT_ONCE and guest.far.unwritten < _LAGGING:
-                    guest.spoke = now
-                    guest.far.put(ReplicaPositions(guest.talk.says(now)))
-        elif isinstance(frame, Alive):
-            guest.far.put(frame)
-        elif isinstance(frame, rules.ForwardedFrame):
-            self._carried(guest, frame, now)
-        elif isinstance(frame, rules.OperatorRequest):
-            self._request(guest, frame, now)
+                if (
+                    now_us - guest.positions_sent_at_us >= _MIN_POSITIONS_REPLY_INTERVAL_US
+                    and guest.link.unwritten < _MAX_UNREAD_BYTES
+                ):
+                    guest.positions_sent_at_us = now_us
+                    guest.link.put(ReplicaPositions(guest.exchange.says(now_us)))
+        elif isinstance(frame, KeepAlive):
+            guest.link.put(frame)
+        elif isinstance(frame, config_codec.ForwardedFrame):
+            self._on_forwarded(guest, frame, now_us)
+        elif isinstance(frame, config_codec.OperatorRequest):
+            self._on_operator_request(guest, frame, now_us)
         else:
-            self.node.step(f"{guest.name}/{guest.life}", frame, now)
+            self.node.step(f"{guest.name}/{guest.incarnation}", frame, now_us)
 
-    def _renew(self, guest: Guest, frame: rules.RenewLease) -> None:
+    def _on_renewal(self, guest: IncomingLink, frame: config_codec.RenewLease) -> None:
         # Danger: with a longer lease of its own it would act when the leader takes it for stopped.
-        if not guest.agrees:
+        if not guest.has_same_settings:
             raise FramingError("a renewal, with another lease, floor-lease, drift, most or barred than here")
         # Danger: a renewal that is played again would have a lease counted from long ago.
-        if frame.number <= guest.renewed:
-            raise FramingError(f"renewal {frame.number} after {guest.renewed}")
-        guest.renewed, frame.incarnation = frame.number, guest.life
+        if frame.number <= guest.last_renewal:
+            raise FramingError(f"renewal {frame.number} after {guest.last_renewal}")
+        guest.last_renewal, frame.incarnation = frame.number, guest.incarnation
         self.counters.add("renewals")
         if guest.turn is None:
             guest.turn = frame.turn
-            self._push_to(guest)
+            self._push_config_to(guest)
         if self.node.role is Role.LEADER:
-            self._renewals.append((guest.far.put, guest.name, frame))
-        elif not self._carry(guest, frame):
-            guest.far.put(rules.LeaseRefused(frame.number, self.state.turn, "no leader"))
+            self._pending_renewals.append((guest.link.put, guest.name, frame))
+        elif not self._forward(guest, frame):
+            guest.link.put(config_codec.LeaseRefused(frame.number, self.state.turn, "no leader"))
 
-    def _carry(self, guest: Guest, frame: Frame) -> bool:
-        leader = self.keepers.get(self.node.leader or "")
+    def _forward(self, guest: IncomingLink, frame: Frame) -> bool:
+        leader = self.node_links.get(self.node.leader or "")
         if leader is None:
             return False
-        leader.put(rules.ForwardedFrame(guest.key, False, encode_frame(frame)))
+        leader.put(config_codec.ForwardedFrame(guest.key, False, encode_frame(frame)))
         return True
 
-    def _carried(self, guest: Guest, frame: rules.ForwardedFrame, now: int) -> None:
+    def _on_forwarded(self, guest: IncomingLink, frame: config_codec.ForwardedFrame, now_us: int) -> None:
         if frame.is_reply:
-            origin = self.guests.get(frame.origin)
-            codec.carried(frame.body, codec.FROM_LEADER)
+            origin = self.incoming_links.get(frame.origin)
+            codec.decode_forwarded(frame.body, codec.FORWARDED_REPLIES)
             if origin is not None and origin.role != "keeper":
-                origin.far.write(frame.body)
+                origin.link.write(frame.body)
             return
-        inner = codec.carried(frame.body, codec.TO_LEADER)
+        inner = codec.decode_forwarded(frame.body, codec.FORWARDED_REQUESTS)
 
-        def back(answer: Frame) -> None:
-            far = self.keepers.get(f"{guest.name}/{guest.life}")
-            if far is not None:
-                far.put(rules.ForwardedFrame(frame.origin, True, encode_frame(answer)))
+        def reply(answer: Frame) -> None:
+            link = self.node_links.get(f"{guest.name}/{guest.incarnation}")
+            if link is not None:
+                link.put(config_codec.ForwardedFrame(frame.origin, True, encode_frame(answer)))
 
         role, _, name = frame.origin.partition(":")
-        if isinstance(inner, rules.RenewLease):
+        if isinstance(inner, config_codec.RenewLease):
             if role != "gateway":
                 raise FramingError(f"a renewal carried for {frame.origin!r}")
             if self.node.role is Role.LEADER:
-                self._renewals.append((back, name, inner))
+                self._pending_renewals.append((reply, name, inner))
             else:
-                back(rules.LeaseRefused(inner.number, self.state.turn, "no leader"))
+                reply(config_codec.LeaseRefused(inner.number, self.state.turn, "no leader"))
             return
         # Danger: whoever carries parts of questions without an end would have them all kept.
-        if len(guest.gathers) > 64:
-            guest.gathers.clear()
-        body = guest.gathers.setdefault(frame.origin, Gather()).add(inner)
+        if len(guest.assemblers) > 64:
+            guest.assemblers.clear()
+        body = guest.assemblers.setdefault(frame.origin, PartAssembler()).add(inner)
         if body is not None:
-            del guest.gathers[frame.origin]
-            self._ask(codec.asked(body), inner.number, back, now)
+            del guest.assemblers[frame.origin]
+            self._handle_command(codec.decode_command(body), inner.number, reply, now_us)
 
-    def _request(self, guest: Guest, frame: rules.OperatorRequest, now: int) -> None:
-        body = guest.gathers.setdefault("", Gather()).add(frame)
+    def _on_operator_request(
+        self, guest: IncomingLink, frame: config_codec.OperatorRequest, now_us: int
+    ) -> None:
+        body = guest.assemblers.setdefault("", PartAssembler()).add(frame)
         if body is None:
             return
-        ask = codec.asked(body)
+        command = codec.decode_command(body)
         if self.node.role is Role.LEADER:
-            self._ask(ask, frame.number, guest.far.put, now)
+            self._handle_command(command, frame.number, guest.link.put, now_us)
             return
-        for part in codec.requests(frame.number, ask):
-            if not self._carry(guest, part):
-                self._reply(guest.far.put, frame.number, {"error": "there is no leader", "again": True})
+        for part in codec.encode_command(frame.number, command):
+            if not self._forward(guest, part):
+                self._send_reply(guest.link.put, frame.number, {"error": "there is no leader", "again": True})
                 return
 
-    def _ask(self, ask: codec.Ask, number: int, back: Callable[[Frame], None], now: int) -> None:
+    def _handle_command(
+        self, command: codec.OperatorCommand, number: int, reply: Callable[[Frame], None], now_us: int
+    ) -> None:
         self.counters.add("questions")
-        self.answers.take(ask, lambda answer: self._reply(back, number, answer), now)
+        self.request_handlers.handle(command, lambda answer: self._send_reply(reply, number, answer), now_us)
 
     @staticmethod
-    def _reply(back: Callable[[Frame], None], number: int, answer: dict[str, Any]) -> None:
-        for part in codec.replies(number, answer):
-            back(part)
+    def _send_reply(send: Callable[[Frame], None], number: int, answer: dict[str, Any]) -> None:
+        for part in codec.encode_reply(number, answer):
+            send(part)
 
     # What operators and other packages have put into the log.
 
-    def ready(self, now: int) -> bool:
+    def is_ready_leader(self, now_us: int) -> bool:
         """Whether it leads, with all before its own term applied: what is decided rests on all there is."""
-        return self._term_ready == self.node.term and self.node.has_leader_lease(now)
+        return self._ready_term == self.node.term and self.node.has_leader_lease(now_us)
 
-    def propose(self, data: bytes, then: Callable[[bytes | None], None], now: int) -> bool:
+    def propose(self, data: bytes, callback: Callable[[bytes | None], None], now_us: int) -> bool:
         """`then` hears the outcome once it is applied, None where it can't be told; False: not the leader."""
-        at = self.node.propose(data, now)
-        if at is None:
+        proposed = self.node.propose(data, now_us)
+        if proposed is None:
             return False
-        index, term = at
-        self.waiting[index] = (term, then)
+        index, term = proposed
+        self.pending_proposals[index] = (term, callback)
         return True
 
-    def read(self, then: Callable[[bool], None], now: int) -> None:
+    def read(self, callback: Callable[[bool], None], now_us: int) -> None:
         """`then` hears True once all that was committed before this is applied; False: not the leader."""
-        if not self.node.request_read(then, now):
-            then(False)
+        if not self.node.request_read(callback, now_us):
+            callback(False)
 
     # One round.
 
-    def round(self, now: int) -> int:
+    def run_round(self, now_us: int) -> int:
         """All that is to be done now, synced before it is told; the moment to call again, at the latest."""
-        self.now = now
-        if now >= self.node.next_tick_us:
-            self.node.tick(now)
-        self._drain(now)
-        self._lead(now)
-        self._renewed(now)
+        self.now_us = now_us
+        if now_us >= self.node.next_tick_us:
+            self.node.tick(now_us)
+        self._process_ready(now_us)
+        self._advance_turn(now_us)
+        self._answer_renewals(now_us)
         # What has just been confirmed may be the last that a turn waited for.
-        self._lead(now)
-        self._drain(now)
-        self._push(now)
-        self._spread(now)
-        due = [self.node.next_tick_us, self._spread_at]
-        due += [at for each in self.each_round if (at := each(now)) is not None]
-        self._drain(now)
-        self._tell()
-        if self._wanting:
-            due.append(now + 20_000)
-        if self._term_ready and self.state.pending_turn() is not None:
-            due.append(self.leases.next_expiry_us(self.state, now) or now + self.given.beat)
-        return max(now, min(due))
-
-    def _drain(self, now: int) -> None:
+        self._advance_turn(now_us)
+        self._process_ready(now_us)
+        self._push_config(now_us)
+        self._send_positions(now_us)
+        due_times_us = [self.node.next_tick_us, self._next_positions_us]
+        due_times_us += [due_us for hook in self.round_hooks if (due_us := hook(now_us)) is not None]
+        self._process_ready(now_us)
+        self._log_role_changes()
+        if self._full_copy_queue:
+            due_times_us.append(now_us + 20_000)
+        if self._ready_term and self.state.pending_turn() is not None:
+            due_times_us.append(self.leases.next_expiry_us(self.state, now_us) or now_us + self.settings.beat)
+        return max(now_us, min(due_times_us))
+
+    def _process_ready(self, now_us: int) -> None:
         while ready := self.node.ready():
             if ready.pending_write is not None:
-                self._write(ready.pending_write)
+                self._persist(ready.pending_write)
             for to, frame in ready.messages:
-                far = self.keepers.get(to)
-                if far is not None:
-                    far.put(frame)
+                link = self.node_links.get(to)
+                if link is not None:
+                    link.put(frame)
             if ready.restored_snapshot is not None:
                 self._restore(ready.restored_snapshot)
             for index, entry in ready.committed_entries:
                 self._apply(index, entry)
-            for then, index in ready.read_results:
+            for callback, index in ready.read_results:
                 if index is None:
-                    then(False)
+                    callback(False)
                 else:
-                    self._reads.append((index, then))
-            if self._reads:
-                done = [then for index, then in self._reads if index <= self.applied]
-                self._reads = [one for one in self._reads if one[0] > self.applied]
-                for then in done:
-                    then(True)
+                    self._pending_reads.append((index, callback))
+            if self._pending_reads:
+                ready_callbacks = [
+                    callback for index, callback in self._pending_reads if index <= self.applied_index
+                ]
+                self._pending_reads = [read for read in self._pending_reads if read[0] > self.applied_index]
+                for callback in ready_callbacks:
+                    callback(True)
 
     def _restore(self, snapshot: Snapshot) -> None:
         if snapshot.data:  # the founders' has none
             self.state.restore(snapshot.data)
-        self.applied, self._entries, self._bytes = snapshot.index, 0, 0
-        for index in [index for index in self.waiting if index <= snapshot.index]:
-            self.waiting.pop(index)[1](None)
+        self.applied_index, self._entries_since_snapshot, self._bytes_since_snapshot = snapshot.index, 0, 0
+        for index in [index for index in self.pending_proposals if index <= snapshot.index]:
+            self.pending_proposals.pop(index)[1](None)
 
     def _apply(self, index: int, entry: Any) -> None:
         outcome = self.state.apply(index, entry.data) if entry.kind == EntryKind.DATA else b""
-        self.applied = index
-        self._entries, self._bytes = self._entries + 1, self._bytes + len(entry.data)
+        self.applied_index = index
+        self._entries_since_snapshot, self._bytes_since_snapshot = (
+            self._entries_since_snapshot + 1,
+            self._bytes_since_snapshot + len(entry.data),
+        )
         self.counters.add("entries applied")
-        term, then = self.waiting.pop(index, (0, None))
-        if then is not None:
-            then(outcome if term == entry.term else None)
-        if self._entries >= _MOST_ENTRIES or self._bytes >= _MOST_BYTES:
+        term, callback = self.pending_proposals.pop(index, (0, None))
+        if callback is not None:
+            callback(outcome if term == entry.term else None)
+        if (
+            self._entries_since_snapshot >= _SNAPSHOT_AFTER_ENTRIES
+            or self._bytes_since_snapshot >= _SNAPSHOT_AFTER_BYTES
+        ):
             self.node.compact(index, self.state.snapshot())
-            self._entries = self._bytes = 0
+            self._entries_since_snapshot = self._bytes_since_snapshot = 0
 
-    def _lead(self, now: int) -> None:
+    def _advance_turn(self, now_us: int) -> None:
         """Makes the next turn as soon as no lease is in its way."""
         node = self.node
         if node.role is not Role.LEADER:
-            self._term_ready = 0
-            for index in list(self.waiting):
+            self._ready_term = 0
+            for index in list(self.pending_proposals):
                 # Danger: it may be committed yet, by the next leader; whoever waits asks again by its name.
-                self.waiting.pop(index)[1](None)
+                self.pending_proposals.pop(index)[1](None)
             return
-        if self._term_ready != node.term:
+        if self._ready_term != node.term:
             # Danger: before something of our own term is applied, turns that an earlier leader made may be
             # missing here, and a lease for what we have would be for what is no longer in force.
-            if not node.has_leader_lease(now) or self.applied < node.commit_index:
+            if not node.has_leader_lease(now_us) or self.applied_index < node.commit_index:
                 return
-            self._term_ready = node.term
-            self._out.clear()
+            self._ready_term = node.term
+            self._departure_terms.clear()
             self.leases.on_elected(self.state.counting_gateways(), node.elected_at_us)
         turn = self.state.pending_turn()
-        if turn is None or self._advancing == (node.term, turn):
+        if turn is None or self._proposed_turn == (node.term, turn):
             return
-        if self.leases.can_advance(self.state, now):
-            if self.propose(commands.encode_advance(turn), lambda _: None, now):
-                self._advancing = (node.term, turn)
-
-    def _renewed(self, now: int) -> None:
-        renewals, self._renewals = self._renewals, []
-        leads = self.ready(now)
-        for back, name, frame in renewals:
-            if self._term_ready != self.node.term:
-                back(rules.LeaseRefused(frame.number, self.state.turn, "no leader"))
+        if self.leases.can_advance(self.state, now_us):
+            if self.propose(commands.encode_advance(turn), lambda _: None, now_us):
+                self._proposed_turn = (node.term, turn)
+
+    def _answer_renewals(self, now_us: int) -> None:
+        renewals, self._pending_renewals = self._pending_renewals, []
+        is_ready_leader = self.is_ready_leader(now_us)
+        for reply, name, frame in renewals:
+            if self._ready_term != self.node.term:
+                reply(config_codec.LeaseRefused(frame.number, self.state.turn, "no leader"))
                 continue
-            back(
+            reply(
                 self.leases.renew(
                     name,
                     frame.number,
                     frame.turn,
                     self.state,
-                    leads,
-                    now,
+                    is_ready_leader,
+                    now_us,
                     frame.incarnation,
                     frame.has_stopped,
                 )
             )
-            if self.leases.has_departed(name, self.state) and self._out.get(name) != self.node.term:
-                self._out[name] = self.node.term
-                self.propose(commands.encode_departed(name), lambda _: None, now)
+            if (
+                self.leases.has_departed(name, self.state)
+                and self._departure_terms.get(name) != self.node.term
+            ):
+                self._departure_terms[name] = self.node.term
+                self.propose(commands.encode_departed(name), lambda _: None, now_us)
 
     # What gateways are given.
 
-    def _push(self, now: int) -> None:
-        if self.state.turn != self._pushed:
-            self._pushed = self.state.turn
-            self._deltas.clear()
-            for turned in self.turned:
-                turned(now)
-            for guest in self.guests.values():
-                self._push_to(guest)
-        self._bucket = min(_BURST, self._bucket + (now - self._bucket_at) * _PACE / 1e6)
-        self._bucket_at = now
-        while self._wanting and self._bucket > 0:
-            guest = self._wanting.popleft()
-            if self.guests.get(guest.key) is guest and (guest.turn or 0) < self.state.turn:
-                self._bucket -= self._give(guest)
+    def _push_config(self, now_us: int) -> None:
+        if self.state.turn != self._pushed_turn:
+            self._pushed_turn = self.state.turn
+            self._updates_by_turn.clear()
+            for turn_hooks in self.turn_hooks:
+                turn_hooks(now_us)
+            for guest in self.incoming_links.values():
+                self._push_config_to(guest)
+        self._full_copy_budget_bytes = min(
+            _FULL_COPY_BURST_BYTES,
+            self._full_copy_budget_bytes + (now_us - self._budget_updated_us) * _FULL_COPY_BYTES_PER_S / 1e6,
+        )
+        self._budget_updated_us = now_us
+        while self._full_copy_queue and self._full_copy_budget_bytes > 0:
+            guest = self._full_copy_queue.popleft()
+            if self.incoming_links.get(guest.key) is guest and (guest.turn or 0) < self.state.turn:
+                self._full_copy_budget_bytes -= self._send_updates(guest)
                 self.counters.add("whole copies given")
 
-    def _push_to(self, guest: Guest) -> None:
+    def _push_config_to(self, guest: IncomingLink) -> None:
         """What differs at once; all of it when its turn comes."""
         if guest.role != "gateway" or guest.turn is None or guest.turn >= self.state.turn:
             return
-        if guest.far.unwritten > _LAGGING:
+        if guest.link.unwritten > _MAX_UNREAD_BYTES:
             return
-        if not self._leads_on(guest.turn)[0]:
-            if guest not in self._wanting:
-                self._wanting.append(guest)
+        if not self._updates_from(guest.turn)[0]:
+            if guest not in self._full_copy_queue:
+                self._full_copy_queue.append(guest)
         else:
-            self._give(guest)
+            self._send_updates(guest)
             self.counters.add("changes given")
 
-    def _leads_on(self, turn: int) -> tuple[int, list[bytes]]:
-        if turn not in self._deltas:
+    def _updates_from(self, turn: int) -> tuple[int, list[bytes]]:
+        if turn not in self._updates_by_turn:
             body = self.state.updates_since(turn)
             base = msgspec.msgpack.decode(body, type=ConfigUpdates).base
-            self._deltas[turn] = (
+            self._updates_by_turn[turn] = (
                 base,
-                [encode_frame(one) for one in rules.config_parts(base, self.state.turn, body)],
+                [encode_frame(part) for part in config_codec.config_parts(base, self.state.turn, body)],
             )
-        return self._deltas[turn]
+        return self._updates_by_turn[turn]
 
-    def _give(self, guest: Guest) -> int:
-        _, frames = self._leads_on(guest.turn)
+    def _send_updates(self, guest: IncomingLink) -> int:
+        _, frames = self._updates_from(guest.turn)
         guest.turn = self.state.turn
         for part in frames:
-            guest.far.write(part)
+            guest.link.write(part)
         return sum(map(len, frames))
 
-    def _spread(self, now: int) -> None:
-        if now < self._spread_at:
+    def _send_positions(self, now_us: int) -> None:
+        if now_us < self._next_positions_us:
             return
-        self._spread_at = now + _SPREAD
-        for far, talk in self.talking.values():
-            far.put(ReplicaPositions(talk.says(now)))
+        self._next_positions_us = now_us + _POSITIONS_INTERVAL_US
+        for link, exchange in self.node_exchanges.values():
+            link.put(ReplicaPositions(exchange.says(now_us)))
 
-    def _tell(self) -> None:
+    def _log_role_changes(self) -> None:
         node = self.node
-        led = node.term if node.role is Role.LEADER else 0
-        now = (node.role.value, led, node.leader, node.members)
-        if now != self._was:
-            if not self._was or now[:3] != self._was[:3]:
-                self.say("log", "is " + now[0], term=node.term, leader=node.leader)
-            if not self._was or now[3] != self._was[3]:
-                self.say(
+        led_term = node.term if node.role is Role.LEADER else 0
+        current = (node.role.value, led_term, node.leader, node.members)
+        if current != self._logged_state:
+            if not self._logged_state or current[:3] != self._logged_state[:3]:
+                self.log_event("log", "is " + current[0], term=node.term, leader=node.leader)
+            if not self._logged_state or current[3] != self._logged_state[3]:
+                self.log_event(
                     "log",
                     "members",
                     voters=",".join(node.members.voters),
                     learners=",".join(node.members.learners),
                 )
-            self._was = now
+            self._logged_state = current
 
     def status(self) -> Mapping[str, Any]:
         node = self.node
@@ -474,6 +511,6 @@
             "term": node.term,
             "leader": node.leader,
             "commit": node.commit_index,
-            "applied": self.applied,
+            "applied": self.applied_index,
             "turn": self.state.turn,
         }
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from cresstray.consensus.raft import Role
-from cresstray.control_plane.node_controller import Core, Far
+from cresstray.control_plane.node_controller import NodeController, PeerLink
 from cresstray.fleet_config.codec import ReplicaPositions
 from cresstray.observability.counters import Counters
 from cresstray.placement.data_transfer import Hands
@@ -18,36 +18,36 @@
 from cresstray.replicas.spread import MOST_WANTED, Exchange, Peer, Talk, encoded
 
 # Shards in one word to another keeper: 5,000 take some twenty seconds, those that change go first.
-_MOST_SHARDS = 64
+_MAX_SHARDS = 64
 # Danger: what a peer doesn't read would be kept; one that has so much unread is told nothing at once.
-_LAGGING = 256 * 1024
+_MAX_UNREAD_BYTES = 256 * 1024
 # All that is new is told to another keeper not more often than this: a little less than words are apart.
-_ALL_AGAIN = 200_000
+_MIN_FULL_INTERVAL_US = 200_000
 # A move's next step is looked for so often: a tenth of a second is little beside a copy, or a turn.
-_LOOK = 100_000
+_MOVE_CHECK_INTERVAL_US = 100_000
 
 
 class _Talk(Talk):
     """What a peer says is looked at for what it wants."""
 
-    def __init__(self, positions: Positions, board: Board) -> None:
-        super().__init__(board, _MOST_SHARDS)
-        self._positions, self._all_at = positions, -_ALL_AGAIN
+    def __init__(self, positions: PositionDistributor, board: Board) -> None:
+        super().__init__(board, _MAX_SHARDS)
+        self._positions, self._full_sent_at_us = positions, -_MIN_FULL_INTERVAL_US
 
-    def says(self, now: int) -> bytes:
-        most = _MOST_SHARDS
+    def says(self, now_us: int) -> bytes:
+        max_shards = _MAX_SHARDS
         if self.peer.wants_all:
             # Danger: each word of a keeper that only asks would be answered with all that is new.
-            most = 0 if now - self._all_at < _ALL_AGAIN else _MOST_SHARDS
-            self._all_at = now if most else self._all_at
-        return encoded(self.peer.says(most, None, now))
+            max_shards = 0 if now_us - self._full_sent_at_us < _MIN_FULL_INTERVAL_US else _MAX_SHARDS
+            self._full_sent_at_us = now_us if max_shards else self._full_sent_at_us
+        return encoded(self.peer.says(max_shards, None, now_us))
 
-    def hears(self, body: bytes, now: int) -> None:
-        super().hears(body, now)
-        self._positions.wanted(self.peer, now)
+    def hears(self, body: bytes, now_us: int) -> None:
+        super().hears(body, now_us)
+        self._positions.wanted(self.peer, now_us)
 
 
-class Positions:
+class PositionDistributor:
     """Merged out of what all gateways tell and engines are asked for, and told to those that want them.
 
     Only the leader asks engines: it is the one bound on questions, and without one there is no lease to read
@@ -57,63 +57,69 @@
     def __init__(self, drift: float, say: Callable[..., None], counters: Counters) -> None:
         self._board = Board(lambda text: say("replicas", text), drift, passes_on=True)
         self._exchange, self._counters = Exchange(self._board), counters
-        self._core: Core
-        self._ask: Callable[[list[str]], None]
+        self._controller: NodeController
+        self._poll_engines: Callable[[list[str]], None]
 
-    def talk(self) -> Talk:
+    def new_exchange(self) -> Talk:
         return _Talk(self, self._board)
 
-    def wanted(self, peer: Peer, now: int) -> None:
+    def wanted(self, peer: Peer, now_us: int) -> None:
         """After each word that a peer says."""
-        self._exchange.wanted(peer, self._core.ready(now), now)
+        self._exchange.wanted(peer, self._controller.is_ready_leader(now_us), now_us)
 
-    def seen(self, disk: Disk, now: int) -> bool:
+    def on_disk_report(self, disk: Disk, now_us: int) -> bool:
         """What an engine has told this keeper, as it leads, of all its copies; whether any peer waits."""
         for name, copy in disk.copies.items():
             head = copy.head if copy.primary else None
-            self._board.heard(name, disk.engine, copy.epoch, copy.applied, head, disk.at, now)
+            self._board.heard(name, disk.engine, copy.epoch, copy.applied, head, disk.at, now_us)
         return self._exchange.heard(disk.engine, disk.at)
 
-    def join(self, core: Core, ask: Callable[[list[str]], None]) -> None:
+    def attach(self, controller: NodeController, poll_engines: Callable[[list[str]], None]) -> None:
         """`ask`: engines' positions, at once."""
-        self._core, self._ask = core, ask
-        core.turned.append(lambda now: self._board.place(core.state.effective.placement.items, now))
-        core.each_round.append(self._each)
-
-    def _each(self, now: int) -> int | None:
-        core, exchange = self._core, self._exchange
-        if core.ready(now):
-            engines = exchange.due(core.state.effective.placement.items, now)
+        self._controller, self._poll_engines = controller, poll_engines
+        controller.turn_hooks.append(
+            lambda now_us: self._board.place(controller.state.effective.placement.items, now_us)
+        )
+        controller.round_hooks.append(self._on_round)
+
+    def _on_round(self, now_us: int) -> int | None:
+        controller, exchange = self._controller, self._exchange
+        if controller.is_ready_leader(now_us):
+            engines = exchange.due(controller.state.effective.placement.items, now_us)
             if engines:
                 self._counters.add("positions asked for", len(engines))
-                self._ask(engines)
-        elif needs := exchange.asking.carried(MOST_WANTED, now):
+                self._poll_engines(engines)
+        elif needs := exchange.asking.carried(MOST_WANTED, now_us):
             # Danger: kept while there is no leader, the next one would be asked for what is long over.
-            for peer, far in self._links(core.node.leader):
+            for peer, link in self._peer_links(controller.node.leader):
                 self._counters.add("positions asked of the leader", len(needs))
-                far.put(ReplicaPositions(encoded(peer.asks(needs, now))))
-        told = exchange.tells(now)
-        if told:
-            links = dict(self._links())
-            for peer, word in told:
+                link.put(ReplicaPositions(encoded(peer.asks(needs, now_us))))
+        urgent = exchange.tells(now_us)
+        if urgent:
+            links = dict(self._peer_links())
+            for peer, message in urgent:
                 if peer in links:
-                    links[peer].put(ReplicaPositions(encoded(word)))
+                    links[peer].put(ReplicaPositions(encoded(message)))
         return exchange.again()
 
-    def _links(self, keeper: str | None = "") -> list[tuple[Peer, Far]]:
+    def _peer_links(self, keeper: str | None = "") -> list[tuple[Peer, PeerLink]]:
         """Peers and their links; of one keeper only."""
-        core = self._core
-        found = [(talk.peer, far) for name, (far, talk) in core.talking.items() if keeper in ("", name)]
+        controller = self._controller
+        found = [
+            (exchange.peer, link)
+            for name, (link, exchange) in controller.node_exchanges.items()
+            if keeper in ("", name)
+        ]
         return found + [
-            (guest.talk.peer, guest.far)
-            for key, guest in core.guests.items()
-            if guest.talk is not None
-            and guest.far.unwritten < _LAGGING
+            (guest.exchange.peer, guest.link)
+            for key, guest in controller.incoming_links.items()
+            if guest.exchange is not None
+            and guest.link.unwritten < _MAX_UNREAD_BYTES
             and keeper in ("", key.removeprefix("keeper:"))
         ]
 
 
-class Moving:
+class MoveCoordinator:
     """A carrier for each term that this keeper leads, and the hands that it has."""
 
     def __init__(
@@ -121,15 +127,15 @@
     ) -> None:
         self._moves, self._clock = moves, clock
         self.addresses: dict[str, tuple[str, int]] = {}
-        self.hands = Hands(lambda: self.addresses, self._propose, self._leads, clock, counters, say)
+        self.hands = Hands(lambda: self.addresses, self._propose, self._is_ready_leader, clock, counters, say)
         self._carrier: Carrier | None = None
-        self._term = self._at = 0
-        self._core: Core
+        self._term = self._next_run_us = 0
+        self._controller: NodeController
 
-    def join(self, core: Core) -> None:
-        self._core = core
-        core.each_round.append(self._each)
-        core.answers.also(
+    def attach(self, controller: NodeController) -> None:
+        self._controller = controller
+        controller.round_hooks.append(self._on_round)
+        controller.request_handlers.register_status(
             "moves",
             lambda: self._moves.told()
             | {
@@ -138,38 +144,42 @@
                 else {}
             },
         )
-        core.answers.also(
+        controller.request_handlers.register_status(
             "disks",
             lambda: {
                 "disks": {name: msgspec.to_builtins(disk) for name, disk in sorted(self.hands.told.items())}
             },
         )
 
-    def _leads(self) -> bool:
-        return self._core.ready(self._clock())
+    def _is_ready_leader(self) -> bool:
+        return self._controller.is_ready_leader(self._clock())
 
     def _propose(self, entry: Entry) -> None:
         try:
-            self._core.propose(entry.data, lambda _: None, self._clock())
-        except ValueError as trouble:
-            self._core.say("moves", "an entry can't be proposed", why=str(trouble))
-
-    def _each(self, now: int) -> int | None:
-        core = self._core
-        if not self.addresses or not core.ready(now):
-            if self._term != core.node.term:
+            self._controller.propose(entry.data, lambda _: None, self._clock())
+        except ValueError as error:
+            self._controller.log_event("moves", "an entry can't be proposed", why=str(error))
+
+    def _on_round(self, now_us: int) -> int | None:
+        controller = self._controller
+        if not self.addresses or not controller.is_ready_leader(now_us):
+            if self._term != controller.node.term:
                 self._carrier = None
-            return now + _LOOK if self.addresses and core.node.role is Role.LEADER else None
+            return (
+                now_us + _MOVE_CHECK_INTERVAL_US
+                if self.addresses and controller.node.role is Role.LEADER
+                else None
+            )
         # Danger: what one carrier has seen in an earlier term is of moves as they were then.
-        if self._carrier is None or self._term != core.node.term:
-            self._carrier, self._term = Carrier(), core.node.term
-        if now >= self._at:
-            self._at = now + _LOOK
+        if self._carrier is None or self._term != controller.node.term:
+            self._carrier, self._term = Carrier(), controller.node.term
+        if now_us >= self._next_run_us:
+            self._next_run_us = now_us + _MOVE_CHECK_INTERVAL_US
             # Danger: a fault in moves must not end the rules that all rest on. It begins anew in a while.
             try:
-                self.hands.do(self._carrier.next(core.state, self._moves, self.hands.told, now))
+                self.hands.do(self._carrier.next(controller.state, self._moves, self.hands.told, now_us))
             except Exception:
-                core.counters.add("faults")
-                core.say("fault", traceback.format_exc(), of="moves")
-                self._carrier, self._at = None, now + 50 * _LOOK
-        return self._at
+                controller.counters.add("faults")
+                controller.log_event("fault", traceback.format_exc(), of="moves")
+                self._carrier, self._next_run_us = None, now_us + 50 * _MOVE_CHECK_INTERVAL_US
+        return self._next_run_us
--- a/cresstray/control_plane/request_handlers.py
+++ b/cresstray/control_plane/request_handlers.py
@@ -9,94 +9,95 @@
 import msgspec
 
 from cresstray.consensus.entries import Members
-from cresstray.control_plane.codec import Ask
-from cresstray.fleet_config import commands as commands
-from cresstray.fleet_config import documents
-from cresstray.fleet_config import validation as checks
+from cresstray.control_plane.codec import OperatorCommand
+from cresstray.fleet_config import commands, documents, validation
 
 if TYPE_CHECKING:
-    from cresstray.control_plane.node_controller import Core
+    from cresstray.control_plane.node_controller import NodeController
 
-_LOST = {
+_OUTCOME_UNKNOWN = {
     "error": "the leader has changed; whether it was taken is not known: ask again by the same request",
     "again": True,
 }
 Reply = Callable[[dict[str, Any]], None]
 
 
-class Answers:
-    def __init__(self, core: Core) -> None:
-        self._core = core
-        self._kinds: dict[str, Callable[[Ask, Reply], None]] = {
+class RequestHandlers:
+    def __init__(self, controller: NodeController) -> None:
+        self._controller = controller
+        self._handlers: dict[str, Callable[[OperatorCommand, Reply], None]] = {
             "show": self._show,
-            "past": self._past,
+            "past": self._history,
             "propose": self._propose,
             "check": self._check,
             "members": self._members,
             "replace": self._replace,
-            "where": self._where,
+            "where": self._gateways,
             "forget": self._forget,
             "section": self._section,
         }
         self.zones: dict[str, str] = {}  # of each engine that the file names
 
-    def also(self, what: str, told: Callable[[], dict[str, Any]]) -> None:
+    def register_status(self, what: str, status: Callable[[], dict[str, Any]]) -> None:
         """A question about another package, answered as of now."""
-        self._kinds[what] = lambda ask, reply: reply(self._turns() | told())
+        self._handlers[what] = lambda command, reply: reply(self._version_status() | status())
 
-    def take(self, ask: Ask, reply: Reply, now: int) -> None:
+    def handle(self, command: OperatorCommand, reply: Reply, now_us: int) -> None:
         """Every answer rests on a read: what was committed before the question is applied here."""
-        known = self._kinds.get(ask.what)
+        handler = self._handlers.get(command.kind)
 
-        def kind(ask: Ask, reply: Reply) -> None:
+        def run_handler(command: OperatorCommand, reply: Reply) -> None:
             # Danger: a question that finds a fault of ours must not end the keeper that others need.
             try:
-                known(ask, reply)
+                handler(command, reply)
             except Exception:
-                self._core.counters.add("faults")
-                self._core.say("fault", traceback.format_exc(), question=ask.what)
+                self._controller.counters.add("faults")
+                self._controller.log_event("fault", traceback.format_exc(), question=command.kind)
                 reply({"error": "a fault of the keeper; its log tells more"})
 
-        if known is None:
-            reply({"error": f"no question {ask.what!r}"})
-        elif ask.what in ("propose", "section", "forget"):
-            kind(ask, reply)
+        if handler is None:
+            reply({"error": f"no question {command.kind!r}"})
+        elif command.kind in ("propose", "section", "forget"):
+            run_handler(command, reply)
         else:
-            self._core.read(lambda well: kind(ask, reply) if well else reply(dict(_LOST)), now)
+            self._controller.read(
+                lambda is_leader: run_handler(command, reply) if is_leader else reply(dict(_OUTCOME_UNKNOWN)),
+                now_us,
+            )
 
-    def _turns(self) -> dict[str, Any]:
-        state = self._core.state
+    def _version_status(self) -> dict[str, Any]:
+        state = self._controller.state
         return {
             "turn": state.turn,
             "in_force": state.turn // 2,
             "joint": bool(state.turn % 2),
             "latest": state.version,
-            "stated_us": self._core.given.stated,
-            "keeper": self._core.node.name,
+            "stated_us": self._controller.settings.stated,
+            "keeper": self._controller.node.name,
         }
 
-    def _show(self, ask: Ask, reply: Reply) -> None:
+    def _show(self, command: OperatorCommand, reply: Reply) -> None:
         """The latest content (0) or that of a version; `acting` is what gateways act on now."""
-        state = self._core.state
-        content = state.content(ask.version) if ask.version else state.latest
+        state = self._controller.state
+        content = state.content(command.version) if command.version else state.latest
         if content is None:
-            reply({"error": f"version {ask.version} is not known, or no longer"})
+            reply({"error": f"version {command.version} is not known, or no longer"})
             return
         reply(
-            self._turns()
+            self._version_status()
             | {
                 "documents": documents.to_plain(content),
                 "acting": documents.to_plain(state.effective),
                 "ghosts": sorted(state.departed_gateways),
-                "waits_for": self._core.leases.blocking_gateways(state, self._core.now)
+                "waits_for": self._controller.leases.blocking_gateways(state, self._controller.now_us)
                 if state.pending_turn() is not None
                 else [],
             }
         )
 
-    def _past(self, ask: Ask, reply: Reply) -> None:
+    def _history(self, command: OperatorCommand, reply: Reply) -> None:
         reply(
-            self._turns()
+            self._version_status()
             | {
                 "past": [
                     {
@@ -106,76 +107,85 @@
                         "why": past.reason,
                         "documents": list(past.documents),
                     }
-                    for past in self._core.state.history()
+                    for past in self._controller.state.history()
                 ]
             }
         )
 
-    def _propose(self, ask: Ask, reply: Reply) -> None:
-        if ask.version:
+    def _propose(self, command: OperatorCommand, reply: Reply) -> None:
+        if command.version:
             try:
-                ask.bases, ask.change = self._core.state.revert_to(ask.version)
-            except LookupError as trouble:
-                reply({"error": str(trouble)})
+                command.base_versions, command.delta = self._controller.state.revert_to(command.version)
+            except LookupError as error:
+                reply({"error": str(error)})
                 return
-        refused = self._too_much(ask.change)
+        refused = self._refusals_by_zone(command.delta)
         # What this keeper's file alone refuses goes into the log as of no version: asked again by the same
         # request, it stays refused, and what was accepted under it before is told as it was.
-        bases = dict.fromkeys(documents.NAMES, -1) if refused else ask.bases
+        bases = dict.fromkeys(documents.NAMES, -1) if refused else command.base_versions
         # Danger: a log that is read again with a newer file would come to another state.
-        self._log(
+        self._propose_command(
             commands.encode_proposal(
-                ask.request, bases, ask.change, ask.why, ask.name, self._core.state.fleet_state
+                command.request_id,
+                bases,
+                command.delta,
+                command.reason,
+                command.name,
+                self._controller.state.fleet_state,
             ),
             reply,
             refused,
         )
 
-    def _too_much(self, change: bytes) -> list[str]:
+    def _refusals_by_zone(self, change: bytes) -> list[str]:
         """What would be barred beyond a part of a zone; only a file that names engines knows zones."""
-        state = self._core.state
+        state = self._controller.state
         try:
             if not self.zones or "engines" not in documents.touched_documents(change):
                 return []
             new = documents.apply_delta(state.latest, change)
         except ValueError:
             return []  # told by the log
-        known = checks.refusals(state.latest, new, state.fleet_state)
-        world = msgspec.structs.replace(state.fleet_state, engines=self.zones)
-        return [one for one in checks.refusals(state.latest, new, world) if one not in known]
+        known_refusals = validation.refusals(state.latest, new, state.fleet_state)
+        fleet_state = msgspec.structs.replace(state.fleet_state, engines=self.zones)
+        return [
+            refusal
+            for refusal in validation.refusals(state.latest, new, fleet_state)
+            if refusal not in known_refusals
+        ]
 
-    def _log(self, data: bytes, reply: Reply, instead: list[str] | None = None) -> None:
+    def _propose_command(self, data: bytes, reply: Reply, instead: list[str] | None = None) -> None:
         def applied(outcome: bytes | None) -> None:
             if outcome is None:
-                reply(dict(_LOST))
+                reply(dict(_OUTCOME_UNKNOWN))
                 return
-            told = commands.decode_result(outcome)
+            status = commands.decode_result(outcome)
             reply(
-                self._turns()
+                self._version_status()
                 | {
-                    "accepted": told.is_accepted,
-                    "version": told.version,
-                    "refused": list(instead or told.reasons) if not told.is_accepted else [],
+                    "accepted": status.is_accepted,
+                    "version": status.version,
+                    "refused": list(instead or status.reasons) if not status.is_accepted else [],
                 }
             )
 
         try:
-            if not self._core.propose(data, applied, self._core.now):
+            if not self._controller.propose(data, applied, self._controller.now_us):
                 reply({"error": "there is no leader", "again": True})
-        except ValueError as trouble:
-            reply({"error": str(trouble)})
+        except ValueError as error:
+            reply({"error": str(error)})
 
-    def _check(self, ask: Ask, reply: Reply) -> None:
+    def _check(self, command: OperatorCommand, reply: Reply) -> None:
         """What a proposal would hear, without one."""
-        state = self._core.state
-        bases, change = ask.bases, ask.change
+        state = self._controller.state
+        bases, change = command.base_versions, command.delta
         try:
-            if ask.version:
-                bases, change = state.revert_to(ask.version)
+            if command.version:
+                bases, change = state.revert_to(command.version)
             new = documents.apply_delta(state.latest, change)
             names = documents.touched_documents(change)
-        except (ValueError, LookupError) as trouble:
-            reply({"error": str(trouble)})
+        except (ValueError, LookupError) as error:
+            reply({"error": str(error)})
             return
         refused = [
             f"{name}: the change is of version {bases.get(name, 0)}, and the latest is "
@@ -185,9 +195,11 @@
         ]
         dropped = state.latest.gateways.items.keys() - new.gateways.items.keys()
         ghosts = (state.departed_gateways | dropped) - new.gateways.items.keys()
-        refused += checks.refusals(state.latest, new, state.fleet_state, len(ghosts)) + self._too_much(change)
+        refused += validation.refusals(
+            state.latest, new, state.fleet_state, len(ghosts)
+        ) + self._refusals_by_zone(change)
         reply(
-            self._turns()
+            self._version_status()
             | {
                 "accepted": not refused,
                 "version": state.version + 1,
@@ -197,27 +209,33 @@
             }
         )
 
-    def _forget(self, ask: Ask, reply: Reply) -> None:
+    def _forget(self, command: OperatorCommand, reply: Reply) -> None:
         """An operator says that a gateway which no list names any more is out for good."""
-        self._log(commands.encode_departed(ask.name, ask.why or "an operator says that it is out"), reply)
+        self._propose_command(
+            commands.encode_departed(command.name, command.reason or "an operator says that it is out"), reply
+        )
 
-    def _section(self, ask: Ask, reply: Reply) -> None:
+    def _section(self, command: OperatorCommand, reply: Reply) -> None:
         """A command of another package, which knows its own bytes and its own outcome."""
 
         def applied(outcome: bytes | None) -> None:
-            reply(dict(_LOST) if outcome is None else self._turns() | {"outcome": outcome})
+            reply(
+                dict(_OUTCOME_UNKNOWN) if outcome is None else self._version_status() | {"outcome": outcome}
+            )
 
-        if ask.name not in self._core.state.sections:
-            reply({"error": f"no section {ask.name!r}"})
-        elif not self._core.propose(
-            commands.encode_section_command(ask.name, ask.request, ask.change), applied, self._core.now
+        if command.name not in self._controller.state.sections:
+            reply({"error": f"no section {command.name!r}"})
+        elif not self._controller.propose(
+            commands.encode_section_command(command.name, command.request_id, command.delta),
+            applied,
+            self._controller.now_us,
         ):
             reply({"error": "there is no leader", "again": True})
 
-    def _where(self, ask: Ask, reply: Reply) -> None:
-        core = self._core
+    def _gateways(self, command: OperatorCommand, reply: Reply) -> None:
+        controller = self._controller
         reply(
-            self._turns()
+            self._version_status()
             | {
                 "gateways": [
                     {
@@ -225,24 +243,26 @@
                         "turn": one.turn if one.turn >= 0 else None,
                         "lease_us": one.lease_left_us,
                         "age_us": one.heard_ago_us if one.heard_ago_us >= 0 else None,
-                        "ghost": one.gateway in core.state.departed_gateways,
+                        "ghost": one.gateway in controller.state.departed_gateways,
                     }
-                    for one in core.leases.gateway_statuses(core.state, core.now)
+                    for one in controller.leases.gateway_statuses(controller.state, controller.now_us)
                 ],
-                "waits_for": core.leases.blocking_gateways(core.state, core.now)
-                if core.state.pending_turn() is not None
+                "waits_for": controller.leases.blocking_gateways(controller.state, controller.now_us)
+                if controller.state.pending_turn() is not None
                 else [],
             }
         )
 
-    def _members(self, ask: Ask, reply: Reply) -> None:
-        node = self._core.node
-        known = node.members.names()
+    def _members(self, command: OperatorCommand, reply: Reply) -> None:
+        node = self._controller.node
+        member_names = node.members.names()
         strangers = sorted(
-            f"{name}/{life}" for name, life in self._core.heard.items() if f"{name}/{life}" not in known
+            f"{name}/{incarnation}"
+            for name, incarnation in self._controller.seen_incarnations.items()
+            if f"{name}/{incarnation}" not in member_names
         )
         reply(
-            self._turns()
+            self._version_status()
             | {
                 "leader": node.leader,
                 "term": node.term,
@@ -254,8 +274,8 @@
                     {
                         node.name,
                         *(
-                            f"{guest.name}/{guest.life}"
-                            for guest in self._core.guests.values()
+                            f"{guest.name}/{guest.incarnation}"
+                            for guest in self._controller.incoming_links.values()
                             if guest.role == "keeper"
                         ),
                     }
@@ -263,36 +283,42 @@
             }
         )
 
-    def _replace(self, ask: Ask, reply: Reply) -> None:
+    def _replace(self, command: OperatorCommand, reply: Reply) -> None:
         """One step of taking in a keeper's new generation; asked again until it is done.
 
         learner, once it has come > voter, once it has caught up > the old one is dropped.
         """
-        core, node = self._core, self._core.node
-        life = core.heard.get(ask.name, "")
-        fresh = node.name if node.name.partition("/")[0] == ask.name else f"{ask.name}/{life}"
+        controller, node = self._controller, self._controller.node
+        incarnation = controller.seen_incarnations.get(command.name, "")
+        new_name = (
+            node.name if node.name.partition("/")[0] == command.name else f"{command.name}/{incarnation}"
+        )
         voters, learners = node.members.voters, node.members.learners
-        old = [name for name in node.members.names() if name.partition("/")[0] == ask.name and name != fresh]
-        if core.given.keeper(ask.name) is None:
-            reply({"error": f"{ask.name!r} is no keeper of the file"})
+        old = [
+            name
+            for name in node.members.names()
+            if name.partition("/")[0] == command.name and name != new_name
+        ]
+        if controller.settings.keeper(command.name) is None:
+            reply({"error": f"{command.name!r} is no keeper of the file"})
             return
-        if fresh != node.name and f"keeper:{fresh}" not in core.guests:
+        if new_name != node.name and f"keeper:{new_name}" not in controller.incoming_links:
             reply(
-                self._turns()
+                self._version_status()
                 | {
                     "step": "waits",
-                    "name": fresh,
+                    "name": new_name,
                     "done": False,
-                    "why": f"no {ask.name} is connected to the leader",
+                    "why": f"no {command.name} is connected to the leader",
                 }
             )
             return
-        if fresh not in node.members.names():
-            step, members = "admitted to listen", Members(voters, tuple(sorted((*learners, fresh))))
-        elif fresh in learners:
+        if new_name not in node.members.names():
+            step, members = "admitted to listen", Members(voters, tuple(sorted((*learners, new_name))))
+        elif new_name in learners:
             step = "votes"
             members = Members(
-                tuple(sorted((*voters, fresh))), tuple(name for name in learners if name != fresh)
+                tuple(sorted((*voters, new_name))), tuple(name for name in learners if name != new_name)
             )
         elif old:
             step = f"{old[0]} dropped"
@@ -300,22 +326,24 @@
                 tuple(name for name in voters if name != old[0]),
                 tuple(name for name in learners if name != old[0]),
             )
-        elif fresh != node.name and not node.is_recently_active(fresh, core.now):
+        elif new_name != node.name and not node.is_recently_active(new_name, controller.now_us):
             # Danger: the link of a keeper that lost its disk may stand for a while; nothing was replaced.
             reply(
-                self._turns()
-                | {"step": "waits", "name": fresh, "done": False, "why": f"{fresh} is not heard of"}
+                self._version_status()
+                | {"step": "waits", "name": new_name, "done": False, "why": f"{new_name} is not heard of"}
             )
             return
         else:
-            reply(self._turns() | {"step": "done", "name": fresh, "done": True})
+            reply(self._version_status() | {"step": "done", "name": new_name, "done": True})
             return
         try:
-            if node.propose_members(members, core.now) is None:
+            if node.propose_members(members, controller.now_us) is None:
                 reply({"error": "there is no leader", "again": True})
                 return
-        except ValueError as trouble:  # it is behind, or an earlier step is still on its way
-            reply(self._turns() | {"step": "waits", "name": fresh, "done": False, "why": str(trouble)})
+        except ValueError as error:  # it is behind, or an earlier step is still on its way
+            reply(
+                self._version_status() | {"step": "waits", "name": new_name, "done": False, "why": str(error)}
+            )
             return
-        core.say("keeper", "a change of members", name=fresh, step=step)
-        reply(self._turns() | {"step": step, "name": fresh, "done": False})
+        controller.log_event("keeper", "a change of members", name=new_name, step=step)
+        reply(self._version_status() | {"step": step, "name": new_name, "done": False})
--- a/cresstray/emulators/fleet/operators.py
+++ b/cresstray/emulators/fleet/operators.py
@@ -14,7 +14,7 @@
 from anyio.abc import TaskGroup
 
 from cresstray.config.operator import Tls
-from cresstray.control_plane.codec import Ask, Gather, requests
+from cresstray.control_plane.codec import OperatorCommand, PartAssembler, encode_command
 from cresstray.emulators.fleet.accounts import Ban
 from cresstray.emulators.fleet.history import History, Operation
 from cresstray.fleet_config.codec import ConfigPart, GetConfig, Greeting, OperatorReply
@@ -95,13 +95,13 @@
             self._line.close()
             self._line = None
 
-    async def ask(self, ask: Ask, within: float) -> dict[str, Any] | None:
+    async def ask(self, ask: OperatorCommand, within: float) -> dict[str, Any] | None:
         """The answer; None: none came within so many seconds, and whether it was done is unknown."""
         number = next(_numbers)
         try:
             with anyio.move_on_after(within):
-                await self.put(requests(number, ask))
-                gathered = Gather(128)
+                await self.put(encode_command(number, ask))
+                gathered = PartAssembler(128)
                 while True:
                     for frame in await self.frames():
                         if isinstance(frame, OperatorReply) and frame.number == number:
@@ -141,7 +141,7 @@
         for caller in self.callers.values():
             caller.close()
 
-    async def ask(self, ask: Ask, within: float, at: str | None = None) -> dict[str, Any] | None:
+    async def ask(self, ask: OperatorCommand, within: float, at: str | None = None) -> dict[str, Any] | None:
         """None: nothing is known after so many seconds. `at`: of this keeper only."""
         with anyio.move_on_after(within):
             while True:
@@ -154,12 +154,12 @@
 
     async def leader(self, within: float = 5) -> str | None:
         """The keeper that leads, by its name in the file."""
-        answer = await self.ask(Ask("members"), within)
+        answer = await self.ask(OperatorCommand("members"), within)
         return answer["leader"].partition("/")[0] if answer and answer.get("leader") else None
 
     async def documents(self, within: float, at: str | None = None) -> Documents | None:
         """The latest, by a read that is no older than this call."""
-        answer = await self.ask(Ask("show"), within, at)
+        answer = await self.ask(OperatorCommand("show"), within, at)
         return parse_documents(answer["documents"]) if answer and "documents" in answer else None
 
     async def propose(
@@ -167,7 +167,9 @@
     ) -> Changed | None:
         """None: it may have been accepted, and may be yet."""
         asked = anyio.current_time()
-        ask = Ask("propose", request, bases=old.versions, change=encode_delta(old, new), why="trial")
+        ask = OperatorCommand(
+            "propose", request, base_versions=old.versions, delta=encode_delta(old, new), reason="trial"
+        )
         answer = await self.ask(ask, within, at)
         if answer is None:
             return None
@@ -264,7 +266,7 @@
 async def admitted(operator: Operator, keeper: str, within: float = 15) -> None:
     """Takes in a keeper that lost its disk, step by step."""
     with anyio.move_on_after(within):
-        while not ((await operator.ask(Ask("replace", name=keeper), within)) or {}).get("done"):
+        while not ((await operator.ask(OperatorCommand("replace", name=keeper), within)) or {}).get("done"):
             await anyio.sleep(0.1)
 
 
--- a/cresstray/emulators/fleet/shards.py
+++ b/cresstray/emulators/fleet/shards.py
@@ -23,7 +23,7 @@
 import hiredis
 import msgspec
 
-from cresstray.control_plane.codec import Ask
+from cresstray.control_plane.codec import OperatorCommand
 from cresstray.emulators.account import Run
 from cresstray.emulators.clients import Client, Drawn
 from cresstray.emulators.coordinator import Listed
@@ -476,7 +476,7 @@
     target = killed = before = ""
     with anyio.move_on_after(within):
         while not plan.told.get("over"):
-            now = await operator.ask(Ask("moves"), 10)
+            now = await operator.ask(OperatorCommand("moves"), 10)
             if now is None or now.get("plan") != plan.id:
                 continue
             plan.told, states = now, " ".join(f"{name}:{count}" for name, count in now["states"].items())
@@ -521,7 +521,7 @@
     (target,), left, before, due = plan.targets.values(), list(steps), "", False
     with anyio.move_on_after(within):
         while not plan.told.get("over"):
-            now = await operator.ask(Ask("moves"), 10)
+            now = await operator.ask(OperatorCommand("moves"), 10)
             if now is None or now.get("plan") != plan.id:
                 continue
             plan.told, (state,) = now, now["states"]
--- a/cresstray/simulation/fleet.py
+++ b/cresstray/simulation/fleet.py
@@ -31,7 +31,7 @@
 )
 from cresstray.consensus.raft import Node, Role, Timing
 from cresstray.control_plane import codec
-from cresstray.control_plane.node_controller import Core, Guest
+from cresstray.control_plane.node_controller import IncomingLink, NodeController
 from cresstray.fleet_config import codec as rules
 from cresstray.fleet_config import documents
 from cresstray.fleet_config.active_config import ActiveConfig, Mode
@@ -139,7 +139,7 @@
 
 
 class End:
-    """One end of a link, as Core knows it."""
+    """One end of a link, as NodeController knows it."""
 
     def __init__(self, link: Link, own: Machine, other: Machine) -> None:
         self.link, self.own, self.other = link, own, other
@@ -166,7 +166,7 @@
         self.lives = (maker.lives, taker.lives)
         self.ends = (End(self, maker, taker), End(self, taker, maker))
         self.up = True
-        self.guest: Guest | None = None
+        self.guest: IncomingLink | None = None
         self.world.links[self] = None
 
     def send(self, end: End, frame: Frame, message: bytes) -> None:
@@ -277,7 +277,7 @@
 
 
 class Keeper(Machine):
-    kinds = codec.ALL
+    kinds = codec.ACCEPTED_FRAMES
 
     def __init__(self, world: World, name: str, members: Members) -> None:
         super().__init__(world, name)
@@ -293,7 +293,7 @@
         self.node.__init__(self.disk.load(), Timing(clock_drift=plan.drift), world.random.random, now)
         self.state = SeenState(world.rules)
         self.state.seen_by = world
-        self.core = Core(
+        self.core = NodeController(
             world.given,
             self.node,
             self.state,
@@ -320,7 +320,7 @@
         if world.reachable(self, other):
             link = Link(self, other)
             full = f"{other.name}/{other.generation}"
-            self.core.connected(full, link.ends[0])
+            self.core.on_outgoing_connected(full, link.ends[0])
             link.full = full
             other.run(lambda: other.come(link, "keeper", self.name, str(self.generation)))
         else:
@@ -337,14 +337,14 @@
             "gateway": f"gateway:{name}",
             "operator": f"operator:{self.serial}",
         }[role]
-        link.guest = Guest(link.ends[1], role, name, life, key)
-        self.core.come(link.guest)
+        link.guest = IncomingLink(link.ends[1], role, name, life, key)
+        self.core.on_incoming_connected(link.guest)
 
     def take(self, link: Link, frame: Frame) -> None:
         if link.maker is self or link.guest is None:
             return
         try:
-            self.core.received(link.guest, frame, self.clock())
+            self.core.on_incoming_frame(link.guest, frame, self.clock())
         except FramingError as trouble:
             if "newer link" not in str(trouble):
                 self.world.notes[f"a link dropped: {trouble}"] += 1
@@ -353,10 +353,10 @@
 
     def lost(self, link: Link) -> None:
         if link.maker is self:
-            self.core.disconnected(link.full, link.ends[0])
+            self.core.on_outgoing_closed(link.full, link.ends[0])
             self.reach(link.taker)
         elif link.guest is not None:
-            self.core.gone(link.guest)
+            self.core.on_incoming_closed(link.guest)
         self.soon()
 
     def soon(self) -> None:
@@ -367,11 +367,11 @@
 
     def round(self) -> None:
         self.rounding = False
-        due = self.core.round(self.clock())
-        if self.core.applied - self.compacted >= self.world.plan.snapshot:
-            self.compacted = self.core.applied
-            self.node.compact(self.core.applied, self.state.snapshot())
-            due = self.core.round(self.clock())
+        due = self.core.run_round(self.clock())
+        if self.core.applied_index - self.compacted >= self.world.plan.snapshot:
+            self.compacted = self.core.applied_index
+            self.node.compact(self.core.applied_index, self.state.snapshot())
+            due = self.core.run_round(self.clock())
         self.wake(due, self.round)
 
 
@@ -457,10 +457,10 @@
         super().start()
         self.link: Link | None = None
         self.serial = self.number = 0
-        self.ask: codec.Ask | None = None
+        self.ask: codec.OperatorCommand | None = None
         self.known: documents.Documents | None = None
         self.ghosts = 0
-        self.gather = codec.Gather(64)
+        self.gather = codec.PartAssembler(64)
         self.next()
 
     def later(self, wait: int, act: Callable[[], None]) -> None:
@@ -469,7 +469,7 @@
     def next(self) -> None:
         self.serial += 1
         if self.known is None:
-            self.ask = codec.Ask("show")
+            self.ask = codec.OperatorCommand("show")
         elif self.world.stopped:
             return self.later(100 * MS, self.next)
         else:
@@ -477,7 +477,7 @@
             if self.change is None or self.change == self.known:
                 self.known = None  # ghosts may have gone meanwhile
                 return self.later(50 * MS, self.next)
-            self.ask = codec.Ask(
+            self.ask = codec.OperatorCommand(
                 "propose",
                 f"{self.name}-{self.serial}",
                 dict(self.known.versions),
@@ -496,7 +496,7 @@
         if world.reachable(self, keeper):
             self.link = link = Link(self, keeper)
             keeper.run(lambda: keeper.come(link, "operator", self.name, ""))
-            for frame in codec.requests(self.number, self.ask):
+            for frame in codec.encode_command(self.number, self.ask):
                 link.ends[0].put(frame)
         self.later(world.random.randint(700 * MS, 1500 * MS) if self.link else 100 * MS, self.put)
 
@@ -507,11 +507,11 @@
         answer = msgspec.msgpack.decode(body)
         if "error" in answer:
             self.later(50 * MS, self.put)
-        elif self.ask.what == "show":
+        elif self.ask.kind == "show":
             self.known, self.ghosts = documents.parse_documents(answer["documents"]), len(answer["ghosts"])
             self.later(MS, self.next)
         else:
-            request = self.ask.request
+            request = self.ask.request_id
             self.world.answered(request, answer)
             # Some answers are lost behind the network: the same is asked once more.
             if self.world.random.random() < 0.2 and request not in self.world.twice:
@@ -543,7 +543,7 @@
             return self.later(100 * MS, self.next)
         self.serial += 1
         self.asked, self.tries = world.now, 0
-        self.ask = codec.Ask("show")
+        self.ask = codec.OperatorCommand("show")
         if self.known is not None and world.random.random() < 0.7:
             self.value = str(world.count_set())
             items = self.known.placement.items | {
@@ -552,7 +552,7 @@
             new = msgspec.structs.replace(
                 self.known, placement=documents.Placement(dict(sorted(items.items())))
             )
-            self.ask = codec.Ask(
+            self.ask = codec.OperatorCommand(
                 "propose",
                 f"{self.name}-{self.serial}",
                 dict(self.known.versions),
@@ -574,7 +574,7 @@
         """`outcome`: whether it was set; None: not known."""
         world = self.world
         self.leave()
-        if self.ask.what == "propose":
+        if self.ask.kind == "propose":
             base = self.known.placement.items.get(REGISTER, documents.Shard((), epoch=0)).epoch
             world.noted.append((self.name, self.asked, world.now, self.value, str(base), outcome))
             self.known = None
@@ -593,7 +593,7 @@
         answer = msgspec.msgpack.decode(body)
         if "error" in answer:
             self.later(20 * MS, self.put)
-        elif self.ask.what == "show":
+        elif self.ask.kind == "show":
             self.known = documents.parse_documents(answer["documents"])
             read = self.known.placement.items.get(REGISTER, documents.Shard((), epoch=0)).epoch
             self.world.noted.append((self.name, self.asked, self.world.now, str(read)))
@@ -756,8 +756,13 @@
         """As an operator's command does: the leader is asked for the next step until all are done."""
         leader = self.leader()
         if leader is not None:
-            ask = codec.Ask("replace", name=self.replacing)
-            leader.run(lambda: (leader.core.answers.take(ask, self.stepped, leader.clock()), leader.soon()))
+            ask = codec.OperatorCommand("replace", name=self.replacing)
+            leader.run(
+                lambda: (
+                    leader.core.request_handlers.handle(ask, self.stepped, leader.clock()),
+                    leader.soon(),
+                )
+            )
         if self.replacing is not None:
             self.at(self.now + 200 * MS, self.replace)
 
@@ -979,12 +984,12 @@
         if self.broken:
             return
         live = [keeper for keeper in self.keepers if keeper.disk.name in keeper.node.members.voters]
-        applied = {keeper.core.applied for keeper in live}
+        applied = {keeper.core.applied_index for keeper in live}
         if self.leader() is None or len(applied) > 1:
             self.breach(
                 "recovers",
                 f"leader {self.leader()}, applied "
-                + ", ".join(f"{keeper.disk.name} {keeper.core.applied}" for keeper in live),
+                + ", ".join(f"{keeper.disk.name} {keeper.core.applied_index}" for keeper in live),
             )
             return
         if len({keeper.state.snapshot() for keeper in live}) > 1:
--- a/cresstray/simulation/joined.py
+++ b/cresstray/simulation/joined.py
@@ -409,7 +409,7 @@
         return number == 0 and self.leader is not None
 
     def look(self, number: int) -> None:
-        """As keeper.joined's Positions does each round."""
+        """As replica_positions.PositionDistributor does each round."""
         exchange, now = self.exchanges[number], self.clocks[number].now()
         if self.leads(number):
             for engine in exchange.due(self.state.effective.placement.items, now):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -361,7 +361,7 @@
 )
 # All that frames are made of: those of a fleet go over links of keepers, gateways and operators.
 HALLS = halls._KINDS
-FLEET = (*consensus.KINDS, *rules.KINDS, keeper.Alive)
+FLEET = (*consensus.KINDS, *rules.KINDS, keeper.KeepAlive)
 
 
 def value(kind: Any) -> some.SearchStrategy:
--- a/tests/test_fleet_attack.py
+++ b/tests/test_fleet_attack.py
@@ -9,7 +9,7 @@
 import anyio
 import msgspec
 
-from cresstray.control_plane.codec import Ask
+from cresstray.control_plane.codec import OperatorCommand
 from cresstray.emulators.fleet import crowd, stepped
 from cresstray.emulators.fleet.operators import Caller, admitted
 from cresstray.emulators.fleet.processes import NAME
@@ -39,10 +39,10 @@
             # Whoever waited for a lease that a wall clock made longer would wait a minute.
             wrong += [f"step {turn}: {took} s until in force"] * (took is None or took > 1.5)
         for keeper in case.ports:  # each prints when it was left: all that it looks at its wall clock for
-            await case.operator.ask(Ask("members"), 2, keeper)
+            await case.operator.ask(OperatorCommand("members"), 2, keeper)
         case.operator.close()
         await anyio.sleep(0.5)
-        told = await case.operator.ask(Ask("where"), 5)
+        told = await case.operator.ask(OperatorCommand("where"), 5)
         if told is None:
             return [*wrong, f"step {turn}: no keeper knows of leases"]
         wrong += [
@@ -92,12 +92,12 @@
             lifted = await case.unbar(8)  # four of five
             self.assertIsNotNone(await case.watch.until(2 * lifted.version, 4))
             case.fleet.keepers[second].start()
-            past = await case.another("past").ask(Ask("past"), 6, second)
+            past = await case.another("past").ask(OperatorCommand("past"), 6, second)
             self.assertLess({made.version, lifted.version}, {one["version"] for one in past["past"]})
             # Who comes in the clear is told nothing, whatever name it gives.
             for role, name in (("operator", "operator"), ("gateway", "g1")):
                 plain = Caller(role, name, NAME, case.ports[second], case.tasks)
-                self.assertIsNone(await plain.ask(Ask("show"), 0.3))
+                self.assertIsNone(await plain.ask(OperatorCommand("show"), 0.3))
 
         self.play(script)
 
@@ -115,7 +115,7 @@
             self.assertEqual(1, full.process.returncode)
             self.assertIn("can't be written, it steps out", (full.folder / f"{leader}.log").read_text())
             full.start()
-            past = await case.operator.ask(Ask("past"), 6, leader)
+            past = await case.operator.ask(OperatorCommand("past"), 6, leader)
             self.assertIn(made.version, [one["version"] for one in past["past"]])
 
         self.play(script)
@@ -147,14 +147,14 @@
             made = await case.bar(8)  # three of five are left
             case.fleet.keepers[lost].start()
             await admitted(case.another("helper-2"), lost)
-            told = await case.operator.ask(Ask("members"), 5)
+            told = await case.operator.ask(OperatorCommand("members"), 5)
             self.assertEqual(5, len(told["voters"]))
             self.assertNotIn(f"{lost}/1", told["voters"])
             # The one left alone counts by the old list, and reaches no majority of it.
             self.assertIsNone(await few.documents(0.5, leader))
             case.mesh.heal()
             for keeper in case.ports:
-                members = await case.operator.ask(Ask("members"), 5, keeper)
+                members = await case.operator.ask(OperatorCommand("members"), 5, keeper)
                 self.assertEqual(told["voters"], members["voters"])
                 documents = await case.operator.documents(5, keeper)
                 self.assertGreaterEqual(documents.versions["engines"], made.version)
@@ -170,18 +170,18 @@
             case.fleet.keepers[lost].start()
             few = case.another("few")
             with anyio.fail_after(5):
-                while not (await few.ask(Ask("members"), 1, leader))["strangers"]:
+                while not (await few.ask(OperatorCommand("members"), 1, leader))["strangers"]:
                     await anyio.sleep(0.05)
             case.mesh.split([[leader, lost, "g1", "g2"], [*others[1:], "g3", "g4"]])
-            step = await few.ask(Ask("replace", name=lost), 1, leader)
+            step = await few.ask(OperatorCommand("replace", name=lost), 1, leader)
             self.assertEqual("admitted to listen", step["step"])
             made = await case.bar(8)
             self.assertIsNotNone(await case.watch.until(2 * made.version, 5))
-            told = await case.operator.ask(Ask("members"), 5)
+            told = await case.operator.ask(OperatorCommand("members"), 5)
             self.assertEqual(([f"k{n}/1" for n in range(1, 6)], []), (told["voters"], told["learners"]))
             case.mesh.heal()
             await admitted(case.another("helper-2"), lost)
-            told = await case.operator.ask(Ask("members"), 5)
+            told = await case.operator.ask(OperatorCommand("members"), 5)
             self.assertIn(step["name"], told["voters"])
             self.assertEqual((5, []), (len(told["voters"]), told["learners"]))
 
@@ -266,7 +266,7 @@
             self.assertIsNotNone(await case.watch.until(2 * made.version, 10))
 
             async def leases() -> int:
-                told = await case.operator.ask(Ask("where"), 5)
+                told = await case.operator.ask(OperatorCommand("where"), 5)
                 return sum(one["lease_us"] > 0 for one in told["gateways"])
 
             async def all_there() -> float:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -10,7 +10,7 @@
 import anyio
 from anyio.from_thread import start_blocking_portal
 
-from cresstray.control_plane.codec import Ask, requests
+from cresstray.control_plane.codec import OperatorCommand, encode_command
 from cresstray.emulators.account import Asked, Run
 from cresstray.emulators.clients import draw
 from cresstray.emulators.fleet import schedule
@@ -269,7 +269,7 @@
     async def settled(self) -> None:
         """Until nothing waits to be in force."""
         with anyio.fail_after(10):
-            while (told := await self.operator.ask(Ask("show"), 10))["turn"] < 2 * told["latest"]:
+            while (told := await self.operator.ask(OperatorCommand("show"), 10))["turn"] < 2 * told["latest"]:
                 await anyio.sleep(0.1)
 
     async def others(self) -> list[str]:
@@ -427,12 +427,12 @@
             self.assertGreater(len(served), 50)
             for keeper in case.fleet.keepers.values():
                 keeper.start()
-            past = await case.operator.ask(Ask("past"), 6)
+            past = await case.operator.ask(OperatorCommand("past"), 6)
             self.assertIn(made.version, [one["version"] for one in past["past"]])
-            members = await case.operator.ask(Ask("members"), 4)
+            members = await case.operator.ask(OperatorCommand("members"), 4)
             self.assertIn("k2/1", members["voters"])  # never under its old vote
             await admitted(case.another("helper-2"), "k2")
-            members = await case.operator.ask(Ask("members"), 4)
+            members = await case.operator.ask(OperatorCommand("members"), 4)
             self.assertNotIn("k2/1", members["voters"])
             self.assertEqual(5, len(members["voters"]))
 
@@ -442,16 +442,18 @@
         async def script(case: Case) -> None:
             old = await case.operator.documents(4)
             new = edited("tariffs", CANARY.name, RequestClassRule(retry_budget_scale=0.5))(old)
-            ask = Ask("propose", "lost-1", bases=old.versions, change=encode_delta(old, new), why="once")
+            ask = OperatorCommand(
+                "propose", "lost-1", base_versions=old.versions, delta=encode_delta(old, new), reason="once"
+            )
             for keeper in case.ports:  # each takes it, and none can answer
                 caller = case.another(f"lost-{keeper}").callers[keeper]
-                await caller.put(requests(1, ask))
+                await caller.put(encode_command(1, ask))
                 await anyio.sleep(0.05)
                 caller.close()
             told = [await case.operator.ask(ask, 4, keeper) for keeper in case.ports]
             self.assertEqual({True}, {one["accepted"] for one in told})
             self.assertEqual(1, len({one["version"] for one in told}))
-            past = await case.operator.ask(Ask("past"), 4)
+            past = await case.operator.ask(OperatorCommand("past"), 4)
             self.assertEqual(1, [one["request"] for one in past["past"]].count("lost-1"))
 
         self.play(script)
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -23,7 +23,7 @@
 from cresstray.cli import fleet as commands
 from cresstray.config import operator
 from cresstray.config.lines import UnusableError
-from cresstray.control_plane.codec import Alive, Ask, requests
+from cresstray.control_plane.codec import KeepAlive, OperatorCommand, encode_command
 from cresstray.fleet_config.active_config import ActiveConfig, Mode
 from cresstray.fleet_config.codec import ForwardedFrame, GetConfig, OperatorRequest, RenewLease
 from cresstray.fleet_config.follower import ConfigFollower, preference_order
@@ -154,7 +154,7 @@
             self.assertEqual([2, 2, 0], [one.status()["gateways"] for one in followers])
             # Asked again by the same name: once, and the same answer.
             answer = await anyio.to_thread.run_sync(
-                lambda: keepers.line().ask(Ask("propose", "first", {}, b"\x90"))
+                lambda: keepers.line().ask(OperatorCommand("propose", "first", {}, b"\x90"))
             )
             self.assertEqual((True, told["version"]), (answer["accepted"], answer["version"]))
 
@@ -285,7 +285,7 @@
         with tempfile.TemporaryDirectory() as folder, Keepers(folder, 1) as keepers:
             keepers.found()
             keepers.start()
-            keepers.line().ask(Ask("show"))
+            keepers.line().ask(OperatorCommand("show"))
             time.sleep(1.1)  # five lines a second are told
             agreed = peers.settings_digest(keepers.given)
             gateway = peers.make_greeting("gateway", "trial", "g0", "a1", agreed)
@@ -316,13 +316,16 @@
                     "dropped: .*another lease",
                 ),
                 "a second greeting": (well + well, "dropped: a Greeting from the role gateway"),
-                "a keeper's word": (well + encode_frame(Alive(1)), "dropped: a Alive from the role gateway"),
+                "a keeper's word": (
+                    well + encode_frame(KeepAlive(1)),
+                    "dropped: a KeepAlive from the role gateway",
+                ),
                 "a carried word": (
                     well + encode_frame(ForwardedFrame("x", False, b"")),
                     "dropped: a ForwardedFrame from",
                 ),
                 "an operator's question": (
-                    well + encode_frame(requests(1, Ask("show"))[0]),
+                    well + encode_frame(encode_command(1, OperatorCommand("show"))[0]),
                     "dropped: a OperatorRequest",
                 ),
                 "a gateway's word": (
@@ -362,7 +365,7 @@
         with tempfile.TemporaryDirectory() as folder, Keepers(folder, 1) as keepers:
             keepers.found()
             keepers.start()
-            keepers.line().ask(Ask("show"))
+            keepers.line().ask(OperatorCommand("show"))
             well = encode_frame(
                 peers.make_greeting("gateway", "trial", "g0", "a1", peers.settings_digest(keepers.given))
             )
@@ -387,14 +390,16 @@
             with Keepers(folder, 1, tls=tls) as keepers:
                 keepers.found()
                 keepers.start()
-                self.assertEqual(0, keepers.line().ask(Ask("show"))["turn"])
+                self.assertEqual(0, keepers.line().ask(OperatorCommand("show"))["turn"])
                 as_g0 = msgspec.structs.replace(
                     keepers.given, tls=operator.parse("x", keepers.text + tls.format(name="g0")).fleet.tls
                 )
                 with self.assertRaises(commands.NoAnswerError):
-                    commands.Line(as_g0, 0.2).ask(Ask("show"))
+                    commands.Line(as_g0, 0.2).ask(OperatorCommand("show"))
                 with self.assertRaises(commands.NoAnswerError):
-                    commands.Line(msgspec.structs.replace(keepers.given, tls=None), 0.2).ask(Ask("show"))
+                    commands.Line(msgspec.structs.replace(keepers.given, tls=None), 0.2).ask(
+                        OperatorCommand("show")
+                    )
                 ended = "".join(_ended(keepers, 0))
                 self.assertIn("'g0' as an operator", ended)
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -489,26 +489,26 @@
         placed = {"7": self.SHARD}
         self.keepers, self.cores = [], []
         for name in (leader, follower):
-            one = joined.Positions(0.01, lambda kind, text: self.said.append(text), Counters())
+            one = joined.PositionDistributor(0.01, lambda kind, text: self.said.append(text), Counters())
             core = SimpleNamespace(
                 node=SimpleNamespace(leader=leader, name=name),
-                guests={},
-                talking={},
-                turned=[],
-                each_round=[],
-                ready=lambda now, leads=name == leader: leads,
+                incoming_links={},
+                node_exchanges={},
+                turn_hooks=[],
+                round_hooks=[],
+                is_ready_leader=lambda now, leads=name == leader: leads,
                 state=SimpleNamespace(effective=SimpleNamespace(placement=SimpleNamespace(items=placed))),
             )
-            one.join(core, self.ask)
-            core.turned[0](0)
+            one.attach(core, self.ask)
+            core.turn_hooks[0](0)
             self.keepers.append(one)
             self.cores.append(core)
         first, second = sorted((0, 1), key=lambda at: (leader, follower)[at])
-        talks = self.keepers[first].talk(), self.keepers[second].talk()
+        talks = self.keepers[first].new_exchange(), self.keepers[second].new_exchange()
         far = self.far(talks[0], self.cores[first]), self.far(talks[1], self.cores[second])
-        self.cores[first].talking[self.cores[second].node.name] = far[1], talks[0]
-        self.cores[second].guests[f"keeper:{self.cores[first].node.name}"] = SimpleNamespace(
-            talk=talks[1], far=far[0]
+        self.cores[first].node_exchanges[self.cores[second].node.name] = far[1], talks[0]
+        self.cores[second].incoming_links[f"keeper:{self.cores[first].node.name}"] = SimpleNamespace(
+            exchange=talks[1], link=far[0]
         )
         self.talks, self.reads = [], []
         for number, (keeper, core) in enumerate(zip(self.keepers, self.cores)):
@@ -522,9 +522,11 @@
                     lambda now, reads=reads: reads.wanted(now)[:4],
                     lambda now, reads=reads: reads.needs(now, 4),
                 ),
-                keeper.talk(),
+                keeper.new_exchange(),
+            )
+            core.incoming_links[f"gateway:g{number}"] = SimpleNamespace(
+                exchange=there, link=self.far(here, None)
             )
-            core.guests[f"gateway:g{number}"] = SimpleNamespace(talk=there, far=self.far(here, None))
             self.talks.append((here, there))
             self.reads.append(reads)
         for at in range(0, 2_000 * MS, 250 * MS):
@@ -554,9 +556,9 @@
                 self.served.setdefault(one, self.now - began)
 
     def round(self, core) -> None:
-        due = core.each_round[0](self.now)
+        due = core.round_hooks[0](self.now)
         if due is not None:
-            self.after(max(0, due - self.now), lambda: core.each_round[0](self.now))
+            self.after(max(0, due - self.now), lambda: core.round_hooks[0](self.now))
 
     def words(self) -> None:
         for (here, there), core in zip(self.talks, self.cores):
@@ -586,7 +588,7 @@
                 self.after(2 * MS, self.answered, disk)
 
     def answered(self, disk: Disk) -> None:
-        if self.keepers[0].seen(disk, self.now):
+        if self.keepers[0].on_disk_report(disk, self.now):
             self.round(self.cores[0])
 
 
