--- a/cresstray/consensus/__init__.py
+++ b/cresstray/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""One log of bytes that a few keepers agree on, by the Raft algorithm; it knows nothing of what it keeps."""
+"""A replicated log by the Raft algorithm. Entries are opaque bytes to this package."""
--- a/cresstray/consensus/codec.py
+++ b/cresstray/consensus/codec.py
@@ -9,14 +9,14 @@
 from cresstray.consensus.entries import MAX_DATA_BYTES, MAX_SNAPSHOT_BYTES, Entry, Members, UnsignedInt
 from cresstray.transport.framing import Frame
 
-# Entries of one frame; small ones cost some ten bytes each beside their data.
+# Entries in one frame. Each costs about ten bytes besides its data.
 MAX_FRAME_ENTRIES = 1_024
 
 _SnapshotSize = Annotated[int, msgspec.Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
 
 
 class PreVoteRequest(Frame):
-    """Asks for a pre-vote in `term`. The sender's log ends at `index`, whose entry is of `log_term`."""
+    """Asks for a pre-vote in `term`, which the sender has not entered yet."""
 
     kind = 32
     term: UnsignedInt
@@ -25,7 +25,7 @@
 
 
 class PreVoteResponse(Frame):
-    """Answers a PreVote. `term` is the one asked for where granted, else the answerer's own."""
+    """Answers a PreVoteRequest. `term` is the requested term if granted, else the responder's own term."""
 
     kind = 33
     term: UnsignedInt
@@ -33,7 +33,10 @@
 
 
 class VoteRequest(Frame):
-    """Asks for a vote. With `transfer` the leader itself wants it, so that no voter keeps to the leader."""
+    """Asks for a vote in `term`.
+
+    With `is_transfer` the leader itself started the election, so voters ignore that they heard it recently.
+    """
 
     kind = 34
     term: UnsignedInt
@@ -43,7 +46,7 @@
 
 
 class VoteResponse(Frame):
-    """Answers a Vote."""
+    """Answers a VoteRequest."""
 
     kind = 35
     term: UnsignedInt
@@ -51,7 +54,7 @@
 
 
 class AppendEntries(Frame):
-    """Entries after `index`, whose entry is of `log_term`; a heartbeat has none. The answer names `round`."""
+    """Entries that follow `prev_log_index`; a heartbeat has none. The response repeats `round`."""
 
     kind = 36
     term: UnsignedInt
@@ -63,11 +66,11 @@
 
 
 class AppendEntriesResponse(Frame):
-    """Answers an Append.
+    """Answers an AppendEntries.
 
-    With `ok` the log equals the leader's up to `index`. Else it differs at `index`, which was asked for:
-    its entry there is of `hint_term` (0: the log is shorter), and before `hint_index` the logs may be
-    equal.
+    On success the log equals the leader's up to `index`. Otherwise it differs at `index`, the request's
+    `prev_log_index`: its entry there has the term `hint_term` (0 if the log is shorter), and the logs may
+    be equal before `hint_index`.
     """
 
     kind = 37
@@ -80,7 +83,10 @@
 
 
 class InstallSnapshot(Frame):
-    """Part of a snapshot from `offset` on; without data it asks what has arrived. `check`: CRC-32 of all."""
+    """A chunk of a snapshot, starting at `offset`; without data it asks how much has arrived.
+
+    `size` and `checksum` (CRC-32) are of the whole snapshot.
+    """
 
     kind = 38
     term: UnsignedInt
@@ -95,7 +101,10 @@
 
 
 class InstallSnapshotResponse(Frame):
-    """Answers an Install: bytes up to `offset` have arrived; with all of them it is synced and in use."""
+    """Answers an InstallSnapshot: the bytes before `offset` have arrived.
+
+    Once all have arrived, the snapshot is synced and in use.
+    """
 
     kind = 39
     term: UnsignedInt
@@ -106,7 +115,7 @@
 
 
 class TimeoutNow(Frame):
-    """The leader of `term` asks this voter to stand for election at once (leadership transfer)."""
+    """The leader of `term` asks this voter to start an election at once (leadership transfer)."""
 
     kind = 40
     term: UnsignedInt
--- a/cresstray/consensus/commitment.py
+++ b/cresstray/consensus/commitment.py
@@ -1,4 +1,4 @@
-"""Commitment: which entries a majority of voters has stored."""
+"""Commitment of log entries that a majority of voters has stored."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     """Advances the leader's commit index."""
 
     def _advance_commit_index(self, now_us: int) -> None:
-        """Commits what a majority of voters has synced, as long as it is of this term."""
+        """Commits the entries that a majority of voters has synced, up to an entry of this term."""
         log = self._log
         quorum_index = self._quorum_value(
             [
@@ -18,13 +18,13 @@
                 for name in self.members.voters
             ]
         )
-        # An entry of an earlier term can still be replaced, however many have it.
+        # An entry of an earlier term can still be overwritten, however many voters have it (Raft, 5.4.2).
         if quorum_index <= self.commit_index or log.term_at(quorum_index) != self.term:
             return
         self._release_proposed(quorum_index)
         self.commit_index = quorum_index
         self._serve_reads()
-        # At once, not with the next heartbeat: followers apply it that much sooner.
+        # Followers learn of the commit index now instead of with the next heartbeat, and apply it sooner.
         self._start_round(now_us, False)
         for to, peer in self._peers.items():
             if peer.is_replicating():
@@ -33,14 +33,14 @@
             self._resign(now_us)
 
     def _release_proposed(self, quorum_index: int) -> None:
-        """Entries up to there do not count as proposed and uncommitted any more."""
+        """Stops counting the entries up to `quorum_index` as uncommitted."""
         for index in range(self.commit_index + 1, quorum_index + 1):
             entry = self._log.entry(index)
             if entry.term == self.term:
                 self._uncommitted_bytes -= len(entry.data)
 
     def _resign(self, now_us: int) -> None:
-        """It is no voter any more, for good: whoever has most of the log is to be elected."""
+        """Steps down, no longer being a voter; asks the most up-to-date voter to start an election."""
         successor = max(self.members.voters, key=lambda name: self._peers[name].match_index)
         self._messages.append((successor, TimeoutNow(self.term)))
         self._step_down(now_us)
--- a/cresstray/consensus/election.py
+++ b/cresstray/consensus/election.py
@@ -1,4 +1,4 @@
-"""Leader election of Raft, with pre-votes: a node that is cut off does not drive up the term."""
+"""Leader election with pre-votes, which keep a partitioned node from increasing its term."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Election(Replication):
-    """Votes, and stands for election."""
+    """Grants votes and starts elections."""
 
     def _start_pre_vote(self, now_us: int) -> None:
-        """Asks the voters whether it would be elected."""
+        """Asks the voters whether they would elect this node."""
         self.role = Role.PRE_CANDIDATE
         self.leader = None
         self._votes = {self.name}
@@ -22,7 +22,9 @@
             self._start_election(now_us, False)
 
     def _start_election(self, now_us: int, transfer: bool) -> None:
-        assert transfer or not self._has_active_leader(now_us), "it promised not to vote so soon"
+        assert transfer or not self._has_active_leader(now_us), (
+            "a vote within the election timeout would break the leader's lease"
+        )
         self._enter_term(self.term + 1)
         self.role = Role.CANDIDATE
         self._voted_for = self.name
@@ -41,9 +43,9 @@
         return self._persisted_term == self.term and self._has_majority()
 
     def _has_active_leader(self, now_us: int) -> bool:
-        """Returns whether it heard a leader within the election timeout, or is one.
+        """Returns whether this node leads, or heard from a leader within the election timeout.
 
-        The lease rests on this.
+        Such a node grants no vote, which the leader's lease relies on.
         """
         return (
             self.role is Role.LEADER or now_us - self._leader_contact_at_us < self._timing.election_timeout_us
@@ -72,8 +74,8 @@
         self._messages.append((sender, PreVoteResponse(frame.term if granted else self.term, granted)))
 
     def _on_vote_request(self, sender: str, frame: VoteRequest, now_us: int) -> None:
-        # A vote within the election timeout would break the lease of the leader it heard, also where it has
-        # learnt of the later term in other ways meanwhile.
+        # A vote within the election timeout would break the lease of the leader that this node heard, even
+        # if it has learnt of the later term by another message since.
         transfer = frame.is_transfer and sender in self.members.names()
         if frame.term >= self.term and self._has_active_leader(now_us) and not transfer:
             return
@@ -95,14 +97,14 @@
         self._messages.append((sender, VoteResponse(self.term, granted)))
 
     def _on_pre_vote_response(self, sender: str, frame: PreVoteResponse, now_us: int) -> None:
-        """Counts a granted pre-vote."""
+        """Counts a granted pre-vote; with a majority, starts the election."""
         if self.role is Role.PRE_CANDIDATE and frame.term == self.term + 1:
             self._votes.add(sender)
             if self._has_majority() and not self._has_active_leader(now_us):
                 self._start_election(now_us, False)
 
     def _on_vote_response(self, sender: str, frame: VoteResponse, now_us: int) -> None:
-        """Counts a vote of this term."""
+        """Counts a vote of this term; with a majority, becomes the leader."""
         if self.role is Role.CANDIDATE and frame.granted:
             self._votes.add(sender)
             if self._has_won():
--- a/cresstray/consensus/entries.py
+++ b/cresstray/consensus/entries.py
@@ -1,4 +1,4 @@
-"""Entries, members and snapshots of the log, what a file holds of it, and what a node hands out."""
+"""Log entries, members and snapshots, a node's persistent state, and the work that a node hands out."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from cresstray.transport.framing import Frame
 
-# Bytes of one entry, of the entries of one frame, and of one part of a snapshot: half a frame.
+# Bytes of one entry, of the entries of one frame, and of one snapshot chunk: half of the frame limit.
 MAX_DATA_BYTES = 128 * 1024
-# A wrong size would have memory reserved for it. The configuration, moves and pins of 300 engines take a
-# few MB.
+# Bounds the memory that a wrong size could reserve. The configuration, moves and pins of 300 engines take
+# a few MB.
 MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024
 
 UnsignedInt = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
@@ -22,15 +22,15 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry is."""
+    """What a log entry holds."""
 
-    NO_OP = 0  # a leader's first, so that something of its own term can be committed
+    NO_OP = 0  # a new leader's first entry, so that it can commit an entry of its own term
     DATA = 1
-    MEMBERS = 2  # in force for the log as soon as it is in it
+    MEMBERS = 2  # in force as soon as it is in the log, committed or not
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry of the log; its index is its place."""
+    """One log entry. Its index is its position in the log."""
 
     term: UnsignedInt
     kind: Annotated[int, msgspec.Meta(ge=0, le=2)]
@@ -38,13 +38,13 @@
 
 
 class Members(msgspec.Struct, array_like=True, frozen=True):
-    """Voters and learners. Names are sorted, each there once."""
+    """The cluster membership: voters and non-voting learners, each sorted and without duplicates."""
 
     voters: _NodeNames
     learners: _NodeNames = ()
 
     def names(self) -> tuple[str, ...]:
-        """Returns voters, then learners."""
+        """Returns the voters, then the learners."""
         return self.voters + self.learners
 
     def encode(self) -> bytes:
@@ -56,12 +56,16 @@
 
 
 def decode_members(data: bytes) -> Members:
-    """Returns the list in an entry of kind MEMBERS; ValueError where there is none."""
+    """Decodes the data of an entry of kind MEMBERS.
+
+    Raises:
+        ValueError: it is no list of members.
+    """
     return _members_decoder.decode(data)
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The applied state up to `index`, as bytes of the state machine, and the members as of there."""
+    """The state machine's encoded state after the entry `index`, and the members as of that entry."""
 
     index: UnsignedInt
     term: UnsignedInt
@@ -71,7 +75,10 @@
 
 @dataclass
 class PersistentState:
-    """The content of a file. `entries` follow the snapshot without a gap; the first snapshot has index 0."""
+    """What a node has on disk. `entries` follow the snapshot without a gap.
+
+    A new node has an empty snapshot of index 0 or 1.
+    """
 
     name: str
     term: int
@@ -82,10 +89,10 @@
 
 @dataclass
 class PendingWrite:
-    """What is to be synced, in this order, all or nothing.
+    """Changes to write and sync atomically, applied in this order.
 
-    Entries from `cut` on are dropped; `entries` are put from index `first` on; `snapshot` takes the place of
-    the old one and of all entries up to its index; then term and vote.
+    Entries from `truncate_from` on are deleted; `entries` are inserted from `first_index` on; `snapshot`
+    replaces the old one and all entries up to its index; then the term and the vote are set.
     """
 
     term: int
@@ -98,7 +105,15 @@
 
 @dataclass
 class Ready:
-    """What is to be done after a call, in the order of its fields. False where there is nothing."""
+    """Work for the caller, to be done in the order of the fields; false if there is none.
+
+    Attributes:
+        pending_write: To write and sync.
+        messages: To send: receiver and frame.
+        restored_snapshot: Replaces the state machine's state.
+        committed_entries: To apply: index and entry.
+        read_results: Per requested read its token, and the index to have applied or None if it failed.
+    """
 
     pending_write: PendingWrite | None = None
     messages: list[tuple[str, Frame]] = field(default_factory=list)
--- a/cresstray/consensus/log.py
+++ b/cresstray/consensus/log.py
@@ -1,4 +1,4 @@
-"""One node's log in memory, and what of it is still to be written."""
+"""One node's log in memory, and the part of it that is not yet written to disk."""
 
 from __future__ import annotations
 
@@ -18,14 +18,20 @@
     decode_members,
 )
 
-# Entries kept before a snapshot's index for followers that lag somewhat: a snapshot of some MB costs more
-# than these. In memory only; after a restart such a follower takes the snapshot.
-_BEHIND = 1_000
-_BEHIND_BYTES = 4 * 1024 * 1024
+# Entries kept in memory before a snapshot's index for followers that lag slightly, as sending them costs less
+# than a snapshot of some MB. After a restart such a follower gets the snapshot.
+_MAX_RETAINED_ENTRIES = 1_000
+_MAX_RETAINED_BYTES = 4 * 1024 * 1024
 
 
 class Log:
-    """Entries from `base` + 1 on; those from the snapshot on are in the file too, or on their way to it."""
+    """The entries from `base_index` + 1 on. Those after the snapshot are on disk or about to be written.
+
+    Attributes:
+        snapshot: The latest snapshot.
+        base_index: Index of the entry before the first one in memory.
+        persisted_index: Index of the last entry that is on disk.
+    """
 
     def __init__(self, state: PersistentState) -> None:
         self.snapshot = state.snapshot
@@ -36,8 +42,8 @@
         for index, entry in enumerate(self._entries, self.base_index + 1):
             if entry.kind == EntryKind.MEMBERS:
                 self._member_lists.append((index, decode_members(entry.data)))
-        self._handed_out_index = self.last_index  # up to here handed out to be written
-        self.persisted_index = self.last_index  # up to here written, for the caller has come back since
+        self._handed_out_index = self.last_index  # last entry that was handed out to be written
+        self.persisted_index = self.last_index
         self._pending_truncation: int | None = None
         self._pending_snapshot: Snapshot | None = None
 
@@ -53,16 +59,16 @@
 
     @property
     def members(self) -> Members:
-        """The latest list in the log, committed or not."""
+        """The latest members in the log, committed or not."""
         return self._member_lists[-1][1]
 
     @property
     def members_index(self) -> int:
-        """The index of the latest list of members."""
+        """Index of the entry or snapshot that holds the latest members."""
         return self._member_lists[-1][0]
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term of an entry; None where the log does not reach, or no longer."""
+        """Returns the term of the entry at `index`, or None if that is beyond the log or compacted away."""
         if index == self.base_index:
             return self._base_term
         if not self.base_index < index <= self.last_index:
@@ -70,12 +76,12 @@
         return self._entries[index - self.base_index - 1].term
 
     def entry(self, index: int) -> Entry:
-        """Returns the entry at `index`, which must be in the log."""
-        assert self.base_index < index <= self.last_index, "an entry that is here"
+        """Returns the entry at `index`, which must be in memory."""
+        assert self.base_index < index <= self.last_index, "the entry is not in the log"
         return self._entries[index - self.base_index - 1]
 
     def batch(self, index: int) -> tuple[list[Entry], int]:
-        """Returns entries from `index` on that fit into one frame, at least one, and their bytes of data."""
+        """Returns the entries from `index` on that fit one frame, at least one, and their data size."""
         entries: list[Entry] = []
         size = 0
         first = index - self.base_index - 1
@@ -88,7 +94,7 @@
         return entries, size
 
     def last_index_of_term(self, term: int, max_index: int) -> int | None:
-        """Returns the last index of that term, at `most` or before; None where there is none."""
+        """Returns the last index of `term` that is not after `max_index`, or None if there is none."""
         position = bisect_right(
             self._entries, term, hi=max(0, max_index - self.base_index), key=lambda entry: entry.term
         )
@@ -96,22 +102,22 @@
         return index if self.term_at(index) == term else None
 
     def first_index_of_term(self, term: int, min_index: int, max_index: int) -> int:
-        """Returns the first index of the term that `most` is of, not before `least`."""
+        """Returns the first index of `term`, the term of `max_index`, that is not before `min_index`."""
         end = max(0, max_index - self.base_index)
         position = bisect_right(self._entries, term - 1, hi=end, key=lambda entry: entry.term)
         return max(min_index, self.base_index + position + 1)
 
     def append(self, entry: Entry, members: Members | None = None) -> int:
-        """Adds an entry; returns its index."""
-        assert entry.term >= self.last_term, "terms only grow along the log"
+        """Appends an entry and returns its index."""
+        assert entry.term >= self.last_term, "terms never decrease along the log"
         self._entries.append(entry)
         if entry.kind == EntryKind.MEMBERS:
             self._member_lists.append((self.last_index, members or decode_members(entry.data)))
         return self.last_index
 
     def truncate_from(self, index: int) -> None:
-        """Drops the entries from `index` on."""
-        assert index > self.snapshot.index, "what a snapshot holds is never taken back"
+        """Deletes the entries from `index` on."""
+        assert index > self.snapshot.index, "entries in a snapshot are committed and can't be deleted"
         del self._entries[index - self.base_index - 1 :]
         while self._member_lists[-1][0] >= index:
             self._member_lists.pop()
@@ -123,10 +129,10 @@
             self.persisted_index = min(self.persisted_index, self._handed_out_index)
 
     def compact(self, index: int, data: bytes) -> None:
-        """Makes a snapshot of the state up to `index`; some entries before it stay for slow followers."""
+        """Replaces the entries up to `index` by a snapshot; keeps some in memory for slow followers."""
         term = self.term_at(index)
         assert term is not None and self.snapshot.index < index <= self._handed_out_index, (
-            "what was applied is here"
+            "applied entries are in the log and handed out"
         )
         if len(data) > MAX_SNAPSHOT_BYTES:
             raise ValueError(f"a snapshot of {len(data)} bytes; {MAX_SNAPSHOT_BYTES} at most")
@@ -135,9 +141,9 @@
         self.snapshot = self._pending_snapshot = Snapshot(index, term, self._member_lists[0][1], data)
         first_kept = index
         size = 0
-        while first_kept > self.base_index and index - first_kept < _BEHIND:
+        while first_kept > self.base_index and index - first_kept < _MAX_RETAINED_ENTRIES:
             size += len(self.entry(first_kept).data)
-            if size > _BEHIND_BYTES:
+            if size > _MAX_RETAINED_BYTES:
                 break
             first_kept -= 1
         if first_kept > self.base_index:
@@ -146,11 +152,11 @@
             self.base_index = first_kept
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Takes a leader's snapshot, and keeps the entries after it where they are of the same log."""
+        """Installs a leader's snapshot; keeps the entries after it if the log matches it."""
         if self.term_at(snapshot.index) == snapshot.term:
             self._entries = self._entries[snapshot.index - self.base_index :]
             self._member_lists = [(snapshot.index, snapshot.members)] + [
-                change for change in self._member_lists if change[0] > snapshot.index
+                listed for listed in self._member_lists if listed[0] > snapshot.index
             ]
         else:
             if self._handed_out_index > snapshot.index:
@@ -166,16 +172,13 @@
         self.persisted_index = min(self.persisted_index, self._handed_out_index)
 
     def mark_persisted(self) -> bool:
-        """The caller has come back.
-
-        What was handed out is written. Returns whether that is more than before.
-        """
+        """Marks all that was handed out as written; returns whether new entries became persisted."""
         is_advance = self._handed_out_index > self.persisted_index
         self.persisted_index = self._handed_out_index
         return is_advance
 
     def take_pending_write(self, term: int, voted_for: str | None, always: bool) -> PendingWrite | None:
-        """Returns what is to be written since the last time; `also`: even if only term and vote."""
+        """Returns the changes since the last call; None if there are none, unless `always`."""
         if (
             not always
             and self._pending_truncation is None
@@ -198,7 +201,7 @@
         return write
 
     def fingerprint(self) -> tuple[Any, ...]:
-        """Returns a value equal for two logs that will do the same."""
+        """Returns a value that is equal for two logs that will behave the same."""
         return (
             self.base_index,
             self._base_term,
--- a/cresstray/consensus/log_sending.py
+++ b/cresstray/consensus/log_sending.py
@@ -1,4 +1,4 @@
-"""How a Raft leader sends its log, snapshots and heartbeats to the other members."""
+"""How a leader sends entries, snapshots and heartbeats to the other members."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from cresstray.consensus.node_state import NodeState
 from cresstray.consensus.peers import PeerProgress, ProgressState
 
-# Rounds of one leader begin no closer than this: an older one only makes the lease shorter.
+# Messages within this interval share a round. The lease counts from the start of the round, so a shared round
+# only makes it shorter.
 _MIN_ROUND_INTERVAL_US = 1_000
-# A follower that was silent for so many election timeouts gets the newest snapshot, not an older one's rest.
-_SILENT_ELECTIONS = 10
+# A follower that was silent for so many election timeouts gets the newest snapshot instead of the rest of an
+# older one.
+_SNAPSHOT_RESTART_ELECTIONS = 10
 
 
 class LogSending(NodeState):
-    """Sends to each member what it may be sent now, in rounds that its answers name."""
+    """Sends messages to the other members, in numbered rounds that their responses repeat."""
 
     def _update_peers(self) -> None:
         names = [name for name in self.members.names() if name != self.name]
@@ -25,14 +27,14 @@
         }
 
     def _broadcast(self, now_us: int, with_heartbeat: bool = False) -> None:
-        """Sends to all members; `fresh`: at least a heartbeat, of a round that begins now."""
+        """Sends to all other members; `with_heartbeat`: at least a heartbeat each, in a new round."""
         self._start_round(now_us, with_heartbeat)
         for to in self._peers:
             self._send_to_peer(to, now_us, with_heartbeat)
 
-    def _start_round(self, now_us: int, with_heartbeat: bool) -> None:
+    def _start_round(self, now_us: int, force: bool) -> None:
         is_due = not self._round_starts or now_us - self._round_starts[-1][1] >= _MIN_ROUND_INTERVAL_US
-        if not with_heartbeat and not is_due:
+        if not force and not is_due:
             return
         self._round += 1
         self._round_starts.append((self._round, now_us))
@@ -40,7 +42,7 @@
             self._round_starts.popleft()
 
     def _send_to_peer(self, to: str, now_us: int, with_heartbeat: bool = False) -> None:
-        """Sends what this member lacks; `beat`: at least a heartbeat."""
+        """Sends the entries or the snapshot that a member lacks; `with_heartbeat`: at least a heartbeat."""
         peer = self._peers[to]
         self._switch_to_snapshot(peer, now_us)
         if peer.state is ProgressState.SNAPSHOT:
@@ -53,12 +55,12 @@
             self._replicate(to, peer, with_heartbeat)
 
     def _switch_to_snapshot(self, peer: PeerProgress, now_us: int) -> None:
-        """Starts a snapshot where its next entries are gone, or where it was silent during an older one."""
+        """Starts a snapshot if the next entries are compacted, or a newer one after a long silence."""
         log = self._log
         if peer.state is ProgressState.SNAPSHOT:
             is_silent = (
                 peer.acked_at_us is None
-                or now_us - peer.acked_at_us > _SILENT_ELECTIONS * self._timing.election_timeout_us
+                or now_us - peer.acked_at_us > _SNAPSHOT_RESTART_ELECTIONS * self._timing.election_timeout_us
             )
             is_needed = peer.snapshot is not log.snapshot and is_silent
         else:
@@ -78,13 +80,13 @@
     def _send_entries(self, to: str, peer: PeerProgress, entries: list[Entry]) -> None:
         index = peer.next_index - 1
         term = self._log.term_at(index)
-        assert term is not None, "what is sent is here"
+        assert term is not None, "the preceding entry must be in the log"
         self._messages.append(
             (to, AppendEntries(self.term, self._round, index, term, self.commit_index, entries))
         )
 
     def _send_snapshot_chunk(self, to: str, peer: PeerProgress, with_heartbeat: bool) -> None:
-        """Sends the next part of a snapshot, if the last one has arrived; a heartbeat only asks."""
+        """Sends the next snapshot chunk if the last one has arrived; a heartbeat only asks how much has."""
         snapshot = peer.snapshot
         assert snapshot is not None
         data = b""
@@ -94,7 +96,7 @@
             peer.chunk_round = self._round
         elif not with_heartbeat:
             return
-        part = InstallSnapshot(
+        chunk = InstallSnapshot(
             self.term,
             self._round,
             snapshot.index,
@@ -105,4 +107,4 @@
             peer.received_bytes,
             data,
         )
-        self._messages.append((to, part))
+        self._messages.append((to, chunk))
--- a/cresstray/consensus/membership_changes.py
+++ b/cresstray/consensus/membership_changes.py
@@ -1,4 +1,4 @@
-"""Proposals, membership changes (one name at a time) and leadership transfer of a Raft leader."""
+"""A leader's proposals, single-server membership changes and leadership transfer."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from cresstray.consensus.entries import MAX_DATA_BYTES, Entry, EntryKind, Members
 from cresstray.consensus.node_state import Role
 
-# Without a majority a leader would keep all that is proposed until it steps down.
-_MAX_OPEN_BYTES = 16 * 1024 * 1024
-_MAX_OPEN_ENTRIES = 10_000
-# A learner that is further behind than this would hold up commits as soon as it votes.
+# Bounds the entries that a leader without a majority accepts until it steps down.
+_MAX_UNCOMMITTED_BYTES = 16 * 1024 * 1024
+_MAX_UNCOMMITTED_ENTRIES = 10_000
+# A learner that lags by more would delay commits once it is a voter.
 _MAX_LEARNER_LAG = 100
 
 
 class MembershipChanges(Commitment):
-    """What a caller asks of a leader that appends to the log, or ends its leadership."""
+    """Handles a caller's proposals, membership changes and leadership transfers."""
 
     def _accepts_proposals(self) -> bool:
         return self.role is Role.LEADER and self._transfer_target is None
@@ -25,8 +25,8 @@
             raise ValueError(f"an entry of {len(data)} bytes; {MAX_DATA_BYTES} at most")
         if not self._accepts_proposals():
             return None
-        is_full = self._uncommitted_bytes + len(data) > _MAX_OPEN_BYTES
-        if is_full or self._log.last_index - self.commit_index >= _MAX_OPEN_ENTRIES:
+        exceeds_bytes = self._uncommitted_bytes + len(data) > _MAX_UNCOMMITTED_BYTES
+        if exceeds_bytes or self._log.last_index - self.commit_index >= _MAX_UNCOMMITTED_ENTRIES:
             return None
         return self._propose(EntryKind.DATA, data, now_us)
 
@@ -57,14 +57,14 @@
         return True
 
     def _continue_transfer(self, now_us: int) -> None:
-        """Tells the target to stand once it has all of the log; from then on there is no lease."""
+        """Tells the target to start an election once it has the whole log; from then on there is no lease."""
         assert self._transfer_target is not None
         if self._peers[self._transfer_target].match_index == self._log.last_index:
             self._sent_timeout_now = True
             self._messages.append((self._transfer_target, TimeoutNow(self.term)))
 
     def _check_members_change(self, members: Members, now_us: int) -> None:
-        """Raises ValueError where the list cannot follow the present one now."""
+        """Raises ValueError if `members` can't replace the present members now."""
         _check_names(members)
         if self._log.term_at(self.commit_index) != self.term:
             raise ValueError("this leader has committed nothing yet; try again")
@@ -98,7 +98,7 @@
 
 
 def _changed_names(old: Members, new: Members) -> list[str]:
-    """Returns the names whose part differs between the two lists."""
+    """Returns the names whose role differs between the two lists."""
     return [
         name
         for name in dict.fromkeys(old.names() + new.names())
--- a/cresstray/consensus/node_state.py
+++ b/cresstray/consensus/node_state.py
@@ -1,4 +1,4 @@
-"""State of a Raft node that all roles share: term, vote, log, timers, and what waits to be handed out."""
+"""State of a Raft node that all roles share: term, vote, log, timers, and pending output."""
 
 from __future__ import annotations
 
@@ -13,23 +13,26 @@
 from cresstray.consensus.peers import PeerProgress
 from cresstray.transport.framing import Frame
 
-# Rounds of heartbeats that a leader remembers, to know when an acknowledged one began.
+# Rounds whose start a leader remembers, to find when an acknowledged round began.
 _MAX_ROUNDS = 2_048
 
 
 class Role(Enum):
-    """What a node is in its term."""
+    """A node's role in its term."""
 
-    FOLLOWER = "follower"  # voter or learner
-    PRE_CANDIDATE = "asking"  # pre-candidate: asks whether it would be elected
+    FOLLOWER = "follower"  # a voter or a learner
+    PRE_CANDIDATE = "asking"  # asks for pre-votes before it starts an election
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 class Timing(NamedTuple):
-    """In microseconds: heartbeat interval, election timeout (elections wait for one to two of it).
+    """Timing parameters.
 
-    `drift` is how wrong a clock's rate may be.
+    Attributes:
+        heartbeat_interval_us: Between two heartbeats of a leader.
+        election_timeout_us: A follower waits for one to two of these before it asks for votes.
+        clock_drift: Bound of the relative error of a clock's rate.
     """
 
     heartbeat_interval_us: int = 50_000
@@ -38,15 +41,15 @@
 
 
 class NodeState:
-    """Term, vote, log and role of one node, and a leader's bookkeeping.
+    """Term, vote, log and role of one node, and the state that only a leader has.
 
     Attributes:
-        name: This node's.
-        term: The latest term it knows.
-        role: What it is in this term.
+        name: Name of this node.
+        term: The latest term this node knows.
+        role: The role in this term.
         leader: The term's leader, if known.
-        commit: Index of the last committed entry.
-        led_since: When it was elected, as a leader.
+        commit_index: Index of the last entry known to be committed.
+        elected_at_us: When this node became the leader.
     """
 
     def __init__(
@@ -65,36 +68,36 @@
         self._applied_index = state.snapshot.index
         self._restored_snapshot: Snapshot | None = state.snapshot if state.snapshot.index else None
         self.elected_at_us = 0
-        # What it promised a leader before a restart still binds it.
+        # A restarted node may have heard from a leader just before, whose lease relies on its not voting.
         self._leader_contact_at_us = now_us
         self._reset_election_timer(now_us)
-        self._hard_state_changed = False  # term or vote changed and were not handed out
-        self._handed_out_term = self.term  # handed out to be stored
+        self._hard_state_changed = False  # term or vote changed since they were last handed out
+        self._handed_out_term = self.term  # last term that was handed out to be written
         self._persisted_term = self.term
         self._votes: set[str] = set()
         self._incoming_snapshot: tuple[InstallSnapshot, bytearray] | None = (
-            None  # a snapshot that is being received
+            None  # first chunk and the data so far
         )
         self._messages: list[tuple[str, Frame]] = []
-        self._read_results: list[tuple[object, int | None]] = []  # to reads
-        # As a leader.
+        self._read_results: list[tuple[object, int | None]] = []  # token and index, or None
+        # Used by a leader only.
         self._peers: dict[str, PeerProgress] = {}
         self._next_heartbeat_us = 0
         self._round = 0
-        self._round_starts: deque[tuple[int, int]] = deque(maxlen=_MAX_ROUNDS)  # number, and when it began
-        self._uncommitted_bytes = 0  # bytes proposed and not yet committed
-        self._pending_reads: deque[tuple[object, int]] = deque()  # ticket, and the round to be confirmed
-        self._transfer_target: str | None = None  # target of a leadership transfer
+        self._round_starts: deque[tuple[int, int]] = deque(maxlen=_MAX_ROUNDS)  # number and start time
+        self._uncommitted_bytes = 0  # of entries of this term
+        self._pending_reads: deque[tuple[object, int]] = deque()  # token, and the round to be acknowledged
+        self._transfer_target: str | None = None
         self._transfer_deadline_us = 0
-        self._sent_timeout_now = False  # the target was told to stand for election
+        self._sent_timeout_now = False  # to the transfer target
 
     @property
     def members(self) -> Members:
-        """The latest list in the log, committed or not: majorities go by it."""
+        """The latest members in the log, committed or not; majorities are counted among them."""
         return self._log.members
 
     def _reset_election_timer(self, now_us: int) -> None:
-        """Draws the next election timeout by chance, so that voters seldom stand at once."""
+        """Restarts the election timer, randomized so that voters seldom start elections together."""
         self._election_due_us = (
             now_us + self._timing.election_timeout_us + int(self._random() * self._timing.election_timeout_us)
         )
@@ -107,7 +110,7 @@
         self._hard_state_changed = True
 
     def _become_follower(self, term: int, leader: str | None, now_us: int) -> None:
-        """Steps down to a follower of that term, which is not an earlier one."""
+        """Becomes a follower in `term`, which is not earlier than the current one."""
         if self.role is Role.LEADER:
             self._step_down(now_us)
         if term > self.term:
@@ -128,5 +131,5 @@
         self._reset_election_timer(now_us)
 
     def _quorum_value(self, values: list[int]) -> int:
-        """Returns what a majority of the voters has reached, of what each has."""
+        """Returns the greatest value that a majority has reached, given one value for each voter."""
         return sorted(values, reverse=True)[len(values) // 2]
--- a/cresstray/consensus/peers.py
+++ b/cresstray/consensus/peers.py
@@ -1,4 +1,4 @@
-"""A leader's progress with one other member: how far the logs match, and what is in flight to it."""
+"""A leader's view of another member: how far the logs match, and what is in flight to it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from cresstray.consensus.entries import Snapshot
 
-# In flight to one follower: what a link of 50 ms and 100 Mbit/s holds.
+# In flight to one follower: the bandwidth-delay product of a link of 50 ms and 100 Mbit/s.
 _MAX_IN_FLIGHT_BYTES = 512 * 1024
 _MAX_IN_FLIGHT_FRAMES = 64
 
@@ -16,26 +16,27 @@
 class ProgressState(Enum):
     """How entries are sent to a member."""
 
-    PROBE = "probe"  # looks for where the logs part, one question at a time
-    REPLICATE = "replicate"  # sends on without waiting for answers
-    SNAPSHOT = "snapshot"  # what it misses is no longer in the log
+    PROBE = "probe"  # looks for the last matching entry, one message at a time
+    REPLICATE = "replicate"  # sends entries without waiting for responses
+    SNAPSHOT = "snapshot"  # the entries it lacks are compacted away
 
 
 class PeerProgress:
-    """Progress with one member.
+    """Replication progress of one member.
 
     Attributes:
-        way: How entries are sent to it.
-        match: Up to this index its log equals the leader's.
-        next: Index of the next entry to send.
-        asked: A probe is in flight.
-        round: The leader's latest round that it has answered.
-        acked: When that round began, by the leader's clock.
-        snapshot: What it is being sent: the same until it has it, however often the leader makes a newer one.
-        check: CRC-32 of the snapshot.
-        offset: Bytes of it that have arrived.
-        sent: Bytes of it that were sent.
-        part_round: The round in which the last part was sent; 0 for none.
+        state: How entries are sent to the member.
+        match_index: Up to this index its log equals the leader's.
+        next_index: Index of the next entry to send.
+        is_probe_in_flight: Whether a probe awaits its response.
+        acked_round: The latest round that it has responded to.
+        acked_at_us: When that round began, by the leader's clock.
+        snapshot: The snapshot being sent. It stays the same until it has arrived, however often the leader
+            makes a newer one.
+        checksum: CRC-32 of the snapshot.
+        received_bytes: Bytes of the snapshot that have arrived.
+        sent_bytes: Bytes of the snapshot that were sent.
+        chunk_round: The round in which the last chunk was sent; 0 for none.
     """
 
     def __init__(self, next_index: int) -> None:
@@ -44,7 +45,7 @@
         self.next_index = next_index
         self.is_probe_in_flight = False
         self._in_flight: deque[tuple[int, int]] = deque()  # last index and bytes of each frame in flight
-        self._in_flight_bytes = 0  # bytes in flight
+        self._in_flight_bytes = 0
         self.acked_round = 0
         self.acked_at_us: int | None = None
         self.snapshot: Snapshot | None = None
@@ -54,7 +55,7 @@
         self.chunk_round = 0
 
     def is_replicating(self) -> bool:
-        """Returns whether entries are sent to it without waiting for answers."""
+        """Returns whether entries are sent without waiting for responses."""
         return self.state is ProgressState.REPLICATE
 
     def has_room(self) -> bool:
@@ -62,13 +63,13 @@
         return self._in_flight_bytes < _MAX_IN_FLIGHT_BYTES and len(self._in_flight) < _MAX_IN_FLIGHT_FRAMES
 
     def record_sent(self, index: int, byte_count: int) -> None:
-        """A frame was sent whose last entry is `index`, with so many bytes of data."""
+        """Records a sent frame by the index of its last entry and the size of its data."""
         self._in_flight.append((index, byte_count))
         self._in_flight_bytes += byte_count
         self.next_index = index + 1
 
     def start_probing(self, next_index: int) -> None:
-        """Looks from `following` on for where the logs part."""
+        """Starts to look for the last matching entry, from `next_index` backwards."""
         self.state = ProgressState.PROBE
         self.is_probe_in_flight = False
         self.next_index = next_index
@@ -77,7 +78,7 @@
         self.snapshot = None
 
     def record_match(self, index: int) -> bool:
-        """Its log matches up to `index`; returns whether that is news."""
+        """Records that the logs match up to `index`; returns whether that is further than before."""
         is_advance = index > self.match_index
         self.match_index = max(self.match_index, index)
         while self._in_flight and self._in_flight[0][0] <= self.match_index:
@@ -91,9 +92,9 @@
         return is_advance
 
     def record_mismatch(self, index: int, next_index: int) -> bool:
-        """Its log differs at `index`, and may match before `following`.
+        """Records that the logs differ at `index` and may match before `next_index`.
 
-        Returns False where that is old news.
+        Returns False if the response is outdated.
         """
         if self.state is ProgressState.SNAPSHOT or index <= self.match_index:
             return False
@@ -103,7 +104,7 @@
         return True
 
     def start_snapshot(self, snapshot: Snapshot, checksum: int) -> None:
-        """Begins to send a snapshot."""
+        """Starts to send a snapshot."""
         self.state = ProgressState.SNAPSHOT
         self.snapshot = snapshot
         self.checksum = checksum
@@ -114,7 +115,7 @@
         self.chunk_round = 0
 
     def fingerprint(self) -> tuple[Any, ...]:
-        """Returns a value equal for two members to which the leader will do the same."""
+        """Returns a value that is equal for two members that the leader will treat the same."""
         return (
             self.state.value,
             self.match_index,
--- a/cresstray/consensus/raft.py
+++ b/cresstray/consensus/raft.py
@@ -1,13 +1,12 @@
-"""A Raft node: what a caller asks of it, and what it hands out.
+"""A Raft node as a state machine without I/O: a caller feeds it messages and ticks, and does its work.
 
-After each call the caller does what take() returns, in the order of its fields, until that is nothing.
-`keep` is synced before anything else is done or called: that the caller comes back tells the node that it
-is. Where that fails, the node is given up, and a new one made of what the file holds. States:
-docs/consensus.md.
+After each call the caller does the work that ready() returns, in the order of its fields, until there is
+none. `pending_write` is synced before anything else is done; the next call tells the node that it was. If the
+write fails, the caller discards the node and makes a new one from the file. States: docs/consensus.md.
 
-The roles are layers, each a module: `node_state` (term, vote, log), `log_sending` (a leader's heartbeats,
-entries and snapshots), `read_index` (lease and reads), `commitment`, `membership_changes` (and leadership
-transfer), `replication` (a follower's side, and the answers to a leader), `election`.
+The node is built of layers, each in a module: `node_state` (term, vote, log), `log_sending` (a leader's
+heartbeats, entries and snapshots), `read_index` (lease and reads), `commitment`, `membership_changes` (also
+proposals and leadership transfer), `replication` (a follower's side, and responses to a leader), `election`.
 """
 
 from __future__ import annotations
@@ -34,59 +33,63 @@
 
 
 class Node(Election):
-    """One node. All times are microseconds of the caller's clock, which never goes back."""
+    """One node. All times are microseconds of the caller's monotonic clock."""
 
     @property
     def next_tick_us(self) -> int:
-        """When tick() is wanted next."""
+        """When tick() is to be called next."""
         if self.role is Role.LEADER:
             return self._next_heartbeat_us
-        # Alone, its own vote is the majority as soon as it is synced.
+        # The only voter has its majority as soon as its own vote is synced.
         is_elected = self.role is Role.CANDIDATE and self._has_won()
         return self._now_us if is_elected else self._election_due_us
 
     def propose(self, data: bytes, now_us: int) -> tuple[int, int] | None:
-        """Returns index and term of a new entry.
+        """Appends an entry and returns its index and term.
 
-        None where it is not the leader, hands over, or has too much that is not yet committed. Raises
-        ValueError for an entry that is too large.
+        Returns None if this node does not lead, transfers leadership, or has too many uncommitted entries.
+
+        Raises:
+            ValueError: the entry is too large.
         """
         self._advance_clock(now_us)
         return self._propose_data(data, now_us)
 
     def propose_members(self, members: Members, now_us: int) -> tuple[int, int] | None:
-        """Returns index and term of a new list of members; None where it is not the leader.
+        """Appends a membership change and returns its index and term, or None if this node is not the leader.
 
-        Raises ValueError where the list cannot follow the present one now.
+        Raises:
+            ValueError: the members can't replace the present ones now.
         """
         self._advance_clock(now_us)
         return self._propose_members(members, now_us)
 
     def transfer_leadership(self, to: str, now_us: int) -> bool:
-        """Hands over to another voter, or gives up after an election timeout; False where it can't begin."""
+        """Starts a transfer of leadership to another voter, abandoned after an election timeout.
+
+        Returns False if it can't start.
+        """
         self._advance_clock(now_us)
         return self._start_transfer(to, now_us)
 
     def request_read(self, token: object, now_us: int) -> bool:
-        """Asks for a linearizable read; False where it is not the leader.
+        """Requests a linearizable read; returns False if this node is not the leader.
 
-        Ready.reads has the answer: the index to have applied, or None if leadership was lost.
+        Ready.read_results has the result for `token`: the index to apply first, or None if leadership was
+        lost.
         """
         self._advance_clock(now_us)
         return self._request_read(token, now_us)
 
     def compact(self, index: int, data: bytes) -> None:
-        """Takes what was applied up to `index` as a snapshot; some entries stay for slow followers."""
+        """Replaces the applied entries up to `index` by a snapshot of the state machine's state."""
         self._on_persisted()
         if index > self._log.snapshot.index:
-            assert index <= self._applied_index, "only what was applied"
+            assert index <= self._applied_index, "only applied entries can be compacted"
             self._log.compact(index, data)
 
     def ready(self) -> Ready:
-        """Returns all that is to be done now.
-
-        The module's docstring has the order, and when to call again.
-        """
+        """Returns the work to do now; the module's docstring describes how."""
         self._on_persisted()
         ready = Ready(
             messages=self._messages,
@@ -107,10 +110,10 @@
         self._applied_index = self.commit_index
         return ready
 
-    # Time.
+    # Timers.
 
     def tick(self, now_us: int) -> None:
-        """Does what is due: a heartbeat, an election, or leading once its own vote is stored."""
+        """Does what is due: a heartbeat, an election, or leading once this node's own vote is synced."""
         self._advance_clock(now_us)
         if self.role is Role.LEADER:
             if now_us >= self._next_heartbeat_us:
@@ -119,31 +122,33 @@
             self._become_leader(now_us)
         elif now_us >= self._election_due_us:
             self._reset_election_timer(now_us)
-            # A learner, a stranger, or one that was removed waits to be told.
+            # A learner, a node that was never admitted, or a removed one waits for a leader.
             if self.name in self.members.voters:
                 self._start_pre_vote(now_us)
 
     def _advance_clock(self, now_us: int) -> None:
-        assert now_us >= self._now_us, "time goes forward"
+        assert now_us >= self._now_us, "the clock went backwards"
         self._now_us = now_us
         self._on_persisted()
 
     def _on_persisted(self) -> None:
-        """What the last take() handed out has been synced, or nobody would call."""
+        """Marks the work of the last ready() as synced, which a new call implies."""
         self._persisted_term = self._handed_out_term
         if self._log.mark_persisted() and self.role is Role.LEADER:
             self._advance_commit_index(self._now_us)
 
     def _on_heartbeat_due(self, now_us: int) -> None:
-        acked = self._quorum_acked_at_us(now_us)
-        silent_us = now_us - max(self.elected_at_us, self.elected_at_us if acked is None else acked)
-        # A leader that hears and is not heard would keep its followers from electing another.
+        quorum_acked_at_us = self._quorum_acked_at_us(now_us)
+        silent_us = now_us - max(
+            self.elected_at_us, self.elected_at_us if quorum_acked_at_us is None else quorum_acked_at_us
+        )
+        # A leader whose messages arrive but that hears no responses would keep others from being elected.
         if silent_us > self._timing.election_timeout_us:
             self._step_down(now_us)
             return
         if self._transfer_target is not None and now_us >= self._transfer_deadline_us:
             self._transfer_target = None
-            # The request to stand may still be on its way; its term must not hold a lease again.
+            # The TimeoutNow may still arrive and start an election, so this term must not have a lease again.
             if self._sent_timeout_now:
                 self._step_down(now_us)
                 return
@@ -155,7 +160,11 @@
     # Messages.
 
     def step(self, sender: str, frame: Frame, now_us: int) -> None:
-        """Handles a message; FramingError where no correct node can have sent it."""
+        """Handles a message.
+
+        Raises:
+            FramingError: no correct node can have sent it.
+        """
         self._advance_clock(now_us)
         if sender == self.name:
             return
@@ -171,13 +180,13 @@
             case TimeoutNow():
                 self._on_timeout_now(sender, frame, now_us)
             case PreVoteResponse() | VoteResponse() | AppendEntriesResponse() | InstallSnapshotResponse():
-                # The answer of one that is not a member counts for nothing.
+                # Responses of nodes that are not members are ignored.
                 if sender in self.members.names():
-                    self._on_answer(sender, frame, now_us)
+                    self._on_response(sender, frame, now_us)
             case _:
-                raise FramingError(f"a frame of kind {frame.kind} in the log's place")
+                raise FramingError(f"a frame of kind {frame.kind} is no consensus message")
 
-    def _on_answer(
+    def _on_response(
         self,
         sender: str,
         frame: PreVoteResponse | VoteResponse | AppendEntriesResponse | InstallSnapshotResponse,
@@ -199,7 +208,10 @@
                 self._on_install_snapshot_response(sender, frame, now_us)
 
     def fingerprint(self) -> tuple[Any, ...]:
-        """Returns a value equal for two nodes that will do the same; times as spans from the last call."""
+        """Returns a value that is equal for two nodes that will behave the same.
+
+        Times are relative to the last call.
+        """
         now_us = self._now_us
         return (
             self.name,
--- a/cresstray/consensus/replication.py
+++ b/cresstray/consensus/replication.py
@@ -1,7 +1,4 @@
-"""Replication of a Raft log.
-
-A follower's side of entries and snapshots, and a leader's side of the answers.
-"""
+"""Log replication: a follower's handling of entries and snapshots, a leader's handling of the responses."""
 
 from __future__ import annotations
 
@@ -20,10 +17,10 @@
 
 
 class Replication(MembershipChanges):
-    """Handles Append and Install as a follower, Appended and Installed as a leader."""
+    """Handles AppendEntries and InstallSnapshot as a follower, and their responses as a leader."""
 
     def _accept_leader(self, sender: str, term: int, now_us: int) -> bool:
-        """Takes a leader's message; returns False where its term is over."""
+        """Follows the sender as the leader of `term`; returns False if that term is over."""
         if term < self.term:
             return False
         if term == self.term and (self.role is Role.LEADER or self.leader not in (None, sender)):
@@ -33,47 +30,51 @@
         self._reset_election_timer(now_us)
         return True
 
-    # As a follower: entries.
+    # Entries, as a follower.
 
     def _on_append_entries(self, sender: str, frame: AppendEntries, now_us: int) -> None:
         _check_entries(frame)
-        previous = frame.prev_log_index
+        prev_log_index = frame.prev_log_index
         if not self._accept_leader(sender, frame.term, now_us):
             self._messages.append(
-                (sender, AppendEntriesResponse(self.term, frame.round, False, previous, 0, 0))
+                (sender, AppendEntriesResponse(self.term, frame.round, False, prev_log_index, 0, 0))
             )
             return
         self._check_against_committed(frame)
-        if previous >= self.commit_index and self._log.term_at(previous) != frame.prev_log_term:
+        if prev_log_index >= self.commit_index and self._log.term_at(prev_log_index) != frame.prev_log_term:
             self._reject_append(sender, frame)
             return
-        end = previous + len(frame.entries)
+        end = prev_log_index + len(frame.entries)
         self._store_entries(frame)
         self.commit_index = max(self.commit_index, min(frame.leader_commit, end))
-        match = max(end, self.commit_index)
-        self._messages.append((sender, AppendEntriesResponse(self.term, frame.round, True, match, 0, 0)))
+        match_index = max(end, self.commit_index)
+        self._messages.append(
+            (sender, AppendEntriesResponse(self.term, frame.round, True, match_index, 0, 0))
+        )
 
     def _check_against_committed(self, frame: AppendEntries) -> None:
         terms = [frame.prev_log_term, *(entry.term for entry in frame.entries)]
         for index, term in enumerate(terms, frame.prev_log_index):
             if self._log.base_index <= index <= self.commit_index and self._log.term_at(index) != term:
-                raise FramingError(f"another entry {index} than was committed here")
+                raise FramingError(f"entry {index} differs from the one committed here")
 
     def _reject_append(self, sender: str, frame: AppendEntries) -> None:
-        """Answers with a hint from where on the logs may agree."""
+        """Answers with a hint before which index the logs may match."""
         log = self._log
-        previous = frame.prev_log_index
-        known_term = log.term_at(previous)
+        prev_log_index = frame.prev_log_index
+        known_term = log.term_at(prev_log_index)
         hint_index = log.last_index + 1
         if known_term is not None:
-            hint_index = log.first_index_of_term(known_term, self.commit_index + 1, previous)
-        answer = AppendEntriesResponse(self.term, frame.round, False, previous, known_term or 0, hint_index)
+            hint_index = log.first_index_of_term(known_term, self.commit_index + 1, prev_log_index)
+        answer = AppendEntriesResponse(
+            self.term, frame.round, False, prev_log_index, known_term or 0, hint_index
+        )
         self._messages.append((sender, answer))
 
     def _store_entries(self, frame: AppendEntries) -> None:
         log = self._log
         for index, entry in enumerate(frame.entries, frame.prev_log_index + 1):
-            # What is committed here is the leader's as well.
+            # Committed entries are the same in the leader's log.
             if index <= self.commit_index:
                 continue
             if index <= log.last_index and log.term_at(index) != entry.term:
@@ -81,23 +82,23 @@
             if index > log.last_index:
                 log.append(entry)
 
-    # As a follower: snapshots.
+    # Snapshots, as a follower.
 
     def _on_install_snapshot(self, sender: str, frame: InstallSnapshot, now_us: int) -> None:
-        received = 0
+        received_bytes = 0
         if self._accept_leader(sender, frame.term, now_us):
             if frame.last_included_index <= self.commit_index:
                 self._incoming_snapshot = None
-                received = frame.size
+                received_bytes = frame.size
             else:
-                received = self._receive_chunk(frame)
+                received_bytes = self._receive_chunk(frame)
         answer = InstallSnapshotResponse(
-            self.term, frame.round, frame.last_included_index, frame.checksum, received
+            self.term, frame.round, frame.last_included_index, frame.checksum, received_bytes
         )
         self._messages.append((sender, answer))
 
     def _receive_chunk(self, frame: InstallSnapshot) -> int:
-        """Returns how many bytes of that snapshot have arrived; with all of them it is in use."""
+        """Adds a chunk and returns how many bytes of the snapshot have arrived; installs it once all have."""
         if self._incoming_snapshot is not None and _snapshot_id(self._incoming_snapshot[0]) != _snapshot_id(
             frame
         ):
@@ -107,7 +108,7 @@
         data = self._incoming_snapshot[1]
         if frame.offset == len(data):
             if len(data) + len(frame.data) > frame.size:
-                raise FramingError("a snapshot that is longer than it says")
+                raise FramingError("a snapshot that is longer than its stated size")
             data += frame.data
         if len(data) < frame.size:
             return len(data)
@@ -122,14 +123,14 @@
         self._applied_index = frame.last_included_index
         return len(data)
 
-    # As a leader: answers.
+    # Responses, as a leader.
 
     def _on_append_entries_response(self, sender: str, frame: AppendEntriesResponse, now_us: int) -> None:
         peer = self._peers[sender]
         log = self._log
         if frame.is_success:
             if frame.index > log.last_index:
-                raise FramingError("more of the log than there is")
+                raise FramingError("a match index beyond the leader's log")
             if peer.record_match(frame.index):
                 self._advance_commit_index(now_us)
             if self._is_leading(sender):
@@ -139,8 +140,8 @@
             return
         next_index = frame.hint_index
         if frame.hint_term:
-            known = log.last_index_of_term(frame.hint_term, min(frame.index, log.last_index))
-            next_index = frame.hint_index if known is None else known + 1
+            last_known_index = log.last_index_of_term(frame.hint_term, min(frame.index, log.last_index))
+            next_index = frame.hint_index if last_known_index is None else last_known_index + 1
         if peer.record_mismatch(frame.index, max(1, next_index)):
             self._send_to_peer(sender, now_us)
 
@@ -153,7 +154,8 @@
             peer.record_match(snapshot.index)
             self._advance_commit_index(now_us)
         elif frame.offset > peer.received_bytes or frame.round > peer.chunk_round:
-            # Further on; or a later question shows that the part was lost, or that all begins anew.
+            # More has arrived, or the response to a later heartbeat shows that the chunk was lost or that the
+            # receiver starts anew.
             peer.received_bytes = frame.offset
             peer.sent_bytes = frame.offset
             peer.chunk_round = 0
@@ -161,7 +163,10 @@
             self._send_to_peer(sender, now_us)
 
     def _is_leading(self, name: str) -> bool:
-        """Counting may have ended its leadership, or removed the member."""
+        """Returns whether this node still leads and `name` is still a member.
+
+        Advancing the commit index can end either.
+        """
         return self.role is Role.LEADER and name in self._peers
 
 
@@ -173,10 +178,10 @@
     previous_term = frame.prev_log_term
     for entry in frame.entries:
         if not previous_term <= entry.term <= frame.term:
-            raise FramingError("entries whose terms don't grow")
+            raise FramingError("entries whose terms decrease")
         previous_term = entry.term
         if entry.kind == EntryKind.MEMBERS:
             try:
                 decode_members(entry.data)
             except ValueError as error:
-                raise FramingError(f"an entry that is no list of members: {error}") from None
+                raise FramingError(f"an entry with undecodable members: {error}") from None
--- a/cresstray/consensus/storage.py
+++ b/cresstray/consensus/storage.py
@@ -1,4 +1,4 @@
-"""Durable state of one node in a SQLite file. Nothing in it is repaired or guessed at when it is loaded."""
+"""Persistent state of one node in a SQLite file. A damaged file is rejected, never repaired."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     decode_members,
 )
 
-# "cray": whose file it is, before anything in it is read.
+# "cray": identifies the file before anything else in it is read.
 _APPLICATION_ID = 0x63726179
 _FORMAT_VERSION = 1
-# A damaged file's error has so many characters of what SQLite says.
+# Length to which SQLite's error texts are cut.
 _MAX_ERROR_CHARACTERS = 120
 _TABLES = """
     CREATE TABLE meta (one INTEGER PRIMARY KEY CHECK (one = 1), name TEXT NOT NULL, term INTEGER NOT NULL,
@@ -38,24 +38,32 @@
 
 
 class UnusableFileError(ValueError):
-    """The file can't be used as it is; one line that says why."""
+    """The file can't be used; the message is one line."""
 
 
 def _checksum(*parts: object) -> int:
-    """CRC-32 over all columns of a row."""
+    """Returns the CRC-32 of all columns of a row."""
     return crc32(msgspec.msgpack.encode(parts))
 
 
 class Storage:
-    """One node's file, locked for as long as it is open.
+    """One node's file, locked while it is open.
 
-    With a rollback journal, not a write-ahead log: SQLite takes a damaged place in such a log for its end,
-    and would drop what was acknowledged after it without notice. It costs two more syncs for each write.
+    It uses a rollback journal instead of a write-ahead log, because SQLite takes a damaged record of such a
+    log for its end and would silently drop acknowledged data after it. This costs two more syncs per write.
+
+    Raises:
+        UnusableFileError: the file is missing, in use, foreign or damaged.
     """
 
     @staticmethod
     def create(path: str, name: str, members: Members) -> None:
-        """Writes a first file, whole or not at all; UnusableError where there is one. OSError."""
+        """Creates the file of a new node, atomically.
+
+        Raises:
+            UnusableFileError: there is a file already.
+            OSError: it can't be written.
+        """
         if os.path.exists(path):
             raise UnusableFileError(f"{path}: there is a file already")
         new_path = f"{path}.new"
@@ -70,15 +78,15 @@
                     f"PRAGMA application_id = {_APPLICATION_ID}; "
                     f"PRAGMA user_version = {_FORMAT_VERSION}; BEGIN; {_TABLES}"
                 )
-                # The first list of members is in no entry. With a snapshot of index 1, a node that joins
-                # later and empty gets it as a snapshot, and never the entries without it.
+                # The first members are in no entry. With them in a snapshot of index 1, a node that joins
+                # later with an empty log gets that snapshot, and never the entries without it.
                 first_index = 1 if members.voters else 0
                 _write_meta(connection, name, first_index, None)
                 _write_snapshot(connection, Snapshot(first_index, first_index, members, b""))
                 connection.execute("COMMIT")
             finally:
                 connection.close()
-        # A crash must not leave half a file under the name that is looked for.
+        # A crash must not leave a partial file at `path`.
         try:
             os.link(new_path, path)
         except FileExistsError:
@@ -100,7 +108,10 @@
                 raise
 
     def _check_file(self) -> str:
-        """The name in a file of this format, which nobody else uses. A foreign one is left as it is."""
+        """Checks that the file has this format and is not in use; returns the node's name in it.
+
+        A foreign file is left unchanged.
+        """
         connection = self._connection
         try:
             connection.executescript("BEGIN EXCLUSIVE; COMMIT;")
@@ -127,7 +138,11 @@
         return row[0], row[1], row[2]
 
     def load(self) -> PersistentState:
-        """Reads all of it, each row checked; UnusableError where anything is not as it was written."""
+        """Reads the whole state.
+
+        Raises:
+            UnusableFileError: a row is missing or differs from what was written.
+        """
         with _sqlite_errors_as(self.path):
             name, term, voted_for = self._load_meta()
             snapshot = self._load_snapshot()
@@ -165,7 +180,11 @@
         return create
 
     def write(self, pending_write: PendingWrite) -> None:
-        """Writes and syncs all of it, or nothing; OSError where that can't be, such as a full disk."""
+        """Writes and syncs the changes in one transaction.
+
+        Raises:
+            OSError: the write failed, for example because the disk is full.
+        """
         connection = self._connection
         with _sqlite_errors_as(self.path, OSError):
             try:
@@ -201,7 +220,7 @@
 
 
 def _open(path: str, mode: str) -> sqlite3.Connection:
-    """Opens a connection that keeps its locks. It may be used by one thread after another."""
+    """Opens a connection that keeps its locks. Different threads may use it one after another."""
     connection = sqlite3.connect(
         f"{Path(path).absolute().as_uri()}?mode={mode}",
         uri=True,
@@ -214,7 +233,7 @@
 
 
 def _configure(connection: sqlite3.Connection) -> None:
-    # EXTRA is FULL and one sync more: a journal whose removal was lost would undo what was committed.
+    # EXTRA also syncs the removal of the journal: if that were lost, the journal would undo the commit.
     for line in (
         "journal_mode = DELETE",
         "synchronous = EXTRA",
@@ -250,7 +269,7 @@
 
 @contextmanager
 def _sqlite_errors_as(path: str, error_type: type[Exception] = UnusableFileError) -> Iterator[None]:
-    """Raises SQLite's errors as this kind, in one line."""
+    """Raises SQLite's errors as `error_type`, in one line."""
     try:
         yield
     except sqlite3.Error as error:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -291,7 +291,7 @@
                 self.subTest(seed=seed),
                 mock.patch.object(log_sending, "MAX_DATA_BYTES", 60),
                 mock.patch.object(membership_changes, "MAX_DATA_BYTES", 60),
-                mock.patch.object(log, "_BEHIND", 6),
+                mock.patch.object(log, "_MAX_RETAINED_ENTRIES", 6),
             ):
                 net = Net(seed, "abc" if seed % 2 else "abcde", "xy"[: seed % 3])
                 net.compacts = 0.1 if seed % 4 else 0.0
@@ -581,7 +581,7 @@
         with (
             mock.patch.object(log_sending, "MAX_DATA_BYTES", 60),
             mock.patch.object(membership_changes, "MAX_DATA_BYTES", 60),
-            mock.patch.object(log, "_BEHIND", 2),
+            mock.patch.object(log, "_MAX_RETAINED_ENTRIES", 2),
         ):
             net = Net(3, "abc", "x")
             node = net.elected()
