--- a/cresstray/control_plane/__init__.py
+++ b/cresstray/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""One keeper: the log, the rules it holds and the leases it gives, joined into one process."""
+"""A control-plane node: one process with the replicated log, the fleet configuration and its leases."""
--- a/cresstray/control_plane/codec.py
+++ b/cresstray/control_plane/codec.py
@@ -1,6 +1,7 @@
-"""What keepers tell each other beside the log, and what operators ask and hear. Knows no socket.
+"""Frames between control-plane nodes besides the log's, and operators' commands and replies.
 
-Questions and answers are msgpack, in parts of `Request` and `Reply` frames.
+Commands and replies are msgpack, split into `OperatorRequest` and `OperatorReply` frames. This module does no
+I/O.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
 from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
 
 _Text = Annotated[str, msgspec.Meta(max_length=128)]
-# Danger: a question without end would be kept without end. A change of documents fits into one entry.
+# Bounds what is kept of an unfinished command. A configuration delta fits into one log entry.
 _MAX_COMMAND_PARTS = 8
 
 
 class KeepAlive(Frame):
-    """From the keeper that made the link; sent back as it came. Without it, silence could mean anything."""
+    """Sent by the node that made the link, which the other node echoes: shows that the link still works."""
 
     kind = 79
     number: Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
-# What a keeper takes on a link that was made to it, by the role of who made it.
+# Frames that a node accepts on an incoming link, by the role of the peer.
 FROM_NODE = (*consensus_codec.KINDS, config_codec.ForwardedFrame, ReplicaPositions, KeepAlive)
 FROM_GATEWAY = (config_codec.RenewLease, config_codec.GetConfig, ReplicaPositions)
 FROM_OPERATOR = (OperatorRequest,)
@@ -43,9 +44,9 @@
     "operator": FROM_OPERATOR,
 }
 ACCEPTED_FRAMES = (Greeting, *FROM_NODE, *FROM_GATEWAY[:2], OperatorRequest)
-# What comes back on a link that a keeper made.
+# Frames that a node accepts on a link to another node that it made.
 RETURNED_FRAMES = (Greeting, KeepAlive, ReplicaPositions)
-# What may be carried to the leader, and what back from it.
+# Frames that may be forwarded to the leader, and the replies that it sends back.
 FORWARDED_REQUESTS = (config_codec.RenewLease, OperatorRequest)
 FORWARDED_REPLIES = (
     config_codec.LeaseGranted,
@@ -56,7 +57,7 @@
 
 
 class OperatorCommand(msgspec.Struct, omit_defaults=True):
-    """A question. `what` is one of answers.py's kinds, the rest is theirs."""
+    """An operator's query or command. `kind` names its handler, which interprets the other fields."""
 
     kind: _Text = msgspec.field(name="what")
     request_id: _Text = msgspec.field(default="", name="request")
@@ -71,7 +72,11 @@
 
 
 def decode_command(body: bytes) -> OperatorCommand:
-    """BrokenError where it can't be a question."""
+    """Decodes a command.
+
+    Raises:
+        FramingError: the body is no valid command.
+    """
     try:
         return _command_decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -79,13 +84,17 @@
 
 
 def _split(body: bytes) -> list[bytes]:
-    """Parts that still fit when another frame carries them."""
+    """Splits a body into parts that still fit into a frame inside a `ForwardedFrame`."""
     size = MAX_PART_BYTES - 1024
     return [body[position : position + size] for position in range(0, len(body), size)]
 
 
 def encode_command(number: int, command: OperatorCommand) -> list[OperatorRequest]:
-    """ValueError where it is too long."""
+    """Encodes a command as frames.
+
+    Raises:
+        ValueError: the command is too long.
+    """
     parts = _split(msgspec.msgpack.encode(command))
     if len(parts) > _MAX_COMMAND_PARTS:
         raise ValueError("a question that is too long")
@@ -93,6 +102,7 @@
 
 
 def encode_reply(number: int, answer: dict[str, Any]) -> list[OperatorReply]:
+    """Encodes a reply as frames; one that is too long becomes an error."""
     parts = _split(msgspec.msgpack.encode(answer))
     if len(parts) > MAX_PARTS:
         parts = [msgspec.msgpack.encode({"error": f"an answer of {len(parts)} parts; {MAX_PARTS} at most"})]
@@ -100,14 +110,18 @@
 
 
 class PartAssembler:
-    """Puts together what comes in parts, from one side; a new number drops what was before."""
+    """Joins the parts of one peer's messages. A part with a new number discards an unfinished message."""
 
     def __init__(self, max_parts: int = _MAX_COMMAND_PARTS) -> None:
         self._max_parts = max_parts
         self._number, self._parts = -1, []
 
     def add(self, frame: OperatorRequest | OperatorReply) -> bytes | None:
-        """All of it once the last part is here; BrokenError beyond so many parts."""
+        """Adds a part; returns the whole body once the last part has arrived.
+
+        Raises:
+            FramingError: the message has too many parts.
+        """
         if frame.number != self._number:
             self._number, self._parts = frame.number, []
         self._parts.append(frame.body)
@@ -120,8 +134,12 @@
 
 
 def decode_forwarded(body: bytes, kinds: tuple[type[Frame], ...]) -> Frame:
-    """The one frame that another carries; BrokenError."""
+    """Decodes the frame inside a `ForwardedFrame`.
+
+    Raises:
+        FramingError: the body is not exactly one frame of `kinds`.
+    """
     frames = FrameDecoder(kinds).feed(body)
     if len(frames) != 1 or len(body) != len(encode_frame(frames[0])):
-        raise FramingError("what is carried is not one frame")
+        raise FramingError("a forwarded body is not one frame")
     return frames[0]
--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -1,4 +1,4 @@
-"""One keeper as a process: its file, its sockets, its clock, its signals."""
+"""The process of a control-plane node: its file, sockets, clock and signals."""
 
 from __future__ import annotations
 
@@ -46,34 +46,52 @@
 
     from cresstray.sites.tls import Contexts
 
-# Between words on a link that we made, and how long none may come back: some elections, well under a lease.
+# Interval of keep-alives on links to other nodes, and the silence after which a link ends: several election
+# timeouts, but much shorter than a lease.
 _KEEP_ALIVE_INTERVAL_S, _SILENCE_TIMEOUT_S = 0.4, 1.5
-# How long a leader that ends waits for another to take over.
+# How long a leader that shuts down waits for another node to take over.
 _TRANSFER_TIMEOUT_S = 1.0
 
 
 def now_us() -> int:
-    """Microseconds of a clock that neither a stopped process nor a sleeping machine stops."""
+    """Returns the time of a clock that runs on while the process is stopped or the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 def storage_path(settings: Fleet, name: str) -> str:
+    """Returns the path of a node's file."""
     return str(Path(settings.folder) / f"{name}.db")
 
 
 def create_storage(settings: Fleet, name: str) -> str:
-    """Writes the file of a keeper of a new fleet; its path. UnusableError where there is one."""
+    """Creates the file of a node of a new fleet and returns its path.
+
+    Raises:
+        UnusableFileError: there is a file already.
+    """
     path = storage_path(settings, name)
     Path(settings.folder).mkdir(parents=True, exist_ok=True)
-    Storage.create(path, f"{name}/1", Members(tuple(sorted(f"{one.name}/1" for one in settings.keepers))))
+    Storage.create(
+        path, f"{name}/1", Members(tuple(sorted(f"{keeper.name}/1" for keeper in settings.keepers)))
+    )
     return path
 
 
 class NodeProcess:
-    """UnusableError where the file can't be used, OSError where keys or the address can't."""
+    """The process of one control-plane node.
+
+    Args:
+        settings: Of the fleet.
+        name: Of this node.
+        settings_path: The file that is read again after SIGHUP.
+
+    Raises:
+        UnusableFileError: the node's file can't be used.
+        UnusableError: the file is another node's.
+        OSError: the TLS keys can't be read.
+    """
 
     def __init__(self, settings: Fleet, name: str, settings_path: str = "") -> None:
-        """`file`: the operator's, read again after SIGHUP."""
         self._settings, self.name, self._settings_path = settings, name, settings_path
         self._event_log = EventLog(now_us, keeper=name)
         self.counters = Counters()
@@ -136,12 +154,12 @@
         self._event_log.log(kind, event, **more)
 
     def _update_engines(self, settings: Fleet) -> None:
-        self._move_coordinator.addresses = {one.id: one.address for one in settings.engines}
-        self._controller.request_handlers.zones = {one.id: one.zone for one in settings.engines}
+        self._move_coordinator.addresses = {engine.id: engine.address for engine in settings.engines}
+        self._controller.request_handlers.zones = {engine.id: engine.zone for engine in settings.engines}
 
-    def _on_disk_report(self, disk: Disk, at: int) -> None:
-        if self._positions.on_disk_report(disk, at):
-            self._schedule_round()  # who waits is told now, and not with the next round only
+    def _on_disk_report(self, disk: Disk, reported_at_us: int) -> None:
+        if self._positions.on_disk_report(disk, reported_at_us):
+            self._schedule_round()  # peers that wait get the positions now, not with the next due round
 
     def _persist(self, pending_write: PendingWrite) -> None:
         started_s = time.monotonic()
@@ -154,7 +172,7 @@
     # Rounds.
 
     def _schedule_round(self) -> None:
-        """A round for all that has come in this turn of the loop."""
+        """Schedules one round for all that comes in this iteration of the event loop."""
         if not self._is_round_scheduled:
             self._is_round_scheduled = True
             asyncio.get_running_loop().call_soon(self._run_round)
@@ -168,21 +186,21 @@
         try:
             next_round_us = self._controller.run_round(now_us())
         except (OSError, sqlite3.Error, UnusableFileError) as error:
-            # Danger: what could not be synced may be asked for again as if it had been. It steps out.
+            # The node acts as if its state were synced, so it must not go on.
             self._fail(f"its file can't be written, it steps out: {error!r}")
             return
         except Exception:
-            # Danger: after a fault of ours its state may be half changed; what is in the file is whole.
+            # After a bug the state in memory may be inconsistent; the file is not.
             self._fail(f"a fault, it steps out: {traceback.format_exc()}")
             return
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(max(0, next_round_us - now_us()) / 1e6, self._run_round)
 
-    def _fail(self, why: str) -> None:
-        self.failure = why
+    def _fail(self, reason: str) -> None:
+        self.failure = reason
         self._tasks.cancel_scope.cancel()
 
-    # Links that others make.
+    # Incoming links.
 
     def _check_greeting(self, greeting: Frame, names: set[str] | None) -> None:
         peer = peers.check_greeting(greeting, self._settings, names)
@@ -202,8 +220,8 @@
             "gateway": f"gateway:{peer.name}",
             "operator": f"operator:{self._operator_serial}",
         }[peer.role]
-        agrees = peer.nonce == peers.settings_digest(self._settings)
-        link.guest = IncomingLink(link, peer.role, peer.name, peer.incarnation, key, agrees)
+        has_same_settings = peer.nonce == peers.settings_digest(self._settings)
+        link.guest = IncomingLink(link, peer.role, peer.name, peer.incarnation, key, has_same_settings)
         self._controller.on_incoming_connected(link.guest)
 
     def _on_incoming_frame(self, link: Link, frame: Frame) -> None:
@@ -224,7 +242,7 @@
     def _on_incoming_closed(self, link: Link) -> None:
         self._controller.on_incoming_closed(link.guest)
 
-    # Links that we make.
+    # Outgoing links.
 
     async def _maintain_outgoing(self, name: str, address: tuple[str, int], tasks: TaskGroup) -> None:
         backoff = self._outgoing.new_backoff()
@@ -270,10 +288,10 @@
             )
             await anyio.sleep(backoff.next_pause_s(time.monotonic() - started_s))
 
-    # Its life.
+    # Running.
 
     async def run(self) -> int:
-        """Serves until SIGTERM or SIGINT; its exit code."""
+        """Serves until SIGTERM, SIGINT or a failure; returns the exit code."""
         listener = socket.create_server(self._address, backlog=1024)
         listener.setblocking(False)
         self._log_event(
@@ -295,9 +313,9 @@
                 self._on_incoming_closed,
                 tasks,
             )
-            for one in self._settings.keepers:
-                if one.name != self.name:
-                    tasks.start_soon(self._maintain_outgoing, one.name, one.address, tasks)
+            for keeper in self._settings.keepers:
+                if keeper.name != self.name:
+                    tasks.start_soon(self._maintain_outgoing, keeper.name, keeper.address, tasks)
             tasks.start_soon(self._move_coordinator.hands.run)
             self._schedule_round()
             with anyio.open_signal_receiver(
@@ -318,7 +336,7 @@
         return 1 if self.failure else 0
 
     def _reload(self) -> None:
-        """Keys of new links, and engines; the rest takes a restart."""
+        """Reloads the TLS keys for new links and the engines; other settings need a restart."""
         try:
             settings = operator.read(self._settings_path).fleet if self._settings_path else None
             if settings is None:
@@ -345,7 +363,7 @@
         with anyio.move_on_after(_TRANSFER_TIMEOUT_S):
             while node.role is Role.LEADER:
                 await anyio.sleep(0.01)
-        # What a leader says last is written before the links close.
+        # The leader's last messages are sent before the links close.
         await anyio.sleep(0.02)
 
     def _log_status(self) -> None:
@@ -353,14 +371,14 @@
             "status",
             "is",
             **self._controller.status(),
-            gateways=sum(guest.role == "gateway" for guest in self._controller.incoming_links.values()),
+            gateways=sum(incoming.role == "gateway" for incoming in self._controller.incoming_links.values()),
         )
         for line in self.counters.lines():
             print(f"{self.name} counter: {line}", file=sys.stderr, flush=True)
 
 
 def initial_fleet_state(settings: Fleet) -> FleetState:
-    """What all keepers check changes by, so that one log makes one state of all of them."""
+    """Returns what all nodes validate changes by, so that the same log gives them the same state."""
     return FleetState(max_gateways=settings.most, max_barred_fraction=settings.barred)
 
 
@@ -373,10 +391,13 @@
 
 
 def dump(settings: Fleet, name: str) -> dict:
-    """The latest documents in a keeper's file, for when a majority is lost for good. UnusableError.
+    """Returns the latest documents in a node's file, for when a majority is lost for good.
+
+    Entries after the last commit may never have been committed, and entries that other nodes committed may be
+    missing.
 
-    Danger: what stands behind the last commit may never have been committed, and what other keepers had
-    committed may be missing.
+    Raises:
+        UnusableFileError: the file can't be used.
     """
     storage = Storage(storage_path(settings, name))
     try:
@@ -400,9 +421,15 @@
 
 
 def run(settings: Fleet, name: str, settings_path: str = "") -> int:
-    """One keeper in the foreground; its exit code. UnusableError, OSError."""
+    """Runs a node in the foreground and returns the exit code.
+
+    Raises:
+        UnusableFileError: the node's file can't be used.
+        UnusableError: the file is another node's.
+        OSError: the TLS keys can't be read, or the address can't be listened on.
+    """
     process = NodeProcess(settings, name, settings_path)
-    # Danger: each gateway takes a descriptor, and the usual 1,024 are fewer than the gateways there may be.
+    # Each gateway takes a descriptor; the usual limit of 1,024 is less than the possible number of gateways.
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
     return anyio.run(process.run, backend_options={"use_uvloop": True})
--- a/cresstray/control_plane/node_controller.py
+++ b/cresstray/control_plane/node_controller.py
@@ -1,6 +1,7 @@
-"""A keeper without its sockets, clock and file: the log, the rules, the leases, and who is connected.
+"""A control-plane node without I/O: the log, the fleet configuration, the leases and the connected peers.
 
-Its caller gives `received` each frame, then calls `round` once for all that came, and again when it says.
+The caller passes each frame to `on_incoming_frame` or `on_positions`, then calls `run_round` once for all
+that came, and again at the time that it returns.
 """
 
 from __future__ import annotations
@@ -26,53 +27,81 @@
 from cresstray.observability.counters import Counters
 from cresstray.transport.framing import Frame, FramingError, encode_frame
 
-# The log is cut once so much of it has been applied since: a restart reads it in well under a second.
+# A snapshot is made after this much was applied: a restart reads the rest in well under a second.
 _SNAPSHOT_AFTER_ENTRIES, _SNAPSHOT_AFTER_BYTES = 4096, 4 * 1024 * 1024
-# Whole documents, in bytes a second over all gateways, and the most at once. 230 gateways that return with
-# nothing get 20 kB each in some three seconds; what differs from a version that they know is never held up.
+# Rate and burst of full configuration copies, over all gateways. 230 gateways that reconnect without any
+# version get 20 kB each in about three seconds. Updates of a version that a gateway has are never delayed.
 _FULL_COPY_BYTES_PER_S, _FULL_COPY_BURST_BYTES = 1_500_000, 256 * 1024
-# What was seen of copies: a word so often to other keepers; who asks is answered at once, not more often than
-# this.
+# Replica positions are sent to other nodes at the first interval. A peer's message is answered at once, but
+# at most once in the second interval.
 _POSITIONS_INTERVAL_US, _MIN_POSITIONS_REPLY_INTERVAL_US = 250_000, 20_000
-# Danger: what a gateway doesn't read would be kept; one that has so much unread gets nothing more.
+# A peer that has this much unread gets nothing more, as all of it is kept in memory.
 _MAX_UNREAD_BYTES = 1024 * 1024
 
 
 class PeerLink(Protocol):
-    """The other side of one link."""
+    """A link to a peer, as far as the controller uses it."""
+
+    def put(self, frame: Frame) -> None:
+        """Sends a frame."""
+
+    def write(self, message: bytes) -> None:
+        """Sends an encoded frame."""
+
+    def end(self, why: str) -> None:
+        """Ends the link; `why` is logged."""
 
-    def put(self, frame: Frame) -> None: ...
-    def write(self, message: bytes) -> None: ...
-    def end(self, why: str) -> None: ...
     @property
-    def unwritten(self) -> int: ...
+    def unwritten(self) -> int:
+        """Bytes that the peer has not read yet."""
 
 
 @dataclass(eq=False)
 class IncomingLink:
-    """Who made a link to this keeper, and what it has been given."""
+    """A link that a peer made to this node, and what the peer has been sent."""
 
     link: PeerLink
     role: str
     name: str
     incarnation: str
-    key: str  # by which the leader's answers find it
-    has_same_settings: bool = True  # its file has the same times and bounds
-    last_renewal: int = -1  # the last renewal's number
-    turn: int | None = None  # the turn whose content it has; None before it has told
-    exchange: PositionExchange | None = None  # once it has told of positions
-    positions_sent_at_us: int = 0  # when it was last answered
+    key: str  # finds the link for a reply of the leader
+    has_same_settings: bool = True  # the peer's settings have the same times and bounds
+    last_renewal: int = -1  # number of the last lease renewal
+    turn: int | None = None  # turn of the configuration that the peer has; None before it has said so
+    exchange: PositionExchange | None = None  # once the peer has sent replica positions
+    positions_sent_at_us: int = 0
     assemblers: dict[str, PartAssembler] = field(default_factory=dict)
 
 
 class PositionExchange(Protocol):
-    """What is said of positions on one link: made with it, gone with it. `hears`: BrokenError."""
+    """The exchange of replica positions on one link; made and dropped with the link."""
+
+    def says(self, now_us: int) -> bytes:
+        """Returns the body of the next message to the peer."""
+
+    def hears(self, body: bytes, now_us: int) -> None:
+        """Handles the body of a message of the peer.
 
-    def says(self, now_us: int) -> bytes: ...
-    def hears(self, body: bytes, now_us: int) -> None: ...
+        Raises:
+            FramingError: it does not follow the protocol.
+        """
 
 
 class NodeController:
+    """Joins the Raft node, the configuration state, the leases and the links of one control-plane node.
+
+    Attributes:
+        node_links: Links that this node made, by the other node's name in the log.
+        incoming_links: Links that peers made, by their key.
+        node_exchanges: Exchanges of positions on links that this node made.
+        seen_incarnations: The latest incarnation that has connected, by node.
+        applied_index: Index of the last applied entry.
+        pending_proposals: By index, the proposed term and the callback for the outcome.
+        now_us: Time of the current call.
+        turn_hooks: Called by other packages' request when the turn has changed.
+        round_hooks: Called in each round; each returns when it wants the next one, or None.
+    """
+
     def __init__(
         self,
         settings: Fleet,
@@ -92,142 +121,146 @@
             counters,
             new_exchange,
         )
-        self.node_links: dict[str, PeerLink] = {}  # links that we made, by the far keeper's name in the log
-        self.incoming_links: dict[str, IncomingLink] = {}  # links that others made
-        self.node_exchanges: dict[
-            str, tuple[PeerLink, PositionExchange]
-        ] = {}  # about positions, on links that we made
-        self.seen_incarnations: dict[str, str] = {}  # the last generation that greeted, by keeper
+        self.node_links: dict[str, PeerLink] = {}
+        self.incoming_links: dict[str, IncomingLink] = {}
+        self.node_exchanges: dict[str, tuple[PeerLink, PositionExchange]] = {}
+        self.seen_incarnations: dict[str, str] = {}
         self.applied_index = 0
-        self._entries_since_snapshot = self._bytes_since_snapshot = 0  # applied since the last snapshot
-        self.pending_proposals: dict[
-            int, tuple[int, Callable[[bytes | None], None]]
-        ] = {}  # by index: term, who waits
+        self._entries_since_snapshot = self._bytes_since_snapshot = 0
+        self.pending_proposals: dict[int, tuple[int, Callable[[bytes | None], None]]] = {}
         self._pending_reads: list[
             tuple[int, Callable[[bool], None]]
-        ] = []  # to be answered once this is applied
+        ] = []  # index to have applied, and callback
         self._pending_renewals: list[tuple[Callable[[Frame], None], str, config_codec.RenewLease]] = []
-        self.now_us = now_us  # of this call
-        self._ready_term = 0  # the term that we lead, once all before it is applied
+        self.now_us = now_us
+        self._ready_term = 0  # the term that this node leads, once it has applied all earlier ones
         self._departure_terms: dict[
             str, int
-        ] = {}  # ghosts that are out, and the term in which that was proposed
-        self._proposed_turn = (0, 0)  # term and turn that have been proposed
-        # By the turn that a gateway has: the turn that it is led on from, and the encoded frames.
+        ] = {}  # by departed gateway: the term in which its departure was proposed
+        self._proposed_turn = (0, 0)  # term and turn
+        # By the turn that a gateway has: the turn that the updates start from, and the encoded frames.
         self._updates_by_turn: dict[int, tuple[int, list[bytes]]] = {}
         self._pushed_turn = -1
-        self._full_copy_queue: deque[IncomingLink] = deque()  # that wait for their turn to get all of it
+        self._full_copy_queue: deque[IncomingLink] = deque()  # gateways that wait for a full copy
         self._full_copy_budget_bytes, self._budget_updated_us = float(_FULL_COPY_BURST_BYTES), now_us
         self._next_positions_us = now_us + _POSITIONS_INTERVAL_US
         self._logged_state: tuple[object, ...] = ()
         self.request_handlers = RequestHandlers(self)
-        self.turn_hooks: list[Callable[[int], None]] = []  # of other packages: the turn has changed
-        self.round_hooks: list[Callable[[int], int | None]] = []  # of other packages: each tells its due
+        self.turn_hooks: list[Callable[[int], None]] = []
+        self.round_hooks: list[Callable[[int], int | None]] = []
 
-    # Who is there.
+    # Links.
 
     def on_outgoing_connected(self, name: str, link: PeerLink) -> None:
-        """A link that we made to the keeper of this name in the log."""
+        """Adds a link that this node made to the node of this name in the log."""
         self.node_links[name] = link
-        # One of both talks for the two, or each would be told all twice.
+        # Two nodes have two links. Only one carries positions, or both nodes would get each twice.
         if self._new_exchange is not None and self.node.name < name:
             self.node_exchanges[name] = link, self._new_exchange()
 
     def on_outgoing_closed(self, name: str, link: PeerLink) -> None:
+        """Removes a link that this node made."""
         if self.node_links.get(name) is link:
             del self.node_links[name]
             self.node_exchanges.pop(name, None)
 
     def on_positions(self, name: str, frame: ReplicaPositions, now_us: int) -> None:
-        """On a link that we made."""
+        """Handles positions that came on a link that this node made."""
         if name in self.node_exchanges:
             self.node_exchanges[name][1].hears(frame.body, now_us)
 
-    def on_incoming_connected(self, guest: IncomingLink) -> None:
-        previous = self.incoming_links.get(guest.key)
+    def on_incoming_connected(self, peer: IncomingLink) -> None:
+        """Adds a link that a peer made, in place of an earlier link of that peer."""
+        previous = self.incoming_links.get(peer.key)
         if previous is not None:
-            # Danger: what an earlier connection still holds unread must not be taken behind this one's.
+            # Unread frames of the earlier connection must not be handled after those of the new one.
             previous.link.end("a newer link has taken its place")
-        self.incoming_links[guest.key] = guest
-        if guest.role == "keeper":
+        self.incoming_links[peer.key] = peer
+        if peer.role == "keeper":
             if (
-                self.seen_incarnations.get(guest.name) != guest.incarnation
-                and f"{guest.name}/{guest.incarnation}" not in self._member_names()
+                self.seen_incarnations.get(peer.name) != peer.incarnation
+                and f"{peer.name}/{peer.incarnation}" not in self._member_names()
             ):
                 self.log_event(
                     "keeper",
-                    f"a stranger has come; to admit it: cresstray rules members FILE --replace {guest.name}",
-                    name=f"{guest.name}/{guest.incarnation}",
+                    f"a stranger has come; to admit it: cresstray rules members FILE --replace {peer.name}",
+                    name=f"{peer.name}/{peer.incarnation}",
                 )
-            self.seen_incarnations[guest.name] = guest.incarnation
+            self.seen_incarnations[peer.name] = peer.incarnation
 
-    def on_incoming_closed(self, guest: IncomingLink) -> None:
-        if self.incoming_links.get(guest.key) is guest:
-            del self.incoming_links[guest.key]
+    def on_incoming_closed(self, peer: IncomingLink) -> None:
+        """Removes a link that a peer made."""
+        if self.incoming_links.get(peer.key) is peer:
+            del self.incoming_links[peer.key]
 
     def _member_names(self) -> tuple[str, ...]:
         return self.node.members.voters + self.node.members.learners
 
-    # What comes.
+    # Frames.
+
+    def on_incoming_frame(self, peer: IncomingLink, frame: Frame, now_us: int) -> None:
+        """Handles a frame on a link that a peer made.
 
-    def on_incoming_frame(self, guest: IncomingLink, frame: Frame, now_us: int) -> None:
-        """BrokenError for what that side may not send, or not now."""
+        Raises:
+            FramingError: the peer may not send it, or not now.
+        """
         self.now_us = now_us
-        if self.incoming_links.get(guest.key) is not guest:
+        if self.incoming_links.get(peer.key) is not peer:
             raise FramingError("a newer link has taken its place")
-        if not isinstance(frame, codec.ACCEPTED_BY_ROLE[guest.role]):
-            raise FramingError(f"a {type(frame).__name__} from the role {guest.role}")
+        if not isinstance(frame, codec.ACCEPTED_BY_ROLE[peer.role]):
+            raise FramingError(f"a {type(frame).__name__} from the role {peer.role}")
         if isinstance(frame, config_codec.RenewLease):
-            self._on_renewal(guest, frame)
+            self._on_renewal(peer, frame)
         elif isinstance(frame, config_codec.GetConfig):
-            guest.turn = frame.turn
-            self._push_config_to(guest)
+            peer.turn = frame.turn
+            self._push_config_to(peer)
         elif isinstance(frame, ReplicaPositions):
-            if guest.exchange is None and self._new_exchange is not None:
-                guest.exchange = self._new_exchange()
-            if guest.exchange is not None:
-                guest.exchange.hears(frame.body, now_us)
-                # At once: an age counts from the word that is answered. Danger: one that talks without end.
+            if peer.exchange is None and self._new_exchange is not None:
+                peer.exchange = self._new_exchange()
+            if peer.exchange is not None:
+                peer.exchange.hears(frame.body, now_us)
+                # The reply is sent at once, as the peer counts the age of positions from the message that the
+                # reply names. The rate is limited against a peer that sends without end.
                 if (
-                    now_us - guest.positions_sent_at_us >= _MIN_POSITIONS_REPLY_INTERVAL_US
-                    and guest.link.unwritten < _MAX_UNREAD_BYTES
+                    now_us - peer.positions_sent_at_us >= _MIN_POSITIONS_REPLY_INTERVAL_US
+                    and peer.link.unwritten < _MAX_UNREAD_BYTES
                 ):
-                    guest.positions_sent_at_us = now_us
-                    guest.link.put(ReplicaPositions(guest.exchange.says(now_us)))
+                    peer.positions_sent_at_us = now_us
+                    peer.link.put(ReplicaPositions(peer.exchange.says(now_us)))
         elif isinstance(frame, KeepAlive):
-            guest.link.put(frame)
+            peer.link.put(frame)
         elif isinstance(frame, config_codec.ForwardedFrame):
-            self._on_forwarded(guest, frame, now_us)
+            self._on_forwarded(peer, frame, now_us)
         elif isinstance(frame, config_codec.OperatorRequest):
-            self._on_operator_request(guest, frame, now_us)
+            self._on_operator_request(peer, frame, now_us)
         else:
-            self.node.step(f"{guest.name}/{guest.incarnation}", frame, now_us)
+            self.node.step(f"{peer.name}/{peer.incarnation}", frame, now_us)
 
-    def _on_renewal(self, guest: IncomingLink, frame: config_codec.RenewLease) -> None:
-        # Danger: with a longer lease of its own it would act when the leader takes it for stopped.
-        if not guest.has_same_settings:
+    def _on_renewal(self, peer: IncomingLink, frame: config_codec.RenewLease) -> None:
+        # A gateway with a longer lease would still act when the leader takes its lease for expired.
+        if not peer.has_same_settings:
             raise FramingError("a renewal, with another lease, floor-lease, drift, most or barred than here")
-        # Danger: a renewal that is played again would have a lease counted from long ago.
-        if frame.number <= guest.last_renewal:
-            raise FramingError(f"renewal {frame.number} after {guest.last_renewal}")
-        guest.last_renewal, frame.incarnation = frame.number, guest.incarnation
+        # A replayed renewal would have the lease count from the time of the first one.
+        if frame.number <= peer.last_renewal:
+            raise FramingError(f"renewal {frame.number} after {peer.last_renewal}")
+        peer.last_renewal, frame.incarnation = frame.number, peer.incarnation
         self.counters.add("renewals")
-        if guest.turn is None:
-            guest.turn = frame.turn
-            self._push_config_to(guest)
+        if peer.turn is None:
+            peer.turn = frame.turn
+            self._push_config_to(peer)
         if self.node.role is Role.LEADER:
-            self._pending_renewals.append((guest.link.put, guest.name, frame))
-        elif not self._forward(guest, frame):
-            guest.link.put(config_codec.LeaseRefused(frame.number, self.state.turn, "no leader"))
+            self._pending_renewals.append((peer.link.put, peer.name, frame))
+        elif not self._forward(peer, frame):
+            peer.link.put(config_codec.LeaseRefused(frame.number, self.state.turn, "no leader"))
 
-    def _forward(self, guest: IncomingLink, frame: Frame) -> bool:
+    def _forward(self, peer: IncomingLink, frame: Frame) -> bool:
         leader = self.node_links.get(self.node.leader or "")
         if leader is None:
             return False
-        leader.put(config_codec.ForwardedFrame(guest.key, False, encode_frame(frame)))
+        leader.put(config_codec.ForwardedFrame(peer.key, False, encode_frame(frame)))
         return True
 
-    def _on_forwarded(self, guest: IncomingLink, frame: config_codec.ForwardedFrame, now_us: int) -> None:
+    def _on_forwarded(self, peer: IncomingLink, frame: config_codec.ForwardedFrame, now_us: int) -> None:
         if frame.is_reply:
             origin = self.incoming_links.get(frame.origin)
             codec.decode_forwarded(frame.body, codec.FORWARDED_REPLIES)
@@ -237,40 +270,40 @@
         inner = codec.decode_forwarded(frame.body, codec.FORWARDED_REQUESTS)
 
         def reply(answer: Frame) -> None:
-            link = self.node_links.get(f"{guest.name}/{guest.incarnation}")
+            link = self.node_links.get(f"{peer.name}/{peer.incarnation}")
             if link is not None:
                 link.put(config_codec.ForwardedFrame(frame.origin, True, encode_frame(answer)))
 
         role, _, name = frame.origin.partition(":")
         if isinstance(inner, config_codec.RenewLease):
             if role != "gateway":
-                raise FramingError(f"a renewal carried for {frame.origin!r}")
+                raise FramingError(f"a renewal forwarded for {frame.origin!r}")
             if self.node.role is Role.LEADER:
                 self._pending_renewals.append((reply, name, inner))
             else:
                 reply(config_codec.LeaseRefused(inner.number, self.state.turn, "no leader"))
             return
-        # Danger: whoever carries parts of questions without an end would have them all kept.
-        if len(guest.assemblers) > 64:
-            guest.assemblers.clear()
-        body = guest.assemblers.setdefault(frame.origin, PartAssembler()).add(inner)
+        # Bounds the unfinished commands that a node forwards.
+        if len(peer.assemblers) > 64:
+            peer.assemblers.clear()
+        body = peer.assemblers.setdefault(frame.origin, PartAssembler()).add(inner)
         if body is not None:
-            del guest.assemblers[frame.origin]
+            del peer.assemblers[frame.origin]
             self._handle_command(codec.decode_command(body), inner.number, reply, now_us)
 
     def _on_operator_request(
-        self, guest: IncomingLink, frame: config_codec.OperatorRequest, now_us: int
+        self, peer: IncomingLink, frame: config_codec.OperatorRequest, now_us: int
     ) -> None:
-        body = guest.assemblers.setdefault("", PartAssembler()).add(frame)
+        body = peer.assemblers.setdefault("", PartAssembler()).add(frame)
         if body is None:
             return
         command = codec.decode_command(body)
         if self.node.role is Role.LEADER:
-            self._handle_command(command, frame.number, guest.link.put, now_us)
+            self._handle_command(command, frame.number, peer.link.put, now_us)
             return
         for part in codec.encode_command(frame.number, command):
-            if not self._forward(guest, part):
-                self._send_reply(guest.link.put, frame.number, {"error": "there is no leader", "again": True})
+            if not self._forward(peer, part):
+                self._send_reply(peer.link.put, frame.number, {"error": "there is no leader", "again": True})
                 return
 
     def _handle_command(
@@ -284,14 +317,20 @@
         for part in codec.encode_reply(number, answer):
             send(part)
 
-    # What operators and other packages have put into the log.
+    # Proposals and reads.
 
     def is_ready_leader(self, now_us: int) -> bool:
-        """Whether it leads, with all before its own term applied: what is decided rests on all there is."""
+        """Returns whether this node has the leader's lease and has applied all entries of earlier terms."""
         return self._ready_term == self.node.term and self.node.has_leader_lease(now_us)
 
     def propose(self, data: bytes, callback: Callable[[bytes | None], None], now_us: int) -> bool:
-        """`then` hears the outcome once it is applied, None where it can't be told; False: not the leader."""
+        """Proposes an entry; returns False if this node is not the leader.
+
+        Args:
+            data: The encoded command.
+            callback: Called with the outcome once the entry is applied, or with None if it is unknown.
+            now_us: The current time.
+        """
         proposed = self.node.propose(data, now_us)
         if proposed is None:
             return False
@@ -300,21 +339,27 @@
         return True
 
     def read(self, callback: Callable[[bool], None], now_us: int) -> None:
-        """`then` hears True once all that was committed before this is applied; False: not the leader."""
+        """Requests a linearizable read.
+
+        Args:
+            callback: Called with True once all that was committed before the request is applied, or with
+                False if this node is not the leader.
+            now_us: The current time.
+        """
         if not self.node.request_read(callback, now_us):
             callback(False)
 
-    # One round.
+    # Rounds.
 
     def run_round(self, now_us: int) -> int:
-        """All that is to be done now, synced before it is told; the moment to call again, at the latest."""
+        """Does all work that is due, syncing before sending; returns when to call again at the latest."""
         self.now_us = now_us
         if now_us >= self.node.next_tick_us:
             self.node.tick(now_us)
         self._process_ready(now_us)
         self._advance_turn(now_us)
         self._answer_renewals(now_us)
-        # What has just been confirmed may be the last that a turn waited for.
+        # A renewal just answered may be the last one that the next turn waited for.
         self._advance_turn(now_us)
         self._process_ready(now_us)
         self._push_config(now_us)
@@ -355,7 +400,7 @@
                     callback(True)
 
     def _restore(self, snapshot: Snapshot) -> None:
-        if snapshot.data:  # the founders' has none
+        if snapshot.data:  # the first snapshot of a node has none
             self.state.restore(snapshot.data)
         self.applied_index, self._entries_since_snapshot, self._bytes_since_snapshot = snapshot.index, 0, 0
         for index in [index for index in self.pending_proposals if index <= snapshot.index]:
@@ -380,17 +425,18 @@
             self._entries_since_snapshot = self._bytes_since_snapshot = 0
 
     def _advance_turn(self, now_us: int) -> None:
-        """Makes the next turn as soon as no lease is in its way."""
+        """Proposes the next turn as soon as no gateway's lease prevents it."""
         node = self.node
         if node.role is not Role.LEADER:
             self._ready_term = 0
             for index in list(self.pending_proposals):
-                # Danger: it may be committed yet, by the next leader; whoever waits asks again by its name.
+                # The next leader may still commit it, so the outcome is unknown; callers retry with the same
+                # request ID.
                 self.pending_proposals.pop(index)[1](None)
             return
         if self._ready_term != node.term:
-            # Danger: before something of our own term is applied, turns that an earlier leader made may be
-            # missing here, and a lease for what we have would be for what is no longer in force.
+            # Until an entry of this term is applied, turns that an earlier leader made may be missing here,
+            # and a lease would be granted for a configuration that is no longer in force.
             if not node.has_leader_lease(now_us) or self.applied_index < node.commit_index:
                 return
             self._ready_term = node.term
@@ -429,38 +475,38 @@
                 self._departure_terms[name] = self.node.term
                 self.propose(commands.encode_departed(name), lambda _: None, now_us)
 
-    # What gateways are given.
+    # Configuration and positions for peers.
 
     def _push_config(self, now_us: int) -> None:
         if self.state.turn != self._pushed_turn:
             self._pushed_turn = self.state.turn
             self._updates_by_turn.clear()
-            for turn_hooks in self.turn_hooks:
-                turn_hooks(now_us)
-            for guest in self.incoming_links.values():
-                self._push_config_to(guest)
+            for hook in self.turn_hooks:
+                hook(now_us)
+            for peer in self.incoming_links.values():
+                self._push_config_to(peer)
         self._full_copy_budget_bytes = min(
             _FULL_COPY_BURST_BYTES,
             self._full_copy_budget_bytes + (now_us - self._budget_updated_us) * _FULL_COPY_BYTES_PER_S / 1e6,
         )
         self._budget_updated_us = now_us
         while self._full_copy_queue and self._full_copy_budget_bytes > 0:
-            guest = self._full_copy_queue.popleft()
-            if self.incoming_links.get(guest.key) is guest and (guest.turn or 0) < self.state.turn:
-                self._full_copy_budget_bytes -= self._send_updates(guest)
+            peer = self._full_copy_queue.popleft()
+            if self.incoming_links.get(peer.key) is peer and (peer.turn or 0) < self.state.turn:
+                self._full_copy_budget_bytes -= self._send_updates(peer)
                 self.counters.add("whole copies given")
 
-    def _push_config_to(self, guest: IncomingLink) -> None:
-        """What differs at once; all of it when its turn comes."""
-        if guest.role != "gateway" or guest.turn is None or guest.turn >= self.state.turn:
+    def _push_config_to(self, peer: IncomingLink) -> None:
+        """Sends the updates that a gateway lacks, or queues it for a full copy."""
+        if peer.role != "gateway" or peer.turn is None or peer.turn >= self.state.turn:
             return
-        if guest.link.unwritten > _MAX_UNREAD_BYTES:
+        if peer.link.unwritten > _MAX_UNREAD_BYTES:
             return
-        if not self._updates_from(guest.turn)[0]:
-            if guest not in self._full_copy_queue:
-                self._full_copy_queue.append(guest)
+        if not self._updates_from(peer.turn)[0]:
+            if peer not in self._full_copy_queue:
+                self._full_copy_queue.append(peer)
         else:
-            self._send_updates(guest)
+            self._send_updates(peer)
             self.counters.add("changes given")
 
     def _updates_from(self, turn: int) -> tuple[int, list[bytes]]:
@@ -473,11 +519,11 @@
             )
         return self._updates_by_turn[turn]
 
-    def _send_updates(self, guest: IncomingLink) -> int:
-        _, frames = self._updates_from(guest.turn)
-        guest.turn = self.state.turn
+    def _send_updates(self, peer: IncomingLink) -> int:
+        _, frames = self._updates_from(peer.turn)
+        peer.turn = self.state.turn
         for part in frames:
-            guest.link.write(part)
+            peer.link.write(part)
         return sum(map(len, frames))
 
     def _send_positions(self, now_us: int) -> None:
@@ -504,6 +550,7 @@
             self._logged_state = current
 
     def status(self) -> Mapping[str, Any]:
+        """Returns the fields of the status log line."""
         node = self.node
         return {
             "name": node.name,
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -1,4 +1,4 @@
-"""What rests on the rules and lives in a keeper: positions of copies that gateways tell, moves of shards."""
+"""Replica positions and shard moves, as far as a control-plane node takes part in them."""
 
 from __future__ import annotations
 
@@ -17,65 +17,68 @@
 from cresstray.replicas.positions import Board
 from cresstray.replicas.spread import MOST_WANTED, Exchange, Peer, Talk, encoded
 
-# Shards in one word to another keeper: 5,000 take some twenty seconds, those that change go first.
+# Shards in one message to another node. 5,000 shards take about twenty seconds; those that change go first.
 _MAX_SHARDS = 64
-# Danger: what a peer doesn't read would be kept; one that has so much unread is told nothing at once.
+# A peer that has this much unread gets no urgent messages, as all of it is kept in memory.
 _MAX_UNREAD_BYTES = 256 * 1024
-# All that is new is told to another keeper not more often than this: a little less than words are apart.
+# All new positions are sent to another node at most this often: slightly less than the interval of messages.
 _MIN_FULL_INTERVAL_US = 200_000
-# A move's next step is looked for so often: a tenth of a second is little beside a copy, or a turn.
+# How often the next steps of moves are looked for: short compared with a copy or a turn.
 _MOVE_CHECK_INTERVAL_US = 100_000
 
 
-class _Talk(Talk):
-    """What a peer says is looked at for what it wants."""
+class _NodeTalk(Talk):
+    """An exchange of positions that passes on what the peer wants."""
 
     def __init__(self, positions: PositionDistributor, board: Board) -> None:
         super().__init__(board, _MAX_SHARDS)
         self._positions, self._full_sent_at_us = positions, -_MIN_FULL_INTERVAL_US
 
     def says(self, now_us: int) -> bytes:
+        """Returns the body of the next message to the peer."""
         max_shards = _MAX_SHARDS
         if self.peer.wants_all:
-            # Danger: each word of a keeper that only asks would be answered with all that is new.
+            # Otherwise each message of a node that only asks would be answered with all new positions.
             max_shards = 0 if now_us - self._full_sent_at_us < _MIN_FULL_INTERVAL_US else _MAX_SHARDS
             self._full_sent_at_us = now_us if max_shards else self._full_sent_at_us
         return encoded(self.peer.says(max_shards, None, now_us))
 
     def hears(self, body: bytes, now_us: int) -> None:
+        """Handles the body of a message of the peer."""
         super().hears(body, now_us)
         self._positions.wanted(self.peer, now_us)
 
 
 class PositionDistributor:
-    """Merged out of what all gateways tell and engines are asked for, and told to those that want them.
+    """Merges the replica positions that gateways send and engines report, and sends them on to peers.
 
-    Only the leader asks engines: it is the one bound on questions, and without one there is no lease to read
-    copies by. Others pass on to it what is wanted, and its answers to who waits.
+    Only the leader polls engines, so that one node bounds the polling; without a leader there is no lease to
+    read replicas by anyway. Other nodes forward requests to it, and its replies to those that wait.
     """
 
-    def __init__(self, drift: float, say: Callable[..., None], counters: Counters) -> None:
-        self._board = Board(lambda text: say("replicas", text), drift, passes_on=True)
+    def __init__(self, drift: float, log_event: Callable[..., None], counters: Counters) -> None:
+        self._board = Board(lambda text: log_event("replicas", text), drift, passes_on=True)
         self._exchange, self._counters = Exchange(self._board), counters
         self._controller: NodeController
         self._poll_engines: Callable[[list[str]], None]
 
     def new_exchange(self) -> Talk:
-        return _Talk(self, self._board)
+        """Returns the exchange for a new link."""
+        return _NodeTalk(self, self._board)
 
     def wanted(self, peer: Peer, now_us: int) -> None:
-        """After each word that a peer says."""
+        """Handles the requests in a peer's message."""
         self._exchange.wanted(peer, self._controller.is_ready_leader(now_us), now_us)
 
     def on_disk_report(self, disk: Disk, now_us: int) -> bool:
-        """What an engine has told this keeper, as it leads, of all its copies; whether any peer waits."""
-        for name, copy in disk.copies.items():
-            head = copy.head if copy.primary else None
-            self._board.heard(name, disk.engine, copy.epoch, copy.applied, head, disk.at, now_us)
+        """Records an engine's report of all its replicas; returns whether any peer waits for positions."""
+        for shard, replica in disk.copies.items():
+            head = replica.head if replica.primary else None
+            self._board.heard(shard, disk.engine, replica.epoch, replica.applied, head, disk.at, now_us)
         return self._exchange.heard(disk.engine, disk.at)
 
     def attach(self, controller: NodeController, poll_engines: Callable[[list[str]], None]) -> None:
-        """`ask`: engines' positions, at once."""
+        """Connects to the controller; `poll_engines` polls the named engines at once."""
         self._controller, self._poll_engines = controller, poll_engines
         controller.turn_hooks.append(
             lambda now_us: self._board.place(controller.state.effective.placement.items, now_us)
@@ -90,7 +93,7 @@
                 self._counters.add("positions asked for", len(engines))
                 self._poll_engines(engines)
         elif needs := exchange.asking.carried(MOST_WANTED, now_us):
-            # Danger: kept while there is no leader, the next one would be asked for what is long over.
+            # Requests aren't kept while there is no leader, as the next one would be asked for outdated ones.
             for peer, link in self._peer_links(controller.node.leader):
                 self._counters.add("positions asked of the leader", len(needs))
                 link.put(ReplicaPositions(encoded(peer.asks(needs, now_us))))
@@ -103,36 +106,44 @@
         return exchange.again()
 
     def _peer_links(self, keeper: str | None = "") -> list[tuple[Peer, PeerLink]]:
-        """Peers and their links; of one keeper only."""
+        """Returns peers and their links: all, or those to one node."""
         controller = self._controller
-        found = [
+        outgoing = [
             (exchange.peer, link)
             for name, (link, exchange) in controller.node_exchanges.items()
             if keeper in ("", name)
         ]
-        return found + [
-            (guest.exchange.peer, guest.link)
-            for key, guest in controller.incoming_links.items()
-            if guest.exchange is not None
-            and guest.link.unwritten < _MAX_UNREAD_BYTES
+        return outgoing + [
+            (incoming.exchange.peer, incoming.link)
+            for key, incoming in controller.incoming_links.items()
+            if incoming.exchange is not None
+            and incoming.link.unwritten < _MAX_UNREAD_BYTES
             and keeper in ("", key.removeprefix("keeper:"))
         ]
 
 
 class MoveCoordinator:
-    """A carrier for each term that this keeper leads, and the hands that it has."""
+    """Runs a move executor while this node leads.
+
+    Attributes:
+        addresses: Of engines, by ID.
+        hands: Connections to the engines.
+    """
 
     def __init__(
-        self, moves: Moves, clock: Callable[[], int], counters: Counters, say: Callable[..., None]
+        self, moves: Moves, clock: Callable[[], int], counters: Counters, log_event: Callable[..., None]
     ) -> None:
         self._moves, self._clock = moves, clock
         self.addresses: dict[str, tuple[str, int]] = {}
-        self.hands = Hands(lambda: self.addresses, self._propose, self._is_ready_leader, clock, counters, say)
+        self.hands = Hands(
+            lambda: self.addresses, self._propose, self._is_ready_leader, clock, counters, log_event
+        )
         self._carrier: Carrier | None = None
         self._term = self._next_run_us = 0
         self._controller: NodeController
 
     def attach(self, controller: NodeController) -> None:
+        """Connects to the controller, and registers the queries for moves and disks."""
         self._controller = controller
         controller.round_hooks.append(self._on_round)
         controller.request_handlers.register_status(
@@ -170,12 +181,12 @@
                 if self.addresses and controller.node.role is Role.LEADER
                 else None
             )
-        # Danger: what one carrier has seen in an earlier term is of moves as they were then.
+        # An executor of an earlier term has an outdated view of the moves.
         if self._carrier is None or self._term != controller.node.term:
             self._carrier, self._term = Carrier(), controller.node.term
         if now_us >= self._next_run_us:
             self._next_run_us = now_us + _MOVE_CHECK_INTERVAL_US
-            # Danger: a fault in moves must not end the rules that all rest on. It begins anew in a while.
+            # A bug in moves must not end the node. A new executor starts after a while.
             try:
                 self.hands.do(self._carrier.next(controller.state, self._moves, self.hands.told, now_us))
             except Exception:
--- a/cresstray/control_plane/request_handlers.py
+++ b/cresstray/control_plane/request_handlers.py
@@ -1,4 +1,4 @@
-"""What the leader answers operators: reads of what is applied after the question came, and changes."""
+"""Handlers of operators' queries and commands, run by the leader."""
 
 from __future__ import annotations
 
@@ -23,6 +23,12 @@
 
 
 class RequestHandlers:
+    """Handles operators' commands by their kind.
+
+    Attributes:
+        zones: The zone of each engine in the settings.
+    """
+
     def __init__(self, controller: NodeController) -> None:
         self._controller = controller
         self._handlers: dict[str, Callable[[OperatorCommand, Reply], None]] = {
@@ -36,18 +42,21 @@
             "forget": self._forget,
             "section": self._section,
         }
-        self.zones: dict[str, str] = {}  # of each engine that the file names
+        self.zones: dict[str, str] = {}
 
-    def register_status(self, what: str, status: Callable[[], dict[str, Any]]) -> None:
-        """A question about another package, answered as of now."""
-        self._handlers[what] = lambda command, reply: reply(self._version_status() | status())
+    def register_status(self, kind: str, status: Callable[[], dict[str, Any]]) -> None:
+        """Adds a query of the given kind, answered with another package's current status."""
+        self._handlers[kind] = lambda command, reply: reply(self._version_status() | status())
 
     def handle(self, command: OperatorCommand, reply: Reply, now_us: int) -> None:
-        """Every answer rests on a read: what was committed before the question is applied here."""
+        """Handles a command.
+
+        Queries are linearizable: all that was committed before the command is applied first.
+        """
         handler = self._handlers.get(command.kind)
 
         def run_handler(command: OperatorCommand, reply: Reply) -> None:
-            # Danger: a question that finds a fault of ours must not end the keeper that others need.
+            # A command that hits a bug must not end the node.
             try:
                 handler(command, reply)
             except Exception:
@@ -77,7 +86,7 @@
         }
 
     def _show(self, command: OperatorCommand, reply: Reply) -> None:
-        """The latest content (0) or that of a version; `acting` is what gateways act on now."""
+        """Replies with the latest content, or that of a version, and with what gateways act on now."""
         state = self._controller.state
         content = state.content(command.version) if command.version else state.latest
         if content is None:
@@ -120,14 +129,14 @@
                 reply({"error": str(error)})
                 return
         refused = self._refusals_by_zone(command.delta)
-        # What this keeper's file alone refuses goes into the log as of no version: asked again by the same
-        # request, it stays refused, and what was accepted under it before is told as it was.
-        bases = dict.fromkeys(documents.NAMES, -1) if refused else command.base_versions
-        # Danger: a log that is read again with a newer file would come to another state.
+        # A delta that only this node's settings refuse is logged with base versions that can't match: a retry
+        # of the request stays refused, and a request that was accepted before gets its earlier outcome.
+        base_versions = dict.fromkeys(documents.NAMES, -1) if refused else command.base_versions
+        # The entry holds the fleet state, as a log replayed under newer settings would give another state.
         self._propose_command(
             commands.encode_proposal(
                 command.request_id,
-                bases,
+                base_versions,
                 command.delta,
                 command.reason,
                 command.name,
@@ -137,15 +146,15 @@
             refused,
         )
 
-    def _refusals_by_zone(self, change: bytes) -> list[str]:
-        """What would be barred beyond a part of a zone; only a file that names engines knows zones."""
+    def _refusals_by_zone(self, delta: bytes) -> list[str]:
+        """Returns the refusals for barring too much of a zone; none unless the settings name engines."""
         state = self._controller.state
         try:
-            if not self.zones or "engines" not in documents.touched_documents(change):
+            if not self.zones or "engines" not in documents.touched_documents(delta):
                 return []
-            new = documents.apply_delta(state.latest, change)
+            new = documents.apply_delta(state.latest, delta)
         except ValueError:
-            return []  # told by the log
+            return []  # the log entry's outcome says so
         known_refusals = validation.refusals(state.latest, new, state.fleet_state)
         fleet_state = msgspec.structs.replace(state.fleet_state, engines=self.zones)
         return [
@@ -154,8 +163,8 @@
             if refusal not in known_refusals
         ]
 
-    def _propose_command(self, data: bytes, reply: Reply, instead: list[str] | None = None) -> None:
-        def applied(outcome: bytes | None) -> None:
+    def _propose_command(self, data: bytes, reply: Reply, refused: list[str] | None = None) -> None:
+        def on_applied(outcome: bytes | None) -> None:
             if outcome is None:
                 reply(dict(_OUTCOME_UNKNOWN))
                 return
@@ -165,39 +174,39 @@
                 | {
                     "accepted": status.is_accepted,
                     "version": status.version,
-                    "refused": list(instead or status.reasons) if not status.is_accepted else [],
+                    "refused": list(refused or status.reasons) if not status.is_accepted else [],
                 }
             )
 
         try:
-            if not self._controller.propose(data, applied, self._controller.now_us):
+            if not self._controller.propose(data, on_applied, self._controller.now_us):
                 reply({"error": "there is no leader", "again": True})
         except ValueError as error:
             reply({"error": str(error)})
 
     def _check(self, command: OperatorCommand, reply: Reply) -> None:
-        """What a proposal would hear, without one."""
+        """Replies with the outcome that a proposal would have, without proposing."""
         state = self._controller.state
-        bases, change = command.base_versions, command.delta
+        base_versions, delta = command.base_versions, command.delta
         try:
             if command.version:
-                bases, change = state.revert_to(command.version)
-            new = documents.apply_delta(state.latest, change)
-            names = documents.touched_documents(change)
+                base_versions, delta = state.revert_to(command.version)
+            new = documents.apply_delta(state.latest, delta)
+            names = documents.touched_documents(delta)
         except (ValueError, LookupError) as error:
             reply({"error": str(error)})
             return
         refused = [
-            f"{name}: the change is of version {bases.get(name, 0)}, and the latest is "
+            f"{name}: the change is of version {base_versions.get(name, 0)}, and the latest is "
             f"{state.latest.version(name)}"
             for name in names
-            if bases.get(name, 0) != state.latest.version(name)
+            if base_versions.get(name, 0) != state.latest.version(name)
         ]
         dropped = state.latest.gateways.items.keys() - new.gateways.items.keys()
-        ghosts = (state.departed_gateways | dropped) - new.gateways.items.keys()
+        departed = (state.departed_gateways | dropped) - new.gateways.items.keys()
         refused += validation.refusals(
-            state.latest, new, state.fleet_state, len(ghosts)
-        ) + self._refusals_by_zone(change)
+            state.latest, new, state.fleet_state, len(departed)
+        ) + self._refusals_by_zone(delta)
         reply(
             self._version_status()
             | {
@@ -210,15 +219,15 @@
         )
 
     def _forget(self, command: OperatorCommand, reply: Reply) -> None:
-        """An operator says that a gateway which no list names any more is out for good."""
+        """Records that a gateway, which the configuration no longer lists, has stopped for good."""
         self._propose_command(
             commands.encode_departed(command.name, command.reason or "an operator says that it is out"), reply
         )
 
     def _section(self, command: OperatorCommand, reply: Reply) -> None:
-        """A command of another package, which knows its own bytes and its own outcome."""
+        """Proposes a command of another package, whose data and outcome only that package interprets."""
 
-        def applied(outcome: bytes | None) -> None:
+        def on_applied(outcome: bytes | None) -> None:
             reply(
                 dict(_OUTCOME_UNKNOWN) if outcome is None else self._version_status() | {"outcome": outcome}
             )
@@ -227,7 +236,7 @@
             reply({"error": f"no section {command.name!r}"})
         elif not self._controller.propose(
             commands.encode_section_command(command.name, command.request_id, command.delta),
-            applied,
+            on_applied,
             self._controller.now_us,
         ):
             reply({"error": "there is no leader", "again": True})
@@ -239,13 +248,13 @@
             | {
                 "gateways": [
                     {
-                        "gateway": one.gateway,
-                        "turn": one.turn if one.turn >= 0 else None,
-                        "lease_us": one.lease_left_us,
-                        "age_us": one.heard_ago_us if one.heard_ago_us >= 0 else None,
-                        "ghost": one.gateway in controller.state.departed_gateways,
+                        "gateway": status.gateway,
+                        "turn": status.turn if status.turn >= 0 else None,
+                        "lease_us": status.lease_left_us,
+                        "age_us": status.heard_ago_us if status.heard_ago_us >= 0 else None,
+                        "ghost": status.gateway in controller.state.departed_gateways,
                     }
-                    for one in controller.leases.gateway_statuses(controller.state, controller.now_us)
+                    for status in controller.leases.gateway_statuses(controller.state, controller.now_us)
                 ],
                 "waits_for": controller.leases.blocking_gateways(controller.state, controller.now_us)
                 if controller.state.pending_turn() is not None
@@ -274,9 +283,9 @@
                     {
                         node.name,
                         *(
-                            f"{guest.name}/{guest.incarnation}"
-                            for guest in self._controller.incoming_links.values()
-                            if guest.role == "keeper"
+                            f"{peer.name}/{peer.incarnation}"
+                            for peer in self._controller.incoming_links.values()
+                            if peer.role == "keeper"
                         ),
                     }
                 ),
@@ -284,9 +293,10 @@
         )
 
     def _replace(self, command: OperatorCommand, reply: Reply) -> None:
-        """One step of taking in a keeper's new generation; asked again until it is done.
+        """Does the next step of replacing a node by its new incarnation; repeated by the operator until done.
 
-        learner, once it has come > voter, once it has caught up > the old one is dropped.
+        The steps: the new incarnation becomes a learner once it is connected, then a voter once it has caught
+        up, then the old one is removed.
         """
         controller, node = self._controller, self._controller.node
         incarnation = controller.seen_incarnations.get(command.name, "")
@@ -327,7 +337,7 @@
                 tuple(name for name in learners if name != old[0]),
             )
         elif new_name != node.name and not node.is_recently_active(new_name, controller.now_us):
-            # Danger: the link of a keeper that lost its disk may stand for a while; nothing was replaced.
+            # The link of a node that lost its disk may live on for a while; nothing was replaced yet.
             reply(
                 self._version_status()
                 | {"step": "waits", "name": new_name, "done": False, "why": f"{new_name} is not heard of"}
@@ -340,7 +350,7 @@
             if node.propose_members(members, controller.now_us) is None:
                 reply({"error": "there is no leader", "again": True})
                 return
-        except ValueError as error:  # it is behind, or an earlier step is still on its way
+        except ValueError as error:  # it lags, or an earlier step is not yet committed
             reply(
                 self._version_status() | {"step": "waits", "name": new_name, "done": False, "why": str(error)}
             )
