--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -157,8 +157,8 @@
         self._move_coordinator.addresses = {engine.id: engine.address for engine in settings.engines}
         self._controller.request_handlers.zones = {engine.id: engine.zone for engine in settings.engines}
 
-    def _on_disk_report(self, disk: Disk, reported_at_us: int) -> None:
-        if self._positions.on_disk_report(disk, reported_at_us):
+    def _on_disk_report(self, disk: Disk, received_at_us: int) -> None:
+        if self._positions.on_disk_report(disk, received_at_us):
             self._schedule_round()  # peers that wait get the positions now, not with the next due round
 
     def _persist(self, pending_write: PendingWrite) -> None:
