--- a/cresstray/emulators/shards.py
+++ b/cresstray/emulators/shards.py
@@ -473,7 +473,7 @@
     def _ask(self, peer: Peer, name: bytes, fields: bytes, statement: bytes) -> None:
         text = statement.decode()
         plain = _bare(text)
-        group = tables.group_of(text)
+        group = tables.find_table_group(text)
         shard, writes = str(group) if group else "", plain.startswith("write")
         held = self.shelf.shards.get(shard)
         self._about = shard
--- a/cresstray/gateway/composition.py
+++ b/cresstray/gateway/composition.py
@@ -24,7 +24,7 @@
 from cresstray.pipeline.admission import Admission
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.ingress import Ingress
-from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.policy_port import PipelinePolicyPort
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
@@ -135,7 +135,9 @@
         self.responses = ResponseHandler(self.clock, self.counters, self.accounting)
         self.dispatcher = Dispatcher(self.clock, self.timers, self.counters, self.responses)
         self.router = Router(self._make_pool, self.dispatcher)
-        port = SocketPort(self.router, self.dispatcher, self.accounting, self.timers, self.counters, self.log)
+        port = PipelinePolicyPort(
+            self.router, self.dispatcher, self.accounting, self.timers, self.counters, self.log
+        )
         self.controller = PolicyController(port, parse_settings(settings), self._seed, self.clock.now())
         self.admission = Admission(self.accounting)
         self.responses.controller = self.controller
--- a/cresstray/model_checking/crossing.py
+++ b/cresstray/model_checking/crossing.py
@@ -31,7 +31,7 @@
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.forwarding import Forwarder
 from cresstray.pipeline.ingress import Ingress
-from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.policy_port import PipelinePolicyPort
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
@@ -215,7 +215,7 @@
         send = Dispatcher(clock, self.timers, counters, self.back)
         self.route = Router(None, send)
         self.across = self.route.forwarder = Forwarder(clock, self.timers, counters, self.back, send)
-        port = SocketPort(self.route, send, self.book, self.timers, counters, NoLog())
+        port = PipelinePolicyPort(self.route, send, self.book, self.timers, counters, NoLog())
         given = _given("")
         self.gateway = PolicyController(port, parse_settings(given), 0, clock.now())
         self.gateway.random = fixed
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -31,7 +31,7 @@
 from cresstray.pipeline.admission import Admission
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.ingress import Ingress
-from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.policy_port import PipelinePolicyPort
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
@@ -261,7 +261,7 @@
         send = Dispatcher(clock, timers, counters, self.back)
         self.route = Router(self._make_links, send)
         settings = _given(shape.name, "")
-        port = SocketPort(self.route, send, self.book, timers, counters, NoLog())
+        port = PipelinePolicyPort(self.route, send, self.book, timers, counters, NoLog())
         self.gateway = PolicyController(port, parse_settings(settings), 0, START)
         self.gateway.random = fixed if bounds.seed is None else random.Random(bounds.seed).random
         admit = Keyed(self.book)
@@ -965,7 +965,7 @@
         "drain",
         lines(
             (
-                SocketPort.send_attempt,
+                PipelinePolicyPort.send_attempt,
                 "self._router.route(attempt, self._accounting.open, timeout_us)",
                 "self._timers.call_after("
                 "0, lambda _: self._router.route(attempt, self._accounting.open, timeout_us))",
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -30,7 +30,7 @@
 from cresstray.pipeline.admission import Admission
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.ingress import Ingress
-from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.policy_port import PipelinePolicyPort
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy import deadlines
@@ -286,7 +286,7 @@
         self.dispatcher = send = Dispatcher(clock, timers, counters, self.response_handler)
         self.router = Router(None, send)
         self.controller = module = ScriptedController(self)
-        module.port = SocketPort(self.router, send, self.accounting, timers, counters, NoLog())
+        module.port = PipelinePolicyPort(self.router, send, self.accounting, timers, counters, NoLog())
         self.response_handler.controller = module
         admit = Admission(self.accounting)
         admit.controller = module
--- a/cresstray/pipeline/ingress.py
+++ b/cresstray/pipeline/ingress.py
@@ -10,7 +10,7 @@
 from cresstray.pipeline.admission import Admission
 from cresstray.pipeline.request_context import Query, RequestContext, Responder
 from cresstray.policy.types import Request, RequestClass
-from cresstray.tables import group_of
+from cresstray.tables import find_table_group
 
 if TYPE_CHECKING:
     from cresstray.pipeline.replica_reads import ReplicaReads
@@ -106,7 +106,7 @@
             except ValueError as error:
                 responder.reject_malformed(number, f"{RejectionReason.UNUSABLE_HINT.value}: {error}")
                 return
-        group = group_of(statement) if crossing is None else crossing.group
+        group = find_table_group(statement) if crossing is None else crossing.group
         request = self._make_request(query, request_class, tenant, group, now)
         if crossing is not None:
             request.is_forwarded_in = True
--- a/cresstray/pipeline/policy_port.py
+++ b/cresstray/pipeline/policy_port.py
@@ -14,7 +14,7 @@
 from cresstray.policy.types import Attempt, Engine, Request
 
 
-class SocketPort(PolicyPort):
+class PipelinePolicyPort(PolicyPort):
     """Carries out what the policy decides. Outcomes come back by later calls, never within one of these."""
 
     def __init__(
--- a/cresstray/replicas/read.py
+++ b/cresstray/replicas/read.py
@@ -15,7 +15,7 @@
 from cresstray.replicas.replica_selection import Choice, candidates, primary_has
 from cresstray.replicas.sessions import Token, token
 from cresstray.replicas.spread import MOST_WANTED
-from cresstray.tables import group_of
+from cresstray.tables import find_table_group
 
 if TYPE_CHECKING:
     from cresstray.fleet_config.active_config import ActiveConfig
@@ -71,7 +71,7 @@
         hint = read_hint(statement)
         if hint is None:
             return None
-        group = group_of(statement)
+        group = find_table_group(statement)
         if not request_class.is_idempotent:
             raise HintError("a hint on a tariff that writes")
         if not group:
--- a/cresstray/tables.py
+++ b/cresstray/tables.py
@@ -53,7 +53,7 @@
 _SPECIAL_CALLS = {"extract", "trim", "substring", "overlay"}
 
 
-def group_of(statement: str) -> int:
+def find_table_group(statement: str) -> int:
     """Returns the number of the table group; 0 where the statement names none."""
     for match in _COMMON_FORMS.finditer(statement[:_MAX_SEARCHED_CHARS]):
         if match["special"]:
--- a/tests/halls.py
+++ b/tests/halls.py
@@ -10,7 +10,7 @@
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.forwarding import Forwarder
 from cresstray.pipeline.ingress import Ingress
-from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.policy_port import PipelinePolicyPort
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
@@ -122,7 +122,7 @@
             clock, self.timers, self.counters, self.back, self.send
         )
         log = type("NoLog", (), {"log": lambda self, kind, text: None})()
-        port = SocketPort(self.route, self.send, self.book, self.timers, self.counters, log)
+        port = PipelinePolicyPort(self.route, self.send, self.book, self.timers, self.counters, log)
         self.gateway = PolicyController(port, parse_settings(given), 7, clock.now())
         admit = Admission(self.book)
         self.back.controller = admit.controller = self.gateway
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -27,7 +27,7 @@
 from cresstray.pipeline.admission import Admission
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.ingress import Ingress
-from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.policy_port import PipelinePolicyPort
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
@@ -93,7 +93,7 @@
         self.dispatcher = Dispatcher(self.clock, timers, self.counters, self.responses)
         self.router = Router(self._make_pool, self.dispatcher)
         log = type("NoLog", (), {"log": lambda self, kind, text: None})()
-        port = SocketPort(self.router, self.dispatcher, self.accounting, timers, self.counters, log)
+        port = PipelinePolicyPort(self.router, self.dispatcher, self.accounting, timers, self.counters, log)
         self.controller = PolicyController(port, parse_settings(given), 7, self.clock.now())
         admit = Admission(self.accounting)
         self.responses.controller = admit.controller = self.controller
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -26,7 +26,7 @@
 from cresstray.membership import snapshot as record
 from cresstray.observability.counters import Counters
 from cresstray.sites import codec as halls
-from cresstray.tables import group_of
+from cresstray.tables import find_table_group
 from cresstray.transport.framing import MAX_FRAME_BYTES, FrameDecoder, FramingError, encode_frame
 from tests.desk import TraceCase
 
@@ -306,7 +306,7 @@
             for behind in (3_000, 200_000):
                 statement = noise * (behind // len(noise)) + " from sales_17.t"
                 with self.subTest(noise, behind=behind):
-                    self.assertEqual(17 if behind < 4_096 else 0, group_of(statement))
+                    self.assertEqual(17 if behind < 4_096 else 0, find_table_group(statement))
 
     def test_a_number_too_long_to_be_read_is_no_group(self) -> None:
         long_number = "7" * 5000
@@ -316,14 +316,14 @@
             f"select extract(day from a) from a_{long_number}.t",
         ):
             with self.subTest(statement[:30]):
-                self.assertEqual(0, group_of(statement))
-        self.assertEqual(17, group_of("select 1 from sales_000000000000000017.t"))
+                self.assertEqual(0, find_table_group(statement))
+        self.assertEqual(17, find_table_group("select 1 from sales_000000000000000017.t"))
 
     def test_groups(self) -> None:
         self.check(
             "groups",
             [
-                f"{group_of(text):>3}  {text!r}"
+                f"{find_table_group(text):>3}  {text!r}"
                 for text in (
                     "select 1",
                     "select * from orders",
