--- a/cresstray/clock.py
+++ b/cresstray/clock.py
@@ -18,8 +18,8 @@
     With `sleeps`, time during which the machine sleeps counts as well, as leases need it.
     """
 
-    def __init__(self, sleeps: bool = False) -> None:
-        self._read = _boottime_ns if sleeps else time.monotonic_ns
+    def __init__(self, counts_suspend: bool = False) -> None:
+        self._read = _boottime_ns if counts_suspend else time.monotonic_ns
         self._offset_ns = time.time_ns() - self._read()
 
     def now(self) -> int:
--- a/cresstray/emulators/fleet/crowd.py
+++ b/cresstray/emulators/fleet/crowd.py
@@ -23,7 +23,7 @@
 
 
 async def main(path: str, count: int) -> None:
-    given, clock = operator.read(path).fleet, Clock(sleeps=True)
+    given, clock = operator.read(path).fleet, Clock(counts_suspend=True)
     async with anyio.create_task_group() as tasks:
         for number, name in enumerate(names(count)):
             use = ActiveConfig(
--- a/cresstray/gateway/composition.py
+++ b/cresstray/gateway/composition.py
@@ -98,7 +98,7 @@
         sites = operator.halls if operator else None
         folder = operator.kept.folder if operator and operator.kept else None
         # Leases, of a name in the fleet or of an idempotency record, go on expiring while the machine sleeps.
-        self.clock = Clock(sleeps=fleet is not None or store is not None)
+        self.clock = Clock(counts_suspend=fleet is not None or store is not None)
         self.counters = Counters()
         self.log = Log(name, self.clock)
         self.timers = Timers(self.clock, self._on_timer_fault)
