--- a/cresstray/clients/session.py
+++ b/cresstray/clients/session.py
@@ -101,7 +101,7 @@
     def __init__(self, registry: ConnectionRegistry, transport: Transport) -> None:
         self._registry = registry
         self._transport = transport
-        self.open: dict[int, object] = {}
+        self.open_requests: dict[int, object] = {}
         # When the connection was made; later the time of its last line or response, or of part of a line.
         self.last_activity_us = registry.now()
         self.has_sent_request = False  # whether it has sent a line that could be decoded
@@ -146,7 +146,7 @@
             self._registry.counters.add("clients banned")
 
     def _respond(self, request_id: int, line: bytes) -> None:
-        del self.open[request_id]
+        del self.open_requests[request_id]
         self.last_activity_us = self._registry.now()
         self._transport.write(line)
         self._finish_if_done()
@@ -272,7 +272,7 @@
 
     def _handle_request(self, request_id: int, query: codec.Query) -> None:
         handler = self._registry.handler
-        if request_id in self.open:
+        if request_id in self.open_requests:
             # A response under this id could be taken for that to either request; both are given up.
             handler.cancel(self, request_id, None)
             self.reject_malformed(request_id, "two requests under one id", codec.INVALID_REQUEST)
@@ -280,7 +280,7 @@
         elif self._must_reject():
             self._ignored_count += 1
             self._transport.write(codec.encode_rejection(request_id, 0))
-        elif len(self.open) >= _MAX_OPEN_REQUESTS:
+        elif len(self.open_requests) >= _MAX_OPEN_REQUESTS:
             self.reject_malformed(request_id, "too many open requests", codec.INVALID_REQUEST)
         else:
             self._ignored_count = 0
@@ -306,7 +306,7 @@
         self._finish_if_done()
 
     def _finish_if_done(self) -> None:
-        if self._is_closing and not (self.open or self.has_buffered_lines):
+        if self._is_closing and not (self.open_requests or self.has_buffered_lines):
             self._finish()
 
     def _finish(self) -> None:
@@ -328,7 +328,7 @@
         Args:
             has_received: whether something had come since, which has been passed to `receive`.
         """
-        is_busy = self.open or self.has_buffered_lines or self._transport.unsent
+        is_busy = self.open_requests or self.has_buffered_lines or self._transport.unsent
         is_active_again = has_received and not self._is_closing
         if is_busy or is_active_again:
             self.resume()
@@ -349,7 +349,7 @@
 
     def idle_overdue_us(self, now_us: int) -> int:
         """Returns by how much its silence exceeds what is allowed; below 0 if it does not, or is busy."""
-        if self.open or self.has_buffered_lines:
+        if self.open_requests or self.has_buffered_lines:
             return -1
         return now_us - self.last_activity_us - self._silence_limit_us()
 
@@ -362,7 +362,7 @@
 
     def is_idle(self, now_us: int) -> bool:
         """Whether it pauses with nothing open and nothing left to send."""
-        is_busy = self.open or self.has_buffered_lines or self._transport.unsent
+        is_busy = self.open_requests or self.has_buffered_lines or self._transport.unsent
         return not is_busy and now_us - self.last_activity_us > PAUSE_US
 
     def close_idle(self, force: bool) -> None:
@@ -388,7 +388,9 @@
         """Closes at once if it is shut, or if nothing is open, to be read or to be sent."""
         transport = self._transport
         if not self._is_shut_down:
-            is_busy = self.open or self.has_buffered_lines or transport.unsent or transport.has_unread()
+            is_busy = (
+                self.open_requests or self.has_buffered_lines or transport.unsent or transport.has_unread()
+            )
             if is_busy:
                 return False
         self.abort()
--- a/cresstray/model_checking/crossing.py
+++ b/cresstray/model_checking/crossing.py
@@ -149,10 +149,10 @@
 
     def __init__(self, world: Halls) -> None:
         self._world = world
-        self.open: dict[int, object] = {}
+        self.open_requests: dict[int, object] = {}
 
     def _told(self, number: int, how: str) -> Account:
-        del self.open[number]
+        del self.open_requests[number]
         account = self._world.accounts[number - 1]
         self._world.answered(account, how)
         return account
@@ -529,7 +529,7 @@
         for hall in (self.near, self.far):
             hall.take_in._names.clear()
             hall.take_in._next_generation_us = 0
-            for context in hall.book.open.values():
+            for context in hall.book.open_requests.values():
                 # How decoders share what they read is no part of a state.
                 query = context.query
                 query.class_name, query.tenant, query.idempotency_key = map(
@@ -577,11 +577,11 @@
 
     def _mind_rest(self) -> None:
         way, near, far = self.outward.way, self.near, self.far
-        kept: dict[str, Any] = {"owed": len(self.asker.open)}
+        kept: dict[str, Any] = {"owed": len(self.asker.open_requests)}
         for hall in (near, far):
             gateway = hall.gateway
             kept |= {
-                f"open in the {hall.name} hall": len(hall.book.open),
+                f"open in the {hall.name} hall": len(hall.book.open_requests),
                 f"held in the {hall.name} hall": len(
                     gateway.admission_queue.first_attempts + gateway.admission_queue.retries
                 ),
@@ -593,7 +593,7 @@
             left = set(self.inward.ledger.open) - set(self.outward._forgets)
             kept |= {
                 "far entries that nobody forgets": len(left),
-                "far errands": len(self.inward.open),
+                "far errands": len(self.inward.open_requests),
                 "under way": way.open,
                 "threads under way": way.used,
                 "crossings": len(self.outward.ledger.open),
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -174,11 +174,11 @@
 
     def __init__(self, world: Passage) -> None:
         self._world = world
-        self.open: dict[int, object] = {}
+        self.open_requests: dict[int, object] = {}
 
     def _told(self, number: int, how: str) -> Account:
         account = self._world.accounts[number]
-        self.open.pop(number, None)
+        self.open_requests.pop(number, None)
         self._world.answered(account, how)
         return account
 
@@ -603,10 +603,10 @@
         kept = {
             "held": gateway.admission_queue.first_attempts + gateway.admission_queue.retries,
             "turns": gateway.admission_queue.turns.queues,
-            "open": self.book.open,
+            "open": self.book.open_requests,
             "out": self.back.in_flight,
             "pages told": self.back._reports,
-            "owed": self.asker.open,
+            "owed": self.asker.open_requests,
             "on links": [one for links in self.route._pools.values() for one in links.open],
             "on engines": [one for engine in engines for one in engine.policy_state.limit.attempts],
             "threads": [engine for engine in engines if engine.policy_state.limit.running_threads],
@@ -927,7 +927,13 @@
         "answers_in_order",
         "own_name",
         "attempt",
-        lines((RequestAccounting._answer, "self.open.get(request)", "next(iter(self.open.values()), None)")),
+        lines(
+            (
+                RequestAccounting._answer,
+                "self.open_requests.get(request)",
+                "next(iter(self.open_requests.values()), None)",
+            )
+        ),
     ),
     Mutant(
         "report_kept",
@@ -966,9 +972,9 @@
         lines(
             (
                 PipelinePolicyPort.send_attempt,
-                "self._router.route(attempt, self._accounting.open, timeout_us)",
+                "self._router.route(attempt, self._accounting.open_requests, timeout_us)",
                 "self._timers.call_after("
-                "0, lambda _: self._router.route(attempt, self._accounting.open, timeout_us))",
+                "0, lambda _: self._router.route(attempt, self._accounting.open_requests, timeout_us))",
             )
         ),
     ),
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -499,7 +499,11 @@
         ]
         if self.shutdown_phase in ("coming", "written"):
             at.append(self.phase_ends_us)
-        if self.session is not None and self.session in self.registry.connections and not self.session.open:
+        if (
+            self.session is not None
+            and self.session in self.registry.connections
+            and not self.session.open_requests
+        ):
             limit = -self.session.idle_overdue_us(self.clock.at)
             at.append(self.clock.at + (limit if limit > 0 else limit + 1_000_000))
         return max(self.clock.at, min(at)) if at else None
@@ -654,7 +658,7 @@
 
     def _connection_ends(self) -> None:
         transport = self.transport
-        if transport.is_draining and self.session.open:
+        if transport.is_draining and self.session.open_requests:
             self.breaks("one_answer", "a request is taken after our side was shut")
         left = transport.is_reset or transport.shutdown_write or transport.is_stalled
         for record in self.records:
@@ -764,7 +768,7 @@
     # States.
 
     def _name(self, request: Request) -> str:
-        context = self.accounting.open.get(request)
+        context = self.accounting.open_requests.get(request)
         return context.query.name[0] if context is not None else "?"
 
     def _held(self, name: str) -> Request:
@@ -780,7 +784,7 @@
                 if (
                     record.is_accepted
                     and not record.response
-                    and record.request.request_id not in self.session.open
+                    and record.request.request_id not in self.session.open_requests
                 ):
                     record.is_cancelled = True
 
@@ -806,13 +810,13 @@
     def _mind_rest(self) -> None:
         links = self.pool.connections
         kept = {
-            "open": self.accounting.open,
+            "open": self.accounting.open_requests,
             "pages told": self.response_handler._reports,
             "held": self.controller.queue,
             "out": self.controller.in_flight,
             "on links": [one for link in links for one in link.in_flight.open],
             "idle and no link": [link for link in self.pool.quota.idle if link not in links],
-            "owed": self.session.open if self.session is not None else (),
+            "owed": self.session.open_requests if self.session is not None else (),
             "half lines": self.registry.buffered_bytes and self.session is None and "some" or "",
         }
         for name, what in kept.items():
@@ -832,7 +836,7 @@
         """What is remembered and no longer has a future is dropped, so that states are the same that are."""
         self.ingress._names.clear()
         self.ingress._next_generation_us = 0
-        for context in self.accounting.open.values():
+        for context in self.accounting.open_requests.values():
             # How decoders share what they read is no part of a state.
             query = context.query
             query.class_name, query.tenant, query.idempotency_key = map(
--- a/cresstray/observability/counters.py
+++ b/cresstray/observability/counters.py
@@ -10,7 +10,7 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.broken: Counter[str] = Counter()
+        self.violations: Counter[str] = Counter()
 
     def add(self, name: str, amount: int = 1) -> None:
         """Adds to the counter of this name."""
@@ -20,9 +20,9 @@
         """Asserts an invariant in debug builds, and counts its violations in release builds (python -O)."""
         assert holds, name
         if not holds:
-            self.broken[name] += 1
+            self.violations[name] += 1
 
     def lines(self) -> list[str]:
         """Returns one line for each counter, those of violations last."""
         counts = [f"{name} {amount}" for name, amount in sorted(self.counts.items())]
-        return counts + [f"broken: {name} {amount}" for name, amount in sorted(self.broken.items())]
+        return counts + [f"broken: {name} {amount}" for name, amount in sorted(self.violations.items())]
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -13,28 +13,28 @@
 class RequestAccounting:
     """Owns the requests in flight.
 
-    Guarantees one answer at most to each request. A request stays in `open` until it is answered and none
-    of its attempts is in flight.
+    Guarantees at most one answer to each request. A request stays in `open_requests` until it is answered
+    and none of its attempts is in flight.
     """
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
         self.idempotency: IdempotencyHooks | None = None  # set where idempotency records are kept in a store
-        self.open: dict[Request, RequestContext] = {}
+        self.open_requests: dict[Request, RequestContext] = {}
 
     def open_request(self, context: RequestContext) -> None:
         """Accepts a request: from here on its responder is owed an answer."""
-        self.open[context.request] = context
-        context.responder.open[context.number] = context
+        self.open_requests[context.request] = context
+        context.responder.open_requests[context.number] = context
         self._counters.add("requests accepted")
 
     def unanswered_count(self) -> int:
         """Returns how many requests still wait for their answer."""
-        return sum(not context.is_answered for context in self.open.values())
+        return sum(not context.is_answered for context in self.open_requests.values())
 
     def limit_deadlines(self, shutdown_deadline_us: int) -> None:
         """Brings forward the deadline of each open request to the end of the process."""
-        for request in self.open:
+        for request in self.open_requests:
             deadlines.limit_deadline(request, shutdown_deadline_us)
 
     def succeed(self, request: Request, result: bytes) -> None:
@@ -63,7 +63,7 @@
     def on_client_left(self, context: RequestContext) -> None:
         """The client has cancelled the request or disconnected: no answer is owed any more."""
         context.is_answered = True
-        del context.responder.open[context.number]
+        del context.responder.open_requests[context.number]
         self._counters.add("requests cancelled")
         self._notify_idempotency(context.request, "left")
 
@@ -73,7 +73,7 @@
             self.idempotency.on_request_finished(request, how, result)
 
     def _answer(self, request: Request, how: str) -> RequestContext | None:
-        context = self.open.get(request)
+        context = self.open_requests.get(request)
         self._counters.check(context is not None, "an answer belongs to an open request")
         if context is None:
             return None
@@ -91,14 +91,14 @@
 
     def notify_remote(self, request: Request, outcome: Outcome) -> None:
         """Tells the site that forwarded the request how its attempt ended, whatever the answer will be."""
-        context = self.open.get(request)
+        context = self.open_requests.get(request)
         if context is not None:
             cast(SiteResponder, context.responder).on_attempt_finished(context.number, outcome)
 
     def release(self, request: Request) -> None:
         """Forgets a request that is answered and has no attempt in flight."""
-        context = self.open.get(request)
+        context = self.open_requests.get(request)
         if context is not None and context.is_answered and request.current_attempt is None:
-            del self.open[request]
+            del self.open_requests[request]
             # Attempts and requests refer to each other. Left to the garbage collector, they cost pauses.
             request.attempts.clear()
--- a/cresstray/pipeline/ingress.py
+++ b/cresstray/pipeline/ingress.py
@@ -172,14 +172,14 @@
         """The client cancels one of its requests, by number or by name; one that is not open is ignored."""
         if number is None:
             number = next(
-                (one for one, context in responder.open.items() if context.query.name == name), None
+                (one for one, context in responder.open_requests.items() if context.query.name == name), None
             )
-        if number in responder.open:
-            self._admission.cancel(responder.open[number], self._clock.now())
+        if number in responder.open_requests:
+            self._admission.cancel(responder.open_requests[number], self._clock.now())
 
     def on_disconnected(self, responder: Responder) -> None:
         """The client has left; all its open requests are cancelled."""
-        for context in list(responder.open.values()):
+        for context in list(responder.open_requests.values()):
             self._admission.cancel(context, self._clock.now())
 
 
--- a/cresstray/pipeline/policy_port.py
+++ b/cresstray/pipeline/policy_port.py
@@ -35,7 +35,7 @@
 
     def send_attempt(self, attempt: Attempt, timeout_us: int) -> None:
         """Sends the attempt; it ends as timed out after `timeout_us`."""
-        self._router.route(attempt, self._accounting.open, timeout_us)
+        self._router.route(attempt, self._accounting.open_requests, timeout_us)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancels an attempt in flight."""
--- a/cresstray/pipeline/request_context.py
+++ b/cresstray/pipeline/request_context.py
@@ -49,11 +49,11 @@
 class Responder(Protocol):
     """Where a request came from and where its answer goes: a client's session, or a link from another site.
 
-    Each request gets one answer at most. `open` maps the numbers of requests that are owed an answer to their
-    RequestContext.
+    Each request gets at most one answer. `open_requests` maps the numbers of the requests that are owed an
+    answer to their RequestContext.
     """
 
-    open: dict[int, Any]
+    open_requests: dict[int, Any]
 
     def succeed(self, number: int, result: bytes, at: str | None = None, /) -> None:
         """Sends the result; `at` is the replica position that a hinted read was served at."""
--- a/cresstray/pipeline/response.py
+++ b/cresstray/pipeline/response.py
@@ -123,7 +123,7 @@
         """Whether the client has gone, even if its connection was not read that far."""
         if self._clock.now() - request.arrived_us < _CLIENT_CHECK_AGE_US:
             return False
-        context = self._accounting.open.get(request)
+        context = self._accounting.open_requests.get(request)
         return context is not None and not context.is_answered and context.responder.has_disconnected()
 
     def on_unsent(self, request_in_flight: InFlightRequest) -> None:
@@ -131,7 +131,7 @@
         in_flight = cast(EngineAttemptInFlight, request_in_flight)
         request = in_flight.attempt.request
         if self.has_client_left(request):
-            self._accounting.on_client_left(self._accounting.open[request])
+            self._accounting.on_client_left(self._accounting.open_requests[request])
             self.controller.on_client_cancelled(request, self._clock.now())
         self.finish_attempt(in_flight, Outcome.EXPIRED_BEFORE_SEND)
 
--- a/cresstray/sites/inbound.py
+++ b/cresstray/sites/inbound.py
@@ -56,7 +56,7 @@
         self._front, self._room, self._closed = front, room, closed
         self._wake, self._later = wake, later
         self._counters, self._say = counters, say
-        self.open: dict[int, object] = {}  # errands, for the passage
+        self.open_requests: dict[int, object] = {}  # errands, for the passage
         self.ledger = Incoming()
         self._beat_at, self.silent_since, self.asked_at = 0, 0, 0
 
@@ -206,7 +206,7 @@
 
     def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
         """`at` is of this hall's copies, and a hinted read does not cross."""
-        self.open.pop(number)
+        self.open_requests.pop(number)
         entry = self.ledger.open.get(number)
         if entry is not None:
             entry.pages = [result[at : at + codec.PAGE] for at in range(0, len(result), codec.PAGE)] or [b""]
@@ -214,7 +214,7 @@
             self._ended(entry, "fulfilled")
 
     def reject(self, number: int, come_back: int) -> None:
-        self.open.pop(number)
+        self.open_requests.pop(number)
         entry = self.ledger.open.get(number)
         if entry is None:
             return
@@ -271,13 +271,13 @@
         self._give_up(entry)
 
     def _give_up(self, entry: Entry) -> None:
-        if entry.number in self.open:
+        if entry.number in self.open_requests:
             self._front.cancel(self, entry.number, None)
 
     # Time.
 
     def busy(self, now: int) -> bool:
-        return bool(self.open)
+        return bool(self.open_requests)
 
     def tick(self, now: int) -> bool:
         """To be called some times for each beat; False where the connection is of no more use."""
@@ -304,7 +304,7 @@
         if self._write is not None:
             threads, cores, pace = self._room()
             # What it has running here is its own to use again.
-            running = sum(context.request.request_class.threads for context in self.open.values())
+            running = sum(context.request.request_class.threads for context in self.open_requests.values())
             self._put(
                 codec.Beat(
                     *self._health.next_beat(now),
--- a/tests/halls.py
+++ b/tests/halls.py
@@ -84,10 +84,10 @@
     """One who asks at one hall, and the answers it gets."""
 
     def __init__(self, desk: "HallDesk") -> None:
-        self._desk, self.open, self.answers = desk, {}, {}
+        self._desk, self.open_requests, self.answers = desk, {}, {}
 
     def _told(self, number: int, how: str) -> None:
-        context = self.open.pop(number)
+        context = self.open_requests.pop(number)
         name = self._desk.world.names[context.query.name]
         self.answers.setdefault(name, []).append(how)
         self._desk.world.say(f"{self._desk.hall} answers {name}: {how}")
@@ -153,7 +153,7 @@
     def withdraw(self, label: str) -> None:
         number = next(
             number
-            for number, context in self.client.open.items()
+            for number, context in self.client.open_requests.items()
             if self.world.names[context.query.name] == label
         )
         self.world.say(f"the client withdraws {label}")
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -78,20 +78,20 @@
     def accept(self, connection: ClientSession, number: int, _query: object) -> None:
         if number == self.fails_on:
             raise RuntimeError("a failure of the handler")
-        connection.open[number] = None
+        connection.open_requests[number] = None
         self.accepted.append(number)
         self.sessions.append(connection)
 
     def cancel(self, connection: ClientSession, number: int | None, _name: str | None) -> None:
-        if number in connection.open:
-            del connection.open[number]
+        if number in connection.open_requests:
+            del connection.open_requests[number]
             self.cancelled.append(number)
 
     def on_disconnected(self, connection: ClientSession) -> None:
         if self.fails_on_disconnect:
             raise RuntimeError("a failure of the handler")
-        self.cancelled += connection.open
-        connection.open.clear()
+        self.cancelled += connection.open_requests
+        connection.open_requests.clear()
 
 
 class ListenerHarness:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -55,7 +55,7 @@
     """A client; `shut`: it has closed its connection, and nobody has read that yet."""
 
     def __init__(self) -> None:
-        self.open: dict[int, object] = {}
+        self.open_requests: dict[int, object] = {}
         self.answers: list[str] = []
         self.has_closed = False
         self.disconnect_checks = 0
@@ -65,7 +65,7 @@
         return self.has_closed
 
     def _answer(self, number: int, how: str) -> None:
-        self.answers.append(f"{self.open.pop(number).query.name} {how}")
+        self.answers.append(f"{self.open_requests.pop(number).query.name} {how}")
 
     def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
         self._answer(number, "succeeded")
@@ -153,10 +153,10 @@
     def assert_at_rest(self, made: Desk) -> None:
         """Nothing is owed, out, or open on a link."""
         kept = [
-            made.accounting.open,
+            made.accounting.open_requests,
             made.responses.in_flight,
             made.responses._reports,
-            made.client.open,
+            made.client.open_requests,
             made.controller.admission_queue.first_attempts,
         ]
         kept += [link.in_flight.open for pool in made.pools for link in pool.connections]
--- a/tests/test_client_session.py
+++ b/tests/test_client_session.py
@@ -46,14 +46,14 @@
 
     def accept(self, connection: ClientSession, number: int, query: object) -> None:
         self.lines.append(f"asks {number}")
-        connection.open[number] = query
+        connection.open_requests[number] = query
 
     def cancel(self, connection: ClientSession, number: int | None, name: str | None) -> None:
         self.lines.append(f"withdraws {number or name}")
-        connection.open.pop(number, None)
+        connection.open_requests.pop(number, None)
 
     def on_disconnected(self, connection: ClientSession) -> None:
-        self.lines.append(f"is gone, {len(connection.open)} open")
+        self.lines.append(f"is gone, {len(connection.open_requests)} open")
 
 
 def request(number: int) -> bytes:
@@ -110,7 +110,7 @@
         session.reject(1, 0)
         session.close()
         self.assertEqual(NextAction.READ, session.receive(request(2)))
-        self.assertEqual({}, session.open)
+        self.assertEqual({}, session.open_requests)
         self.check("talk_closing", self.lines)
 
     def test_too_many_malformed_messages(self) -> None:
@@ -126,7 +126,7 @@
             [-32700, -32000, "withdraws 2"],
             [line if line.startswith("w") else code_of(line) for line in self.lines],
         )
-        self.assertEqual([1], list(session.open))
+        self.assertEqual([1], list(session.open_requests))
         session.fail(1)
         self.assertEqual("ends once it is written", self.lines[-1])
         self.assertTrue(session.can_shut_down(has_received=False))
@@ -171,7 +171,7 @@
             session.receive(b"a" * 100_000)
             session.receive(b"a" if len(pieces) > 1 else b"")
             session.receive(b"\n" + request(2))
-            self.assertEqual([1], list(session.open))
+            self.assertEqual([1], list(session.open_requests))
             self.assertEqual(-32000, code_of(self.lines[-1]))
             session.fail(1)
             self.assertEqual("ends once it is written", self.lines[-1])
@@ -190,7 +190,7 @@
         many[-1].receive(b"a" * 10_000)
         self.assertEqual([longest], [session for session in (*many, other) if session.is_banned()])
         other.receive(request(1)[50:])
-        self.assertEqual([1], list(other.open))
+        self.assertEqual([1], list(other.open_requests))
         self.assertLess(self.registry.buffered_bytes, 2 * 1024 * 1024)
 
     def test_many_lines_take_many_turns(self) -> None:
@@ -206,7 +206,7 @@
     def test_behind_the_end_of_the_client(self) -> None:
         session = self.session()
         session.receive(request(1) + status(), ended=True)
-        self.assertEqual(({}, True), (session.open, session.has_disconnected()))
+        self.assertEqual(({}, True), (session.open_requests, session.has_disconnected()))
 
     def test_silence(self) -> None:
         """Who says nothing is ended after 2.2 s, and stays if something has come; not 0.4 s later."""
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -53,7 +53,7 @@
         self.assertLessEqual(len(world.answers()["it"]), 1)
         self.assertFalse(world.outward.ledger.open)
         self.assertEqual(0, world.outward.way.credit.held)
-        self.assertFalse(world.a.counters.broken or world.b.counters.broken)
+        self.assertFalse(world.a.counters.violations or world.b.counters.violations)
         return f"{before:8} {times} runs, {' '.join(world.answers()['it'])}"
 
     def test_the_link_drops(self) -> None:
@@ -70,7 +70,7 @@
 
 class Scenes(TraceCase):
     def play(self, name: str, world: TwoHalls) -> None:
-        self.assertFalse(world.a.counters.broken or world.b.counters.broken)
+        self.assertFalse(world.a.counters.violations or world.b.counters.violations)
         for label, answers in world.answers().items():
             self.assertEqual(1, len(answers), label)
         self.check(name, world.lines)
@@ -91,7 +91,7 @@
             world.run(80)
             late += [
                 context
-                for context in world.a.book.open.values()
+                for context in world.a.book.open_requests.values()
                 if not context.is_answered and context.request.deadline_us < world.clocks[0].now()
             ]
             state = world.outward.way.health.state.value
@@ -201,8 +201,8 @@
         world.run(8)
         world.a.withdraw("long")
         world.run(40)
-        self.assertFalse(world.outward.ledger.open or world.inward.ledger.open or world.a.book.open)
-        self.assertFalse(world.b.book.open)
+        self.assertFalse(world.outward.ledger.open or world.inward.ledger.open or world.a.book.open_requests)
+        self.assertFalse(world.b.book.open_requests)
         self.play("halls_withdrawn", world)
 
     def test_cut_within_a_result(self) -> None:
@@ -434,9 +434,9 @@
                 if world.up:
                     world.cut()
                 world.restart_far()
-            elif what == "withdraw" and world.a.client.open:
-                number = chance.choice(list(world.a.client.open))
-                label = world.names[world.a.client.open[number].query.name]
+            elif what == "withdraw" and world.a.client.open_requests:
+                number = chance.choice(list(world.a.client.open_requests))
+                label = world.names[world.a.client.open_requests[number].query.name]
                 withdrawn.add(label)
                 world.a.withdraw(label)
             elif what == "near":
@@ -460,7 +460,9 @@
         for name, answers in world.answers().items():
             self.assertEqual(1, len(answers), name)
         self.assertEqual(set(asked), set(world.answers()) | withdrawn)
-        self.assertFalse(world.outward.ledger.open or world.a.book.open or world.b.book.open)
+        self.assertFalse(
+            world.outward.ledger.open or world.a.book.open_requests or world.b.book.open_requests
+        )
         self.assertEqual(
             (0, 0, 0),
             (world.outward.way.credit.held, world.outward.way.credit.held_size, world.outward.way.open),
@@ -482,7 +484,7 @@
                 if "denied" in world.answers().get(label, ()):
                     self.assertEqual(len(runs), world.unrun.get(name, 0), f"{label} ran, and is denied")
             self.assertLessEqual(sum("hall-b" in run[1] for run in runs), 1, f"{label} crossed twice")
-        self.assertFalse(world.a.counters.broken or world.b.counters.broken)
+        self.assertFalse(world.a.counters.violations or world.b.counters.violations)
 
     def test_random_days(self) -> None:
         crossed = served = 0
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -223,10 +223,14 @@
                         "Front",
                         (),
                         {
-                            "accept": lambda self, responder, number, query, crossing: responder.open.update(
-                                {number: None}
+                            "accept": lambda self,
+                            responder,
+                            number,
+                            query,
+                            crossing: responder.open_requests.update({number: None}),
+                            "cancel": lambda self, responder, number, name: responder.open_requests.pop(
+                                number
                             ),
-                            "cancel": lambda self, responder, number, name: responder.open.pop(number),
                         },
                     )(),
                 )
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -369,7 +369,7 @@
             await turns(20)
             names = dict(zip(door.connections, ("silent", "asking", "answered", "half")))
             asking, answered = list(door.connections)[1:3]
-            asking.open[1] = None
+            asking.open_requests[1] = None
             clients[2].sendall(b'{"jsonrpc":"2.0","id":1,"method":"status"}\n')
             clients[3].sendall(b"half a li")
             await turns(20)
