--- a/cresstray/discovery/resolver.py
+++ b/cresstray/discovery/resolver.py
@@ -9,7 +9,7 @@
 from cresstray.policy.types import EndpointState
 
 # An address, and in microseconds the start of the engine that was said to be there.
-Placement = tuple[tuple[str, int], int]
+EndpointLocation = tuple[tuple[str, int], int]
 # Of two records of one endpoint in an event the one of the higher severity holds.
 _SEVERITY = {EndpointState.READY: 0, EndpointState.DRAINING: 1, EndpointState.REMOVED: 2}
 
@@ -25,9 +25,9 @@
     """Remembers engines that lost their address to another until they are removed or have come back."""
 
     def __init__(self) -> None:
-        self._displaced: dict[int, Placement] = {}
+        self._displaced: dict[int, EndpointLocation] = {}
 
-    def resolve(self, event: EndpointEvent, known: Mapping[int, Placement]) -> Resolution:
+    def resolve(self, event: EndpointEvent, known: Mapping[int, EndpointLocation]) -> Resolution:
         """Resolves one event; `known`: the engines in use before it."""
         named = _one_record_each(event.endpoints)
         placements = _remaining(known, named, event)
@@ -74,8 +74,8 @@
 
 
 def _remaining(
-    placements: Mapping[int, Placement], named: Mapping[int, Endpoint], event: EndpointEvent
-) -> dict[int, Placement]:
+    placements: Mapping[int, EndpointLocation], named: Mapping[int, Endpoint], event: EndpointEvent
+) -> dict[int, EndpointLocation]:
     """Returns those that are neither removed nor elsewhere after the event."""
     return {
         number: placement
@@ -84,7 +84,9 @@
     }
 
 
-def _remains(number: int, placement: Placement, named: Mapping[int, Endpoint], event: EndpointEvent) -> bool:
+def _remains(
+    number: int, placement: EndpointLocation, named: Mapping[int, Endpoint], event: EndpointEvent
+) -> bool:
     endpoint = named.get(number)
     if endpoint is None:
         return not event.is_complete
--- a/cresstray/pipeline/routing.py
+++ b/cresstray/pipeline/routing.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
-from cresstray.discovery.resolver import AddressResolver, Placement
+from cresstray.discovery.resolver import AddressResolver, EndpointLocation
 from cresstray.engines.connection import SocketConnectionPool
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.request_context import RequestContext
@@ -133,7 +133,7 @@
         for pool in pools:
             pool.cancel_unwritten()
 
-    def _places(self) -> dict[int, Placement]:
+    def _places(self) -> dict[int, EndpointLocation]:
         return {
             engine_id: (self._pools[engine].address, engine.started_us)
             for engine_id, engine in self._engines.items()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -37,7 +37,7 @@
 from tests import desk
 from tests.desk import ClientStandIn, settings
 from tests.test_links import FakeLink, FakePool
-from tests.test_service import Stage, member
+from tests.test_service import GatewayHarness, make_endpoint
 
 MILLI = 1_000
 EFFECTS = {"read": "idempotent", "post": "at_most_once", "keyed": "deduplicated"}
@@ -576,14 +576,17 @@
 
 class Scenes(unittest.TestCase):
     def play(
-        self, scene: Callable[[Stage, ClientStandIn, Dials], Awaitable], engines: int = 1, **parts: object
-    ) -> Stage:
-        stage = Stage(engines, **parts)
+        self,
+        scene: Callable[[GatewayHarness, ClientStandIn, Dials], Awaitable],
+        engines: int = 1,
+        **parts: object,
+    ) -> GatewayHarness:
+        stage = GatewayHarness(engines, **parts)
 
         async def main() -> None:
             dials = Dials()
 
-            async def with_dials(stage: Stage, client: ClientStandIn) -> None:
+            async def with_dials(stage: GatewayHarness, client: ClientStandIn) -> None:
                 await scene(stage, client, dials)
 
             with mock.patch.object(links, "connect", dials):
@@ -594,7 +597,7 @@
         self.assertEqual(0, stage.service.parts.counters.counts["faults"])
         return stage
 
-    async def answered(self, stage: Stage, text: str) -> None:
+    async def answered(self, stage: GatewayHarness, text: str) -> None:
         with anyio.fail_after(5):
             while not stage.service.parts.counters.counts[text]:
                 await anyio.sleep(0.001)
@@ -602,7 +605,7 @@
     def test_the_client_withdraws_while_its_engine_is_dialled(self) -> None:
         for cancel in (True, False):
 
-            async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
+            async def scene(stage: GatewayHarness, client: ClientStandIn, dials: Dials) -> None:
                 await client.ask(1, "plain one")
                 await dials.begun.wait()
                 await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
@@ -616,7 +619,7 @@
             self.assertIn("plain two", stage.engines[0].lines[0])
 
     def test_the_client_shuts_while_its_engine_is_dialled(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn, dials: Dials) -> None:
             async with await anyio.connect_tcp(*stage.address) as stream:
                 await ClientStandIn(stream, stage.lines, names=16).ask(1, "plain one")
                 await dials.begun.wait()
@@ -633,12 +636,15 @@
         """The request goes to the other one, although its class is unsafe to repeat."""
         for state in (EndpointState.DRAINING, EndpointState.REMOVED):
 
-            async def scene(stage: Stage, client: ClientStandIn, dials: Dials, state=state) -> None:
-                second = member(stage.engines[1].port, 1, EndpointState.DRAINING)
+            async def scene(stage: GatewayHarness, client: ClientStandIn, dials: Dials, state=state) -> None:
+                second = make_endpoint(stage.engines[1].port, 1, EndpointState.DRAINING)
                 stage.service.parts.endpoint_updates.on_event(EndpointEvent(2, False, [second]))
                 await client.ask(1, "plain")
                 await dials.begun.wait()
-                told = [member(stage.engines[0].port, 0, state), member(stage.engines[1].port, 1)]
+                told = [
+                    make_endpoint(stage.engines[0].port, 0, state),
+                    make_endpoint(stage.engines[1].port, 1),
+                ]
                 stage.service.parts.endpoint_updates.on_event(EndpointEvent(3, False, told))
                 dials.let.set()
                 self.assertIn("result", await client.hear())
@@ -648,7 +654,7 @@
             self.assertEqual([0, 1], [len(engine.lines) for engine in stage.engines])
 
     def test_no_descriptor_is_no_doubt_about_the_engine(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn, dials: Dials) -> None:
             dials.fails = OSError(errno.EMFILE, "too many open files")
             await client.ask(1, "plain")
             self.assertIn("error", await client.hear())
@@ -665,12 +671,12 @@
     def test_an_engine_that_never_reads(self) -> None:
         """Its connections are taken and nothing on them is read; no request is half sent and then whole."""
 
-        async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn, dials: Dials) -> None:
             dials.let.set()
             with socket.create_server(("127.0.0.1", 0)) as server:
                 server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 stage.service.parts.endpoint_updates.on_event(
-                    EndpointEvent(2, True, [member(server.getsockname()[1], 7)])
+                    EndpointEvent(2, True, [make_endpoint(server.getsockname()[1], 7)])
                 )
                 await client.ask(1, "x" * 150_000)
                 server.settimeout(5)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -33,11 +33,11 @@
 from tests.test_codecs import frame
 
 
-def member(port: int, number: int = 1, state: EndpointState = EndpointState.READY) -> Endpoint:
+def make_endpoint(port: int, number: int = 1, state: EndpointState = EndpointState.READY) -> Endpoint:
     return Endpoint(number, "127.0.0.1", port, state, 0, 0, 0, 0)
 
 
-class Stage:
+class GatewayHarness:
     """A gateway and its engines, up and reachable, with all that is said in `lines`."""
 
     def __init__(self, engines: int, **parts: object) -> None:
@@ -51,14 +51,14 @@
         self.address: tuple[str, int]
 
     async def run(
-        self, scene: Callable[["Stage", ClientStandIn], Awaitable], coordinator: str | None
+        self, scene: Callable[["GatewayHarness", ClientStandIn], Awaitable], coordinator: str | None
     ) -> None:
         async with anyio.create_task_group() as tasks:
             for engine in self.engines:
                 await tasks.start(engine.run)
             # With a coordinator, the engines are still to be told of.
             told = [] if coordinator else self.engines
-            listed = [member(engine.port, number) for number, engine in enumerate(told)]
+            listed = [make_endpoint(engine.port, number) for number, engine in enumerate(told)]
             self.service = Service(
                 "n0",
                 ("127.0.0.1", 0),
@@ -93,12 +93,12 @@
     def play(
         self,
         name: str,
-        scene: Callable[[Stage, ClientStandIn], Awaitable],
+        scene: Callable[[GatewayHarness, ClientStandIn], Awaitable],
         engines: int = 1,
         coordinator: str | None = None,
         **parts: object,
-    ) -> Stage:
-        stage = Stage(engines, **parts)
+    ) -> GatewayHarness:
+        stage = GatewayHarness(engines, **parts)
         with contextlib.redirect_stderr(io.StringIO()) as said:
             anyio.run(stage.run, scene, coordinator)
         self.assertNotIn("broken", said.getvalue())
@@ -107,7 +107,7 @@
         return stage
 
     def test_pages_in_order(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.say({"jsonrpc": "2.0", "id": 1, "method": "status", "params": {}})
             await client.hear()
             for number, statement in enumerate(("pages", "plain"), 2):
@@ -118,7 +118,7 @@
         self.assertEqual(2, stage.service.parts.counters.counts["requests succeeded"])
 
     def test_malformed_lines_keep_the_connection(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             for line in (
                 b"no JSON\n",
                 b'{"jsonrpc":"2.0","id":3,"method":"rapport"}\n',
@@ -148,7 +148,7 @@
         self.play("scene_malformed", scene)
 
     def test_withdrawn_and_left(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent one")
             await stage.until(0, "ASK 0001")
             await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
@@ -168,7 +168,7 @@
     def test_strangers_do_no_harm(self) -> None:
         """The id of an open request, one used again after it was withdrawn, too many open, only mistakes."""
 
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent")
             await stage.until(0, "ASK 0001")
             for what in ("taken", "used up"):
@@ -200,7 +200,7 @@
         self.assertEqual(1, stage.service.parts.counters.counts["clients banned"])
 
     def test_engine_faults(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent", timeout=60000)
             await stage.until(0, "ASK 0001")
             faults = ("garbage", "noise", "half", "reset", "full", "more", "plain")
@@ -219,7 +219,7 @@
         self.assertEqual(2, counts["answers not awaited"])
 
     def test_further_relay(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             for number in range(1, 4):
                 await client.ask(number, "once", timeout=60000)
                 await client.hear()
@@ -227,7 +227,7 @@
         self.play("scene_further", scene, engines=2)
 
     def test_silent_engine_ends_before_the_hard_stop(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent", timeout=400)
             await client.hear()
             await stage.until(0, "QUIT 0001")
@@ -235,7 +235,7 @@
         self.play("scene_silent", scene)
 
     def test_unreachable_engine(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             list(stage.service.parts.router._pools.values())[0].address = ("127.0.0.1", 1)
             await client.ask(1, "plain", timeout=1000)
             await client.hear()
@@ -244,7 +244,7 @@
         self.assertEqual(1, stage.service.parts.counters.counts["attempts unreachable"])
 
     def test_last_stop(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent", timeout=1800)
             await stage.until(0, "ASK 0001")
             os.kill(os.getpid(), signal.SIGTERM)
@@ -263,7 +263,7 @@
     def test_coordinators(self) -> None:
         """A doubled event, a break, and configurations replaced while the gateway runs and while it stops."""
 
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "plain", timeout=60000)
             await client.hear()
             for address in ("no address", replaced):
@@ -316,7 +316,7 @@
                 await made.run(scene, f"127.0.0.1:{ports[0]}")
                 tasks.cancel_scope.cancel()
 
-        told_again, made, heard, replaced = anyio.Event(), Stage(1), [], ""
+        told_again, made, heard, replaced = anyio.Event(), GatewayHarness(1), [], ""
         with contextlib.redirect_stderr(io.StringIO()) as said:
             anyio.run(main)
         self.assertEqual(1, said.getvalue().count("can't be used, the old one stays"))
@@ -487,11 +487,11 @@
 
         lines, route = [], Router(pool, None)
         for text, event in (
-            ("two come", EndpointEvent(1, True, [member(1, 1), member(2, 2)])),
-            ("one leaves", EndpointEvent(2, False, [member(1, 1, EndpointState.REMOVED)])),
-            ("a late word on it", EndpointEvent(3, False, [member(1, 1, EndpointState.REMOVED)])),
-            ("its address under another id", EndpointEvent(4, False, [member(1, 3)])),
-            ("only that one is listed", EndpointEvent(5, True, [member(1, 3)])),
+            ("two come", EndpointEvent(1, True, [make_endpoint(1, 1), make_endpoint(2, 2)])),
+            ("one leaves", EndpointEvent(2, False, [make_endpoint(1, 1, EndpointState.REMOVED)])),
+            ("a late word on it", EndpointEvent(3, False, [make_endpoint(1, 1, EndpointState.REMOVED)])),
+            ("its address under another id", EndpointEvent(4, False, [make_endpoint(1, 3)])),
+            ("only that one is listed", EndpointEvent(5, True, [make_endpoint(1, 3)])),
         ):
             entries = len(route.apply_event(event))
             lines.append(f"{text}: {entries} told, {len(route._engines)} kept, {len(route._pools)} pools")
@@ -529,7 +529,7 @@
         self.assertEqual([7], made)
 
     def test_a_sweep_that_fails_is_followed_by_the_next(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             gateway, listen = stage.service.parts.controller, stage.service.parts.controller._check_attempts
 
             def fails(now: int) -> None:
@@ -541,7 +541,7 @@
             await client.ask(1, "plain", timeout=600)
             self.assertEqual(-32000, (await client.hear())["error"]["code"])
 
-        stage = Stage(0)
+        stage = GatewayHarness(0)
         with contextlib.redirect_stderr(io.StringIO()) as said:
             anyio.run(stage.run, scene, None)
         self.assertEqual(1, stage.service.parts.counters.counts["faults"])
@@ -580,7 +580,12 @@
         lines = []
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
-            given = {"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "settings": Stage(0).settings}
+            given = {
+                "name": "n0",
+                "listen": "127.0.0.1:0",
+                "seed": "1",
+                "settings": GatewayHarness(0).settings,
+            }
             path.write_text(json.dumps(given))
             run = [sys.executable, "-m", "cresstray"]
             with subprocess.Popen(
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -34,7 +34,7 @@
 from tests.desk import ClientStandIn
 from tests.scripted import LONG, turns, until
 from tests.test_codecs import frame
-from tests.test_service import Stage
+from tests.test_service import GatewayHarness
 
 READY, DRAINING, GONE = 0, 1, 2
 LOOPBACK = 0x7F000001
@@ -814,9 +814,9 @@
     """The whole gateway, with engines that listen."""
 
     def play(
-        self, scene: Callable[[Stage, ClientStandIn], Awaitable], engines: int, **parts: object
-    ) -> Stage:
-        stage, self.coordinator = Stage(engines, **parts), Coordinator()
+        self, scene: Callable[[GatewayHarness, ClientStandIn], Awaitable], engines: int, **parts: object
+    ) -> GatewayHarness:
+        stage, self.coordinator = GatewayHarness(engines, **parts), Coordinator()
         self.addCleanup(self.coordinator.close)
         with contextlib.redirect_stderr(io.StringIO()) as said:
             anyio.run(stage.run, scene, self.coordinator.address)
@@ -830,7 +830,7 @@
             self.assertIn("result", answer)
 
     def test_an_address_of_another_id(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             made, _ = await self.coordinator.link()
             port = stage.engines[0].port
             made.send(frame(2, 2, record(5, port=port)))
@@ -876,7 +876,7 @@
                 self.assertEqual(1, number)
                 tasks.cancel_scope.cancel()
 
-        stage, coordinator = Stage(2), Coordinator()
+        stage, coordinator = GatewayHarness(2), Coordinator()
         self.addCleanup(coordinator.close)
         engines = stage.engines
         self.run_slowly(main)
@@ -884,7 +884,7 @@
 
     def test_another_listens_under_its_address_before_the_first_word(self) -> None:
         async def main() -> None:
-            service = self.starts(Stage(0), coordinator)
+            service = self.starts(GatewayHarness(0), coordinator)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ends, service)
                 made, _ = await coordinator.link()
@@ -904,7 +904,7 @@
         self.run_slowly(main)
         self.assertIn("can't be listened on", told[0])
 
-    def starts(self, stage: Stage, coordinator: Coordinator, *events: EndpointEvent) -> Service:
+    def starts(self, stage: GatewayHarness, coordinator: Coordinator, *events: EndpointEvent) -> Service:
         """A gateway under an address that is known before it serves."""
         with socket.create_server(("127.0.0.1", 0)) as place:
             address = place.getsockname()
@@ -926,7 +926,7 @@
             order.append(word)
 
         async def main() -> None:
-            service = Service("n0", ("127.0.0.1", 0), 7, Stage(0).settings, [], "127.0.0.1:1")
+            service = Service("n0", ("127.0.0.1", 0), 7, GatewayHarness(0).settings, [], "127.0.0.1:1")
             service.parts.links = mock.Mock()
             service._start_links = lambda links: noted("halls")
             service.parts.watch.wait_until_current = lambda within: noted("first word")
@@ -953,7 +953,7 @@
                 "its address is another's": frame(3, 2, record(3, port=port, started=1), late),
             }[how]
 
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             made, _ = await self.coordinator.link()
             made.send(frame(2, 2, record(1, port=port)))
             while not stage.service.parts.controller.ready_engines:
@@ -974,7 +974,7 @@
                 )
 
     def test_a_drain_right_after_a_move_and_before_a_bad_frame(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             made, _ = await self.coordinator.link()
             first, second = (engine.port for engine in stage.engines)
             made.send(frame(2, 2, record(1, port=first))[:20])
@@ -993,7 +993,7 @@
     def test_an_event_whose_telling_fails_half_way(self) -> None:
         """The route has heard that one is gone, the module has not: the event comes again, and it is gone."""
 
-        async def scene(stage: Stage, client: ClientStandIn) -> None:
+        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
             gateway = stage.service.parts.controller
             made, _ = await self.coordinator.link()
             first, second = (engine.port for engine in stage.engines)
