--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -190,26 +190,26 @@
             "operator": f"operator:{self._serial}",
         }[greet.role]
         agrees = greet.nonce == peers.settings_digest(self._given)
-        link.guest = Guest(link, greet.role, greet.name, greet.incarnation, key, agrees)
-        self._core.come(link.guest)
+        link.peer = Guest(link, greet.role, greet.name, greet.incarnation, key, agrees)
+        self._core.come(link.peer)
 
     def _taken(self, link: Link, frame: Frame) -> None:
         try:
-            self._core.received(link.guest, frame, now())
+            self._core.received(link.peer, frame, now())
         except FramingError:
             raise
         except Exception:
-            if link.guest.role == "keeper":
+            if link.peer.role == "keeper":
                 self._step_out(f"a fault, it steps out: {traceback.format_exc()}")
                 return
             self.counters.add("faults")
-            self._say("fault", traceback.format_exc(), of=link.guest.name)
+            self._say("fault", traceback.format_exc(), of=link.peer.name)
             raise FramingError("a fault of ours") from None
         finally:
             self._wake()
 
     def _gone(self, link: Link) -> None:
-        self._core.gone(link.guest)
+        self._core.gone(link.peer)
 
     # Links that we make.
 
@@ -230,7 +230,7 @@
             self._say("link", "made", to=full)
 
         def beat(link: Link, number: int) -> None:
-            if link.why:
+            if link.close_reason:
                 return
             if time.monotonic() - heard > _SILENT:
                 link.end(f"silent for {_SILENT} s")
--- a/cresstray/control_plane/node_controller.py
+++ b/cresstray/control_plane/node_controller.py
@@ -45,7 +45,7 @@
     def write(self, message: bytes) -> None: ...
     def end(self, why: str) -> None: ...
     @property
-    def unwritten(self) -> int: ...
+    def unsent_bytes(self) -> int: ...
 
 
 @dataclass(eq=False)
@@ -66,10 +66,10 @@
 
 
 class Talk(Protocol):
-    """What is said of positions on one link: made with it, gone with it. `hears`: BrokenError."""
+    """What is said of positions on one link: made with it, gone with it. `on_message`: BrokenError."""
 
-    def says(self, now: int) -> bytes: ...
-    def hears(self, body: bytes, now: int) -> None: ...
+    def next_message(self, now: int) -> bytes: ...
+    def on_message(self, body: bytes, now: int) -> None: ...
 
 
 class Core:
@@ -128,7 +128,7 @@
     def heard_back(self, name: str, frame: ReplicaPositions, now: int) -> None:
         """On a link that we made."""
         if name in self.talking:
-            self.talking[name][1].hears(frame.body, now)
+            self.talking[name][1].on_message(frame.body, now)
 
     def come(self, guest: Guest) -> None:
         before = self.guests.get(guest.key)
@@ -170,11 +170,11 @@
             if guest.talk is None and self._talks is not None:
                 guest.talk = self._talks()
             if guest.talk is not None:
-                guest.talk.hears(frame.body, now)
+                guest.talk.on_message(frame.body, now)
                 # At once: an age counts from the word that is answered. Danger: one that talks without end.
-                if now - guest.spoke >= _AT_ONCE and guest.far.unwritten < _LAGGING:
+                if now - guest.spoke >= _AT_ONCE and guest.far.unsent_bytes < _LAGGING:
                     guest.spoke = now
-                    guest.far.put(ReplicaPositions(guest.talk.says(now)))
+                    guest.far.put(ReplicaPositions(guest.talk.next_message(now)))
         elif isinstance(frame, Alive):
             guest.far.put(frame)
         elif isinstance(frame, rules.ForwardedFrame):
@@ -417,7 +417,7 @@
         """What differs at once; all of it when its turn comes."""
         if guest.role != "gateway" or guest.turn is None or guest.turn >= self.state.turn:
             return
-        if guest.far.unwritten > _LAGGING:
+        if guest.far.unsent_bytes > _LAGGING:
             return
         if not self._leads_on(guest.turn)[0]:
             if guest not in self._wanting:
@@ -448,7 +448,7 @@
             return
         self._spread_at = now + _SPREAD
         for far, talk in self.talking.values():
-            far.put(ReplicaPositions(talk.says(now)))
+            far.put(ReplicaPositions(talk.next_message(now)))
 
     def _tell(self) -> None:
         node = self.node
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -34,7 +34,7 @@
         super().__init__(board, _MOST_SHARDS)
         self._positions, self._all_at = positions, -_ALL_AGAIN
 
-    def says(self, now: int) -> bytes:
+    def next_message(self, now: int) -> bytes:
         most = _MOST_SHARDS
         if self.peer.wants_all:
             # Danger: each word of a keeper that only asks would be answered with all that is new.
@@ -42,8 +42,8 @@
             self._all_at = now if most else self._all_at
         return encoded(self.peer.says(most, None, now))
 
-    def hears(self, body: bytes, now: int) -> None:
-        super().hears(body, now)
+    def on_message(self, body: bytes, now: int) -> None:
+        super().on_message(body, now)
         self._positions.wanted(self.peer, now)
 
 
@@ -108,7 +108,7 @@
             (guest.talk.peer, guest.far)
             for key, guest in core.guests.items()
             if guest.talk is not None
-            and guest.far.unwritten < _LAGGING
+            and guest.far.unsent_bytes < _LAGGING
             and keeper in ("", key.removeprefix("keeper:"))
         ]
 
--- a/cresstray/emulators/sockets.py
+++ b/cresstray/emulators/sockets.py
@@ -43,7 +43,7 @@
 
     def reset(self) -> None:
         """Ends it as a process that dies does."""
-        self.line.end_by_reset()
+        self.line.reset_on_close()
         self.scope.cancel()
 
     async def run(self, take: Callable[[bytes], None]) -> None:
--- a/cresstray/fleet_config/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -173,7 +173,7 @@
             raise FramingError("a second greeting")
         if isinstance(frame, ReplicaPositions):
             if self._talk is not None:
-                self._talk.hears(frame.body, at)
+                self._talk.on_message(frame.body, at)
             return
         if not isinstance(frame, LeaseRefused) or frame.reason != "no leader":
             self._leader_at = at
@@ -204,7 +204,7 @@
             self._timer.cancel()
         wait = self._given.lease // 12
         try:
-            if self._link is not None and not self._link.why:
+            if self._link is not None and not self._link.close_reason:
                 self._ask(self._link, at)
                 wait = max(1000, min(wait, max(self.active_config.due_us, self._silent_until) - at))
             self._look(at)
@@ -233,7 +233,7 @@
 
     def _send_positions(self, link: Link, talk: PositionExchange, at: int) -> None:
         self._sent_positions_at, self._send_positions_at = at, at + _POSITIONS_INTERVAL_US
-        link.put(ReplicaPositions(talk.says(at)))
+        link.put(ReplicaPositions(talk.next_message(at)))
 
     def request_positions(self) -> None:
         """Sends, and so asks for, what is known of replicas now, where there is a node to hear it."""
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -96,8 +96,8 @@
         self._reads = reads
         self._on_awaited_positions = on_awaited_positions
 
-    def hears(self, body: bytes, now: int) -> None:
-        super().hears(body, now)
+    def on_message(self, body: bytes, now: int) -> None:
+        super().on_message(body, now)
         if self._reads.waits(now):
             self._on_awaited_positions()
 
--- a/cresstray/replicas/spread.py
+++ b/cresstray/replicas/spread.py
@@ -201,12 +201,12 @@
     ) -> None:
         self.peer, self._most, self._wants, self._needs = Peer(board), most, wants, needs
 
-    def says(self, now: int) -> bytes:
+    def next_message(self, now: int) -> bytes:
         wants = self._wants(now) if self._wants is not None else None
         needs = self._needs(now) if self._needs is not None else ()
         return encoded(self.peer.says(self._most, wants, now, needs))
 
-    def hears(self, body: bytes, now: int) -> None:
+    def on_message(self, body: bytes, now: int) -> None:
         """BrokenError where that is no word."""
         try:
             word = _word(body)
--- a/cresstray/simulation/fleet.py
+++ b/cresstray/simulation/fleet.py
@@ -130,8 +130,8 @@
 
     def __init__(self, link: Link, own: Machine, other: Machine) -> None:
         self.link, self.own, self.other = link, own, other
-        self.last = self.unwritten = 0
-        self.why = ""
+        self.last = self.unsent_bytes = 0
+        self.close_reason = ""
 
     def put(self, frame: Frame) -> None:
         self.own.world.check_told(self.own, self, frame)
@@ -172,7 +172,7 @@
 
     def arrive(self, end: End, frame: Frame) -> None:
         other = end.other
-        if end.why or not other.alive or other.lives != self.lives[other is self.taker]:
+        if end.close_reason or not other.alive or other.lives != self.lives[other is self.taker]:
             return
         other.run(lambda: other.take(self, frame))
 
@@ -192,7 +192,7 @@
 
     def over(self, end: End, why: str) -> None:
         if end.own.alive and end.own.lives == self.lives[end.own is self.taker]:
-            end.why = why
+            end.close_reason = why
             end.own.run(lambda: end.own.lost(self))
 
 
--- a/cresstray/transport/link.py
+++ b/cresstray/transport/link.py
@@ -19,10 +19,10 @@
 class PositionExchange(Protocol):
     """What is said of replicas' positions on one link; made with the link, and dropped with it."""
 
-    def says(self, now: int) -> bytes:
+    def next_message(self, now: int) -> bytes:
         """Returns the body of the next message to the peer."""
 
-    def hears(self, body: bytes, now: int) -> None:
+    def on_message(self, body: bytes, now: int) -> None:
         """Takes the body of a message of the peer.
 
         Raises:
@@ -45,8 +45,8 @@
 
     Attributes:
         greeting: the peer's.
-        guest: what its owner knows the peer by.
-        why: why it has ended, or empty.
+        peer: what its owner knows the peer by.
+        close_reason: why it has ended, or empty.
         sent_bytes: of frames that were given to the channel.
         received_bytes: of frames that came after the greeting.
     """
@@ -69,8 +69,8 @@
         self._early_frames = early_frames  # those that came with the greeting
         self._max_unsent_bytes = max_unsent_bytes
         self._outgoing = bytearray()
-        self.guest: Any = None
-        self.why = ""
+        self.peer: Any = None
+        self.close_reason = ""
         self.sent_bytes = 0
         self.received_bytes = 0
 
@@ -80,21 +80,21 @@
 
     def write(self, message: bytes) -> None:
         """Sends encoded frames, or nothing if the link has ended."""
-        if self.why:
+        if self.close_reason:
             return
         if not self._outgoing:
             asyncio.get_running_loop().call_soon(self._flush)
         self._outgoing += message
-        if self.unwritten > self._max_unsent_bytes:
-            self.end(f"{self.unwritten} bytes not read")
+        if self.unsent_bytes > self._max_unsent_bytes:
+            self.end(f"{self.unsent_bytes} bytes not read")
 
     @property
-    def unwritten(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that the kernel has not taken yet."""
         return len(self._outgoing) + len(self._stream.unsent)
 
     def _flush(self) -> None:
-        if self._outgoing and self._stream.is_open() and not self.why:
+        if self._outgoing and self._stream.is_open() and not self.close_reason:
             self.sent_bytes += len(self._outgoing)
             try:
                 self._channel.write(bytes(self._outgoing))
@@ -104,7 +104,7 @@
 
     def end(self, reason: str) -> None:
         """Ends the link; only the first reason is kept."""
-        self.why = self.why or reason
+        self.close_reason = self.close_reason or reason
         self._scope.cancel()
 
     async def serve(self, on_frame: Callable[[Frame], None]) -> str:
@@ -114,15 +114,15 @@
             self._early_frames = []
             for frame in early_frames:
                 on_frame(frame)
-            while not self.why:
+            while not self.close_reason:
                 data = await self._channel.receive()
                 self.received_bytes += len(data)
                 for frame in self._decoder.feed(data):
-                    if self.why:
+                    if self.close_reason:
                         break
                     on_frame(frame)
         except FramingError as error:
-            self.why = self.why or f"dropped: {error}"
+            self.close_reason = self.close_reason or f"dropped: {error}"
         except CONNECTION_ENDED as error:
-            self.why = self.why or repr(error)
-        return self.why
+            self.close_reason = self.close_reason or repr(error)
+        return self.close_reason
--- a/cresstray/transport/peers.py
+++ b/cresstray/transport/peers.py
@@ -154,8 +154,8 @@
                 self._not_made.pop(name, None)
                 await handlers.serve(link)
         if link is not None:
-            link.why = link.why or "broken"
-            reason = link.why
+            link.close_reason = link.close_reason or "broken"
+            reason = link.close_reason
         self._counters.add("links ended")
         self._event_log.log("link", "ended", to=name, why=reason)
         return reason
@@ -228,7 +228,9 @@
             return
         # Operators come and go with each question; as links, their events would leave out those of others.
         kind = "operator" if link.greeting.role == "operator" else "link"
-        self._event_log.log(kind, "ended", of=host, name=link.greeting.name, why=link.why or "broken")
+        self._event_log.log(
+            kind, "ended", of=host, name=link.greeting.name, why=link.close_reason or "broken"
+        )
 
     async def _greet_limited(
         self, stream: SocketStream, scope: anyio.CancelScope, greeting: _Greeting
--- a/cresstray/transport/streams.py
+++ b/cresstray/transport/streams.py
@@ -143,7 +143,7 @@
             anyio.notify_closing(self._socket)
             self._socket.close()
 
-    def end_by_reset(self) -> None:
+    def reset_on_close(self) -> None:
         """Has the close reset the connection, as the end of a process does."""
         if self._socket.fileno() >= 0:
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -542,11 +542,11 @@
     def far(self, talk: Talk, core) -> SimpleNamespace:
         """The end from which frames go to this side."""
         return SimpleNamespace(
-            unwritten=0, put=lambda frame: self.after(MS, self.hear, talk, core, frame.body)
+            unsent_bytes=0, put=lambda frame: self.after(MS, self.hear, talk, core, frame.body)
         )
 
     def hear(self, talk: Talk, core, body: bytes) -> None:
-        talk.hears(body, self.now)
+        talk.on_message(body, self.now)
         if core is not None:
             self.round(core)
         for one, began in self.began.items():
@@ -560,9 +560,12 @@
 
     def words(self) -> None:
         for (here, there), core in zip(self.talks, self.cores):
-            self.after(MS, self.hear, there, core, here.says(self.now))
+            self.after(MS, self.hear, there, core, here.next_message(self.now))
             self.after(
-                MS, lambda here=here, there=there: self.after(MS, self.hear, here, None, there.says(self.now))
+                MS,
+                lambda here=here, there=there: self.after(
+                    MS, self.hear, here, None, there.next_message(self.now)
+                ),
             )
 
     def read(self, number: int, at: int):
@@ -573,7 +576,7 @@
         self.began[one] = self.now
         here, there = self.talks[number]
         if self.reads[number].urgent:
-            self.after(MS, self.hear, there, self.cores[number], here.says(self.now))
+            self.after(MS, self.hear, there, self.cores[number], here.next_message(self.now))
         return one
 
     def ask(self, engines: list[str]) -> None:
