--- a/cresstray/engines/codec.py
+++ b/cresstray/engines/codec.py
@@ -36,7 +36,7 @@
 CRASHED = b"crashed"
 EXPIRED = b"nobody"
 GREEN = b"green"
-WORDS = frozenset((SERVED, ROWS, OVERLOADED, CRASHED, EXPIRED, GREEN))
+ANSWER_KINDS = frozenset((SERVED, ROWS, OVERLOADED, CRASHED, EXPIRED, GREEN))
 
 _REPORT_NAMES = {
     "inflight": "concurrent",
@@ -69,7 +69,7 @@
 
     Attributes:
         name: the request's name.
-        kind: one of WORDS.
+        kind: one of ANSWER_KINDS.
         pages: how many pages the result has, in the answer with its first one.
         page: the number of the page, from 1 on, in an answer with a further one.
         report: the load report of the engine, by our names.
@@ -161,7 +161,7 @@
 
 
 def _parse_answer(name: bytes, word: bytes, fields: bytes, body: bytes) -> Answer:
-    if word not in WORDS:
+    if word not in ANSWER_KINDS:
         raise EngineProtocolError(f"unknown word {word!r}")
     answer = Answer(name, word, 1, 0, {}, body)
     if fields != _NO_FIELDS:
--- a/cresstray/engines/connection.py
+++ b/cresstray/engines/connection.py
@@ -98,11 +98,11 @@
         quota: DescriptorQuota,
         tasks: TaskGroup,
         timers: Timers,
-        now: Callable[[], int],
+        now_us: Callable[[], int],
         counters: Counters,
         log: Log,
     ) -> None:
-        super().__init__(address, settings, quota, timers, now, counters)
+        super().__init__(address, settings, quota, timers, now_us, counters)
         self.label = label
         self.log = log
         self.tasks = tasks
--- a/cresstray/engines/connection_pool.py
+++ b/cresstray/engines/connection_pool.py
@@ -57,12 +57,12 @@
         settings: Mapping[str, Any],
         quota: DescriptorQuota,
         timers: Timers,
-        now: Callable[[], int],
+        now_us: Callable[[], int],
         counters: Counters,
     ) -> None:
         limits = settings.get("Limits", {})
         self.address = address
-        self.now = now
+        self.now_us = now_us
         self.counters = counters
         self.max_streams = max(1, limits.get("StreamsPerConn", _DEFAULT_MAX_STREAMS))
         # Well before the engine's own timeout, as a request may cross its close of an idle connection.
@@ -111,7 +111,7 @@
         self.connections.remove(connection)
         self.quota.used -= 1
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """The engine has restarted, maybe elsewhere: what runs may end, new requests take new connections.
 
         Another engine may have the old address by now, so nothing more is sent to it.
--- a/cresstray/engines/connection_state.py
+++ b/cresstray/engines/connection_state.py
@@ -16,7 +16,7 @@
 
 # An answer comes in one piece; the rest of one that has begun is not a quarter of a second late.
 _PARTIAL_ANSWER_TIMEOUT_US = 250_000
-_RESULT_WORDS = (codec.SERVED, codec.ROWS)
+_RESULT_KINDS = (codec.SERVED, codec.ROWS)
 # Bound of what is kept for an engine that does not read: requests for all pages of two long results, or a
 # thousand cancellations.
 MAX_QUEUED_BEHIND_BYTES = 64 * 1024
@@ -72,7 +72,7 @@
             return False
         request.connection = self
         self.pool.quota.idle.pop(self, None)
-        self.in_flight.begin(request)
+        self.in_flight.add(request)
         return transport is None or self._write(request, transport)
 
     def _write(self, request: InFlightRequest, transport: Transport) -> bool:
@@ -146,7 +146,7 @@
 
     def _cancel(self, request: InFlightRequest) -> None:
         # What the end of another request set off may have ended this one.
-        if self.in_flight.holds(request):
+        if self.in_flight.is_open(request):
             self._finish_unsent(request)
 
     def _finish_unsent(self, request: InFlightRequest) -> None:
@@ -155,7 +155,7 @@
 
     def _update_idle(self) -> None:
         if not self.in_flight.open:
-            self.idle_since_us = self.pool.now()
+            self.idle_since_us = self.pool.now_us()
             if self.in_flight.is_retired:
                 self.close()
             elif not self.in_flight.is_closed:
@@ -183,7 +183,7 @@
 
     def _write_late(self, request: InFlightRequest) -> None:
         transport = self.transport
-        if transport is None or not self.in_flight.holds(request):
+        if transport is None or not self.in_flight.is_open(request):
             return
         if not self._may_send(request):
             self._finish_unsent(request)
@@ -202,7 +202,7 @@
         """Returns the time in which the rest of an answer must come; None where none has begun."""
         if not self._decoder.has_partial_answer():
             return None
-        return max(0.0, (self.answer_deadline_us - self.pool.now()) / 1e6)
+        return max(0.0, (self.answer_deadline_us - self.pool.now_us()) / 1e6)
 
     def has_partial_answer(self) -> bool:
         """Whether part of an answer has come, and the rest has not."""
@@ -216,10 +216,10 @@
         """
         self.in_flight.received_count += 1
         if not self._decoder.has_partial_answer():
-            self.answer_deadline_us = self.pool.now() + _PARTIAL_ANSWER_TIMEOUT_US
+            self.answer_deadline_us = self.pool.now_us() + _PARTIAL_ANSWER_TIMEOUT_US
         while answers := self._decoder.feed(data):
             data = b""
-            self.answer_deadline_us = self.pool.now() + _PARTIAL_ANSWER_TIMEOUT_US
+            self.answer_deadline_us = self.pool.now_us() + _PARTIAL_ANSWER_TIMEOUT_US
             for answer in answers:
                 self._on_answer(answer)
 
@@ -230,7 +230,7 @@
             raise codec.EngineProtocolError("an answer to what has not been asked whole")
         if request is not None and not request.is_written:
             request = None
-        if request is not None and answer.kind not in _RESULT_WORDS:
+        if request is not None and answer.kind not in _RESULT_KINDS:
             self.in_flight.on_rejected(request)
         if request is None or not request.listener.on_answer(request, answer):
             # A duplicate, or an answer that comes too late: no fault of what else is open.
--- a/cresstray/engines/in_flight.py
+++ b/cresstray/engines/in_flight.py
@@ -155,11 +155,11 @@
             or name in self.rejected
         )
 
-    def begin(self, request: InFlightRequest) -> None:
+    def add(self, request: InFlightRequest) -> None:
         """The request is open from now on."""
         self.open[request.name] = request
 
-    def holds(self, request: InFlightRequest) -> bool:
+    def is_open(self, request: InFlightRequest) -> bool:
         """Whether the request is open here."""
         return self.open.get(request.name) is request
 
@@ -184,7 +184,7 @@
 
     def abandon(self, request: InFlightRequest) -> bytes | None:
         """Drops what still comes for it; returns what to send, None if the engine never heard of it."""
-        if not self.holds(request):
+        if not self.is_open(request):
             return None
         del self.open[request.name]
         if not request.is_written:
--- a/cresstray/membership/estimate.py
+++ b/cresstray/membership/estimate.py
@@ -166,7 +166,7 @@
         estimate = EndpointEstimate(
             endpoint,
             EstimateState.REGISTERED,
-            EvidenceSource.REGISTER,
+            EvidenceSource.DISCOVERY,
             now_us,
             is_listed=True,
             drain_began_us=self._drain_began_us(endpoint, now_us),
--- a/cresstray/membership/estimate_states.py
+++ b/cresstray/membership/estimate_states.py
@@ -30,7 +30,7 @@
 class EvidenceSource(Enum):
     """Where the last evidence of an endpoint came from."""
 
-    REGISTER = "register"
+    DISCOVERY = "register"
     PEER = "peer"
     TRAFFIC = "traffic"
     DISK = "disk"
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -237,7 +237,7 @@
             self._world.runs_on(account)
         return True
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         self.address = address
 
     def retire(self) -> None:
--- a/cresstray/model_checking/membership_parts.py
+++ b/cresstray/model_checking/membership_parts.py
@@ -61,7 +61,7 @@
         self.engine = int(label[-8:], 16)
         self.address = address
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Takes another address."""
         self.address = address
 
--- a/cresstray/pipeline/routing.py
+++ b/cresstray/pipeline/routing.py
@@ -107,7 +107,7 @@
         elif not is_removed:
             has_moved = self._pools[engine].address != address
             if has_moved or endpoint.started_us > engine.started_us:
-                self._pools[engine].move(address)
+                self._pools[engine].change_address(address)
         return engine
 
     def _removed_ids(
--- a/cresstray/simulation/cold_engine.py
+++ b/cresstray/simulation/cold_engine.py
@@ -151,7 +151,7 @@
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Takes another address."""
         self.address = address
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -442,7 +442,7 @@
 ANSWERS = some.builds(
     array,
     some.binary(max_size=64),
-    some.sampled_from(sorted(engine_codec.WORDS)),
+    some.sampled_from(sorted(engine_codec.ANSWER_KINDS)),
     some.sampled_from((b"-", b"sheets=2", b"sheet=1", b"load=util:0.5;inflight:2")),
     some.binary(max_size=60),
 )
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -199,7 +199,7 @@
         pool = self.pool()
         self.start(pool, "one")
         link = pool.made[0]
-        pool.move(("e", 2))
+        pool.change_address(("e", 2))
         wire = link.come_up()  # in the same turn of the loop
         self.assertEqual((["one unsent"], []), (self.listener.notified, wire.heard()))
         self.assertTrue(link.hung_up)
@@ -209,7 +209,7 @@
             self.listener.notified = []
             pool = self.pool()
             self.start(pool, "one")
-            pool.move(("e", 2))
+            pool.change_address(("e", 2))
             self.start(pool, "two")
             if ends is not None:
                 ends(pool.made[0])
@@ -417,7 +417,7 @@
                 elif how == "recalled":
                     pool.cancel_unwritten()
                 elif how == "moved":
-                    pool.move(("e", 2))
+                    pool.change_address(("e", 2))
                     pool.timers.run_due()
                 else:
                     pool.made[0].on_closed()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -471,7 +471,7 @@
         ):
             life, exchange = InFlightRequests(8), InFlightRequest(b"one", b"", None, None)
             exchange.reconnects = moves
-            life.begin(exchange)
+            life.add(exchange)
             life.on_written(exchange, written)
             ended = life.on_connection_closed(came_up)
             self.assertFalse(life.has_room_for(b"two"))
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -618,7 +618,7 @@
     def __init__(self, label: str, address: tuple[str, int]) -> None:
         self.label, self.address = label, address
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         self.address = address
         self.append("move")
 
