--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -221,26 +221,26 @@
             "operator": f"operator:{self._operator_serial}",
         }[peer.role]
         has_same_settings = peer.nonce == peers.settings_digest(self._settings)
-        link.guest = IncomingLink(link, peer.role, peer.name, peer.incarnation, key, has_same_settings)
-        self._controller.on_incoming_connected(link.guest)
+        link.peer = IncomingLink(link, peer.role, peer.name, peer.incarnation, key, has_same_settings)
+        self._controller.on_incoming_connected(link.peer)
 
     def _on_incoming_frame(self, link: Link, frame: Frame) -> None:
         try:
-            self._controller.on_incoming_frame(link.guest, frame, now_us())
+            self._controller.on_incoming_frame(link.peer, frame, now_us())
         except FramingError:
             raise
         except Exception:
-            if link.guest.role == "keeper":
+            if link.peer.role == "keeper":
                 self._fail(f"a fault, it steps out: {traceback.format_exc()}")
                 return
             self.counters.add("faults")
-            self._log_event("fault", traceback.format_exc(), of=link.guest.name)
+            self._log_event("fault", traceback.format_exc(), of=link.peer.name)
             raise FramingError("a fault of ours") from None
         finally:
             self._schedule_round()
 
     def _on_incoming_closed(self, link: Link) -> None:
-        self._controller.on_incoming_closed(link.guest)
+        self._controller.on_incoming_closed(link.peer)
 
     # Outgoing links.
 
@@ -261,7 +261,7 @@
             self._log_event("link", "made", to=member_name)
 
         def send_keep_alive(link: Link, number: int) -> None:
-            if link.why:
+            if link.close_reason:
                 return
             if time.monotonic() - last_heard_s > _SILENCE_TIMEOUT_S:
                 link.end(f"silent for {_SILENCE_TIMEOUT_S} s")
--- a/cresstray/control_plane/node_controller.py
+++ b/cresstray/control_plane/node_controller.py
@@ -52,8 +52,8 @@
         """Ends the link; `why` is logged."""
 
     @property
-    def unwritten(self) -> int:
-        """Bytes that the peer has not read yet."""
+    def unsent_bytes(self) -> int:
+        """Bytes that wait to be sent, as the peer does not read."""
 
 
 @dataclass(eq=False)
@@ -76,10 +76,10 @@
 class PositionExchange(Protocol):
     """The exchange of replica positions on one link; made and dropped with the link."""
 
-    def says(self, now_us: int) -> bytes:
+    def next_message(self, now_us: int) -> bytes:
         """Returns the body of the next message to the peer."""
 
-    def hears(self, body: bytes, now_us: int) -> None:
+    def on_message(self, body: bytes, now_us: int) -> None:
         """Handles the body of a message of the peer.
 
         Raises:
@@ -167,7 +167,7 @@
     def on_positions(self, name: str, frame: ReplicaPositions, now_us: int) -> None:
         """Handles positions that came on a link that this node made."""
         if name in self.node_exchanges:
-            self.node_exchanges[name][1].hears(frame.body, now_us)
+            self.node_exchanges[name][1].on_message(frame.body, now_us)
 
     def on_incoming_connected(self, peer: IncomingLink) -> None:
         """Adds a link that a peer made, in place of an earlier link of that peer."""
@@ -218,15 +218,15 @@
             if peer.exchange is None and self._new_exchange is not None:
                 peer.exchange = self._new_exchange()
             if peer.exchange is not None:
-                peer.exchange.hears(frame.body, now_us)
+                peer.exchange.on_message(frame.body, now_us)
                 # The reply is sent at once, as the peer counts the age of positions from the message that the
                 # reply names. The rate is limited against a peer that sends without end.
                 if (
                     now_us - peer.positions_sent_at_us >= _MIN_POSITIONS_REPLY_INTERVAL_US
-                    and peer.link.unwritten < _MAX_UNREAD_BYTES
+                    and peer.link.unsent_bytes < _MAX_UNREAD_BYTES
                 ):
                     peer.positions_sent_at_us = now_us
-                    peer.link.put(ReplicaPositions(peer.exchange.says(now_us)))
+                    peer.link.put(ReplicaPositions(peer.exchange.next_message(now_us)))
         elif isinstance(frame, KeepAlive):
             peer.link.put(frame)
         elif isinstance(frame, config_codec.ForwardedFrame):
@@ -500,7 +500,7 @@
         """Sends the updates that a gateway lacks, or queues it for a full copy."""
         if peer.role != "gateway" or peer.turn is None or peer.turn >= self.state.turn:
             return
-        if peer.link.unwritten > _MAX_UNREAD_BYTES:
+        if peer.link.unsent_bytes > _MAX_UNREAD_BYTES:
             return
         if not self._updates_from(peer.turn)[0]:
             if peer not in self._full_copy_queue:
@@ -531,7 +531,7 @@
             return
         self._next_positions_us = now_us + _POSITIONS_INTERVAL_US
         for link, exchange in self.node_exchanges.values():
-            link.put(ReplicaPositions(exchange.says(now_us)))
+            link.put(ReplicaPositions(exchange.next_message(now_us)))
 
     def _log_role_changes(self) -> None:
         node = self.node
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -34,7 +34,7 @@
         super().__init__(board, _MAX_SHARDS)
         self._positions, self._full_sent_at_us = positions, -_MIN_FULL_INTERVAL_US
 
-    def says(self, now_us: int) -> bytes:
+    def next_message(self, now_us: int) -> bytes:
         """Returns the body of the next message to the peer."""
         max_shards = _MAX_SHARDS
         if self.peer.wants_all:
@@ -43,9 +43,9 @@
             self._full_sent_at_us = now_us if max_shards else self._full_sent_at_us
         return encoded(self.peer.says(max_shards, None, now_us))
 
-    def hears(self, body: bytes, now_us: int) -> None:
+    def on_message(self, body: bytes, now_us: int) -> None:
         """Handles the body of a message of the peer."""
-        super().hears(body, now_us)
+        super().on_message(body, now_us)
         self._positions.wanted(self.peer, now_us)
 
 
@@ -117,7 +117,7 @@
             (incoming.exchange.peer, incoming.link)
             for key, incoming in controller.incoming_links.items()
             if incoming.exchange is not None
-            and incoming.link.unwritten < _MAX_UNREAD_BYTES
+            and incoming.link.unsent_bytes < _MAX_UNREAD_BYTES
             and keeper in ("", key.removeprefix("keeper:"))
         ]
 
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -31,7 +31,7 @@
 from cresstray.pipeline.admission import Admission
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.ingress import Ingress
-from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.policy_port import PipelinePolicyPort
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
@@ -174,11 +174,11 @@
 
     def __init__(self, world: Passage) -> None:
         self._world = world
-        self.open: dict[int, object] = {}
+        self.open_requests: dict[int, object] = {}
 
     def _told(self, number: int, how: str) -> Account:
         account = self._world.accounts[number]
-        self.open.pop(number, None)
+        self.open_requests.pop(number, None)
         self._world.answered(account, how)
         return account
 
@@ -237,7 +237,7 @@
             self._world.runs_on(account)
         return True
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         self.address = address
 
     def retire(self) -> None:
@@ -261,7 +261,7 @@
         send = Dispatcher(clock, timers, counters, self.back)
         self.route = Router(self._make_links, send)
         settings = _given(shape.name, "")
-        port = SocketPort(self.route, send, self.book, timers, counters, NoLog())
+        port = PipelinePolicyPort(self.route, send, self.book, timers, counters, NoLog())
         self.gateway = PolicyController(port, parse_settings(settings), 0, START)
         self.gateway.random = fixed if bounds.seed is None else random.Random(bounds.seed).random
         admit = Keyed(self.book)
@@ -603,10 +603,10 @@
         kept = {
             "held": gateway.admission_queue.first_attempts + gateway.admission_queue.retries,
             "turns": gateway.admission_queue.turns.queues,
-            "open": self.book.open,
+            "open": self.book.open_requests,
             "out": self.back.in_flight,
             "pages told": self.back._reports,
-            "owed": self.asker.open,
+            "owed": self.asker.open_requests,
             "on links": [one for links in self.route._pools.values() for one in links.open],
             "on engines": [one for engine in engines for one in engine.policy_state.limit.attempts],
             "threads": [engine for engine in engines if engine.policy_state.limit.running_threads],
@@ -927,7 +927,13 @@
         "answers_in_order",
         "own_name",
         "attempt",
-        lines((RequestAccounting._answer, "self.open.get(request)", "next(iter(self.open.values()), None)")),
+        lines(
+            (
+                RequestAccounting._answer,
+                "self.open_requests.get(request)",
+                "next(iter(self.open_requests.values()), None)",
+            )
+        ),
     ),
     Mutant(
         "report_kept",
@@ -965,10 +971,10 @@
         "drain",
         lines(
             (
-                SocketPort.send_attempt,
-                "self._router.route(attempt, self._accounting.open, timeout_us)",
+                PipelinePolicyPort.send_attempt,
+                "self._router.route(attempt, self._accounting.open_requests, timeout_us)",
                 "self._timers.call_after("
-                "0, lambda _: self._router.route(attempt, self._accounting.open, timeout_us))",
+                "0, lambda _: self._router.route(attempt, self._accounting.open_requests, timeout_us))",
             )
         ),
     ),
