--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""Keepers as processes on loopback: elected, followed, killed, restarted, replaced; and what ends a link."""
+"""Control-plane nodes as processes on loopback: elections, kills, replacement, and links that are refused."""
 
 import contextlib
 import io
@@ -32,43 +32,44 @@
 
 
 def free_ports(count: int) -> list[int]:
-    held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [one.getsockname()[1] for one in held]
-    for one in held:
-        one.close()
+    listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    ports = [listener.getsockname()[1] for listener in listeners]
+    for listener in listeners:
+        listener.close()
     return ports
 
 
-class Keepers:
-    """Processes by one file, and what they print."""
+class NodeProcesses:
+    """Node processes of one fleet, their settings files and their logs."""
 
-    def __init__(self, folder: str, count: int, more: str = "", tls: str = "") -> None:
-        self.names = [f"k{one + 1}" for one in range(count)]
+    def __init__(self, folder: str, count: int, more_settings: str = "", tls: str = "") -> None:
+        self.names = [f"k{number + 1}" for number in range(count)]
         self.ports = dict(zip(self.names, free_ports(count)))
         self.folder, self.path = Path(folder), f"{folder}/fleet.conf"
-        self.text = f"fleet trial\n    lease 1s\n    floor-lease 5s\n{more}folder {folder}\n" + "".join(
-            f"keeper {name} 127.0.0.1:{port}\n" for name, port in self.ports.items()
+        self.text = (
+            f"fleet trial\n    lease 1s\n    floor-lease 5s\n{more_settings}folder {folder}\n"
+            + "".join(f"keeper {name} 127.0.0.1:{port}\n" for name, port in self.ports.items())
         )
         Path(self.path).write_text(self.text + tls.format(name="operator"))
         self.paths = {name: f"{folder}/{name}.conf" for name in self.names}
         for name, path in self.paths.items():
             Path(path).write_text(self.text + tls.format(name=name))
-        self.given = operator.read(self.path).fleet
+        self.settings = operator.read(self.path).fleet
         self.processes: dict[str, subprocess.Popen] = {}
 
-    def found(self) -> None:
+    def create_files(self) -> None:
         with contextlib.redirect_stdout(io.StringIO()):
             for name in self.names:
                 assert cli_code(["keeper", self.path, "--name", name, "--found"]) == 0
 
-    def start(self, *names: str, most_bytes: int = resource.RLIM_INFINITY) -> None:
-        """`most_bytes`: no file of theirs can grow beyond it."""
+    def start(self, *names: str, max_file_bytes: int = resource.RLIM_INFINITY) -> None:
+        """Starts nodes; `max_file_bytes` limits the size of their files."""
         for name in names or self.names:
             with open(self.folder / f"{name}.log", "a") as log:
                 self.processes[name] = subprocess.Popen(
                     [sys.executable, "-m", "cresstray", "keeper", self.paths[name], "--name", name],
                     stderr=log,
-                    preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_FSIZE, (most_bytes,) * 2),
+                    preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_FSIZE, (max_file_bytes,) * 2),
                 )
 
     def kill(self, name: str, how: int = signal.SIGKILL) -> int:
@@ -79,12 +80,12 @@
         return (self.folder / f"{name}.log").read_text()
 
     def line(self, seconds: float = 10.0) -> commands.Line:
-        return commands.Line(self.given, seconds)
+        return commands.Line(self.settings, seconds)
 
     def leader(self) -> str:
         return commands.ask(self.line(), "members")["leader"].partition("/")[0]
 
-    def __enter__(self) -> "Keepers":
+    def __enter__(self) -> "NodeProcesses":
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -93,35 +94,35 @@
             process.wait()
 
 
-def cli_code(words: list[str]) -> int:
+def cli_code(arguments: list[str]) -> int:
     try:
-        return cli(words)
-    except SystemExit as ended:
-        return ended.code
+        return cli(arguments)
+    except SystemExit as error:
+        return error.code
 
 
-def listed(*names: str) -> dict:
+def gateway_list(*names: str) -> dict:
     return {"gateways": {"items": {name: {} for name in names}}}
 
 
-async def until(what: object, seconds: float = 8.0) -> None:
-    with anyio.fail_after(seconds):
-        while not what():
+async def wait_until(condition: object, timeout_s: float = 8.0) -> None:
+    with anyio.fail_after(timeout_s):
+        while not condition():
             await anyio.sleep(0.02)
 
 
-class Fleets(unittest.TestCase):
-    def followers(self, given: object, *names: str) -> list[ConfigFollower]:
+class NodeProcessesTest(unittest.TestCase):
+    def followers(self, settings: object, *names: str) -> list[ConfigFollower]:
         return [
             ConfigFollower(
-                given,
+                settings,
                 name,
                 ActiveConfig(
                     name,
-                    given.lease,
-                    given.floor_lease,
-                    given.drift,
-                    given.most,
+                    settings.lease,
+                    settings.floor_lease,
+                    settings.drift,
+                    settings.most,
                     incarnation=f"{number:016x}",
                 ),
                 Random(number).random,
@@ -129,313 +130,348 @@
             for number, name in enumerate(names)
         ]
 
-    def test_a_change_through_kills(self) -> None:
-        """In force with two gateways; the leader killed, the next change goes on; a lost file replaced."""
-        with tempfile.TemporaryDirectory() as folder, Keepers(folder, 3) as keepers, silent():
-            keepers.found()
-            self.assertEqual(2, cli_code(["keeper", keepers.path, "--name", "k1", "--found"]))
-            keepers.start()
-            anyio.run(self._through_kills, keepers, backend_options={"use_uvloop": True})
+    def test_changes_take_effect_though_nodes_are_killed_and_replaced(self) -> None:
+        """Changes come into force; the leader is killed; a node that lost its file is replaced."""
+        with tempfile.TemporaryDirectory() as folder, NodeProcesses(folder, 3) as nodes, captured_stderr():
+            nodes.create_files()
+            self.assertEqual(2, cli_code(["keeper", nodes.path, "--name", "k1", "--found"]))
+            nodes.start()
+            anyio.run(self._run_changes_through_kills, nodes, backend_options={"use_uvloop": True})
 
-    async def _through_kills(self, keepers: Keepers) -> None:
-        followers = self.followers(keepers.given, "g0", "g1", "g2")
+    async def _run_changes_through_kills(self, nodes: NodeProcesses) -> None:
+        followers = self.followers(nodes.settings, "g0", "g1", "g2")
 
         async def propose(change: dict, **more: object) -> dict:
             return await anyio.to_thread.run_sync(
-                lambda: commands.propose(keepers.line(), change, seconds=10, **more)
+                lambda: commands.propose(nodes.line(), change, seconds=10, **more)
             )
 
         async with anyio.create_task_group() as tasks:
-            for one in followers:
-                tasks.start_soon(one.run, tasks)
-            told = await propose(listed("g0", "g1"), request="first")
-            self.assertEqual("in force", told["phase"])
-            await until(lambda: [one.status()["mode"] for one in followers] == ["lease", "lease", "stop"])
-            self.assertEqual([2, 2, 0], [one.status()["gateways"] for one in followers])
-            # Asked again by the same name: once, and the same answer.
+            for follower in followers:
+                tasks.start_soon(follower.run, tasks)
+            proposed = await propose(gateway_list("g0", "g1"), request="first")
+            self.assertEqual("in force", proposed["phase"])
+            await wait_until(
+                lambda: [follower.status()["mode"] for follower in followers] == ["lease", "lease", "stop"]
+            )
+            self.assertEqual([2, 2, 0], [follower.status()["gateways"] for follower in followers])
+            # A retry of the same request is applied once and gets the same answer.
             answer = await anyio.to_thread.run_sync(
-                lambda: keepers.line().ask(OperatorCommand("propose", "first", {}, b"\x90"))
+                lambda: nodes.line().ask(OperatorCommand("propose", "first", {}, b"\x90"))
+            )
+            self.assertEqual((True, proposed["version"]), (answer["accepted"], answer["version"]))
+
+            leader = await anyio.to_thread.run_sync(nodes.leader)
+            nodes.kill(leader)
+            change = {"engines": {"items": {"s-00000001": {"barred": True}}}}
+            proposed = await propose(change)
+            self.assertEqual("in force", proposed["phase"])
+            await wait_until(
+                lambda: all(follower.active_config.documents.engines.items for follower in followers)
             )
-            self.assertEqual((True, told["version"]), (answer["accepted"], answer["version"]))
-
-            leader = await anyio.to_thread.run_sync(keepers.leader)
-            keepers.kill(leader)
-            barred = {"engines": {"items": {"s-00000001": {"barred": True}}}}
-            told = await propose(barred)
-            self.assertEqual("in force", told["phase"])
-            await until(lambda: all(one.active_config.documents.engines.items for one in followers))
-            await until(lambda: followers[0].status()["mode"] == followers[1].status()["mode"] == "lease")
-
-            # Back without its file: a stranger, until an operator takes it in.
-            os.unlink(keepers.folder / f"{leader}.db")
-            keepers.start(leader)
-            await until(lambda: "a stranger" in keepers.log(leader))
-            members = await anyio.to_thread.run_sync(lambda: commands.ask(keepers.line(), "members"))
+            await wait_until(
+                lambda: followers[0].status()["mode"] == followers[1].status()["mode"] == "lease"
+            )
+
+            # A node without its file is no member until an operator admits it.
+            os.unlink(nodes.folder / f"{leader}.db")
+            nodes.start(leader)
+            await wait_until(lambda: "a stranger" in nodes.log(leader))
+            members = await anyio.to_thread.run_sync(lambda: commands.ask(nodes.line(), "members"))
             self.assertIn(f"{leader}/1", members["voters"])
-            said: list[str] = []
-            done = await anyio.to_thread.run_sync(
-                lambda: commands.replace(keepers.line(), leader, said.append, 10)
+            steps: list[str] = []
+            replaced = await anyio.to_thread.run_sync(
+                lambda: commands.replace(nodes.line(), leader, steps.append, 10)
             )
-            members = await anyio.to_thread.run_sync(lambda: commands.ask(keepers.line(), "members"))
+            members = await anyio.to_thread.run_sync(lambda: commands.ask(nodes.line(), "members"))
             self.assertNotIn(f"{leader}/1", members["voters"])
-            self.assertIn(done["name"], members["voters"])
+            self.assertIn(replaced["name"], members["voters"])
             self.assertEqual((3, [], []), (len(members["voters"]), members["learners"], members["strangers"]))
-            self.assertRegex("; ".join(said), "admitted to listen.*votes.*dropped.*done")
-
-            # It counts: with another one down, the two that are left are a majority.
-            gone = next(name for name in keepers.names if name != leader)
-            self.assertEqual(0, keepers.kill(gone, signal.SIGTERM))
-            told = await propose({"engines": {"items": {"s-00000001": None}}})
-            self.assertEqual("in force", told["phase"])
-            # In force, and a moment later all have said that they act at it.
+            self.assertRegex("; ".join(steps), "admitted to listen.*votes.*dropped.*done")
+
+            # The new member votes: with another node down, the other two are a majority.
+            stopped = next(name for name in nodes.names if name != leader)
+            self.assertEqual(0, nodes.kill(stopped, signal.SIGTERM))
+            proposed = await propose({"engines": {"items": {"s-00000001": None}}})
+            self.assertEqual("in force", proposed["phase"])
+            # A moment later all gateways have reported the new turn.
             with anyio.fail_after(8):
                 while True:
-                    where = await anyio.to_thread.run_sync(lambda: commands.ask(keepers.line(), "where"))
-                    self.assertEqual(["g0", "g1"], [one["gateway"] for one in where["gateways"]])
-                    if all(one["turn"] == where["turn"] and one["lease_us"] for one in where["gateways"]):
+                    where = await anyio.to_thread.run_sync(lambda: commands.ask(nodes.line(), "where"))
+                    self.assertEqual(["g0", "g1"], [status["gateway"] for status in where["gateways"]])
+                    if all(
+                        status["turn"] == where["turn"] and status["lease_us"] for status in where["gateways"]
+                    ):
                         break
 
-            # None left: leases end, and what was known goes on by the floor.
-            for name in list(keepers.processes):
-                keepers.kill(name)
-            await until(
+            # Without any node the leases end, and the gateways go on with the known configuration in floor mode.
+            for name in list(nodes.processes):
+                nodes.kill(name)
+            await wait_until(
                 lambda: followers[0].active_config.effective_at(followers[0]._now()).mode is Mode.FLOOR
             )
-            self.assertEqual(2 * told["version"], followers[0].active_config.turn)
+            self.assertEqual(2 * proposed["version"], followers[0].active_config.turn)
             tasks.cancel_scope.cancel()
 
-    def test_one_keeper_and_the_commands(self) -> None:
-        with tempfile.TemporaryDirectory() as folder, Keepers(folder, 1) as keepers, silent() as said:
-            keepers.found()
-            keepers.start()
-            change = keepers.folder / "change.json"
-
-            def typed(*words: str) -> tuple[int, dict | str]:
-                out = io.StringIO()
-                with contextlib.redirect_stdout(out):
-                    code = cli_code(["rules", words[0], keepers.path, *words[1:]])
-                return code, json.loads(out.getvalue()) if "--json" in words and code == 0 else out.getvalue()
-
-            change.write_text(json.dumps(listed("g0") | {"engines": {"items": {"e1": {"barred": True}}}}))
-            code, told = typed("propose", str(change), "--dry-run")
+    def test_commands_on_a_fleet_of_one_node(self) -> None:
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            NodeProcesses(folder, 1) as nodes,
+            captured_stderr() as stderr,
+        ):
+            nodes.create_files()
+            nodes.start()
+            change_path = nodes.folder / "change.json"
+
+            def run_command(*arguments: str) -> tuple[int, dict | str]:
+                stdout = io.StringIO()
+                with contextlib.redirect_stdout(stdout):
+                    code = cli_code(["rules", arguments[0], nodes.path, *arguments[1:]])
+                return code, json.loads(
+                    stdout.getvalue()
+                ) if "--json" in arguments and code == 0 else stdout.getvalue()
+
+            change_path.write_text(
+                json.dumps(gateway_list("g0") | {"engines": {"items": {"e1": {"barred": True}}}})
+            )
+            code, output = run_command("propose", str(change_path), "--dry-run")
             self.assertEqual(
-                (0, 'engines.items.e1: - > {"barred":true,"work":1.0}'), (code, told.splitlines()[0])
+                (0, 'engines.items.e1: - > {"barred":true,"work":1.0}'), (code, output.splitlines()[0])
             )
-            code, told = typed("propose", str(change), "--why", "a trial", "--no-wait", "--json")
-            self.assertEqual((0, 1, "proposed"), (code, told["version"], told["phase"]))
-            change.write_text(json.dumps({"engines": {"items": {"e1": None}}, "versions": {"engines": 0}}))
-            self.assertEqual((1, ""), typed("propose", str(change)))
-            self.assertIn("refused: engines: the change is of version 0", said.getvalue())
-            change.write_text('{"roofs": 1}')
-            self.assertEqual((2, ""), typed("propose", str(change)))
-            self.assertEqual((2, ""), typed("propose"))
-            change.write_text(json.dumps({"engines": {"items": {"e1": None}}, "versions": {"engines": 1}}))
-            self.assertEqual(2, typed("propose", str(change), "--no-wait", "--json")[1]["version"])
-            code, told = typed("propose", "--back-to", "1", "--json")
-            self.assertEqual((0, 3, "in force"), (code, told["version"], told["phase"]))
-            code, told = typed("show", "--document", "engines", "--json")
-            self.assertEqual((0, 3, 1_250_000), (code, told["in_force"], told["stated_us"]))
-            self.assertEqual(True, told["documents"]["engines"]["items"]["e1"]["barred"])
-            code, told = typed("show", "--history", "--json")
+            code, output = run_command("propose", str(change_path), "--why", "a trial", "--no-wait", "--json")
+            self.assertEqual((0, 1, "proposed"), (code, output["version"], output["phase"]))
+            change_path.write_text(
+                json.dumps({"engines": {"items": {"e1": None}}, "versions": {"engines": 0}})
+            )
+            self.assertEqual((1, ""), run_command("propose", str(change_path)))
+            self.assertIn("refused: engines: the change is of version 0", stderr.getvalue())
+            change_path.write_text('{"roofs": 1}')
+            self.assertEqual((2, ""), run_command("propose", str(change_path)))
+            self.assertEqual((2, ""), run_command("propose"))
+            change_path.write_text(
+                json.dumps({"engines": {"items": {"e1": None}}, "versions": {"engines": 1}})
+            )
+            self.assertEqual(2, run_command("propose", str(change_path), "--no-wait", "--json")[1]["version"])
+            code, output = run_command("propose", "--back-to", "1", "--json")
+            self.assertEqual((0, 3, "in force"), (code, output["version"], output["phase"]))
+            code, output = run_command("show", "--document", "engines", "--json")
+            self.assertEqual((0, 3, 1_250_000), (code, output["in_force"], output["stated_us"]))
+            self.assertEqual(True, output["documents"]["engines"]["items"]["e1"]["barred"])
+            code, output = run_command("show", "--history", "--json")
             self.assertEqual(
                 [["gateways", "engines"], ["engines"], ["engines"]],
-                [past["documents"] for past in told["past"]],
+                [past["documents"] for past in output["past"]],
             )
-            code, told = typed("where", "--json")
+            code, output = run_command("where", "--json")
             self.assertEqual(
-                (0, [("g0", None)]), (code, [(one["gateway"], one["turn"]) for one in told["gateways"]])
+                (0, [("g0", None)]),
+                (code, [(status["gateway"], status["turn"]) for status in output["gateways"]]),
             )
-            self.assertEqual(2, typed("members", "--replace", "k9")[0])
-            self.assertIn("'k9' is no keeper of the file", said.getvalue())
-            self.assertEqual(0, keepers.kill("k1", signal.SIGTERM))
-            with contextlib.redirect_stdout(io.StringIO()) as out:
-                self.assertEqual(0, cli_code(["keeper", keepers.path, "--name", "k1", "--dump"]))
-            self.assertEqual(3, json.loads(out.getvalue())["latest"])
-            self.assertEqual(2, typed("show", "--seconds", "0.2")[0])
-            self.assertIn("no keeper has answered: k1: ", said.getvalue())
-            # A damaged file is told in one line, and nothing is made of it.
-            data = bytearray((keepers.folder / "k1.db").read_bytes())
+            self.assertEqual(2, run_command("members", "--replace", "k9")[0])
+            self.assertIn("'k9' is no keeper of the file", stderr.getvalue())
+            self.assertEqual(0, nodes.kill("k1", signal.SIGTERM))
+            with contextlib.redirect_stdout(io.StringIO()) as stdout:
+                self.assertEqual(0, cli_code(["keeper", nodes.path, "--name", "k1", "--dump"]))
+            self.assertEqual(3, json.loads(stdout.getvalue())["latest"])
+            self.assertEqual(2, run_command("show", "--seconds", "0.2")[0])
+            self.assertIn("no keeper has answered: k1: ", stderr.getvalue())
+            # A damaged file is reported in one line.
+            data = bytearray((nodes.folder / "k1.db").read_bytes())
             data[100:200] = b"\0" * 100
-            (keepers.folder / "k1.db").write_bytes(data)
-            before = len(said.getvalue().splitlines())
-            self.assertEqual(2, cli_code(["keeper", keepers.path, "--name", "k1"]))
-            self.assertEqual(before + 1, len(said.getvalue().splitlines()))
-
-    def test_a_full_disk(self) -> None:
-        """What can't be synced is never answered; the keeper steps out with one line, and comes back."""
-        with tempfile.TemporaryDirectory() as folder, Keepers(folder, 1) as keepers:
-            keepers.found()
-            keepers.start(most_bytes=50_000)
+            (nodes.folder / "k1.db").write_bytes(data)
+            line_count = len(stderr.getvalue().splitlines())
+            self.assertEqual(2, cli_code(["keeper", nodes.path, "--name", "k1"]))
+            self.assertEqual(line_count + 1, len(stderr.getvalue().splitlines()))
+
+    def test_node_ends_when_its_disk_is_full(self) -> None:
+        """A command that can't be synced gets no answer; the node ends with one log line, and can restart."""
+        with tempfile.TemporaryDirectory() as folder, NodeProcesses(folder, 1) as nodes:
+            nodes.create_files()
+            nodes.start(max_file_bytes=50_000)
             items = {f"e{number}": {"barred": True} for number in range(4_000)}
-            big = listed("g0") | {"engines": {"items": items}}
+            large_change = gateway_list("g0") | {"engines": {"items": items}}
             with self.assertRaises((commands.NoAnswerError, ValueError)):
-                commands.propose(keepers.line(3), big, request="big")
-            self.assertEqual(1, keepers.processes.pop("k1").wait(5))
-            self.assertEqual(1, keepers.log("k1").count("can't be written"), keepers.log("k1"))
-            self.assertNotIn("Traceback", keepers.log("k1"))
-            keepers.start()
-            shown = commands.ask(keepers.line(), "show")
+                commands.propose(nodes.line(3), large_change, request="big")
+            self.assertEqual(1, nodes.processes.pop("k1").wait(5))
+            self.assertEqual(1, nodes.log("k1").count("can't be written"), nodes.log("k1"))
+            self.assertNotIn("Traceback", nodes.log("k1"))
+            nodes.start()
+            shown = commands.ask(nodes.line(), "show")
             self.assertEqual((0, {}), (shown["latest"], shown["documents"]["engines"]["items"]))
 
 
-class Hostile(unittest.TestCase):
-    """Each ends its own link, with one line; the keeper goes on."""
+class InvalidPeerTest(unittest.TestCase):
+    """A peer that breaks the protocol loses its link, with one log line; the node goes on."""
 
-    def test_what_ends_a_link(self) -> None:
-        with tempfile.TemporaryDirectory() as folder, Keepers(folder, 1) as keepers:
-            keepers.found()
-            keepers.start()
-            keepers.line().ask(OperatorCommand("show"))
-            time.sleep(1.1)  # five lines a second are told
-            agreed = peers.settings_digest(keepers.given)
-            gateway = peers.make_greeting("gateway", "trial", "g0", "a1", agreed)
+    def test_invalid_frames_end_the_link(self) -> None:
+        with tempfile.TemporaryDirectory() as folder, NodeProcesses(folder, 1) as nodes:
+            nodes.create_files()
+            nodes.start()
+            nodes.line().ask(OperatorCommand("show"))
+            time.sleep(1.1)  # five lines a second are logged
+            digest = peers.settings_digest(nodes.settings)
+            gateway_greeting = peers.make_greeting("gateway", "trial", "g0", "a1", digest)
 
             def greeting(**changed: object) -> bytes:
-                return encode_frame(msgspec.structs.replace(gateway, **changed))
+                return encode_frame(msgspec.structs.replace(gateway_greeting, **changed))
 
-            well = encode_frame(gateway)
-            operator_ = encode_frame(peers.make_greeting("operator", "trial", "operator", "a1"))
-            keeper = greeting(role="keeper", name="k1")
+            valid_greeting = encode_frame(gateway_greeting)
+            operator_greeting = encode_frame(peers.make_greeting("operator", "trial", "operator", "a1"))
+            keeper_greeting = greeting(role="keeper", name="k1")
             cases = {
-                "noise": (b"GET / HTTP/1.0\r\n\r\n", "refused: .*a frame of kind"),
-                "a length that lies": (
+                "no frame": (b"GET / HTTP/1.0\r\n\r\n", "refused: .*a frame of kind"),
+                "a wrong length": (
                     struct.pack(">IB", MAX_FRAME_BYTES + 1, 48),
                     "refused: .*a frame of kind 48",
                 ),
                 "no greeting": (encode_frame(GetConfig(0)), "refused: .*no greeting"),
-                "another magic": (greeting(magic="other"), "refused: .*no greeting"),
+                "a wrong magic": (greeting(magic="other"), "refused: .*no greeting"),
                 "a later version": (greeting(version=9), "refused: .*version 9"),
                 "another fleet": (greeting(fleet="other"), "refused: .*of fleet 'other'"),
-                "no role": (greeting(role="king"), "refused: .*role 'king'"),
-                "a name that can't be": (greeting(name="g 0"), "refused: .*name 'g 0'"),
-                "a keeper's name": (greeting(name="k1"), "refused: .*'k1' as a gateway"),
-                "a keeper unheard of": (greeting(role="keeper"), "refused: .*'g0' as a keeper"),
-                "its own name": (keeper, "refused: .*own name"),
-                "another lease": (
+                "an unknown role": (greeting(role="king"), "refused: .*role 'king'"),
+                "an invalid name": (greeting(name="g 0"), "refused: .*name 'g 0'"),
+                "a gateway with a node's name": (greeting(name="k1"), "refused: .*'k1' as a gateway"),
+                "a node that the settings do not name": (
+                    greeting(role="keeper"),
+                    "refused: .*'g0' as a keeper",
+                ),
+                "the receiving node's own name": (keeper_greeting, "refused: .*own name"),
+                "a renewal under other settings": (
                     greeting(nonce=b"") + encode_frame(RenewLease(1, 0)),
                     "dropped: .*another lease",
                 ),
-                "a second greeting": (well + well, "dropped: a Greeting from the role gateway"),
-                "a keeper's word": (
-                    well + encode_frame(KeepAlive(1)),
+                "a second greeting": (
+                    valid_greeting + valid_greeting,
+                    "dropped: a Greeting from the role gateway",
+                ),
+                "a node's frame from a gateway": (
+                    valid_greeting + encode_frame(KeepAlive(1)),
                     "dropped: a KeepAlive from the role gateway",
                 ),
-                "a carried word": (
-                    well + encode_frame(ForwardedFrame("x", False, b"")),
+                "a forwarded frame from a gateway": (
+                    valid_greeting + encode_frame(ForwardedFrame("x", False, b"")),
                     "dropped: a ForwardedFrame from",
                 ),
-                "an operator's question": (
-                    well + encode_frame(encode_command(1, OperatorCommand("show"))[0]),
+                "an operator's command from a gateway": (
+                    valid_greeting + encode_frame(encode_command(1, OperatorCommand("show"))[0]),
                     "dropped: a OperatorRequest",
                 ),
-                "a gateway's word": (
-                    operator_ + encode_frame(RenewLease(1, 0)),
+                "a gateway's frame from an operator": (
+                    operator_greeting + encode_frame(RenewLease(1, 0)),
                     "dropped: a RenewLease from the role oper",
                 ),
-                "a renewal again": (well + encode_frame(RenewLease(7, 0)) * 2, "dropped: renewal 7 after 7"),
+                "a replayed renewal": (
+                    valid_greeting + encode_frame(RenewLease(7, 0)) * 2,
+                    "dropped: renewal 7 after 7",
+                ),
                 "an older renewal": (
-                    well + encode_frame(RenewLease(7, 0)) + encode_frame(RenewLease(6, 0)),
+                    valid_greeting + encode_frame(RenewLease(7, 0)) + encode_frame(RenewLease(6, 0)),
                     "dropped: renewal 6",
                 ),
-                "no question": (
-                    operator_ + encode_frame(OperatorRequest(1, b"\xc1", True)),
+                "an undecodable command": (
+                    operator_greeting + encode_frame(OperatorRequest(1, b"\xc1", True)),
                     "dropped: a question",
                 ),
-                "cut in the middle": (well + encode_frame(GetConfig(0))[:-1], "EndOfStream"),
+                "a truncated frame": (valid_greeting + encode_frame(GetConfig(0))[:-1], "EndOfStream"),
             }
-            for name, (message, wanted) in cases.items():
+            for name, (message, expected) in cases.items():
                 with self.subTest(name):
-                    before = keepers.log("k1").count("event=ended")
-                    with socket.create_connection(("127.0.0.1", keepers.ports["k1"]), 5) as made:
-                        made.sendall(message)
-                        if name == "cut in the middle":
-                            made.shutdown(socket.SHUT_WR)
-                        made.settimeout(5)
+                    ended_count = nodes.log("k1").count("event=ended")
+                    with socket.create_connection(("127.0.0.1", nodes.ports["k1"]), 5) as connection:
+                        connection.sendall(message)
+                        if name == "a truncated frame":
+                            connection.shutdown(socket.SHUT_WR)
+                        connection.settimeout(5)
                         with contextlib.suppress(ConnectionResetError):
-                            while made.recv(65536):
+                            while connection.recv(65536):
                                 pass
-                    ended = _ended(keepers, before)
-                    self.assertEqual(1, len(ended), ended)
-                    self.assertRegex(ended[0], wanted)
+                    ended_lines = ended_link_lines(nodes, ended_count)
+                    self.assertEqual(1, len(ended_lines), ended_lines)
+                    self.assertRegex(ended_lines[0], expected)
                     time.sleep(0.2)
-            self.assertNotIn("Traceback", keepers.log("k1"))
-            self.assertEqual("k1", keepers.leader())
-
-    def test_a_newer_link_takes_the_place(self) -> None:
-        with tempfile.TemporaryDirectory() as folder, Keepers(folder, 1) as keepers:
-            keepers.found()
-            keepers.start()
-            keepers.line().ask(OperatorCommand("show"))
-            well = encode_frame(
-                peers.make_greeting("gateway", "trial", "g0", "a1", peers.settings_digest(keepers.given))
+            self.assertNotIn("Traceback", nodes.log("k1"))
+            self.assertEqual("k1", nodes.leader())
+
+    def test_newer_link_of_a_peer_ends_the_older(self) -> None:
+        with tempfile.TemporaryDirectory() as folder, NodeProcesses(folder, 1) as nodes:
+            nodes.create_files()
+            nodes.start()
+            nodes.line().ask(OperatorCommand("show"))
+            greeting = encode_frame(
+                peers.make_greeting("gateway", "trial", "g0", "a1", peers.settings_digest(nodes.settings))
             )
-            with socket.create_connection(("127.0.0.1", keepers.ports["k1"]), 5) as first:
-                first.sendall(well)
+            with socket.create_connection(("127.0.0.1", nodes.ports["k1"]), 5) as first:
+                first.sendall(greeting)
                 first.recv(65536)
-                with socket.create_connection(("127.0.0.1", keepers.ports["k1"]), 5) as second:
-                    second.sendall(well)
+                with socket.create_connection(("127.0.0.1", nodes.ports["k1"]), 5) as second:
+                    second.sendall(greeting)
                     second.recv(65536)
                     first.settimeout(5)
                     self.assertEqual(b"", first.recv(65536))
-            self.assertIn("a newer link has taken its place", "".join(_ended(keepers, 0)))
+            self.assertIn("a newer link has taken its place", "".join(ended_link_lines(nodes, 0)))
 
-    def test_names_are_proved(self) -> None:
-        """With keys: a gateway's key is no keeper's and no operator's, and none at all gets nowhere."""
-        with tempfile.TemporaryDirectory() as folder, silent():
+    def test_peer_without_the_key_of_its_name_is_refused(self) -> None:
+        """With TLS a gateway's key doesn't serve for an operator, and a peer without TLS is refused."""
+        with tempfile.TemporaryDirectory() as folder, captured_stderr():
             authority.make(f"{folder}/keys", ["k1", "g0", "operator"])
             tls = (
                 f"tls\n    authority {folder}/keys/authority.pem\n"
                 f"    certificate {folder}/keys/{{name}}.pem\n    key {folder}/keys/{{name}}.key\n"
             )
-            with Keepers(folder, 1, tls=tls) as keepers:
-                keepers.found()
-                keepers.start()
-                self.assertEqual(0, keepers.line().ask(OperatorCommand("show"))["turn"])
-                as_g0 = msgspec.structs.replace(
-                    keepers.given, tls=operator.parse("x", keepers.text + tls.format(name="g0")).fleet.tls
+            with NodeProcesses(folder, 1, tls=tls) as nodes:
+                nodes.create_files()
+                nodes.start()
+                self.assertEqual(0, nodes.line().ask(OperatorCommand("show"))["turn"])
+                g0_settings = msgspec.structs.replace(
+                    nodes.settings, tls=operator.parse("x", nodes.text + tls.format(name="g0")).fleet.tls
                 )
                 with self.assertRaises(commands.NoAnswerError):
-                    commands.Line(as_g0, 0.2).ask(OperatorCommand("show"))
+                    commands.Line(g0_settings, 0.2).ask(OperatorCommand("show"))
                 with self.assertRaises(commands.NoAnswerError):
-                    commands.Line(msgspec.structs.replace(keepers.given, tls=None), 0.2).ask(
+                    commands.Line(msgspec.structs.replace(nodes.settings, tls=None), 0.2).ask(
                         OperatorCommand("show")
                     )
-                ended = "".join(_ended(keepers, 0))
-                self.assertIn("'g0' as an operator", ended)
-
-                async def follow() -> str:
-                    use = ActiveConfig(
-                        "g0", as_g0.lease, as_g0.floor_lease, as_g0.drift, as_g0.most, incarnation="a1"
+                ended_lines = "".join(ended_link_lines(nodes, 0))
+                self.assertIn("'g0' as an operator", ended_lines)
+
+                async def follow_as_g0() -> str:
+                    active_config = ActiveConfig(
+                        "g0",
+                        g0_settings.lease,
+                        g0_settings.floor_lease,
+                        g0_settings.drift,
+                        g0_settings.most,
+                        incarnation="a1",
                     )
-                    one = ConfigFollower(as_g0, "g0", use, Random(1).random)
+                    follower = ConfigFollower(g0_settings, "g0", active_config, Random(1).random)
                     async with anyio.create_task_group() as tasks:
-                        tasks.start_soon(one.run, tasks)
-                        await until(lambda: one.status()["keeper"] == "k1")
+                        tasks.start_soon(follower.run, tasks)
+                        await wait_until(lambda: follower.status()["keeper"] == "k1")
                         tasks.cancel_scope.cancel()
-                    return one.status()["mode"]
+                    return follower.status()["mode"]
 
-                self.assertEqual("floor", anyio.run(follow))
+                self.assertEqual("floor", anyio.run(follow_as_g0))
 
 
-def _ended(keepers: Keepers, before: int) -> list[str]:
-    """Lines of links that ended, but for those of an operator that had its answer."""
-    until_ = time.monotonic() + 3
-    while time.monotonic() < until_:
-        lines = [line for line in keepers.log("k1").splitlines() if "event=ended" in line][before:]
+def ended_link_lines(nodes: NodeProcesses, skipped_count: int) -> list[str]:
+    """Waits for log lines about ended links after the first `skipped_count`, and returns them."""
+    deadline_s = time.monotonic() + 3
+    while time.monotonic() < deadline_s:
+        lines = [line for line in nodes.log("k1").splitlines() if "event=ended" in line][skipped_count:]
         if lines:
             time.sleep(0.03)
-            return [line for line in keepers.log("k1").splitlines() if "event=ended" in line][before:]
+            return [line for line in nodes.log("k1").splitlines() if "event=ended" in line][skipped_count:]
         time.sleep(0.01)
     return []
 
 
 @contextlib.contextmanager
-def silent():
-    with contextlib.redirect_stderr(io.StringIO()) as said:
-        yield said
+def captured_stderr():
+    with contextlib.redirect_stderr(io.StringIO()) as stderr:
+        yield stderr
 
 
-_FAULTS = {
+_FAULTS_BY_SETTINGS = {
     "fleet t\nkeeper k1 127.0.0.1:1\n": [],
     "hall h\n    gateway g\nfleet t\nkeeper k1 127.0.0.1:1\nmember g0\n": [],
     "keeper k1 127.0.0.1:1\n": ["1: expected a section 'fleet' with its name"],
@@ -477,29 +513,29 @@
 }
 
 
-class Files(unittest.TestCase):
-    def test_all_that_is_wrong(self) -> None:
-        for text, wanted in _FAULTS.items():
+class FleetSettingsTest(unittest.TestCase):
+    def test_all_faults_of_the_settings_are_reported(self) -> None:
+        for text, expected in _FAULTS_BY_SETTINGS.items():
             with self.subTest(text):
                 try:
-                    given = operator.parse("f", text)
-                    told, _ = [], self.assertEqual("t", given.fleet.name)
-                except UnusableError as trouble:
-                    told = [fault.removeprefix("f:") for fault in trouble.faults]
-                self.assertEqual(wanted, told)
-
-    def test_the_example(self) -> None:
-        with silent() as said, contextlib.redirect_stdout(io.StringIO()):
+                    settings = operator.parse("f", text)
+                    faults, _ = [], self.assertEqual("t", settings.fleet.name)
+                except UnusableError as error:
+                    faults = [fault.removeprefix("f:") for fault in error.faults]
+                self.assertEqual(expected, faults)
+
+    def test_example_settings_are_valid(self) -> None:
+        with captured_stderr() as stderr, contextlib.redirect_stdout(io.StringIO()):
             self.assertEqual(0, cli_code(["check-config", "deploy/fleet.conf"]))
-        self.assertIn("for 2.5 s at the longest", said.getvalue())
+        self.assertIn("for 2.5 s at the longest", stderr.getvalue())
 
-    def test_gateways_spread_over_the_keepers(self) -> None:
-        given = operator.read("deploy/fleet.conf").fleet
-        first = [preference_order(f"g{number}", given.keepers)[0].name for number in range(300)]
-        for keeper in given.keepers:
-            self.assertTrue(70 < first.count(keeper.name) < 130, first.count(keeper.name))
+    def test_gateways_spread_over_the_nodes(self) -> None:
+        settings = operator.read("deploy/fleet.conf").fleet
+        first_choices = [preference_order(f"g{number}", settings.keepers)[0].name for number in range(300)]
+        for keeper in settings.keepers:
+            self.assertTrue(70 < first_choices.count(keeper.name) < 130, first_choices.count(keeper.name))
 
-    def test_changes_are_merged(self) -> None:
+    def test_changes_are_merged_into_documents(self) -> None:
         old = {"items": {"a": {"barred": True}, "b": {"work": 0.5}}, "count": 3}
         change = {"items": {"a": None, "b": {"barred": True}, "c": {}}, "count": 4}
         self.assertEqual(
