--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -204,7 +204,7 @@
                     ):
                         break
 
-            # Without any node the leases end, and the gateways go on with the known configuration in floor mode.
+            # Without any node the leases end, and the gateways go on in floor mode with what they know.
             for name in list(nodes.processes):
                 nodes.kill(name)
             await wait_until(
