--- a/cresstray/consensus/read_index.py
+++ b/cresstray/consensus/read_index.py
@@ -21,7 +21,7 @@
         ):
             return False
         acked_at_us = self._quorum_acked_at_us(now_us)
-        # By the drift this clock may be slow, and that of a follower, which must not vote meanwhile, fast.
+        # Twice the drift: this clock may be slow, and a follower's, which must not vote meanwhile, fast.
         lease_us = int(self._timing.election_timeout_us * (1 - 2 * self._timing.clock_drift))
         return acked_at_us is not None and now_us < acked_at_us + lease_us
 
--- a/cresstray/consensus/storage.py
+++ b/cresstray/consensus/storage.py
@@ -26,6 +26,7 @@
 _FORMAT_VERSION = 1
 # Length to which SQLite's error texts are cut.
 _MAX_ERROR_CHARACTERS = 120
+# `one` limits a table to one row, `at` is a log index, `sum` is the CRC-32 of the other columns.
 _TABLES = """
     CREATE TABLE meta (one INTEGER PRIMARY KEY CHECK (one = 1), name TEXT NOT NULL, term INTEGER NOT NULL,
                        voted_for TEXT, sum INTEGER NOT NULL) STRICT;
--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -150,8 +150,8 @@
         self.failure = ""
         self._tasks: TaskGroup
 
-    def _log_event(self, kind: str, event: str, **more: object) -> None:
-        self._event_log.log(kind, event, **more)
+    def _log_event(self, kind: str, event: str, **fields: object) -> None:
+        self._event_log.log(kind, event, **fields)
 
     def _update_engines(self, settings: Fleet) -> None:
         self._move_coordinator.addresses = {engine.id: engine.address for engine in settings.engines}
@@ -202,8 +202,8 @@
 
     # Incoming links.
 
-    def _check_greeting(self, greeting: Frame, names: set[str] | None) -> None:
-        peer = peers.check_greeting(greeting, self._settings, names)
+    def _check_greeting(self, greeting: Frame, certificate_names: set[str] | None) -> None:
+        peer = peers.check_greeting(greeting, self._settings, certificate_names)
         if peer.role == "keeper" and peer.name == self.name:
             raise FramingError("this keeper's own name")
 
@@ -235,7 +235,7 @@
                 return
             self.counters.add("faults")
             self._log_event("fault", traceback.format_exc(), of=link.peer.name)
-            raise FramingError("a fault of ours") from None
+            raise FramingError("an internal error") from None
         finally:
             self._schedule_round()
 
@@ -248,8 +248,8 @@
         backoff = self._outgoing.new_backoff()
         member_name, last_heard_s = "", 0.0
 
-        def check(greeting: Frame, names: set[str] | None) -> None:
-            peer = peers.check_greeting(greeting, self._settings, names)
+        def check(greeting: Frame, certificate_names: set[str] | None) -> None:
+            peer = peers.check_greeting(greeting, self._settings, certificate_names)
             if peer.role != "keeper" or peer.name != name:
                 raise FramingError(f"the {peer.role} {peer.name!r} where {name!r} should be")
 
--- a/cresstray/control_plane/node_controller.py
+++ b/cresstray/control_plane/node_controller.py
@@ -98,8 +98,8 @@
         applied_index: Index of the last applied entry.
         pending_proposals: By index, the proposed term and the callback for the outcome.
         now_us: Time of the current call.
-        turn_hooks: Called by other packages' request when the turn has changed.
-        round_hooks: Called in each round; each returns when it wants the next one, or None.
+        turn_hooks: Callbacks of other packages for when the turn has changed.
+        round_hooks: Callbacks of other packages for each round; they return when they are due next, or None.
     """
 
     def __init__(
@@ -128,15 +128,13 @@
         self.applied_index = 0
         self._entries_since_snapshot = self._bytes_since_snapshot = 0
         self.pending_proposals: dict[int, tuple[int, Callable[[bytes | None], None]]] = {}
-        self._pending_reads: list[
-            tuple[int, Callable[[bool], None]]
-        ] = []  # index to have applied, and callback
+        # Index to have applied, and callback.
+        self._pending_reads: list[tuple[int, Callable[[bool], None]]] = []
         self._pending_renewals: list[tuple[Callable[[Frame], None], str, config_codec.RenewLease]] = []
         self.now_us = now_us
         self._ready_term = 0  # the term that this node leads, once it has applied all earlier ones
-        self._departure_terms: dict[
-            str, int
-        ] = {}  # by departed gateway: the term in which its departure was proposed
+        # By departed gateway: the term in which its departure was proposed.
+        self._departure_terms: dict[str, int] = {}
         self._proposed_turn = (0, 0)  # term and turn
         # By the turn that a gateway has: the turn that the updates start from, and the encoded frames.
         self._updates_by_turn: dict[int, tuple[int, list[bytes]]] = {}
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -46,7 +46,7 @@
     def on_message(self, body: bytes, now_us: int) -> None:
         """Handles the body of a message of the peer."""
         super().on_message(body, now_us)
-        self._positions.wanted(self.peer, now_us)
+        self._positions.handle_requests(self.peer, now_us)
 
 
 class PositionDistributor:
@@ -66,8 +66,8 @@
         """Returns the exchange for a new link."""
         return _NodeTalk(self, self._board)
 
-    def wanted(self, peer: Peer, now_us: int) -> None:
-        """Handles the requests in a peer's message."""
+    def handle_requests(self, peer: Peer, now_us: int) -> None:
+        """Handles the requests for positions in a peer's last message."""
         self._exchange.wanted(peer, self._controller.is_ready_leader(now_us), now_us)
 
     def on_disk_report(self, disk: Disk, now_us: int) -> bool:
--- a/cresstray/control_plane/request_handlers.py
+++ b/cresstray/control_plane/request_handlers.py
@@ -75,6 +75,10 @@
             )
 
     def _version_status(self) -> dict[str, Any]:
+        """Returns the fields that all replies have.
+
+        In turn 2n version n is in force; turn 2n + 1 is joint: versions n and n + 1 hold together.
+        """
         state = self._controller.state
         return {
             "turn": state.turn,
@@ -304,7 +308,7 @@
             node.name if node.name.partition("/")[0] == command.name else f"{command.name}/{incarnation}"
         )
         voters, learners = node.members.voters, node.members.learners
-        old = [
+        old_names = [
             name
             for name in node.members.names()
             if name.partition("/")[0] == command.name and name != new_name
@@ -330,11 +334,11 @@
             members = Members(
                 tuple(sorted((*voters, new_name))), tuple(name for name in learners if name != new_name)
             )
-        elif old:
-            step = f"{old[0]} dropped"
+        elif old_names:
+            step = f"{old_names[0]} dropped"
             members = Members(
-                tuple(name for name in voters if name != old[0]),
-                tuple(name for name in learners if name != old[0]),
+                tuple(name for name in voters if name != old_names[0]),
+                tuple(name for name in learners if name != old_names[0]),
             )
         elif new_name != node.name and not node.is_recently_active(new_name, controller.now_us):
             # The link of a node that lost its disk may live on for a while; nothing was replaced yet.
