--- a/tests/membership_desk.py
+++ b/tests/membership_desk.py
@@ -19,7 +19,7 @@
 from cresstray.pipeline.routing import Router
 from cresstray.policy.types import EndpointState
 from cresstray.simulation.cold_engine import AddressOnly
-from tests.desk import Desk, settings
+from tests.harness import PolicyHarness, settings
 
 SECOND, START = 1_000_000, 1_800_000_000_000_000
 GRACE, WAIT = 10 * SECOND, 2 * SECOND
@@ -58,7 +58,7 @@
     return msgspec.structs.replace(plain, **more)
 
 
-class Fleet(Desk):
+class Fleet(PolicyHarness):
     """The module with a route, and a keep beside it, as the service joins them."""
 
     def __init__(
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -26,7 +26,7 @@
 from cresstray.clock import Clock
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from tests.desk import settings
+from tests.harness import settings
 
 # For what is waited for by bytes: far longer than any of it takes.
 LONG = 10.0
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -1,7 +1,7 @@
 """The module's one hook: what the fleet has agreed on, asked at the moment of acting."""
 
 from cresstray.policy.types import Engine, Outcome, Request
-from tests.desk import Desk, TraceCase, settings
+from tests.harness import PolicyHarness, TraceCase, settings
 
 SAFETY = {"BudgetWindow": 10_000.0, "ResendRatio": 0.5, "FreeResends": 2}
 
@@ -25,59 +25,59 @@
         return self.scale
 
 
-def desk_under(**more: object) -> tuple[Desk, Agreed]:
-    desk = Desk(settings(Balancers=4, Safety=SAFETY, **more), engines=3)
-    desk.gateway.admission_rules = agreed = Agreed()
-    return desk, agreed
+def desk_under(**more: object) -> tuple[PolicyHarness, Agreed]:
+    harness = PolicyHarness(settings(Balancers=4, Safety=SAFETY, **more), engines=3)
+    harness.gateway.admission_rules = agreed = Agreed()
+    return harness, agreed
 
 
 class Hook(TraceCase):
     def test_what_is_agreed_holds_from_the_next_attempt_on(self) -> None:
-        desk, agreed = desk_under()
-        first = desk.submit("any engine")
-        agreed.barred = set(desk.engines[:2])
+        harness, agreed = desk_under()
+        first = harness.submit("any engine")
+        agreed.barred = set(harness.engines[:2])
         for number in range(4):
-            desk.submit(f"one engine, {number}")
+            harness.submit(f"one engine, {number}")
         agreed.stopped = {0}
-        desk.submit("a stopped class")
+        harness.submit("a stopped class")
         agreed.stopped = set()
-        agreed.barred = set(desk.engines)
-        held = desk.submit("none may take it")
-        desk.run(300)
-        agreed.barred = set(desk.engines[:2])
-        desk.run(200)
+        agreed.barred = set(harness.engines)
+        held = harness.submit("none may take it")
+        harness.run(300)
+        agreed.barred = set(harness.engines[:2])
+        harness.run(200)
         self.assertTrue(first.current_attempt and held.current_attempt)
-        self.check("agreed_engines", desk.lines)
+        self.check("agreed_engines", harness.lines)
 
     def test_shares_follow_the_count_and_none_is_sent_at_none(self) -> None:
-        desk, agreed = desk_under()
+        harness, agreed = desk_under()
         limits = []
         for count in (4, 8, 2, 0, 4):
             agreed.count = count
-            desk.submit(f"{count} count")
-            desk.run(200)
-            limits.append([round(engine.policy_state.limit.value, 6) for engine in desk.engines])
+            harness.submit(f"{count} count")
+            harness.run(200)
+            limits.append([round(engine.policy_state.limit.value, 6) for engine in harness.engines])
         self.assertEqual(limits, [[1.0] * 3, [0.5] * 3, [2.0] * 3, [2.0] * 3, [1.0] * 3])
-        self.assertEqual(desk.gateway.gateway_count, 4)
-        self.check("agreed_count", desk.lines)
+        self.assertEqual(harness.gateway.gateway_count, 4)
+        self.check("agreed_count", harness.lines)
 
     def test_a_read_that_waits_for_a_copy_holds_up_itself_only(self) -> None:
-        desk, _ = desk_under()
-        waits = desk.submit("a read", replica_read=object())
+        harness, _ = desk_under()
+        waits = harness.submit("a read", replica_read=object())
         for name in ("a second read", "the like without a hint"):
-            desk.submit(name, replica_read=object() if "read" in name else None)
+            harness.submit(name, replica_read=object() if "read" in name else None)
         self.assertTrue(waits.is_queued)
         self.assertEqual(
             ["the like without a hint"],
-            [desk.names[one] for one in desk.names if isinstance(one, Request) and one.current_attempt],
+            [harness.names[one] for one in harness.names if isinstance(one, Request) and one.current_attempt],
         )
 
     def test_the_retry_budget_is_scaled(self) -> None:
         made = []
         for scale in (1.0, 0.5, 0.0):
-            desk, agreed = desk_under()
+            harness, agreed = desk_under()
             agreed.scale = scale
             for number in range(8):
-                desk.back(desk.submit(f"{number}"), Outcome.OVERLOADED)
-            made.append(sum(" #1 to" in line for line in desk.lines))
+                harness.finish_attempt(harness.submit(f"{number}"), Outcome.OVERLOADED)
+            made.append(sum(" #1 to" in line for line in harness.lines))
         self.assertEqual(made, [6, 3, 0])
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -34,8 +34,8 @@
 from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import EndpointState, Outcome
 from cresstray.transport.streams import connect
-from tests import desk
-from tests.desk import ClientStandIn, settings
+from tests import harness
+from tests.harness import ClientStandIn, settings
 from tests.test_links import FakeLink, FakePool
 from tests.test_service import Stage, member
 
@@ -85,7 +85,7 @@
 
     def __init__(self, engines: int = 1, cancel: bool = True, **safety: float) -> None:
         given = settings(*SERVICES, Limits={"Cancel": cancel, "StreamsPerConn": 32}, Safety=safety)
-        self.clock, self.counters = VirtualClock(desk.START), Counters()
+        self.clock, self.counters = VirtualClock(harness.START_US), Counters()
         self.pools: list[FakePool] = []
         self.accounting = RequestAccounting(self.counters)
         self.responses = ResponseHandler(self.clock, self.counters, self.accounting)
@@ -603,13 +603,13 @@
         for cancel in (True, False):
 
             async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
-                await client.ask(1, "plain one")
+                await client.send_request(1, "plain one")
                 await dials.begun.wait()
-                await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
+                await client.send_line({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
                 await self.answered(stage, "requests cancelled")
                 dials.let.set()
-                await client.ask(2, "plain two")
-                self.assertEqual(2, (await client.hear())["id"])
+                await client.send_request(2, "plain two")
+                self.assertEqual(2, (await client.receive_response())["id"])
 
             stage = self.play(scene, Limits={"Cancel": cancel, "ConnectTimeout": 10_000})
             self.assertEqual(1, len(stage.engines[0].lines))
@@ -618,12 +618,12 @@
     def test_the_client_shuts_while_its_engine_is_dialled(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
             async with await anyio.connect_tcp(*stage.address) as stream:
-                await ClientStandIn(stream, stage.lines, names=16).ask(1, "plain one")
+                await ClientStandIn(stream, stage.lines, names=16).send_request(1, "plain one")
                 await dials.begun.wait()
             await self.answered(stage, "requests cancelled")
             dials.let.set()
-            await client.ask(2, "plain two")
-            self.assertEqual(2, (await client.hear())["id"])
+            await client.send_request(2, "plain two")
+            self.assertEqual(2, (await client.receive_response())["id"])
 
         stage = self.play(scene, Limits={"Cancel": False, "ConnectTimeout": 10_000})
         self.assertEqual(1, len(stage.engines[0].lines))
@@ -636,12 +636,12 @@
             async def scene(stage: Stage, client: ClientStandIn, dials: Dials, state=state) -> None:
                 second = member(stage.engines[1].port, 1, EndpointState.DRAINING)
                 stage.service.parts.endpoint_updates.on_event(EndpointEvent(2, False, [second]))
-                await client.ask(1, "plain")
+                await client.send_request(1, "plain")
                 await dials.begun.wait()
                 told = [member(stage.engines[0].port, 0, state), member(stage.engines[1].port, 1)]
                 stage.service.parts.endpoint_updates.on_event(EndpointEvent(3, False, told))
                 dials.let.set()
-                self.assertIn("result", await client.hear())
+                self.assertIn("result", await client.receive_response())
 
             service = {"Effect": "at_most_once"}
             stage = self.play(scene, 2, Services=[service], Limits={"ConnectTimeout": 10_000})
@@ -650,13 +650,13 @@
     def test_no_descriptor_is_no_doubt_about_the_engine(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
             dials.fails = OSError(errno.EMFILE, "too many open files")
-            await client.ask(1, "plain")
-            self.assertIn("error", await client.hear())
+            await client.send_request(1, "plain")
+            self.assertIn("error", await client.receive_response())
             self.assertEqual(4, dials.count)  # as many attempts as there may be
             dials.fails = None
             dials.let.set()
-            await client.ask(2, "plain")
-            self.assertIn("result", await client.hear())
+            await client.send_request(2, "plain")
+            self.assertIn("result", await client.receive_response())
 
         stage = self.play(scene, Services=[{"Effect": "at_most_once"}])
         counts = stage.service.parts.counters.counts
@@ -672,13 +672,13 @@
                 stage.service.parts.endpoint_updates.on_event(
                     EndpointEvent(2, True, [member(server.getsockname()[1], 7)])
                 )
-                await client.ask(1, "x" * 150_000)
+                await client.send_request(1, "x" * 150_000)
                 server.settimeout(5)
                 accepted = (await anyio.to_thread.run_sync(server.accept))[0]
                 pool = next(iter(stage.service.parts.router._pools.values()))
                 while not (pool.connections and pool.connections[0].transport):
                     await anyio.sleep(0.001)
-                await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
+                await client.send_line({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
                 with anyio.fail_after(5):
                     while pool.connections:
                         await anyio.sleep(0.001)
--- a/tests/test_client_session.py
+++ b/tests/test_client_session.py
@@ -11,7 +11,7 @@
 from cresstray.engines.connection_state import EngineConnection
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.observability.counters import Counters
-from tests.desk import TraceCase
+from tests.harness import TraceCase
 
 
 class FakeTransport:
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -28,7 +28,7 @@
 from cresstray.sites import codec as halls
 from cresstray.tables import group_of
 from cresstray.transport.framing import MAX_FRAME_BYTES, FrameDecoder, FramingError, encode_frame
-from tests.desk import TraceCase
+from tests.harness import TraceCase
 
 PARAMS = {
     "req": "9b1f03aa5c7e2d41",
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -19,9 +19,9 @@
 from cresstray.policy.load_signals import FleetSignals
 from cresstray.policy.outcome_recorder import OutcomeRecorder
 from cresstray.policy.types import STARVED_RANK, EndpointState, Outcome, Request
-from tests.desk import START, Desk, settings
+from tests.harness import START_US, PolicyHarness, settings
 
-FAR = START * 100
+FAR = START_US * 100
 Row = dict[str, Any]
 TABLES: dict[str, list[Row]] = {}
 for _file in sorted((Path(__file__).parent / "conformance").glob("design*.toml")):
@@ -29,18 +29,18 @@
         TABLES.setdefault(_name, []).extend(_tables)
 
 
-class Teller(Desk):
-    """A desk that also keeps what it was told to answer: (what, ms since its start, ms to come back)."""
+class Teller(PolicyHarness):
+    """A harness that also keeps what it was told to answer: (what, ms since its start, ms to come back)."""
 
     def __init__(self, *given: Any, **more: Any) -> None:
         self.told: list[tuple[str, float, float]] = []
         super().__init__(*given, **more)
 
     def reject_request(self, request: Request, come_back: int) -> None:
-        self.told.append(("deny", (self.now - START) / 1000, come_back / 1000))
+        self.told.append(("deny", (self.now - START_US) / 1000, come_back / 1000))
 
     def fail_request(self, request: Request) -> None:
-        self.told.append(("abandon", (self.now - START) / 1000, 0))
+        self.told.append(("abandon", (self.now - START_US) / 1000, 0))
 
     def drop(self, request: Request) -> None:
         """Its relay ends, nothing is learnt and nothing further is sent."""
@@ -49,27 +49,27 @@
     def fill(self) -> list[Request]:
         """All permits of engine 0 taken, under pressure for good."""
         self.engines[0].policy_state.signals.overloaded_until_us = FAR
-        return [self.submit(f"filler {n}", left=FAR // 1000) for n in range(4)]
+        return [self.submit(f"filler {n}", left_ms=FAR // 1000) for n in range(4)]
 
 
 # Drivers: what came of one row, by the names under its `must`.
 
 
 def counts(row: Row) -> Row:
-    desk = Teller(settings(), engines=1)
-    works = [desk.submit(str(n), request_class) for n, request_class in enumerate(row["works"])]
+    harness = Teller(settings(), engines=1)
+    works = [harness.submit(str(n), request_class) for n, request_class in enumerate(row["works"])]
     for work in works[: row["back"]]:
-        desk.drop(work)
-    state = desk.engines[0].policy_state
+        harness.drop(work)
+    state = harness.engines[0].policy_state
     return {"threads": state.limit.running_threads, "out": len(state.limit.attempts)}
 
 
 def windows(row: Row) -> Row:
-    desk = Teller(settings(), engines=1)
+    harness = Teller(settings(), engines=1)
     for n in range(row["answers"]):
-        desk.back(desk.submit(str(n)), Outcome.SUCCEEDED)
-    desk.run(row["run"])
-    return {"open": desk.engines[0].policy_state.limit.window_count}
+        harness.finish_attempt(harness.submit(str(n)), Outcome.SUCCEEDED)
+    harness.run(row["run"])
+    return {"open": harness.engines[0].policy_state.limit.window_count}
 
 
 def start(row: Row) -> Row:
@@ -88,15 +88,15 @@
 
 
 def pressure(row: Row) -> Row:
-    desk = Teller(settings(), engines=1)
-    state = desk.engines[0].policy_state
+    harness = Teller(settings(), engines=1)
+    state = harness.engines[0].policy_state
     state.limit.average_ratio, state.limit.best_ratio = row.get("average", 0.0), row.get("best", 0.0)
     state.limit.running_threads = row.get("threads", 0)
     for report in row.get("reports", ()):
-        desk.gateway.on_probe_finished(desk.engines[0], Outcome.SUCCEEDED, report, desk.now)
+        harness.gateway.on_probe_finished(harness.engines[0], Outcome.SUCCEEDED, report, harness.now)
     if "full" in row:
-        desk.back(desk.submit("refused"), Outcome.OVERLOADED)
-    now = desk.now + int(1000 * (row.get("full", 0) or row.get("since", 0)))
+        harness.finish_attempt(harness.submit("refused"), Outcome.OVERLOADED)
+    now = harness.now + int(1000 * (row.get("full", 0) or row.get("since", 0)))
     return {"binds": state.is_under_pressure(now), "others": state.signals.other_threads_now(now)}
 
 
@@ -110,7 +110,7 @@
     request_class.threads = row["threads"]
     work = Request(
         request_class,
-        START,
+        START_US,
         FAR,
         expected_latency_us=int(row.get("lasts", 1.0) * 1e6),
         queue_rank=STARVED_RANK if row.get("passed_over") else 0.0,
@@ -118,44 +118,44 @@
     chance = 0
     for drawn in range(1000):
         state.limit.draw = (drawn + 0.5) / 1000
-        chance += state.permits(work, START)
+        chance += state.permits(work, START_US)
     return {"chance": chance}
 
 
 def draws(row: Row) -> Row:
-    desk = Teller(settings(), engines=1)
-    state = desk.engines[0].policy_state
+    harness = Teller(settings(), engines=1)
+    state = harness.engines[0].policy_state
     state.signals.overloaded_until_us, state.limit.value, state.limit.draw = FAR, row["limit"], 1e-9
     for n in range(row["sends"]):
-        desk.submit(str(n), 1, left=9000)
+        harness.submit(str(n), 1, left_ms=9000)
     assert len(state.limit.attempts) == row["sends"], "nothing was sent"
-    desk.run(row["run"])
+    harness.run(row["run"])
     return {"anew": state.limit.draw != 1e-9}
 
 
 def samples(row: Row) -> Row:
-    desk = Teller(settings(), engines=1)
-    state, ratio = desk.engines[0].policy_state, 0.0
+    harness = Teller(settings(), engines=1)
+    state, ratio = harness.engines[0].policy_state, 0.0
     for estimate, latency in (*row.get("taught", ()), (row["estimate"], row["latency"])):
-        work = desk.submit("work", row["tariff"], left=9000, estimated_work_us=estimate * 1000)
+        work = harness.submit("work", row["tariff"], left_ms=9000, estimated_work_us=estimate * 1000)
         before = state.limit.window_total
         # The open window is looked at, and not closed by the time that passes.
         with patch.object(ConcurrencyLimit, "close_window", lambda limit: None):
-            desk.run(latency)
-            desk.back(work, Outcome.SUCCEEDED)
+            harness.run(latency)
+            harness.finish_attempt(work, Outcome.SUCCEEDED)
         ratio = state.limit.window_total - before
     return {"ratio": ratio}
 
 
 def choose(row: Row) -> Row:
-    desk = Teller(settings(Zone=row.get("zone", 9)), engines=len(row["engines"]))
-    desk.list(
+    harness = Teller(settings(Zone=row.get("zone", 9)), engines=len(row["engines"]))
+    harness.update_endpoints(
         {
-            engine: {"zone": given.get("zone", 0), "standing": EndpointState(given.get("standing", "ready"))}
-            for engine, given in zip(desk.engines, row["engines"])
+            engine: {"zone": given.get("zone", 0), "state": EndpointState(given.get("standing", "ready"))}
+            for engine, given in zip(harness.engines, row["engines"])
         }
     )
-    for engine, given in zip(desk.engines, row["engines"]):
+    for engine, given in zip(harness.engines, row["engines"]):
         state, state.limit.slowdown = engine.policy_state, given.get("pace", 1.0)
         state.limit.running_threads, state.health.is_suspected = (
             given["threads"],
@@ -163,77 +163,79 @@
         )
         state.health.next_probe_us = FAR
         state.signals.updated_us, state.signals.other_threads_per_core = (
-            desk.now,
+            harness.now,
             given.get("others", 0.0),
         )
         state.signals.overloaded_until_us = FAR if given.get("full") else 0
-    desk.gateway.outliers.is_decisive = 2 * sum(
-        e.policy_state.health.is_suspected for e in desk.engines
-    ) <= len(desk.engines)
-    desk.gateway.load_balancer.least_loaded = [desk.engines[row["idlest"]]] if "idlest" in row else []
-    wins = dict.fromkeys(desk.engines, 0)
+    harness.gateway.outliers.is_decisive = 2 * sum(
+        e.policy_state.health.is_suspected for e in harness.engines
+    ) <= len(harness.engines)
+    harness.gateway.load_balancer.least_loaded = [harness.engines[row["idlest"]]] if "idlest" in row else []
+    wins = dict.fromkeys(harness.engines, 0)
     for n in range(1500):
-        work = desk.submit(str(n))
+        work = harness.submit(str(n))
         if work.attempts:
             wins[work.attempts[0].engine] += 1
-            desk.drop(work)
+            harness.drop(work)
         else:
-            desk.gateway.on_client_cancelled(work, desk.now)
+            harness.gateway.on_client_cancelled(work, harness.now)
     return {"shares": [count / 1500 for count in wins.values()]}
 
 
 def hold(row: Row) -> Row:
-    desk = Teller(settings(FamilyInfo={"Dop": [1, 1]}), engines=1)  # each frees what the next takes
-    fillers = desk.fill()
+    harness = Teller(settings(FamilyInfo={"Dop": [1, 1]}), engines=1)  # each frees what the next takes
+    fillers = harness.fill()
     for request_class, sent, lost in zip(
-        desk.gateway.request_classes, row.get("sent", (0, 0)), row.get("lost", (0, 0))
+        harness.gateway.request_classes, row.get("sent", (0, 0)), row.get("lost", (0, 0))
     ):
         request_class.latency.dispatched.add(
-            desk.now, sent - (len(fillers) if request_class.index == 0 else 0)
+            harness.now, sent - (len(fillers) if request_class.index == 0 else 0)
         )
-        request_class.latency.never_dispatched.add(desk.now, lost)
+        request_class.latency.never_dispatched.add(harness.now, lost)
     works = [
-        desk.submit(
-            f"work {n}", work["tariff"], left=90_000, estimated_work_us=work.get("estimate", 0) * 1000
+        harness.submit(
+            f"work {n}", work["tariff"], left_ms=90_000, estimated_work_us=work.get("estimate", 0) * 1000
         )
         for n, work in enumerate(row["works"])
     ]
     assert not any(work.attempts for work in works), "a permit was free"
-    del desk.lines[:]
+    del harness.lines[:]
     if row.get("again"):
-        desk.back(fillers[0], Outcome.OVERLOADED)
-        desk.engines[0].policy_state.signals.overloaded_until_us = FAR
+        harness.finish_attempt(fillers[0], Outcome.OVERLOADED)
+        harness.engines[0].policy_state.signals.overloaded_until_us = FAR
     for out in (*fillers, *works):
         if out.current_attempt:
-            desk.drop(out)
-    relayed = [line.split()[3:5] for line in desk.lines if " send " in line]
+            harness.drop(out)
+    relayed = [line.split()[3:5] for line in harness.lines if " send " in line]
     return {"order": [int(number) if kind == "work" else -1 for kind, number in relayed]}
 
 
 def leave(row: Row) -> Row:
-    desk = Teller(settings(), engines=1)
+    harness = Teller(settings(), engines=1)
     if not row.get("free"):
-        desk.fill()
+        harness.fill()
     more = {"is_forwarded_in": True, "max_queue_us": row["hold"] * 1000} if "hold" in row else {}
-    work = desk.submit("work", left=row["left"], estimated_work_us=row.get("estimate", 0) * 1000, **more)
-    sent, leaves = bool(work.attempts), (work.latest_dispatch_us - START) / 1000
-    desk.run(2000 if not sent else 0)
-    answer, told, _ = ("sent", 0, 0) if sent else desk.told[0]
+    work = harness.submit(
+        "work", left_ms=row["left"], estimated_work_us=row.get("estimate", 0) * 1000, **more
+    )
+    sent, leaves = bool(work.attempts), (work.latest_dispatch_us - START_US) / 1000
+    harness.run(2000 if not sent else 0)
+    answer, told, _ = ("sent", 0, 0) if sent else harness.told[0]
     return {"leaves": leaves, "told": told, "answer": answer}
 
 
 def refuse(row: Row) -> Row:
     service = {"Effect": row["effect"], "Group": row.get("group", "all"), "KeyTtl": 60_000.0}
-    desk = Teller(settings(service, Limits={"MaxAttempts": 1}), engines=1)
-    desk.back(desk.submit("work", left=9000), Outcome(row["ending"]))
-    return {"answer": desk.told[0][0]}
+    harness = Teller(settings(service, Limits={"MaxAttempts": 1}), engines=1)
+    harness.finish_attempt(harness.submit("work", left_ms=9000), Outcome(row["ending"]))
+    return {"answer": harness.told[0][0]}
 
 
 def waits(row: Row) -> Row:
-    desk = Teller(settings(Limits={"RetryAfter": row["honoured"]}), engines=1)
+    harness = Teller(settings(Limits={"RetryAfter": row["honoured"]}), engines=1)
     for n in range(300):
-        desk.submit(str(n), left=50)
-    times = [time for _, _, time in desk.told]
+        harness.submit(str(n), left_ms=50)
+    times = [time for _, _, time in harness.told]
     return {"shortest": min(times), "longest": max(times)}
 
 
@@ -254,25 +256,25 @@
 
 
 def failures(row: Row) -> Row:
-    desk = Teller(settings(FamilyInfo={"CpuOfKind": [20]}, Limits={"MaxAttempts": 1}), engines=1)
-    state = desk.engines[0].policy_state
+    harness = Teller(settings(FamilyInfo={"CpuOfKind": [20]}, Limits={"MaxAttempts": 1}), engines=1)
+    state = harness.engines[0].policy_state
     state.limit.sample_count, state.limit.average_ratio = 10, 1.0
-    works = [desk.submit(str(n), left=60_000) for n in range(len(row["endings"]))]
+    works = [harness.submit(str(n), left_ms=60_000) for n in range(len(row["endings"]))]
     for work, ending in zip(works, row["endings"]):
-        desk.back(work, Outcome(ending))
+        harness.finish_attempt(work, Outcome(ending))
     state.limit.close_window()
     state.limit.close_window()  # a window of its own: what the first had is not counted again
     return {"left": state.limit.value / state.limit.initial}
 
 
 def agreed(row: Row) -> Row:
-    desk = Teller(settings(), engines=1)
-    desk.gateway.admission_rules = Mock(
+    harness = Teller(settings(), engines=1)
+    harness.gateway.admission_rules = Mock(
         gateway_count=lambda now: row["gateways"],
         admits=lambda request, now: True,
         allows=lambda request, engine, now: True,
     )
-    work, state = desk.submit("work"), desk.engines[0].policy_state
+    work, state = harness.submit("work"), harness.engines[0].policy_state
     return {"limit": state.limit.value, "start": state.limit.initial, "sent": bool(work.attempts)}
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -12,7 +12,7 @@
 from cresstray.policy.types import Outcome, ProgressKind, Request
 from cresstray.simulator import host as wirehost
 from cresstray.simulator import wire
-from tests.desk import Desk, TraceCase, settings
+from tests.harness import PolicyHarness, TraceCase, settings
 from tests.test_rules import fill
 
 
@@ -42,138 +42,145 @@
         self.check("gradient", lines)
 
     def test_queueing_and_rejection(self) -> None:
-        desk = Desk(settings(), engines=1)
-        running = fill(desk)
-        again = desk.submit("retry", left=6000, estimated_work_us=1000)
-        desk.submit("heavy first attempt", 1, left=9000, estimated_work_us=4_000_000)
-        desk.submit("light first attempt", 0, left=6000, estimated_work_us=100_000)
-        desk.submit(
-            "huge, rejected when its time to wait is over", 1, left=6000, estimated_work_us=90_000_000
+        harness = PolicyHarness(settings(), engines=1)
+        running = fill(harness)
+        again = harness.submit("retry", left_ms=6000, estimated_work_us=1000)
+        harness.submit("heavy first attempt", 1, left_ms=9000, estimated_work_us=4_000_000)
+        harness.submit("light first attempt", 0, left_ms=6000, estimated_work_us=100_000)
+        harness.submit(
+            "huge, rejected when its time to wait is over", 1, left_ms=6000, estimated_work_us=90_000_000
         )
         for request in running[:3]:
-            desk.run(20)
+            harness.run(20)
             if request is running[0]:
-                desk.back(request, Outcome.OVERLOADED)
-                desk.engines[0].policy_state.signals.overloaded_until_us = desk.now + 60_000_000
+                harness.finish_attempt(request, Outcome.OVERLOADED)
+                harness.engines[0].policy_state.signals.overloaded_until_us = harness.now + 60_000_000
             else:
-                desk.back(request, Outcome.SUCCEEDED)
-        desk.back(running[3], Outcome.SUCCEEDED)
-        desk.back(again, Outcome.SUCCEEDED)
-        desk.run(6000)
-        self.check("holding", desk.lines)
+                harness.finish_attempt(request, Outcome.SUCCEEDED)
+        harness.finish_attempt(running[3], Outcome.SUCCEEDED)
+        harness.finish_attempt(again, Outcome.SUCCEEDED)
+        harness.run(6000)
+        self.check("holding", harness.lines)
 
     def test_less_loaded_of_two(self) -> None:
-        desk = Desk(settings(), engines=3)
-        for threads, engine in zip((1, 2, 3), desk.engines):
+        harness = PolicyHarness(settings(), engines=3)
+        for threads, engine in zip((1, 2, 3), harness.engines):
             engine.policy_state.limit.running_threads = threads
-        drawn = [desk.gateway._choose(desk.submit("one"), desk.now) for _ in range(12)]
-        self.check("two_choice", [f"engine {desk.engines.index(engine)}" for engine in drawn])
+        drawn = [harness.gateway._choose(harness.submit("one"), harness.now) for _ in range(12)]
+        self.check("two_choice", [f"engine {harness.engines.index(engine)}" for engine in drawn])
 
     def test_fast_errors_raise_suspicion(self) -> None:
-        desk = Desk(settings(), engines=3)
+        harness = PolicyHarness(settings(), engines=3)
         for number in range(12):
-            request = desk.submit(f"s{number}")
+            request = harness.submit(f"s{number}")
             while (
                 request.current_attempt
-                and request.current_attempt.engine is desk.engines[0]
-                and desk.now < 108_000_000
+                and request.current_attempt.engine is harness.engines[0]
+                and harness.now < 108_000_000
             ):
-                desk.back(request, Outcome.FAILED)
-            desk.run(150)
+                harness.finish_attempt(request, Outcome.FAILED)
+            harness.run(150)
             if request.current_attempt:
-                desk.back(request, Outcome.SUCCEEDED)
-        desk.lines.append(
-            "suspected: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
+                harness.finish_attempt(request, Outcome.SUCCEEDED)
+        harness.lines.append(
+            "suspected: "
+            + ", ".join(str(engine.policy_state.health.is_suspected) for engine in harness.engines)
         )
-        self.check("fast_errors", desk.lines)
+        self.check("fast_errors", harness.lines)
 
     def test_silence_raises_suspicion_and_cancels(self) -> None:
-        desk = Desk(settings(), engines=3)
-        out = [desk.submit(f"s{number}", 1, left=9000, estimated_work_us=200_000) for number in range(3)]
+        harness = PolicyHarness(settings(), engines=3)
+        out = [
+            harness.submit(f"s{number}", 1, left_ms=9000, estimated_work_us=200_000) for number in range(3)
+        ]
         for request in out:
-            if request.current_attempt.engine is not desk.engines[0]:
-                desk.run(100)
-                desk.back(request, Outcome.SUCCEEDED)
-        desk.run(700)
+            if request.current_attempt.engine is not harness.engines[0]:
+                harness.run(100)
+                harness.finish_attempt(request, Outcome.SUCCEEDED)
+        harness.run(700)
         for request in out:
             if request.current_attempt and request.current_attempt.cancel_requested:
-                desk.back(request, Outcome.CANCELLED)
-        desk.submit("after the suspicion")
-        desk.lines.append(
-            "suspected: " + ", ".join(str(engine.policy_state.health.is_suspected) for engine in desk.engines)
+                harness.finish_attempt(request, Outcome.CANCELLED)
+        harness.submit("after the suspicion")
+        harness.lines.append(
+            "suspected: "
+            + ", ".join(str(engine.policy_state.health.is_suspected) for engine in harness.engines)
         )
-        self.check("silence", desk.lines)
+        self.check("silence", harness.lines)
 
     def test_bad_plan_called_back_once(self) -> None:
-        desk = Desk(settings(FamilyInfo={"TellsEvery": 500.0}))
+        harness = PolicyHarness(settings(FamilyInfo={"TellsEvery": 500.0}))
         (
-            desk.gateway.request_classes[1].latency.sample_count,
-            desk.gateway.request_classes[1].latency.mean_us,
+            harness.gateway.request_classes[1].latency.sample_count,
+            harness.gateway.request_classes[1].latency.mean_us,
         ) = 20, 400_000
-        slow = desk.submit("bad plan, then heavy by itself", 1, left=9000)
+        slow = harness.submit("bad plan, then heavy by itself", 1, left_ms=9000)
         for _ in range(2):
-            desk.run(500)
-            desk.gateway.on_progress(slow.attempts[-1], ProgressKind.FRACTION_DONE, 0.05, desk.now)
+            harness.run(500)
+            harness.gateway.on_progress(slow.attempts[-1], ProgressKind.FRACTION_DONE, 0.05, harness.now)
             if slow.attempts[-1].cancel_requested:
-                desk.back(slow, Outcome.CANCELLED)
-        desk.run(500)
-        desk.back(slow, Outcome.SUCCEEDED)
-        self.check("bad_plan", desk.lines)
+                harness.finish_attempt(slow, Outcome.CANCELLED)
+        harness.run(500)
+        harness.finish_attempt(slow, Outcome.SUCCEEDED)
+        self.check("bad_plan", harness.lines)
 
     def test_old_reports_go_over_into_the_fleet(self) -> None:
-        desk, lines = Desk(settings(), engines=4), []
-        busy, *others = desk.engines
-        desk.gateway.on_probe_finished(busy, Outcome.SUCCEEDED, {"concurrent": 13.0}, desk.now)
+        harness, lines = PolicyHarness(settings(), engines=4), []
+        busy, *others = harness.engines
+        harness.gateway.on_probe_finished(busy, Outcome.SUCCEEDED, {"concurrent": 13.0}, harness.now)
         for crowd in (1.0, 13.0):
             for seconds in range(4):
                 signals = busy.policy_state.signals
-                freshness = signals.freshness(desk.now)
+                freshness = signals.freshness(harness.now)
                 told = (
-                    f"{signals.other_threads_now(desk.now):.2f}, "
+                    f"{signals.other_threads_now(harness.now):.2f}, "
                     f"{signals.resource_pressure_at(freshness):.2f}, {freshness:.2f}"
                 )
-                pressed = busy.policy_state.is_under_pressure(desk.now)
+                pressed = busy.policy_state.is_under_pressure(harness.now)
                 lines.append(f"{seconds} s on, others with {crowd}: {told}, pressed {pressed}")
                 for engine in others:
-                    desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, {"concurrent": crowd}, desk.now)
-                desk.run(1000)
+                    harness.gateway.on_probe_finished(
+                        engine, Outcome.SUCCEEDED, {"concurrent": crowd}, harness.now
+                    )
+                harness.run(1000)
         self.check("old_reports", lines)
 
     def test_third_choice_and_last_choice(self) -> None:
-        desk, lines = Desk(settings(), engines=12), []
-        for number, engine in enumerate(desk.engines):
+        harness, lines = PolicyHarness(settings(), engines=12), []
+        for number, engine in enumerate(harness.engines):
             report = {"concurrent": 1.0 if number == 5 else 5.0}
-            desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, report, desk.now)
+            harness.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, report, harness.now)
         lines.append(
             "seldom heard of: "
             + ", ".join(
-                str(desk.engines.index(desk.gateway._choose(desk.submit("one"), desk.now))) for _ in range(6)
+                str(harness.engines.index(harness.gateway._choose(harness.submit("one"), harness.now)))
+                for _ in range(6)
             )
         )
-        suspected = desk.engines[3].policy_state
-        for engine in desk.engines:
+        suspected = harness.engines[3].policy_state
+        for engine in harness.engines:
             engine.policy_state.limit.value, engine.policy_state.signals.overloaded_until_us = (
                 0.0,
-                desk.now + WINDOW_US,
+                harness.now + WINDOW_US,
             )
         suspected.limit.value, suspected.health.is_suspected, suspected.health.next_probe_us = (
             9.0,
             True,
-            desk.now + WINDOW_US,
+            harness.now + WINDOW_US,
         )
         for suspected.health.is_unresponsive in (False, True):
-            waits = desk.submit("two")
-            for at, text in ((desk.now, "it can wait"), (waits.latest_dispatch_us, "it can't")):
-                chosen = desk.gateway._choose(waits, at)
+            waits = harness.submit("two")
+            for at, text in ((harness.now, "it can wait"), (waits.latest_dispatch_us, "it can't")):
+                chosen = harness.gateway._choose(waits, at)
                 kind = "unresponsive" if suspected.health.is_unresponsive else "failing"
-                lines.append(f"the rest full, one {kind}, {text}: {chosen and desk.engines.index(chosen)}")
+                lines.append(f"the rest full, one {kind}, {text}: {chosen and harness.engines.index(chosen)}")
         self.check("choices", lines)
 
     def test_what_waits_is_not_given_to_an_engine_that_fails(self) -> None:
-        desk = Desk(settings(), engines=2)
-        failing, full = desk.engines
-        for engine in desk.engines:
-            engine.policy_state.signals.overloaded_until_us = desk.now + 10 * WINDOW_US
+        harness = PolicyHarness(settings(), engines=2)
+        failing, full = harness.engines
+        for engine in harness.engines:
+            engine.policy_state.signals.overloaded_until_us = harness.now + 10 * WINDOW_US
         full.policy_state.limit.value = 0.0
         (
             failing.policy_state.health.is_suspected,
@@ -181,29 +188,29 @@
             failing.policy_state.health.probe_streak,
         ) = True, 2**60, -3
         for number in range(3):
-            desk.submit(f"s{number}", left=4000)
-        desk.run(200)
+            harness.submit(f"s{number}", left_ms=4000)
+        harness.run(200)
         full.policy_state.limit.value = 2.0
-        desk.run(4000)
-        self.check("last_chance", desk.lines)
+        harness.run(4000)
+        self.check("last_chance", harness.lines)
 
     def test_two_errors_are_enough(self) -> None:
-        desk = Desk(settings(), engines=4)
-        nobody_can = desk.submit("what no engine can run", left=9000)
+        harness = PolicyHarness(settings(), engines=4)
+        nobody_can = harness.submit("what no engine can run", left_ms=9000)
         while nobody_can.current_attempt:
-            desk.back(nobody_can, Outcome.FAILED)
-        self.check("two_errors", desk.lines)
+            harness.finish_attempt(nobody_can, Outcome.FAILED)
+        self.check("two_errors", harness.lines)
 
     def test_faults_of_links_are_none_of_queries(self) -> None:
         lines = []
         for outcome in (Outcome.FAILED, Outcome.PROTOCOL_ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHABLE):
             for good in (8, 0):
-                desk = Desk(settings(), engines=1)
+                harness = PolicyHarness(settings(), engines=1)
                 for number in range(good + 3):
-                    request = desk.submit(f"s{number}")
+                    request = harness.submit(f"s{number}")
                     if request.current_attempt:  # else queued: the only engine is suspected
-                        desk.back(request, Outcome.SUCCEEDED if number < good else outcome)
-                state = desk.engines[0].policy_state
+                        harness.finish_attempt(request, Outcome.SUCCEEDED if number < good else outcome)
+                state = harness.engines[0].policy_state
                 lines.append(
                     f"up to 3 {outcome.value} behind {good} good: cut {state.limit.has_window_failed}, "
                     f"suspected {state.health.is_suspected}, unresponsive {state.health.is_unresponsive}"
@@ -211,10 +218,10 @@
         self.check("links_of_late", lines)
 
     def test_failing_engine_gone_silent(self) -> None:
-        desk, lines = Desk(settings(), engines=3), []
+        harness, lines = PolicyHarness(settings(), engines=3), []
         for lost, text in ((0, "an error"), (2, "no connection"), (0, "an error again")):
-            desk.gateway.recorder.on_fault(desk.engines[0], lost, True, desk.now)
-            state = desk.engines[0].policy_state
+            harness.gateway.recorder.on_fault(harness.engines[0], lost, True, harness.now)
+            state = harness.engines[0].policy_state
             lines.append(
                 f"after {text}: suspected {state.health.is_suspected}, "
                 f"unresponsive {state.health.is_unresponsive}"
@@ -252,47 +259,51 @@
         self.check("malformed", lines)
 
     def test_out_of_the_way_of_loads(self) -> None:
-        desk = Desk(
+        harness = PolicyHarness(
             settings(FamilyInfo={"Loads": [False, True], "WaitsForLoads": [True, False], "TellsEvery": 500.0})
         )
-        desk.submit("load of set 7", 1, left=9000, data_set=7)
+        harness.submit("load of set 7", 1, left_ms=9000, data_set=7)
         for number in range(3):
-            desk.submit(f"of set 7, {number}", data_set=7)
-        waits = desk.submit("of set 9", data_set=9)
-        desk.gateway.on_progress(waits.current_attempt, ProgressKind.WAITING_FOR_DATA_SET, 2, desk.now)
+            harness.submit(f"of set 7, {number}", data_set=7)
+        waits = harness.submit("of set 9", data_set=9)
+        harness.gateway.on_progress(waits.current_attempt, ProgressKind.WAITING_FOR_DATA_SET, 2, harness.now)
         if waits.current_attempt.cancel_requested:
-            desk.back(waits, Outcome.CANCELLED)
+            harness.finish_attempt(waits, Outcome.CANCELLED)
         for number in range(3):
-            desk.submit(f"of set 9, {number}", data_set=9)
-        self.check("loads", desk.lines)
+            harness.submit(f"of set 9, {number}", data_set=9)
+        self.check("loads", harness.lines)
 
     def test_own_zone_first_while_it_has_room(self) -> None:
-        desk = Desk(settings(Zone=1), engines=3)
-        desk.list({engine: {"zone": number} for number, engine in enumerate(desk.engines)})
+        harness = PolicyHarness(settings(Zone=1), engines=3)
+        harness.update_endpoints({engine: {"zone": number} for number, engine in enumerate(harness.engines)})
         for number in range(5):
-            desk.submit(f"s{number}")
-        self.check("own_zone", desk.lines)
+            harness.submit(f"s{number}")
+        self.check("own_zone", harness.lines)
 
     def test_loads_of_a_hot_set_wait(self) -> None:
-        desk = Desk(settings(FamilyInfo={"Loads": [False, True], "WaitsForLoads": [True, False]}), engines=3)
-        loads = [desk.submit(f"load of set 7, {number}", 1, left=9000, data_set=7) for number in range(3)]
-        desk.submit("load of set 8", 1, left=9000, data_set=8)
-        desk.run(200)
-        desk.back(loads[0], Outcome.SUCCEEDED)
-        self.check("hot_set", desk.lines)
+        harness = PolicyHarness(
+            settings(FamilyInfo={"Loads": [False, True], "WaitsForLoads": [True, False]}), engines=3
+        )
+        loads = [
+            harness.submit(f"load of set 7, {number}", 1, left_ms=9000, data_set=7) for number in range(3)
+        ]
+        harness.submit("load of set 8", 1, left_ms=9000, data_set=8)
+        harness.run(200)
+        harness.finish_attempt(loads[0], Outcome.SUCCEEDED)
+        self.check("hot_set", harness.lines)
 
     def test_what_cannot_run_again_avoids_faults(self) -> None:
-        desk = Desk(settings({"Effect": "at_most_once"}))
-        lost = desk.submit("cut off", left=9000)
-        desk.gateway.on_probe_finished(lost.current_attempt.engine, Outcome.SUCCEEDED, {}, desk.now)
-        desk.back(lost, Outcome.FAILED)
+        harness = PolicyHarness(settings({"Effect": "at_most_once"}))
+        lost = harness.submit("cut off", left_ms=9000)
+        harness.gateway.on_probe_finished(lost.current_attempt.engine, Outcome.SUCCEEDED, {}, harness.now)
+        harness.finish_attempt(lost, Outcome.FAILED)
         for number in range(4):
-            desk.submit(f"at most once {number}", left=9000)
-        self.check("avoids_faults", desk.lines)
+            harness.submit(f"at most once {number}", left_ms=9000)
+        self.check("avoids_faults", harness.lines)
 
     def test_signs_of_pressure(self) -> None:
-        desk, lines = Desk(settings(), engines=1), []
-        state = desk.engines[0].policy_state
+        harness, lines = PolicyHarness(settings(), engines=1), []
+        state = harness.engines[0].policy_state
         for report in (
             {"concurrent": 7.0},
             {"concurrent": 7.0, "load_share": 0.5},
@@ -303,60 +314,60 @@
             {"x0": 1.1},
             {"depth": 2.0},
         ):
-            state.signals.updated_us = desk.gateway.fleet.updated_us = 0
-            desk.gateway.on_probe_finished(desk.engines[0], Outcome.SUCCEEDED, report, desk.now)
-            lines.append(f"{report}: pressed {state.is_under_pressure(desk.now)}")
-            desk.run(2000)
+            state.signals.updated_us = harness.gateway.fleet.updated_us = 0
+            harness.gateway.on_probe_finished(harness.engines[0], Outcome.SUCCEEDED, report, harness.now)
+            lines.append(f"{report}: pressed {state.is_under_pressure(harness.now)}")
+            harness.run(2000)
         self.check("pressure", lines)
 
     def test_probes_by_traffic(self) -> None:
-        desk = Desk(settings(Limits={"Probes": True}, Report={"Source": "on_probe"}), engines=10)
+        harness = PolicyHarness(settings(Limits={"Probes": True}, Report={"Source": "on_probe"}), engines=10)
         for number in range(5):
-            desk.submit(f"s{number}")
-        desk.run(1000)
+            harness.submit(f"s{number}")
+        harness.run(1000)
         for number in range(40):
-            desk.submit(f"t{number}")
-        desk.run(1000)
-        self.check("probes", [line for line in desk.lines if "probe" in line])
+            harness.submit(f"t{number}")
+        harness.run(1000)
+        self.check("probes", [line for line in harness.lines if "probe" in line])
 
     def test_heavy_by_itself_given_up_while_others_are_queued(self) -> None:
-        desk = Desk(settings(FamilyInfo={"TellsEvery": 500.0}))
+        harness = PolicyHarness(settings(FamilyInfo={"TellsEvery": 500.0}))
         (
-            desk.gateway.request_classes[1].latency.sample_count,
-            desk.gateway.request_classes[1].latency.mean_us,
+            harness.gateway.request_classes[1].latency.sample_count,
+            harness.gateway.request_classes[1].latency.mean_us,
         ) = 20, 400_000
-        heavy = desk.submit("heavy", 1, left=20_000)
+        heavy = harness.submit("heavy", 1, left_ms=20_000)
         for _ in range(2):
-            desk.run(300)
-            desk.gateway.on_progress(heavy.current_attempt, ProgressKind.FRACTION_DONE, 0.01, desk.now)
+            harness.run(300)
+            harness.gateway.on_progress(heavy.current_attempt, ProgressKind.FRACTION_DONE, 0.01, harness.now)
             if not heavy.is_finished:
-                desk.back(heavy, Outcome.CANCELLED)
-                fill(desk)
-        desk.back(heavy, Outcome.CANCELLED)
-        self.check("heavy", [line for line in desk.lines if "filler" not in line])
+                harness.finish_attempt(heavy, Outcome.CANCELLED)
+                fill(harness)
+        harness.finish_attempt(heavy, Outcome.CANCELLED)
+        self.check("heavy", [line for line in harness.lines if "filler" not in line])
 
     def test_given_up_when_its_notes_show_it_too_late(self) -> None:
-        desk = Desk(settings(FamilyInfo={"TellsEvery": 500.0}))
+        harness = PolicyHarness(settings(FamilyInfo={"TellsEvery": 500.0}))
         (
-            desk.gateway.request_classes[1].latency.sample_count,
-            desk.gateway.request_classes[1].latency.mean_us,
+            harness.gateway.request_classes[1].latency.sample_count,
+            harness.gateway.request_classes[1].latency.mean_us,
         ) = 20, 3_000_000
         for name, share in (("too late", 0.15), ("in time", 0.5)):
-            slow = desk.submit(name, 1, left=6000)
+            slow = harness.submit(name, 1, left_ms=6000)
             for passed in (500, 1000):
-                desk.run(passed)
+                harness.run(passed)
                 if not slow.is_finished:
-                    desk.gateway.on_progress(
-                        slow.current_attempt, ProgressKind.FRACTION_DONE, share, desk.now
+                    harness.gateway.on_progress(
+                        slow.current_attempt, ProgressKind.FRACTION_DONE, share, harness.now
                     )
-            desk.back(slow, Outcome.CANCELLED if slow.is_finished else Outcome.SUCCEEDED)
-        self.check("too_late", desk.lines)
+            harness.finish_attempt(slow, Outcome.CANCELLED if slow.is_finished else Outcome.SUCCEEDED)
+        self.check("too_late", harness.lines)
 
     def test_a_response_tries_few_of_many_queued(self) -> None:
-        desk = Desk(settings(), engines=1)
-        running = fill(desk)
+        harness = PolicyHarness(settings(), engines=1)
+        running = fill(harness)
         for number in range(200):
-            desk.submit(f"queued {number}", left=9000, estimated_work_us=1000)
+            harness.submit(f"queued {number}", left_ms=9000, estimated_work_us=1000)
         tried = []
 
         def is_turn(turns: OrderedTurns, request: Request, now_us: int) -> bool:
@@ -364,7 +375,7 @@
             return False
 
         with mock.patch.object(OrderedTurns, "is_turn", is_turn):
-            desk.back(running[0], Outcome.SUCCEEDED)
+            harness.finish_attempt(running[0], Outcome.SUCCEEDED)
             few = len(tried)
-            desk.run(100)
+            harness.run(100)
         self.check("few_tried", [f"an answer looks at {few}, the sweep at {len(tried) - few}"])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,12 +15,12 @@
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from cresstray.policy.types import Outcome
-from tests.desk import ClientStandIn, Desk, EngineStandIn, TraceCase, settings
+from tests.harness import ClientStandIn, EngineStandIn, PolicyHarness, TraceCase, settings
 
 BUSY = {"concurrent": 50.0, "load_share": 1.0}
 
 
-def out(desk: Desk) -> int:
+def out(desk: PolicyHarness) -> int:
     """Threads that run on all engines."""
     return sum(engine.policy_state.limit.running_threads for engine in desk.engines)
 
@@ -29,12 +29,12 @@
     def test_slow_engines_do_not_fill_with_one_of_ours_each(self) -> None:
         lines = []
         for gateways in (2, 40, 400):
-            desk = Desk(settings(Balancers=gateways), engines=20)
+            desk = PolicyHarness(settings(Balancers=gateways), engines=20)
             for second in range(6):
                 for engine in desk.engines:
                     desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, BUSY, desk.now)
                 for number in range(20):
-                    desk.submit(f"s{second}.{number}", left=60_000, estimated_work_us=100_000)
+                    desk.submit(f"s{second}.{number}", left_ms=60_000, estimated_work_us=100_000)
                     desk.run(50)
             limits = sum(engine.policy_state.limit.value for engine in desk.engines)
             lines.append(
@@ -97,10 +97,10 @@
         pause: int = 100,
     ) -> str:
         """What each class gets on busy engines: each asks every `pause` ms, answers take `answer` ms."""
-        desk = Desk(given, engines=engines)
-        desk.list(
+        desk = PolicyHarness(given, engines=engines)
+        desk.update_endpoints(
             {
-                engine: {"zone": number % 2, "machine": number % 2}
+                engine: {"zone": number % 2, "instance_type": number % 2}
                 for number, engine in enumerate(desk.engines)
             }
         )
@@ -114,13 +114,13 @@
             for engine in desk.engines:
                 desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, BUSY, desk.now)
             for index in request_classes:
-                made[index].append(desk.submit(f"{index}.{turn}", index, left=20_000))
+                made[index].append(desk.submit(f"{index}.{turn}", index, left_ms=20_000))
             desk.run(pause)
             for index in request_classes:
                 takes = desk.gateway.request_classes[index].latency.expected_us(made[index][0])
                 for request in made[index]:
                     if request.current_attempt and desk.now - request.current_attempt.sent_us >= takes:
-                        desk.back(request, Outcome.SUCCEEDED)
+                        desk.finish_attempt(request, Outcome.SUCCEEDED)
         parts = [
             f"{sum(bool(one.attempts) for one in made[index])} of {len(made[index])}"
             for index in request_classes
@@ -195,8 +195,8 @@
 
                         async def look(text: str) -> None:
                             for number in range(40):
-                                await client.ask(client.names + 1, f"plain {number}")
-                                await client.hear()
+                                await client.send_request(client.names + 1, f"plain {number}")
+                                await client.receive_response()
                             zones = len({one.zone for one in gateway.ready_engines})
                             lines.append(
                                 f"{text}: {len(gateway.ready_engines)} ready in {zones} zones, "
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -7,8 +7,8 @@
 from cresstray.sites.flow_control import Credit, Ramp, Share
 from cresstray.sites.health import Health
 from cresstray.sites.ledger import State
-from tests.desk import TraceCase
 from tests.halls import BEAT, HEAL, LEASE, SLOW, TARIFFS, TwoHalls
+from tests.harness import TraceCase
 
 
 class Cuts(TraceCase):
--- a/tests/test_membership_joined.py
+++ b/tests/test_membership_joined.py
@@ -48,7 +48,7 @@
         again.sent = []
         again.gateway.slow_start.warm_up_us = 0
         again.gateway.admission_rules = AdmissionGuard(again.membership, again.gateway)
-        once = again.submit("once", left=20_000)
+        once = again.submit("once", left_ms=20_000)
         once.request_class = dataclasses.replace(once.request_class, is_idempotent=False)
         for one in again.membership.estimate.start_due_probes(again.now):
             again.membership._on_contact(one.id, ContactResult.LISTENING, again.now)
@@ -96,7 +96,7 @@
         again.membership._on_contact(1, ContactResult.LISTENING, again.now)
         again.step()
         again.run(5000)
-        again.submit("first", left=20_000)
+        again.submit("first", left_ms=20_000)
         again.run(5000)
         ((_, attempt),) = again.sent
         again.membership.on_attempt_finished(attempt, Outcome.UNREACHABLE, again.now)
@@ -131,7 +131,7 @@
             ]
             one.sent = []
             for n in range(160):
-                one.submit(f"{n}", left=60_000)
+                one.submit(f"{n}", left_ms=60_000)
                 one.run(50)
             for at, attempt in one.sent:
                 one.membership.on_attempt_finished(attempt, Outcome.SUCCEEDED, at)
--- a/tests/test_membership_recovery.py
+++ b/tests/test_membership_recovery.py
@@ -30,7 +30,7 @@
 from cresstray.membership.snapshot_files import SNAPSHOT_FILE_NAMES, SnapshotFolder
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from tests.desk import ClientStandIn
+from tests.harness import ClientStandIn
 from tests.membership_desk import Fleet, member
 
 FLEET = """fleet balancer
@@ -91,8 +91,8 @@
             name = self.names = self.names + 1
         async with await anyio.connect_tcp("127.0.0.1", self.gateway.port) as stream:
             client = ClientStandIn(stream, self.lines, names=name - 1)
-            await client.ask(1, "run 20 1 1", request_class, 300)
-            return await client.hear()
+            await client.send_request(1, "run 20 1 1", request_class, 300)
+            return await client.receive_response()
 
     async def first(self, tasks: TaskGroup) -> None:
         coordinator = Coordinator(self.listed)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -27,7 +27,7 @@
 from cresstray.observability.log import Log
 from cresstray.sites import codec, status
 from cresstray.sites.links import Hub
-from tests.desk import TraceCase
+from tests.harness import TraceCase
 
 _GOOD = """# two halls
 hall hall-a
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -29,7 +29,7 @@
 from cresstray.observability.log import Log
 from cresstray.pipeline.routing import Router
 from cresstray.policy.types import EndpointState
-from tests.desk import ClientStandIn, EngineStandIn, TraceCase, settings
+from tests.harness import ClientStandIn, EngineStandIn, TraceCase, settings
 from tests.test_codecs import frame
 
 
@@ -77,7 +77,7 @@
     async def until(self, engine: int, text: str) -> None:
         """Waits for the engine to get what begins like this."""
         while not any(line.startswith(f"engine {engine} gets {text}") for line in self.engines[engine].lines):
-            await self.engines[engine].got.wait()
+            await self.engines[engine].received.wait()
 
     def trace(self) -> list[str]:
         """What each was told, one party after the other: between them, the order is the network's."""
@@ -108,11 +108,11 @@
 
     def test_pages_in_order(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            await client.say({"jsonrpc": "2.0", "id": 1, "method": "status", "params": {}})
-            await client.hear()
+            await client.send_line({"jsonrpc": "2.0", "id": 1, "method": "status", "params": {}})
+            await client.receive_response()
             for number, statement in enumerate(("pages", "plain"), 2):
-                await client.ask(number, statement)
-                await client.hear()
+                await client.send_request(number, statement)
+                await client.receive_response()
 
         stage = self.play("scene_pages", scene)
         self.assertEqual(2, stage.service.parts.counters.counts["requests succeeded"])
@@ -125,15 +125,15 @@
                 b"\n",
                 b'{"jsonrpc":"2.0","id":4,"method":"lookup","params":{}}\n',
             ):
-                await client.say(line)
+                await client.send_line(line)
                 if line.strip():
-                    await client.hear()
-            await client.ask(5, "silent")
+                    await client.receive_response()
+            await client.send_request(5, "silent")
             await stage.until(0, "ASK 0001")
-            await client.ask(5, "plain")  # neither can be answered now
-            await client.hear()
-            await client.hear()
-            await client.say(
+            await client.send_request(5, "plain")  # neither can be answered now
+            await client.receive_response()
+            await client.receive_response()
+            await client.send_line(
                 {
                     "jsonrpc": "2.0",
                     "id": 6,
@@ -141,26 +141,26 @@
                     "params": {"req": "0" * 16, "timeout": 900, "owner": "nobody", "data": ""},
                 }
             )
-            await client.hear()
-            await client.ask(7, "plain")
-            await client.hear()
+            await client.receive_response()
+            await client.send_request(7, "plain")
+            await client.receive_response()
 
         self.play("scene_malformed", scene)
 
     def test_withdrawn_and_left(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            await client.ask(1, "silent one")
+            await client.send_request(1, "silent one")
             await stage.until(0, "ASK 0001")
-            await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
+            await client.send_line({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
             await stage.until(0, "QUIT 0001")
             async with await anyio.connect_tcp(*stage.address) as stream:
                 other = ClientStandIn(stream, stage.lines, names=16)
-                await other.ask(1, "silent two")
+                await other.send_request(1, "silent two")
                 await stage.until(0, "ASK 0011")
             while len([line for line in stage.engines[0].lines if "QUIT" in line]) < 2:
-                await stage.engines[0].got.wait()
-            await client.ask(2, "plain")
-            await client.hear()
+                await stage.engines[0].received.wait()
+            await client.send_request(2, "plain")
+            await client.receive_response()
 
         stage = self.play("scene_left", scene)
         self.assertEqual(2, stage.service.parts.counters.counts["requests cancelled"])
@@ -169,30 +169,30 @@
         """The id of an open request, one used again after it was withdrawn, too many open, only mistakes."""
 
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            await client.ask(1, "silent")
+            await client.send_request(1, "silent")
             await stage.until(0, "ASK 0001")
             for what in ("taken", "used up"):
                 async with await anyio.connect_tcp(*stage.address) as stream:
                     stage.lines.append(f"a stranger comes with a name that is {what}")
                     stranger = ClientStandIn(stream, stage.lines)
-                    await stranger.ask(1, "plain")
-                    await stranger.hear()
+                    await stranger.send_request(1, "plain")
+                    await stranger.receive_response()
                     for _ in range(9 if what == "taken" else 0):
-                        await stranger.say(b"no JSON\n")
-                        await stranger.hear()
+                        await stranger.send_line(b"no JSON\n")
+                        await stranger.receive_response()
                     with contextlib.suppress(anyio.EndOfStream):
                         if what == "taken":
-                            await stranger.say(b"the tenth is not answered\n")
-                            await stranger.hear()
+                            await stranger.send_line(b"the tenth is not answered\n")
+                            await stranger.receive_response()
                 if what == "taken":
-                    await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
+                    await client.send_line({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
                     await stage.until(0, "QUIT 0001")
             mark = len(stage.lines)
             for number in range(2, 35):
-                await client.ask(number, "silent")
-            await client.hear()
+                await client.send_request(number, "silent")
+            await client.receive_response()
             while len(stage.engines[0].lines) < 34:
-                await stage.engines[0].got.wait()
+                await stage.engines[0].received.wait()
             del stage.lines[mark:-2]
             del stage.engines[0].lines[2:]
 
@@ -201,12 +201,12 @@
 
     def test_engine_faults(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            await client.ask(1, "silent", timeout=60000)
+            await client.send_request(1, "silent", timeout=60000)
             await stage.until(0, "ASK 0001")
             faults = ("garbage", "noise", "half", "reset", "full", "more", "plain")
             for number, statement in enumerate(faults, 2):
-                await client.ask(number, statement, timeout=60000)
-                await client.hear()
+                await client.send_request(number, statement, timeout=60000)
+                await client.receive_response()
 
         # What was asked first is open on a link of its own until the gateway ends, a reset for it.
         stage = self.play("scene_faults", scene, Limits={"MaxAttempts": 1})
@@ -221,15 +221,15 @@
     def test_further_relay(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
             for number in range(1, 4):
-                await client.ask(number, "once", timeout=60000)
-                await client.hear()
+                await client.send_request(number, "once", timeout=60000)
+                await client.receive_response()
 
         self.play("scene_further", scene, engines=2)
 
     def test_silent_engine_ends_before_the_hard_stop(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            await client.ask(1, "silent", timeout=400)
-            await client.hear()
+            await client.send_request(1, "silent", timeout=400)
+            await client.receive_response()
             await stage.until(0, "QUIT 0001")
 
         self.play("scene_silent", scene)
@@ -237,22 +237,22 @@
     def test_unreachable_engine(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
             list(stage.service.parts.router._pools.values())[0].address = ("127.0.0.1", 1)
-            await client.ask(1, "plain", timeout=1000)
-            await client.hear()
+            await client.send_request(1, "plain", timeout=1000)
+            await client.receive_response()
 
         stage = self.play("scene_unreachable", scene, Limits={"MaxAttempts": 1})
         self.assertEqual(1, stage.service.parts.counters.counts["attempts unreachable"])
 
     def test_last_stop(self) -> None:
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            await client.ask(1, "silent", timeout=1800)
+            await client.send_request(1, "silent", timeout=1800)
             await stage.until(0, "ASK 0001")
             os.kill(os.getpid(), signal.SIGTERM)
-            await client.ask(2, "plain", timeout=1800)
-            await client.hear()
-            await client.hear()
+            await client.send_request(2, "plain", timeout=1800)
+            await client.receive_response()
+            await client.receive_response()
             with contextlib.suppress(anyio.EndOfStream):
-                await client.hear()
+                await client.receive_response()
                 stage.lines.append("more was said after the end")
             stage.lines.append("the connection has ended")
 
@@ -264,18 +264,18 @@
         """A doubled event, a break, and configurations replaced while the gateway runs and while it stops."""
 
         async def scene(stage: Stage, client: ClientStandIn) -> None:
-            await client.ask(1, "plain", timeout=60000)
-            await client.hear()
+            await client.send_request(1, "plain", timeout=60000)
+            await client.receive_response()
             for address in ("no address", replaced):
                 stage.coordinator = address
                 os.kill(os.getpid(), signal.SIGHUP)
                 await anyio.sleep(0.05)
             await told_again.wait()
-            await client.ask(2, "silent", timeout=800)
+            await client.send_request(2, "silent", timeout=800)
             await stage.until(0, "ASK 0002")
             os.kill(os.getpid(), signal.SIGTERM)
             os.kill(os.getpid(), signal.SIGHUP)
-            await client.hear()
+            await client.receive_response()
 
         async def first(stream: anyio.abc.SocketStream) -> None:
             heard.append(f"the first is told {struct.unpack('>Q', await stream.receive(8))[0]}")
@@ -538,8 +538,8 @@
 
             gateway._check_attempts = fails
             # Held, as no engine is there: only the sweep can answer it.
-            await client.ask(1, "plain", timeout=600)
-            self.assertEqual(-32000, (await client.hear())["error"]["code"])
+            await client.send_request(1, "plain", timeout=600)
+            self.assertEqual(-32000, (await client.receive_response())["error"]["code"])
 
         stage = Stage(0)
         with contextlib.redirect_stderr(io.StringIO()) as said:
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -31,7 +31,7 @@
 from cresstray.pipeline.routing import Router
 from cresstray.policy.types import EndpointState
 from cresstray.transport.streams import connect
-from tests.desk import ClientStandIn
+from tests.harness import ClientStandIn
 from tests.scripted import LONG, turns, until
 from tests.test_codecs import frame
 from tests.test_service import Stage
@@ -825,8 +825,8 @@
 
     async def served(self, client: ClientStandIn, numbers: range) -> None:
         for number in numbers:
-            await client.ask(number, "plain", timeout=20_000)
-            answer = await client.hear()
+            await client.send_request(number, "plain", timeout=20_000)
+            answer = await client.receive_response()
             self.assertIn("result", answer)
 
     def test_an_address_of_another_id(self) -> None:
@@ -870,9 +870,9 @@
                 async with await anyio.connect_tcp(*service.listen) as stream:
                     client = ClientStandIn(stream, stage.lines)
                     for request in range(1, 9):
-                        await client.ask(request, "plain", timeout=20_000)
+                        await client.send_request(request, "plain", timeout=20_000)
                     for _ in range(8):
-                        self.assertIn("result", await client.hear())
+                        self.assertIn("result", await client.receive_response())
                 self.assertEqual(1, number)
                 tasks.cancel_scope.cancel()
 
@@ -958,11 +958,11 @@
             made.send(frame(2, 2, record(1, port=port)))
             while not stage.service.parts.controller.ready_engines:
                 await anyio.sleep(0.01)
-            await client.ask(1, "plain", timeout=20_000)
+            await client.send_request(1, "plain", timeout=20_000)
             while not stage.service.parts.counters.counts["attempts sent"]:
                 await anyio.sleep(0.01)
             made.send(words(how, stage.engines[0].port))
-            self.assertIn("result", await client.hear())
+            self.assertIn("result", await client.receive_response())
 
         for how in ("drains", "removed", "not named", "its address is another's"):
             with self.subTest(how):
