--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -111,7 +111,7 @@
     gateway.on_attempt_finished(port.out.pop(), Outcome.SUCCEEDED, 100_000, True, {}, clock.now())
 
     def choose() -> None:
-        gateway._choose(one, clock.now())
+        gateway._choose_engine(one, clock.now())
 
     result["choice, us"] = best(choose, 200)
     for engine in gateway.ready_engines:
--- a/cresstray/membership/guard.py
+++ b/cresstray/membership/guard.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from cresstray.policy.controller import PolicyController
-from cresstray.policy.ports import ChainedRules
+from cresstray.policy.ports import ChainedAdmissionRules
 from cresstray.policy.types import Engine, Request
 
 
@@ -16,7 +16,7 @@
         """Returns whether neither discovery nor a served request vouches for the engine."""
 
 
-class AdmissionGuard(ChainedRules):
+class AdmissionGuard(ChainedAdmissionRules):
     """Adds the rule on unproven endpoints to the rules that the controller had before."""
 
     def __init__(self, membership: UnprovenEndpoints, controller: PolicyController) -> None:
--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -35,7 +35,7 @@
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
-from cresstray.policy.admission_queue import OrderedTurns
+from cresstray.policy.admission_queue import OrderingKeyQueues
 from cresstray.policy.concurrency_limit import ConcurrencyLimit
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.engine_registry import EngineRegistry
@@ -602,7 +602,7 @@
         gateway, engines = self.gateway, self.gateway.engines
         kept = {
             "held": gateway.admission_queue.first_attempts + gateway.admission_queue.retries,
-            "turns": gateway.admission_queue.turns.queues,
+            "turns": gateway.admission_queue.ordering.queues,
             "open": self.book.open,
             "out": self.back.in_flight,
             "pages told": self.back._reports,
@@ -759,7 +759,7 @@
         lines(
             (
                 PolicyController.on_attempt_finished,
-                "else:\n        self._answer_unserved(request, now)",
+                "else:\n        self._reject_or_fail(request, now_us)",
                 "else:\n        pass",
             )
         ),
@@ -798,7 +798,7 @@
         "all_denied",
         "unrepeatable",
         "attempt",
-        lines((PolicyController._answer_unserved, "not self.retry_policy.may_reject(request)", "False")),
+        lines((PolicyController._reject_or_fail, "not self.retry_policy.may_reject(request)", "False")),
     ),
     Mutant(
         "group_unasked",
@@ -855,8 +855,8 @@
         lines(
             (
                 PolicyController._send,
-                "request.deadline_us - now - ATTEMPT_MARGIN_US",
-                "request.deadline_us - now",
+                "request.deadline_us - now_us - ATTEMPT_MARGIN_US",
+                "request.deadline_us - now_us",
             )
         ),
     ),
@@ -1037,8 +1037,8 @@
         lines(
             (
                 PolicyController._send,
-                "self.retry_policy.on_retry(now)",
-                "request_class.latency.dispatched.add(now)",
+                "self.retry_policy.on_retry(now_us)",
+                "request_class.latency.dispatched.add(now_us)",
             )
         ),
     ),
@@ -1049,8 +1049,8 @@
         lines(
             (
                 PolicyController._try_send,
-                "is_retry and not self._has_retry_budget(request, now)",
-                "is_retry and not request.is_queued and not self._has_retry_budget(request, now)",
+                "is_retry and not self._has_retry_budget(request, now_us)",
+                "is_retry and not request.is_queued and not self._has_retry_budget(request, now_us)",
             )
         ),
     ),
@@ -1060,7 +1060,7 @@
         "order",
         lines(
             (
-                OrderedTurns.release,
+                OrderingKeyQueues.release,
                 "request.is_finished and not request.current_attempt",
                 "request.is_finished",
             )
@@ -1070,7 +1070,13 @@
         "no_gap",
         "key_order",
         "order",
-        lines((OrderedTurns.is_turn, "now_us < self.free_at_us.get(request.ordering_key, 0)", "False")),
+        lines(
+            (
+                OrderingKeyQueues.may_run,
+                "now_us < self.blocked_until_us.get(request.ordering_key, 0)",
+                "False",
+            )
+        ),
     ),
     Mutant(
         "gap_not_after_reset",
@@ -1100,12 +1106,12 @@
         "turn_unasked",
         "key_order",
         "order",
-        lines((OrderedTurns.is_turn, "self.queues[request.ordering_key][0] is request", "True")),
+        lines((OrderingKeyQueues.may_run, "self.queues[request.ordering_key][0] is request", "True")),
     ),
     Mutant(
         "turn_kept",
         "nothing_kept",
         "order",
-        lines((OrderedTurns.release, "queue.remove(request)", "pass")),
+        lines((OrderingKeyQueues.release, "queue.remove(request)", "pass")),
     ),
 )
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -28,7 +28,7 @@
 from cresstray.pipeline.accounting import RequestAccounting
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.policy.controller import PolicyController
-from cresstray.policy.ports import ChainedRules
+from cresstray.policy.ports import ChainedAdmissionRules
 from cresstray.policy.types import Attempt, Engine, Outcome, Request
 
 # How often records are looked at while outcomes wait to be written, and while none does.
@@ -229,7 +229,7 @@
     return f"{seed & 0xFFFFFFFF:08x}{now:014x}"
 
 
-class _RecordValidityRules(ChainedRules):
+class _RecordValidityRules(ChainedAdmissionRules):
     """Lets nothing be sent, or forwarded to another site, for longer than its record is this gateway's."""
 
     def __init__(
--- a/cresstray/policy/admission_queue.py
+++ b/cresstray/policy/admission_queue.py
@@ -21,25 +21,27 @@
 MIN_NEVER_DISPATCHED = 2
 
 
-class OrderedTurns:
+class OrderingKeyQueues:
     """The turns of requests with an ordering key: they run one after another, as they were accepted."""
 
-    __slots__ = ("queues", "free_at_us")
+    __slots__ = ("queues", "blocked_until_us")
 
     def __init__(self) -> None:
         self.queues: dict[int, deque[Request]] = {}
-        self.free_at_us: dict[int, int] = {}  # by key: until then an attempt that has ended may still run
+        self.blocked_until_us: dict[
+            int, int
+        ] = {}  # by key: until then an attempt that has ended may still run
 
     def enqueue(self, request: Request) -> None:
         """Lets an accepted request wait for its turn."""
         if request.request_class.is_ordered and request.ordering_key:
             self.queues.setdefault(request.ordering_key, deque()).append(request)
 
-    def is_turn(self, request: Request, now_us: int) -> bool:
+    def may_run(self, request: Request, now_us: int) -> bool:
         """Returns whether the request may run now."""
         if not (request.request_class.is_ordered and request.ordering_key):
             return True
-        if not request.attempts and now_us < self.free_at_us.get(request.ordering_key, 0):
+        if not request.attempts and now_us < self.blocked_until_us.get(request.ordering_key, 0):
             return False
         return self.queues[request.ordering_key][0] is request
 
@@ -54,25 +56,27 @@
             if not queue:
                 del self.queues[request.ordering_key]
 
-    def hold(self, request: Request, until_us: int) -> None:
+    def block(self, request: Request, until_us: int) -> None:
         """Keeps the next request of the key waiting, as an attempt of this one may still run."""
         if request.request_class.is_ordered and request.ordering_key:
-            self.free_at_us[request.ordering_key] = until_us
+            self.blocked_until_us[request.ordering_key] = until_us
 
-    def forget_expired(self, now_us: int) -> None:
+    def drop_expired_blocks(self, now_us: int) -> None:
         """Drops the waits that are over."""
-        self.free_at_us = {key: free_us for key, free_us in self.free_at_us.items() if now_us < free_us}
+        self.blocked_until_us = {
+            key: until_us for key, until_us in self.blocked_until_us.items() if now_us < until_us
+        }
 
 
 class AdmissionQueue:
     """The requests that wait to be sent."""
 
-    __slots__ = ("first_attempts", "retries", "turns", "_request_classes")
+    __slots__ = ("first_attempts", "retries", "ordering", "_request_classes")
 
     def __init__(self, request_classes: Sequence[RequestClass]) -> None:
         self.first_attempts: list[Request] = []  # by rank
         self.retries: list[Request] = []  # by rank, and what other sites have forwarded
-        self.turns = OrderedTurns()
+        self.ordering = OrderingKeyQueues()
         self._request_classes = request_classes
 
     def schedule(self, request: Request, now_us: int) -> None:
@@ -159,7 +163,7 @@
             refused_kinds = set()
             for request in queue[:MAX_OFFERED] if freed else list(queue):
                 kind = request.replica_read or request.request_class
-                if kind in refused_kinds or not self.turns.is_turn(request, now_us):
+                if kind in refused_kinds or not self.ordering.may_run(request, now_us):
                     continue
                 if not try_send(request, now_us, freed):
                     refused_kinds.add(kind)
--- a/cresstray/policy/engine_registry.py
+++ b/cresstray/policy/engine_registry.py
@@ -32,13 +32,13 @@
         is_complete: bool,
         gateway_count: int,
         now_us: int,
-        chance: Callable[[], float],
+        random: Callable[[], float],
     ) -> None:
         """Takes the endpoint list, or with `is_complete` False the changes to it."""
         listed = set()
         for engine, description in known:
             listed.add(engine)
-            self._update_engine(engine, description, gateway_count, now_us, chance)
+            self._update_engine(engine, description, gateway_count, now_us, random)
         for engine in list(self.engines):
             if is_complete and engine not in listed:
                 engine.state = EndpointState.REMOVED
@@ -51,7 +51,7 @@
         description: EndpointDescription,
         gateway_count: int,
         now_us: int,
-        chance: Callable[[], float],
+        random: Callable[[], float],
     ) -> None:
         instance_type, zone, cell, started_us, endpoint_state = description
         has_restarted = started_us != engine.started_us and started_us > 0
@@ -62,7 +62,7 @@
             if engine.policy_state is not None:
                 state.limit.take_over_attempts(engine.policy_state.limit)
             engine.policy_state = state
-            self._slow_start.begin(state, started_us, now_us, chance)
+            self._slow_start.start(state, started_us, now_us, random)
         engine.instance_type = instance_type
         engine.zone = zone
         engine.cell = cell
--- a/cresstray/policy/load_balancing.py
+++ b/cresstray/policy/load_balancing.py
@@ -65,7 +65,7 @@
         self,
         request: Request,
         now_us: int,
-        chance: Callable[[], float],
+        random: Callable[[], float],
         may_send: Callable[[Request, Engine, int], bool],
         freed: Engine | None = None,
     ) -> Engine | None:
@@ -79,14 +79,14 @@
         near: list[Candidate] = []
         last_resort: Engine | None = None
         tried = {attempt.engine for attempt in request.attempts}
-        for draws_left, engine in self._draw(freed, chance):
+        for draws_left, engine in self._draw(freed, random):
             is_near = engine.zone == self._zone
             if len(drawn) == choices and not is_near:
                 continue
             state = engine.policy_state
             if not state.permits(request, now_us):
                 if state.slow_start.next_send_us:
-                    self._slow_start.on_refused(state, now_us, chance)
+                    self._slow_start.on_limit_refused(state, now_us, random)
                 continue
             suitability = self._suitability(request, engine, tried, may_send, now_us)
             if suitability is _LAST_RESORT:
@@ -102,13 +102,13 @@
                         break
         return self._less_loaded(request, drawn, near, last_resort, now_us)
 
-    def _draw(self, freed: Engine | None, chance: Callable[[], float]) -> Iterator[tuple[int, Engine]]:
+    def _draw(self, freed: Engine | None, random: Callable[[], float]) -> Iterator[tuple[int, Engine]]:
         """Yields the least loaded engine, then the others in random order, drawn as they are asked for."""
         pool = [freed] if freed else self.ready_engines + self.least_loaded
         ready_count = len(self.ready_engines)
         for draws_left in range(len(pool), 0, -1):
             last = draws_left - 1
-            at = last if draws_left > ready_count else int(chance() * draws_left)
+            at = last if draws_left > ready_count else int(random() * draws_left)
             engine = pool[at]
             pool[at] = pool[last]
             yield draws_left, engine
@@ -128,7 +128,7 @@
         if not may_send(request, engine, now_us):
             return _NONE
         health = state.health
-        if health.is_suspected and self._outliers.is_decisive:
+        if health.is_suspected and self._outliers.is_enforced:
             # A suspected engine gets one probe request at a time, which must be safe to repeat. While the
             # others are full, one that fails has capacity, and would fail all that could still wait for
             # them. If it answers, it gets what has no other chance left.
--- a/cresstray/policy/outlier_detection.py
+++ b/cresstray/policy/outlier_detection.py
@@ -113,11 +113,11 @@
 class OutlierDetector:
     """The budget of probe requests, and whether suspicion counts at all."""
 
-    __slots__ = ("probe_budget", "is_decisive")
+    __slots__ = ("probe_budget", "is_enforced")
 
     def __init__(self) -> None:
         self.probe_budget = 0.0  # probe requests that may be sent
-        self.is_decisive = True
+        self.is_enforced = True
 
     def on_accepted(self) -> None:
         """Earns probe requests: one for ten accepted requests, or all gateways' would be a share of work."""
@@ -138,7 +138,7 @@
         Where half of the engines are suspected they are no outliers, and it does not. With another site to
         forward to it does, as most engines here may be dead.
         """
-        self.is_decisive = has_other_site or 2 * suspected_count <= engine_count
+        self.is_enforced = has_other_site or 2 * suspected_count <= engine_count
 
 
 def is_overdue(attempt: Attempt, slowdown: float, progress_interval_us: int, now_us: int) -> bool:
--- a/cresstray/policy/ports.py
+++ b/cresstray/policy/ports.py
@@ -46,56 +46,56 @@
 class AdmissionRules(Protocol):
     """What the fleet's configuration lets this gateway do now: asked at each decision, never cached."""
 
-    def gateway_count(self, now: int) -> int:
+    def gateway_count(self, now_us: int) -> int:
         """Returns how many gateways share the engines; 0 if this one may send nothing."""
 
-    def admits(self, request: Request, now: int) -> bool:
+    def admits(self, request: Request, now_us: int) -> bool:
         """Returns False if the request is to be rejected at once."""
 
-    def allows(self, request: Request, engine: Engine, now: int) -> bool:
+    def allows(self, request: Request, engine: Engine, now_us: int) -> bool:
         """Returns whether the request may be sent to this engine."""
 
-    def retry_budget_scale(self, request: Request, now: int) -> float:
+    def retry_budget_scale(self, request: Request, now_us: int) -> float:
         """Returns the factor on the retry budget for this request."""
 
 
-class RuledController(Protocol):
+class AdmissionRulesOwner(Protocol):
     """What `ChainedRules` needs to know of the controller."""
 
     admission_rules: AdmissionRules | None
     gateway_count: int
 
 
-class ChainedRules:
+class ChainedAdmissionRules:
     """Admission rules that pass every question to the rules in force before; subclasses override some."""
 
-    def __init__(self, controller: RuledController) -> None:
+    def __init__(self, controller: AdmissionRulesOwner) -> None:
         self._controller = controller
-        self._inner: AdmissionRules | None = controller.admission_rules
+        self._next_rules: AdmissionRules | None = controller.admission_rules
 
-    def gateway_count(self, now: int) -> int:
+    def gateway_count(self, now_us: int) -> int:
         """Returns how many gateways share the engines; 0 if this one may send nothing."""
-        return self._inner.gateway_count(now) if self._inner else self._controller.gateway_count
+        return self._next_rules.gateway_count(now_us) if self._next_rules else self._controller.gateway_count
 
-    def admits(self, request: Request, now: int) -> bool:
+    def admits(self, request: Request, now_us: int) -> bool:
         """Returns False if the request is to be rejected at once."""
-        return self._inner is None or self._inner.admits(request, now)
+        return self._next_rules is None or self._next_rules.admits(request, now_us)
 
-    def allows(self, request: Request, engine: Engine, now: int) -> bool:
+    def allows(self, request: Request, engine: Engine, now_us: int) -> bool:
         """Returns whether the request may be sent to this engine."""
-        return self._inner is None or self._inner.allows(request, engine, now)
+        return self._next_rules is None or self._next_rules.allows(request, engine, now_us)
 
-    def retry_budget_scale(self, request: Request, now: int) -> float:
+    def retry_budget_scale(self, request: Request, now_us: int) -> float:
         """Returns the factor on the retry budget for this request."""
-        return self._inner.retry_budget_scale(request, now) if self._inner else 1.0
+        return self._next_rules.retry_budget_scale(request, now_us) if self._next_rules else 1.0
 
 
 class ForwardingRoute(Protocol):
     """The way to another site; decides whether a request is forwarded over it."""
 
-    def accepts(self, request: Request, near_load: float | None, now: int) -> bool:
+    def accepts(self, request: Request, local_load: float | None, now_us: int) -> bool:
         """Returns whether the request is to be forwarded.
 
-        `near_load` is the load of the local engine that would take it otherwise, in threads per core; None
+        `local_load` is the load of the local engine that would take it otherwise, in threads per core; None
         if there is none.
         """
--- a/cresstray/policy/slow_start.py
+++ b/cresstray/policy/slow_start.py
@@ -48,13 +48,13 @@
         self._window_us = settings.overload_window_us
         self._request_classes = request_classes
 
-    def begin(self, state: EngineState, started_us: int, now_us: int, chance: Callable[[], float]) -> None:
+    def start(self, state: EngineState, started_us: int, now_us: int, random: Callable[[], float]) -> None:
         """Begins the slow start of an engine, if it is not warm.
 
         All gateways hear of the engine at once, so each begins at some time of its first turn.
         """
         if now_us < started_us + self.warm_up_us:
-            state.slow_start.next_send_us = now_us + 1 + int(self.turn_us(state) * chance())
+            state.slow_start.next_send_us = now_us + 1 + int(self.send_interval_us(state) * random())
 
     def has_capacity(self, engine: Engine, request_class: RequestClass, now_us: int) -> bool:
         """Returns whether the engine is warm, or may get a request of this class now."""
@@ -63,15 +63,17 @@
         if not slow_start.next_send_us or now_us >= engine.started_us + self.warm_up_us:
             slow_start.next_send_us = 0
             return True
-        max_weight = self.ration(state) * self._window_us * max(1.0, self.gateway_count / MAX_PART_OF_WINDOW)
-        return now_us >= slow_start.next_send_us and self.weight(request_class) <= max_weight
+        max_weight = (
+            self.work_rate(state) * self._window_us * max(1.0, self.gateway_count / MAX_PART_OF_WINDOW)
+        )
+        return now_us >= slow_start.next_send_us and self.expected_work_us(request_class) <= max_weight
 
     def on_sent(self, state: EngineState, request_class: RequestClass, now_us: int) -> None:
         """Starts the next turn, which lasts until the request sent is earned."""
-        turn_us = int(self.weight(request_class) / self.ration(state))
-        state.slow_start.next_send_us = now_us + turn_us
+        send_interval_us = int(self.expected_work_us(request_class) / self.work_rate(state))
+        state.slow_start.next_send_us = now_us + send_interval_us
 
-    def on_refused(self, state: EngineState, now_us: int, chance: Callable[[], float]) -> None:
+    def on_limit_refused(self, state: EngineState, now_us: int, random: Callable[[], float]) -> None:
         """Draws a turn again that has passed while the engine's limit let nothing in.
 
         Turns that wait while an engine counts as busy would be taken by all gateways at once when that ends.
@@ -81,21 +83,21 @@
         slow_start = state.slow_start
         if not slow_start.next_send_us or now_us <= slow_start.next_send_us + self._window_us:
             return
-        turn_us = self.turn_us(state)
-        requests = self.gateway_count * self._window_us / (turn_us * USED_PART)
+        send_interval_us = self.send_interval_us(state)
+        requests = self.gateway_count * self._window_us / (send_interval_us * USED_PART)
         if self.gateway_count > requests + 2 * requests**0.5 + 2:
-            slow_start.next_send_us = now_us + 1 + int(turn_us * chance())
+            slow_start.next_send_us = now_us + 1 + int(send_interval_us * random())
 
-    def ration(self, state: EngineState) -> float:
+    def work_rate(self, state: EngineState) -> float:
         """Returns the work that this gateway may send in each unit of time."""
         return self._max_load * state.limit.cores * USED_PART / self.gateway_count
 
-    def turn_us(self, state: EngineState) -> float:
+    def send_interval_us(self, state: EngineState) -> float:
         """Returns how long this gateway's ration takes to earn the lightest request."""
-        lightest = min(map(self.weight, self._request_classes), default=1.0)
-        return max(1.0, lightest) / self.ration(state)
+        lightest = min(map(self.expected_work_us, self._request_classes), default=1.0)
+        return max(1.0, lightest) / self.work_rate(state)
 
-    def weight(self, request_class: RequestClass) -> float:
+    def expected_work_us(self, request_class: RequestClass) -> float:
         """Returns the work of one request, as thread-microseconds."""
         latency = request_class.latency
         is_known = latency.sample_count >= MIN_KNOWN_ANSWERS
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -167,7 +167,7 @@
             given.get("others", 0.0),
         )
         state.signals.overloaded_until_us = FAR if given.get("full") else 0
-    harness.gateway.outliers.is_decisive = 2 * sum(
+    harness.gateway.outlier_detector.is_enforced = 2 * sum(
         e.policy_state.health.is_suspected for e in harness.engines
     ) <= len(harness.engines)
     harness.gateway.load_balancer.least_loaded = [harness.engines[row["idlest"]]] if "idlest" in row else []
@@ -443,7 +443,7 @@
     "denied after a run": (
         "refuse",
         PolicyController,
-        "_answer_unserved",
+        "_reject_or_fail",
         "not self.retry_policy.may_reject(request)",
         "False",
     ),
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -5,7 +5,7 @@
 import struct
 from unittest import mock
 
-from cresstray.policy.admission_queue import OrderedTurns
+from cresstray.policy.admission_queue import OrderingKeyQueues
 from cresstray.policy.deadlines import WINDOW_US
 from cresstray.policy.engine_state import EngineState
 from cresstray.policy.load_signals import FleetSignals
@@ -66,7 +66,7 @@
         harness = PolicyHarness(settings(), engines=3)
         for threads, engine in zip((1, 2, 3), harness.engines):
             engine.policy_state.limit.running_threads = threads
-        drawn = [harness.gateway._choose(harness.submit("one"), harness.now) for _ in range(12)]
+        drawn = [harness.gateway._choose_engine(harness.submit("one"), harness.now) for _ in range(12)]
         self.check("two_choice", [f"engine {harness.engines.index(engine)}" for engine in drawn])
 
     def test_fast_errors_raise_suspicion(self) -> None:
@@ -153,7 +153,7 @@
         lines.append(
             "seldom heard of: "
             + ", ".join(
-                str(harness.engines.index(harness.gateway._choose(harness.submit("one"), harness.now)))
+                str(harness.engines.index(harness.gateway._choose_engine(harness.submit("one"), harness.now)))
                 for _ in range(6)
             )
         )
@@ -171,7 +171,7 @@
         for suspected.health.is_unresponsive in (False, True):
             waits = harness.submit("two")
             for at, text in ((harness.now, "it can wait"), (waits.latest_dispatch_us, "it can't")):
-                chosen = harness.gateway._choose(waits, at)
+                chosen = harness.gateway._choose_engine(waits, at)
                 kind = "unresponsive" if suspected.health.is_unresponsive else "failing"
                 lines.append(f"the rest full, one {kind}, {text}: {chosen and harness.engines.index(chosen)}")
         self.check("choices", lines)
@@ -370,11 +370,11 @@
             harness.submit(f"queued {number}", left_ms=9000, estimated_work_us=1000)
         tried = []
 
-        def is_turn(turns: OrderedTurns, request: Request, now_us: int) -> bool:
+        def may_run(queues: OrderingKeyQueues, request: Request, now_us: int) -> bool:
             tried.append(request)
             return False
 
-        with mock.patch.object(OrderedTurns, "is_turn", is_turn):
+        with mock.patch.object(OrderingKeyQueues, "may_run", may_run):
             harness.finish_attempt(running[0], Outcome.SUCCEEDED)
             few = len(tried)
             harness.run(100)
--- a/tests/test_membership_joined.py
+++ b/tests/test_membership_joined.py
@@ -125,8 +125,8 @@
             begun, ids = one.now, {one.engine(number): number for number in (1, 2)}
             firsts += [
                 (engine.policy_state.slow_start.next_send_us - begun)
-                * one.gateway.slow_start.ration(engine.policy_state)
-                / min(map(one.gateway.slow_start.weight, one.gateway.request_classes))
+                * one.gateway.slow_start.work_rate(engine.policy_state)
+                / min(map(one.gateway.slow_start.expected_work_us, one.gateway.request_classes))
                 for engine in ids
             ]
             one.sent = []
