--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -867,8 +867,8 @@
         lines(
             (
                 PolicyController.on_attempt_finished,
-                "min(request.deadline_us - DEADLINE_MARGIN_US, latest_us)",
-                "min(request.deadline_us, latest_us)",
+                "min(request.deadline_us - DEADLINE_MARGIN_US, latest_dispatch_us)",
+                "min(request.deadline_us, latest_dispatch_us)",
             )
         ),
     ),
--- a/cresstray/policy/deadlines.py
+++ b/cresstray/policy/deadlines.py
@@ -1,4 +1,4 @@
-"""Periods and margins that several parts of the policy share, in microseconds, and deadlines of requests."""
+"""Periods and margins that several modules of the policy share, and the deadlines of requests."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 # Length of a sample window of the concurrency limit.
 WINDOW_US = 1_000_000
-# Between two sweeps over the queue and the attempts in flight.
+# Time between two sweeps over the admission queue and the attempts in flight.
 SWEEP_INTERVAL_US = 100_000
-# An attempt ends this long before the deadline of its request, as a late event loop must not carry a
-# response past it.
+# An attempt times out this long before the deadline of its request, so that a response is not late when the
+# event loop is delayed.
 ATTEMPT_MARGIN_US = 100_000
-# A queued request must be sent this long before its deadline: it may wait for one more sweep.
+# A queued request must be sent this long before its deadline, as it may have to wait for one more sweep.
 DEADLINE_MARGIN_US = SWEEP_INTERVAL_US + ATTEMPT_MARGIN_US
 
 
 def limit_deadline(request: Request, shutdown_us: int) -> None:
-    """Has the request answered by the time the gateway shuts down."""
+    """Moves the deadline of a request forward, so that it is answered before the gateway shuts down."""
     request.deadline_us = min(request.deadline_us, shutdown_us)
-    # Dispatched at the very end, it would have no time left to run.
+    # A request that is dispatched at its deadline would have no time left to run.
     request.latest_dispatch_us = min(request.latest_dispatch_us, request.deadline_us - DEADLINE_MARGIN_US)
--- a/cresstray/policy/engine_registry.py
+++ b/cresstray/policy/engine_registry.py
@@ -1,4 +1,4 @@
-"""The engines of the endpoint list, and the state that is kept of each."""
+"""The engines of the endpoint list, and the policy state of each."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EngineRegistry:
-    """The listed engines, and removed ones until their attempts have ended."""
+    """The listed engines, and removed engines until their attempts have ended."""
 
     __slots__ = ("engines", "_settings", "_fleet", "_slow_start")
 
@@ -28,15 +28,15 @@
 
     def update(
         self,
-        known: Iterable[tuple[Engine, EndpointDescription]],
+        descriptions: Iterable[tuple[Engine, EndpointDescription]],
         is_complete: bool,
         gateway_count: int,
         now_us: int,
         random: Callable[[], float],
     ) -> None:
-        """Takes the endpoint list, or with `is_complete` False the changes to it."""
+        """Applies a complete endpoint list, or only changes to it if `is_complete` is False."""
         listed = set()
-        for engine, description in known:
+        for engine, description in descriptions:
             listed.add(engine)
             self._update_engine(engine, description, gateway_count, now_us, random)
         for engine in list(self.engines):
@@ -56,8 +56,8 @@
         instance_type, zone, cell, started_us, endpoint_state = description
         has_restarted = started_us != engine.started_us and started_us > 0
         if engine.policy_state is None or has_restarted:
-            # What was learnt of an engine before it restarted says nothing now, but the attempts that were
-            # sent to it are still to end.
+            # Statistics from before a restart no longer apply to the engine, but the attempts that were sent
+            # before it have yet to end.
             state = EngineState(self._settings.cores(instance_type), gateway_count, self._fleet)
             if engine.policy_state is not None:
                 state.limit.take_over_attempts(engine.policy_state.limit)
@@ -73,11 +73,11 @@
     def ready_engines(self) -> list[Engine]:
         """Returns the engines that may get requests.
 
-        Nothing new goes to an engine that is draining or removed: its grace period is not used.
+        Draining and removed engines get no new requests, not even during their grace period.
         """
         return [engine for engine in self.engines if engine.state is EndpointState.READY]
 
     def scale_limits(self, factor: float) -> None:
-        """Scales all concurrency limits as the number of gateways changes."""
+        """Scales all concurrency limits after the number of gateways has changed."""
         for engine in self.engines:
             engine.policy_state.limit.scale(factor)
--- a/cresstray/policy/ports.py
+++ b/cresstray/policy/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces between the policy and its surroundings: what it calls, and what it asks of other packages.
+"""The interfaces that the policy calls: the actions of its adapter, and rules that other packages provide.
 
 Times are whole microseconds.
 """
@@ -13,72 +13,72 @@
 
 
 class PolicyPort(Protocol):
-    """The actions that the policy asks of its adapter. Each takes effect at once and returns nothing."""
+    """The actions of the policy, carried out by its adapter. Each takes effect at once."""
 
     def send_attempt(self, attempt: Attempt, timeout_us: int) -> None:
         """Sends an attempt to its engine; it ends as timed out after `timeout_us`."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancels an attempt in flight. Its outcome is still reported."""
+        """Cancels an attempt in flight. The adapter still reports its outcome."""
 
     def reject_request(self, request: Request, retry_after_us: int) -> None:
-        """Answers that the request was not executed and may be sent again after `retry_after_us`."""
+        """Rejects the request: the client may send it again after `retry_after_us`."""
 
     def fail_request(self, request: Request) -> None:
-        """Answers that the request failed and may have been executed."""
+        """Fails the request, which may have been executed."""
 
     def assign_resources(self, request: Request, memory_mb: float, priority: int) -> None:
         """Grants memory and a priority from 0 to 3 to the request's next attempt."""
 
     def call_later(self, delay_us: int, callback: Callable[[int], None]) -> None:
-        """Calls back once, with the time then."""
+        """Calls `callback` once after the delay, with the current time."""
 
     def probe_engine(self, engine: Engine) -> None:
         """Sends a health check to an engine."""
 
     def subscribe_to_endpoints(self) -> None:
-        """Asks for the endpoint list and its changes."""
+        """Requests the endpoint list and subscribes to its changes."""
 
     def log_event(self, text: str) -> None:
         """Logs an event for operators."""
 
 
 class AdmissionRules(Protocol):
-    """What the fleet's configuration lets this gateway do now: asked at each decision, never cached."""
+    """What the fleet's configuration allows this gateway to do; asked for each decision, never cached."""
 
     def gateway_count(self, now_us: int) -> int:
-        """Returns how many gateways share the engines; 0 if this one may send nothing."""
+        """Returns how many gateways share the engines; 0 if this gateway may not send."""
 
     def admits(self, request: Request, now_us: int) -> bool:
-        """Returns False if the request is to be rejected at once."""
+        """Returns whether the request may run at all; if not, it is rejected at once."""
 
     def allows(self, request: Request, engine: Engine, now_us: int) -> bool:
         """Returns whether the request may be sent to this engine."""
 
     def retry_budget_scale(self, request: Request, now_us: int) -> float:
-        """Returns the factor on the retry budget for this request."""
+        """Returns the factor by which the retry budget is scaled for this request."""
 
 
 class AdmissionRulesOwner(Protocol):
-    """What `ChainedRules` needs to know of the controller."""
+    """The attributes of the controller that `ChainedAdmissionRules` reads."""
 
     admission_rules: AdmissionRules | None
     gateway_count: int
 
 
 class ChainedAdmissionRules:
-    """Admission rules that pass every question to the rules in force before; subclasses override some."""
+    """Admission rules that delegate to those that the controller had before; subclasses add conditions."""
 
     def __init__(self, controller: AdmissionRulesOwner) -> None:
         self._controller = controller
         self._next_rules: AdmissionRules | None = controller.admission_rules
 
     def gateway_count(self, now_us: int) -> int:
-        """Returns how many gateways share the engines; 0 if this one may send nothing."""
+        """Returns how many gateways share the engines; 0 if this gateway may not send."""
         return self._next_rules.gateway_count(now_us) if self._next_rules else self._controller.gateway_count
 
     def admits(self, request: Request, now_us: int) -> bool:
-        """Returns False if the request is to be rejected at once."""
+        """Returns whether the request may run at all; if not, it is rejected at once."""
         return self._next_rules is None or self._next_rules.admits(request, now_us)
 
     def allows(self, request: Request, engine: Engine, now_us: int) -> bool:
@@ -86,16 +86,16 @@
         return self._next_rules is None or self._next_rules.allows(request, engine, now_us)
 
     def retry_budget_scale(self, request: Request, now_us: int) -> float:
-        """Returns the factor on the retry budget for this request."""
+        """Returns the factor by which the retry budget is scaled for this request."""
         return self._next_rules.retry_budget_scale(request, now_us) if self._next_rules else 1.0
 
 
 class ForwardingRoute(Protocol):
-    """The way to another site; decides whether a request is forwarded over it."""
+    """The route to a gateway of another site; decides which requests are forwarded over it."""
 
     def accepts(self, request: Request, local_load: float | None, now_us: int) -> bool:
         """Returns whether the request is to be forwarded.
 
-        `local_load` is the load of the local engine that would take it otherwise, in threads per core; None
-        if there is none.
+        `local_load` is the load, in threads per core, of the local engine that would get the request
+        otherwise; None if no local engine can take it.
         """
--- a/cresstray/policy/retry_policy.py
+++ b/cresstray/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: whether a request may be sent again or rejected, and the budget of retries."""
+"""Retries: the retry budget, and whether a request may be sent again or rejected."""
 
 from __future__ import annotations
 
@@ -12,50 +12,50 @@
     from cresstray.policy.settings import RetrySettings
     from cresstray.policy.types import Attempt, Engine, Request
 
-# A repeat must reach its engine within the deduplication window of the first attempt; it leaves this long
-# before its end.
+# A repeated request must reach its engine within the deduplication window of the first attempt, so it is sent
+# at least this long before the window ends.
 DEDUP_MARGIN_US = 50_000
-# So many engines that fail a request show that no engine can run it.
+# After this many failed attempts, a request is taken to fail on any engine.
 MAX_FAILED_ATTEMPTS = 2
-# Buckets of the budget's windows: rounding costs a twentieth.
+# With this many buckets, rounding of the windows costs at most a twentieth of the budget.
 BUDGET_BUCKETS = 20
 
 
 class RetryPolicy:
-    """The retry budget, and which requests may be sent again or rejected."""
+    """The retry budget, and the rules on which requests may be sent again or rejected."""
 
     __slots__ = ("_settings", "accepted", "retries")
 
     def __init__(self, settings: RetrySettings) -> None:
         self._settings = settings
-        # A retry that is forwarded is sent later than it is counted: by so much, one window is shorter and
-        # the other longer.
+        # A forwarded retry may be sent up to `forwarding_delay_us` after it is counted. So the window of
+        # accepted requests is shorter by that delay, and the window of retries longer.
         window_us = settings.budget_window_us or 0
         delay_us = settings.forwarding_delay_us
         self.accepted = SlidingWindow(max(0, window_us - delay_us), BUDGET_BUCKETS)
         self.retries = SlidingWindow(window_us + delay_us, BUDGET_BUCKETS)
 
     def on_accepted(self, request: Request) -> None:
-        """Counts a request, which earns retries."""
+        """Counts an accepted request, which adds to the retry budget."""
         self.accepted.add(request.arrived_us)
 
     def on_client_cancelled(self, request: Request) -> None:
-        """Takes back what a request has earned: a flood of cancelled ones would earn retries for others."""
+        """Removes a request from the count, as a flood of cancelled ones would pay for retries of others."""
         self.accepted.add(request.arrived_us, -1)
 
     def on_retry(self, now_us: int) -> None:
-        """Counts a retry as it is decided."""
+        """Counts a retry when it is decided."""
         self.retries.add(now_us)
 
     def on_retry_sent(self, attempt: Attempt, now_us: int) -> None:
-        """Counts a retry as it is sent: a slow connection may have carried it into the next window."""
+        """Counts a retry at its time of sending instead: a slow connection may delay it to another window."""
         self.retries.add(attempt.sent_us, -1)
         self.retries.add(now_us)
 
     def has_budget(self, now_us: int, scale: float) -> bool:
-        """Returns whether one more retry keeps within the budget, scaled, over any window.
+        """Returns whether one more retry fits into the scaled budget, over any window.
 
-        The windows round to the safe side.
+        Counts are rounded to the safe side: accepted requests down, retries up.
         """
         settings = self._settings
         max_retries = settings.free_retries + settings.retry_ratio * self.accepted.lower_bound(now_us)
@@ -64,21 +64,23 @@
         return self.retries.upper_bound(now_us) + 1 <= max_retries * scale
 
     def is_worth_retrying(self, request: Request, now_us: int) -> bool:
-        """Returns whether a retry may still be in time, of use and safe."""
+        """Returns whether a retry could be in time, is likely to succeed, and is safe."""
         request_class = request.request_class
-        end_us = request.deadline_us if request_class.late_value > 0 else request.objective_deadline_us
-        if now_us + request.expected_latency_us >= end_us:
+        useful_until_us = (
+            request.deadline_us if request_class.late_value > 0 else request.objective_deadline_us
+        )
+        if now_us + request.expected_latency_us >= useful_until_us:
             return False
         if now_us >= request.deadline_us - DEADLINE_MARGIN_US:
             return False
         max_attempts = 1 if request.is_forwarded_in else self._settings.max_attempts
-        failed = [attempt.outcome for attempt in request.attempts].count(Outcome.FAILED)
-        if len(request.attempts) >= max_attempts or failed >= MAX_FAILED_ATTEMPTS:
+        failed_count = [attempt.outcome for attempt in request.attempts].count(Outcome.FAILED)
+        if len(request.attempts) >= max_attempts or failed_count >= MAX_FAILED_ATTEMPTS:
             return False
         return request_class.is_deduplicated or self.may_reject(request)
 
     def may_reject(self, request: Request) -> bool:
-        """Returns whether the client may send the request again: it did not run, or a repeat does no harm."""
+        """Returns whether the client may repeat the request: it was not executed, or a repeat is harmless."""
         request_class = request.request_class
         if request_class.is_idempotent:
             return True
@@ -87,14 +89,14 @@
         return all(attempt.outcome in NOT_EXECUTED for attempt in request.attempts)
 
     def may_repeat_on(self, request: Request, engine: Engine, now_us: int) -> bool:
-        """Returns whether an engine will discard a repeat of what may have been executed."""
+        """Returns whether the engine will discard the request if an earlier attempt was executed."""
         request_class = request.request_class
         if not request_class.is_deduplicated:
             return True
         for attempt in request.attempts:
             if attempt.outcome in NOT_EXECUTED:
                 continue
-            # Outside the scope, or after the window, a repeat would take effect twice.
+            # Outside the scope or after the window, a repeated request would take effect twice.
             if now_us >= attempt.sent_us + request_class.dedup_window_us - DEDUP_MARGIN_US:
                 return False
             if not _is_in_scope(request_class.dedup_scope, attempt.engine, engine):
--- a/cresstray/policy/settings.py
+++ b/cresstray/policy/settings.py
@@ -1,6 +1,6 @@
 """The settings that the policy uses, decoded once from the settings document.
 
-| setting | here |
+| name in the settings document | name in this module |
 | --- | --- |
 | `Balancers`, `Zone`, `MembershipMode` | `gateway_count`, `zone`, `must_subscribe` |
 | `Services` | `request_classes` |
@@ -14,7 +14,7 @@
 | `Safety.WarmUp`, `.OverloadFactor`, `.ColdShare`, `.Fall` | `slow_start` |
 | `Safety.TurnGap` | `ordering_gap_us` |
 
-Times of the settings are milliseconds, here they are microseconds.
+Times are milliseconds in the settings document, and microseconds in this module.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def to_microseconds(milliseconds: float) -> int:
-    """Converts a time of the settings, in milliseconds."""
+    """Converts a time of the settings document from milliseconds to microseconds."""
     return int(milliseconds * 1000)
 
 
@@ -37,7 +37,7 @@
 
 
 class MissingSettingError(PolicyError, KeyError):
-    """A setting is absent that an event shows to be needed."""
+    """An event needs a setting that is absent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,20 +45,20 @@
     """Bounds on retries."""
 
     max_attempts: int
-    budget_window_us: int | None  # None: retries are not bounded
-    free_retries: float  # in any such window
-    retry_ratio: float  # of the requests accepted in such a window, beside the free ones
-    # A retry that is forwarded to another site is sent at most so long after it is counted here.
+    budget_window_us: int | None  # None: the number of retries is unlimited
+    free_retries: float  # allowed in any budget window
+    retry_ratio: float  # further retries in a budget window, per request accepted in it
+    # The longest time from when a retry is counted here until the site that it is forwarded to sends it.
     forwarding_delay_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartSettings:
-    """What an engine may get until it is warm."""
+    """Limits on the load of an engine that is warming up."""
 
     warm_up_us: int
-    max_load: float  # of all gateways, as a part of its capacity
-    overload_window_us: int  # over which overload of an engine is judged
+    max_load: float  # from all gateways together, as a fraction of the engine's capacity
+    overload_window_us: int  # the period over which overload of an engine is judged
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,28 +67,29 @@
 
     zone: int | None
     gateway_count: int
-    must_subscribe: bool  # the endpoint list has to be asked for
+    must_subscribe: bool  # the gateway has to request the endpoint list
     request_classes: list[RequestClass]
     cores_by_instance_type: list[float]
-    progress_interval_us: int | None  # between the progress updates of an attempt; None: there are none
+    progress_interval_us: int | None  # between the progress updates of an attempt; None: engines send none
     grants_memory: bool
     grants_priority: bool
     can_cancel: bool
-    can_probe: bool  # health checks are allowed, and bring load reports
+    can_probe: bool  # health checks are allowed, and return load reports
     max_retry_after_us: int
-    ordering_gap_us: int  # after an attempt that may still run, until the next request of its key
+    # Delay after an attempt that may still run, before the next request of its ordering key.
+    ordering_gap_us: int
     retry: RetrySettings
     slow_start: SlowStartSettings
 
     def cores(self, instance_type: int) -> float:
-        """Returns the cores of an instance type, 1 for an unknown one."""
+        """Returns the number of cores of an instance type; 1 if the type is unknown."""
         if instance_type < len(self.cores_by_instance_type):
             return self.cores_by_instance_type[instance_type]
         return 1
 
 
 def parse_settings(settings: Mapping[str, Any]) -> PolicySettings:
-    """Decodes the settings document; whatever is absent has its default."""
+    """Decodes the settings document; absent settings get their defaults."""
     family: Mapping[str, Any] = settings.get("FamilyInfo", {})
     safety: Mapping[str, Any] = settings.get("Safety", {})
     limits: Mapping[str, Any] = settings.get("Limits", {})
@@ -136,7 +137,7 @@
     threads = family.get("Dop", [])
     zones = service.get("StaysIn")
     instance_types = service.get("FlavorsOpen")
-    locks_data_set = _flag(family.get("Loads", []), index)
+    locks_data_set = _flag_at(family.get("Loads", []), index)
     request_class = RequestClass(
         index=index,
         threads=threads[index] if index < len(threads) else 1,
@@ -152,11 +153,11 @@
         allowed_zones=None if zones is None else frozenset(zones),
         allowed_instance_types=None if instance_types is None else frozenset(instance_types),
         locks_data_set=locks_data_set,
-        waits_for_data_set=locks_data_set or _flag(family.get("WaitsForLoads", []), index),
+        waits_for_data_set=locks_data_set or _flag_at(family.get("WaitsForLoads", []), index),
     )
     request_class.latency = LatencyEstimate(request_class)
     return request_class
 
 
-def _flag(flags: list[bool], index: int) -> bool:
+def _flag_at(flags: list[bool], index: int) -> bool:
     return index < len(flags) and flags[index]
--- a/cresstray/policy/site_forwarding.py
+++ b/cresstray/policy/site_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding to other sites: each gateway of another site counts as one engine that is never drawn."""
+"""Forwarding to other sites: each remote gateway is an engine that load balancing never considers."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
     from cresstray.policy.load_signals import FleetSignals
     from cresstray.policy.types import Engine, Request
 
-# From a thread per core on, requests slow down here. What is told of spare capacity arrives late, and other
-# sites are told the same.
+# Requests slow down from one thread per core on. The limit is lower because other sites learn of spare
+# capacity late, and all of them learn of the same capacity.
 SPARE_THREADS_PER_CORE = 0.95
 
 
 class SpareCapacity(NamedTuple):
-    """What other sites may be told of this one."""
+    """The spare capacity of this site, as reported to other sites."""
 
-    threads: float  # this gateway's part of the threads to spare
-    cores: float  # this gateway's part of all cores
+    threads: float  # this gateway's share of the spare threads
+    cores: float  # this gateway's share of all cores
     slowdown: float  # latency over expected latency
 
 
 class SiteForwarding:
-    """The gateways of other sites, and whether a request goes to one."""
+    """The gateways of other sites, and the decision whether to forward a request to one."""
 
     __slots__ = ("sites", "_fleet")
 
@@ -35,11 +35,11 @@
         self._fleet = fleet
 
     def has_ready_site(self) -> bool:
-        """Returns whether there is another site to forward to."""
+        """Returns whether any gateway of another site is ready."""
         return any(site.state is EndpointState.READY for site in self.sites)
 
     def update_site(self, site: Engine, cores: float, state: EndpointState) -> None:
-        """Sets what a gateway of another site has for this one, in cores; its limit always binds."""
+        """Sets the state of a remote gateway and the cores that it offers; its limit is always enforced."""
         cores = max(1.0, cores)
         if site.policy_state is None:
             site.policy_state = EngineState(cores, 1, self._fleet)
@@ -47,15 +47,15 @@
         site.policy_state.limit.resize(cores)
         site.state = state
 
-    def may_forward(self, request: Request, freed: Engine | None) -> bool:
-        """Returns whether a request may leave this site at all.
+    def may_forward(self, request: Request, freed_engine: Engine | None) -> bool:
+        """Returns whether a request may be forwarded at all.
 
-        Sites that each believe the other idle would pass requests back and forth, so each is forwarded once.
-        One that has to run in order, or on certain engines, stays: another site knows neither.
+        Each request is forwarded at most once, as sites that believe each other idle would pass it back and
+        forth. A request with an ordering or a placement constraint stays, as another site knows neither.
         """
         if request.was_forwarded or request.is_forwarded_in:
             return False
-        if freed and not freed.forwarding:
+        if freed_engine and not freed_engine.forwarding:
             return False
         request_class = request.request_class
         if request_class.is_ordered or request_class.allowed_zones is not None:
@@ -65,13 +65,13 @@
     def choose(
         self,
         request: Request,
-        near: Engine | None,
+        local_engine: Engine | None,
         may_send: Callable[[Request, Engine, int], bool],
         now_us: int,
     ) -> Engine | None:
-        """Returns the site that takes the request in place of the local engine, or that engine."""
+        """Returns the remote gateway that takes the request instead of the local engine, or that engine."""
         threads = request.request_class.threads
-        near_load = near.policy_state.load(threads, now_us) if near else None
+        local_load = local_engine.policy_state.load(threads, now_us) if local_engine else None
         for site in self.sites:
             state = site.policy_state
             if state.limit.running_threads + threads > state.limit.value:
@@ -80,10 +80,10 @@
                 continue
             if state.health.is_suspected and now_us < state.health.next_probe_us:
                 continue
-            if site.forwarding and site.forwarding.accepts(request, near_load, now_us):
+            if site.forwarding and site.forwarding.accepts(request, local_load, now_us):
                 request.was_forwarded = True
                 return site
-        return near
+        return local_engine
 
 
 def spare_capacity(
@@ -93,7 +93,7 @@
     slowdown: float,
     now_us: int,
 ) -> SpareCapacity:
-    """Returns what other sites may be told of this one; nothing is spare while requests are queued."""
+    """Returns the spare capacity to report to other sites: no threads while requests are queued."""
     spare = sum(
         max(0.0, engine.policy_state.spare_threads(now_us, SPARE_THREADS_PER_CORE))
         for engine in ready_engines
--- a/cresstray/policy/sliding_window.py
+++ b/cresstray/policy/sliding_window.py
@@ -4,39 +4,39 @@
 
 
 class SlidingWindow:
-    """Sums over the last `span_us` microseconds: buckets of equal length, and one that is filling."""
+    """Sums over the last `span_us` microseconds, in buckets of equal length and the current, partial one."""
 
-    __slots__ = ("_width_us", "_sums", "_stamp")
+    __slots__ = ("_bucket_width_us", "_sums", "_current_bucket")
 
     def __init__(self, span_us: int, bucket_count: int) -> None:
-        self._width_us = max(1, -(-span_us // bucket_count))
+        self._bucket_width_us = max(1, -(-span_us // bucket_count))
         self._sums = [0.0] * (bucket_count + 1)
-        self._stamp = 0  # of the bucket that is filling: the time in widths
+        self._current_bucket = 0  # the current time divided by the bucket width
 
     def _advance(self, now_us: int) -> int:
-        """Empties the buckets that have come round; returns the index of the one that is filling."""
-        stamp = now_us // self._width_us
-        size = len(self._sums)
-        for passed in range(min(stamp - self._stamp, size)):
-            self._sums[(stamp - passed) % size] = 0.0
-        self._stamp = max(stamp, self._stamp)
-        return self._stamp % size
+        """Clears the buckets that have expired; returns the index of the current one in the ring."""
+        bucket = now_us // self._bucket_width_us
+        ring_size = len(self._sums)
+        for age in range(min(bucket - self._current_bucket, ring_size)):
+            self._sums[(bucket - age) % ring_size] = 0.0
+        self._current_bucket = max(bucket, self._current_bucket)
+        return self._current_bucket % ring_size
 
     def add(self, now_us: int, amount: float = 1.0) -> None:
-        """Counts an amount at this time, or at an earlier one if its bucket is still there."""
-        stamp = now_us // self._width_us
-        size = len(self._sums)
-        if stamp > self._stamp:
+        """Adds an amount at the given time, which may be in the past if its bucket has not expired."""
+        bucket = now_us // self._bucket_width_us
+        ring_size = len(self._sums)
+        if bucket > self._current_bucket:
             self._advance(now_us)
-        if stamp > self._stamp - size:
-            self._sums[stamp % size] += amount
+        if bucket > self._current_bucket - ring_size:
+            self._sums[bucket % ring_size] += amount
 
     def upper_bound(self, now_us: int) -> float:
-        """Returns the sum over the span or a little longer: at least that of the exact window."""
+        """Returns the sum over the span or slightly more: at least the sum of the exact window."""
         self._advance(now_us)
         return sum(self._sums)
 
     def lower_bound(self, now_us: int) -> float:
-        """Returns the sum over the span or a little less: at most that of the exact window."""
-        filling = self._advance(now_us)
-        return sum(self._sums) - self._sums[(filling + 1) % len(self._sums)]
+        """Returns the sum over the span or slightly less: at most the sum of the exact window."""
+        current_index = self._advance(now_us)
+        return sum(self._sums) - self._sums[(current_index + 1) % len(self._sums)]
--- a/cresstray/policy/slow_start.py
+++ b/cresstray/policy/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: an engine that has just started gets little until it is warm.
+"""Slow start: an engine that has just started gets little work until it is warm.
 
-Together the gateways could push such an engine over. Each sends to it in turns: after each request it waits
-as long as its share of the engine's ration takes to earn that request.
+All gateways together could overload such an engine. So each may send it work at a limited rate: after each
+request it waits for as long as its share of that rate takes to cover the work of the request.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
     from cresstray.policy.engine_state import EngineState
     from cresstray.policy.types import Engine, RequestClass
 
-# The capacity of an engine is taken as what it starts with until it must be warm, at 0.85 busy and 0.9 of its
-# nominal speed, and 0.7 of the ration is used.
-USED_PART = 0.85 * 0.9 * 0.7
-# With fewer known answers, a class weighs as much as its latency objective allows: not to know is no proof of
-# light work.
-MIN_KNOWN_ANSWERS = 5
-# One request may be as heavy as one gateway's part of a window, or this part of all gateways'.
-MAX_PART_OF_WINDOW = 10
+# Until an engine must be warm, its capacity is taken to be what it starts with, at 0.85 utilisation and 0.9
+# of its nominal speed; 0.7 of that is used.
+USABLE_FRACTION = 0.85 * 0.9 * 0.7
+# With fewer samples, the latency objective of a class stands in for its latency, as work of unknown size may
+# be heavy.
+MIN_LATENCY_SAMPLES = 5
+# One request may take as much work as one gateway may send in an overload window, or, if that is more, as all
+# gateways may send divided by this.
+MAX_REQUEST_DIVISOR = 10
 
 
 class SlowStart:
@@ -31,11 +32,11 @@
     __slots__ = ("next_send_us",)
 
     def __init__(self) -> None:
-        self.next_send_us = 0  # while it is warming up: when this gateway may send to it again; 0: it is warm
+        self.next_send_us = 0  # while it warms up: the earliest time of the next request to it; 0: it is warm
 
 
 class SlowStartPolicy:
-    """What this gateway may send to engines that are warming up."""
+    """Limits what this gateway sends to engines that are warming up."""
 
     __slots__ = ("warm_up_us", "gateway_count", "_max_load", "_window_us", "_request_classes")
 
@@ -49,56 +50,59 @@
         self._request_classes = request_classes
 
     def start(self, state: EngineState, started_us: int, now_us: int, random: Callable[[], float]) -> None:
-        """Begins the slow start of an engine, if it is not warm.
+        """Starts the slow start of an engine, if it is not warm.
 
-        All gateways hear of the engine at once, so each begins at some time of its first turn.
+        All gateways learn of the engine at once, so each sends its first request at a random time of its
+        first interval.
         """
         if now_us < started_us + self.warm_up_us:
-            state.slow_start.next_send_us = now_us + 1 + int(self.send_interval_us(state) * random())
+            state.slow_start.next_send_us = now_us + 1 + int(self.min_send_interval_us(state) * random())
 
     def has_capacity(self, engine: Engine, request_class: RequestClass, now_us: int) -> bool:
-        """Returns whether the engine is warm, or may get a request of this class now."""
+        """Returns whether the engine is warm, or may get a request of this class now although it is not."""
         state = engine.policy_state
         slow_start = state.slow_start
         if not slow_start.next_send_us or now_us >= engine.started_us + self.warm_up_us:
             slow_start.next_send_us = 0
             return True
-        max_weight = (
-            self.work_rate(state) * self._window_us * max(1.0, self.gateway_count / MAX_PART_OF_WINDOW)
+        max_work_us = (
+            self.work_rate(state) * self._window_us * max(1.0, self.gateway_count / MAX_REQUEST_DIVISOR)
         )
-        return now_us >= slow_start.next_send_us and self.expected_work_us(request_class) <= max_weight
+        return now_us >= slow_start.next_send_us and self.expected_work_us(request_class) <= max_work_us
 
     def on_sent(self, state: EngineState, request_class: RequestClass, now_us: int) -> None:
-        """Starts the next turn, which lasts until the request sent is earned."""
+        """Starts the interval until the next request, in proportion to the work of the one just sent."""
         send_interval_us = int(self.expected_work_us(request_class) / self.work_rate(state))
         state.slow_start.next_send_us = now_us + send_interval_us
 
     def on_limit_refused(self, state: EngineState, now_us: int, random: Callable[[], float]) -> None:
-        """Draws a turn again that has passed while the engine's limit let nothing in.
+        """Draws a new send time if the last one passed long ago while the engine's limit admitted nothing.
 
-        Turns that wait while an engine counts as busy would be taken by all gateways at once when that ends.
-        One that has waited for a window is drawn again, where one request of each gateway is more than the
-        ration and what the rule on overload puts down to chance.
+        Gateways whose send times pass while an engine counts as busy would all send at once when that ends.
+        So a send time that passed an overload window ago is drawn anew, if one request from each gateway
+        would exceed the allowed rate by more than the rule on overload attributes to chance.
         """
         slow_start = state.slow_start
         if not slow_start.next_send_us or now_us <= slow_start.next_send_us + self._window_us:
             return
-        send_interval_us = self.send_interval_us(state)
-        requests = self.gateway_count * self._window_us / (send_interval_us * USED_PART)
-        if self.gateway_count > requests + 2 * requests**0.5 + 2:
-            slow_start.next_send_us = now_us + 1 + int(send_interval_us * random())
+        min_send_interval_us = self.min_send_interval_us(state)
+        requests_per_window = self.gateway_count * self._window_us / (min_send_interval_us * USABLE_FRACTION)
+        if self.gateway_count > requests_per_window + 2 * requests_per_window**0.5 + 2:
+            slow_start.next_send_us = now_us + 1 + int(min_send_interval_us * random())
 
     def work_rate(self, state: EngineState) -> float:
-        """Returns the work that this gateway may send in each unit of time."""
-        return self._max_load * state.limit.cores * USED_PART / self.gateway_count
+        """Returns the work that this gateway may send per unit of time, in threads."""
+        return self._max_load * state.limit.cores * USABLE_FRACTION / self.gateway_count
 
-    def send_interval_us(self, state: EngineState) -> float:
-        """Returns how long this gateway's ration takes to earn the lightest request."""
-        lightest = min(map(self.expected_work_us, self._request_classes), default=1.0)
-        return max(1.0, lightest) / self.work_rate(state)
+    def min_send_interval_us(self, state: EngineState) -> float:
+        """Returns the interval that the work rate allows between requests of the lightest class."""
+        min_work_us = min(map(self.expected_work_us, self._request_classes), default=1.0)
+        return max(1.0, min_work_us) / self.work_rate(state)
 
     def expected_work_us(self, request_class: RequestClass) -> float:
-        """Returns the work of one request, as thread-microseconds."""
+        """Returns the expected work of one request of a class, in thread-microseconds."""
         latency = request_class.latency
-        is_known = latency.sample_count >= MIN_KNOWN_ANSWERS
-        return request_class.threads * (latency.mean_us if is_known else request_class.latency_objective_us)
+        has_samples = latency.sample_count >= MIN_LATENCY_SAMPLES
+        return request_class.threads * (
+            latency.mean_us if has_samples else request_class.latency_objective_us
+        )
--- a/cresstray/policy/types.py
+++ b/cresstray/policy/types.py
@@ -1,6 +1,6 @@
 """The types that the policy and its adapters share: requests, attempts, engines and outcomes.
 
-Times are whole microseconds. Objects refer to each other directly; identifiers stay with the adapters.
+Times are whole microseconds. Objects refer to each other directly; only the adapters know identifiers.
 """
 
 from __future__ import annotations
@@ -25,22 +25,23 @@
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     CONNECTION_LOST = "connection lost"
-    PROTOCOL_ERROR = "protocol error"  # the engine's answer, or another on its connection, is unusable
+    PROTOCOL_ERROR = "protocol error"  # the response, or another one on the same connection, is malformed
     CANCELLED = "cancelled"
     EXPIRED_BEFORE_SEND = "expired before send"
 
 
-# Outcomes that prove that an attempt was never executed; after any other it may have been.
+# Outcomes that prove that the engine never executed the attempt; after any other it may have done so.
 NOT_EXECUTED = {Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.EXPIRED_BEFORE_SEND}
 # Outcomes after which the engine may still be executing the attempt.
 POSSIBLY_RUNNING = {Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.PROTOCOL_ERROR, Outcome.CANCELLED}
 
-# The queue rank of a request of a starved class: before that of any value for work in microseconds.
+# Added to the queue rank of a request of a starved class, so that it precedes every other request: ranks by
+# value per microsecond of work are far smaller.
 STARVED_RANK = -1e6
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of one engine."""
+    """The state of one engine in the endpoint list."""
 
     REMOVED = "removed"
     READY = "ready"
@@ -48,7 +49,7 @@
 
 
 class ProgressKind(Enum):
-    """What a progress update of an attempt in flight reports."""
+    """The kind of information in a progress update of an attempt in flight."""
 
     FRACTION_DONE = "share done"
     SPILLING = "spills"
@@ -57,24 +58,24 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """What all requests of one class have in common."""
+    """The properties that all requests of one class share."""
 
     index: int
     threads: int
     latency_objective_us: int
-    objective_stretch: float  # expected latencies by which the objective is later
+    objective_stretch: float  # how many expected latencies are added to the latency objective
     value: float
-    late_value: float  # after the objective, up to the deadline
+    late_value: float  # of a response after the latency objective, up to the deadline
     is_idempotent: bool
-    is_deduplicated: bool  # engines discard repeats within `dedup_scope` and `dedup_window_us`
+    is_deduplicated: bool  # engines discard repeated requests within `dedup_scope` and `dedup_window_us`
     dedup_scope: str
     dedup_window_us: int
     is_ordered: bool
     allowed_zones: frozenset[int] | None
     allowed_instance_types: frozenset[int] | None
-    locks_data_set: bool = False  # loads its data set, and locks it on its engine while it runs
-    waits_for_data_set: bool = False  # stands still while its data set is locked
-    # Set by the controller before any request refers to the class; None before.
+    locks_data_set: bool = False  # a data load: locks its data set on its engine while it runs
+    waits_for_data_set: bool = False  # blocks on its engine while its data set is locked there
+    # Set by `parse_settings` before any request refers to the class; None before.
     latency: LatencyEstimate = field(default=None)  # type: ignore[assignment]
 
     def allows_placement(self, engine: Engine) -> bool:
@@ -85,7 +86,7 @@
         return types is None or engine.instance_type in types
 
 
-# An engine of the endpoint list: its instance type, zone, cell, start and state.
+# An entry of the endpoint list: instance type, zone, cell, start time in microseconds, and state.
 EndpointDescription = tuple[int, int, int, int, EndpointState]
 
 
@@ -96,11 +97,11 @@
     instance_type: int = 0
     zone: int = 0
     cell: int = 0
-    started_us: int = 0  # 0: long ago
+    started_us: int = 0  # 0: so long ago that it is warm
     state: EndpointState = EndpointState.REMOVED
     # Set by the controller when it first lists the engine; None before.
     policy_state: EngineState = field(default=None)  # type: ignore[assignment]
-    forwarding: ForwardingRoute | None = None  # the way to it, if it stands for a gateway of another site
+    forwarding: ForwardingRoute | None = None  # set if it stands for a gateway of another site
 
 
 @dataclass(slots=True, eq=False)
@@ -112,22 +113,22 @@
     deadline_us: int
     tenant: int = 0
     ordering_key: int = 0
-    estimated_work_us: int = 0  # of all threads, as time on one; 0: no estimate
+    estimated_work_us: int = 0  # thread-microseconds, over all threads; 0: no estimate
     memory_mb: float = 0.0
     data_set: int = 0
     attempts: list[Attempt] = field(default_factory=list)
-    current_attempt: Attempt | None = None  # the one in flight
+    current_attempt: Attempt | None = None  # the attempt in flight
     is_finished: bool = False
     expected_latency_us: int = 0
     objective_deadline_us: int = 0
     latest_dispatch_us: int = 0
     queue_rank: float = 0.0
     is_queued: bool = False
-    size_bytes: int = 0  # of its statement
-    is_forwarded_in: bool = False  # from another site: one attempt here, and never forwarded again
-    max_queue_us: int = 0  # for how long it may be queued, if it was forwarded in
-    was_forwarded: bool = False  # to another site, once
-    replica_read: Read | None = None  # of a request that may read a replica
+    size_bytes: int = 0  # of the statement
+    is_forwarded_in: bool = False  # by another site: gets one attempt here, and is never forwarded again
+    max_queue_us: int = 0  # the longest time in the queue of a request that was forwarded in
+    was_forwarded: bool = False  # to another site; at most once
+    replica_read: Read | None = None  # set if the request may read a replica
 
 
 @dataclass(slots=True, eq=False)
@@ -140,6 +141,6 @@
     sent_us: int
     outcome: Outcome | None = None
     cancel_requested: bool = False
-    is_overdue: bool = False
-    last_progress_us: int = 0  # when its last progress update came
-    projected_latency_us: float = 0.0
+    is_overdue: bool = False  # already counted as a fault of its engine
+    last_progress_us: int = 0  # time of the last progress update
+    projected_latency_us: float = 0.0  # from its last progress update; 0: none so far
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -117,7 +117,7 @@
     )
     chance = 0
     for drawn in range(1000):
-        state.limit.draw = (drawn + 0.5) / 1000
+        state.limit.random_draw = (drawn + 0.5) / 1000
         chance += state.permits(work, START_US)
     return {"chance": chance}
 
@@ -125,12 +125,12 @@
 def draws(row: Row) -> Row:
     harness = Teller(settings(), engines=1)
     state = harness.engines[0].policy_state
-    state.signals.overloaded_until_us, state.limit.value, state.limit.draw = FAR, row["limit"], 1e-9
+    state.signals.overloaded_until_us, state.limit.value, state.limit.random_draw = FAR, row["limit"], 1e-9
     for n in range(row["sends"]):
         harness.submit(str(n), 1, left_ms=9000)
     assert len(state.limit.attempts) == row["sends"], "nothing was sent"
     harness.run(row["run"])
-    return {"anew": state.limit.draw != 1e-9}
+    return {"anew": state.limit.random_draw != 1e-9}
 
 
 def samples(row: Row) -> Row:
@@ -346,22 +346,34 @@
         "AVERAGE_WEIGHT * mean + (1 - AVERAGE_WEIGHT)",
         "0.3 * mean + 0.7",
     ),
-    "a first window that moves": ("law", ConcurrencyLimit, "close_window", "elif not is_first", "else"),
+    "a first window that moves": (
+        "law",
+        ConcurrencyLimit,
+        "close_window",
+        "elif not is_first_average",
+        "else",
+    ),
     "two threads at the edge": (
         "law",
         ConcurrencyLimit,
-        "_move",
+        "_apply_gradient",
         "gradient < -TOLERANCE",
         "gradient <= -TOLERANCE",
     ),
-    "a cut at the edge": ("law", ConcurrencyLimit, "_move", "gradient > TOLERANCE", "gradient >= TOLERANCE"),
-    "cut by more than half": ("law", ConcurrencyLimit, "_move", ", DECREASE_RATIO)", ", 0.4)"),
+    "a cut at the edge": (
+        "law",
+        ConcurrencyLimit,
+        "_apply_gradient",
+        "gradient > TOLERANCE",
+        "gradient >= TOLERANCE",
+    ),
+    "cut by more than half": ("law", ConcurrencyLimit, "_apply_gradient", ", DECREASE_RATIO)", ", 0.4)"),
     "a failure and the law's step": (
         "law",
         ConcurrencyLimit,
         "close_window",
-        "elif not is_first",
-        "if not is_first",
+        "elif not is_first_average",
+        "if not is_first_average",
     ),
     "a failure counted again": (
         "failures",
@@ -370,12 +382,12 @@
         "self.has_window_failed = False",
         "self.has_window_failed = has_failed",
     ),
-    "a cap of three times": ("start", ConcurrencyLimit, "close_window", "MAX_PART_OF_INITIAL", "3.0"),
+    "a cap of three times": ("start", ConcurrencyLimit, "close_window", "MAX_RATIO_TO_INITIAL", "3.0"),
     "a floor of a fifth": (
         "start",
         ConcurrencyLimit,
         "close_window",
-        "MIN_PART_OF_INITIAL * self.initial",
+        "MIN_RATIO_TO_INITIAL * self.initial",
         "0.2 * self.initial",
     ),
     "no number of gateways": ("start", ConcurrencyLimit, "__init__", "cores / gateway_count", "cores"),
@@ -390,15 +402,15 @@
         "permits",
         ConcurrencyLimit,
         "admits_by_chance",
-        "self.running_threads == 0 and",
-        "",
+        "self.running_threads == 0",
+        "True",
     ),
     "a chance whatever the width": (
         "permits",
         ConcurrencyLimit,
         "admits_by_chance",
-        "self.draw * request.request_class.threads",
-        "self.draw",
+        "self.random_draw * request.request_class.threads",
+        "self.random_draw",
     ),
     "no sum of all limits": (
         "permits",
@@ -421,16 +433,16 @@
         "self.fleet.updated_us",
         "(self.fleet.updated_us and not self.limit.best_ratio)",
     ),
-    "the more loaded": ("choose", LoadBalancer, "_less_loaded", "min(drawn)", "max(drawn)"),
-    "one choice": ("choose", LoadBalancer, "choose", "CHOICES + len(", "1 + len("),
+    "the more loaded": ("choose", LoadBalancer, "_select_less_loaded", "min(candidates)", "max(candidates)"),
+    "one choice": ("choose", LoadBalancer, "choose", "CANDIDATE_COUNT + len(", "1 + len("),
     "samples of any size": (
         "samples",
         OutcomeRecorder,
         "on_outcome",
-        "min(MAX_SAMPLE, latency_us / request.expected_latency_us)",
+        "min(MAX_LATENCY_RATIO, latency_us / request.expected_latency_us)",
         "latency_us / request.expected_latency_us",
     ),
-    "held for a fifth": ("leave", AdmissionQueue, "schedule", "// MIN_WAIT_PART", "// 5"),
+    "held for a fifth": ("leave", AdmissionQueue, "schedule", "// MIN_WAIT_DIVISOR", "// 5"),
     "held in arrival order": ("hold", AdmissionQueue, "push", "queued.queue_rank", "queued.arrived_us"),
     "a reset as a failure": (
         "failures",
