--- a/cresstray/simulator/__init__.py
+++ b/cresstray/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter between the policy and the wire of the simulator."""
+"""Adapter between the policy and the wire protocol of the simulator."""
--- a/cresstray/simulator/host.py
+++ b/cresstray/simulator/host.py
@@ -1,7 +1,7 @@
-"""Hosts any number of gateways on the simulator's wire, by standard input and output.
+"""Runs any number of gateway instances for the simulator, over standard input and output.
 
-Each event becomes one call on the instance that it names, each action of an instance one record of the reply.
-Ids become objects here, and nothing is shared between instances.
+Each event becomes one method call on the selected instance, and each action of an instance one record of the
+reply. Identifiers are resolved to objects here. Instances share no state.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     2: ProgressKind.SPILLING,
     3: ProgressKind.WAITING_FOR_DATA_SET,
 }
-# Kinds of endpoint updates; any other is a complete list.
+# Kinds of endpoint updates; any other kind is a complete list.
 _CHANGES = 0
 _LIST_FAILED = 3
 _HAS_ESTIMATE = 1  # a flag of a new request
@@ -41,12 +41,12 @@
 
 
 def to_microseconds(milliseconds: float) -> int:
-    """Converts a time of the wire to whole microseconds."""
+    """Converts a time of the wire protocol to whole microseconds."""
     return round(milliseconds * 1000)
 
 
-class Instance:
-    """One gateway: its ids, and the port that turns the actions of its policy into records."""
+class GatewayInstance:
+    """One gateway: maps its identifiers to objects, and encodes the actions of its policy as records."""
 
     def __init__(
         self, instance_id: int, reply: wire.Reply, settings: Mapping[str, Any], seed: int, now_us: int
@@ -62,7 +62,7 @@
         self._report_names: list[str] = settings.get("Report", {}).get("Names", [])
         self._controller = PolicyController(self, parse_settings(settings), seed, now_us)
 
-    # The policy's port.
+    # The methods of `PolicyPort`.
 
     def send_attempt(self, attempt: Attempt, timeout_us: int) -> None:
         """Sends an attempt to its engine."""
@@ -88,7 +88,7 @@
         self._reply.assign_resources(self._id, self._request_ids[request], memory_mb, priority)
 
     def call_later(self, delay_us: int, callback: Callable[[int], None]) -> None:
-        """Calls back once, with the time then."""
+        """Calls `callback` once after the delay, with the current time."""
         self._last_timer_id += 1
         self._timers[self._last_timer_id] = callback
         self._reply.set_timer(self._id, delay_us / 1000, self._last_timer_id)
@@ -98,17 +98,17 @@
         self._reply.check_health(self._id, self._engine_ids[engine])
 
     def subscribe_to_endpoints(self) -> None:
-        """Asks for the endpoint list and its changes."""
+        """Requests the endpoint list and subscribes to its changes."""
         self._reply.subscribe_to_endpoints(self._id)
 
     def log_event(self, text: str) -> None:
         """Logs an event."""
         self._reply.log_event(self._id, text)
 
-    # Events.
+    # Events of the simulator.
 
     def on_request(self, event: wire.NewRequest, now_us: int) -> None:
-        """Hands a new request to the policy."""
+        """Passes a new request to the policy."""
         request = Request(
             request_class=self._controller.request_classes[event.request_class],
             arrived_us=now_us,
@@ -126,10 +126,10 @@
     def on_attempt_result(self, event: wire.AttemptResult, load_values: bytes, now_us: int) -> None:
         """Reports the end of an attempt, if it is still known."""
         request = self._requests.get(event.request_id)
-        if request is None or event.number >= len(request.attempts):
+        if request is None or event.attempt_number >= len(request.attempts):
             return
         self._controller.on_attempt_finished(
-            request.attempts[event.number],
+            request.attempts[event.attempt_number],
             _OUTCOMES.get(event.status, Outcome.FAILED),
             to_microseconds(event.latency_ms),
             bool(event.is_final),
@@ -142,22 +142,22 @@
         """Reports the progress of an attempt in flight."""
         request = self._requests.get(event.request_id)
         kind = _PROGRESS_KINDS.get(event.kind)
-        if request is not None and kind is not None and event.number < len(request.attempts):
-            self._controller.on_progress(request.attempts[event.number], kind, event.value, now_us)
+        if request is not None and kind is not None and event.attempt_number < len(request.attempts):
+            self._controller.on_progress(request.attempts[event.attempt_number], kind, event.value, now_us)
 
     def on_request_cancelled(self, request_id: int, now_us: int) -> None:
-        """Reports that the client no longer waits for a request."""
+        """Reports that the client has cancelled a request."""
         request = self._requests.get(request_id)
         if request is not None:
             self._controller.on_client_cancelled(request, now_us)
             self._forget(request)
 
     def on_endpoints(self, kind: int, listed: list[wire.EndpointEntry], now_us: int) -> None:
-        """Reports the endpoint list or changes to it, or that it could not be had."""
+        """Reports the endpoint list or changes to it, or that it could not be fetched."""
         if kind == _LIST_FAILED:
             self._controller.on_endpoint_list_failed(now_us)
             return
-        known = []
+        descriptions = []
         for entry in listed:
             engine = self._engines.get(entry.engine_id)
             if engine is None:
@@ -166,11 +166,11 @@
                 self._engine_ids[engine] = entry.engine_id
             state = _ENDPOINT_STATES.get(entry.state, EndpointState.REMOVED)
             started_us = to_microseconds(entry.started_ms)
-            known.append((engine, (entry.instance_type, entry.zone, entry.cell, started_us, state)))
-        self._controller.on_endpoints_updated(known, kind != _CHANGES, now_us)
+            descriptions.append((engine, (entry.instance_type, entry.zone, entry.cell, started_us, state)))
+        self._controller.on_endpoints_updated(descriptions, kind != _CHANGES, now_us)
 
     def on_timer(self, timer_id: int, now_us: int) -> None:
-        """Calls back, once for each timer."""
+        """Runs the callback of a timer, once."""
         callback = self._timers.pop(timer_id, None)
         if callback is not None:
             callback(now_us)
@@ -183,41 +183,41 @@
             self._controller.on_probe_finished(engine, outcome, self._load_report(load_values), now_us)
 
     def _load_report(self, load_values: bytes) -> dict[str, float]:
-        return dict(zip(self._report_names, wire.load_values(load_values))) if load_values else {}
+        return dict(zip(self._report_names, wire.decode_load_values(load_values))) if load_values else {}
 
     def _forget(self, request: Request) -> None:
-        # A finished request stays known while an attempt of it is in flight: its result is still to come.
+        # A finished request stays known while its attempt is in flight, as the result has yet to arrive.
         if request.is_finished and request.current_attempt is None and request in self._request_ids:
             del self._requests[self._request_ids.pop(request)]
 
 
 class Host:
-    """All instances of one process, and the numbered endpoint lists that their events refer to."""
+    """All gateway instances, and the numbered endpoint lists to which their events refer."""
 
     def __init__(self) -> None:
         self._reply = wire.Reply()
-        self._instances: dict[int, Instance] = {}
+        self._instances: dict[int, GatewayInstance] = {}
         self._lists: dict[int, list[wire.EndpointEntry]] = {}
 
-    def answer(self, frame: bytes) -> bytes:
-        """Returns the reply to one batch.
+    def process_batch(self, frame: bytes) -> bytes:
+        """Processes one batch of events and returns the reply.
 
         Raises:
-            WireError: The batch does not follow the description of the wire.
+            WireError: The batch does not conform to the wire protocol.
         """
-        now_us = to_microseconds(wire.clock(frame))
+        now_us = to_microseconds(wire.clock_ms(frame))
         instance_id: int | None = None
-        for record in wire.records(frame):
-            if record.code == wire.ON:
+        for record in wire.decode_records(frame):
+            if record.code == wire.INSTANCE_SELECTED:
                 (instance_id,) = record.fields
             elif record.code == wire.ENDPOINT_LIST:
-                self._lists[record.fields[0]] = wire.entries(record.tail)
+                self._lists[record.fields[0]] = wire.decode_entries(record.tail)
             elif instance_id is None:
                 raise wire.WireError(f"event {record.code} before any 'on'")
             else:
                 self._check_list(record)
                 self._deliver_safely(instance_id, record, now_us)
-        return self._reply.take()
+        return self._reply.take_frame()
 
     def _check_list(self, record: wire.Record) -> None:
         if record.code != wire.ENDPOINTS:
@@ -229,14 +229,14 @@
     def _deliver_safely(self, instance_id: int, record: wire.Record, now_us: int) -> None:
         try:
             self._deliver(instance_id, record, now_us)
-        except Exception as error:  # the simulator is to hear of it, whatever it was
+        except Exception as error:  # every failure is reported to the simulator
             self._reply.report_crash(instance_id, f"{type(error).__name__}: {error}")
             self._instances.pop(instance_id, None)
 
     def _deliver(self, instance_id: int, record: wire.Record, now_us: int) -> None:
         if record.code == wire.CREATE:
             settings = json.loads(record.tail)
-            self._instances[instance_id] = Instance(
+            self._instances[instance_id] = GatewayInstance(
                 instance_id, self._reply, settings, record.fields[0], now_us
             )
         elif record.code == wire.STOP:
@@ -244,7 +244,7 @@
         elif instance_id in self._instances:
             self._deliver_to(self._instances[instance_id], record, now_us)
 
-    def _deliver_to(self, instance: Instance, record: wire.Record, now_us: int) -> None:
+    def _deliver_to(self, instance: GatewayInstance, record: wire.Record, now_us: int) -> None:
         code, fields, tail = record
         if code == wire.NEW_REQUEST:
             instance.on_request(wire.NewRequest(*fields), now_us)
@@ -261,18 +261,18 @@
             instance.on_request_cancelled(fields[0], now_us)
         elif code == wire.HEALTH_CHECK_RESULT:
             instance.on_health_check_result(wire.HealthCheckResult(*fields), tail, now_us)
-        # Opened connections and messages of peers bear on nothing that is decided here.
+        # Opened connections and peer messages affect no decision, so these events are ignored.
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answers frames until the input ends; returns the exit code."""
+    """Answers frames until the input ends; returns the exit code of the process."""
     host = Host()
     while True:
         try:
             frame = wire.read_frame(source)
             if frame is None:
                 return _EXIT_OK
-            reply = host.answer(frame)
+            reply = host.process_batch(frame)
         except wire.WireError as error:
             print(f"cresstray: {error}", file=sys.stderr)
             return _EXIT_WIRE_ERROR
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -232,7 +232,7 @@
         def frame(count: int, body: bytes) -> bytes:
             return wire.HEADER.pack(wire.HEADER.size + len(body), 1000.0, count) + body
 
-        on = struct.pack("<BI", wire.ON, 3)
+        on = struct.pack("<BI", wire.INSTANCE_SELECTED, 3)
         odd = {
             "empty batch": frame(0, b""),
             "ends within its length": b"\x10\x00",
