--- a/cresstray/policy/load_balancing.py
+++ b/cresstray/policy/load_balancing.py
@@ -37,7 +37,7 @@
     SUITABLE = 2
 
 
-# Enum members are looked up slowly, and these for each engine that is drawn.
+# Module-level aliases, as looking up an enum member is slow, and these are needed for each engine drawn.
 _UNSUITABLE = Suitability.UNSUITABLE
 _LAST_RESORT = Suitability.LAST_RESORT
 _SUITABLE = Suitability.SUITABLE
@@ -46,19 +46,26 @@
 class LoadBalancer:
     """The ready engines, and the choice among them."""
 
-    __slots__ = ("ready_engines", "least_loaded", "_zone", "_outliers", "_slow_start", "_request_classes")
+    __slots__ = (
+        "ready_engines",
+        "least_loaded",
+        "_zone",
+        "_outlier_detector",
+        "_slow_start",
+        "_request_classes",
+    )
 
     def __init__(
         self,
         zone: int | None,
-        outliers: OutlierDetector,
+        outlier_detector: OutlierDetector,
         slow_start: SlowStartPolicy,
         request_classes: Sequence[RequestClass],
     ) -> None:
         self.ready_engines: list[Engine] = []
         self.least_loaded: list[Engine] = []  # one engine, from a recent report, or none
         self._zone = zone
-        self._outliers = outliers
+        self._outlier_detector = outlier_detector
         self._slow_start = slow_start
         self._request_classes = request_classes
 
@@ -132,13 +139,13 @@
         if not may_send(request, engine, now_us):
             return _UNSUITABLE
         health = state.health
-        if health.is_suspected and self._outliers.is_enforced:
+        if health.is_suspected and self._outlier_detector.is_enforced:
             # A suspected engine gets one probe request at a time, which must be safe to repeat. An engine
             # that fails has capacity while the others are full, and would fail all requests that could still
             # wait for them. If it answers at all, it gets requests that can wait no longer.
             if not request.request_class.is_idempotent:
                 return _UNSUITABLE
-            if not self._outliers.may_probe(health, now_us):
+            if not self._outlier_detector.may_probe(health, now_us):
                 if health.is_unresponsive or now_us < request.latest_dispatch_us:
                     return _UNSUITABLE
                 return _LAST_RESORT
--- a/cresstray/policy/load_signals.py
+++ b/cresstray/policy/load_signals.py
@@ -4,7 +4,7 @@
 
 from cresstray.policy.deadlines import WINDOW_US
 
-# The weight of a report, against the mean of all engines, halves in this time.
+# The half-life, in sample windows, of the weight of a report against the mean of all engines.
 HALF_LIFE_WINDOWS = 2
 
 
@@ -66,12 +66,12 @@
         return fleet_threads + (self.other_threads_per_core - fleet_threads) * freshness
 
     def other_threads_at(self, freshness: float) -> float:
-        """Returns the same estimate for a freshness that the caller has computed."""
+        """Returns the estimated threads per core for other gateways, at a freshness that is known."""
         fleet_threads = self.fleet.other_threads_per_core
         return fleet_threads + (self.other_threads_per_core - fleet_threads) * freshness
 
     def resource_pressure_at(self, freshness: float) -> float:
-        """Returns the estimated resource pressure for a freshness that the caller has computed."""
+        """Returns the estimated resource pressure, at a freshness that is known."""
         fleet_pressure = self.fleet.resource_pressure
         return fleet_pressure + (self.resource_pressure - fleet_pressure) * freshness
 
