--- a/cresstray/clock.py
+++ b/cresstray/clock.py
@@ -1,4 +1,4 @@
-"""The clock of one process, and the calls that are due by it. Times are Unix time in whole microseconds."""
+"""The clock of a process and its timers. All times are Unix time in whole microseconds."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 class Clock:
-    """Unix time that never goes back: read once at the start, and moved on by the monotonic clock.
+    """Unix time that never goes back: read once at the start, then advanced by a monotonic clock.
 
-    With `sleeps`, time during which the machine sleeps counts as well, as leases need it.
+    With `counts_suspend`, the time that the machine spends in suspend counts as well, as leases need it.
     """
 
     def __init__(self, counts_suspend: bool = False) -> None:
-        self._read = _boottime_ns if counts_suspend else time.monotonic_ns
-        self._offset_ns = time.time_ns() - self._read()
+        self._read_monotonic_ns = _read_boottime_ns if counts_suspend else time.monotonic_ns
+        self._offset_ns = time.time_ns() - self._read_monotonic_ns()
 
     def now(self) -> int:
         """Returns the time in microseconds."""
-        return (self._offset_ns + self._read()) // 1000
+        return (self._offset_ns + self._read_monotonic_ns()) // 1000
 
 
-_boottime_ns = partial(time.clock_gettime_ns, time.CLOCK_BOOTTIME)
+_read_boottime_ns = partial(time.clock_gettime_ns, time.CLOCK_BOOTTIME)
 
 
 class TimerHandle:
-    """One call that is due later."""
+    """One scheduled callback."""
 
     __slots__ = ("due_us", "callback")
 
@@ -40,65 +40,65 @@
         self.callback: Callback | None = callback
 
     def cancel(self) -> None:
-        """Keeps the call from being made; has no effect once it was."""
+        """Cancels the callback; has no effect once it has run."""
         self.callback = None
 
 
 class Timers:
-    """All calls that are due later, in one heap and one task.
+    """All scheduled callbacks of a process, in one heap and run by one task.
 
-    Calls that are due at the same time are made in the order in which they were added. `on_fault` is told
-    of a call that raises, and the others are made; without it, the exception reaches whoever runs the
-    calls.
+    Callbacks that are due at the same time run in the order in which they were added. If a callback raises,
+    `on_fault` gets the exception and the other callbacks still run; without `on_fault`, the exception
+    propagates to the caller of `run_due` or `run`.
     """
 
     def __init__(self, clock: Clock, on_fault: Callable[[Exception], None] | None = None) -> None:
         self._clock = clock
         self._on_fault = on_fault
         self._heap: list[tuple[int, int, TimerHandle]] = []
-        self._order = count()
+        self._sequence_numbers = count()
         self._has_changed = asyncio.Event()
-        self.max_lateness_us = 0  # by how much a call was late at the most
+        self.max_lateness_us = 0  # the longest delay between the due time of a callback and its run
 
-    def call_after(self, delay: int, call: Callback) -> TimerHandle:
-        """Calls `call` with the time, `delay` microseconds from now."""
-        timer = TimerHandle(self._clock.now() + max(0, delay), call)
-        heapq.heappush(self._heap, (timer.due_us, next(self._order), timer))
+    def call_after(self, delay_us: int, callback: Callback) -> TimerHandle:
+        """Schedules `callback` to be called with the time, `delay_us` from now."""
+        timer = TimerHandle(self._clock.now() + max(0, delay_us), callback)
+        heapq.heappush(self._heap, (timer.due_us, next(self._sequence_numbers), timer))
         if self._heap[0][2] is timer:
             self._has_changed.set()
         return timer
 
     def run_due(self) -> int | None:
-        """Makes the calls that are due; returns microseconds to the next one, None if there is none."""
+        """Runs the callbacks that are due; returns the microseconds to the next one, None without one."""
         while self._heap:
-            now = self._clock.now()
+            now_us = self._clock.now()
             due_us, _, timer = self._heap[0]
-            if timer.callback is not None and due_us > now:
-                return due_us - now
+            if timer.callback is not None and due_us > now_us:
+                return due_us - now_us
             heapq.heappop(self._heap)
             if timer.callback is not None:
-                self.max_lateness_us = max(self.max_lateness_us, now - due_us)
-                self._make(timer.callback, now)
+                self.max_lateness_us = max(self.max_lateness_us, now_us - due_us)
+                self._run_callback(timer.callback, now_us)
         return None
 
-    def _make(self, callback: Callback, now: int) -> None:
+    def _run_callback(self, callback: Callback, now_us: int) -> None:
         try:
-            callback(now)
+            callback(now_us)
         except Exception as error:
             if self._on_fault is None:
                 raise
-            # Raised further, it would end the task that makes all other calls, and with it the gateway.
+            # Raised further, it would end the task that runs all callbacks, and with it the gateway.
             self._on_fault(error)
 
     async def run(self) -> None:
-        """Makes calls as they become due, until it is cancelled."""
+        """Runs callbacks as they become due, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             self._has_changed = asyncio.Event()
             remaining_us = self.run_due()
-            # A call made just now may have added one that is due sooner: then the event is set already. The
-            # loop's own timer, since a cancel scope for each wait took an eighth of a busy gateway's CPU
-            # samples.
+            # A callback that just ran may have added one that is due sooner; then the event is already set.
+            # The wait uses a timer of the event loop, because a cancel scope for each wait took an eighth of
+            # a busy gateway's CPU samples.
             wake_up = None
             if remaining_us is not None:
                 wake_up = loop.call_later(remaining_us / 1e6, self._has_changed.set)
--- a/cresstray/observability/counters.py
+++ b/cresstray/observability/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the gateway accepts, sends and answers, and of violations of what must hold."""
+"""Counts what the gateway accepts, sends and answers, and violations of its invariants."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Counters:
-    """Counters by name, and the violations of invariants by theirs."""
+    """Counters by name, and the number of violations of each invariant by its name."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -16,13 +16,13 @@
         """Adds to the counter of this name."""
         self.counts[name] += amount
 
-    def check(self, holds: object, name: str) -> None:
-        """Asserts an invariant in debug builds, and counts its violations in release builds (python -O)."""
-        assert holds, name
-        if not holds:
+    def check(self, condition: object, name: str) -> None:
+        """Asserts an invariant in debug builds; counts its violations in release builds (python -O)."""
+        assert condition, name
+        if not condition:
             self.violations[name] += 1
 
     def lines(self) -> list[str]:
-        """Returns one line for each counter, those of violations last."""
+        """Returns one line for each counter, followed by one for each violated invariant."""
         counts = [f"{name} {amount}" for name, amount in sorted(self.counts.items())]
         return counts + [f"broken: {name} {amount}" for name, amount in sorted(self.violations.items())]
--- a/cresstray/observability/event_log.py
+++ b/cresstray/observability/event_log.py
@@ -1,7 +1,7 @@
-"""Structured log events: key=value on standard error by structlog, rate-limited by kind.
+"""Structured log events: key=value lines on standard error, formatted by structlog, rate-limited by kind.
 
-structlog takes memory that a gateway without an operator's file may not have, so this is a module of its own,
-and imported only by what that file asks for.
+A module of its own, imported only by features that the operator's configuration file enables: structlog
+takes memory that a gateway without that file may not have.
 """
 
 from __future__ import annotations
@@ -18,23 +18,25 @@
     """Prints events with fields, as in `event_log.log("link", "ended", name="k2")`.
 
     Args:
-        now: returns microseconds, for the rate limit.
-        always: fields of all events.
+        get_time_us: returns the time in microseconds, for the rate limit.
+        common_fields: fields of all events.
     """
 
-    def __init__(self, now: Callable[[], int], **always: object) -> None:
-        self._now = now
-        renderer = structlog.processors.LogfmtRenderer(key_order=["timestamp", *always, "kind", "event"])
+    def __init__(self, get_time_us: Callable[[], int], **common_fields: object) -> None:
+        self._get_time_us = get_time_us
+        renderer = structlog.processors.LogfmtRenderer(
+            key_order=["timestamp", *common_fields, "kind", "event"]
+        )
         self._logger = structlog.wrap_logger(
             structlog.PrintLogger(sys.stderr),
             processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), renderer],
-        ).bind(**always)
+        ).bind(**common_fields)
         self._rate_limit = LineRateLimit()
 
     def log(self, kind: str, event: str, **fields: object) -> None:
-        """Prints an event, unless too many of this kind came; a later one says how many were left out."""
-        decision = self._rate_limit.decide(kind, self._now())
-        if decision.left_out:
-            self._logger.info("more lines were left out", kind=kind, lines=decision.left_out)
+        """Prints an event, unless the rate limit of its kind is exceeded; reports suppressed events later."""
+        decision = self._rate_limit.decide(kind, self._get_time_us())
+        if decision.suppressed_count:
+            self._logger.info("more lines were left out", kind=kind, lines=decision.suppressed_count)
         if decision.is_allowed:
             self._logger.info(event, kind=kind, **fields)
--- a/cresstray/observability/log.py
+++ b/cresstray/observability/log.py
@@ -9,7 +9,7 @@
 
 
 class Log:
-    """Prints lines of the form `TIME NAME KIND: TEXT`, the time being Unix time in seconds."""
+    """Prints lines of the form `TIME NAME KIND: TEXT`, where TIME is Unix time in seconds."""
 
     def __init__(self, name: str, clock: Clock) -> None:
         self._name = name
@@ -17,15 +17,15 @@
         self._rate_limit = LineRateLimit()
 
     def log(self, kind: str, text: str) -> None:
-        """Prints a line, unless too many of this kind have come; a later one says how many were left out."""
+        """Prints a line, unless the rate limit of its kind is exceeded; reports suppressed lines later."""
         decision = self._rate_limit.decide(kind, self._clock.now())
-        if decision.left_out:
-            self._print(kind, f"{decision.left_out} more lines were left out")
+        if decision.suppressed_count:
+            self._print(kind, f"{decision.suppressed_count} more lines were left out")
         if decision.is_allowed:
             self._print(kind, text)
 
     def log_always(self, kind: str, text: str) -> None:
-        """Prints a line that was asked for, however many there are."""
+        """Prints a line that an operator asked for, without a rate limit."""
         self._print(kind, text)
 
     def _print(self, kind: str, text: str) -> None:
