--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -554,7 +554,7 @@
     def _tidy(self) -> None:
         """What is remembered and no longer has a future is dropped, so that states are the same that are."""
         # Names are new by the world's making; a set's order is not that of its making.
-        self.take_in._names.clear()
+        self.take_in._current_names.clear()
         self.take_in._next_generation_us = 0
         if not self.words:
             self.last = None
@@ -903,7 +903,7 @@
         lines(
             (
                 ResponseHandler.finish_attempt,
-                "if outcome is Outcome.SUCCEEDED and not is_over:",
+                "if outcome is Outcome.SUCCEEDED and not is_request_finished:",
                 "if outcome is Outcome.SUCCEEDED:",
             ),
             (
@@ -919,7 +919,11 @@
         "nothing_after",
         "attempt",
         lines(
-            (ResponseHandler.finish_attempt, "is_over = request.is_finished", "is_over = False"),
+            (
+                ResponseHandler.finish_attempt,
+                "is_request_finished = request.is_finished",
+                "is_request_finished = False",
+            ),
             (PolicyController.on_attempt_finished, "if is_final or request.is_finished:", "if is_final:"),
         ),
     ),
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -834,7 +834,7 @@
 
     def _tidy(self) -> None:
         """What is remembered and no longer has a future is dropped, so that states are the same that are."""
-        self.ingress._names.clear()
+        self.ingress._current_names.clear()
         self.ingress._next_generation_us = 0
         for context in self.accounting.open_requests.values():
             # How decoders share what they read is no part of a state.
@@ -963,8 +963,8 @@
         lines(
             (
                 ResponseHandler.on_connection_lost,
-                "Outcome.PROTOCOL_ERROR if spoilt else Outcome.CONNECTION_LOST",
-                "Outcome.OVERLOADED if spoilt else Outcome.CONNECTION_LOST",
+                "Outcome.PROTOCOL_ERROR if is_corrupt else Outcome.CONNECTION_LOST",
+                "Outcome.OVERLOADED if is_corrupt else Outcome.CONNECTION_LOST",
             )
         ),
     ),
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -33,7 +33,7 @@
         return sum(not context.is_answered for context in self.open_requests.values())
 
     def limit_deadlines(self, shutdown_deadline_us: int) -> None:
-        """Brings forward the deadline of each open request to the end of the process."""
+        """Limits the deadline of each open request to the end of the process."""
         for request in self.open_requests:
             deadlines.limit_deadline(request, shutdown_deadline_us)
 
@@ -67,12 +67,12 @@
         self._counters.add("requests cancelled")
         self._notify_idempotency(context.request, "left")
 
-    def _notify_idempotency(self, request: Request, how: str, result: bytes | None = None) -> None:
-        # After the answer, which must not wait for the store.
+    def _notify_idempotency(self, request: Request, final_state: str, result: bytes | None = None) -> None:
+        # Called after the answer was sent: the answer must not wait for the store.
         if self.idempotency is not None:
-            self.idempotency.on_request_finished(request, how, result)
+            self.idempotency.on_request_finished(request, final_state, result)
 
-    def _answer(self, request: Request, how: str) -> RequestContext | None:
+    def _answer(self, request: Request, final_state: str) -> RequestContext | None:
         context = self.open_requests.get(request)
         self._counters.check(context is not None, "an answer belongs to an open request")
         if context is None:
@@ -81,7 +81,7 @@
         if context.is_answered:
             return None
         context.is_answered = True
-        self._counters.add(f"requests {how}")
+        self._counters.add(f"requests {final_state}")
         self.release(request)
         return context
 
@@ -89,7 +89,7 @@
         """Counts an attempt by its outcome."""
         self._counters.add(f"attempts {outcome.value}")
 
-    def notify_remote(self, request: Request, outcome: Outcome) -> None:
+    def notify_remote_site(self, request: Request, outcome: Outcome) -> None:
         """Tells the site that forwarded the request how its attempt ended, whatever the answer will be."""
         context = self.open_requests.get(request)
         if context is not None:
@@ -100,5 +100,5 @@
         context = self.open_requests.get(request)
         if context is not None and context.is_answered and request.current_attempt is None:
             del self.open_requests[request]
-            # Attempts and requests refer to each other. Left to the garbage collector, they cost pauses.
+            # Attempts and requests refer to each other; left to the garbage collector, they cause pauses.
             request.attempts.clear()
--- a/cresstray/pipeline/admission.py
+++ b/cresstray/pipeline/admission.py
@@ -1,4 +1,4 @@
-"""Second stage: the request is accounted for and handed to the policy."""
+"""Second stage: registers the request with the accounting and hands it to the policy."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 class Admission:
     """Admits valid requests.
 
-    Guarantees that each request is in the accounting before anything else hears of it. The policy hears of
-    it once the endpoint list and the idempotency store, where there are any, have let it pass.
+    Guarantees that each request is registered with the accounting before any other component gets it. The
+    policy gets it once the endpoint list and the idempotency store, where they are in use, let it pass.
     """
 
-    # Set by the composition root before the first request: the policy is made with the port, which needs
-    # stages behind this one.
+    # Set by the composition root before the first request: the policy is constructed with its port, which
+    # needs the stages behind this one.
     controller: PolicyController
 
     def __init__(self, accounting: RequestAccounting) -> None:
@@ -31,38 +31,40 @@
         self.membership: Membership | None = None  # set where the endpoint list is persisted
         self.idempotency: IdempotencyChecks | None = None  # set where idempotency records are kept in a store
 
-    def admit(self, context: RequestContext, now: int) -> None:
+    def admit(self, context: RequestContext, now_us: int) -> None:
         """Opens the request and hands it on, at once or when the store has decided on its idempotency key."""
         self._accounting.open_request(context)
-        if self.membership is not None and self._rejects_unknown_endpoints(self.membership, context, now):
+        if self.membership is not None and self._rejects_unknown_endpoints(self.membership, context, now_us):
             return
-        if self.idempotency is not None and self.idempotency.holds_back(
-            context, now, lambda now: self._accept(context, now)
+        if self.idempotency is not None and self.idempotency.defer(
+            context, now_us, lambda now_us: self._accept(context, now_us)
         ):
             return
-        self._accept(context, now)
+        self._accept(context, now_us)
 
-    def _accept(self, context: RequestContext, now: int) -> None:
+    def _accept(self, context: RequestContext, now_us: int) -> None:
         if self.forwarding_quota is not None and not context.request.is_forwarded_in:
-            self.forwarding_quota.taken(now)
-        self.controller.accept(context.request, now)
+            self.forwarding_quota.taken(now_us)
+        self.controller.accept(context.request, now_us)
 
-    def _rejects_unknown_endpoints(self, membership: Membership, context: RequestContext, now: int) -> bool:
-        """Rejects a request while no endpoint is known well enough; returns whether it did.
+    def _rejects_unknown_endpoints(
+        self, membership: Membership, context: RequestContext, now_us: int
+    ) -> bool:
+        """Rejects the request while no endpoint is known well enough; returns whether it did.
 
-        A request that was forwarded in is always accepted: the other site relies on its offer being taken.
+        A request that another site forwarded is never rejected here: that site relies on its acceptance.
         """
         request = context.request
-        retry_after_us = None if request.is_forwarded_in else membership.retry_after_us(request, now)
+        retry_after_us = None if request.is_forwarded_in else membership.retry_after_us(request, now_us)
         if retry_after_us is None:
             return False
         request.is_finished = True
         self._accounting.reject(request, retry_after_us)
         return True
 
-    def cancel(self, context: RequestContext, now: int) -> None:
+    def cancel(self, context: RequestContext, now_us: int) -> None:
         """The client has cancelled the request or left; the policy cancels an attempt in flight."""
         self._accounting.on_client_left(context)
         if self.idempotency is None or not self.idempotency.on_client_left(context.request):
-            self.controller.on_client_cancelled(context.request, now)
+            self.controller.on_client_cancelled(context.request, now_us)
         self._accounting.release(context.request)
--- a/cresstray/pipeline/forwarding.py
+++ b/cresstray/pipeline/forwarding.py
@@ -1,4 +1,4 @@
-"""Fourth stage for another site: an attempt goes over a link, which reports its outcome."""
+"""Fourth stage for other sites: forwards an attempt over a link, which reports its outcome."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Forwarder:
-    """Sends attempts to other sites and listens to the links.
+    """Forwards attempts to other sites and receives the callbacks of the links.
 
-    To the policy each link is one engine, whose `forwarding` is the route to the other site. Gives the
-    guarantees of the dispatcher: one outcome to each attempt, never within `send`.
+    The policy sees each link as one engine, whose `forwarding` is the route to the other site. Gives the same
+    guarantee as the dispatcher: exactly one outcome for each attempt, never within `send`.
     """
 
     def __init__(
@@ -39,11 +39,11 @@
         self._links: dict[Engine, Outward] = {}
 
     def add(self, link: Outward) -> None:
-        """Makes the engine that stands for a link; the policy hears of it with the link's first state."""
-        # Neither a zone nor a cell of this site: what may have run at another site must not be retried
-        # within a part of this site that would not discard it.
-        place = -1 - len(self._engines)
-        engine = Engine(zone=place, cell=place, forwarding=link.way)
+        """Creates the engine that represents a link; the policy gets it with the link's first state."""
+        # A zone and a cell that no engine of this site has: what may have run at another site must not be
+        # retried within a zone or cell of this site, whose engines would not discard it as a duplicate.
+        location = -1 - len(self._engines)
+        engine = Engine(zone=location, cell=location, forwarding=link.way)
         self._engines[link] = engine
         self._links[engine] = link
 
@@ -52,8 +52,8 @@
         if self._responses.has_client_left(attempt.request):
             self._dispatcher.finish_unsent(attempt)
             return
-        crossing = self._links[attempt.engine].offer(attempt, context.query, self._clock.now())
-        in_flight = cast(AttemptInFlight, crossing)
+        forwarded = self._links[attempt.engine].offer(attempt, context.query, self._clock.now())
+        in_flight = cast(AttemptInFlight, forwarded)
         self._responses.in_flight[attempt] = in_flight
         if self.idempotency is not None:
             self.idempotency.on_attempt_sent(attempt.request)
@@ -62,44 +62,44 @@
         )
 
     def on_finished(
-        self, crossing: Crossing, outcome: ForwardingResult, sent: bool, result: bytes | None
+        self, forwarded: Crossing, forwarding_result: ForwardingResult, was_sent: bool, result: bytes | None
     ) -> None:
-        """The link has learnt how the attempt ended. `sent`: whether the offer had left."""
-        in_flight = cast(AttemptInFlight, crossing)
+        """The link reports how the attempt ended. `was_sent`: whether the other site was sent the offer."""
+        in_flight = cast(AttemptInFlight, forwarded)
         attempt = in_flight.attempt
         if self._responses.in_flight.get(attempt) is not in_flight:
-            return  # it has timed out before
-        now = self._clock.now()
-        round_trip_us = cast(Outward, crossing.connection).way.health.round_trip(now)
-        travel_us = min(round_trip_us, (now - attempt.sent_us) // 2)
+            return  # the attempt has already timed out
+        now_us = self._clock.now()
+        round_trip_us = cast(Outward, forwarded.connection).way.health.round_trip(now_us)
+        travel_us = min(round_trip_us, (now_us - attempt.sent_us) // 2)
         self._responses.finish_attempt(
-            in_flight, _outcome(crossing, outcome, sent), result=result, travel_us=travel_us
+            in_flight, _outcome(forwarded, forwarding_result, was_sent), result=result, travel_us=travel_us
         )
 
-    def on_deadline_unreachable(self, crossing: Crossing) -> None:
-        """The other site cannot answer in time; the policy may retry the request here."""
-        attempt = cast(AttemptInFlight, crossing).attempt
+    def on_deadline_unreachable(self, forwarded: Crossing) -> None:
+        """The other site cannot answer in time; the policy may retry the request at this site."""
+        attempt = cast(AttemptInFlight, forwarded).attempt
         self._responses.controller.on_deadline_unreachable(attempt, self._clock.now())
 
     def on_capacity(self, link: Outward) -> None:
         """The other site has capacity for a further request."""
         self._responses.controller.on_site_capacity(self._engines[link], self._clock.now())
 
-    def on_state(self, link: Outward, ready: bool) -> None:
-        """The link was established or lost, or the other site's cores have changed."""
-        state = EndpointState.READY if ready else EndpointState.DRAINING
+    def on_state(self, link: Outward, is_ready: bool) -> None:
+        """The link was established or lost, or the other site's number of cores has changed."""
+        state = EndpointState.READY if is_ready else EndpointState.DRAINING
         self._responses.controller.on_site_updated(
             self._engines[link], link.way.cores, state, self._clock.now()
         )
 
 
-def _outcome(crossing: Crossing, result: ForwardingResult, was_sent: bool) -> Outcome:
+def _outcome(forwarded: Crossing, result: ForwardingResult, was_sent: bool) -> Outcome:
     if result is ForwardingResult.SERVED:
         return Outcome.SUCCEEDED
     if result is ForwardingResult.UNRUN:
-        # Sent and not run is the word of an engine there; of what was not sent no engine has heard.
+        # If it was sent, an engine of the other site reported that it did not run; if not, no engine got it.
         return Outcome.OVERLOADED if was_sent else Outcome.EXPIRED_BEFORE_SEND
-    if crossing.withdrawn:
+    if forwarded.withdrawn:
         return Outcome.CANCELLED
     if result is ForwardingResult.RAN:
         return Outcome.FAILED
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -1,7 +1,7 @@
-"""Beside the stages: what a gateway has where idempotency records are kept in a store.
+"""Idempotency checks of requests: called by the stages where idempotency records are kept in a store.
 
-Joins the store's client, the journal and the coordinator of the records to the pipeline. Loaded only where
-the operator's file names a store.
+Connects the store client, the journal and the coordinator of the records to the pipeline. Imported only if
+the operator's configuration file names a store.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 from cresstray.policy.ports import ChainedRules
 from cresstray.policy.types import Attempt, Engine, Outcome, Request
 
-# How often records are looked at while outcomes wait to be written, and while none does.
+# Interval of the background step while outcomes wait to be written to the store, and while none does.
 _BUSY_INTERVAL_US = 20_000
 _IDLE_INTERVAL_US = 500_000
-# The preceding process releases the journal within some seconds; trying its lock is one system call.
+# The preceding process releases the journal within a few seconds; an attempt to lock it is one system call.
 _JOURNAL_RETRY_SECONDS = 1.0
 
 
 class UnavailableJournal:
-    """Stands for a journal that cannot be written yet, or at all: no attempt leaves that depends on it."""
+    """Stands in for a journal that cannot be written yet, or at all: no attempt that needs it is sent."""
 
     def __init__(self, reason: str) -> None:
         self.last_error = reason
@@ -49,18 +49,18 @@
         return None
 
     def append_settled(self, entry_id: int) -> None:
-        """Has nothing to settle."""
+        """Does nothing: no claim was accepted."""
 
     def take_sync_result(self, entry_id: int) -> bool | None:
-        """Whether an entry is on disk: it never is."""
+        """Returns False: no entry reaches the disk."""
         return False
 
 
 class IdempotencyChecks:
-    """Asks the store about a request before the policy hears of it, and records how the request ended.
+    """Asks the store about a request before the policy gets it, and records how the request ended.
 
-    Guarantees that the policy never hears of a request that the store has decided on, and that none of its
-    attempts leaves after its record has expired.
+    Guarantees that the policy never gets a request that the store has already decided, and that no attempt of
+    a request is sent after its record has expired.
     """
 
     def __init__(
@@ -83,9 +83,9 @@
         self._log = log
         self._worker = worker
         self._journal_writer: JournalWriter | None = None
-        self._waiting: set[Request] = set()  # requests that the policy has not heard of yet
-        chance = random.Random(f"{seed}{clock.now()}").random
-        self._client = StoreClient(config, chance, clock, timers, counters, log)
+        self._undecided: set[Request] = set()  # waiting for the store; the policy has not got them yet
+        next_random = random.Random(f"{seed}{clock.now()}").random
+        self._client = StoreClient(config, next_random, clock, timers, counters, log)
         self.records = IdempotencyCoordinator(
             self._client,
             config.to_coordinator_settings(),
@@ -93,7 +93,7 @@
             controller.request_classes,
             name,
             _incarnation(seed, clock.now()),
-            chance,
+            next_random,
             clock,
             timers,
             counters,
@@ -111,7 +111,7 @@
             self._client.check_connections,
         )
         self._write_job = worker.does(
-            "idempotency records", Priority.STATE, 0, self._step, last=self._write_last
+            "idempotency records", Priority.STATE, 0, self._run_background_step, last=self._run_shutdown_step
         )
         worker.wake(self._write_job)
 
@@ -119,13 +119,13 @@
         self._log.log("idempotency", text)
 
     def start(self, tasks: TaskGroup) -> None:
-        """Starts the connections to the store, and opens the journal where there is one."""
+        """Starts the connections to the store, and opens the journal if one is configured."""
         tasks.start_soon(self._client.run)
         if self._config.journal_path:
             tasks.start_soon(self._open_journal, self._config.journal_path)
 
     async def _open_journal(self, path: str) -> None:
-        """Opens the journal in a thread: a disk that hangs delays nothing but what depends on it."""
+        """Opens the journal in a thread: a disk that hangs delays only the requests that need the journal."""
         while True:
             journal = Journal(path)
             try:
@@ -146,13 +146,13 @@
 
     # Background jobs.
 
-    def _step(self, now: int) -> None:
-        is_busy = self.records.run_background_step(now)
+    def _run_background_step(self, now_us: int) -> None:
+        is_busy = self.records.run_background_step(now_us)
         self._worker.later(self._write_job, _BUSY_INTERVAL_US if is_busy else _IDLE_INTERVAL_US)
 
-    def _write_last(self, now: int) -> JobResult:
-        """Before the process ends: writes what the store and the disk take within the time that is left."""
-        if self.records.run_shutdown_step(now):
+    def _run_shutdown_step(self, now_us: int) -> JobResult:
+        """Writes, before the process ends, as much as the store and the disk accept in the remaining time."""
+        if self.records.run_shutdown_step(now_us):
             return JobResult.MORE
         if self._journal_writer is None:
             return JobResult.DONE
@@ -161,30 +161,30 @@
 
     # Called by the admission.
 
-    def holds_back(self, context: RequestContext, now: int, accept: Callable[[int], None]) -> bool:
-        """Whether the request waits for the store.
+    def defer(self, context: RequestContext, now_us: int, accept: Callable[[int], None]) -> bool:
+        """Asks the store about the request; returns whether the request waits for the store's decision.
 
-        `accept` is called with the time once the store lets it pass, if it does.
+        `accept` is called with the time once the store lets the request pass, if it does.
         """
         request = context.request
-        self._waiting.add(request)
-        is_asked = self.records.check(context, now, partial(self._on_decision, request, accept))
-        if not is_asked:
-            self._waiting.discard(request)
-        return is_asked
+        self._undecided.add(request)
+        is_deferred = self.records.check(context, now_us, partial(self._on_decision, request, accept))
+        if not is_deferred:
+            self._undecided.discard(request)
+        return is_deferred
 
     def on_client_left(self, request: Request) -> bool:
-        """Whether the client has left before the policy has heard of the request; it ends here then."""
-        if request not in self._waiting:
+        """Ends a request whose client left before the policy got it; returns whether it did."""
+        if request not in self._undecided:
             return False
-        self._waiting.discard(request)
+        self._undecided.discard(request)
         request.is_finished = True
         return True
 
     def _on_decision(self, request: Request, accept: Callable[[int], None], decision: Decision) -> None:
-        if request not in self._waiting:
-            return  # its client has left
-        self._waiting.discard(request)
+        if request not in self._undecided:
+            return  # the client has left
+        self._undecided.discard(request)
         if isinstance(decision, Reject | Fail | ReplayResult):
             request.is_finished = True
         if isinstance(decision, Reject):
@@ -199,52 +199,53 @@
     # Called by the later stages, as IdempotencyHooks describes.
 
     def may_send(self, request: Request) -> bool:
-        """Whether an attempt may leave now."""
-        # Read anew: a process that was stopped in the middle of a turn still holds the time from before.
+        """Whether an attempt may be sent now."""
+        # Reads the clock again: if the process was stopped during this turn of the event loop, the time that
+        # was read at the start of the turn is outdated.
         return self.records.may_dispatch(request, self._clock.now())
 
     def latest_send_us(self, request: Request) -> int | None:
-        """From when on no attempt may leave any more; None where no record sets a time."""
-        now = self._clock.now()
-        remaining_us = self.records.remaining_us(request, now)
-        return None if remaining_us is None else now + remaining_us
+        """Returns the time from which on no attempt may be sent; None if no record limits it."""
+        now_us = self._clock.now()
+        remaining_us = self.records.remaining_us(request, now_us)
+        return None if remaining_us is None else now_us + remaining_us
 
     def on_attempt_sent(self, request: Request) -> None:
         """An attempt was handed to a connection."""
         self.records.on_attempt_sent(request, self._clock.now())
 
-    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, now: int) -> None:
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, now_us: int) -> None:
         """An attempt has its outcome; called before the request is answered."""
-        self.records.on_attempt_finished(attempt.request, outcome, now)
+        self.records.on_attempt_finished(attempt.request, outcome, now_us)
 
-    def on_request_finished(self, request: Request, how: str, result: bytes | None = None) -> None:
+    def on_request_finished(self, request: Request, final_state: str, result: bytes | None = None) -> None:
         """The request was answered, or its client has left."""
-        self.records.on_request_finished(request, how, result, self._clock.now())
+        self.records.on_request_finished(request, final_state, result, self._clock.now())
         if len(self.records.write_behind):
             self._worker.later(self._write_job, _BUSY_INTERVAL_US)
 
 
-def _incarnation(seed: int, now: int) -> str:
-    """Returns the name of this run; the clock parts two starts that an operator gave the same seed."""
-    return f"{seed & 0xFFFFFFFF:08x}{now:014x}"
+def _incarnation(seed: int, now_us: int) -> str:
+    """Returns the name of this run; the time distinguishes two starts with the same configured seed."""
+    return f"{seed & 0xFFFFFFFF:08x}{now_us:014x}"
 
 
 class _RecordValidityRules(ChainedRules):
-    """Lets nothing be sent, or forwarded to another site, for longer than its record is this gateway's."""
+    """Allows a request to be sent, or forwarded to another site, only while this gateway owns its record."""
 
     def __init__(
-        self, records: IdempotencyCoordinator, controller: PolicyController, now: Callable[[], int]
+        self, records: IdempotencyCoordinator, controller: PolicyController, get_time_us: Callable[[], int]
     ) -> None:
         super().__init__(controller)
         self._records = records
-        self._now = now
+        self._get_time_us = get_time_us
 
-    def allows(self, request: Request, engine: Engine, now: int) -> bool:
-        """Whether the record outlasts what would be sent to this engine."""
-        remaining_us = self._records.remaining_us(request, self._now())
-        # Another site sends attempts until the request's deadline and knows nothing of the end of our record.
+    def allows(self, request: Request, engine: Engine, now_us: int) -> bool:
+        """Whether the record is valid for long enough to send the request to this engine."""
+        remaining_us = self._records.remaining_us(request, self._get_time_us())
+        # Another site sends attempts until the request's deadline and does not know when the record expires.
         is_forwarding = engine.forwarding is not None
-        needed_us = request.deadline_us - now if is_forwarding else 1
+        needed_us = request.deadline_us - now_us if is_forwarding else 1
         if remaining_us is not None and remaining_us < needed_us:
             return False
-        return super().allows(request, engine, now)
+        return super().allows(request, engine, now_us)
--- a/cresstray/pipeline/ingress.py
+++ b/cresstray/pipeline/ingress.py
@@ -1,4 +1,4 @@
-"""First stage: a query becomes a request, or is rejected as malformed."""
+"""First stage: turns a query into a request, or rejects it as malformed."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 if TYPE_CHECKING:
     from cresstray.pipeline.replica_reads import ReplicaReads
 
-# Clients give each request a new name; one that is used again within this time is a mistake or an attack.
+# Clients give each request a new name; a name that is reused within this time is a mistake or an attack.
 _NAME_GENERATION_US = 10_000_000
 _MAX_NAMES_PER_GENERATION = 20_000
-# No client of a class can mean a timeout longer than this multiple of the class's own.
+# A longer timeout than this multiple of the class's own is a mistake of the client.
 _MAX_TIMEOUT_FACTOR = 2
 _DEFAULT_TIMEOUT_MS = 5e8
 
 
 class RejectionReason(Enum):
-    """Why a query is malformed; the value is the text that its client reads."""
+    """Why a query is malformed; the value is the text that its client gets."""
 
     UNKNOWN_REQUEST_CLASS = "an unknown tariff"
     UNKNOWN_TENANT = "an unknown tenant"
@@ -36,9 +36,10 @@
 
 
 class ForwardedOffer(Protocol):
-    """What another site adds to a query.
+    """What a forwarded query carries besides the query itself.
 
-    `hold`: microseconds that it may be queued here; `group`: the table group that the other site has found.
+    `hold`: for how many microseconds it may be queued here; `group`: the table group that the other site has
+    found.
     """
 
     hold: int
@@ -51,10 +52,11 @@
 
 
 class Ingress:
-    """Validates queries and makes requests of them.
+    """Validates queries and creates requests from them.
 
-    Guarantees that what it hands on has a known class and tenant, a bounded timeout, a statement that is
-    text, and a name that was not used in the last seconds. Everything else gets one answer that says why.
+    Guarantees that each request that it passes on has a known class and tenant, a bounded timeout, a
+    statement that is text, and a name that was not used in the last seconds. Any other query gets one answer
+    that states the reason.
     """
 
     def __init__(
@@ -75,48 +77,51 @@
             for service, request_class in zip(settings.get("Services", []), request_classes)
         }
         self._tenants = {tenant["Name"]: index for index, tenant in enumerate(settings.get("Tenants", []))}
-        self._names: set[str] = set()  # used in the current generation
-        self._older: set[str] = set()  # used in the generation before
+        self._current_names: set[str] = set()  # used in the current generation
+        self._previous_names: set[str] = set()  # used in the generation before
         self._next_generation_us = 0
 
     def accept(
-        self, responder: Responder, number: int, query: Query, crossing: ForwardedOffer | None = None
+        self, responder: Responder, number: int, query: Query, offer: ForwardedOffer | None = None
     ) -> None:
-        """Hands a valid query to the admission; answers any other one. `crossing`: it was forwarded in."""
-        now = self._clock.now()
+        """Passes a valid query to the admission, rejects any other.
+
+        `offer` is set for a query that another site forwarded.
+        """
+        now_us = self._clock.now()
         accepted_class = self._classes.get(query.class_name)
         if accepted_class is None:
             responder.reject_malformed(number, RejectionReason.UNKNOWN_REQUEST_CLASS.value)
             return
         request_class = accepted_class.request_class
-        tenant = self._tenants.get(query.tenant, None if self._tenants else 0)
+        tenant_index = self._tenants.get(query.tenant, None if self._tenants else 0)
         statement = _decode(query.statement)
-        if tenant is None:
+        if tenant_index is None:
             responder.reject_malformed(number, RejectionReason.UNKNOWN_TENANT.value)
             return
-        reason = self._find_fault(query, accepted_class, statement, now)
+        reason = self._find_rejection_reason(query, accepted_class, statement, now_us)
         if reason is not None or statement is None:
             reason = reason or RejectionReason.STATEMENT_NOT_TEXT
             responder.reject_malformed(number, reason.value)
             return
         replica_read = None
-        if self.replica_reads is not None and crossing is None:
+        if self.replica_reads is not None and offer is None:
             try:
-                replica_read = self.replica_reads.parse_hint(statement, query, request_class, now)
+                replica_read = self.replica_reads.parse_hint(statement, query, request_class, now_us)
             except ValueError as error:
                 responder.reject_malformed(number, f"{RejectionReason.UNUSABLE_HINT.value}: {error}")
                 return
-        group = find_table_group(statement) if crossing is None else crossing.group
-        request = self._make_request(query, request_class, tenant, group, now)
-        if crossing is not None:
+        table_group = find_table_group(statement) if offer is None else offer.group
+        request = self._make_request(query, request_class, tenant_index, table_group, now_us)
+        if offer is not None:
             request.is_forwarded_in = True
-            request.max_queue_us = crossing.hold
+            request.max_queue_us = offer.hold
         if self.replica_reads is not None and replica_read is not None:
             self.replica_reads.attach(request, replica_read)
-        self._admission.admit(RequestContext(responder, number, query, request), now)
+        self._admission.admit(RequestContext(responder, number, query, request), now_us)
 
-    def _find_fault(
-        self, query: Query, accepted_class: _AcceptedClass, statement: str | None, now: int
+    def _find_rejection_reason(
+        self, query: Query, accepted_class: _AcceptedClass, statement: str | None, now_us: int
     ) -> RejectionReason | None:
         if accepted_class.request_class.is_deduplicated and not query.idempotency_key:
             return RejectionReason.MISSING_IDEMPOTENCY_KEY
@@ -124,61 +129,68 @@
             return RejectionReason.TIMEOUT_TOO_LONG
         if statement is None:
             return RejectionReason.STATEMENT_NOT_TEXT
-        # Last, since it remembers the name: a query that is rejected for another reason may use it again.
-        if not self._is_new(query.name, now):
+        # Checked last, because the check remembers the name: a query that is rejected for another reason may
+        # be sent again under its name.
+        if not self._is_new(query.name, now_us):
             return RejectionReason.NAME_USED_BEFORE
         return None
 
     def _make_request(
-        self, query: Query, request_class: RequestClass, tenant: int, group: int, now: int
+        self, query: Query, request_class: RequestClass, tenant_index: int, table_group: int, now_us: int
     ) -> Request:
-        deadline_us = now + int(query.timeout_ms * 1000)
+        deadline_us = now_us + int(query.timeout_ms * 1000)
         if self.shutdown_deadline_us is not None:
             deadline_us = min(deadline_us, self.shutdown_deadline_us)
         return Request(
             request_class,
-            now,
+            now_us,
             deadline_us,
-            tenant,
+            tenant_index,
             0,
             int(query.estimated_work_ms * 1000),
             query.memory_mb,
-            group,
+            table_group,
             size_bytes=len(query.statement),
         )
 
-    def _is_new(self, name: str, now: int) -> bool:
-        # Engines know a request by its name alone. Under the name of an open one a stranger could have the
-        # owner's request cancelled or answered, and a connection could not tell whose answer arrives.
-        if now >= self._next_generation_us or len(self._names) >= _MAX_NAMES_PER_GENERATION:
-            self._older = self._names
-            self._names = set()
-            self._next_generation_us = now + _NAME_GENERATION_US
-        if name in self._names or name in self._older:
+    def _is_new(self, name: str, now_us: int) -> bool:
+        # Engines identify a request by its name alone. If another client could reuse the name of an open
+        # request, it could have that request cancelled or answered, and a connection could not tell to which
+        # of the two an answer belongs.
+        if now_us >= self._next_generation_us or len(self._current_names) >= _MAX_NAMES_PER_GENERATION:
+            self._previous_names = self._current_names
+            self._current_names = set()
+            self._next_generation_us = now_us + _NAME_GENERATION_US
+        if name in self._current_names or name in self._previous_names:
             return False
-        self._names.add(name)
+        self._current_names.add(name)
         return True
 
     def recent_names(self) -> list[str]:
-        """Returns the names of recent requests, the newer generation last."""
-        return sorted(self._older) + sorted(self._names)
+        """Returns the names of recent requests, those of the current generation last."""
+        return sorted(self._previous_names) + sorted(self._current_names)
 
     def remember_names(self, names: Iterable[str]) -> None:
-        """Treats names that the preceding process has handed over as used."""
-        self._older.update(names)
+        """Treats the names that the preceding process handed over as used."""
+        self._previous_names.update(names)
         self._next_generation_us = self._next_generation_us or self._clock.now() + _NAME_GENERATION_US
 
     def cancel(self, responder: Responder, number: int | None, name: str | None) -> None:
-        """The client cancels one of its requests, by number or by name; one that is not open is ignored."""
+        """Cancels a request of a client, by number or by name; does nothing if it is not open."""
         if number is None:
             number = next(
-                (one for one, context in responder.open_requests.items() if context.query.name == name), None
+                (
+                    open_number
+                    for open_number, context in responder.open_requests.items()
+                    if context.query.name == name
+                ),
+                None,
             )
         if number in responder.open_requests:
             self._admission.cancel(responder.open_requests[number], self._clock.now())
 
     def on_disconnected(self, responder: Responder) -> None:
-        """The client has left; all its open requests are cancelled."""
+        """Cancels all open requests of a client that has disconnected."""
         for context in list(responder.open_requests.values()):
             self._admission.cancel(context, self._clock.now())
 
--- a/cresstray/pipeline/policy_port.py
+++ b/cresstray/pipeline/policy_port.py
@@ -1,4 +1,4 @@
-"""The policy's port on the pipeline: each of its decisions is one direct call on a stage."""
+"""The port through which the policy calls the pipeline: each decision is one direct call of a stage."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PipelinePolicyPort(PolicyPort):
-    """Carries out what the policy decides. Outcomes come back by later calls, never within one of these."""
+    """Carries out the policy's decisions. Outcomes follow in later callbacks, never within these calls."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._log = log
 
     def send_attempt(self, attempt: Attempt, timeout_us: int) -> None:
-        """Sends the attempt; it ends as timed out after `timeout_us`."""
+        """Sends the attempt; it times out after `timeout_us`."""
         self._router.route(attempt, self._accounting.open_requests, timeout_us)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
@@ -42,27 +42,27 @@
         self._dispatcher.cancel(attempt)
 
     def reject_request(self, request: Request, retry_after_us: int) -> None:
-        """Rejects the request and says when it may be retried."""
+        """Rejects the request; the client may retry it after `retry_after_us`."""
         self._accounting.reject(request, retry_after_us)
 
     def fail_request(self, request: Request) -> None:
         """Fails a request that may have run."""
         self._accounting.fail(request)
 
-    def call_later(self, delay_us: int, call: Callable[[int], None]) -> None:
-        """Calls `call` with the time after `delay_us`."""
-        self._timers.call_after(delay_us, call)
+    def call_later(self, delay_us: int, callback: Callable[[int], None]) -> None:
+        """Calls `callback` with the time after `delay_us`."""
+        self._timers.call_after(delay_us, callback)
 
     def log_event(self, text: str) -> None:
         """Prints a line for operators."""
         self._log.log("policy", text)
 
     def assign_resources(self, request: Request, memory_mb: float, priority: int) -> None:
-        """Only counted: the engines' protocol has no field for memory or priority."""
+        """Only counts the call: the engine protocol has no field for memory or priority."""
         self._counters.add("resource grants not sent")
 
     def probe_engine(self, engine: Engine) -> None:
-        """Only counted: the engines' protocol has no connection probe."""
+        """Only counts the call: the engine protocol has no connection probe."""
         self._counters.add("connection probes not sent")
 
     def subscribe_to_endpoints(self) -> None:
--- a/cresstray/pipeline/request_context.py
+++ b/cresstray/pipeline/request_context.py
@@ -1,4 +1,4 @@
-"""The types that the stages of the pipeline hand each other."""
+"""The types that the stages of the pipeline exchange."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class Query(Protocol):
-    """A decoded query of a client or of another site, whatever protocol it arrived by."""
+    """A decoded query of a client or of another site, independent of the protocol by which it arrived."""
 
     @property
     def name(self) -> str:
-        """The name under which engines know the request."""
+        """The name by which engines identify the request."""
 
     @property
     def class_name(self) -> str:
@@ -31,7 +31,7 @@
 
     @property
     def idempotency_key(self) -> str:
-        """Under which engines discard repeats; empty without one."""
+        """The key by which engines discard duplicates; empty without one."""
 
     @property
     def estimated_work_ms(self) -> float:
@@ -47,7 +47,7 @@
 
 
 class Responder(Protocol):
-    """Where a request came from and where its answer goes: a client's session, or a link from another site.
+    """Where a request came from and where its answer goes: a client session, or a link from another site.
 
     Each request gets at most one answer. `open_requests` maps the numbers of the requests that are owed an
     answer to their RequestContext.
@@ -55,27 +55,27 @@
 
     open_requests: dict[int, Any]
 
-    def succeed(self, number: int, result: bytes, at: str | None = None, /) -> None:
-        """Sends the result; `at` is the replica position that a hinted read was served at."""
+    def succeed(self, number: int, result: bytes, replica_position: str | None = None, /) -> None:
+        """Sends the result; `replica_position` is the position at which a replica served a hinted read."""
 
     def reject(self, number: int, retry_after_us: int, /) -> None:
-        """Says that the request never ran to its end and when to retry it."""
+        """Reports that the request was rejected, and when it may be retried."""
 
     def fail(self, number: int, /) -> None:
-        """Says that the request failed and may have run."""
+        """Reports that the request failed and may have run."""
 
     def reject_malformed(self, number: int | None, text: str, /) -> None:
-        """Says why the request is not accepted; it was never opened."""
+        """Reports why the request is malformed; it was never opened."""
 
     def has_disconnected(self) -> bool:
-        """Whether the client has gone, even if that was not read yet; may cost a system call."""
+        """Whether the client has closed its connection, even if not read yet; may cost a system call."""
 
 
 class SiteResponder(Responder, Protocol):
-    """A link from another site: its requests were forwarded in, and it hears of their attempts as well."""
+    """A link from another site: its requests were forwarded in, and it is told of their attempts as well."""
 
     def on_attempt_sent(self, number: int, /) -> None:
-        """Tells the other site that the request has left for an engine."""
+        """Tells the other site that the request was sent to an engine."""
 
     def on_attempt_finished(self, number: int, outcome: Outcome, /) -> None:
         """Tells the other site how the request's attempt ended."""
@@ -83,39 +83,39 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """One request on its way through the pipeline."""
+    """One request in the pipeline, with its query and its responder."""
 
     responder: Responder
     number: int
     query: Query
     request: Request
-    is_answered: bool = False  # also True once its client has left and no answer is owed
+    is_answered: bool = False  # also True once the client has left and no answer is owed
     result: bytes | None = None
 
 
 class AttemptConnection(Protocol):
-    """What carries an attempt: a connection to an engine, or a link to another site."""
+    """The connection that carries an attempt: to an engine, or a link to another site."""
 
     def send(self, message: bytes, /) -> None:
         """Sends a further message for an attempt that was started."""
 
     def finish(self, in_flight: Any, /) -> None:
-        """Forgets an attempt to which no further answer is expected."""
+        """Forgets an attempt for which no further answer is expected."""
 
     def abandon(self, in_flight: Any, /) -> bool:
-        """Cancels an attempt; False if it may go on running until the other side has confirmed."""
+        """Cancels an attempt; returns False if it may keep running until the other side has confirmed."""
 
 
 class AttemptInFlight(Protocol):
     """An attempt that was handed to a connection and has no outcome yet.
 
-    The packages of engines and sites carry these without knowing the policy's types; the pipeline makes
-    each of them and casts what it gets back to this view.
+    The engines and sites packages handle these objects without knowing the policy's types; the pipeline
+    creates them and casts what it gets back to this protocol.
     """
 
     attempt: Attempt
     connection: AttemptConnection | None
-    is_written: bool  # whether any of its bytes may have left
+    is_written: bool  # whether any of its bytes may have been sent
     timeout: TimerHandle  # set before the attempt is handed to its connection
 
 
@@ -128,19 +128,22 @@
 
 
 class IdempotencyHooks(Protocol):
-    """What the stages call where idempotency records are kept in a store."""
+    """The hooks that the stages call where idempotency records are kept in a store."""
 
     def may_send(self, request: Request) -> bool:
-        """Whether an attempt may leave now."""
+        """Whether an attempt may be sent now."""
 
     def latest_send_us(self, request: Request) -> int | None:
-        """From when on no attempt may leave any more; None where no record sets a time."""
+        """Returns the time from which on no attempt may be sent; None if no record limits it."""
 
     def on_attempt_sent(self, request: Request) -> None:
         """An attempt was handed to a connection."""
 
-    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, now: int, /) -> None:
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, now_us: int, /) -> None:
         """An attempt has its outcome; called before the request is answered."""
 
-    def on_request_finished(self, request: Request, how: str, result: bytes | None = None) -> None:
-        """The request was answered, or its client has left."""
+    def on_request_finished(self, request: Request, final_state: str, result: bytes | None = None) -> None:
+        """The request was answered, or its client has left.
+
+        `final_state`: "succeeded", "rejected", "failed" or "left".
+        """
--- a/cresstray/pipeline/response.py
+++ b/cresstray/pipeline/response.py
@@ -1,4 +1,4 @@
-"""Fifth stage: an engine's answers become the one outcome of an attempt."""
+"""Fifth stage: turns the answers of an engine into the one outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
     from cresstray.membership.recovery import Membership
     from cresstray.pipeline.replica_reads import ReplicaReads
 
-# A request that arrived longer ago may have lost its client. What is sent at once costs no system call.
+# The client of a request that arrived longer ago may have left, so its connection is checked. A request that
+# is sent at once does not pay for the check, which is a system call.
 _CLIENT_CHECK_AGE_US = 20_000
 _OUTCOME_OF_ANSWER = {
     codec.OVERLOADED: Outcome.OVERLOADED,
@@ -33,14 +34,14 @@
 
 
 class ResponseHandler:
-    """Owns the attempts in flight and listens to the connections to engines.
+    """Owns the attempts in flight and receives the callbacks of the connections to engines.
 
-    Guarantees one outcome to each attempt in flight. Where that is a result, the client is answered before
-    the policy hears of the outcome.
+    Guarantees one outcome for each attempt in flight. If the outcome is a result, the client is answered
+    before the policy is told of it.
     """
 
-    # Set by the composition root before the first request: the policy is made with the port, which needs
-    # this stage.
+    # Set by the composition root before the first request: the policy is constructed with its port, which
+    # needs this stage.
     controller: PolicyController
 
     def __init__(self, clock: Clock, counters: Counters, accounting: RequestAccounting) -> None:
@@ -53,10 +54,10 @@
         self.in_flight: dict[Attempt, AttemptInFlight] = {}
         self._reports: dict[
             Attempt, dict[str, float]
-        ] = {}  # load reports of first pages, until the last page
+        ] = {}  # load report of the first page, kept until the last page
 
     def on_answer(self, request_in_flight: InFlightRequest, answer: codec.Answer) -> bool:
-        """Takes an answer of an engine; returns False if nothing in flight awaits such an answer."""
+        """Handles an answer of an engine; returns False if the request does not expect such an answer."""
         in_flight = cast(EngineAttemptInFlight, request_in_flight)
         connection = cast(AttemptConnection, in_flight.connection)
         pages = in_flight.pages
@@ -86,7 +87,7 @@
         in_flight.pages = pages = ResultPages(answer.pages, answer.body)
         self._reports[in_flight.attempt] = answer.report
         if answer.pages > 1:
-            # All at once: a round trip for each page would hold the permit and the client that much longer.
+            # All at once: a round trip per page would hold the permit and delay the client that much longer.
             connection.send(codec.encode_page_requests(in_flight.name, answer.pages))
         return pages
 
@@ -94,16 +95,16 @@
         """No connection to the engine could be established; nothing was sent."""
         self.finish_attempt(cast(EngineAttemptInFlight, request_in_flight), Outcome.UNREACHABLE)
 
-    def on_connection_lost(self, request_in_flight: InFlightRequest, spoilt: bool) -> None:
-        """Its connection has ended after part of it may have left: it may have run.
+    def on_connection_lost(self, request_in_flight: InFlightRequest, is_corrupt: bool) -> None:
+        """The connection has ended after part of the request may have been sent: it may have run.
 
-        `spoilt`: the gateway ended the connection for an answer that violates the protocol.
+        `is_corrupt`: the gateway closed the connection because an answer violated the protocol.
         """
-        outcome = Outcome.PROTOCOL_ERROR if spoilt else Outcome.CONNECTION_LOST
+        outcome = Outcome.PROTOCOL_ERROR if is_corrupt else Outcome.CONNECTION_LOST
         self.finish_attempt(cast(EngineAttemptInFlight, request_in_flight), outcome)
 
     def may_send(self, request_in_flight: InFlightRequest) -> bool:
-        """Whether the decision to send still holds as the first bytes are about to leave."""
+        """Whether the decision to send is still valid when the first bytes are about to be sent."""
         in_flight = cast(EngineAttemptInFlight, request_in_flight)
         attempt = in_flight.attempt
         if attempt.request.is_finished or attempt.cancel_requested:
@@ -115,19 +116,19 @@
         return not is_too_late and not self.has_client_left(attempt.request)
 
     def on_sent(self, request_in_flight: InFlightRequest) -> None:
-        """The first bytes of the attempt have left."""
+        """The first bytes of the attempt were sent."""
         in_flight = cast(EngineAttemptInFlight, request_in_flight)
         self.controller.on_attempt_sent(in_flight.attempt, self._clock.now())
 
     def has_client_left(self, request: Request) -> bool:
-        """Whether the client has gone, even if its connection was not read that far."""
+        """Whether the client has closed its connection, even if the gateway has not read that yet."""
         if self._clock.now() - request.arrived_us < _CLIENT_CHECK_AGE_US:
             return False
         context = self._accounting.open_requests.get(request)
         return context is not None and not context.is_answered and context.responder.has_disconnected()
 
     def on_unsent(self, request_in_flight: InFlightRequest) -> None:
-        """Nothing of the attempt has left, and nothing may any more."""
+        """Nothing of the attempt was sent, and nothing may be sent any more."""
         in_flight = cast(EngineAttemptInFlight, request_in_flight)
         request = in_flight.attempt.request
         if self.has_client_left(request):
@@ -143,35 +144,37 @@
         result: bytes | None = None,
         travel_us: int = 0,
     ) -> None:
-        """Accounts for the outcome, answers the client if it is a result, and then tells the policy.
+        """Counts the outcome, answers the client if it is a result, and then tells the policy.
 
-        `report` is the engine's load report. `travel_us`: time between sites, which says nothing about how
-        long the work takes.
+        `report` is the engine's load report. `travel_us`: the travel time between sites, which is no part of
+        the latency of the work itself.
         """
         attempt = in_flight.attempt
         request = attempt.request
-        now = self._clock.now()
+        now_us = self._clock.now()
         in_flight.timeout.cancel()
         del self.in_flight[attempt]
         self._reports.pop(attempt, None)
         self._accounting.count_attempt(outcome)
-        self._notify_collaborators(attempt, outcome, report, now)
-        is_over = request.is_finished
-        if outcome is Outcome.SUCCEEDED and not is_over:
-            self._accounting.succeed(request, cast(bytes, result))  # comes with each success
-            is_over = True
-        latency_us = now - attempt.sent_us - travel_us
-        self.controller.on_attempt_finished(attempt, outcome, latency_us, is_over, report or {}, now)
+        self._notify_collaborators(attempt, outcome, report, now_us)
+        is_request_finished = request.is_finished
+        if outcome is Outcome.SUCCEEDED and not is_request_finished:
+            self._accounting.succeed(request, cast(bytes, result))  # every success comes with a result
+            is_request_finished = True
+        latency_us = now_us - attempt.sent_us - travel_us
+        self.controller.on_attempt_finished(
+            attempt, outcome, latency_us, is_request_finished, report or {}, now_us
+        )
         self._accounting.release(request)
 
     def _notify_collaborators(
-        self, attempt: Attempt, outcome: Outcome, report: dict[str, float] | None, now: int
+        self, attempt: Attempt, outcome: Outcome, report: dict[str, float] | None, now_us: int
     ) -> None:
         if attempt.request.is_forwarded_in:
-            self._accounting.notify_remote(attempt.request, outcome)
+            self._accounting.notify_remote_site(attempt.request, outcome)
         if self.replica_reads is not None:
-            self.replica_reads.on_attempt_finished(attempt, report, now)
+            self.replica_reads.on_attempt_finished(attempt, report, now_us)
         if self.membership is not None:
-            self.membership.on_attempt_finished(attempt, outcome, now)
+            self.membership.on_attempt_finished(attempt, outcome, now_us)
         if self.idempotency is not None:
-            self.idempotency.on_attempt_finished(attempt, outcome, now)
+            self.idempotency.on_attempt_finished(attempt, outcome, now_us)
--- a/cresstray/pipeline/routing.py
+++ b/cresstray/pipeline/routing.py
@@ -1,4 +1,4 @@
-"""Third stage: the engine that the policy chose becomes the connections to it."""
+"""Third stage: finds the connection pool, or the link, of the engine that the policy chose."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     from cresstray.pipeline.forwarding import Forwarder
     from cresstray.pipeline.replica_reads import ReplicaReads
 
-# Instance type, zone, cell, start in microseconds and state: what the policy takes of an endpoint.
+# What the policy needs to know of an endpoint: instance type, zone, cell, start in microseconds and state.
 EngineEntry = tuple[int, int, int, int, EndpointState]
 
 
 class Router:
-    """Owns the engines of the endpoint list and one connection pool to each.
+    """Owns the engines of the endpoint list and one connection pool for each.
 
-    Guarantees that nothing is sent to an engine by an address that another engine has taken over.
+    Guarantees that nothing is sent to an engine at an address that another engine has taken over.
     """
 
     def __init__(
@@ -57,20 +57,21 @@
         self._dispatcher.send(attempt, context, self._pools[attempt.engine], timeout_us)
 
     def apply_event(self, event: EndpointEvent) -> list[tuple[Engine, EngineEntry]]:
-        """Makes, moves and retires connection pools; returns the event as the policy takes it.
+        """Creates, moves and retires connection pools; returns the entries to pass to the policy.
 
-        Once the policy has taken the entries, `cancel_unsent` is to be called.
+        The caller passes the entries to the policy and then calls `cancel_unsent`.
         """
-        endpoints, lost_ids = self._addresses.resolve(event, self._places())
+        endpoints, lost_ids = self._addresses.resolve(event, self._placements())
         entries = self._entries(endpoints, lost_ids)
         for engine, entry in entries:
             state = entry[-1]
-            # At once: should the policy fail to take the entries, it must not choose an engine with no pool.
+            # Set here already: if the policy fails to apply the entries, it must not choose an engine that
+            # has no pool.
             if state is EndpointState.REMOVED:
                 engine.state = state
         for engine_id in self._removed_ids(event, endpoints, lost_ids):
-            # An attempt in flight on a removed engine still comes back by its connection, which knows what
-            # it needs. Engines come under new ids for days, so here they are forgotten.
+            # An attempt in flight on a removed engine still ends through its connection, which does not need
+            # the router. Engines get new ids as long as the process runs, so removed ones are forgotten.
             removed = self._engines.pop(engine_id, None)
             if removed is not None:
                 self._retired.append(self._pools[removed])
@@ -84,18 +85,18 @@
     ) -> list[tuple[Engine, EngineEntry]]:
         entries: list[tuple[Engine, EngineEntry]] = []
         for endpoint in endpoints:
-            engine = self._engine(endpoint)
+            engine = self._update_engine(endpoint)
             if engine is not None:
                 entries.append((engine, _entry(endpoint, endpoint.state)))
-        # An address has gone to another engine, and its former engine was not reported as removed. What is
-        # sent to the former one would reach the new one, which may be warming up: the former one counts as
-        # removed.
-        for engine in [self._engines[number] for number in lost_ids if number in self._engines]:
+        # An address was taken over by another engine, and its former engine was not reported as removed.
+        # Requests to the former engine would reach the new one, which may be warming up, so the former one
+        # counts as removed.
+        for engine in [self._engines[engine_id] for engine_id in lost_ids if engine_id in self._engines]:
             entries.append((engine, _entry(engine, EndpointState.REMOVED)))
         return entries
 
-    def _engine(self, endpoint: Endpoint) -> Engine | None:
-        """Returns the endpoint's engine, with a pool to where it is now; None for one removed before."""
+    def _update_engine(self, endpoint: Endpoint) -> Engine | None:
+        """Returns the endpoint's engine, its pool at the current address; None for one removed before."""
         engine = self._engines.get(endpoint.id)
         is_removed = endpoint.state is EndpointState.REMOVED
         address = (endpoint.host, endpoint.port)
@@ -114,15 +115,15 @@
         self, event: EndpointEvent, endpoints: Iterable[Endpoint], lost_ids: Iterable[int]
     ) -> list[int]:
         if event.is_complete:
-            used = {endpoint.id for endpoint in endpoints if endpoint.state is not EndpointState.REMOVED}
-            return [engine_id for engine_id in self._engines if engine_id not in used]
-        removed = [endpoint.id for endpoint in endpoints if endpoint.state is EndpointState.REMOVED]
-        return removed + list(lost_ids)
+            used_ids = {endpoint.id for endpoint in endpoints if endpoint.state is not EndpointState.REMOVED}
+            return [engine_id for engine_id in self._engines if engine_id not in used_ids]
+        removed_ids = [endpoint.id for endpoint in endpoints if endpoint.state is EndpointState.REMOVED]
+        return removed_ids + list(lost_ids)
 
     def cancel_unsent(self, event: EndpointEvent) -> None:
-        """Ends attempts that wait for a connection to an engine that is draining or removed, as never sent.
+        """Ends, as never sent, the attempts that wait for a connection to a draining or removed engine.
 
-        Called after the policy has heard of the event.
+        Called after the policy has applied the event.
         """
         for endpoint in event.endpoints:
             engine = self._engines.get(endpoint.id)
@@ -133,12 +134,12 @@
         for pool in pools:
             pool.cancel_unwritten()
 
-    def _places(self) -> dict[int, Placement]:
+    def _placements(self) -> dict[int, Placement]:
         return {
             engine_id: (self._pools[engine].address, engine.started_us)
             for engine_id, engine in self._engines.items()
         }
 
 
-def _entry(described: Endpoint | Engine, state: EndpointState) -> EngineEntry:
-    return (described.instance_type, described.zone, described.cell, described.started_us, state)
+def _entry(source: Endpoint | Engine, state: EndpointState) -> EngineEntry:
+    return (source.instance_type, source.zone, source.cell, source.started_us, state)
