--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,7 +1,8 @@
-"""Attempts beside the end of their request, engine, client or window: what still leaves, who ends, how, once.
+"""Attempts that race with the end of their request, engine, client connection or deduplication window.
 
-All stages and the policy are the real ones. `Desk` has connections that come up by hand; `Scenes` play
-over loopback, with connections that wait for the test.
+Guards against sending an attempt that must not be sent any more, and against two outcomes of one attempt.
+All stages of the pipeline and the policy are the real ones. `PipelineHarness` has connections that the test
+establishes; `LoopbackConnectionTest` runs a gateway over loopback with connects that wait for the test.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 import hiredis
 
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
-from cresstray.engines import connection as links
+from cresstray.engines import connection as engine_connection
 from cresstray.engines.connection_state import EngineConnection
 from cresstray.engines.in_flight import InFlightRequest
 from cresstray.model_checking.world import VirtualClock
@@ -39,7 +40,7 @@
 from tests.test_links import FakeLink, FakePool
 from tests.test_service import Stage, member
 
-MILLI = 1_000
+MILLISECOND_US = 1_000
 EFFECTS = {"read": "idempotent", "post": "at_most_once", "keyed": "deduplicated"}
 SERVICES = [{"Name": name, "Effect": effect, "KeyTtl": 1000.0} for name, effect in EFFECTS.items()]
 
@@ -52,7 +53,10 @@
 
 
 class RecordingClient:
-    """A client; `shut`: it has closed its connection, and nobody has read that yet."""
+    """A client that records its answers.
+
+    `has_closed`: it has closed its connection, which the gateway has not read yet.
+    """
 
     def __init__(self) -> None:
         self.open_requests: dict[int, object] = {}
@@ -64,27 +68,27 @@
         self.disconnect_checks += 1
         return self.has_closed
 
-    def _answer(self, number: int, how: str) -> None:
-        self.answers.append(f"{self.open_requests.pop(number).query.name} {how}")
+    def _record_answer(self, number: int, outcome: str) -> None:
+        self.answers.append(f"{self.open_requests.pop(number).query.name} {outcome}")
 
-    def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
-        self._answer(number, "succeeded")
+    def succeed(self, number: int, result: bytes, replica_position: str | None = None) -> None:
+        self._record_answer(number, "succeeded")
 
-    def reject(self, number: int, come_back: int) -> None:
-        self._answer(number, "rejected")
+    def reject(self, number: int, retry_after_us: int) -> None:
+        self._record_answer(number, "rejected")
 
     def fail(self, number: int) -> None:
-        self._answer(number, "failed")
+        self._record_answer(number, "failed")
 
     def reject_malformed(self, number: int | None, text: str) -> None:
         raise AssertionError(text)
 
 
-class Desk:
-    """A gateway between one client and engines whose links the test has in its hands."""
+class PipelineHarness:
+    """The pipeline and the policy between one client and engines whose connections the test controls."""
 
     def __init__(self, engines: int = 1, cancel: bool = True, **safety: float) -> None:
-        given = settings(*SERVICES, Limits={"Cancel": cancel, "StreamsPerConn": 32}, Safety=safety)
+        configuration = settings(*SERVICES, Limits={"Cancel": cancel, "StreamsPerConn": 32}, Safety=safety)
         self.clock, self.counters = VirtualClock(desk.START), Counters()
         self.pools: list[FakePool] = []
         self.accounting = RequestAccounting(self.counters)
@@ -94,579 +98,614 @@
         self.router = Router(self._make_pool, self.dispatcher)
         log = type("NoLog", (), {"log": lambda self, kind, text: None})()
         port = PipelinePolicyPort(self.router, self.dispatcher, self.accounting, timers, self.counters, log)
-        self.controller = PolicyController(port, parse_settings(given), 7, self.clock.now())
-        admit = Admission(self.accounting)
-        self.responses.controller = admit.controller = self.controller
-        self.ingress = Ingress(given, self.controller.request_classes, self.clock, admit)
+        self.controller = PolicyController(port, parse_settings(configuration), 7, self.clock.now())
+        admission = Admission(self.accounting)
+        self.responses.controller = admission.controller = self.controller
+        self.ingress = Ingress(configuration, self.controller.request_classes, self.clock, admission)
         self.client, self.request_count = RecordingClient(), 0
-        self.list(*(EndpointState.READY for _ in range(engines)), complete=True)
+        self.set_engine_states(*(EndpointState.READY for _ in range(engines)), complete=True)
 
     def _make_pool(self, label: str, address: tuple[str, int]) -> FakePool:
         self.pools.append(FakePool(self.clock))
         self.pools[-1].address, self.pools[-1]._timers = address, self.timers
         return self.pools[-1]
 
-    def list(self, *states: EndpointState, complete: bool = False) -> None:
-        """As EndpointUpdates applies an event."""
-        members = [Endpoint(n, "e", n, state, 0, 0, 0, 0) for n, state in enumerate(states)]
-        event = EndpointEvent(1, complete, members)
+    def set_engine_states(self, *states: EndpointState, complete: bool = False) -> None:
+        """Applies an endpoint event in the way EndpointUpdates does."""
+        endpoints = [Endpoint(number, "e", number, state, 0, 0, 0, 0) for number, state in enumerate(states)]
+        event = EndpointEvent(1, complete, endpoints)
         self.controller.on_endpoints_updated(self.router.apply_event(event), complete, self.clock.now())
 
-    def ask(self, name: str, class_name: str = "read", timeout_ms: float = 3000) -> None:
+    def submit(self, name: str, class_name: str = "read", timeout_ms: float = 3000) -> None:
         self.request_count += 1
         self.ingress.accept(self.client, self.request_count, Query(name, class_name, timeout_ms))
 
     def cancel(self, number: int = 1) -> None:
         self.ingress.cancel(self.client, number, None)
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self.ingress.on_disconnected(self.client)
 
-    def wait(self, milliseconds: float) -> None:
-        until = self.clock.at + int(milliseconds * MILLI)
-        while (left := self.timers.run_due()) is not None and self.clock.at + left <= until:
-            self.clock.at += left
-        self.clock.at = until
+    def advance(self, milliseconds: float) -> None:
+        end_us = self.clock.at + int(milliseconds * MILLISECOND_US)
+        while (remaining_us := self.timers.run_due()) is not None and self.clock.at + remaining_us <= end_us:
+            self.clock.at += remaining_us
+        self.clock.at = end_us
 
     def stop_process(self, milliseconds: int) -> None:
-        """The process gets no turn: no timer runs."""
-        self.clock.at += milliseconds * MILLI
+        """The process is stopped: the time advances and no timer runs."""
+        self.clock.at += milliseconds * MILLISECOND_US
 
     def connection(self, engine: int = 0, number: int = -1) -> FakeLink:
         return self.pools[engine].made[number]
 
     def connections(self) -> list[FakeLink]:
-        return [link for pool in self.pools for link in pool.made]
+        return [connection for pool in self.pools for connection in pool.made]
 
     def sent_lines(self) -> list[str]:
         return [
-            line for link in self.connections() if link.transport is not None for line in link.wire.heard()
+            line
+            for connection in self.connections()
+            if connection.transport is not None
+            for line in connection.wire.heard()
         ]
 
     def outcomes(self) -> dict[str, int]:
-        """How attempts have ended."""
-        how = {outcome.value: self.counters.counts[f"attempts {outcome.value}"] for outcome in Outcome}
-        return {name: count for name, count in how.items() if count}
-
-
-class DeskCase(unittest.TestCase):
-    def assert_at_rest(self, made: Desk) -> None:
-        """Nothing is owed, out, or open on a link."""
-        kept = [
-            made.accounting.open_requests,
-            made.responses.in_flight,
-            made.responses._reports,
-            made.client.open_requests,
-            made.controller.admission_queue.first_attempts,
+        """The number of attempts by outcome."""
+        counts = {outcome.value: self.counters.counts[f"attempts {outcome.value}"] for outcome in Outcome}
+        return {name: count for name, count in counts.items() if count}
+
+
+class PipelineTestCase(unittest.TestCase):
+    def assert_nothing_left(self, harness: PipelineHarness) -> None:
+        """No answer is owed, no attempt is in flight and no request is open on a connection."""
+        remaining = [
+            harness.accounting.open_requests,
+            harness.responses.in_flight,
+            harness.responses._reports,
+            harness.client.open_requests,
+            harness.controller.admission_queue.first_attempts,
         ]
-        kept += [link.in_flight.open for pool in made.pools for link in pool.connections]
-        self.assertEqual([], [one for one in kept if one])
-        self.assertEqual([], [error for pool in made.pools for error in pool.faults])
-        limiters = [engine.policy_state for engine in made.controller.engines]
-        self.assertEqual([], [one for one in limiters if one.limit.running_threads or one.limit.attempts])
+        remaining += [connection.in_flight.open for pool in harness.pools for connection in pool.connections]
+        self.assertEqual([], [collection for collection in remaining if collection])
+        self.assertEqual([], [error for pool in harness.pools for error in pool.faults])
+        policy_states = [engine.policy_state for engine in harness.controller.engines]
+        self.assertEqual(
+            [], [state for state in policy_states if state.limit.running_threads or state.limit.attempts]
+        )
 
 
-class LateConnections(DeskCase):
-    """A connection comes up after something has ended; the engine's side of it must stay silent."""
+class LateConnectionTest(PipelineTestCase):
+    """A connection is established after its attempt has ended; nothing may be sent over it."""
 
-    def test_its_client_has_withdrawn(self) -> None:
+    def test_request_cancelled_before_connect_is_not_sent(self) -> None:
         for cancel in (True, False):
-            made = Desk(cancel=cancel)
-            made.ask("a")
-            made.cancel()
-            made.connection().come_up()  # before the timer of the withdrawal
-            self.assertEqual(([], {"expired before send": 1}), (made.sent_lines(), made.outcomes()))
-            made.wait(100)
-            self.assertEqual([], made.client.answers)
-            self.assert_at_rest(made)
-
-    def test_its_client_has_closed_and_that_was_read(self) -> None:
+            harness = PipelineHarness(cancel=cancel)
+            harness.submit("a")
+            harness.cancel()
+            harness.connection().come_up()  # before the timer of the cancellation
+            self.assertEqual(([], {"expired before send": 1}), (harness.sent_lines(), harness.outcomes()))
+            harness.advance(100)
+            self.assertEqual([], harness.client.answers)
+            self.assert_nothing_left(harness)
+
+    def test_request_is_not_sent_after_a_disconnect_that_was_read(self) -> None:
         for cancel in (True, False):
-            made = Desk(cancel=cancel)
-            made.ask("a")
-            made.leave()
+            harness = PipelineHarness(cancel=cancel)
+            harness.submit("a")
+            harness.disconnect()
             if cancel:
-                made.wait(1)
-            made.connection().come_up()
-            self.assertEqual([], made.sent_lines())
-            self.assert_at_rest(made)
-
-    def test_its_client_has_closed_and_that_was_not_read_yet(self) -> None:
-        made = Desk()
-        made.ask("a")
-        made.client.has_closed = True
-        made.wait(30)
-        made.connection().come_up()
-        made.wait(10)
+                harness.advance(1)
+            harness.connection().come_up()
+            self.assertEqual([], harness.sent_lines())
+            self.assert_nothing_left(harness)
+
+    def test_request_is_not_sent_after_a_disconnect_that_was_not_read(self) -> None:
+        harness = PipelineHarness()
+        harness.submit("a")
+        harness.client.has_closed = True
+        harness.advance(30)
+        harness.connection().come_up()
+        harness.advance(10)
         self.assertEqual(
-            ([], {"expired before send": 1}, []), (made.sent_lines(), made.outcomes(), made.client.answers)
+            ([], {"expired before send": 1}, []),
+            (harness.sent_lines(), harness.outcomes(), harness.client.answers),
         )
-        self.assertEqual(1, made.counters.counts["requests cancelled"])
-        self.assert_at_rest(made)
-
-    def test_what_was_written_stays_out_without_cancel(self) -> None:
-        made = Desk(cancel=False)
-        made.ask("a")
-        made.connection().come_up()
-        made.cancel()
-        made.wait(10)
-        self.assertEqual(["ASK a"], made.sent_lines())
-        made.connection().answer("a", "served", "sheets=1", "a\tb\tc\n")
-        self.assertEqual(([], {"succeeded": 1}), (made.client.answers, made.outcomes()))
-        self.assert_at_rest(made)
-
-    def test_its_time_is_over_before_it_is_up(self) -> None:
-        """It never ran: what may run once only is rejected, so that its client may come again."""
+        self.assertEqual(1, harness.counters.counts["requests cancelled"])
+        self.assert_nothing_left(harness)
+
+    def test_written_attempt_runs_on_where_cancellation_is_disabled(self) -> None:
+        harness = PipelineHarness(cancel=False)
+        harness.submit("a")
+        harness.connection().come_up()
+        harness.cancel()
+        harness.advance(10)
+        self.assertEqual(["ASK a"], harness.sent_lines())
+        harness.connection().answer("a", "served", "sheets=1", "a\tb\tc\n")
+        self.assertEqual(([], {"succeeded": 1}), (harness.client.answers, harness.outcomes()))
+        self.assert_nothing_left(harness)
+
+    def test_timeout_before_connect_rejects_the_request(self) -> None:
+        """It has not run, so an unsafe request is rejected as well, and its client may retry it."""
         for class_name in ("read", "post"):
-            made = Desk()
-            made.ask("a", class_name, timeout_ms=1000)
-            made.wait(1000)
+            harness = PipelineHarness()
+            harness.submit("a", class_name, timeout_ms=1000)
+            harness.advance(1000)
             self.assertEqual(
-                (["a rejected"], {"expired before send": 1}), (made.client.answers, made.outcomes())
+                (["a rejected"], {"expired before send": 1}), (harness.client.answers, harness.outcomes())
             )
-            made.connection().come_up()
-            self.assertEqual([], made.sent_lines())
-            self.assert_at_rest(made)
+            harness.connection().come_up()
+            self.assertEqual([], harness.sent_lines())
+            self.assert_nothing_left(harness)
 
-    def test_its_time_is_over_when_it_is_out(self) -> None:
+    def test_timeout_after_send_rejects_idempotent_and_fails_unsafe_requests(self) -> None:
         for class_name, answer in (("read", "rejected"), ("post", "failed")):
-            made = Desk()
-            made.ask("a", class_name, timeout_ms=1000)
-            made.connection().come_up()
-            made.wait(1000)
-            self.assertEqual(([f"a {answer}"], {"timed out": 1}), (made.client.answers, made.outcomes()))
-            self.assert_at_rest(made)
-
-    def test_its_engine_drains_is_gone_or_replaced(self) -> None:
+            harness = PipelineHarness()
+            harness.submit("a", class_name, timeout_ms=1000)
+            harness.connection().come_up()
+            harness.advance(1000)
+            self.assertEqual(
+                ([f"a {answer}"], {"timed out": 1}), (harness.client.answers, harness.outcomes())
+            )
+            self.assert_nothing_left(harness)
+
+    def test_request_goes_to_another_engine_when_its_engine_drains_or_is_removed(self) -> None:
         for state in (EndpointState.DRAINING, EndpointState.REMOVED):
-            made = Desk(engines=2)
-            made.ask("a", "post")
-            first = next(link for link in made.connections())
-            pool = first.pool
-            gone = made.pools.index(pool)
+            harness = PipelineHarness(engines=2)
+            harness.submit("a", "post")
+            first_connection = next(connection for connection in harness.connections())
+            pool = first_connection.pool
+            gone = harness.pools.index(pool)
             states = [EndpointState.READY, EndpointState.READY]
             states[gone] = state
-            made.list(*states)
-            first.come_up()
-            other = made.connection(1 - gone)
-            self.assertEqual([], first.wire.heard())
+            harness.set_engine_states(*states)
+            first_connection.come_up()
+            other = harness.connection(1 - gone)
+            self.assertEqual([], first_connection.wire.heard())
             self.assertEqual(["ASK a"], other.come_up().heard())
             other.answer("a", "served", "sheets=1", "a\tb\tc\n")
-            self.assertEqual(["a succeeded"], made.client.answers)
-            self.assert_at_rest(made)
+            self.assertEqual(["a succeeded"], harness.client.answers)
+            self.assert_nothing_left(harness)
 
-    def test_recalled_when_its_engine_drains(self) -> None:
-        """At once, not when its connection has come up; what the policy frees goes elsewhere only."""
-        made = Desk(engines=2)
+    def test_unsent_attempts_are_retried_at_once_when_their_engine_drains(self) -> None:
+        """At once, not when the connection is established; the retries go to another engine only."""
+        harness = PipelineHarness(engines=2)
         for name in "abcd":
-            made.ask(name, "post")
-        drained = made.pools.index(made.connections()[0].pool)
+            harness.submit(name, "post")
+        drained = harness.pools.index(harness.connections()[0].pool)
         states = [EndpointState.READY, EndpointState.READY]
         states[drained] = EndpointState.DRAINING
-        made.list(*states)
-        made.pools[drained].cancel_unwritten()
-        made.pools[drained].cancel_unwritten()
+        harness.set_engine_states(*states)
+        harness.pools[drained].cancel_unwritten()
+        harness.pools[drained].cancel_unwritten()
         self.assertEqual(
-            {}, {name: link for link in made.pools[drained].connections for name in link.in_flight.open}
+            {},
+            {
+                name: connection
+                for connection in harness.pools[drained].connections
+                for name in connection.in_flight.open
+            },
         )
-        made.wait(1)
-        for link in made.pools[1 - drained].made:
-            link.come_up()
-        self.assertEqual(["ASK a", "ASK b", "ASK c", "ASK d"], sorted(made.sent_lines()))
-
-    def test_its_engine_has_started_anew_elsewhere(self) -> None:
-        made = Desk()
-        made.ask("a", "post")
-        first = made.connection()
+        harness.advance(1)
+        for connection in harness.pools[1 - drained].made:
+            connection.come_up()
+        self.assertEqual(["ASK a", "ASK b", "ASK c", "ASK d"], sorted(harness.sent_lines()))
+
+    def test_request_goes_to_the_new_address_of_a_restarted_engine(self) -> None:
+        harness = PipelineHarness()
+        harness.submit("a", "post")
+        first_connection = harness.connection()
         event = EndpointEvent(2, False, [Endpoint(0, "f", 9, EndpointState.READY, 0, 0, 0, 0)])
-        made.controller.on_endpoints_updated(made.router.apply_event(event), False, made.clock.now())
-        made.wait(1)
-        self.assertEqual([], first.come_up().heard())
-        self.assertEqual(["ASK a"], made.connection().come_up().heard())
-        self.assertEqual({"expired before send": 1}, made.outcomes())
-
-    def test_the_window_for_repeats_is_over(self) -> None:
-        """A part of a second before engines forget the first; with the window open it leaves."""
-        for late, heard in ((949, ["ASK a", "ASK a"]), (950, ["ASK a"])):
-            made = Desk(engines=2)
-            made.ask("a", "keyed")
-            first = made.connections()[0]
-            first.come_up()
-            made.wait(5)
-            first.on_closed()
-            second = next(link for link in made.connections() if link is not first)
-            made.stop_process(late - 5)
-            second.come_up()
-            self.assertEqual(heard, made.sent_lines())
-
-    def test_the_window_ends_while_the_process_is_stopped_within_a_turn(self) -> None:
-        made = Desk(engines=2)
-        made.ask("a", "keyed")
-        made.connections()[0].come_up()
-        attempt, then = next(iter(made.responses.in_flight)), made.clock.now()
-        made.responses.in_flight.pop(attempt).timeout.cancel()
-        made.stop_process(1000)
-        made.controller.on_attempt_finished(attempt, Outcome.CONNECTION_LOST, 0, False, {}, then)
-        self.assertEqual(1, len(made.connections()))
-        made.wait(0)
-        self.assertEqual(({"expired before send": 1}, ["ASK a"]), (made.outcomes(), made.sent_lines()))
-
-    def test_a_window_counts_from_attempts_that_may_have_run_only(self) -> None:
-        made = Desk(engines=2)
-        made.ask("a", "keyed")
-        first = made.connections()[0]
-        first.come_up()
-        first.answer("a", "overload")
-        second = next(link for link in made.connections() if link is not first)
-        made.stop_process(1500)
-        second.come_up()
-        self.assertEqual(["ASK a", "ASK a"], made.sent_lines())
-
-    def test_its_time_is_over_and_no_timer_has_run(self) -> None:
-        made = Desk()
-        made.ask("a", "post", 1000)
-        made.stop_process(950)
-        made.connection().come_up()
-        self.assertEqual(([], ["a rejected"]), (made.sent_lines(), made.client.answers))
-        self.assert_at_rest(made)
-
-    def test_called_back_while_it_is_dialled(self) -> None:
-        made = Desk(engines=2)
-        made.ask("a")
-        first = made.connections()[0]
-        attempt = next(iter(made.responses.in_flight))
-        made.controller._cancel_and_retry(attempt, made.clock.now())
-        first.come_up()
-        made.wait(1)
-        self.assertEqual(([], {"expired before send": 1}), (made.sent_lines(), made.outcomes()))
-
-    def test_it_is_never_up(self) -> None:
-        """A refused connection proves that nothing ran: one that is unsafe to repeat goes elsewhere."""
-        made = Desk(engines=2)
-        made.ask("a", "post")
-        first = made.connections()[0]
-        first.on_closed()
-        second = next(link for link in made.connections() if link is not first)
-        second.come_up()
-        self.assertEqual((["ASK a"], {"unreachable": 1}), (made.sent_lines(), made.outcomes()))
-
-
-class Repeats(DeskCase):
-    def test_the_client_is_gone_beside_a_repeat(self) -> None:
-        """It has closed its connection, which nobody has read; its attempt ends, the next never begins."""
-        made = Desk(engines=2)
-        made.ask("a")
-        made.connections()[0].come_up()
-        made.wait(30)
-        made.client.has_closed = True
-        made.connections()[0].answer("a", "crashed")
-        made.wait(0)
+        harness.controller.on_endpoints_updated(harness.router.apply_event(event), False, harness.clock.now())
+        harness.advance(1)
+        self.assertEqual([], first_connection.come_up().heard())
+        self.assertEqual(["ASK a"], harness.connection().come_up().heard())
+        self.assertEqual({"expired before send": 1}, harness.outcomes())
+
+    def test_retry_is_not_sent_after_the_deduplication_window(self) -> None:
+        """A retry may be sent 949 ms after the first attempt but not 950 ms after it (window less margin)."""
+        for delay_ms, sent_lines in ((949, ["ASK a", "ASK a"]), (950, ["ASK a"])):
+            harness = PipelineHarness(engines=2)
+            harness.submit("a", "keyed")
+            first_connection = harness.connections()[0]
+            first_connection.come_up()
+            harness.advance(5)
+            first_connection.on_closed()
+            second_connection = next(
+                connection for connection in harness.connections() if connection is not first_connection
+            )
+            harness.stop_process(delay_ms - 5)
+            second_connection.come_up()
+            self.assertEqual(sent_lines, harness.sent_lines())
+
+    def test_retry_is_not_sent_if_the_window_ends_while_the_process_is_stopped(self) -> None:
+        harness = PipelineHarness(engines=2)
+        harness.submit("a", "keyed")
+        harness.connections()[0].come_up()
+        attempt, time_before_stop_us = next(iter(harness.responses.in_flight)), harness.clock.now()
+        harness.responses.in_flight.pop(attempt).timeout.cancel()
+        harness.stop_process(1000)
+        harness.controller.on_attempt_finished(
+            attempt, Outcome.CONNECTION_LOST, 0, False, {}, time_before_stop_us
+        )
+        self.assertEqual(1, len(harness.connections()))
+        harness.advance(0)
+        self.assertEqual(({"expired before send": 1}, ["ASK a"]), (harness.outcomes(), harness.sent_lines()))
+
+    def test_rejected_attempt_does_not_start_the_deduplication_window(self) -> None:
+        harness = PipelineHarness(engines=2)
+        harness.submit("a", "keyed")
+        first_connection = harness.connections()[0]
+        first_connection.come_up()
+        first_connection.answer("a", "overload")
+        second_connection = next(
+            connection for connection in harness.connections() if connection is not first_connection
+        )
+        harness.stop_process(1500)
+        second_connection.come_up()
+        self.assertEqual(["ASK a", "ASK a"], harness.sent_lines())
+
+    def test_request_is_not_sent_after_its_timeout_if_no_timer_has_run(self) -> None:
+        harness = PipelineHarness()
+        harness.submit("a", "post", 1000)
+        harness.stop_process(950)
+        harness.connection().come_up()
+        self.assertEqual(([], ["a rejected"]), (harness.sent_lines(), harness.client.answers))
+        self.assert_nothing_left(harness)
+
+    def test_attempt_cancelled_by_the_policy_while_connecting_is_not_sent(self) -> None:
+        harness = PipelineHarness(engines=2)
+        harness.submit("a")
+        first_connection = harness.connections()[0]
+        attempt = next(iter(harness.responses.in_flight))
+        harness.controller._cancel_and_retry(attempt, harness.clock.now())
+        first_connection.come_up()
+        harness.advance(1)
+        self.assertEqual(([], {"expired before send": 1}), (harness.sent_lines(), harness.outcomes()))
+
+    def test_refused_connection_allows_a_retry_of_an_unsafe_request(self) -> None:
+        """A refused connection proves that the request did not run, so another engine gets it."""
+        harness = PipelineHarness(engines=2)
+        harness.submit("a", "post")
+        first_connection = harness.connections()[0]
+        first_connection.on_closed()
+        second_connection = next(
+            connection for connection in harness.connections() if connection is not first_connection
+        )
+        second_connection.come_up()
+        self.assertEqual((["ASK a"], {"unreachable": 1}), (harness.sent_lines(), harness.outcomes()))
+
+
+class RetryTest(PipelineTestCase):
+    def test_no_retry_after_a_disconnect_that_was_not_read(self) -> None:
+        """The client has closed its connection, which the gateway has not read when the attempt ends."""
+        harness = PipelineHarness(engines=2)
+        harness.submit("a")
+        harness.connections()[0].come_up()
+        harness.advance(30)
+        harness.client.has_closed = True
+        harness.connections()[0].answer("a", "crashed")
+        harness.advance(0)
         self.assertEqual(
-            (1, {"failed": 1, "expired before send": 1}), (len(made.connections()), made.outcomes())
+            (1, {"failed": 1, "expired before send": 1}), (len(harness.connections()), harness.outcomes())
         )
-        self.assertEqual(([], 1), (made.client.answers, made.counters.counts["requests cancelled"]))
-        made.leave()
-        self.assert_at_rest(made)
-
-    def test_the_client_of_a_held_request_is_gone(self) -> None:
-        made = Desk()
-        made.list(EndpointState.DRAINING)
-        made.ask("a")
-        made.wait(30)
-        made.client.has_closed = True
-        made.list(EndpointState.READY)
-        made.wait(0)
-        self.assertEqual(([], []), (made.connections(), made.client.answers))
-        self.assert_at_rest(made)
-
-    def test_it_is_read_that_the_client_is_gone_before_the_relay_has_ended(self) -> None:
+        self.assertEqual(([], 1), (harness.client.answers, harness.counters.counts["requests cancelled"]))
+        harness.disconnect()
+        self.assert_nothing_left(harness)
+
+    def test_queued_request_is_not_sent_after_a_disconnect_that_was_not_read(self) -> None:
+        harness = PipelineHarness()
+        harness.set_engine_states(EndpointState.DRAINING)
+        harness.submit("a")
+        harness.advance(30)
+        harness.client.has_closed = True
+        harness.set_engine_states(EndpointState.READY)
+        harness.advance(0)
+        self.assertEqual(([], []), (harness.connections(), harness.client.answers))
+        self.assert_nothing_left(harness)
+
+    def test_disconnect_read_before_the_attempt_ends_is_counted_once(self) -> None:
         for cancel in (True, False):
-            made = Desk(cancel=cancel)
-            made.list(EndpointState.DRAINING)
-            made.ask("a")
-            made.wait(30)
-            made.client.has_closed = True
-            made.list(EndpointState.READY)
-            made.leave()
-            made.wait(0)
-            self.assertEqual(([], 1), (made.connections(), made.counters.counts["requests cancelled"]))
-            self.assert_at_rest(made)
-
-    def test_what_is_sent_at_once_asks_nobody(self) -> None:
-        made = Desk()
-        made.ask("a")
-        made.connection().come_up()
-        made.ask("b")
-        self.assertEqual(0, made.client.disconnect_checks)
-
-    def test_which_ends_are_proofs(self) -> None:
-        """(what comes, how it ends, whether an unsafe request is sent again, what it is answered else)."""
-        table = (
-            (lambda link: link.answer("a", "overload"), "overloaded", True),
-            (lambda link: link.answer("a", "nobody"), "expired before send", True),
-            (lambda link: link.answer("a", "crashed"), "failed", False),
-            (lambda link: link.on_closed(), "connection lost", False),
-            (self._spoils, "protocol error", False),
+            harness = PipelineHarness(cancel=cancel)
+            harness.set_engine_states(EndpointState.DRAINING)
+            harness.submit("a")
+            harness.advance(30)
+            harness.client.has_closed = True
+            harness.set_engine_states(EndpointState.READY)
+            harness.disconnect()
+            harness.advance(0)
+            self.assertEqual(([], 1), (harness.connections(), harness.counters.counts["requests cancelled"]))
+            self.assert_nothing_left(harness)
+
+    def test_request_sent_at_once_does_not_check_the_client_connection(self) -> None:
+        harness = PipelineHarness()
+        harness.submit("a")
+        harness.connection().come_up()
+        harness.submit("b")
+        self.assertEqual(0, harness.client.disconnect_checks)
+
+    def test_unsafe_request_is_retried_only_if_it_has_certainly_not_run(self) -> None:
+        """Each case: what the connection receives, the outcome, and whether an unsafe request is retried."""
+        cases = (
+            (lambda connection: connection.answer("a", "overload"), "overloaded", True),
+            (lambda connection: connection.answer("a", "nobody"), "expired before send", True),
+            (lambda connection: connection.answer("a", "crashed"), "failed", False),
+            (lambda connection: connection.on_closed(), "connection lost", False),
+            (self._receive_corrupt_answer, "protocol error", False),
         )
-        for comes, how, again in table:
-            with self.subTest(how):
-                made = Desk(engines=2)
-                made.ask("a", "post")
-                first = made.connections()[0]
-                first.come_up()
-                comes(first)
-                self.assertEqual({how: 1}, made.outcomes())
-                self.assertEqual(2 if again else 1, len(made.connections()))
-                self.assertEqual([] if again else ["a failed"], made.client.answers)
-
-    def _spoils(self, link: FakeLink) -> None:
-        with self.assertRaises(links.codec.EngineProtocolError):
-            link.answer("a", "served", "sheets=1", "\0")
-        link.is_corrupt = True
-        link.on_closed()
-
-    def test_words_after_part_of_a_result(self) -> None:
-        """It has run: a refusal, or that it was over, proves nothing any more."""
+        for receive, outcome, is_retried in cases:
+            with self.subTest(outcome):
+                harness = PipelineHarness(engines=2)
+                harness.submit("a", "post")
+                first_connection = harness.connections()[0]
+                first_connection.come_up()
+                receive(first_connection)
+                self.assertEqual({outcome: 1}, harness.outcomes())
+                self.assertEqual(2 if is_retried else 1, len(harness.connections()))
+                self.assertEqual([] if is_retried else ["a failed"], harness.client.answers)
+
+    def _receive_corrupt_answer(self, connection: FakeLink) -> None:
+        with self.assertRaises(engine_connection.codec.EngineProtocolError):
+            connection.answer("a", "served", "sheets=1", "\0")
+        connection.is_corrupt = True
+        connection.on_closed()
+
+    def test_rejection_after_the_first_page_is_ignored(self) -> None:
+        """The request has run; a later rejection or expiry does not prove the opposite."""
         for word in ("overload", "nobody", "green", "served"):
-            made = Desk(engines=2)
-            made.ask("a", "post", 1000)
-            first = made.connections()[0]
-            first.come_up()
-            first.answer("a", "rows", "sheet=1", "x\ty\tz\n")  # before there is a result
-            first.answer("a", "served", "sheets=2", "a\tb\tc\n")
-            first.answer("a", word, "-", "")
-            self.assertEqual(({}, 1, 2), (made.outcomes(), len(made.connections()), self._unawaited(made)))
-            made.wait(1000)
-            self.assertEqual(({"timed out": 1}, ["a failed"]), (made.outcomes(), made.client.answers))
-            self.assertEqual(["ASK a", "NEXT a", "FREE a"], made.sent_lines())
-            self.assert_at_rest(made)
-
-    def test_an_error_after_part_of_a_result(self) -> None:
-        made = Desk(engines=2)
-        made.ask("a", "post")
-        first = made.connections()[0]
-        first.come_up()
-        first.answer("a", "served", "sheets=3", "a\tb\tc\n")
-        first.answer("a", "crashed")
-        first.answer("a", "crashed")  # to the other page
-        first.answer("a", "rows", "sheet=1", "x\ty\tz\n")
-        self.assertEqual((["a failed"], {"failed": 1}), (made.client.answers, made.outcomes()))
-        self.assertEqual(2, self._unawaited(made))
-        self.assert_at_rest(made)
-
-    def test_pages_twice_and_beyond(self) -> None:
-        made = Desk()
-        made.ask("a")
-        link = made.connection()
-        link.come_up()
-        link.answer("a", "served", "sheets=3", "0\t0\t0\n")
-        link.answer("a", "rows", "sheet=2", "2\t2\t2\n")
-        link.answer("a", "rows", "sheet=2", "3\t3\t3\n")
-        link.answer("a", "rows", "sheet=1", "1\t1\t1\n")
-        self.assertEqual((["a succeeded"], 1), (made.client.answers, self._unawaited(made)))
-
-    def test_pages_that_cannot_be(self) -> None:
-        """They end the link, as spoilt; what is unsafe to repeat has failed then."""
-        for first, second in (
+            harness = PipelineHarness(engines=2)
+            harness.submit("a", "post", 1000)
+            first_connection = harness.connections()[0]
+            first_connection.come_up()
+            first_connection.answer("a", "rows", "sheet=1", "x\ty\tz\n")  # before the first page
+            first_connection.answer("a", "served", "sheets=2", "a\tb\tc\n")
+            first_connection.answer("a", word, "-", "")
+            self.assertEqual(
+                ({}, 1, 2),
+                (harness.outcomes(), len(harness.connections()), self._unexpected_answers(harness)),
+            )
+            harness.advance(1000)
+            self.assertEqual(({"timed out": 1}, ["a failed"]), (harness.outcomes(), harness.client.answers))
+            self.assertEqual(["ASK a", "NEXT a", "FREE a"], harness.sent_lines())
+            self.assert_nothing_left(harness)
+
+    def test_error_after_the_first_page_fails_the_request(self) -> None:
+        harness = PipelineHarness(engines=2)
+        harness.submit("a", "post")
+        first_connection = harness.connections()[0]
+        first_connection.come_up()
+        first_connection.answer("a", "served", "sheets=3", "a\tb\tc\n")
+        first_connection.answer("a", "crashed")
+        first_connection.answer("a", "crashed")  # the answer for the other page
+        first_connection.answer("a", "rows", "sheet=1", "x\ty\tz\n")
+        self.assertEqual((["a failed"], {"failed": 1}), (harness.client.answers, harness.outcomes()))
+        self.assertEqual(2, self._unexpected_answers(harness))
+        self.assert_nothing_left(harness)
+
+    def test_duplicate_page_is_ignored(self) -> None:
+        harness = PipelineHarness()
+        harness.submit("a")
+        connection = harness.connection()
+        connection.come_up()
+        connection.answer("a", "served", "sheets=3", "0\t0\t0\n")
+        connection.answer("a", "rows", "sheet=2", "2\t2\t2\n")
+        connection.answer("a", "rows", "sheet=2", "3\t3\t3\n")
+        connection.answer("a", "rows", "sheet=1", "1\t1\t1\n")
+        self.assertEqual((["a succeeded"], 1), (harness.client.answers, self._unexpected_answers(harness)))
+
+    def test_impossible_page_numbers_close_the_connection(self) -> None:
+        """The connection is closed as corrupt, and an unsafe request has failed."""
+        for first_fields, second_fields in (
             ("sheets=0", ""),
             ("sheets=1000000000", ""),
             ("sheets=2", "sheet=2"),
             ("sheets=2", "sheet=1000000000"),
             ("sheets=2", "sheet=0"),
         ):
-            made = Desk(engines=2)
-            made.ask("a", "post")
-            link = made.connections()[0]
-            link.come_up()
-            with self.assertRaises(links.codec.EngineProtocolError):
-                link.answer("a", "served", first, "x\ty\tz\n")
-                link.answer("a", "rows", second, "x\ty\tz\n")
-            link.is_corrupt = True
-            link.on_closed()
-            self.assertEqual((["a failed"], {"protocol error": 1}), (made.client.answers, made.outcomes()))
-            self.assert_at_rest(made)
-
-    def test_an_answer_beside_a_cancel_and_a_time_out(self) -> None:
-        """Whichever is first ends it; the other finds nothing."""
-        for first, ends, answers in (
+            harness = PipelineHarness(engines=2)
+            harness.submit("a", "post")
+            connection = harness.connections()[0]
+            connection.come_up()
+            with self.assertRaises(engine_connection.codec.EngineProtocolError):
+                connection.answer("a", "served", first_fields, "x\ty\tz\n")
+                connection.answer("a", "rows", second_fields, "x\ty\tz\n")
+            connection.is_corrupt = True
+            connection.on_closed()
+            self.assertEqual(
+                (["a failed"], {"protocol error": 1}), (harness.client.answers, harness.outcomes())
+            )
+            self.assert_nothing_left(harness)
+
+    def test_first_of_answer_cancellation_and_timeout_decides_the_outcome(self) -> None:
+        """Whichever comes first ends the attempt; the others have no effect."""
+        for first_event, outcomes, answers in (
             ("answer", {"succeeded": 1}, ["a succeeded"]),
             ("cancel", {"succeeded": 1}, []),
             ("cancel is due", {"cancelled": 1}, []),
             ("time", {"timed out": 1}, ["a rejected"]),
         ):
-            with self.subTest(first):
-                made = Desk()
-                made.ask("a", timeout_ms=1000)
-                link = made.connection()
-                link.come_up()
-                if first.startswith("cancel"):
-                    made.cancel()
-                if first == "cancel is due":
-                    made.wait(0)
-                if first == "time":
-                    made.wait(900)
-                link.answer("a", "served", "sheets=1", "a\tb\tc\n")
-                made.cancel()
-                made.wait(1000)
-                self.assertEqual((ends, answers), (made.outcomes(), made.client.answers))
-                self.assert_at_rest(made)
-
-    def test_the_budget_at_the_edge_of_its_window(self) -> None:
-        """Two retries are never closer than the window, to the millisecond."""
-        made = Desk(engines=3, BudgetWindow=1000.0, FreeResends=1, ResendRatio=0.0)
-        sent: list[int] = []
-        for turn in range(60):
-            made.ask(f"n{turn}", timeout_ms=60_000)
+            with self.subTest(first_event):
+                harness = PipelineHarness()
+                harness.submit("a", timeout_ms=1000)
+                connection = harness.connection()
+                connection.come_up()
+                if first_event.startswith("cancel"):
+                    harness.cancel()
+                if first_event == "cancel is due":
+                    harness.advance(0)
+                if first_event == "time":
+                    harness.advance(900)
+                connection.answer("a", "served", "sheets=1", "a\tb\tc\n")
+                harness.cancel()
+                harness.advance(1000)
+                self.assertEqual((outcomes, answers), (harness.outcomes(), harness.client.answers))
+                self.assert_nothing_left(harness)
+
+    def test_retry_budget_spaces_retries_by_its_window(self) -> None:
+        """Two retries are never closer together than the window, to the millisecond."""
+        harness = PipelineHarness(engines=3, BudgetWindow=1000.0, FreeResends=1, ResendRatio=0.0)
+        retry_times_us: list[int] = []
+        for request_number in range(60):
+            harness.submit(f"n{request_number}", timeout_ms=60_000)
             for _ in range(83):
-                for attempt, exchange in list(made.responses.in_flight.items()):
-                    if exchange.connection.transport is None:
-                        exchange.connection.come_up()
-                    sent += [attempt.sent_us] if attempt.number else []
+                for attempt, in_flight in list(harness.responses.in_flight.items()):
+                    if in_flight.connection.transport is None:
+                        in_flight.connection.come_up()
+                    retry_times_us += [attempt.sent_us] if attempt.number else []
                     word = "served" if attempt.number else "nobody"
-                    exchange.connection.answer(
-                        exchange.name.decode(), word, "-", "a\tb\tc\n" * attempt.number
+                    in_flight.connection.answer(
+                        in_flight.name.decode(), word, "-", "a\tb\tc\n" * attempt.number
                     )
-                made.wait(1)
-        gaps = [after - before for before, after in zip(sent, sent[1:])]
-        self.assertGreater(len(gaps), 2)
-        self.assertGreaterEqual(min(gaps), 1000 * MILLI)
-        self.assertLess(min(gaps), 1200 * MILLI)
-
-    def test_the_budget_counts_a_further_attempt_as_it_leaves(self) -> None:
-        """Its connection comes up 200 ms late; the next one is a whole window behind that."""
-        made = Desk(engines=2, BudgetWindow=1000.0, FreeResends=1, ResendRatio=0.0)
-        began = made.clock.at
-        made.ask("a", timeout_ms=60_000)
-        first = next(iter(made.connections()))
-        first.come_up()
-        first.answer("a", "nobody")
-        late = next(link for link in made.connections() if link is not first)
-        made.wait(200)
-        self.assertEqual(["ASK a"], late.come_up().heard())
-        late.answer("a", "served", "sheets=1", "a\tb\tc\n")
-        made.wait(830)
-        made.ask("b", timeout_ms=60_000)
-        taken = next(link for link in made.connections() if link.in_flight.open)
-        taken.answer("b", "nobody")
-        while made.sent_lines().count("ASK b") < 2:
-            made.wait(1)
-        self.assertGreaterEqual(made.clock.at - began, 1200 * MILLI)
-        self.assertLess(made.clock.at - began, 1400 * MILLI)
-
-    def _unawaited(self, made: Desk) -> int:
-        return sum(pool.counters.counts["answers not awaited"] for pool in made.pools)
-
-
-class Dials:
-    """In the place of streams.connect: dials wait until they are let, or fail as told."""
+                harness.advance(1)
+        gaps_us = [later_us - earlier_us for earlier_us, later_us in zip(retry_times_us, retry_times_us[1:])]
+        self.assertGreater(len(gaps_us), 2)
+        self.assertGreaterEqual(min(gaps_us), 1000 * MILLISECOND_US)
+        self.assertLess(min(gaps_us), 1200 * MILLISECOND_US)
+
+    def test_retry_budget_counts_a_retry_when_it_is_sent(self) -> None:
+        """The connection of a retry comes up 200 ms late; the next retry follows one window after that."""
+        harness = PipelineHarness(engines=2, BudgetWindow=1000.0, FreeResends=1, ResendRatio=0.0)
+        start_us = harness.clock.at
+        harness.submit("a", timeout_ms=60_000)
+        first_connection = next(iter(harness.connections()))
+        first_connection.come_up()
+        first_connection.answer("a", "nobody")
+        retry_connection = next(
+            connection for connection in harness.connections() if connection is not first_connection
+        )
+        harness.advance(200)
+        self.assertEqual(["ASK a"], retry_connection.come_up().heard())
+        retry_connection.answer("a", "served", "sheets=1", "a\tb\tc\n")
+        harness.advance(830)
+        harness.submit("b", timeout_ms=60_000)
+        second_request_connection = next(
+            connection for connection in harness.connections() if connection.in_flight.open
+        )
+        second_request_connection.answer("b", "nobody")
+        while harness.sent_lines().count("ASK b") < 2:
+            harness.advance(1)
+        self.assertGreaterEqual(harness.clock.at - start_us, 1200 * MILLISECOND_US)
+        self.assertLess(harness.clock.at - start_us, 1400 * MILLISECOND_US)
+
+    def _unexpected_answers(self, harness: PipelineHarness) -> int:
+        return sum(pool.counters.counts["answers not awaited"] for pool in harness.pools)
+
+
+class HeldConnects:
+    """Replaces streams.connect: each connect waits until `released` is set, or raises `error`."""
 
     def __init__(self) -> None:
-        self.begun, self.let = anyio.Event(), anyio.Event()
-        self.fails: OSError | None = None
+        self.started, self.released = anyio.Event(), anyio.Event()
+        self.error: OSError | None = None
         self.count = 0
 
     async def __call__(self, host: str, port: int) -> socket.socket:
         self.count += 1
-        self.begun.set()
-        if self.fails is not None:
-            raise self.fails
-        await self.let.wait()
+        self.started.set()
+        if self.error is not None:
+            raise self.error
+        await self.released.wait()
         return await connect(host, port)
 
 
-class Scenes(unittest.TestCase):
-    def play(
-        self, scene: Callable[[Stage, ClientStandIn, Dials], Awaitable], engines: int = 1, **parts: object
+class LoopbackConnectionTest(unittest.TestCase):
+    def run_scenario(
+        self,
+        scenario: Callable[[Stage, ClientStandIn, HeldConnects], Awaitable],
+        engines: int = 1,
+        **parts: object,
     ) -> Stage:
         stage = Stage(engines, **parts)
 
         async def main() -> None:
-            dials = Dials()
+            connects = HeldConnects()
 
-            async def with_dials(stage: Stage, client: ClientStandIn) -> None:
-                await scene(stage, client, dials)
+            async def with_connects(stage: Stage, client: ClientStandIn) -> None:
+                await scenario(stage, client, connects)
 
-            with mock.patch.object(links, "connect", dials):
-                await stage.run(with_dials, None)
+            with mock.patch.object(engine_connection, "connect", connects):
+                await stage.run(with_connects, None)
 
         with contextlib.redirect_stderr(io.StringIO()):
             anyio.run(main)
         self.assertEqual(0, stage.service.parts.counters.counts["faults"])
         return stage
 
-    async def answered(self, stage: Stage, text: str) -> None:
+    async def wait_for_counter(self, stage: Stage, name: str) -> None:
         with anyio.fail_after(5):
-            while not stage.service.parts.counters.counts[text]:
+            while not stage.service.parts.counters.counts[name]:
                 await anyio.sleep(0.001)
 
-    def test_the_client_withdraws_while_its_engine_is_dialled(self) -> None:
+    def test_request_cancelled_while_connecting_is_not_sent(self) -> None:
         for cancel in (True, False):
 
-            async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
+            async def scenario(stage: Stage, client: ClientStandIn, connects: HeldConnects) -> None:
                 await client.ask(1, "plain one")
-                await dials.begun.wait()
+                await connects.started.wait()
                 await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
-                await self.answered(stage, "requests cancelled")
-                dials.let.set()
+                await self.wait_for_counter(stage, "requests cancelled")
+                connects.released.set()
                 await client.ask(2, "plain two")
                 self.assertEqual(2, (await client.hear())["id"])
 
-            stage = self.play(scene, Limits={"Cancel": cancel, "ConnectTimeout": 10_000})
+            stage = self.run_scenario(scenario, Limits={"Cancel": cancel, "ConnectTimeout": 10_000})
             self.assertEqual(1, len(stage.engines[0].lines))
             self.assertIn("plain two", stage.engines[0].lines[0])
 
-    def test_the_client_shuts_while_its_engine_is_dialled(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
+    def test_request_of_a_client_that_left_while_connecting_is_not_sent(self) -> None:
+        async def scenario(stage: Stage, client: ClientStandIn, connects: HeldConnects) -> None:
             async with await anyio.connect_tcp(*stage.address) as stream:
                 await ClientStandIn(stream, stage.lines, names=16).ask(1, "plain one")
-                await dials.begun.wait()
-            await self.answered(stage, "requests cancelled")
-            dials.let.set()
+                await connects.started.wait()
+            await self.wait_for_counter(stage, "requests cancelled")
+            connects.released.set()
             await client.ask(2, "plain two")
             self.assertEqual(2, (await client.hear())["id"])
 
-        stage = self.play(scene, Limits={"Cancel": False, "ConnectTimeout": 10_000})
+        stage = self.run_scenario(scenario, Limits={"Cancel": False, "ConnectTimeout": 10_000})
         self.assertEqual(1, len(stage.engines[0].lines))
         self.assertIn("plain two", stage.engines[0].lines[0])
 
-    def test_the_engine_drains_while_it_is_dialled(self) -> None:
-        """The request goes to the other one, although its class is unsafe to repeat."""
+    def test_request_goes_to_another_engine_if_its_engine_drains_while_connecting(self) -> None:
+        """The request goes to the other engine, although its class is unsafe to retry."""
         for state in (EndpointState.DRAINING, EndpointState.REMOVED):
 
-            async def scene(stage: Stage, client: ClientStandIn, dials: Dials, state=state) -> None:
+            async def scenario(
+                stage: Stage, client: ClientStandIn, connects: HeldConnects, state=state
+            ) -> None:
                 second = member(stage.engines[1].port, 1, EndpointState.DRAINING)
                 stage.service.parts.endpoint_updates.on_event(EndpointEvent(2, False, [second]))
                 await client.ask(1, "plain")
-                await dials.begun.wait()
-                told = [member(stage.engines[0].port, 0, state), member(stage.engines[1].port, 1)]
-                stage.service.parts.endpoint_updates.on_event(EndpointEvent(3, False, told))
-                dials.let.set()
+                await connects.started.wait()
+                endpoints = [member(stage.engines[0].port, 0, state), member(stage.engines[1].port, 1)]
+                stage.service.parts.endpoint_updates.on_event(EndpointEvent(3, False, endpoints))
+                connects.released.set()
                 self.assertIn("result", await client.hear())
 
             service = {"Effect": "at_most_once"}
-            stage = self.play(scene, 2, Services=[service], Limits={"ConnectTimeout": 10_000})
+            stage = self.run_scenario(scenario, 2, Services=[service], Limits={"ConnectTimeout": 10_000})
             self.assertEqual([0, 1], [len(engine.lines) for engine in stage.engines])
 
-    def test_no_descriptor_is_no_doubt_about_the_engine(self) -> None:
-        async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
-            dials.fails = OSError(errno.EMFILE, "too many open files")
+    def test_lack_of_descriptors_is_not_counted_against_the_engine(self) -> None:
+        async def scenario(stage: Stage, client: ClientStandIn, connects: HeldConnects) -> None:
+            connects.error = OSError(errno.EMFILE, "too many open files")
             await client.ask(1, "plain")
             self.assertIn("error", await client.hear())
-            self.assertEqual(4, dials.count)  # as many attempts as there may be
-            dials.fails = None
-            dials.let.set()
+            self.assertEqual(4, connects.count)  # the maximum number of attempts
+            connects.error = None
+            connects.released.set()
             await client.ask(2, "plain")
             self.assertIn("result", await client.hear())
 
-        stage = self.play(scene, Services=[{"Effect": "at_most_once"}])
+        stage = self.run_scenario(scenario, Services=[{"Effect": "at_most_once"}])
         counts = stage.service.parts.counters.counts
         self.assertEqual((0, 4), (counts["attempts unreachable"], counts["attempts expired before send"]))
 
-    def test_an_engine_that_never_reads(self) -> None:
-        """Its connections are taken and nothing on them is read; no request is half sent and then whole."""
+    def test_partly_sent_request_is_not_completed_after_its_cancellation(self) -> None:
+        """The engine accepts connections and reads nothing, so that only part of the request can be sent."""
 
-        async def scene(stage: Stage, client: ClientStandIn, dials: Dials) -> None:
-            dials.let.set()
+        async def scenario(stage: Stage, client: ClientStandIn, connects: HeldConnects) -> None:
+            connects.released.set()
             with socket.create_server(("127.0.0.1", 0)) as server:
                 server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 stage.service.parts.endpoint_updates.on_event(
@@ -689,7 +728,7 @@
                         received += data
             reader = hiredis.Reader()
             reader.feed(received)
-            # A kernel that takes it all leaves nothing to be seen here.
+            # If the kernel accepts the whole request, there is no partly sent request to check.
             self.assertEqual(1, len(unsent))
             self.assertEqual(unsent[0] > 0, reader.gets() is False)
 
@@ -697,15 +736,15 @@
         abandon = EngineConnection.abandon
 
         def record_unsent(connection: EngineConnection, request: InFlightRequest) -> bool:
-            # Until the request is withdrawn, more of it may leave.
+            # Recorded at the cancellation, because until then more of the request may be sent.
             unsent.append(len(connection.transport.unsent))
             return abandon(connection, request)
 
         with (
-            mock.patch.object(socket.socket, "send", _sparing),
+            mock.patch.object(socket.socket, "send", _send_partially),
             mock.patch.object(EngineConnection, "abandon", record_unsent),
         ):
-            self.play(scene, Limits={"Cancel": True, "ConnectTimeout": 10_000})
+            self.run_scenario(scenario, Limits={"Cancel": True, "ConnectTimeout": 10_000})
 
 
 def _receive(accepted: socket.socket) -> bytes:
@@ -718,8 +757,8 @@
 _send = socket.socket.send
 
 
-def _sparing(self: socket.socket, data: bytes, *flags: int) -> int:
-    """As a kernel with little room: a part of what is long, once."""
+def _send_partially(self: socket.socket, data: bytes, *flags: int) -> int:
+    """Behaves like a kernel with little buffer space: sends only a part of long data."""
     if len(data) > 100_000:
         return _send(self, bytes(data[:1000]), *flags)
     return _send(self, data, *flags)
