--- a/cresstray/pipeline/dispatch.py
+++ b/cresstray/pipeline/dispatch.py
@@ -72,7 +72,7 @@
         return not is_too_late and not self._responses.has_client_left(attempt.request)
 
     def _latest_send_us(self, attempt: Attempt, timeout_us: int) -> int:
-        """Returns the time from which on nothing of the attempt may be sent, even if its connection is late."""
+        """Returns the time from which on the attempt may not be sent, however late its connection is."""
         request = attempt.request
         latest_us = self._clock.now() + timeout_us
         if request.request_class.is_deduplicated:
