--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -38,7 +38,7 @@
 from tests import desk
 from tests.desk import ClientStandIn, settings
 from tests.test_links import FakeLink, FakePool
-from tests.test_service import Stage, member
+from tests.test_service import GatewayHarness, make_endpoint
 
 MILLISECOND_US = 1_000
 EFFECTS = {"read": "idempotent", "post": "at_most_once", "keyed": "deduplicated"}
@@ -611,83 +611,88 @@
 class LoopbackConnectionTest(unittest.TestCase):
     def run_scenario(
         self,
-        scenario: Callable[[Stage, ClientStandIn, HeldConnects], Awaitable],
+        scenario: Callable[[GatewayHarness, ClientStandIn, HeldConnects], Awaitable],
         engines: int = 1,
         **parts: object,
-    ) -> Stage:
-        stage = Stage(engines, **parts)
+    ) -> GatewayHarness:
+        harness = GatewayHarness(engines, **parts)
 
         async def main() -> None:
             connects = HeldConnects()
 
-            async def with_connects(stage: Stage, client: ClientStandIn) -> None:
-                await scenario(stage, client, connects)
+            async def with_connects(harness: GatewayHarness, client: ClientStandIn) -> None:
+                await scenario(harness, client, connects)
 
             with mock.patch.object(engine_connection, "connect", connects):
-                await stage.run(with_connects, None)
+                await harness.run(with_connects, None)
 
         with contextlib.redirect_stderr(io.StringIO()):
             anyio.run(main)
-        self.assertEqual(0, stage.service.parts.counters.counts["faults"])
-        return stage
+        self.assertEqual(0, harness.service.parts.counters.counts["faults"])
+        return harness
 
-    async def wait_for_counter(self, stage: Stage, name: str) -> None:
+    async def wait_for_counter(self, harness: GatewayHarness, name: str) -> None:
         with anyio.fail_after(5):
-            while not stage.service.parts.counters.counts[name]:
+            while not harness.service.parts.counters.counts[name]:
                 await anyio.sleep(0.001)
 
     def test_request_cancelled_while_connecting_is_not_sent(self) -> None:
         for cancel in (True, False):
 
-            async def scenario(stage: Stage, client: ClientStandIn, connects: HeldConnects) -> None:
+            async def scenario(
+                harness: GatewayHarness, client: ClientStandIn, connects: HeldConnects
+            ) -> None:
                 await client.ask(1, "plain one")
                 await connects.started.wait()
                 await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
-                await self.wait_for_counter(stage, "requests cancelled")
+                await self.wait_for_counter(harness, "requests cancelled")
                 connects.released.set()
                 await client.ask(2, "plain two")
                 self.assertEqual(2, (await client.hear())["id"])
 
-            stage = self.run_scenario(scenario, Limits={"Cancel": cancel, "ConnectTimeout": 10_000})
-            self.assertEqual(1, len(stage.engines[0].lines))
-            self.assertIn("plain two", stage.engines[0].lines[0])
+            harness = self.run_scenario(scenario, Limits={"Cancel": cancel, "ConnectTimeout": 10_000})
+            self.assertEqual(1, len(harness.engines[0].lines))
+            self.assertIn("plain two", harness.engines[0].lines[0])
 
     def test_request_of_a_client_that_left_while_connecting_is_not_sent(self) -> None:
-        async def scenario(stage: Stage, client: ClientStandIn, connects: HeldConnects) -> None:
-            async with await anyio.connect_tcp(*stage.address) as stream:
-                await ClientStandIn(stream, stage.lines, names=16).ask(1, "plain one")
+        async def scenario(harness: GatewayHarness, client: ClientStandIn, connects: HeldConnects) -> None:
+            async with await anyio.connect_tcp(*harness.address) as stream:
+                await ClientStandIn(stream, harness.lines, names=16).ask(1, "plain one")
                 await connects.started.wait()
-            await self.wait_for_counter(stage, "requests cancelled")
+            await self.wait_for_counter(harness, "requests cancelled")
             connects.released.set()
             await client.ask(2, "plain two")
             self.assertEqual(2, (await client.hear())["id"])
 
-        stage = self.run_scenario(scenario, Limits={"Cancel": False, "ConnectTimeout": 10_000})
-        self.assertEqual(1, len(stage.engines[0].lines))
-        self.assertIn("plain two", stage.engines[0].lines[0])
+        harness = self.run_scenario(scenario, Limits={"Cancel": False, "ConnectTimeout": 10_000})
+        self.assertEqual(1, len(harness.engines[0].lines))
+        self.assertIn("plain two", harness.engines[0].lines[0])
 
     def test_request_goes_to_another_engine_if_its_engine_drains_while_connecting(self) -> None:
         """The request goes to the other engine, although its class is unsafe to retry."""
         for state in (EndpointState.DRAINING, EndpointState.REMOVED):
 
             async def scenario(
-                stage: Stage, client: ClientStandIn, connects: HeldConnects, state=state
+                harness: GatewayHarness, client: ClientStandIn, connects: HeldConnects, state=state
             ) -> None:
-                second = member(stage.engines[1].port, 1, EndpointState.DRAINING)
-                stage.service.parts.endpoint_updates.on_event(EndpointEvent(2, False, [second]))
+                second = make_endpoint(harness.engines[1].port, 1, EndpointState.DRAINING)
+                harness.service.parts.endpoint_updates.on_event(EndpointEvent(2, False, [second]))
                 await client.ask(1, "plain")
                 await connects.started.wait()
-                endpoints = [member(stage.engines[0].port, 0, state), member(stage.engines[1].port, 1)]
-                stage.service.parts.endpoint_updates.on_event(EndpointEvent(3, False, endpoints))
+                endpoints = [
+                    make_endpoint(harness.engines[0].port, 0, state),
+                    make_endpoint(harness.engines[1].port, 1),
+                ]
+                harness.service.parts.endpoint_updates.on_event(EndpointEvent(3, False, endpoints))
                 connects.released.set()
                 self.assertIn("result", await client.hear())
 
             service = {"Effect": "at_most_once"}
-            stage = self.run_scenario(scenario, 2, Services=[service], Limits={"ConnectTimeout": 10_000})
-            self.assertEqual([0, 1], [len(engine.lines) for engine in stage.engines])
+            harness = self.run_scenario(scenario, 2, Services=[service], Limits={"ConnectTimeout": 10_000})
+            self.assertEqual([0, 1], [len(engine.lines) for engine in harness.engines])
 
     def test_lack_of_descriptors_is_not_counted_against_the_engine(self) -> None:
-        async def scenario(stage: Stage, client: ClientStandIn, connects: HeldConnects) -> None:
+        async def scenario(harness: GatewayHarness, client: ClientStandIn, connects: HeldConnects) -> None:
             connects.error = OSError(errno.EMFILE, "too many open files")
             await client.ask(1, "plain")
             self.assertIn("error", await client.hear())
@@ -697,24 +702,24 @@
             await client.ask(2, "plain")
             self.assertIn("result", await client.hear())
 
-        stage = self.run_scenario(scenario, Services=[{"Effect": "at_most_once"}])
-        counts = stage.service.parts.counters.counts
+        harness = self.run_scenario(scenario, Services=[{"Effect": "at_most_once"}])
+        counts = harness.service.parts.counters.counts
         self.assertEqual((0, 4), (counts["attempts unreachable"], counts["attempts expired before send"]))
 
     def test_partly_sent_request_is_not_completed_after_its_cancellation(self) -> None:
         """The engine accepts connections and reads nothing, so that only part of the request can be sent."""
 
-        async def scenario(stage: Stage, client: ClientStandIn, connects: HeldConnects) -> None:
+        async def scenario(harness: GatewayHarness, client: ClientStandIn, connects: HeldConnects) -> None:
             connects.released.set()
             with socket.create_server(("127.0.0.1", 0)) as server:
                 server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-                stage.service.parts.endpoint_updates.on_event(
-                    EndpointEvent(2, True, [member(server.getsockname()[1], 7)])
+                harness.service.parts.endpoint_updates.on_event(
+                    EndpointEvent(2, True, [make_endpoint(server.getsockname()[1], 7)])
                 )
                 await client.ask(1, "x" * 150_000)
                 server.settimeout(5)
                 accepted = (await anyio.to_thread.run_sync(server.accept))[0]
-                pool = next(iter(stage.service.parts.router._pools.values()))
+                pool = next(iter(harness.service.parts.router._pools.values()))
                 while not (pool.connections and pool.connections[0].transport):
                     await anyio.sleep(0.001)
                 await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
