--- a/cresstray/pipeline/ingress.py
+++ b/cresstray/pipeline/ingress.py
@@ -38,12 +38,12 @@
 class ForwardedOffer(Protocol):
     """What a forwarded query carries besides the query itself.
 
-    `hold`: for how many microseconds it may be queued here; `group`: the table group that the other site has
+    `max_queue_us`: for how long it may be queued here; `table_group`: the table group that the other site has
     found.
     """
 
-    hold: int
-    group: int
+    max_queue_us: int
+    table_group: int
 
 
 class _AcceptedClass(NamedTuple):
@@ -111,11 +111,11 @@
             except ValueError as error:
                 responder.reject_malformed(number, f"{RejectionReason.UNUSABLE_HINT.value}: {error}")
                 return
-        table_group = find_table_group(statement) if offer is None else offer.group
+        table_group = find_table_group(statement) if offer is None else offer.table_group
         request = self._make_request(query, request_class, tenant_index, table_group, now_us)
         if offer is not None:
             request.is_forwarded_in = True
-            request.max_queue_us = offer.hold
+            request.max_queue_us = offer.max_queue_us
         if self.replica_reads is not None and replica_read is not None:
             self.replica_reads.attach(request, replica_read)
         self._admission.admit(RequestContext(responder, number, query, request), now_us)
--- a/cresstray/sites/codec.py
+++ b/cresstray/sites/codec.py
@@ -69,7 +69,7 @@
 
 
 class Offer(Frame):
-    """One submission; `left` to its hard stop, it may `hold` there, is sent `within`, or at any time if 0."""
+    """One submission; `left` to its hard stop, queued up to `max_queue_us`, sent `within`, any time if 0."""
 
     kind = 4
     number: _Number
@@ -81,9 +81,9 @@
     estimated_work_ms: _Figure
     memory_mb: _Figure
     left: _Time
-    hold: _Time
+    max_queue_us: _Time
     within: _Time
-    group: _Number  # of tables, that the statement reads or writes
+    table_group: _Number  # of tables, that the statement reads or writes
     used: _Number  # relays before this one; the far side may make one
     fenced: bool  # given up when the lease is over: the near side may relay it elsewhere then
     statement: Annotated[bytes, msgspec.Meta(min_length=1)]
