--- a/cresstray/consensus/node_state.py
+++ b/cresstray/consensus/node_state.py
@@ -1,4 +1,4 @@
-"""State of a Raft node that all roles share: term, vote, log, timers, and what waits to be handed out."""
+"""State of a Raft node that all roles share: term, vote, log, timers, and pending output."""
 
 from __future__ import annotations
 
@@ -7,120 +7,129 @@
 from enum import Enum
 from typing import NamedTuple
 
-from cresstray.consensus.codec import Install
-from cresstray.consensus.entries import Durable, Members, Snapshot
+from cresstray.consensus.codec import InstallSnapshot
+from cresstray.consensus.entries import Members, PersistentState, Snapshot
 from cresstray.consensus.log import Log
-from cresstray.consensus.peers import Peer
+from cresstray.consensus.peers import PeerProgress
 from cresstray.transport.framing import Frame
 
-# Rounds of heartbeats that a leader remembers, to know when an acknowledged one began.
+# Rounds whose start a leader remembers, to find when an acknowledged round began.
 _MAX_ROUNDS = 2_048
 
 
 class Role(Enum):
-    """What a node is in its term."""
+    """A node's role in its term."""
 
-    FOLLOWER = "follower"  # voter or learner
-    ASKING = "asking"  # pre-candidate: asks whether it would be elected
+    FOLLOWER = "follower"  # a voter or a learner
+    PRE_CANDIDATE = "asking"  # asks for pre-votes before it starts an election
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
-class Times(NamedTuple):
-    """In microseconds: heartbeat interval, election timeout (elections wait for one to two of it).
+class Timing(NamedTuple):
+    """Timing parameters.
 
-    `drift` is how wrong a clock's rate may be.
+    Attributes:
+        heartbeat_interval_us: Between two heartbeats of a leader.
+        election_timeout_us: A follower waits for one to two of these before it asks for votes.
+        clock_drift: Bound of the relative error of a clock's rate.
     """
 
-    beat: int = 50_000
-    election: int = 300_000
-    drift: float = 0.01
+    heartbeat_interval_us: int = 50_000
+    election_timeout_us: int = 300_000
+    clock_drift: float = 0.01
 
 
 class NodeState:
-    """Term, vote, log and role of one node, and a leader's bookkeeping.
+    """Term, vote, log and role of one node, and the state that only a leader has.
 
     Attributes:
-        name: This node's.
-        term: The latest term it knows.
-        role: What it is in this term.
+        name: Name of this node.
+        term: The latest term this node knows.
+        role: The role in this term.
         leader: The term's leader, if known.
-        commit: Index of the last committed entry.
-        led_since: When it was elected, as a leader.
+        commit_index: Index of the last entry known to be committed.
+        elected_at_us: When this node became the leader.
     """
 
-    def __init__(self, durable: Durable, times: Times, chance: Callable[[], float], now: int) -> None:
-        self.name = durable.name
-        self.term = durable.term
-        self._voted_for = durable.voted_for
-        self._times = times
-        self._chance = chance
-        self._now = now
-        self._log = Log(durable)
+    def __init__(
+        self, state: PersistentState, timing: Timing, random: Callable[[], float], now_us: int
+    ) -> None:
+        self.name = state.name
+        self.term = state.term
+        self._voted_for = state.voted_for
+        self._timing = timing
+        self._random = random
+        self._now_us = now_us
+        self._log = Log(state)
         self.role = Role.FOLLOWER
         self.leader: str | None = None
-        self.commit = durable.snapshot.index
-        self._applied = durable.snapshot.index
-        self._restored: Snapshot | None = durable.snapshot if durable.snapshot.index else None
-        self.led_since = 0
-        # What it promised a leader before a restart still binds it.
-        self._heard = now
-        self._put_off(now)
-        self._dirty = False  # term or vote changed and were not handed out
-        self._term_out = self.term  # handed out to be stored
-        self._term_stored = self.term
+        self.commit_index = state.snapshot.index
+        self._applied_index = state.snapshot.index
+        self._restored_snapshot: Snapshot | None = state.snapshot if state.snapshot.index else None
+        self.elected_at_us = 0
+        # A restarted node may have heard from a leader just before, whose lease relies on its not voting.
+        self._leader_contact_at_us = now_us
+        self._reset_election_timer(now_us)
+        self._hard_state_changed = False  # term or vote changed since they were last handed out
+        self._handed_out_term = self.term  # last term that was handed out to be written
+        self._persisted_term = self.term
         self._votes: set[str] = set()
-        self._part: tuple[Install, bytearray] | None = None  # a snapshot that is being received
-        self._frames: list[tuple[str, Frame]] = []
-        self._answers: list[tuple[object, int | None]] = []  # to reads
-        # As a leader.
-        self._peers: dict[str, Peer] = {}
-        self._beat_at = 0
+        self._incoming_snapshot: tuple[InstallSnapshot, bytearray] | None = (
+            None  # first chunk and the data so far
+        )
+        self._messages: list[tuple[str, Frame]] = []
+        self._read_results: list[tuple[object, int | None]] = []  # token and index, or None
+        # Used by a leader only.
+        self._peers: dict[str, PeerProgress] = {}
+        self._next_heartbeat_us = 0
         self._round = 0
-        self._rounds: deque[tuple[int, int]] = deque(maxlen=_MAX_ROUNDS)  # number, and when it began
-        self._open = 0  # bytes proposed and not yet committed
-        self._reads: deque[tuple[object, int]] = deque()  # ticket, and the round to be confirmed
-        self._heir: str | None = None  # target of a leadership transfer
-        self._heir_until = 0
-        self._sent_now = False  # the target was told to stand for election
+        self._round_starts: deque[tuple[int, int]] = deque(maxlen=_MAX_ROUNDS)  # number and start time
+        self._uncommitted_bytes = 0  # of entries of this term
+        self._pending_reads: deque[tuple[object, int]] = deque()  # token, and the round to be acknowledged
+        self._transfer_target: str | None = None
+        self._transfer_deadline_us = 0
+        self._sent_timeout_now = False  # to the transfer target
 
     @property
     def members(self) -> Members:
-        """The latest list in the log, committed or not: majorities go by it."""
+        """The latest members in the log, committed or not; majorities are counted among them."""
         return self._log.members
 
-    def _put_off(self, now: int) -> None:
-        """Draws the next election timeout by chance, so that voters seldom stand at once."""
-        self._deadline = now + self._times.election + int(self._chance() * self._times.election)
+    def _reset_election_timer(self, now_us: int) -> None:
+        """Restarts the election timer, randomized so that voters seldom start elections together."""
+        self._election_due_us = (
+            now_us + self._timing.election_timeout_us + int(self._random() * self._timing.election_timeout_us)
+        )
 
-    def _new_term(self, term: int) -> None:
+    def _enter_term(self, term: int) -> None:
         assert term > self.term
         self.term = term
         self._voted_for = None
         self.leader = None
-        self._dirty = True
+        self._hard_state_changed = True
 
-    def _follow(self, term: int, leader: str | None, now: int) -> None:
-        """Steps down to a follower of that term, which is not an earlier one."""
+    def _become_follower(self, term: int, leader: str | None, now_us: int) -> None:
+        """Becomes a follower in `term`, which is not earlier than the current one."""
         if self.role is Role.LEADER:
-            self._step_down(now)
+            self._step_down(now_us)
         if term > self.term:
-            self._new_term(term)
+            self._enter_term(term)
         self.role = Role.FOLLOWER
         self.leader = leader
 
-    def _step_down(self, now: int) -> None:
+    def _step_down(self, now_us: int) -> None:
         self.role = Role.FOLLOWER
         self.leader = None
-        self._answers += [(ticket, None) for ticket, _ in self._reads]
-        self._reads.clear()
+        self._read_results += [(token, None) for token, _ in self._pending_reads]
+        self._pending_reads.clear()
         self._peers.clear()
-        self._rounds.clear()
-        self._heir = None
-        self._sent_now = False
-        self._open = 0
-        self._put_off(now)
-
-    def _quorum(self, values: list[int]) -> int:
-        """Returns what a majority of the voters has reached, of what each has."""
+        self._round_starts.clear()
+        self._transfer_target = None
+        self._sent_timeout_now = False
+        self._uncommitted_bytes = 0
+        self._reset_election_timer(now_us)
+
+    def _quorum_value(self, values: list[int]) -> int:
+        """Returns the greatest value that a majority has reached, given one value for each voter."""
         return sorted(values, reverse=True)[len(values) // 2]
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -1,4 +1,4 @@
-"""What rests on the rules and lives in a keeper: positions of copies that gateways tell, moves of shards."""
+"""Replica positions and shard moves, as far as a control-plane node takes part in them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from cresstray.consensus.raft import Role
-from cresstray.control_plane.node_controller import Core, Far
+from cresstray.control_plane.node_controller import NodeController, PeerLink
 from cresstray.fleet_config.codec import ReplicaPositions
 from cresstray.observability.counters import Counters
 from cresstray.placement.data_transfer import Hands
@@ -17,119 +17,136 @@
 from cresstray.replicas.positions import Board
 from cresstray.replicas.spread import MOST_WANTED, Exchange, Peer, Talk, encoded
 
-# Shards in one word to another keeper: 5,000 take some twenty seconds, those that change go first.
-_MOST_SHARDS = 64
-# Danger: what a peer doesn't read would be kept; one that has so much unread is told nothing at once.
-_LAGGING = 256 * 1024
-# All that is new is told to another keeper not more often than this: a little less than words are apart.
-_ALL_AGAIN = 200_000
-# A move's next step is looked for so often: a tenth of a second is little beside a copy, or a turn.
-_LOOK = 100_000
+# Shards in one message to another node. 5,000 shards take about twenty seconds; those that change go first.
+_MAX_SHARDS = 64
+# A peer that has this much unread gets no urgent messages, as all of it is kept in memory.
+_MAX_UNREAD_BYTES = 256 * 1024
+# All new positions are sent to another node at most this often: slightly less than the interval of messages.
+_MIN_FULL_INTERVAL_US = 200_000
+# How often the next steps of moves are looked for: short compared with a copy or a turn.
+_MOVE_CHECK_INTERVAL_US = 100_000
 
 
-class _Talk(Talk):
-    """What a peer says is looked at for what it wants."""
+class _NodeTalk(Talk):
+    """An exchange of positions that passes on what the peer wants."""
 
-    def __init__(self, positions: Positions, board: Board) -> None:
-        super().__init__(board, _MOST_SHARDS)
-        self._positions, self._all_at = positions, -_ALL_AGAIN
+    def __init__(self, positions: PositionDistributor, board: Board) -> None:
+        super().__init__(board, _MAX_SHARDS)
+        self._positions, self._full_sent_at_us = positions, -_MIN_FULL_INTERVAL_US
 
-    def next_message(self, now: int) -> bytes:
-        most = _MOST_SHARDS
+    def next_message(self, now_us: int) -> bytes:
+        """Returns the body of the next message to the peer."""
+        max_shards = _MAX_SHARDS
         if self.peer.wants_all:
-            # Danger: each word of a keeper that only asks would be answered with all that is new.
-            most = 0 if now - self._all_at < _ALL_AGAIN else _MOST_SHARDS
-            self._all_at = now if most else self._all_at
-        return encoded(self.peer.says(most, None, now))
+            # Otherwise each message of a node that only asks would be answered with all new positions.
+            max_shards = 0 if now_us - self._full_sent_at_us < _MIN_FULL_INTERVAL_US else _MAX_SHARDS
+            self._full_sent_at_us = now_us if max_shards else self._full_sent_at_us
+        return encoded(self.peer.says(max_shards, None, now_us))
 
-    def on_message(self, body: bytes, now: int) -> None:
-        super().on_message(body, now)
-        self._positions.wanted(self.peer, now)
+    def on_message(self, body: bytes, now_us: int) -> None:
+        """Handles the body of a message of the peer."""
+        super().on_message(body, now_us)
+        self._positions.wanted(self.peer, now_us)
 
 
-class Positions:
-    """Merged out of what all gateways tell and engines are asked for, and told to those that want them.
+class PositionDistributor:
+    """Merges the replica positions that gateways send and engines report, and sends them on to peers.
 
-    Only the leader asks engines: it is the one bound on questions, and without one there is no lease to read
-    copies by. Others pass on to it what is wanted, and its answers to who waits.
+    Only the leader polls engines, so that one node bounds the polling; without a leader there is no lease to
+    read replicas by anyway. Other nodes forward requests to it, and its replies to those that wait.
     """
 
-    def __init__(self, drift: float, say: Callable[..., None], counters: Counters) -> None:
-        self._board = Board(lambda text: say("replicas", text), drift, passes_on=True)
+    def __init__(self, drift: float, log_event: Callable[..., None], counters: Counters) -> None:
+        self._board = Board(lambda text: log_event("replicas", text), drift, passes_on=True)
         self._exchange, self._counters = Exchange(self._board), counters
-        self._core: Core
-        self._ask: Callable[[list[str]], None]
-
-    def talk(self) -> Talk:
-        return _Talk(self, self._board)
-
-    def wanted(self, peer: Peer, now: int) -> None:
-        """After each word that a peer says."""
-        self._exchange.wanted(peer, self._core.ready(now), now)
-
-    def seen(self, disk: Disk, now: int) -> bool:
-        """What an engine has told this keeper, as it leads, of all its copies; whether any peer waits."""
-        for name, copy in disk.copies.items():
-            head = copy.head if copy.primary else None
-            self._board.heard(name, disk.engine, copy.epoch, copy.applied, head, disk.at, now)
+        self._controller: NodeController
+        self._poll_engines: Callable[[list[str]], None]
+
+    def new_exchange(self) -> Talk:
+        """Returns the exchange for a new link."""
+        return _NodeTalk(self, self._board)
+
+    def wanted(self, peer: Peer, now_us: int) -> None:
+        """Handles the requests in a peer's message."""
+        self._exchange.wanted(peer, self._controller.is_ready_leader(now_us), now_us)
+
+    def on_disk_report(self, disk: Disk, now_us: int) -> bool:
+        """Records an engine's report of all its replicas; returns whether any peer waits for positions."""
+        for shard, replica in disk.copies.items():
+            head = replica.head if replica.primary else None
+            self._board.heard(shard, disk.engine, replica.epoch, replica.applied, head, disk.at, now_us)
         return self._exchange.heard(disk.engine, disk.at)
 
-    def join(self, core: Core, ask: Callable[[list[str]], None]) -> None:
-        """`ask`: engines' positions, at once."""
-        self._core, self._ask = core, ask
-        core.turned.append(lambda now: self._board.place(core.state.effective.placement.items, now))
-        core.each_round.append(self._each)
+    def attach(self, controller: NodeController, poll_engines: Callable[[list[str]], None]) -> None:
+        """Connects to the controller; `poll_engines` polls the named engines at once."""
+        self._controller, self._poll_engines = controller, poll_engines
+        controller.turn_hooks.append(
+            lambda now_us: self._board.place(controller.state.effective.placement.items, now_us)
+        )
+        controller.round_hooks.append(self._on_round)
 
-    def _each(self, now: int) -> int | None:
-        core, exchange = self._core, self._exchange
-        if core.ready(now):
-            engines = exchange.due(core.state.effective.placement.items, now)
+    def _on_round(self, now_us: int) -> int | None:
+        controller, exchange = self._controller, self._exchange
+        if controller.is_ready_leader(now_us):
+            engines = exchange.due(controller.state.effective.placement.items, now_us)
             if engines:
                 self._counters.add("positions asked for", len(engines))
-                self._ask(engines)
-        elif needs := exchange.asking.carried(MOST_WANTED, now):
-            # Danger: kept while there is no leader, the next one would be asked for what is long over.
-            for peer, far in self._links(core.node.leader):
+                self._poll_engines(engines)
+        elif needs := exchange.asking.carried(MOST_WANTED, now_us):
+            # Requests aren't kept while there is no leader, as the next one would be asked for outdated ones.
+            for peer, link in self._peer_links(controller.node.leader):
                 self._counters.add("positions asked of the leader", len(needs))
-                far.put(ReplicaPositions(encoded(peer.asks(needs, now))))
-        told = exchange.tells(now)
-        if told:
-            links = dict(self._links())
-            for peer, word in told:
+                link.put(ReplicaPositions(encoded(peer.asks(needs, now_us))))
+        urgent = exchange.tells(now_us)
+        if urgent:
+            links = dict(self._peer_links())
+            for peer, message in urgent:
                 if peer in links:
-                    links[peer].put(ReplicaPositions(encoded(word)))
+                    links[peer].put(ReplicaPositions(encoded(message)))
         return exchange.again()
 
-    def _links(self, keeper: str | None = "") -> list[tuple[Peer, Far]]:
-        """Peers and their links; of one keeper only."""
-        core = self._core
-        found = [(talk.peer, far) for name, (far, talk) in core.talking.items() if keeper in ("", name)]
-        return found + [
-            (guest.talk.peer, guest.far)
-            for key, guest in core.guests.items()
-            if guest.talk is not None
-            and guest.far.unsent_bytes < _LAGGING
+    def _peer_links(self, keeper: str | None = "") -> list[tuple[Peer, PeerLink]]:
+        """Returns peers and their links: all, or those to one node."""
+        controller = self._controller
+        outgoing = [
+            (exchange.peer, link)
+            for name, (link, exchange) in controller.node_exchanges.items()
+            if keeper in ("", name)
+        ]
+        return outgoing + [
+            (incoming.exchange.peer, incoming.link)
+            for key, incoming in controller.incoming_links.items()
+            if incoming.exchange is not None
+            and incoming.link.unsent_bytes < _MAX_UNREAD_BYTES
             and keeper in ("", key.removeprefix("keeper:"))
         ]
 
 
-class Moving:
-    """A carrier for each term that this keeper leads, and the hands that it has."""
+class MoveCoordinator:
+    """Runs a move executor while this node leads.
+
+    Attributes:
+        addresses: Of engines, by ID.
+        hands: Connections to the engines.
+    """
 
     def __init__(
-        self, moves: Moves, clock: Callable[[], int], counters: Counters, say: Callable[..., None]
+        self, moves: Moves, clock: Callable[[], int], counters: Counters, log_event: Callable[..., None]
     ) -> None:
         self._moves, self._clock = moves, clock
         self.addresses: dict[str, tuple[str, int]] = {}
-        self.hands = Hands(lambda: self.addresses, self._propose, self._leads, clock, counters, say)
+        self.hands = Hands(
+            lambda: self.addresses, self._propose, self._is_ready_leader, clock, counters, log_event
+        )
         self._carrier: Carrier | None = None
-        self._term = self._at = 0
-        self._core: Core
-
-    def join(self, core: Core) -> None:
-        self._core = core
-        core.each_round.append(self._each)
-        core.answers.also(
+        self._term = self._next_run_us = 0
+        self._controller: NodeController
+
+    def attach(self, controller: NodeController) -> None:
+        """Connects to the controller, and registers the queries for moves and disks."""
+        self._controller = controller
+        controller.round_hooks.append(self._on_round)
+        controller.request_handlers.register_status(
             "moves",
             lambda: self._moves.told()
             | {
@@ -138,38 +155,42 @@
                 else {}
             },
         )
-        core.answers.also(
+        controller.request_handlers.register_status(
             "disks",
             lambda: {
                 "disks": {name: msgspec.to_builtins(disk) for name, disk in sorted(self.hands.told.items())}
             },
         )
 
-    def _leads(self) -> bool:
-        return self._core.ready(self._clock())
+    def _is_ready_leader(self) -> bool:
+        return self._controller.is_ready_leader(self._clock())
 
     def _propose(self, entry: Entry) -> None:
         try:
-            self._core.propose(entry.data, lambda _: None, self._clock())
-        except ValueError as trouble:
-            self._core.say("moves", "an entry can't be proposed", why=str(trouble))
-
-    def _each(self, now: int) -> int | None:
-        core = self._core
-        if not self.addresses or not core.ready(now):
-            if self._term != core.node.term:
+            self._controller.propose(entry.data, lambda _: None, self._clock())
+        except ValueError as error:
+            self._controller.log_event("moves", "an entry can't be proposed", why=str(error))
+
+    def _on_round(self, now_us: int) -> int | None:
+        controller = self._controller
+        if not self.addresses or not controller.is_ready_leader(now_us):
+            if self._term != controller.node.term:
                 self._carrier = None
-            return now + _LOOK if self.addresses and core.node.role is Role.LEADER else None
-        # Danger: what one carrier has seen in an earlier term is of moves as they were then.
-        if self._carrier is None or self._term != core.node.term:
-            self._carrier, self._term = Carrier(), core.node.term
-        if now >= self._at:
-            self._at = now + _LOOK
-            # Danger: a fault in moves must not end the rules that all rest on. It begins anew in a while.
+            return (
+                now_us + _MOVE_CHECK_INTERVAL_US
+                if self.addresses and controller.node.role is Role.LEADER
+                else None
+            )
+        # An executor of an earlier term has an outdated view of the moves.
+        if self._carrier is None or self._term != controller.node.term:
+            self._carrier, self._term = Carrier(), controller.node.term
+        if now_us >= self._next_run_us:
+            self._next_run_us = now_us + _MOVE_CHECK_INTERVAL_US
+            # A bug in moves must not end the node. A new executor starts after a while.
             try:
-                self.hands.do(self._carrier.next(core.state, self._moves, self.hands.told, now))
+                self.hands.do(self._carrier.next(controller.state, self._moves, self.hands.told, now_us))
             except Exception:
-                core.counters.add("faults")
-                core.say("fault", traceback.format_exc(), of="moves")
-                self._carrier, self._at = None, now + 50 * _LOOK
-        return self._at
+                controller.counters.add("faults")
+                controller.log_event("fault", traceback.format_exc(), of="moves")
+                self._carrier, self._next_run_us = None, now_us + 50 * _MOVE_CHECK_INTERVAL_US
+        return self._next_run_us
