--- a/cresstray/policy/__init__.py
+++ b/cresstray/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision on engines, queueing, retries and load shedding, without sockets, files or clocks."""
+"""The decision logic of a gateway: load balancing, queueing, retries and load shedding. Does no I/O."""
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -70,6 +70,7 @@
         self.update_endpoints({engine: {} for engine in self.engines}, is_complete=True)
 
     def record(self, text: str) -> None:
+        """Adds a line with the current time to the trace."""
         self.lines.append(f"{(self.now - START_US) / 1000:8.0f} ms  {text}")
 
     def send_attempt(self, attempt: Attempt, timeout_us: int) -> None:
@@ -100,6 +101,7 @@
         self.timers.append((self.now + delay_us, len(self.names), callback))
 
     def update_endpoints(self, changes: dict, is_complete: bool = False) -> None:
+        """Reports the endpoints in `changes`, each with its fields that differ from the defaults."""
         descriptions = [
             (
                 engine,
@@ -116,6 +118,7 @@
         self.gateway.on_endpoints_updated(descriptions, is_complete, self.now)
 
     def submit(self, name: str, request_class: int = 0, left_ms: int = 2000, **fields: int) -> Request:
+        """Submits a request that has `left_ms` until its deadline."""
         request = Request(
             self.gateway.request_classes[request_class], self.now, self.now + left_ms * 1000, **fields
         )
@@ -124,6 +127,7 @@
         return request
 
     def finish_attempt(self, request: Request, outcome: Outcome, report: dict | None = None) -> None:
+        """Ends the last attempt of a request, with a load report if one is given."""
         attempt = request.attempts[-1]
         is_final = outcome is Outcome.SUCCEEDED or request.is_finished
         self.record(f"        {self.names[request]} #{attempt.number} ends {outcome.value}")
@@ -132,6 +136,7 @@
         )
 
     def run(self, duration_ms: int) -> None:
+        """Advances the clock, and runs the timers that expire until then."""
         end_us = self.now + duration_ms * 1000
         while self.timers and min(timer[0] for timer in self.timers) <= end_us:
             next_timer = min(self.timers, key=lambda timer: timer[0])
