--- a/tests/test_fleet_attack.py
+++ b/tests/test_fleet_attack.py
@@ -18,7 +18,7 @@
 from cresstray.placement.move_executor import Carrier
 from cresstray.placement.moves import Event
 from tests import test_placement_moves
-from tests.test_conformance import broken
+from tests.test_conformance import patch_source
 from tests.test_fleet_processes import Case, Played
 
 
@@ -235,7 +235,7 @@
         ),
         "a position beyond the head believed": (
             "test_position_beyond_the_head_is_not_believed",
-            lambda: broken(Carrier, "_near", "if claim > copy.head:", "if False:"),
+            lambda: patch_source(Carrier, "_near", "if claim > copy.head:", "if False:"),
         ),
     }
 
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -29,7 +29,7 @@
     half_and_all,
     played,
 )
-from tests.test_conformance import broken
+from tests.test_conformance import patch_source
 
 SMALL = {"gateways": 6, "engines": 12, "pause": SECOND // 10, "every": SECOND // 5, "delay": (500, 12_000)}
 
@@ -202,7 +202,7 @@
     ),
     "entries not synced": (lambda: _dropped(lambda keep: bool(keep.entries)), MIXED, ("synced",)),
     "commit by counting an old term": (
-        lambda: broken(Node, "_advance_commit_index", " or log.term_at(quorum_index) != self.term", ""),
+        lambda: patch_source(Node, "_advance_commit_index", " or log.term_at(quorum_index) != self.term", ""),
         MIXED,
         ("own-term", "one-log"),
     ),
@@ -237,7 +237,7 @@
         ("shares",),
     ),
     "a dropped gateway forgotten": (
-        lambda: broken(
+        lambda: patch_source(
             ConfigState, "_next_content", "(latest.departed_gateways | dropped)", "latest.departed_gateways"
         ),
         MOVES,
@@ -253,7 +253,7 @@
     "a stranger with an old vote counted": (_old_name, DISKS, ("one-vote", "one-log", "acknowledged")),
     "read by a deposed leader": (_reads_at_once, REGISTER, ("history",)),
     "compare-and-set forgotten": (
-        lambda: broken(ConfigState, "_outdated_bases", "if base != version:", "if False:"),
+        lambda: patch_source(ConfigState, "_outdated_bases", "if base != version:", "if False:"),
         REGISTER,
         ("history",),
     ),
