--- a/cresstray/consensus/replication.py
+++ b/cresstray/consensus/replication.py
@@ -178,7 +178,7 @@
     previous_term = frame.prev_log_term
     for entry in frame.entries:
         if not previous_term <= entry.term <= frame.term:
-            raise FramingError("entries whose terms decrease")
+            raise FramingError("entries whose terms are out of order")
         previous_term = entry.term
         if entry.kind == EntryKind.MEMBERS:
             try:
