--- a/cresstray/__main__.py
+++ b/cresstray/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one gateway as the platform does, or runs a command: `python -m cresstray [COMMAND ...]`."""
+"""Command line entry point: `python -m cresstray [COMMAND ...]`; without a command it runs one gateway."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Returns the exit code of a command line; without arguments, of one gateway."""
+    """Runs a command, or without arguments one gateway; returns the exit code."""
     if arguments:
-        # Imported here: a gateway's memory has no room for what the command line needs.
+        # Imported here to keep the command line's modules out of a gateway's limited memory.
         from cresstray.cli import cli
 
         return cli(arguments)
--- a/cresstray/discovery/watch.py
+++ b/cresstray/discovery/watch.py
@@ -46,7 +46,7 @@
 
     | state       | seen by                 | left by                                            |
     | ----------- | ----------------------- | -------------------------------------------------- |
-    | disabled    | `_address` is None      | `move` to an address                               |
+    | disabled    | `_address` is None      | `reconnect_to` an address                          |
     | connecting  | `_stream` is None       | a connection; else backing off                     |
     | catching up | `_stream` is set        | a frame that tells nothing new, or a short silence |
     | current     | also `_has_nothing_new` | an event                                           |
@@ -97,7 +97,7 @@
         # Whether `on_event` can tell an older complete list from a newer one, see docs/membership.md.
         self.accepts_older_list = False
 
-    def move(self, address: str | None) -> None:
+    def reconnect_to(self, address: str | None) -> None:
         """Connects to this address at once, also if it is the same; `last_index` stays.
 
         After a reload the present connection may bring nothing more.
--- a/cresstray/gateway/__init__.py
+++ b/cresstray/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Composition root of one gateway process: startup, signals, reload and shutdown."""
+"""The gateway process: composition of its parts, startup, signals, reload and shutdown."""
--- a/cresstray/gateway/composition.py
+++ b/cresstray/gateway/composition.py
@@ -1,7 +1,7 @@
-"""Composition root: makes all parts of one gateway and joins them.
+"""Composition root: creates all parts of one gateway and connects them.
 
-Optional parts are imported only where the operator's file asks for them: the platform may give a process 32
-MB.
+Optional parts are imported only where the operator's file enables them, because the platform may limit the
+process to 32 MB of memory.
 """
 
 from __future__ import annotations
@@ -42,41 +42,45 @@
     from cresstray.pipeline.idempotency_checks import IdempotencyChecks
     from cresstray.sites.links import Hub
 
-# In overload more than 64 connections to engines cost half as much CPU again; on other days no more are
-# needed.
+# Under overload, more than 64 connections to engines raise CPU use by half; at normal load 64 are enough.
 _MAX_RESERVED_FOR_ENGINES = 64
-# Descriptors beside those of clients and engines: signals, the endpoint watch, the log, the event loop.
+# Descriptors other than those of clients and engines: signals, the endpoint watch, the log, the event loop.
 _MIN_OTHER_DESCRIPTORS = 20
 _MAX_OTHER_DESCRIPTORS = 64
 
 
 class DescriptorPlan:
-    """Shares the process's file descriptors out among clients, engines and everything else.
+    """Divides the process's file descriptors among clients, engines and everything else.
 
-    Common clients hold a third at most: a half is theirs, and what connections to engines leave. A
-    connection to each of hundreds of engines finds room in the other half.
+    Clients usually hold a third of the descriptors at most. Half of them are reserved for clients, who may
+    also use what the connections to engines leave free. The other half has room for one connection to each
+    of hundreds of engines.
+
+    Attributes:
+        engine_quota: the descriptors that connections to engines may use.
+        idle_close_threshold: the number of clients above which idle ones are closed.
     """
 
     def __init__(self, descriptors: int) -> None:
         self._descriptors = descriptors
-        others = min(descriptors // 8, _MAX_OTHER_DESCRIPTORS)
-        self._others = max(others, min(descriptors // 4, _MIN_OTHER_DESCRIPTORS))
-        self._reserved = min(descriptors // 4, _MAX_RESERVED_FOR_ENGINES)
+        other_count = min(descriptors // 8, _MAX_OTHER_DESCRIPTORS)
+        self._other_count = max(other_count, min(descriptors // 4, _MIN_OTHER_DESCRIPTORS))
+        self._reserved_for_engines = min(descriptors // 4, _MAX_RESERVED_FOR_ENGINES)
         self.engine_quota = DescriptorQuota(
-            self._reserved, max(self._reserved, descriptors // 2 - self._others)
+            self._reserved_for_engines, max(self._reserved_for_engines, descriptors // 2 - self._other_count)
         )
-        self.many_clients = descriptors // 4
+        self.idle_close_threshold = descriptors // 4
 
     def max_clients(self) -> int:
-        """Returns how many clients may be connected now."""
-        return self._descriptors - self._others - max(self._reserved, self.engine_quota.used)
+        """Returns how many clients may be connected at present."""
+        return self._descriptors - self._other_count - max(self._reserved_for_engines, self.engine_quota.used)
 
 
 class GatewayParts:
     """All parts of one gateway.
 
-    Parts are made in the order of their dependencies, and rules of the policy are chained in the order fleet
-    configuration, membership, idempotency: each asks the one before it as well.
+    Parts are created in the order of their dependencies. The admission rules of the policy are chained in the
+    order fleet configuration, membership, idempotency: each also consults the one before it.
     """
 
     tasks: TaskGroup  # set by the service as it starts to run
@@ -97,7 +101,7 @@
         store = operator.store if operator else None
         sites = operator.halls if operator else None
         folder = operator.kept.folder if operator and operator.kept else None
-        # Leases, of a name in the fleet or of an idempotency record, go on expiring while the machine sleeps.
+        # The lease of a fleet member or of an idempotency record also expires while the machine is suspended.
         self.clock = Clock(sleeps=fleet is not None or store is not None)
         self.counters = Counters()
         self.log = Log(name, self.clock)
@@ -150,14 +154,14 @@
             class_names,
             self.ingress,
             plan.max_clients,
-            plan.many_clients,
+            plan.idle_close_threshold,
             self.clock.now,
             self.counters,
             self.log,
         )
 
     def _on_timer_fault(self, error: Exception) -> None:
-        log_fault("a call that was due", error, self.counters, self.log)
+        log_fault("a timer callback", error, self.counters, self.log)
 
     def _make_pool(self, label: str, address: tuple[str, int]) -> SocketConnectionPool:
         return SocketConnectionPool(
@@ -172,20 +176,20 @@
             self.log,
         )
 
-    def _chance_seed(self) -> str:
-        # Seeds are new with each start; the clock parts two starts that an operator gave the same seed.
+    def _process_seed(self) -> str:
+        # The clock makes the seed differ between two starts that the operator gave the same seed.
         return f"{self._seed}{self.clock.now()}"
 
     def _require_worker(self) -> Worker:
-        assert self.worker is not None, "each optional part comes with a worker"
+        assert self.worker is not None, "the worker is created with the first optional part"
         return self.worker
 
     def _make_worker(self) -> Worker:
         from cresstray.background import schedule, worker
 
-        chance = random.Random(self._chance_seed()).random
+        random_fraction = random.Random(self._process_seed()).random
         return worker.Worker(
-            schedule.Schedule(chance, worker.TICK, worker.BUDGET),
+            schedule.Schedule(random_fraction, worker.TICK, worker.BUDGET),
             self.timers,
             self.clock,
             self.counters,
@@ -199,7 +203,7 @@
         forwarder = self.router.forwarder = Forwarder(
             self.clock, self.timers, self.counters, self.responses, self.dispatcher
         )
-        # The clock parts two starts that an operator gave the same seed.
+        # The clock makes the incarnation differ between two starts that the operator gave the same seed.
         incarnation = f"{self._seed & 0xFFFFFFFF:08x}{self.clock.now():014x}"
         links = Hub(
             sites,
@@ -240,22 +244,22 @@
         from cresstray.membership.recovery import Membership
         from cresstray.membership.snapshot_files import SnapshotFolder, SnapshotWriter, read_clocks
 
-        now = self.clock.now()
+        now_us = self.clock.now()
         files = SnapshotFolder(folder, name)
-        # Until the first write an operator's `forget` would find the folder unlocked and change it
-        # meanwhile. A preceding process may still hold the lock; it is tried again, and a write reports
-        # what is wrong with the disk.
+        # The folder is locked now rather than at the first write: until then an operator's `forget` command
+        # would find it unlocked and could change it. If the preceding process still holds the lock, the lock
+        # is tried again later; a failing disk is reported by the first write.
         with contextlib.suppress(OSError):
             files.lock()
         membership = Membership(
             SnapshotWriter(files),
             settings,
             self.controller,
-            random.Random(f"{self._seed}{now}").random,
+            random.Random(f"{self._seed}{now_us}").random,
             self.counters,
             lambda text: self.log.log("membership", text),
             read_clocks,
-            now,
+            now_us,
         )
         self.controller.admission_rules = AdmissionGuard(membership, self.controller)
         self.admission.membership = membership
--- a/cresstray/gateway/configuration.py
+++ b/cresstray/gateway/configuration.py
@@ -1,6 +1,7 @@
-"""The configuration that the platform gives one gateway: its file, its types and its checks.
+"""The configuration file that the platform gives one gateway: reading, types and validation.
 
-Names in the file stay as the platform's pages have them. Where a setting is left out, its reader chooses.
+The names in the file are defined by the platform. The default of a missing setting is chosen by the module
+that reads it.
 """
 
 from __future__ import annotations
@@ -20,13 +21,16 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the platform gives the process; memory and CPU need no setting here."""
+    """Resource limits that the platform sets for the process; those of memory and CPU are not needed here."""
 
     sockets: int = 1024
 
 
 class Configuration(msgspec.Struct):
-    """The whole file. `settings` are the keys that gateways and engines share, checked but not converted."""
+    """The whole file.
+
+    `settings` holds the keys that gateways and engines share; they are type-checked but not converted.
+    """
 
     name: str
     listen: str
@@ -37,7 +41,7 @@
     limits: Limits = Limits()
 
 
-# What arithmetic takes.
+# A value that can be used in arithmetic, or null.
 _Number = float | bool | None
 
 
@@ -88,7 +92,7 @@
 
 
 class _Settings(msgspec.Struct, rename="pascal"):
-    """Types of the settings that are read; others are ignored."""
+    """Types of the settings that the gateway reads; others are ignored."""
 
     balancers: _Number = None
     services: list[_RequestClass] = []
@@ -102,10 +106,11 @@
 
 
 def read_configuration(path: str) -> Configuration:
-    """Returns the file at `path`, with all types checked.
+    """Reads the file at `path` and checks all types.
 
     Raises:
-        ConfigurationError: the file cannot be read, or a value cannot be used; names its path in the file.
+        ConfigurationError: the file cannot be read, or a value cannot be used; the text names the value's
+            path in the file.
     """
     try:
         with open(path, "rb") as file:
@@ -121,7 +126,7 @@
 
 
 def _without_nulls(value: Any) -> Any:
-    """Returns settings without those that are null, at any depth: they count as left out."""
+    """Returns the settings without null values, at any depth: a null setting counts as missing."""
     if isinstance(value, dict):
         return {name: _without_nulls(item) for name, item in value.items() if item is not None}
     if isinstance(value, list):
@@ -130,7 +135,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Returns host and port of `listen`; raises ConfigurationError."""
+    """Parses the host and port of `listen`; raises ConfigurationError."""
     host, _, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit()
     if not is_number or int(port) > _MAX_PORT:
@@ -139,7 +144,7 @@
 
 
 def parse_seed(text: str) -> int:
-    """Returns the number of `seed`, which is written in hex digits; raises ConfigurationError."""
+    """Parses `seed`, a number in hexadecimal digits; raises ConfigurationError."""
     try:
         return int(text, 16)
     except ValueError as error:
@@ -147,15 +152,15 @@
 
 
 def read_operator_file() -> Operator | None:
-    """Returns what the file that GW_OPERATOR names sets, None without one.
+    """Reads the operator's file that GW_OPERATOR names; returns None if the variable is not set.
 
     Raises:
-        ValueError: with all that is wrong in the file, a line each.
+        ValueError: the file cannot be used; the text has one line for each error in it.
     """
     path = os.environ.get("GW_OPERATOR", "")
     if not path:
         return None
-    # The platform may give 32 MB: without an operator's file none of the optional parts is loaded.
+    # Imported here because of the 32 MB limit: without an operator's file no optional part is loaded.
     from cresstray.config import operator
 
     return operator.read(path)
--- a/cresstray/gateway/endpoint_updates.py
+++ b/cresstray/gateway/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Takes events of the endpoint list to the pipeline and the policy."""
+"""Applies events of the endpoint list to the pipeline and the policy."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EndpointUpdates:
-    """Applies each event in one step: connection pools first, then the policy, then what waits to be sent."""
+    """Applies each event in one step: to connection pools, then to the policy, then to unsent attempts."""
 
     def __init__(self, clock: Clock, router: Router, controller: PolicyController) -> None:
         self._clock = clock
@@ -23,19 +23,19 @@
         self.membership: Membership | None = None  # set where the endpoint list is persisted
 
     def on_event(self, event: EndpointEvent) -> None:
-        """Takes an event of the coordinator or of the configuration."""
-        now = self._clock.now()
+        """Applies an event from the coordinator or from the configuration."""
+        now_us = self._clock.now()
         if self.membership is None:
-            self._apply(event, now)
+            self._apply(event, now_us)
         else:
-            self.apply_filtered(self.membership, self.membership.on_endpoint_event(event, now), now)
+            self.apply_filtered(self.membership, self.membership.on_endpoint_event(event, now_us), now_us)
 
-    def apply_filtered(self, membership: Membership, event: EndpointEvent, now: int) -> None:
+    def apply_filtered(self, membership: Membership, event: EndpointEvent, now_us: int) -> None:
         """Applies an event that the membership estimate has already filtered."""
-        self._apply(event, now)
-        membership.on_endpoints_listed(event, self._router.engines, now)
+        self._apply(event, now_us)
+        membership.on_endpoints_listed(event, self._router.engines, now_us)
 
-    def _apply(self, event: EndpointEvent, now: int) -> None:
+    def _apply(self, event: EndpointEvent, now_us: int) -> None:
         entries = self._router.apply_event(event)
-        self._controller.on_endpoints_updated(entries, event.is_complete, now)
+        self._controller.on_endpoints_updated(entries, event.is_complete, now_us)
         self._router.cancel_unsent(event)
--- a/cresstray/gateway/errors.py
+++ b/cresstray/gateway/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the gateway process that end its start or leave a reload without effect."""
+"""Errors that stop a gateway from starting, or that make a reload have no effect."""
 
 from __future__ import annotations
 
 
 class GatewayError(ValueError):
-    """Base class; the text is one line for operators."""
+    """Base class of the gateway's errors; the text is one line for operators."""
 
 
 class AddressError(GatewayError):
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -1,6 +1,6 @@
-"""What a gateway has as a member of a fleet: its control-plane client, admission rules and hinted reads.
+"""The parts of a gateway that is a member of a fleet: control-plane client, admission rules, hinted reads.
 
-Loaded only where the operator's file names control-plane nodes and this gateway as a member.
+Imported only where the operator's file names control-plane nodes and this gateway as a member.
 """
 
 from __future__ import annotations
@@ -31,60 +31,60 @@
 from cresstray.replicas.read import Reads
 from cresstray.replicas.spread import Talk
 
-# Shards in one message to a control-plane node, sent and requested: four times a second some kilobyte, as
-# docs/replicas.md has measured.
+# Shards whose positions one message to a control-plane node sends or requests. Four messages a second then
+# take about a kilobyte, see docs/replicas.md.
 _MAX_SHARDS_PER_MESSAGE = 4
-# A read that no known replica can serve waits so long for what control-plane nodes know: some round trips
-# within a site.
+# How long a read that no known replica can serve waits for positions from control-plane nodes: some round
+# trips within a site.
 _POSITIONS_TIMEOUT_US = 30_000
-# Added to that wait, so that the nodes' answer comes before the read is looked at.
+# Added to that timeout, so that the nodes' answer arrives before the policy checks the waiting read.
 _POSITIONS_MARGIN_US = 1_000
-# A question that follows the one before it too soon is asked again so much later.
-_ASK_AGAIN_US = 5_000
+# Pause before a request for positions that came too soon after the previous one is sent again.
+_POSITIONS_RETRY_US = 5_000
 
 
 class FleetAdmissionRules:
-    """The fleet's rules at the moment of acting: by this process's clock, not by when an event was read."""
+    """Applies the fleet's rules by the current time of this process's clock, not by the time of an event."""
 
     def __init__(
         self,
         admission: ConfigAdmissionRules,
         reads: Reads,
-        now: Callable[[], int],
+        now_us: Callable[[], int],
         request_positions: Callable[[], None],
     ) -> None:
         self._admission = admission
         self._reads = reads
-        self._now = now
+        self._now_us = now_us
         self._request_positions = request_positions
-        self._decision_us = 0  # when the current decision was begun
+        self._decision_start_us = 0  # when the current decision started
 
     def gateway_count(self, now: int) -> int:
-        """Returns how many gateways share the engines; begins a decision."""
-        # Read anew: a process that was stopped in the middle of a turn still holds the time from before.
-        self._decision_us = self._now()
-        return self._admission.gateway_count(self._decision_us)
+        """Returns how many gateways share the engines; starts a decision."""
+        # The clock is read again: the caller's `now` is outdated if the process was stopped in between.
+        self._decision_start_us = self._now_us()
+        return self._admission.gateway_count(self._decision_start_us)
 
     def admits(self, request: Request, now: int) -> bool:
-        """Whether the request may be admitted; begins a decision."""
-        self._decision_us = self._now()
-        return self._admission.admits(request, self._decision_us)
+        """Returns whether the request may be admitted; starts a decision."""
+        self._decision_start_us = self._now_us()
+        return self._admission.admits(request, self._decision_start_us)
 
     def allows(self, request: Request, engine: Engine, now: int) -> bool:
-        """Whether the request may be sent to the engine, by the time at which the decision was begun."""
-        is_allowed = self._admission.allows(request, engine, self._decision_us)
+        """Returns whether the request may be sent to the engine, at the time when the decision started."""
+        is_allowed = self._admission.allows(request, engine, self._decision_start_us)
         if self._reads.urgent:
             self._reads.urgent = False
             self._request_positions()
         return is_allowed
 
     def retry_budget_scale(self, request: Request, now: int) -> float:
-        """Returns by how much the fleet scales the retry budget now."""
-        return self._admission.retry_budget_scale(request, self._now())
+        """Returns the factor by which the fleet scales the retry budget at present."""
+        return self._admission.retry_budget_scale(request, self._now_us())
 
 
 class _PositionExchange(Talk):
-    """Exchanges replica positions on one link; has reads that wait for positions looked at as they come."""
+    """Exchanges replica positions on one link; calls back if reads were waiting for the received ones."""
 
     def __init__(self, board: Board, reads: Reads, on_awaited_positions: Callable[[], None]) -> None:
         super().__init__(
@@ -103,7 +103,13 @@
 
 
 class FleetMember:
-    """Joins one gateway to its fleet: the fleet's rules to the policy, and hinted reads to the stages."""
+    """Joins one gateway to its fleet: the fleet's rules to the policy, hinted reads to the pipeline.
+
+    Attributes:
+        active_config: the fleet configuration in force.
+        directory: the engines that replicas lie on.
+        follower: the client of the control-plane nodes.
+    """
 
     def __init__(
         self,
@@ -124,16 +130,16 @@
         self._timers = timers
         self._controller = controller
         self._worker = worker
-        # Seeds are new with each start; the clock parts two starts that an operator gave the same seed.
+        # The clock makes the incarnation differ between two starts that the operator gave the same seed.
         incarnation = f"{seed & 0xFFFFFFFF:08x}{clock.now():014x}"
-        chance = random.Random(seed).random
+        random_fraction = random.Random(seed).random
         self.active_config = self._make_active_config(incarnation)
         self.directory = EngineDirectory(settings.get("Localities", []))
         board = Board(lambda text: log.log("replicas", text), config.drift)
-        self._reads = self._make_reads(board, counters, chance)
-        self._is_asking_again = False
+        self._reads = self._make_reads(board, counters, random_fraction)
+        self._is_retry_scheduled = False  # of a request for positions
         admission = self._make_admission(settings, counters)
-        self.follower = self._make_follower(board, clock, counters, chance)
+        self.follower = self._make_follower(board, clock, counters, random_fraction)
         rules = FleetAdmissionRules(admission, self._reads, clock.now, self._request_positions)
         controller.admission_rules = rules
         replica_reads = ReplicaReads(self._reads, self.directory)
@@ -142,26 +148,26 @@
         ingress.replica_reads = replica_reads
 
     def _make_follower(
-        self, board: Board, clock: Clock, counters: Counters, chance: Callable[[], float]
+        self, board: Board, clock: Clock, counters: Counters, random_fraction: Callable[[], float]
     ) -> ConfigFollower:
         return ConfigFollower(
             self._config,
             self._config.member,
             self.active_config,
-            chance,
+            random_fraction,
             clock.now,
             counters,
-            lambda: _PositionExchange(board, self._reads, self._look_soon),
+            lambda: _PositionExchange(board, self._reads, self._schedule_dispatch),
             self._on_link_changed,
         )
 
-    def _make_reads(self, board: Board, counters: Counters, chance: Callable[[], float]) -> Reads:
+    def _make_reads(self, board: Board, counters: Counters, random_fraction: Callable[[], float]) -> Reads:
         directory = self.directory
         return Reads(
             board,
             self.active_config,
             counters,
-            chance,
+            random_fraction,
             directory.cores,
             directory.zone_of,
             directory.is_full,
@@ -193,34 +199,34 @@
         self._reads.patience = _POSITIONS_TIMEOUT_US if is_linked else 0
 
     def _request_positions(self) -> None:
-        """Asks a node for positions at once, for a read that waits for no more than its answer."""
-        self._ask_now()
-        # The read is looked at then, and not with the policy's next sweep only.
-        self._timers.call_after(_POSITIONS_TIMEOUT_US + _POSITIONS_MARGIN_US, self._look)
+        """Requests positions from a control-plane node at once, for a read that waits for them only."""
+        self._send_positions_request()
+        # Dispatches the read when the wait ends, rather than with the policy's next sweep.
+        self._timers.call_after(_POSITIONS_TIMEOUT_US + _POSITIONS_MARGIN_US, self._dispatch_queued)
 
-    def _ask_now(self) -> None:
+    def _send_positions_request(self) -> None:
         self.follower.request_positions()
-        # Too soon after another question: asked again, unless there is no node to hear it.
-        if self._reads.untold() and self._reads.patience and not self._is_asking_again:
-            self._is_asking_again = True
-            self._timers.call_after(_ASK_AGAIN_US, self._ask_again)
+        # A request too soon after another is not sent. It is retried unless no node is connected.
+        if self._reads.untold() and self._reads.patience and not self._is_retry_scheduled:
+            self._is_retry_scheduled = True
+            self._timers.call_after(_POSITIONS_RETRY_US, self._retry_positions_request)
 
-    def _ask_again(self, now: int) -> None:
-        self._is_asking_again = False
+    def _retry_positions_request(self, now_us: int) -> None:
+        self._is_retry_scheduled = False
         if self._reads.untold():
-            self._ask_now()
+            self._send_positions_request()
 
-    def _look_soon(self) -> None:
-        self._timers.call_after(0, self._look)
+    def _schedule_dispatch(self) -> None:
+        self._timers.call_after(0, self._dispatch_queued)
 
-    def _look(self, now: int) -> None:
-        """Has the policy look at its queue."""
-        self._controller.on_endpoints_updated((), False, now)
+    def _dispatch_queued(self, now_us: int) -> None:
+        """Makes the policy dispatch from its queue, by an update that changes no endpoint."""
+        self._controller.on_endpoints_updated((), False, now_us)
 
     def start(self, tasks: TaskGroup) -> None:
         """Starts the connections to control-plane nodes."""
-        # A gateway that no document names would send beside all that are named. Nodes within reach say so
-        # in a lease; where there are none, service goes on with the smallest quota there is.
+        # A gateway that no configuration document lists would send in addition to all listed ones. Reachable
+        # nodes say so in a lease; if none is reachable, the gateway serves with the smallest quota there is.
         fallback = self._worker.does(
             "fallback quota", Priority.SAFETY, 0, lambda now: self.active_config.stop_waiting_for_list()
         )
--- a/cresstray/gateway/listening.py
+++ b/cresstray/gateway/listening.py
@@ -1,4 +1,4 @@
-"""The socket under which clients connect: bound at the start, opened once the gateway is ready."""
+"""The socket to which clients connect: bound at startup, opened once the gateway is ready."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 Address = tuple[str, int]
 
-# Connections that may wait in the kernel's queue.
+# Connections that may wait in the kernel's accept queue.
 _BACKLOG = 1024
 
 
 def bind_listener(address: Address) -> socket.socket:
-    """Returns a socket that holds the address; until it is opened, connections to it are refused.
+    """Returns a socket bound to the address; connections to it are refused until it is opened.
 
     Raises:
         AddressError: the address cannot be bound.
@@ -33,13 +33,14 @@
 
 
 def open_listener(listener: socket.socket, address: Address) -> None:
-    """Lets connections in from now on; raises AddressError where another process listens there."""
+    """Starts to listen; raises AddressError if another process already listens on the address."""
     with _address_errors(address):
         listener.listen(_BACKLOG)
 
 
 @contextlib.contextmanager
 def _address_errors(address: Address) -> Iterator[None]:
+    """Raises errors of the socket as AddressError."""
     try:
         yield
     except (OSError, OverflowError) as error:
--- a/cresstray/gateway/reload.py
+++ b/cresstray/gateway/reload.py
@@ -1,4 +1,4 @@
-"""Reload on SIGHUP: the new configuration's coordinator and links to other sites are used from now on."""
+"""Reload on SIGHUP: applies the coordinator and the links to other sites of the new configuration."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Reloader:
-    """Reads the configuration again.
+    """Reads the configuration again and applies what can change at run time.
 
-    Guarantees that a configuration that cannot be used leaves the running one as it is, with one line for
-    operators. Everything but the coordinator and the links to other sites stays as it was at the start.
+    A configuration that cannot be used leaves the running one unchanged and logs one line for operators.
+    Everything but the coordinator and the links to other sites stays as it was at startup.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         try:
             coordinator = self._read_coordinator()
             sites = self._read_sites() if parts.links is not None else None
-            parts.watch.move(coordinator)
+            parts.watch.reconnect_to(coordinator)
             if parts.links is not None and sites is not None:
                 parts.links.reload(sites)
         except (ValueError, OSError) as error:
--- a/cresstray/gateway/service.py
+++ b/cresstray/gateway/service.py
@@ -1,4 +1,4 @@
-"""Runs one gateway: starts its parts in order, waits for signals, and ends it."""
+"""Runs one gateway: starts its parts in order, handles signals, and shuts it down."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     from cresstray.config.operator import Operator
     from cresstray.sites.links import Hub
 
-# A gateway that starts has the endpoint list of its configuration, and waits so long for what is new since:
-# as long as one connection may take. A coordinator that is away must not keep it from serving.
+# A starting gateway has the endpoint list of its configuration and waits this long for later events, which is
+# as long as one connection attempt may take. An unreachable coordinator must not keep it from serving.
 _INITIAL_LIST_SECONDS = 0.5
 
 
-def _nothing_to_reload() -> NoReturn:
+def _reject_reload() -> NoReturn:
     raise ValueError("this gateway was started without a file")
 
 
@@ -42,10 +42,10 @@
         settings: Mapping[str, Any],
         events: list[EndpointEvent],
         coordinator: str | None,
-        read_coordinator: ReadCoordinator = _nothing_to_reload,
+        read_coordinator: ReadCoordinator = _reject_reload,
         descriptors: int = 1024,
         operator: Operator | None = None,
-        read_operator: ReadOperator = _nothing_to_reload,
+        read_operator: ReadOperator = _reject_reload,
     ) -> None:
         self.listen = listen
         self._initial_events = events
@@ -56,7 +56,7 @@
         self._shutdown = GracefulShutdown(self.parts)
 
     async def run(self, *, task_status: TaskStatus[Address] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serves until SIGTERM; `task_status` is started with the address once clients are accepted.
+        """Serves until SIGTERM; reports the address to `task_status` once clients are accepted.
 
         Raises:
             AddressError: the address cannot be listened on.
@@ -78,7 +78,7 @@
             self.report()
 
     async def _start(self, listener: socket.socket) -> None:
-        """Starts all parts, up to the moment from which on clients are accepted; raises AddressError."""
+        """Starts all parts and finally accepts clients; raises AddressError."""
         parts = self.parts
         if parts.membership is not None:
             parts.membership.recover(parts.clock.now())
@@ -92,9 +92,10 @@
             parts.idempotency.start(parts.tasks)
         if parts.worker is not None:
             parts.worker.start()
-        # An engine may be draining since the configuration was written, and its grace may end before this
-        # process is up: clients and other sites are accepted once the endpoint list is current. Until then
-        # they are refused, as by a process that is not up: in the kernel's queue their timeouts would run.
+        # An engine may have started draining after the configuration was written, and its drain grace may end
+        # before this process is up. Clients and other sites are therefore accepted only once the endpoint
+        # list is current. Until then their connections are refused, as by a process that is not running: in
+        # the kernel's accept queue their timeouts would run.
         await parts.watch.wait_until_current(_INITIAL_LIST_SECONDS)
         if parts.links is not None:
             await self._start_links(parts.links)
@@ -112,7 +113,7 @@
             self.parts.tasks.start_soon(serve_status, sites.control, links.status)
 
     async def _serve(self, signals: AsyncIterator[signal.Signals]) -> None:
-        """Returns once SIGTERM has come and the shutdown is over. Signals during the shutdown are ignored."""
+        """Handles signals until SIGTERM, then shuts down. Signals during the shutdown are ignored."""
         async for received in signals:
             if received == signal.SIGUSR1:
                 self.report()
@@ -123,7 +124,7 @@
                 return
 
     def report(self) -> None:
-        """Prints all counters."""
+        """Logs all counters."""
         counters = self.parts.counters
         counters.counts["event loop max lateness us"] = self.parts.timers.max_lateness_us
         for line in counters.lines():
--- a/cresstray/gateway/shutdown.py
+++ b/cresstray/gateway/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: all that is owed is answered, then all connections end, before SIGKILL may come.
+"""Graceful shutdown: answers all open requests, then ends all connections, before the platform's SIGKILL.
 
-SIGKILL comes no sooner than the longest timeout of a request class, three seconds at most, and 0.7 s after
-SIGTERM. New requests go on coming for 0.6 s at the most.
+After SIGTERM the platform waits for the longest timeout of a request class, three seconds at most, and 0.7 s
+more before it sends SIGKILL. New requests keep arriving for up to 0.6 s after SIGTERM.
 """
 
 from __future__ import annotations
@@ -16,33 +16,34 @@
     from cresstray.background.worker import Worker
 
 _ACCEPTING_SECONDS = 0.8
-# What is open has until half a second before SIGKILL: to be answered, to be written, and to be read by slow
-# clients.
+# Open requests must be answered half a second before SIGKILL, so that the answers can still be written and be
+# read by slow clients.
 _MAX_TIMEOUT_US = 3_000_000
 _AFTER_TIMEOUT_US = 200_000
-# The policy answers late by no more than one of its sweeps.
+# The policy exceeds a deadline by one of its sweeps at most.
 _LATE_ANSWER_US = 100_000
 _ALL_CLOSED_US = 400_000
-# Once nothing is owed: requests already on their way are still rejected, then clients read their answers
-# and leave.
+# Once all requests are answered, requests still in transit are rejected; then clients read their answers and
+# disconnect.
 _LAST_REQUESTS_SECONDS = 0.05
 _DISCONNECT_SECONDS = 0.5
-# The last writes take some milliseconds; a disk that needs longer costs the succeeding process fresh data.
+# The last snapshot writes take some milliseconds. On a slower disk they are given up, and the succeeding
+# process starts with older data.
 _HAND_OVER_US = 300_000
 _POLL_SECONDS = 0.01
 _WORKER_POLL_SECONDS = 0.005
 
 
 class GracefulShutdown:
-    """Ends one gateway within the time that the platform leaves it after SIGTERM."""
+    """Shuts one gateway down within the time that the platform allows after SIGTERM."""
 
     def __init__(self, parts: GatewayParts) -> None:
         self._parts = parts
 
     async def run(self) -> None:
-        """Answers what is open and what still comes, then ends all connections and hands over.
+        """Answers open and newly arriving requests, ends all connections, and hands over to the next process.
 
-        Returns once every connection has ended, or the time for it is over.
+        Returns once every connection has ended, or the time for that is over.
         """
         parts = self._parts
         unanswered = parts.accounting.unanswered_count()
@@ -52,8 +53,8 @@
         with anyio.move_on_after(self._seconds_until(deadline_us + _LATE_ANSWER_US)):
             while parts.accounting.unanswered_count():
                 await anyio.sleep(_POLL_SECONDS)
-        # What came with a new connection from here on would be sent to an engine, and lost with the
-        # process. All that is read is rejected now.
+        # A request accepted from here on would be sent to an engine and its answer be lost with the process.
+        # Therefore no more connections are accepted, and all requests that are read are rejected.
         parts.listener.stop_listening()
         last_seconds = _LAST_REQUESTS_SECONDS + _DISCONNECT_SECONDS
         with anyio.move_on_after(min(last_seconds, self._seconds_until(deadline_us + _ALL_CLOSED_US))):
@@ -65,7 +66,7 @@
                 await anyio.sleep(_POLL_SECONDS)
 
     def _set_deadline(self) -> int:
-        """Returns by when all that is open, and all that still comes, is to be answered; makes it so."""
+        """Limits the deadlines of all open and future requests; returns the latest one."""
         parts = self._parts
         services = parts.settings.get("Services", [])
         timeouts_us = [int(service.get("GiveUp", 0) * 1000) for service in services]
@@ -77,11 +78,11 @@
         parts.timers.call_after(remaining_us, parts.dispatcher.abandon_all)
         return deadline_us
 
-    def _seconds_until(self, moment_us: int) -> float:
-        return max(0.0, (moment_us - self._parts.clock.now()) / 1e6)
+    def _seconds_until(self, time_us: int) -> float:
+        return max(0.0, (time_us - self._parts.clock.now()) / 1e6)
 
     async def _end_worker(self, worker: Worker) -> None:
-        """Gives background jobs their last turns, as the hand-over, while the last answers are written."""
+        """Runs background jobs a last time, as the hand-over, while the last answers are written."""
         worker.stop(self._parts.clock.now(), _HAND_OVER_US)
         with anyio.move_on_after(_HAND_OVER_US / 1e6):
             while not worker.over:
--- a/cresstray/gateway/signals.py
+++ b/cresstray/gateway/signals.py
@@ -1,4 +1,4 @@
-"""Receives the signals that the platform and operators send to a gateway."""
+"""Receives the signals that the platform and operators send to the gateway process."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @contextlib.contextmanager
 def receive_signals() -> Iterator[AsyncIterator[signal.Signals]]:
-    """Yields the handled signals as they come; restores the signal mask it found.
+    """Yields an iterator over the handled signals; restores the previous signal mask at the end.
 
-    Signals are blocked while no receiver is open: one that comes then would end the process.
+    The signals are blocked while no receiver is open, since their default action would end the process.
     """
     mask_before = signal.pthread_sigmask(signal.SIG_BLOCK, ())
     try:
--- a/cresstray/gateway/startup.py
+++ b/cresstray/gateway/startup.py
@@ -1,4 +1,4 @@
-"""Starts one gateway by the configuration that GW_CONFIG names."""
+"""Starts one gateway with the configuration file that GW_CONFIG names."""
 
 from __future__ import annotations
 
@@ -29,12 +29,13 @@
 
 
 def run() -> int:
-    """Runs one gateway as the platform starts it, until SIGTERM; returns the exit code.
+    """Runs one gateway until SIGTERM and returns the exit code.
 
-    0 after a graceful shutdown, 2 after one line on standard error that says what cannot be used.
+    The exit code is 0 after a graceful shutdown, and 2 if the configuration cannot be used; then one line on
+    standard error says why.
     """
-    # A signal before the service receives them would end the process, and so would one after it has stopped
-    # to: the service blocks them again as it found them.
+    # A signal would end the process before the service receives signals and after it has stopped to do so.
+    # They are blocked here, and the service restores this mask when it ends.
     mask_before = signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     code = _run()
     if code != _EXIT_OK:
@@ -51,8 +52,8 @@
         return _EXIT_UNUSABLE_CONFIGURATION
     try:
         service = _make_service(path, operator)
-        # A collection that looks at every object stops the event loop for 40 ms, and answers come too late.
-        # What the start has made is not looked at again.
+        # A full garbage collection would stop the event loop for 40 ms and delay answers. Objects that exist
+        # after startup are therefore excluded from later collections.
         gc.collect()
         gc.freeze()
         anyio.run(service.run, backend_options={"use_uvloop": True})
@@ -82,5 +83,5 @@
     except (OSError, ValueError, MalformedEventError) as error:
         raise ConfigurationError(str(error)) from error
     except (TypeError, AttributeError, LookupError, ArithmeticError) as error:
-        # A setting whose type is right and whose value is not.
+        # A setting has the right type and an unusable value.
         raise ConfigurationError(f"the settings: {error!r}") from error
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -402,7 +402,7 @@
             event = frame(3, 2, record(6, DRAINING))
             first.send(frame(2, 2, record(5)) + event[:20])
             await watch.until(2)
-            watch.feed.move(self.new.address)
+            watch.feed.reconnect_to(self.new.address)
             second, number = await self.new.link()
             self.assertEqual(2, number)
             await ended(first)
@@ -418,7 +418,7 @@
 
         async def scene(_: anyio.abc.TaskGroup) -> None:
             first, _ = await self.old.link()
-            watch.feed.move(self.old.address)
+            watch.feed.reconnect_to(self.old.address)
             second, number = await self.old.link()
             second.send(frame(2, 2, record(5, DRAINING)))
             await watch.until(2)
@@ -432,10 +432,10 @@
         async def scene(_: anyio.abc.TaskGroup) -> None:
             await self.old.link()
             for address in (self.new.address, self.old.address):
-                watch.feed.move(address)
+                watch.feed.reconnect_to(address)
             made, _ = await self.old.link()
             for address in (self.old.address, self.new.address):
-                watch.feed.move(address)
+                watch.feed.reconnect_to(address)
             await ended(made)
             made, number = await self.new.link()
             made.send(frame(2, 2))
@@ -449,7 +449,7 @@
     def test_while_a_connection_never_comes_up(self) -> None:
         async def scene(_: anyio.abc.TaskGroup) -> None:
             await anyio.sleep(0.05)
-            watch.feed.move(self.new.address)
+            watch.feed.reconnect_to(self.new.address)
             await self.new.link()
             self.assertEqual(0, watch.counters.counts["coordinator connections ended"])
 
@@ -468,7 +468,7 @@
         async def scene(_: anyio.abc.TaskGroup) -> None:
             while not watch.counters.counts["coordinator connections ended"]:
                 await anyio.sleep(0.01)
-            watch.feed.move(self.new.address)
+            watch.feed.reconnect_to(self.new.address)
             await self.new.link()
 
         self.old.close()
@@ -478,10 +478,10 @@
     def test_to_none_and_back(self) -> None:
         async def scene(_: anyio.abc.TaskGroup) -> None:
             made, _ = await self.old.link()
-            watch.feed.move(None)
+            watch.feed.reconnect_to(None)
             await ended(made)
-            watch.feed.move(None)
-            watch.feed.move(self.old.address)
+            watch.feed.reconnect_to(None)
+            watch.feed.reconnect_to(self.old.address)
             await self.old.link()
 
         watch = Watch(self.old.address)
@@ -507,9 +507,12 @@
             "\x00:7001",
         ):
             with self.subTest(wrong):
-                for call in (lambda wrong=wrong: EndpointWatch(wrong, 0, None, None, None), watch.feed.move):
+                for call in (
+                    lambda wrong=wrong: EndpointWatch(wrong, 0, None, None, None),
+                    watch.feed.reconnect_to,
+                ):
                     with self.assertRaises(ValueError) as caught:
-                        call(wrong) if call == watch.feed.move else call()
+                        call(wrong) if call == watch.feed.reconnect_to else call()
                     self.assertTrue(any(part and part in str(caught.exception) for part in wrong.split(":")))
                     self.assertNotIn("\n", str(caught.exception))
         self.assertEqual(self.old.address, "{}:{}".format(*watch.feed._address))
@@ -978,7 +981,7 @@
             made, _ = await self.coordinator.link()
             first, second = (engine.port for engine in stage.engines)
             made.send(frame(2, 2, record(1, port=first))[:20])
-            stage.service.parts.watch.move(self.coordinator.address)
+            stage.service.parts.watch.reconnect_to(self.coordinator.address)
             made, number = await self.coordinator.link()
             self.assertEqual(1, number)
             events = frame(2, 2, record(1, port=first)) + frame(3, 2, record(2, port=second))
