--- a/cresstray/clients/__init__.py
+++ b/cresstray/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: the JSON-RPC codec, the sessions of connected clients and the socket they connect to."""
+"""Connections of clients: the JSON-RPC codec, the session of each connected client, and the listener."""
--- a/cresstray/clients/client_connection.py
+++ b/cresstray/clients/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's socket: read, shut down, closed. Its session decides what is done and when it ends."""
+"""One client's socket: reading, shutdown and close. Its session decides what is done and when it ends."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from cresstray.clients.session import ClientSession, NextAction
 from cresstray.transport.streams import CONNECTION_ENDED, SocketStream
 
-# Reads ahead of one handling: the client's end may come right behind a request.
+# Reads before what was read is handled: the client's end of stream may follow right after a request.
 _MAX_READS_AHEAD = 16
-# Pause between two turns of a client that sends much, for the other connections.
+# Pause between two turns of a client that sends much, to give other connections their turn.
 _TURN_PAUSE_S = 0.002
-# After its sending side is shut, a connection discards what comes for so long, and so many reads. A client
-# has read the end within a round trip; one that has not by then gets a reset.
+# After the sending side is shut down, the connection discards received data for this time and this number of
+# reads at most. A client reads the end of stream within a round trip; a later one gets a reset.
 _DRAIN_TIMEOUT_S = 1.0
 _MAX_DRAIN_READS = 500
 
 
 class ClientConnection:
-    """One client's socket, with the `session` that it serves."""
+    """One client's socket, and the `session` that handles what is read from it."""
 
     def __init__(self, registry: ConnectionRegistry, accepted: socket.socket, tasks: TaskGroup) -> None:
         self._counters = registry.counters
-        self._read_scope = anyio.CancelScope()  # cancelled when the session is to end
+        self._read_scope = anyio.CancelScope()  # cancelled when the connection is to be ended
         self._stream = SocketStream(accepted, tasks, self._stop_reading)
         self.session = ClientSession(registry, self._stream)
 
@@ -47,7 +47,7 @@
             self.session.on_disconnected()
 
     async def _serve(self) -> bool:
-        """Serves until the end; whether this side ends it, and its sending side is shut."""
+        """Serves until the connection ends; returns whether this side has shut down its sending side."""
         while True:
             with self._read_scope:
                 await self._read()
@@ -59,7 +59,7 @@
                 return True
 
     async def _read(self) -> None:
-        """Reads until the connection is to be cut off.
+        """Reads until the connection is to be closed at once.
 
         Raises:
             anyio.EndOfStream: the client has disconnected.
@@ -67,9 +67,9 @@
         session = self.session
         while True:
             data = b"" if session.has_buffered_lines else await self._stream.receive()
-            data, ended = self._read_ahead(data)
-            action = session.receive(data, ended)
-            if ended:
+            data, has_ended = self._read_ahead(data)
+            action = session.receive(data, has_ended)
+            if has_ended:
                 raise anyio.EndOfStream
             if action is NextAction.CLOSE:
                 return
@@ -77,25 +77,26 @@
                 await anyio.sleep(_TURN_PAUSE_S)
 
     def _read_ahead(self, data: bytes) -> tuple[bytes, bool]:
-        """Returns `data` with what has come behind it, and whether the client's end has.
+        """Returns `data` with the data available after it, and whether the client's end of stream follows.
 
-        A client may send much and disconnect: what is handled before its end is read would be sent on.
+        A client may send many requests and disconnect. Requests handled before its end of stream is read
+        would be sent to engines in vain.
         """
         for _ in range(_MAX_READS_AHEAD):
-            more = self._stream.receive_available() if self.session.can_read_ahead() else None
-            if more is None:
+            available = self._stream.receive_available() if self.session.can_read_ahead() else None
+            if available is None:
                 break
-            if not more:
+            if not available:
                 return data, True
-            data += more
+            data += available
         return data, False
 
     def _can_shut_down(self) -> bool:
-        """Reads what has come before the sending side is shut; whether it may be."""
+        """Handles the data available before the sending side is shut down; returns whether it may be."""
         session = self.session
-        data, ended = self._read_ahead(b"")
-        action = session.receive(data, ended) if data else NextAction.READ
-        if ended or action is NextAction.CLOSE:
+        data, has_ended = self._read_ahead(b"")
+        action = session.receive(data, has_ended) if data else NextAction.READ
+        if has_ended or action is NextAction.CLOSE:
             raise anyio.EndOfStream
         if self._stream.has_unread():
             session.resume()
@@ -103,7 +104,7 @@
         return session.can_shut_down(has_received=bool(data))
 
     async def _drain(self) -> None:
-        """Discards what still comes: closing over unread bytes would reset it and lose the last responses."""
+        """Discards received data: closing with unread data would reset the connection and lose responses."""
         with anyio.move_on_after(_DRAIN_TIMEOUT_S):
             for _ in range(_MAX_DRAIN_READS):
                 await self._stream.receive()
--- a/cresstray/clients/codec.py
+++ b/cresstray/clients/codec.py
@@ -1,6 +1,6 @@
-"""JSON-RPC 2.0 as the clients speak it, one message a line. Knows no socket and decides nothing.
+"""The clients' JSON-RPC 2.0 protocol, one message a line. Free of I/O.
 
-The names of the protocol, which appear nowhere behind this module:
+The protocol's names are used only in this module. Elsewhere they are:
 
 | protocol                       | here                                     |
 | ------------------------------ | ---------------------------------------- |
@@ -16,7 +16,7 @@
 | `est_mb`                       | `memory_mb`                              |
 | `data` (of a request)          | `statement`                              |
 | `data` (of a result)           | `result`                                 |
-| `at` (of a result)             | `position`, how far a read has seen      |
+| `at` (of a result)             | `position`, up to which a read has seen  |
 | `pass` (of a result)           | the response to `Status`                 |
 | `refused`, `holdoff`           | a rejection, `retry_after_ms`            |
 | `failed`                       | a failed request                         |
@@ -37,7 +37,7 @@
 
 _JSON_RPC_VERSION = "2.0"
 _MAX_REQUEST_ID = 2**63 - 1
-_NUMBER_LIMIT = 1e9  # of milliseconds and of megabytes
+_NUMBER_LIMIT = 1e9  # exclusive upper bound of milliseconds and of megabytes
 _UNDECODABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 
@@ -69,14 +69,14 @@
         "statement": "data",
     },
 ):
-    """A request. `class_name` is the method, `idempotency_key` tells that two requests are the same."""
+    """A request. `class_name` is the method; requests with one `idempotency_key` are the same operation."""
 
     # The patterns end in \Z, as `$` also matches before a trailing line feed, which would reach the engine.
     name: Annotated[str, msgspec.Meta(pattern=r"\A[0-9a-f]{16}\Z")]
     timeout_ms: Annotated[float, msgspec.Meta(gt=0, lt=_NUMBER_LIMIT)]
     statement: Annotated[bytes, msgspec.Meta(min_length=1)]
     tenant: str = ""
-    # The engines take the key in a list of fields: a comma in it would start another field.
+    # Engines receive the key in a comma-separated list of fields, so it must not contain a comma.
     idempotency_key: Annotated[str, msgspec.Meta(pattern=r"\A[0-9A-Za-z_.:-]{0,128}\Z")] = ""
     estimated_work_ms: Annotated[float, msgspec.Meta(ge=0, lt=_NUMBER_LIMIT)] = 0.0
     memory_mb: Annotated[float, msgspec.Meta(ge=0, lt=_NUMBER_LIMIT)] = 0.0
@@ -84,14 +84,14 @@
 
 
 class Cancellation(msgspec.Struct, rename={"name": "req"}):
-    """The client no longer waits for a request: that of this id on its connection, or of this name."""
+    """Cancels the request with this id on the same connection, or else the one with this name."""
 
     id: int | None = None
     name: str | None = None
 
 
 class Status(msgspec.Struct):
-    """The client asks whether the gateway responds."""
+    """A check by the client whether the gateway responds."""
 
 
 Message = Query | Cancellation | Status
@@ -119,7 +119,7 @@
     """Decodes one line to its id and its message. A Query always has an id.
 
     Raises:
-        MalformedMessageError: with the code of JSON-RPC for what is wrong.
+        MalformedMessageError: the line is malformed; `code` is the JSON-RPC error code.
     """
     try:
         envelope = _envelope_decoder.decode(line)
@@ -159,7 +159,7 @@
 
 
 def encode_success(request_id: int, result: bytes, position: str | None = None) -> bytes:
-    """Encodes a result; `position` is how far a read has seen, for the client to send back."""
+    """Encodes a result; `position` is up to where a read has seen, for the client to send back."""
     content = {"data": result} if position is None else {"data": result, "at": position}
     return _encode({"jsonrpc": "2.0", "id": request_id, "result": content}) + b"\n"
 
--- a/cresstray/clients/connection_registry.py
+++ b/cresstray/clients/connection_registry.py
@@ -1,21 +1,22 @@
-"""All connections of one listener: how many there are, which are silent, which make room. Free of I/O."""
+"""All connections of one listener: their number, idle timeouts and evictions. Free of I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
 
-from cresstray.clients.session import PAUSE_US, ClientSession, RequestHandler
+from cresstray.clients.session import MIN_IDLE_US, ClientSession, RequestHandler
 from cresstray.observability.counters import Counters
 
-# A client that keeps sending parts of a line is closed so long after it was due, three seconds after
-# connecting.
+# A client that keeps sending parts of a line is closed this long after its idle timeout. It must be closed
+# within three seconds of connecting.
 _FORCE_CLOSE_AFTER_US = 400_000
 
 
 class ConnectionRegistry:
     """All connections of one listener.
 
-    `max_connections()` is how many there may be at once; above `idle_close_threshold` idle ones are closed.
+    `max_connections()` returns how many there may be at once. While there are more than
+    `idle_close_threshold`, idle ones are closed.
     """
 
     def __init__(
@@ -24,65 +25,66 @@
         handler: RequestHandler,
         max_connections: Callable[[], int],
         idle_close_threshold: int,
-        now: Callable[[], int],
+        now_us: Callable[[], int],
         counters: Counters,
         log: Callable[[str, str], None],
     ) -> None:
         self.class_names = class_names
         self.handler = handler
-        self.now = now
+        self.now_us = now_us
         self.counters = counters
         self.log = log
         self._max_connections = max_connections
         self._idle_close_threshold = idle_close_threshold
         self.connections: dict[ClientSession, None] = {}  # in the order they were accepted
-        # Those that this side ends: about to be shut, or shut and not yet closed.
-        self.leaving: dict[ClientSession, None] = {}
+        # Connections that this side ends and that are not closed yet.
+        self.closing_connections: dict[ClientSession, None] = {}
         self.is_closing = False  # whether all new requests are rejected
-        # Bytes of partial lines and of lines that wait for their turn, on all connections.
+        # Bytes of partial lines and of lines not yet handled, on all connections.
         self.buffered_bytes = 0
 
-    def on_leaving(self, session: ClientSession) -> None:
-        """This side ends the connection."""
+    def on_closing(self, session: ClientSession) -> None:
+        """Moves a connection to those that this side ends."""
         self.connections.pop(session, None)
-        self.leaving[session] = None
+        self.closing_connections[session] = None
 
-    def on_staying(self, session: ClientSession) -> None:
-        """The connection was to end, and its client has sent something."""
-        self.leaving.pop(session, None)
+    def on_resumed(self, session: ClientSession) -> None:
+        """Moves a connection back from those that this side ends, as its client has sent something."""
+        self.closing_connections.pop(session, None)
         self.connections[session] = None
 
-    def forget(self, session: ClientSession) -> None:
-        """The connection has ended."""
+    def remove(self, session: ClientSession) -> None:
+        """Removes a connection that has ended."""
         self.connections.pop(session, None)
-        self.leaving.pop(session, None)
+        self.closing_connections.pop(session, None)
 
     def excess_connections(self) -> int:
-        """Returns how many connections there are beyond the limit; below 0, how many more there may be."""
-        return len(self.connections) + len(self.leaving) - self._max_connections()
+        """Returns by how many the connections exceed the limit; negative if there may be more."""
+        return len(self.connections) + len(self.closing_connections) - self._max_connections()
 
-    def abandon_longest_line(self) -> None:
-        """Drops the longest partial line, as there is no room for all."""
+    def drop_longest_partial_line(self) -> None:
+        """Drops the longest partial line, as the buffers of all connections are full."""
         longest = max(self.connections, key=ClientSession.partial_line_bytes, default=None)
         if longest is not None and longest.partial_line_bytes():
-            longest.abandon_line()
+            longest.drop_partial_line()
 
     def close_idle(self) -> None:
-        """Closes connections that have been silent too long, and idle ones where there are too many."""
-        now_us = self.now()
+        """Closes connections whose idle timeout has expired, and idle ones if there are too many."""
+        now_us = self.now_us()
         overdue = [session for session in self.connections if session.idle_overdue_us(now_us) >= 0]
         for session in overdue:
             session.close_idle(force=session.idle_overdue_us(now_us) >= _FORCE_CLOSE_AFTER_US)
-        # Clients may hold a third of the descriptors; those that stay after a response keep others out.
+        # Clients may hold a third of the descriptors. Those that stay connected after a response would keep
+        # other clients out.
         excess = len(self.connections) - self._idle_close_threshold
         if excess > 0:
-            idle = [session for session in self._by_silence() if session.is_idle(now_us)]
+            idle = [session for session in self._by_idle_time() if session.is_idle(now_us)]
             for session in idle[:excess]:
                 session.close_idle(force=False)
         self._make_room()
 
     def _make_room(self) -> None:
-        """Evicts what exceeds the limit, which falls as connections to engines take descriptors as well."""
+        """Evicts connections beyond the limit, which falls as connections to engines use more descriptors."""
         excess = self.excess_connections()
         if excess <= 0:
             return
@@ -92,19 +94,20 @@
             excess -= session.try_evict()
 
     def eviction_order(self) -> Iterator[ClientSession]:
-        """Yields those that leave anyway, then those that have been silent longest."""
-        yield from list(self.leaving)
-        yield from self._by_silence()
+        """Yields connections that are being ended, then the others by idle time, the longest idle first."""
+        yield from list(self.closing_connections)
+        yield from self._by_idle_time()
 
-    def _by_silence(self) -> list[ClientSession]:
-        """Returns all by silence: those that never sent a request first, then the longest silent.
+    def _by_idle_time(self) -> list[ClientSession]:
+        """Returns all connections to evict, in order: those that never sent a request, then the longest idle.
 
-        A client sends its first request at once, so one that has just connected is about to: it comes last.
+        A client sends its first request right after connecting, so connections that are too young to have
+        sent one come last.
         """
-        now_us = self.now()
+        now_us = self.now_us()
 
         def rank(session: ClientSession) -> tuple[int, int]:
-            if now_us - session.last_activity_us > PAUSE_US:
+            if now_us - session.last_activity_us > MIN_IDLE_US:
                 return int(session.has_sent_request), session.last_activity_us
             return 2 - session.has_sent_request, session.last_activity_us
 
--- a/cresstray/clients/listener.py
+++ b/cresstray/clients/listener.py
@@ -1,4 +1,4 @@
-"""The socket on which clients connect: accepts them, makes room for them, ends all in order."""
+"""The listener for clients: accepts connections, evicts others to make room, and ends all in order."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from cresstray.transport.streams import faults_contained
 
 _SWEEP_INTERVAL_S = 0.2
-# How long to leave connections waiting after one could not be accepted.
+# Pause before accepting again after a connection could not be accepted.
 _ACCEPT_RETRY_S = 0.02
-# Connections accepted in one turn: some ten milliseconds, what a busy event loop takes for a turn anyway. A
-# client's time runs whether it is accepted or not: one in each turn would leave the last of a hundred waiting
-# for 0.3 s, all in one turn would keep the other clients waiting.
+# Connections accepted in one turn of the event loop. 64 take some ten milliseconds, as a turn of a busy loop
+# does anyway. A client's timeout runs whether it is accepted or not: with one in each turn the last of a
+# hundred would wait for 0.3 s, and with all in one turn the other clients would wait.
 _MAX_ACCEPTS_PER_TURN = 64
-# More than the backlog of the socket ever holds.
+# More than the socket's backlog can hold.
 _MAX_BACKLOG = 4096
 
 
@@ -35,17 +35,19 @@
         handler: RequestHandler,
         max_connections: Callable[[], int],
         idle_close_threshold: int,
-        now: Callable[[], int],
+        now_us: Callable[[], int],
         counters: Counters,
         log: Log,
     ) -> None:
-        super().__init__(class_names, handler, max_connections, idle_close_threshold, now, counters, log.log)
+        super().__init__(
+            class_names, handler, max_connections, idle_close_threshold, now_us, counters, log.log
+        )
         self._log = log
         self._listener: socket.socket | None = None
         self._tasks: TaskGroup
 
     async def run(self, listener: socket.socket) -> None:
-        """Accepts until `stop_listening`; serves what it accepted until it is cancelled."""
+        """Accepts connections until `stop_listening`, and serves them until it is cancelled."""
         self._listener = listener
         async with anyio.create_task_group() as self._tasks:
             self._tasks.start_soon(self._sweep)
@@ -53,7 +55,7 @@
                 try:
                     await anyio.wait_readable(listener)
                     if not self._accept(listener):
-                        # Those that wait are tried again once other clients have been answered.
+                        # Waiting connections are tried again once other clients have been answered.
                         self.log("listener", "no room for a client, all others have requests open")
                         await anyio.sleep(_ACCEPT_RETRY_S)
                 except BlockingIOError:
@@ -61,14 +63,14 @@
                 except anyio.ClosedResourceError:
                     return
                 except OSError as error:
-                    # Being out of descriptors for a moment must not end the gateway.
+                    # A temporary lack of descriptors must not end the gateway.
                     self.log("listener", f"can't accept: {error!r}")
                     await anyio.sleep(_ACCEPT_RETRY_S)
 
     def stop_listening(self) -> None:
-        """Accepts those that wait and no more. All requests from here on are rejected.
+        """Accepts the waiting connections and closes the listening socket; requests are rejected from now on.
 
-        A socket that is closed resets the connections of its backlog, so all of them are accepted first.
+        Closing the socket resets the connections in its backlog, so all of them are accepted first.
         """
         self.is_closing = True
         listener = self._listener
@@ -78,7 +80,7 @@
             for _ in range(_MAX_BACKLOG // _MAX_ACCEPTS_PER_TURN):
                 self._accept(listener)
         except OSError:
-            pass  # none waits any more, or there is no descriptor
+            pass  # the backlog is empty, or no descriptor is left
         anyio.notify_closing(listener)
         listener.close()
 
@@ -88,7 +90,7 @@
             session.close()
 
     def _accept(self, listener: socket.socket) -> bool:
-        """Accepts those that wait, up to the limit of a turn; False where there is no room for one."""
+        """Accepts waiting connections, up to a turn's limit; returns False if there is no room for one."""
         eviction_order = self.eviction_order()
         for _ in range(_MAX_ACCEPTS_PER_TURN):
             accepted = listener.accept()[0]
@@ -101,7 +103,7 @@
         return True
 
     def _has_room(self, eviction_order: Iterator[ClientSession]) -> bool:
-        """Whether there is room for one more, after evicting in this order as far as needed."""
+        """Evicts in this order as far as needed; returns whether there is room for one more connection."""
         while self.excess_connections() >= 0:
             session = next(eviction_order, None)
             if session is None:
--- a/cresstray/clients/session.py
+++ b/cresstray/clients/session.py
@@ -1,7 +1,7 @@
-"""The state of one client's connection: what it has sent, what it is owed, when it ends. Free of I/O.
+"""The state of one client's connection: received lines, open requests, and when it ends. Free of I/O.
 
-The connection passes in what it has read and is told whether to go on reading; what is sent are direct calls
-on its transport. ConnectionRegistry has what all connections of one listener share.
+The connection passes in the data it has read and is told whether to go on reading. The session writes by
+direct calls on its transport. ConnectionRegistry holds what all connections of one listener share.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 if TYPE_CHECKING:
     from cresstray.clients.connection_registry import ConnectionRegistry
 
-# A statement has some kilobytes; a line far longer than any statement has no end that can be found.
+# A statement has some kilobytes; a line far longer than any statement is missing its line feed.
 _MAX_LINE_BYTES = 256 * 1024
-# Bound of the buffers of all connections together: lines without an end on all of them would fill the memory.
+# Limit of the buffers of all connections together: unterminated lines on all of them would fill the memory.
 _MAX_BUFFERED_BYTES = 2 * 1024 * 1024
-# Responses that a client may leave unread before its requests are rejected: a few whole results.
+# Unread responses, a few whole results, above which a client's requests are rejected.
 _MAX_UNREAD_BYTES = 256 * 1024
-# Open requests on one connection, as the protocol has it.
+# Open requests on one connection, as the protocol defines.
 _MAX_OPEN_REQUESTS = 32
 # Any client may send a malformed message; one that sends ten does not speak the protocol.
 _MAX_MALFORMED = 10
-# Lines handled in one turn of the event loop: some milliseconds of work, then other connections have theirs.
+# Lines handled in one turn of the event loop: some milliseconds of work before other connections have a turn.
 _MAX_LINES_PER_TURN = 100
-# What may be read ahead on one connection, to see whether its client has disconnected behind it.
+# Data that may be read ahead on one connection, to find out whether its client has disconnected.
 _MAX_READ_AHEAD_BYTES = 1024 * 1024
-# Messages without effect in a row, after which the connection is cut off: several times the number of
-# requests a client has open, again and again. The responses to them may take 200 kB.
-_MAX_IGNORED = 2000
-# A client without a whole line is owed a close within three seconds of connecting.
+# Messages without effect in a row, after which the connection is closed at once. A client reaches this number
+# only by repeating all its open requests many times. The responses to them may take 200 kB.
+_MAX_IGNORED_MESSAGES = 2000
+# A client that sends no whole line must be closed within three seconds of connecting.
 _SILENT_TIMEOUT_US = 2_200_000
 # A client closes its connection four seconds after a response; a later close cannot cross its next request.
 _IDLE_TIMEOUT_US = 5_000_000
-# A response that is not read for so long is never read: three times the longest timeout of a request.
+# Three times the longest timeout of a request: a response unread for this long is never read.
 _UNREAD_TIMEOUT_US = 10_000_000
-# Several times as long as a client usually takes to send its next request.
-PAUSE_US = 300_000
+# A connection counts as idle after several times the time a client usually takes to send its next request.
+MIN_IDLE_US = 300_000
 
 
 class RequestHandler(Protocol):
-    """Takes the requests of all connections. A request is identified by its session and its id there."""
+    """Handles the requests of all connections. A request is identified by its session and its id there."""
 
     def accept(self, session: ClientSession, request_id: int, query: codec.Query) -> None:
         """Accepts a request, or responds to it at once."""
@@ -51,74 +51,78 @@
         """Cancels the request of this id, or else of this name."""
 
     def on_disconnected(self, session: ClientSession) -> None:
-        """Nothing that is open in the session is owed a response any more."""
+        """Ends all open requests of the session: their responses can no longer be sent."""
 
 
 class Transport(Protocol):
-    """What a session writes to; `transport.streams.SocketStream` is one."""
+    """The socket that a session writes to, as implemented by `transport.streams.SocketStream`."""
 
-    unsent: bytearray  # written, and not yet taken by the kernel
+    unsent: bytearray  # written, and not yet accepted by the kernel
 
     def write(self, message: bytes) -> object:
-        """Takes all of the message and sends it now or later, in order."""
+        """Sends the message at once or later, in order."""
 
     def write_eof_when_drained(self) -> None:
-        """Asks for the end: once all is sent, the connection reads what has come and asks `can_shut_down`."""
+        """Starts an orderly end.
+
+        Once all is sent, the connection reads the available data and calls `can_shut_down`.
+        """
 
     def close(self) -> None:
         """Closes at once."""
 
     def has_unread(self) -> bool:
-        """Whether something has come that was not read yet."""
+        """Returns whether received data was not read yet."""
 
     def has_ended(self) -> bool:
-        """Whether the client has closed its side, or the connection has broken."""
+        """Returns whether the client has closed its side, or the connection has broken."""
 
 
 class NextAction(Enum):
-    """What the connection is to do after it has passed in what it read."""
+    """What the connection does after it has passed in what it read."""
 
     READ = "read on"
     CLOSE = "close at once"
 
 
 class ClientSession:
-    """One client's connection. `open` holds the requests that are owed a response, by id.
+    """One client's connection. `open` holds the requests that wait for a response, by id.
 
     Its states are flags, since several may hold at once:
 
-    | state        | flag               | entered                             | effect                    |
-    | ------------ | ------------------ | ----------------------------------- | ------------------------- |
-    | open         | none               | when the connection is accepted     | requests are accepted     |
-    | closing      | `_is_closing`      | by `close` or a ban                 | new requests are rejected |
-    | finishing    | `_is_finishing`    | closing and nothing open, or idle   | the transport drains      |
-    | shut         | `_is_shut_down`    | when `can_shut_down` agrees         | what comes is discarded   |
-    | disconnected | `_has_client_left` | when the client's end has been read | new requests are rejected |
+    | state        | flag               | entered                               | effect                     |
+    | ------------ | ------------------ | ------------------------------------- | -------------------------- |
+    | open         | none               | when the connection is accepted       | requests are accepted      |
+    | closing      | `_is_closing`      | by `close` or a ban                   | new requests are rejected  |
+    | finishing    | `_is_finishing`    | closing and no open requests, or idle | the transport drains       |
+    | shut down    | `_is_shut_down`    | when `can_shut_down` returns True     | received data is discarded |
+    | disconnected | `_is_disconnected` | when end of stream has been read      | new requests are rejected  |
 
-    A finishing session returns to open or closing by `resume`. A shut one stays so until `on_disconnected`.
+    A finishing session returns to open or closing by `resume`. One that is shut down stays so until
+    `on_disconnected`.
     """
 
     def __init__(self, registry: ConnectionRegistry, transport: Transport) -> None:
         self._registry = registry
         self._transport = transport
         self.open: dict[int, object] = {}
-        # When the connection was made; later the time of its last line or response, or of part of a line.
-        self.last_activity_us = registry.now()
-        self.has_sent_request = False  # whether it has sent a line that could be decoded
+        # When the connection was accepted, or later its last line, part of a line, or response.
+        self.last_activity_us = registry.now_us()
+        self.has_sent_request = False  # whether the client has sent a line that could be decoded
         self.has_buffered_lines = False  # whether whole lines are left for the next turn
         self._buffer = bytearray()
-        self._is_skipping_line = False  # what comes is dropped up to the end of an abandoned line
+        self._is_skipping_line = False  # whether received data is discarded up to the end of a dropped line
         self._malformed_count = 0
         self._ignored_count = 0  # messages without effect since the last accepted request
         self._is_closing = False
         self._is_finishing = False
         self._is_shut_down = False
-        self._has_client_left = False
+        self._is_disconnected = False
 
     # Responses.
 
     def succeed(self, request_id: int, result: bytes, position: str | None = None) -> None:
-        """Responds with a result; `position` is how far a read has seen."""
+        """Responds with a result; `position` is the position up to which a read has seen."""
         self._respond(request_id, codec.encode_success(request_id, result, position))
 
     def reject(self, request_id: int, retry_after_us: int) -> None:
@@ -130,7 +134,7 @@
         self._respond(request_id, codec.encode_error(request_id, codec.FAILED, "failed"))
 
     def reject_malformed(self, request_id: int | None, text: str, code: int = codec.INVALID_PARAMS) -> None:
-        """Responds to a message that cannot be accepted. Too many of them ban the client."""
+        """Responds to a message that cannot be accepted. A client that sends too many of them is banned."""
         self._malformed_count += 1
         self._registry.counters.add("clients malformed")
         self._registry.log("client", f"malformed, {code}: {text}")
@@ -139,7 +143,7 @@
             self._ban()
 
     def _ban(self) -> None:
-        """Ends it once its open requests are answered: malformed lines cost the other clients time."""
+        """Ends the connection once its open requests are answered: malformed lines delay other clients."""
         self._malformed_count = max(self._malformed_count, _MAX_MALFORMED)
         if not self._is_closing:
             self._is_closing = True
@@ -147,67 +151,73 @@
 
     def _respond(self, request_id: int, line: bytes) -> None:
         del self.open[request_id]
-        self.last_activity_us = self._registry.now()
+        self.last_activity_us = self._registry.now_us()
         self._transport.write(line)
         self._finish_if_done()
 
-    # What is read.
+    # Received data.
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed its side or the connection has broken; may cost a system call."""
-        return self._has_client_left or self._transport.has_ended()
+        """Returns whether the client has closed its side or the connection has broken.
+
+        May make a system call.
+        """
+        return self._is_disconnected or self._transport.has_ended()
 
     def can_read_ahead(self) -> bool:
-        """Whether more may be read before what is buffered is handled."""
+        """Returns whether more may be read before the buffered data is handled."""
         return (
             len(self._buffer) < _MAX_READ_AHEAD_BYTES and self._registry.buffered_bytes < _MAX_BUFFERED_BYTES
         )
 
     def is_banned(self) -> bool:
-        """Whether it has sent too much that is malformed; it ends once its open requests are answered."""
+        """Returns whether the client has sent too many malformed messages.
+
+        Its connection ends once its open requests are answered.
+        """
         return self._malformed_count >= _MAX_MALFORMED
 
     def receive(self, data: bytes, ended: bool = False) -> NextAction:
-        """Takes what was read, cut anywhere, and handles the lines that are whole.
+        """Buffers received data, which may be split anywhere, and handles the lines that are complete.
 
-        While `has_buffered_lines` it must be called again, with what has come since or nothing.
+        While `has_buffered_lines` is set it must be called again, with data received since or with none.
 
         Args:
-            data: what was read.
-            ended: whether the client's end comes right behind it.
+            data: the received data.
+            ended: whether the client's end of stream follows the data.
         """
-        self._has_client_left = self._has_client_left or ended
+        self._is_disconnected = self._is_disconnected or ended
         if self._is_shut_down:
             return NextAction.READ
         if self._is_skipping_line:
             data = self._skip_line(data)
         registry = self._registry
         if self.has_sent_request and not self._buffer:
-            self.last_activity_us = registry.now()
+            self.last_activity_us = registry.now_us()
         self._buffer += data
         registry.buffered_bytes += len(data)
         if self.has_buffered_lines or b"\n" in data:
-            self.last_activity_us = registry.now()
+            self.last_activity_us = registry.now_us()
             self._handle_lines(self._next_lines())
         elif self.is_banned():
             self._ignored_count += 1
         self._enforce_buffer_limits()
-        if self._ignored_count > _MAX_IGNORED:
+        if self._ignored_count > _MAX_IGNORED_MESSAGES:
             registry.counters.add("clients cut off")
             return NextAction.CLOSE
         self._finish_if_done()
         return NextAction.READ
 
     def _skip_line(self, data: bytes) -> bytes:
-        """Returns what comes behind the end of the line that is skipped."""
+        """Returns the data after the end of the line that is being skipped."""
         line_end = data.find(b"\n") + 1
         self._is_skipping_line = not line_end
         return data[line_end:] if line_end else b""
 
     def _next_lines(self) -> list[bytes]:
-        """Takes whole lines off the buffer, as many as are handled in one turn."""
+        """Removes whole lines from the buffer, as many as are handled in one turn."""
         registry = self._registry
-        # Where all buffers together are full, lines that wait for their turn would be added to them.
+        # If the buffers of all connections are full, all lines are handled now rather than kept buffered.
         max_lines = _MAX_LINES_PER_TURN if registry.buffered_bytes <= _MAX_BUFFERED_BYTES else -1
         *lines, rest = bytes(self._buffer).split(b"\n", max_lines)
         registry.buffered_bytes -= len(self._buffer) - len(rest)
@@ -222,31 +232,31 @@
 
     def _enforce_buffer_limits(self) -> None:
         if not self.has_buffered_lines and len(self._buffer) > _MAX_LINE_BYTES:
-            self.abandon_line()
+            self.drop_partial_line()
         if self._registry.buffered_bytes > _MAX_BUFFERED_BYTES:
-            self._registry.abandon_longest_line()
+            self._registry.drop_longest_partial_line()
 
     def partial_line_bytes(self) -> int:
-        """Returns the size of a line that has begun and not ended."""
+        """Returns the size of a line that is not complete yet."""
         return len(self._buffer) - (self._buffer.rfind(b"\n") + 1)
 
-    def abandon_line(self) -> None:
-        """Drops the line that has begun, as it has no end or there is no room for it, and bans the client."""
-        self._reject_line()
+    def drop_partial_line(self) -> None:
+        """Drops the line that is not complete, as it is too long or the buffers are full; bans the client."""
+        self._reject_overlong_line()
         partial_bytes = self.partial_line_bytes()
         del self._buffer[len(self._buffer) - partial_bytes :]
         self._registry.buffered_bytes -= partial_bytes
         self._is_skipping_line = True
         self._finish_if_done()
 
-    def _reject_line(self) -> None:
+    def _reject_overlong_line(self) -> None:
         if not self.is_banned():
             self.reject_malformed(None, "a line without an end", codec.INVALID_REQUEST)
             self._ban()
 
     def _handle_line(self, line: bytes) -> None:
         if len(line) > _MAX_LINE_BYTES:
-            self._reject_line()
+            self._reject_overlong_line()
             return
         try:
             request_id, message = codec.decode(line, self._registry.class_names)
@@ -257,7 +267,7 @@
         if isinstance(message, codec.Cancellation):
             self._registry.handler.cancel(self, message.id, message.name)
         elif request_id is None:
-            return  # a status without an id expects no response
+            return  # a status message without an id expects no response
         elif isinstance(message, codec.Status):
             self._ignored_count += self._has_too_much_unread()
             self._transport.write(codec.encode_status(request_id))
@@ -273,7 +283,7 @@
     def _handle_request(self, request_id: int, query: codec.Query) -> None:
         handler = self._registry.handler
         if request_id in self.open:
-            # A response under this id could be taken for that to either request; both are given up.
+            # The client could take a response with this id for that to either request; both are rejected.
             handler.cancel(self, request_id, None)
             self.reject_malformed(request_id, "two requests under one id", codec.INVALID_REQUEST)
             self.reject_malformed(request_id, "two requests under one id", codec.INVALID_REQUEST)
@@ -287,18 +297,18 @@
             handler.accept(self, request_id, query)
 
     def _must_reject(self) -> bool:
-        """Whether a request is rejected, as it could run and its response be lost with the connection."""
-        is_ending = self._is_closing or self._has_client_left or self._registry.is_closing
+        """Returns whether to reject a request because it could run and its response be lost."""
+        is_ending = self._is_closing or self._is_disconnected or self._registry.is_closing
         return is_ending or self._has_too_much_unread()
 
     def _has_too_much_unread(self) -> bool:
-        """Whether the client leaves responses unread, which would fill the memory.
+        """Returns whether the client leaves so many responses unread that they could fill the memory.
 
-        It is read from all the same: it may cancel a request, or disconnect.
+        Its connection is still read from: it may cancel a request, or disconnect.
         """
         return len(self._transport.unsent) > _MAX_UNREAD_BYTES
 
-    # How it ends.
+    # Orderly end.
 
     def close(self) -> None:
         """Ends the connection once its open requests are answered; new ones are rejected."""
@@ -315,18 +325,18 @@
             self._transport.write_eof_when_drained()
 
     def resume(self) -> None:
-        """Returns from finishing, as more has come than could be read at once; it may finish again later."""
+        """Stops finishing, as more data was received than could be read at once; may finish again later."""
         self._is_finishing = False
-        self._registry.on_staying(self)
+        self._registry.on_resumed(self)
         self._finish_if_done()
 
     def can_shut_down(self, has_received: bool) -> bool:
         """Decides, after `write_eof_when_drained`, whether the sending side is shut down now.
 
-        If so, what is read from then on is discarded; otherwise the session resumes.
+        If so, data read from then on is discarded; otherwise the session resumes.
 
         Args:
-            has_received: whether something had come since, which has been passed to `receive`.
+            has_received: whether data was received in the meantime; it has been passed to `receive`.
         """
         is_busy = self.open or self.has_buffered_lines or self._transport.unsent
         is_active_again = has_received and not self._is_closing
@@ -334,26 +344,26 @@
             self.resume()
             return False
         self._is_shut_down = True
-        self._registry.on_leaving(self)
+        self._registry.on_closing(self)
         if not self._is_closing:
             self._registry.counters.add("clients silent, closed")
         return True
 
     def on_disconnected(self) -> None:
-        """The connection has ended; no response is owed any more."""
+        """Ends the session after its connection has ended; open requests get no response."""
         self._registry.buffered_bytes -= len(self._buffer)
-        self._registry.forget(self)
+        self._registry.remove(self)
         self._registry.handler.on_disconnected(self)
 
-    # How long it may stay silent.
+    # Idle timeouts.
 
     def idle_overdue_us(self, now_us: int) -> int:
-        """Returns by how much its silence exceeds what is allowed; below 0 if it does not, or is busy."""
+        """Returns the time since the idle timeout expired; negative if it has not, or requests are open."""
         if self.open or self.has_buffered_lines:
             return -1
-        return now_us - self.last_activity_us - self._silence_limit_us()
+        return now_us - self.last_activity_us - self._idle_timeout_us()
 
-    def _silence_limit_us(self) -> int:
+    def _idle_timeout_us(self) -> int:
         if self._transport.unsent:
             return _UNREAD_TIMEOUT_US
         if self.has_sent_request and not self._buffer:
@@ -361,31 +371,34 @@
         return _SILENT_TIMEOUT_US
 
     def is_idle(self, now_us: int) -> bool:
-        """Whether it pauses with nothing open and nothing left to send."""
+        """Returns whether the connection is inactive, with no open request and no unsent data."""
         is_busy = self.open or self.has_buffered_lines or self._transport.unsent
-        return not is_busy and now_us - self.last_activity_us > PAUSE_US
+        return not is_busy and now_us - self.last_activity_us > MIN_IDLE_US
 
     def close_idle(self, force: bool) -> None:
-        """Ends it in order; unless `force`, it stays if something turns out to have come."""
+        """Ends the connection in order; without `force` it stays if data turns out to have been received."""
         if self._transport.unsent:
             self.abort()
         elif force:
             self._registry.counters.add("clients silent, closed")
-            self._registry.on_leaving(self)
+            self._registry.on_closing(self)
             self.close()
         else:
-            self._registry.on_leaving(self)
+            self._registry.on_closing(self)
             self._finish()
 
     def abort(self) -> None:
-        """Closes at once. Its descriptor is free when this returns, not only once its task has run."""
+        """Closes at once. The descriptor is free when this returns, before the connection's task has run."""
         if not self._is_shut_down:
             self._registry.counters.add("clients silent, closed")
-        self._registry.forget(self)
+        self._registry.remove(self)
         self._transport.close()
 
     def try_evict(self) -> bool:
-        """Closes at once if it is shut, or if nothing is open, to be read or to be sent."""
+        """Closes at once if the connection is shut down or idle; returns whether it did.
+
+        It is idle if no request is open and no data is unread or unsent.
+        """
         transport = self._transport
         if not self._is_shut_down:
             is_busy = self.open or self.has_buffered_lines or transport.unsent or transport.has_unread()
--- a/cresstray/gateway/shutdown.py
+++ b/cresstray/gateway/shutdown.py
@@ -62,7 +62,7 @@
             parts.listener.close()
             if parts.worker is not None:
                 await self._end_worker(parts.worker)
-            while parts.listener.connections or parts.listener.leaving:
+            while parts.listener.connections or parts.listener.closing_connections:
                 await anyio.sleep(_POLL_SECONDS)
 
     def _set_deadline(self) -> int:
--- a/cresstray/model_checking/lines.py
+++ b/cresstray/model_checking/lines.py
@@ -922,7 +922,7 @@
         lines(
             (
                 ClientSession._must_reject,
-                "self._is_closing or self._has_client_left or self._registry.is_closing",
+                "self._is_closing or self._is_disconnected or self._registry.is_closing",
                 "False",
             )
         ),
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -194,10 +194,14 @@
                 await turns()
             self.assertEqual(
                 ("closed", [], 1),
-                (await hear(client), harness.handler.accepted, len(harness.client_listener.leaving)),
+                (
+                    await hear(client),
+                    harness.handler.accepted,
+                    len(harness.client_listener.closing_connections),
+                ),
             )
             client.close()
-            await until(lambda: not harness.client_listener.leaving)
+            await until(lambda: not harness.client_listener.closing_connections)
 
         run_scene(scene)
 
@@ -208,8 +212,8 @@
             self.assertEqual("1 pass", await hear(client))
             harness.clock[0] = 5_000_000
             harness.client_listener.close_idle()
-            await until(lambda: harness.client_listener.leaving)
-            await until(lambda: not harness.client_listener.leaving)
+            await until(lambda: harness.client_listener.closing_connections)
+            await until(lambda: not harness.client_listener.closing_connections)
 
         with mock.patch.object(client_connection, "_DRAIN_TIMEOUT_S", 0.05):
             run_scene(scene)
@@ -238,7 +242,7 @@
             harness.client_listener.close_idle()
             self.assertEqual("closed", await hear(client))
             client.close()
-            await until(lambda: not harness.client_listener.leaving)
+            await until(lambda: not harness.client_listener.closing_connections)
             self.assertEqual(0, harness.client_listener.buffered_bytes)
 
         run_scene(scene)
@@ -263,7 +267,8 @@
                 client.close()
             self.assertEqual([], harness.handler.accepted)
             await until(
-                lambda: not harness.client_listener.connections and not harness.client_listener.leaving
+                lambda: not harness.client_listener.connections
+                and not harness.client_listener.closing_connections
             )
             with self.assertRaises(ConnectionRefusedError):
                 harness.client()
@@ -284,7 +289,7 @@
                 (1, 0, 0),
                 (
                     len(harness.client_listener.connections),
-                    len(harness.client_listener.leaving),
+                    len(harness.client_listener.closing_connections),
                     harness.client_listener.buffered_bytes,
                 ),
             )
@@ -335,7 +340,8 @@
             idle.sendall(status(2))
             self.assertEqual("2 pass", await hear(idle))
             self.assertEqual(
-                (2, 0), (len(harness.client_listener.connections), len(harness.client_listener.leaving))
+                (2, 0),
+                (len(harness.client_listener.connections), len(harness.client_listener.closing_connections)),
             )
 
         run_scene(scene, lambda: 2)
--- a/tests/test_client_session.py
+++ b/tests/test_client_session.py
@@ -130,7 +130,9 @@
         session.fail(1)
         self.assertEqual("ends once it is written", self.lines[-1])
         self.assertTrue(session.can_shut_down(has_received=False))
-        self.assertEqual(({}, [session]), (self.registry.connections, list(self.registry.leaving)))
+        self.assertEqual(
+            ({}, [session]), (self.registry.connections, list(self.registry.closing_connections))
+        )
         seen = len(self.lines)
         self.assertEqual(NextAction.READ, session.receive(request(4)))
         self.assertEqual(seen, len(self.lines))
@@ -215,7 +217,7 @@
             self.registry.close_idle()
             if self.lines and self.lines[-1] == "ends once it is written":
                 self.lines.append(f"may be shut: {session.can_shut_down(came)}")
-            there = len(self.registry.connections), len(self.registry.leaving)
+            there = len(self.registry.connections), len(self.registry.closing_connections)
             self.lines.append(f"{self.now} us: {there[0]} there, {there[1]} leaving")
         self.check("talk_silent", self.lines)
 
