--- a/cresstray/clients/session.py
+++ b/cresstray/clients/session.py
@@ -86,7 +86,7 @@
 
 
 class ClientSession:
-    """One client's connection. `open` holds the requests that wait for a response, by id.
+    """One client's connection. `open_requests` holds the requests that wait for a response, by id.
 
     Its states are flags, since several may hold at once:
 
@@ -105,7 +105,7 @@
     def __init__(self, registry: ConnectionRegistry, transport: Transport) -> None:
         self._registry = registry
         self._transport = transport
-        self.open: dict[int, object] = {}
+        self.open_requests: dict[int, object] = {}
         # When the connection was accepted, or later its last line, part of a line, or response.
         self.last_activity_us = registry.now_us()
         self.has_sent_request = False  # whether the client has sent a line that could be decoded
@@ -150,7 +150,7 @@
             self._registry.counters.add("clients banned")
 
     def _respond(self, request_id: int, line: bytes) -> None:
-        del self.open[request_id]
+        del self.open_requests[request_id]
         self.last_activity_us = self._registry.now_us()
         self._transport.write(line)
         self._finish_if_done()
@@ -282,7 +282,7 @@
 
     def _handle_request(self, request_id: int, query: codec.Query) -> None:
         handler = self._registry.handler
-        if request_id in self.open:
+        if request_id in self.open_requests:
             # The client could take a response with this id for that to either request; both are rejected.
             handler.cancel(self, request_id, None)
             self.reject_malformed(request_id, "two requests under one id", codec.INVALID_REQUEST)
@@ -290,7 +290,7 @@
         elif self._must_reject():
             self._ignored_count += 1
             self._transport.write(codec.encode_rejection(request_id, 0))
-        elif len(self.open) >= _MAX_OPEN_REQUESTS:
+        elif len(self.open_requests) >= _MAX_OPEN_REQUESTS:
             self.reject_malformed(request_id, "too many open requests", codec.INVALID_REQUEST)
         else:
             self._ignored_count = 0
@@ -316,7 +316,7 @@
         self._finish_if_done()
 
     def _finish_if_done(self) -> None:
-        if self._is_closing and not (self.open or self.has_buffered_lines):
+        if self._is_closing and not (self.open_requests or self.has_buffered_lines):
             self._finish()
 
     def _finish(self) -> None:
@@ -338,7 +338,7 @@
         Args:
             has_received: whether data was received in the meantime; it has been passed to `receive`.
         """
-        is_busy = self.open or self.has_buffered_lines or self._transport.unsent
+        is_busy = self.open_requests or self.has_buffered_lines or self._transport.unsent
         is_active_again = has_received and not self._is_closing
         if is_busy or is_active_again:
             self.resume()
@@ -359,7 +359,7 @@
 
     def idle_overdue_us(self, now_us: int) -> int:
         """Returns the time since the idle timeout expired; negative if it has not, or requests are open."""
-        if self.open or self.has_buffered_lines:
+        if self.open_requests or self.has_buffered_lines:
             return -1
         return now_us - self.last_activity_us - self._idle_timeout_us()
 
@@ -372,7 +372,7 @@
 
     def is_idle(self, now_us: int) -> bool:
         """Returns whether the connection is inactive, with no open request and no unsent data."""
-        is_busy = self.open or self.has_buffered_lines or self._transport.unsent
+        is_busy = self.open_requests or self.has_buffered_lines or self._transport.unsent
         return not is_busy and now_us - self.last_activity_us > MIN_IDLE_US
 
     def close_idle(self, force: bool) -> None:
@@ -401,7 +401,9 @@
         """
         transport = self._transport
         if not self._is_shut_down:
-            is_busy = self.open or self.has_buffered_lines or transport.unsent or transport.has_unread()
+            is_busy = (
+                self.open_requests or self.has_buffered_lines or transport.unsent or transport.has_unread()
+            )
             if is_busy:
                 return False
         self.abort()
--- a/cresstray/gateway/composition.py
+++ b/cresstray/gateway/composition.py
@@ -24,7 +24,7 @@
 from cresstray.pipeline.admission import Admission
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.ingress import Ingress
-from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.policy_port import PipelinePolicyPort
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
@@ -102,7 +102,7 @@
         sites = operator.halls if operator else None
         folder = operator.kept.folder if operator and operator.kept else None
         # The lease of a fleet member or of an idempotency record also expires while the machine is suspended.
-        self.clock = Clock(sleeps=fleet is not None or store is not None)
+        self.clock = Clock(counts_suspend=fleet is not None or store is not None)
         self.counters = Counters()
         self.log = Log(name, self.clock)
         self.timers = Timers(self.clock, self._on_timer_fault)
@@ -139,7 +139,9 @@
         self.responses = ResponseHandler(self.clock, self.counters, self.accounting)
         self.dispatcher = Dispatcher(self.clock, self.timers, self.counters, self.responses)
         self.router = Router(self._make_pool, self.dispatcher)
-        port = SocketPort(self.router, self.dispatcher, self.accounting, self.timers, self.counters, self.log)
+        port = PipelinePolicyPort(
+            self.router, self.dispatcher, self.accounting, self.timers, self.counters, self.log
+        )
         self.controller = PolicyController(port, parse_settings(settings), self._seed, self.clock.now())
         self.admission = Admission(self.accounting)
         self.responses.controller = self.controller
--- a/tests/halls.py
+++ b/tests/halls.py
@@ -10,7 +10,7 @@
 from cresstray.pipeline.dispatch import Dispatcher
 from cresstray.pipeline.forwarding import Forwarder
 from cresstray.pipeline.ingress import Ingress
-from cresstray.pipeline.policy_port import SocketPort
+from cresstray.pipeline.policy_port import PipelinePolicyPort
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
@@ -84,10 +84,10 @@
     """One who asks at one hall, and the answers it gets."""
 
     def __init__(self, desk: "HallDesk") -> None:
-        self._desk, self.open, self.answers = desk, {}, {}
+        self._desk, self.open_requests, self.answers = desk, {}, {}
 
     def _told(self, number: int, how: str) -> None:
-        context = self.open.pop(number)
+        context = self.open_requests.pop(number)
         name = self._desk.world.names[context.query.name]
         self.answers.setdefault(name, []).append(how)
         self._desk.world.say(f"{self._desk.hall} answers {name}: {how}")
@@ -122,7 +122,7 @@
             clock, self.timers, self.counters, self.back, self.send
         )
         log = type("NoLog", (), {"log": lambda self, kind, text: None})()
-        port = SocketPort(self.route, self.send, self.book, self.timers, self.counters, log)
+        port = PipelinePolicyPort(self.route, self.send, self.book, self.timers, self.counters, log)
         self.gateway = PolicyController(port, parse_settings(given), 7, clock.now())
         admit = Admission(self.book)
         self.back.controller = admit.controller = self.gateway
@@ -153,7 +153,7 @@
     def withdraw(self, label: str) -> None:
         number = next(
             number
-            for number, context in self.client.open.items()
+            for number, context in self.client.open_requests.items()
             if self.world.names[context.query.name] == label
         )
         self.world.say(f"the client withdraws {label}")
