--- a/cresstray/discovery/__init__.py
+++ b/cresstray/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The coordinator's side: its event frames, the endpoint list of the start, and the watch that follows it."""
+"""Endpoint discovery: the coordinator's event frames, the initial endpoint list, and the endpoint watch."""
--- a/cresstray/discovery/codec.py
+++ b/cresstray/discovery/codec.py
@@ -1,17 +1,17 @@
-"""The coordinator's event frames: binary, big-endian. Knows no socket.
-
-| frame                                     | here                                                         |
-| ----------------------------------------- | ------------------------------------------------------------ |
-| length, 4 bytes                           | of all behind it                                             |
-| number, 8 bytes                           | `EndpointEvent.index`                                        |
-| kind, 1 byte: 0 nothing new               | None                                                         |
-| 1 whole list, 2 changes                   | `EndpointEvent.is_complete`                                  |
-| records of 27 bytes: number               | `Endpoint.id`                                                |
-| address (4), port (2)                     | `host`, `port`                                               |
-| state: 0 in service, 1 drains, 2 gone     | `EndpointState.READY`, `DRAINING`, `REMOVED`                 |
-| zone, machine, cell (1 + 1 + 2)           | `zone`, `instance_type`, `cell`                              |
-| weight (4)                                | not used                                                     |
-| start (8), in ms                          | `started_us`                                                 |
+"""The coordinator's event frames: binary, big-endian. Free of I/O.
+
+| frame                                          | here                                         |
+| ---------------------------------------------- | -------------------------------------------- |
+| length, 4 bytes                                | the number of bytes that follow              |
+| index, 8 bytes                                 | `EndpointEvent.index`                        |
+| kind, 1 byte: 0 nothing new                    | None                                         |
+| 1 complete list, 2 changes                     | `EndpointEvent.is_complete`                  |
+| records of 27 bytes each: id (4)               | `Endpoint.id`                                |
+| address (4), port (2)                          | `host`, `port`                               |
+| state (1): 0 in service, 1 draining, 2 removed | `EndpointState.READY`, `DRAINING`, `REMOVED` |
+| zone, instance type, cell (1 + 1 + 2)          | `zone`, `instance_type`, `cell`              |
+| weight (4)                                     | not used                                     |
+| start time (8), in ms                          | `started_us`                                 |
 """
 
 from __future__ import annotations
@@ -30,28 +30,28 @@
 _KIND_NOTHING_NEW = 0
 _KIND_COMPLETE = 1
 _KIND_CHANGES = 2
-# Some hundred thousand endpoints, far more than any fleet has; what claims to be longer is no frame.
+# A list of some hundred thousand endpoints, far more than any fleet has; a greater length is malformed.
 _MAX_FRAME_BYTES = 4_000_000
 
 
 def encode_subscription(last_index: int) -> bytes:
-    """Encodes what a gateway writes first: the index of the last event that it has."""
+    """Encodes the first message of a gateway: the index of the last event that it has."""
     return _SUBSCRIPTION.pack(last_index)
 
 
 class EventDecoder:
-    """Decodes the events in what is received, however it is cut."""
+    """Decodes events from received data, which may be split anywhere."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[EndpointEvent | None]:
-        """Returns one item for each frame that is whole with this data: None where it tells nothing new.
+        """Returns one item for each frame that this data completes: its event, or None for "nothing new".
 
         Raises:
-            MalformedEventError: what came cannot be a frame. Frames before it are returned first, as they may
-                tell of a drain, which would come with the malformed one again on the next connection; the
-                error is raised by the next call.
+            MalformedEventError: the data is malformed. Frames before it are returned first, and the error is
+                raised by the next call: they may announce that an endpoint is draining, and would not be
+                handled at all if the malformed frame followed them on each new connection.
         """
         self._buffer += data
         events: list[EndpointEvent | None] = []
@@ -66,7 +66,7 @@
         return events
 
     def _complete_frame_length(self) -> int | None:
-        """Returns the length of the next frame, None while it is not whole."""
+        """Returns the length of the next frame, or None while it is incomplete."""
         if len(self._buffer) < _LENGTH.size:
             return None
         length: int = _LENGTH.unpack_from(self._buffer)[0]
@@ -87,7 +87,7 @@
 
 
 def _parse_endpoint(
-    number: int,
+    endpoint_id: int,
     address: int,
     port: int,
     state: int,
@@ -99,10 +99,10 @@
 ) -> Endpoint:
     """Returns the endpoint of one record.
 
-    A fleet grows into zones and instance types that this gateway's settings do not name yet. They are as good
-    as any other: if they were rejected, so would be the whole list with them, for good.
+    Zones and instance types that this gateway's settings do not name are accepted, as a fleet grows into new
+    ones. Rejecting them would reject the whole list, on every connection.
     """
     if state not in _STATES:
         raise MalformedEventError(f"a record of state {state}")
     host = str(IPv4Address(address))
-    return Endpoint(number, host, port, _STATES[state], zone, instance_type, cell, started_ms * 1000)
+    return Endpoint(endpoint_id, host, port, _STATES[state], zone, instance_type, cell, started_ms * 1000)
--- a/cresstray/discovery/endpoint_list.py
+++ b/cresstray/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the coordinator tells it: one typed event, and the JSON form of the start.
+"""Events of the coordinator's endpoint list, and the initial list in the JSON configuration.
 
 | in the configuration                        | here                                             |
 | ------------------------------------------- | ------------------------------------------------ |
@@ -7,8 +7,8 @@
 | `complete`                                  | `EndpointEvent.is_complete`                      |
 | `id`: `s-` and a hexadecimal number         | `Endpoint.id`, the number                        |
 | `host_port`                                 | `host`, `port`                                   |
-| `locality`, by its place in `Localities`    | `zone`                                           |
-| `flavor`, by its place in `Flavors`         | `instance_type`                                  |
+| `locality`, by its position in `Localities` | `zone`                                           |
+| `flavor`, by its position in `Flavors`      | `instance_type`                                  |
 | `phase`: `in_service`                       | `EndpointState.READY`                            |
 | `terminating`, `terminated`                 | `EndpointState.DRAINING`, `EndpointState.REMOVED` |
 | `up_since_ms`                               | `started_us`                                     |
@@ -40,11 +40,11 @@
     zone: int
     instance_type: int
     cell: int
-    started_us: int  # microseconds since 1970; 0: long ago
+    started_us: int  # Unix time in microseconds; 0: long ago
 
 
 class EndpointEvent(msgspec.Struct):
-    """A change of the list, or with `is_complete` the whole of it. A larger `index` is a later event."""
+    """A change of the list, or with `is_complete` the whole list. A larger `index` is a later event."""
 
     index: int
     is_complete: bool
@@ -72,7 +72,7 @@
 
 
 class InitialList(msgspec.Struct):
-    """The endpoint list that the configuration holds, as a list of events."""
+    """The endpoint list in the configuration, as a list of events."""
 
     index: int = 0
     updates: list[_Update] = []
@@ -85,16 +85,17 @@
 }
 _ID = re.compile("s-[0-9a-fA-F]{1,8}")
 _ID_PREFIX_LENGTH = 2
-_UINT64_LIMIT = 2**64  # of an event's index and of a start, as a frame has 8 bytes for each
+_UINT64_LIMIT = 2**64  # of an event's index and of a start time, as a frame has 8 bytes for each
 _MAX_PORT = 65_535
 _FIRST_UNNAMED_ORDINAL = 256  # a frame has one byte for a zone, and one for an instance type
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Parses host:port, the host being an IPv4 address, as the platform resolves no names.
+    """Parses host:port, where host is an IPv4 address, as the platform does not resolve names.
 
     Raises:
-        ValueError: it is none; a connection to it would fail with other errors than OSError, much later.
+        ValueError: `text` is not such an address. A connection to it would fail much later, with errors other
+            than OSError.
     """
     host, _, port_text = text.rpartition(":")
     port = int(port_text)
@@ -108,15 +109,15 @@
 
 
 def initial_events(initial: InitialList, settings: Mapping[str, Any]) -> list[EndpointEvent]:
-    """Returns the events of the start.
+    """Returns the events of the initial endpoint list.
 
     Raises:
-        MalformedEventError: one of them does not follow the protocol.
+        MalformedEventError: one of them does not follow the coordinator's protocol.
     """
     zones = _Ordinals(settings.get("Localities", []))
     instance_types = _Ordinals(settings.get("Flavors", []))
     for update in initial.updates:
-        # The last index is sent to the coordinator in eight bytes.
+        # The index of the last event is sent to the coordinator in eight bytes.
         if not 0 <= update.index < _UINT64_LIMIT:
             raise MalformedEventError(f"an event of the number {update.index}")
     return [
@@ -130,14 +131,14 @@
 
 
 class _Ordinals(dict[str, int]):
-    """Names by their place in the settings; others get places behind all that a frame can tell.
+    """Maps names to their positions in the settings; other names get positions beyond those in frames.
 
-    A fleet grows into zones that the settings do not name. Each is one of its own, since a retry in another
-    zone may take effect twice.
+    A fleet grows into zones that the settings do not name. Each of them counts as a zone of its own, since a
+    retry in another zone may take effect twice.
     """
 
     def __init__(self, names: Sequence[str]) -> None:
-        super().__init__((name, place) for place, name in enumerate(names))
+        super().__init__((name, ordinal) for ordinal, name in enumerate(names))
         self._named_count = len(self)
 
     def __missing__(self, name: str) -> int:
@@ -167,17 +168,20 @@
 
 
 def apply_final_states(events: Sequence[EndpointEvent]) -> list[EndpointEvent]:
-    """Adds to each of several events the last state of all endpoints that drain or are removed by them.
+    """Adds to each of several events the final state of all endpoints that they drain or remove.
 
-    The policy sends requests between two events, and must not send one to what the next event drains.
+    The policy sends requests between two events, and must not send one to an endpoint that the next event
+    drains.
     """
     if len(events) < 2:
         return list(events)
-    # Events before the last complete list say nothing more.
-    start = max((place for place, event in enumerate(events) if event.is_complete), default=0)
-    last = {endpoint.id: endpoint for event in events[start:] for endpoint in event.endpoints}
+    # Events before the last complete list are superseded by it.
+    start = max((position for position, event in enumerate(events) if event.is_complete), default=0)
+    last_records = {endpoint.id: endpoint for event in events[start:] for endpoint in event.endpoints}
     ending = {
-        number: endpoint for number, endpoint in last.items() if endpoint.state is not EndpointState.READY
+        endpoint_id: endpoint
+        for endpoint_id, endpoint in last_records.items()
+        if endpoint.state is not EndpointState.READY
     }
     return [
         EndpointEvent(
--- a/cresstray/discovery/resolver.py
+++ b/cresstray/discovery/resolver.py
@@ -1,4 +1,4 @@
-"""Which engine is at which address: one at a time, whatever the events say. Free of I/O."""
+"""Resolves conflicts between endpoints that claim one address, so that each address has one. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,64 +8,74 @@
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.policy.types import EndpointState
 
-# An address, and in microseconds the start of the engine that was said to be there.
+# The address of an endpoint, and its start time in microseconds.
 EndpointLocation = tuple[tuple[str, int], int]
-# Of two records of one endpoint in an event the one of the higher severity holds.
+# If an event has two records of one endpoint, that of the higher severity applies.
 _SEVERITY = {EndpointState.READY: 0, EndpointState.DRAINING: 1, EndpointState.REMOVED: 2}
 
 
 class Resolution(NamedTuple):
-    """What an event means once each address has one engine."""
+    """An event after all conflicts are resolved.
 
-    endpoints: list[Endpoint]  # the records that hold, one for each engine, in the event's order
-    displaced: list[int]  # engines that lost their address to another, now or before; as good as removed
+    Attributes:
+        endpoints: the records that apply, one for each endpoint, in the event's order.
+        displaced: the ids of endpoints that have lost their address to another, by this event or earlier;
+            they are treated as removed.
+    """
+
+    endpoints: list[Endpoint]
+    displaced: list[int]
 
 
 class AddressResolver:
-    """Remembers engines that lost their address to another until they are removed or have come back."""
+    """Assigns each address to one endpoint.
+
+    Remembers endpoints that lost their address to another one until they are removed or come back.
+    """
 
     def __init__(self) -> None:
         self._displaced: dict[int, EndpointLocation] = {}
 
     def resolve(self, event: EndpointEvent, known: Mapping[int, EndpointLocation]) -> Resolution:
-        """Resolves one event; `known`: the engines in use before it."""
-        named = _one_record_each(event.endpoints)
-        placements = _remaining(known, named, event)
-        holders = {address: number for number, (address, _) in placements.items()}
-        self._displaced = _remaining(self._displaced, named, event)
-        displaced = self._still_displaced(named, holders)
-        claims = [
+        """Resolves one event; `known` maps the ids of the endpoints in use before it to their locations."""
+        records = _merge_records(event.endpoints)
+        locations = _remaining(known, records, event)
+        holders = {address: endpoint_id for endpoint_id, (address, _) in locations.items()}
+        self._displaced = _remaining(self._displaced, records, event)
+        displaced = self._still_displaced(records, holders)
+        claimants = [
             endpoint
-            for endpoint in named.values()
+            for endpoint in records.values()
             if endpoint.state is not EndpointState.REMOVED and endpoint.id not in displaced
         ]
-        # Whoever is new at an address stays, and of several new ones the one that started last.
-        claims.sort(
+        # The last claimant in this order gets the address: a new one wins over the present holder, and among
+        # several new ones the one that started last.
+        claimants.sort(
             key=lambda endpoint: (holders.get(_address_of(endpoint)) != endpoint.id, endpoint.started_us)
         )
-        for endpoint in claims:
+        for endpoint in claimants:
             address = _address_of(endpoint)
-            holder = holders.get(address, endpoint.id)
-            if holder != endpoint.id:
-                self._displaced[holder] = placements[holder]
-                displaced[holder] = None
+            holder_id = holders.get(address, endpoint.id)
+            if holder_id != endpoint.id:
+                self._displaced[holder_id] = locations[holder_id]
+                displaced[holder_id] = None
             holders[address] = endpoint.id
-            placements[endpoint.id] = (address, endpoint.started_us)
-        remaining = [endpoint for endpoint in named.values() if endpoint.id not in displaced]
+            locations[endpoint.id] = (address, endpoint.started_us)
+        remaining = [endpoint for endpoint in records.values() if endpoint.id not in displaced]
         return Resolution(remaining, list(displaced))
 
     def _still_displaced(
-        self, named: Mapping[int, Endpoint], holders: Mapping[tuple[str, int], int]
+        self, records: Mapping[int, Endpoint], holders: Mapping[tuple[str, int], int]
     ) -> dict[int, None]:
-        """Returns those named that stay displaced; forgets those that came back."""
+        """Returns the ids among the records that stay displaced; forgets endpoints that came back."""
         displaced: dict[int, None] = {}
-        for number, (address, started_us) in list(self._displaced.items()):
-            if number in named:
-                # It has come back by a later start, or where no engine is any more.
-                if address not in holders or named[number].started_us > started_us:
-                    del self._displaced[number]
+        for endpoint_id, (address, started_us) in list(self._displaced.items()):
+            if endpoint_id in records:
+                # The endpoint has come back with a later start, or its address is free again.
+                if address not in holders or records[endpoint_id].started_us > started_us:
+                    del self._displaced[endpoint_id]
                 else:
-                    displaced[number] = None
+                    displaced[endpoint_id] = None
         return displaced
 
 
@@ -74,13 +84,13 @@
 
 
 def _remaining(
-    placements: Mapping[int, EndpointLocation], named: Mapping[int, Endpoint], event: EndpointEvent
+    locations: Mapping[int, EndpointLocation], records: Mapping[int, Endpoint], event: EndpointEvent
 ) -> dict[int, EndpointLocation]:
-    """Returns those that are neither removed nor elsewhere after the event."""
+    """Returns the locations of endpoints that the event neither removes nor moves."""
     return {
-        number: placement
-        for number, placement in placements.items()
-        if _remains(number, placement, named, event)
+        endpoint_id: location
+        for endpoint_id, location in locations.items()
+        if _remains(endpoint_id, location, records, event)
     }
 
 
@@ -93,15 +103,15 @@
     return endpoint.state is not EndpointState.REMOVED and _address_of(endpoint) == placement[0]
 
 
-def _one_record_each(endpoints: Iterable[Endpoint]) -> dict[int, Endpoint]:
-    """Returns one record for each engine: the one of higher severity, unless a later start comes behind it.
+def _merge_records(endpoints: Iterable[Endpoint]) -> dict[int, Endpoint]:
+    """Returns one record for each endpoint: the most severe, unless one with a later start follows it.
 
-    An engine that is said to drain or to be removed must not be used for the sake of a second record.
+    An endpoint that is reported as draining or removed must not be used because of a second record.
     """
     records: dict[int, Endpoint] = {}
     for endpoint in endpoints:
-        other = records.get(endpoint.id, endpoint)
-        is_as_severe = _SEVERITY[endpoint.state] >= _SEVERITY[other.state]
-        if is_as_severe or endpoint.started_us > other.started_us:
+        previous = records.get(endpoint.id, endpoint)
+        is_as_severe = _SEVERITY[endpoint.state] >= _SEVERITY[previous.state]
+        if is_as_severe or endpoint.started_us > previous.started_us:
             records[endpoint.id] = endpoint
     return records
