--- a/cresstray/discovery/resolver.py
+++ b/cresstray/discovery/resolver.py
@@ -95,9 +95,9 @@
 
 
 def _remains(
-    number: int, placement: EndpointLocation, named: Mapping[int, Endpoint], event: EndpointEvent
+    endpoint_id: int, location: EndpointLocation, records: Mapping[int, Endpoint], event: EndpointEvent
 ) -> bool:
-    endpoint = named.get(number)
+    endpoint = records.get(endpoint_id)
     if endpoint is None:
         return not event.is_complete
     return endpoint.state is not EndpointState.REMOVED and _address_of(endpoint) == placement[0]
--- a/cresstray/discovery/watch.py
+++ b/cresstray/discovery/watch.py
@@ -149,7 +149,7 @@
         await anyio.sleep_forever()
 
     async def _connect_once(self, tasks: TaskGroup, host: str, port: int) -> None:
-        """Follows one connection until it ends. Malformed data or a failing handler does not end the gateway."""
+        """Follows one connection until it ends. Neither malformed data nor a fault ends the gateway."""
         with faults_contained("the watch on the endpoint list", self._counters, self._log):
             try:
                 await self._subscribe(tasks, host, port)
