--- a/cresstray/discovery/resolver.py
+++ b/cresstray/discovery/resolver.py
@@ -100,7 +100,7 @@
     endpoint = records.get(endpoint_id)
     if endpoint is None:
         return not event.is_complete
-    return endpoint.state is not EndpointState.REMOVED and _address_of(endpoint) == placement[0]
+    return endpoint.state is not EndpointState.REMOVED and _address_of(endpoint) == location[0]
 
 
 def _merge_records(endpoints: Iterable[Endpoint]) -> dict[int, Endpoint]:
