--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -1,4 +1,4 @@
-"""Scripted peers: a listener for clients with a recording handler, and a gateway in a process of its own."""
+"""Scripted peers for tests: a listener with a recording handler, an engine, clients, a gateway process."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 from cresstray.observability.log import Log
 from tests.desk import settings
 
-# For what is waited for by bytes: far longer than any of it takes.
-LONG = 10.0
-CLASS = "lookup"
+# Limit of all waits, in seconds; far longer than any of them takes.
+TIMEOUT_S = 10.0
+REQUEST_CLASS = "lookup"
 
 
 def request(number: int, name: str = "", statement: bytes = b"select 1", timeout: int = 5000) -> bytes:
     params = {"req": name or f"{number:016x}", "timeout": timeout, "owner": "acme"}
     params["data"] = b64encode(statement).decode()
-    return line({"jsonrpc": "2.0", "id": number, "method": CLASS, "params": params})
+    return line({"jsonrpc": "2.0", "id": number, "method": REQUEST_CLASS, "params": params})
 
 
 def cancellation(number: int) -> bytes:
@@ -51,51 +51,51 @@
     return json.dumps(message).encode() + b"\n"
 
 
-def told(answer: bytes) -> str:
-    """An answer in a word or two."""
-    given = json.loads(answer)
-    how = given.get("error", {}).get("code") or given["result"]
-    if isinstance(how, dict):
-        how = "pass" if "pass" in how else f"{len(b64decode(how['data']))} bytes"
-    return f"{given['id']} {how}"
+def summarize_response(response: bytes) -> str:
+    """Returns the id of a response and its error code, "pass", or the size of its result."""
+    message = json.loads(response)
+    outcome = message.get("error", {}).get("code") or message["result"]
+    if isinstance(outcome, dict):
+        outcome = "pass" if "pass" in outcome else f"{len(b64decode(outcome['data']))} bytes"
+    return f"{message['id']} {outcome}"
 
 
-def reset(client: socket.socket) -> None:
+def close_with_reset(client: socket.socket) -> None:
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()
 
 
 class RecordingHandler:
-    """In place of the pipeline: accepts all requests, and the test answers them."""
+    """Replaces the pipeline: accepts and records all requests, which the test answers."""
 
     def __init__(self) -> None:
         self.accepted: list[int] = []
         self.cancelled: list[int] = []
         self.sessions: list[ClientSession] = []
-        self.fails_on: int | None = None  # the number of a request that is a failure of the handler
+        self.fails_on: int | None = None  # the id of the request that makes the handler fail
         self.fails_on_disconnect = False
 
-    def accept(self, connection: ClientSession, number: int, _query: object) -> None:
-        if number == self.fails_on:
+    def accept(self, session: ClientSession, request_id: int, _query: object) -> None:
+        if request_id == self.fails_on:
             raise RuntimeError("a failure of the handler")
-        connection.open_requests[number] = None
-        self.accepted.append(number)
-        self.sessions.append(connection)
+        session.open_requests[request_id] = None
+        self.accepted.append(request_id)
+        self.sessions.append(session)
 
-    def cancel(self, connection: ClientSession, number: int | None, _name: str | None) -> None:
-        if number in connection.open_requests:
-            del connection.open_requests[number]
-            self.cancelled.append(number)
+    def cancel(self, session: ClientSession, request_id: int | None, _name: str | None) -> None:
+        if request_id in session.open_requests:
+            del session.open_requests[request_id]
+            self.cancelled.append(request_id)
 
-    def on_disconnected(self, connection: ClientSession) -> None:
+    def on_disconnected(self, session: ClientSession) -> None:
         if self.fails_on_disconnect:
             raise RuntimeError("a failure of the handler")
-        self.cancelled += connection.open_requests
-        connection.open_requests.clear()
+        self.cancelled += session.open_requests
+        session.open_requests.clear()
 
 
 class ListenerHarness:
-    """A listener on loopback, its handler and clock, and clients of it, all in one thread, so in order."""
+    """A listener on loopback with its handler, clock and clients, in one thread, so that order is fixed."""
 
     def __init__(
         self, client_listener: Listener, handler: RecordingHandler, listener: socket.socket, clock: list[int]
@@ -110,27 +110,35 @@
         self._open = contextlib.ExitStack()
 
     def client(self, small: bool = False) -> socket.socket:
-        """`small`: its buffer takes next to nothing."""
-        made = self._open.enter_context(socket.socket())
+        """Returns a connected client; with `small` its receive buffer is as small as possible."""
+        client = self._open.enter_context(socket.socket())
         if small:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        made.connect(self.address)
-        return made
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        client.connect(self.address)
+        return client
 
     def close(self) -> None:
         self._open.close()
 
 
-def run_scene(scene: Callable[[ListenerHarness], Awaitable], most: Callable[[], int] = lambda: 100) -> str:
-    """Runs a scene with a listener that accepts, closes clients left open, and returns what was logged."""
+def run_scenario(
+    scenario: Callable[[ListenerHarness], Awaitable], max_connections: Callable[[], int] = lambda: 100
+) -> str:
+    """Runs a scenario with a running listener, closes its clients, and returns what was logged."""
 
     async def main() -> None:
         clock, handler = [0], RecordingHandler()
         client_listener = Listener(
-            frozenset((CLASS,)), handler, most, 100, lambda: clock[0], Counters(), Log("n0", Clock())
+            frozenset((REQUEST_CLASS,)),
+            handler,
+            max_connections,
+            100,
+            lambda: clock[0],
+            Counters(),
+            Log("n0", Clock()),
         )
         with socket.socket() as listener:
-            # Whole scenes fit into it, so that what is written lies in the kernel before anything is read.
+            # All data of a scenario fits: it is in the kernel before the listener reads any of it.
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 200_000)
             listener.bind(("127.0.0.1", 0))
             listener.listen(200)
@@ -139,233 +147,240 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(client_listener.run, listener)
                 try:
-                    with anyio.fail_after(LONG):
-                        await scene(harness)
+                    with anyio.fail_after(TIMEOUT_S):
+                        await scenario(harness)
                 finally:
                     harness.close()
                     tasks.cancel_scope.cancel()
 
-    with contextlib.redirect_stderr(io.StringIO()) as said:
+    with contextlib.redirect_stderr(io.StringIO()) as log_output:
         anyio.run(main, backend_options={"use_uvloop": True})
-    return said.getvalue()
+    return log_output.getvalue()
 
 
-async def until(holds: Callable[[], object]) -> None:
-    while not holds():
+async def wait_until(condition: Callable[[], object]) -> None:
+    while not condition():
         await anyio.sleep(0.001)
 
 
-async def turns(count: int = 20) -> None:
+async def run_loop_turns(count: int = 20) -> None:
     for _ in range(count):
         await anyio.sleep(0)
 
 
-async def hear(client: socket.socket) -> str:
-    """The next answer, or how the connection has ended."""
+async def receive_response(client: socket.socket) -> str:
+    """Returns the next response, or how the connection has ended."""
     client.setblocking(False)
-    got = b""
-    while not got.endswith(b"\n"):
+    received = b""
+    while not received.endswith(b"\n"):
         await anyio.wait_readable(client)
         try:
-            # No more than this answer: the next one is another's to read.
-            comes = client.recv(65536, socket.MSG_PEEK)
-            more = client.recv(comes.find(b"\n") + 1 or 65536)
+            # Reads up to the end of this response: the next call returns the next one.
+            available = client.recv(65536, socket.MSG_PEEK)
+            data = client.recv(available.find(b"\n") + 1 or 65536)
         except ConnectionResetError:
             return "reset"
-        if not more:
+        if not data:
             return "closed"
-        got += more
-    return told(got)
+        received += data
+    return summarize_response(received)
 
 
-async def all_of(client: socket.socket) -> tuple[list[str], str]:
-    """All answers up to the end, and how that was."""
+async def receive_all(client: socket.socket) -> tuple[list[str], str]:
+    """Returns all responses until the connection ends, and how it has ended."""
     client.setblocking(False)
-    got, end = b"", "closed"
+    received, end = b"", "closed"
     while True:
         await anyio.wait_readable(client)
         try:
-            more = client.recv(1 << 20)
+            data = client.recv(1 << 20)
         except ConnectionResetError:
             end = "reset"
             break
-        if not more:
+        if not data:
             break
-        got += more
-    return [told(one) for one in got.splitlines()], end
+        received += data
+    return [summarize_response(response) for response in received.splitlines()], end
 
 
-class Engine:
-    """An engine that answers when the test does."""
+class ScriptedEngine:
+    """An engine on loopback that answers only when the test makes it."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
-        self._listener.settimeout(LONG)
+        self._listener.settimeout(TIMEOUT_S)
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
-        self._links: list[tuple[socket.socket, hiredis.Reader]] = []
+        self._connections: list[tuple[socket.socket, hiredis.Reader]] = []
 
-    def __enter__(self) -> Engine:
+    def __enter__(self) -> ScriptedEngine:
         return self
 
     def __exit__(self, *_: object) -> None:
-        for link, _ in self._links:
-            link.close()
+        for connection, _ in self._connections:
+            connection.close()
         self._listener.close()
 
-    def next(self) -> tuple[str, str, socket.socket]:
-        """The next command, on whichever link: its word, its name, and the link."""
+    def next_command(self) -> tuple[str, str, socket.socket]:
+        """Returns the next command on any connection: its verb, its request name, and the connection."""
         while True:
-            for link, reader in self._links:
+            for connection, reader in self._connections:
                 command = reader.gets()
                 if command is not False:
-                    return command[0].decode(), command[1].decode(), link
+                    return command[0].decode(), command[1].decode(), connection
             self._receive()
 
     def _receive(self) -> None:
-        sockets = [self._listener, *(link for link, _ in self._links)]
-        ready = select.select(sockets, [], [], LONG)[0]
+        sockets = [self._listener, *(connection for connection, _ in self._connections)]
+        ready = select.select(sockets, [], [], TIMEOUT_S)[0]
         if not ready:
-            raise TimeoutError("the engine got nothing")
+            raise TimeoutError("the engine received nothing")
         if self._listener in ready:
-            self._links.append((self._listener.accept()[0], hiredis.Reader()))
-        for link, reader in list(self._links):
-            if link in ready:
-                data = link.recv(65536)
+            self._connections.append((self._listener.accept()[0], hiredis.Reader()))
+        for connection, reader in list(self._connections):
+            if connection in ready:
+                data = connection.recv(65536)
                 if data:
                     reader.feed(data)
                 else:
-                    self._links.remove((link, reader))
-                    link.close()
+                    self._connections.remove((connection, reader))
+                    connection.close()
 
-    def serve(self, link: socket.socket, name: str) -> None:
-        link.sendall(hiredis.pack_command((name, "served", "sheets=1", "a\tb\tc\n")))
+    def send_result(self, connection: socket.socket, name: str) -> None:
+        connection.sendall(hiredis.pack_command((name, "served", "sheets=1", "a\tb\tc\n")))
 
-    def rest(self) -> list[str]:
-        """All commands that have come and were not asked for, once all links have been closed."""
-        left = []
-        while self._links or select.select([self._listener], [], [], 0)[0]:
-            for _, reader in self._links:
+    def remaining_commands(self) -> list[str]:
+        """Returns the verbs of all commands not yet returned, once all connections are closed."""
+        verbs = []
+        while self._connections or select.select([self._listener], [], [], 0)[0]:
+            for _, reader in self._connections:
                 while (command := reader.gets()) is not False:
-                    left.append(command[0].decode())
+                    verbs.append(command[0].decode())
             self._receive()
-        return left
+        return verbs
 
 
-class Client:
+class ScriptedClient:
     """One connection of a client to a gateway in another process."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.socket = socket.create_connection(address, timeout=LONG)
+        self.socket = socket.create_connection(address, timeout=TIMEOUT_S)
         self._buffer = b""
 
-    def say(self, *lines: bytes) -> Client:
+    def send(self, *lines: bytes) -> ScriptedClient:
         self.socket.sendall(b"".join(lines))
         return self
 
-    def hear(self) -> str:
-        """The next answer, or how the connection has ended."""
+    def receive_response(self) -> str:
+        """Returns the next response, or how the connection has ended."""
         while b"\n" not in self._buffer:
             try:
-                more = self.socket.recv(65536)
+                data = self.socket.recv(65536)
             except ConnectionResetError:
                 return "reset"
-            if not more:
+            if not data:
                 return "closed"
-            self._buffer += more
-        answer, self._buffer = self._buffer.split(b"\n", 1)
-        return told(answer)
+            self._buffer += data
+        response, self._buffer = self._buffer.split(b"\n", 1)
+        return summarize_response(response)
 
     def close(self) -> None:
         self.socket.close()
 
 
-class Gateway:
-    """`python -m cresstray` with a configuration, which the test may replace; what it says is in `said`."""
+class GatewayProcess:
+    """A process `python -m cresstray` with a replaceable configuration; `log_lines` is what it prints."""
 
-    def __init__(self, **given: object) -> None:
+    def __init__(self, **overrides: object) -> None:
         self._folder = tempfile.TemporaryDirectory()
         self.path = Path(self._folder.name) / "config.json"
-        self.given = {"name": "n0", "listen": "127.0.0.1:0", "seed": "7", "settings": usual()} | given
-        self.write(self.given)
+        self.configuration = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "seed": "7",
+            "settings": make_settings(),
+        } | overrides
+        self.write_configuration(self.configuration)
         self.process: subprocess.Popen
-        self.said: list[str] = []
+        self.log_lines: list[str] = []
         self._changed = threading.Condition()
         self.address: tuple[str, int]
 
-    def write(self, given: object) -> None:
-        """Replaces the configuration as a whole; bytes as they are."""
-        new = self.path.with_suffix(".new")
-        new.write_bytes(given if isinstance(given, bytes) else json.dumps(given).encode())
-        new.replace(self.path)
+    def write_configuration(self, content: object) -> None:
+        """Replaces the configuration file; bytes are written unchanged, other values as JSON."""
+        new_path = self.path.with_suffix(".new")
+        new_path.write_bytes(content if isinstance(content, bytes) else json.dumps(content).encode())
+        new_path.replace(self.path)
 
-    def start(self, **more: object) -> Gateway:
-        """Begins the process; `more` as subprocess.Popen takes it."""
+    def start(self, **popen_arguments: object) -> GatewayProcess:
+        """Starts the process with additional arguments of subprocess.Popen."""
         env = os.environ | {"GW_CONFIG": str(self.path)}
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "cresstray"], env=env, stderr=subprocess.PIPE, text=True, **more
+            [sys.executable, "-m", "cresstray"], env=env, stderr=subprocess.PIPE, text=True, **popen_arguments
         )
-        self._listens = threading.Thread(target=self._listen, daemon=True)
-        self._listens.start()
+        self._reader_thread = threading.Thread(target=self._read_log, daemon=True)
+        self._reader_thread.start()
         return self
 
-    def _listen(self) -> None:
+    def _read_log(self) -> None:
         for text in self.process.stderr:
             with self._changed:
-                self.said.append(text.rstrip())
+                self.log_lines.append(text.rstrip())
                 self._changed.notify_all()
 
-    def until_said(self, part: str, times: int = 1) -> str:
-        def found() -> list[str]:
-            return [text for text in self.said if part in text][times - 1 :]
+    def wait_for_log_line(self, part: str, times: int = 1) -> str:
+        """Waits until `part` has been logged this many times; returns the last of these lines."""
+
+        def matching_lines() -> list[str]:
+            return [text for text in self.log_lines if part in text][times - 1 :]
 
         with self._changed:
-            if not self._changed.wait_for(found, LONG):
-                raise TimeoutError(f"never said {part!r}: {self.said}")
-            return found()[0]
+            if not self._changed.wait_for(matching_lines, TIMEOUT_S):
+                raise TimeoutError(f"never logged {part!r}: {self.log_lines}")
+            return matching_lines()[0]
 
-    def up(self) -> Gateway:
-        """Started, and serving."""
+    def start_and_wait(self) -> GatewayProcess:
+        """Starts the process and waits until it serves."""
         self.start()
-        return self.serves()
+        return self.wait_until_serving()
 
-    def serves(self) -> Gateway:
-        host, port = self.until_said("serves on").rpartition(" ")[2].split(":")
+    def wait_until_serving(self) -> GatewayProcess:
+        host, port = self.wait_for_log_line("serves on").rpartition(" ")[2].split(":")
         self.address = (host, int(port))
         return self
 
-    def client(self) -> Client:
-        return Client(self.address)
+    def client(self) -> ScriptedClient:
+        return ScriptedClient(self.address)
 
-    def tell(self, *signals: signal.Signals) -> None:
-        for one in signals:
-            self.process.send_signal(one)
+    def send_signals(self, *signals: signal.Signals) -> None:
+        for signal_number in signals:
+            self.process.send_signal(signal_number)
 
-    def ended(self) -> int:
-        """Its exit code."""
-        return self.process.wait(LONG)
+    def wait_for_exit(self) -> int:
+        """Waits for the process to end; returns its exit code."""
+        return self.process.wait(TIMEOUT_S)
 
-    def __enter__(self) -> Gateway:
+    def __enter__(self) -> GatewayProcess:
         return self
 
     def __exit__(self, *_: object) -> None:
         if hasattr(self, "process"):
             self.process.kill()
             self.process.wait()
-            self._listens.join()
+            self._reader_thread.join()
             self.process.stderr.close()
         self._folder.cleanup()
 
 
-def usual(**parts: object) -> dict:
-    """Settings of one class, of one tenant."""
-    made = settings(Tenants=[{"Name": "acme"}], Localities=["east"], Flavors=["std"], **parts)
-    made["Services"] = made["Services"][:1]
-    made["Services"][0] |= {"Name": CLASS, "GiveUp": 3000.0}
-    return made
+def make_settings(**parts: object) -> dict:
+    """Returns settings with one request class and one tenant."""
+    result = settings(Tenants=[{"Name": "acme"}], Localities=["east"], Flavors=["std"], **parts)
+    result["Services"] = result["Services"][:1]
+    result["Services"][0] |= {"Name": REQUEST_CLASS, "GiveUp": 3000.0}
+    return result
 
 
-def listed(*engines: Engine) -> dict:
-    """`known` with these engines."""
+def make_endpoint_list(*engines: ScriptedEngine) -> dict:
+    """Returns the configuration's `known` list with these engines."""
     members = [
         {"id": f"s-{number:08x}", "host_port": engine.address, "locality": "east", "flavor": "std"}
         for number, engine in enumerate(engines, 1)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -51,7 +51,7 @@
         self.address: tuple[str, int]
 
     async def run(
-        self, scene: Callable[["GatewayHarness", ClientStandIn], Awaitable], coordinator: str | None
+        self, scenario: Callable[["GatewayHarness", ClientStandIn], Awaitable], coordinator: str | None
     ) -> None:
         async with anyio.create_task_group() as tasks:
             for engine in self.engines:
@@ -71,7 +71,7 @@
             self.address = await tasks.start(self.service.run)
             with anyio.fail_after(30):
                 async with await anyio.connect_tcp(*self.address) as stream:
-                    await scene(self, ClientStandIn(stream, self.lines))
+                    await scenario(self, ClientStandIn(stream, self.lines))
             tasks.cancel_scope.cancel()
 
     async def until(self, engine: int, text: str) -> None:
@@ -93,32 +93,32 @@
     def play(
         self,
         name: str,
-        scene: Callable[[GatewayHarness, ClientStandIn], Awaitable],
+        scenario: Callable[[GatewayHarness, ClientStandIn], Awaitable],
         engines: int = 1,
         coordinator: str | None = None,
         **parts: object,
     ) -> GatewayHarness:
         stage = GatewayHarness(engines, **parts)
         with contextlib.redirect_stderr(io.StringIO()) as said:
-            anyio.run(stage.run, scene, coordinator)
+            anyio.run(stage.run, scenario, coordinator)
         self.assertNotIn("broken", said.getvalue())
         self.assertNotIn("fault", said.getvalue())
         self.check(name, stage.trace())
         return stage
 
     def test_pages_in_order(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.say({"jsonrpc": "2.0", "id": 1, "method": "status", "params": {}})
             await client.hear()
             for number, statement in enumerate(("pages", "plain"), 2):
                 await client.ask(number, statement)
                 await client.hear()
 
-        stage = self.play("scene_pages", scene)
+        stage = self.play("scene_pages", scenario)
         self.assertEqual(2, stage.service.parts.counters.counts["requests succeeded"])
 
     def test_malformed_lines_keep_the_connection(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             for line in (
                 b"no JSON\n",
                 b'{"jsonrpc":"2.0","id":3,"method":"rapport"}\n',
@@ -145,10 +145,10 @@
             await client.ask(7, "plain")
             await client.hear()
 
-        self.play("scene_malformed", scene)
+        self.play("scene_malformed", scenario)
 
     def test_withdrawn_and_left(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent one")
             await stage.until(0, "ASK 0001")
             await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
@@ -162,13 +162,13 @@
             await client.ask(2, "plain")
             await client.hear()
 
-        stage = self.play("scene_left", scene)
+        stage = self.play("scene_left", scenario)
         self.assertEqual(2, stage.service.parts.counters.counts["requests cancelled"])
 
     def test_strangers_do_no_harm(self) -> None:
         """The id of an open request, one used again after it was withdrawn, too many open, only mistakes."""
 
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent")
             await stage.until(0, "ASK 0001")
             for what in ("taken", "used up"):
@@ -196,11 +196,11 @@
             del stage.lines[mark:-2]
             del stage.engines[0].lines[2:]
 
-        stage = self.play("scene_strangers", scene)
+        stage = self.play("scene_strangers", scenario)
         self.assertEqual(1, stage.service.parts.counters.counts["clients banned"])
 
     def test_engine_faults(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent", timeout=60000)
             await stage.until(0, "ASK 0001")
             faults = ("garbage", "noise", "half", "reset", "full", "more", "plain")
@@ -209,7 +209,7 @@
                 await client.hear()
 
         # What was asked first is open on a link of its own until the gateway ends, a reset for it.
-        stage = self.play("scene_faults", scene, Limits={"MaxAttempts": 1})
+        stage = self.play("scene_faults", scenario, Limits={"MaxAttempts": 1})
         counts = stage.service.parts.counters.counts
         outcomes = [
             counts[f"attempts {how}"]
@@ -219,32 +219,32 @@
         self.assertEqual(2, counts["answers not awaited"])
 
     def test_further_relay(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             for number in range(1, 4):
                 await client.ask(number, "once", timeout=60000)
                 await client.hear()
 
-        self.play("scene_further", scene, engines=2)
+        self.play("scene_further", scenario, engines=2)
 
     def test_silent_engine_ends_before_the_hard_stop(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent", timeout=400)
             await client.hear()
             await stage.until(0, "QUIT 0001")
 
-        self.play("scene_silent", scene)
+        self.play("scene_silent", scenario)
 
     def test_unreachable_engine(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             list(stage.service.parts.router._pools.values())[0].address = ("127.0.0.1", 1)
             await client.ask(1, "plain", timeout=1000)
             await client.hear()
 
-        stage = self.play("scene_unreachable", scene, Limits={"MaxAttempts": 1})
+        stage = self.play("scene_unreachable", scenario, Limits={"MaxAttempts": 1})
         self.assertEqual(1, stage.service.parts.counters.counts["attempts unreachable"])
 
     def test_last_stop(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "silent", timeout=1800)
             await stage.until(0, "ASK 0001")
             os.kill(os.getpid(), signal.SIGTERM)
@@ -258,12 +258,12 @@
 
         # The client would wait for 1.8 seconds, the gateway ends by its longest time limit.
         service = {"Effect": "idempotent", "GoalTime": 100.0, "GiveUp": 900.0}
-        self.play("scene_last_stop", scene, Services=[service])
+        self.play("scene_last_stop", scenario, Services=[service])
 
     def test_coordinators(self) -> None:
         """A doubled event, a break, and configurations replaced while the gateway runs and while it stops."""
 
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             await client.ask(1, "plain", timeout=60000)
             await client.hear()
             for address in ("no address", replaced):
@@ -313,7 +313,7 @@
                 for listener, coordinator in zip(listeners, (first, second)):
                     tasks.start_soon(listener.serve, closed_after(coordinator))
                 replaced = f"127.0.0.1:{ports[1]}"
-                await made.run(scene, f"127.0.0.1:{ports[0]}")
+                await made.run(scenario, f"127.0.0.1:{ports[0]}")
                 tasks.cancel_scope.cancel()
 
         told_again, made, heard, replaced = anyio.Event(), GatewayHarness(1), [], ""
@@ -529,7 +529,7 @@
         self.assertEqual([7], made)
 
     def test_a_sweep_that_fails_is_followed_by_the_next(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             gateway, listen = stage.service.parts.controller, stage.service.parts.controller._check_attempts
 
             def fails(now: int) -> None:
@@ -543,7 +543,7 @@
 
         stage = GatewayHarness(0)
         with contextlib.redirect_stderr(io.StringIO()) as said:
-            anyio.run(stage.run, scene, None)
+            anyio.run(stage.run, scenario, None)
         self.assertEqual(1, stage.service.parts.counters.counts["faults"])
         self.assertIn("ValueError: of ours", said.getvalue())
 
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -32,7 +32,7 @@
 from cresstray.policy.types import EndpointState
 from cresstray.transport.streams import connect
 from tests.desk import ClientStandIn
-from tests.scripted import LONG, turns, until
+from tests.scripted import TIMEOUT_S, run_loop_turns, wait_until
 from tests.test_codecs import frame
 from tests.test_service import GatewayHarness
 
@@ -83,18 +83,18 @@
             raise RuntimeError("half way")
         self.told.append((event.index, {one.id: one.state.value for one in event.endpoints}))
 
-    async def until(self, number: int) -> None:
+    async def wait_for_event(self, number: int) -> None:
         while number not in [one for one, _ in self.told]:
             await self._changed.wait()
 
-    def play(self, scene: Callable[[anyio.abc.TaskGroup], Awaitable]) -> str:
-        """What was said on standard error while the scene was played; the feed runs to its end."""
+    def play(self, scenario: Callable[[anyio.abc.TaskGroup], Awaitable]) -> str:
+        """What was said on standard error while the scenario was played; the feed runs to its end."""
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.feed.run, tasks)
                 with anyio.fail_after(5):
-                    await scene(tasks)
+                    await scenario(tasks)
                 tasks.cancel_scope.cancel()
 
         with contextlib.redirect_stderr(io.StringIO()) as said:
@@ -113,7 +113,7 @@
         """Seconds until it has caught up with a coordinator that answers a hello so; None: not at all."""
         taken = 0.0
 
-        async def scene(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             nonlocal taken
             begun = anyio.current_time()
             if says is not None:
@@ -126,7 +126,7 @@
             made.send(says)
             await anyio.sleep_forever()
 
-        watch.play(scene)
+        watch.play(scenario)
         return taken
 
     def test_what_is_new_is_told_first(self) -> None:
@@ -134,39 +134,39 @@
             (frame(2, 2, record(5)) + frame(3, 2, record(5, DRAINING)), frame(2, 2, record(5, DRAINING))), 1
         ):
             watch = Watch(self.coordinator.address)
-            self.assertLess(self.waits(watch, says, LONG), LONG)
+            self.assertLess(self.waits(watch, says, TIMEOUT_S), TIMEOUT_S)
             self.assertEqual("draining", watch.told[-1][1][5], number)
 
     def test_nothing_new_is_an_end_of_the_wait(self) -> None:
-        with mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", LONG):
-            self.assertLess(self.waits(Watch(self.coordinator.address), frame(1, 0), LONG), LONG)
+        with mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", TIMEOUT_S):
+            self.assertLess(self.waits(Watch(self.coordinator.address), frame(1, 0), TIMEOUT_S), TIMEOUT_S)
 
     def test_a_coordinator_that_is_silent_or_away_is_not_waited_for(self) -> None:
-        self.assertLess(self.waits(Watch(self.coordinator.address), b"", LONG), LONG)
-        with mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", LONG):
+        self.assertLess(self.waits(Watch(self.coordinator.address), b"", TIMEOUT_S), TIMEOUT_S)
+        with mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", TIMEOUT_S):
             self.assertGreater(self.waits(Watch(self.coordinator.address), None, 0.1), 0.09)
         self.coordinator.close()
         self.assertGreater(self.waits(Watch(self.coordinator.address), None, 0.1), 0.09)
-        self.assertLess(self.waits(Watch(None), None, LONG), LONG)
+        self.assertLess(self.waits(Watch(None), None, TIMEOUT_S), TIMEOUT_S)
 
     def test_half_an_event_is_waited_for(self) -> None:
         """What has come, and was not read yet, counts as well."""
 
-        async def scene(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             event = frame(2, 2, record(5, DRAINING))
             made, _ = await self.coordinator.link()
             made.send(event[:9])
             while not watch.feed._last_received_s:
-                await turns(1)
-            tasks.start_soon(watch.feed.wait_until_current, LONG)
-            await turns(3)
+                await run_loop_turns(1)
+            tasks.start_soon(watch.feed.wait_until_current, TIMEOUT_S)
+            await run_loop_turns(3)
             made.send(event[9:])
             time.sleep(0.1)  # the loop is late: it finds the end of the wait beside what has come
             self.assertFalse(watch.feed._has_caught_up())
-            await watch.until(2)
+            await watch.wait_for_event(2)
 
         watch = Watch(self.coordinator.address)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual([(2, {5: "draining"})], watch.told)
 
 
@@ -189,29 +189,29 @@
         self.addCleanup(self.coordinator.close)
 
     def test_silent_while_open_and_a_drain_right_after(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             first, number = await self.coordinator.link()
             first.send(frame(1, 0) + frame(2, 2, record(5)))
             second, again = await self.coordinator.link()
             second.send(frame(3, 2, record(5, DRAINING)))
-            await watch.until(3)
+            await watch.wait_for_event(3)
             self.assertEqual((1, 2), (number, again))
             await ended(first)
 
         watch = Watch(self.coordinator.address, silence_timeout_s=0.3)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual([(2, {5: "ready"}), (3, {5: "draining"})], watch.told)
 
     def test_accepted_and_nothing_said(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             self.assertEqual(1, (await self.coordinator.link())[1])
             made, number = await self.coordinator.link()
             self.assertEqual(1, number)
             made.send(frame(2, 2))
-            await watch.until(2)
+            await watch.wait_for_event(2)
 
         watch = Watch(self.coordinator.address, silence_timeout_s=0.3, frame_timeout_s=30)
-        watch.play(scene)
+        watch.play(scenario)
 
     def test_a_trickle_that_never_ends_a_frame(self) -> None:
         async def trickle(made: socket.socket) -> None:
@@ -220,44 +220,44 @@
                     made.send(bytes([byte]))
                     await anyio.sleep(0.02)
 
-        async def scene(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             made, _ = await self.coordinator.link()
             made.send(frame(1, 0))
             tasks.start_soon(trickle, made)
             other, number = await self.coordinator.link()
             self.assertEqual(1, number)
             other.send(frame(2, 2, record(5, DRAINING)))
-            await watch.until(2)
+            await watch.wait_for_event(2)
 
         # Fifty records take 27 s; the silence between two bytes never reaches its limit.
         watch = Watch(self.coordinator.address, silence_timeout_s=2, frame_timeout_s=0.3)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual([(2, {5: "draining"})], watch.told)
 
     def test_a_whole_list_over_a_slow_network_gets_through(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             made, _ = await self.coordinator.link()
             data = frame(2, 1, *[record(number, port=1 + number) for number in range(1024)])
             for at in range(0, len(data), 2800):
                 made.send(data[at : at + 2800])
                 await anyio.sleep(0.02)
-            await watch.until(2)
+            await watch.wait_for_event(2)
 
         watch = Watch(self.coordinator.address, frame_timeout_s=2)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual((1, 1024), (self.coordinator.links, len(watch.told[0][1])))
 
     def test_frames_that_go_on_coming_hold_the_link(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             made, _ = await self.coordinator.link()
             for _ in range(10):
                 made.send(frame(1, 0))
                 await anyio.sleep(0.1)
             made.send(frame(2, 2))
-            await watch.until(2)
+            await watch.wait_for_event(2)
 
         watch = Watch(self.coordinator.address, frame_timeout_s=0.8)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual(1, self.coordinator.links)
 
     def test_a_stop_is_heard_of_in_time(self) -> None:
@@ -276,21 +276,21 @@
         )
 
     def test_cut_within_a_frame(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             data = frame(2, 2, record(5)) + frame(3, 2, record(5, DRAINING))
             for cut, asked in ((3, 1), (20, 1), (len(data) - 1, 1), (len(data), 2)):
                 made, number = await self.coordinator.link()
                 self.assertEqual(asked, number)
                 made.send(data[:cut] if asked == 1 else data[len(data) // 2 :])
                 made.close()
-            await watch.until(3)
+            await watch.wait_for_event(3)
 
         watch = Watch(self.coordinator.address)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual([(2, {5: "ready"}), (3, {5: "draining"})], watch.told)
 
     def test_a_word_and_a_close_each_time_is_no_reason_to_hurry(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             began = anyio.current_time()
             for _ in range(5):
                 made, _ = await self.coordinator.link()
@@ -298,34 +298,34 @@
                 made.close()
             self.assertGreater(anyio.current_time() - began, 0.5)
 
-        Watch(self.coordinator.address).play(scene)
+        Watch(self.coordinator.address).play(scenario)
 
     def test_chance_spreads_the_pauses(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             made, _ = await self.coordinator.link()
             began = anyio.current_time()
             made.close()
             await self.coordinator.link()
             self.assertGreater(anyio.current_time() - began, 0.39)
 
-        Watch(self.coordinator.address, random=lambda: 9.5).play(scene)
+        Watch(self.coordinator.address, random=lambda: 9.5).play(scenario)
 
     def test_old_numbers_and_events_twice(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             made, _ = await self.coordinator.link()
             drains, ready = record(5, DRAINING), record(5)
             made.send(2 * frame(8, 2, drains))
-            await watch.until(8)
+            await watch.wait_for_event(8)
             for data in (
                 frame(7, 2, ready) + frame(8, 1, ready),
                 frame(2, 1, record(6)),
                 frame(9, 2),
             ):
                 made.send(data)
-            await watch.until(9)
+            await watch.wait_for_event(9)
 
         watch = Watch(self.coordinator.address, last=7)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual([(8, {5: "draining"}), (9, {})], watch.told)
         self.assertEqual(1, self.coordinator.links)
 
@@ -342,16 +342,16 @@
             bytes([255]) * 40,
         )
 
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             for turn, data in enumerate(bad):
                 made, number = await self.coordinator.link()
                 self.assertEqual(1 + turn, number)
                 made.send(frame(2 + turn, 2, record(turn, DRAINING)) + data)
-                await watch.until(2 + turn)
+                await watch.wait_for_event(2 + turn)
                 await ended(made)
 
         watch = Watch(self.coordinator.address)
-        said = watch.play(scene)
+        said = watch.play(scenario)
         self.assertEqual([(2 + turn, {turn: "draining"}) for turn in range(len(bad))], watch.told)
         self.assertEqual(0, watch.counters.counts["faults"])
         self.assertIn("MalformedEventError", said)
@@ -360,18 +360,18 @@
         self.coordinator.close()
         port = int(self.coordinator.address.rpartition(":")[2])
 
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             while not watch.counters.counts["coordinator connections ended"]:
                 await anyio.sleep(0.01)
             self.coordinator._listener = socket.create_server(("127.0.0.1", port))
             self.coordinator._listener.setblocking(False)
             made, number = await self.coordinator.link()
             made.send(frame(2, 1, record(5, DRAINING)))
-            await watch.until(2)
+            await watch.wait_for_event(2)
             self.assertEqual(1, number)
 
         watch = Watch(self.coordinator.address)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual([(2, {5: "draining"})], watch.told)
 
 
@@ -397,39 +397,39 @@
         self.addCleanup(self.new.close)
 
     def test_while_a_frame_is_half_read(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             first, _ = await self.old.link()
             event = frame(3, 2, record(6, DRAINING))
             first.send(frame(2, 2, record(5)) + event[:20])
-            await watch.until(2)
+            await watch.wait_for_event(2)
             watch.feed.reconnect_to(self.new.address)
             second, number = await self.new.link()
             self.assertEqual(2, number)
             await ended(first)
             second.send(event)
-            await watch.until(3)
+            await watch.wait_for_event(3)
 
         watch = Watch(self.old.address)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual([(2, {5: "ready"}), (3, {6: "draining"})], watch.told)
 
     def test_to_the_same_address(self) -> None:
         """It may have stopped telling: the next link asks at once."""
 
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             first, _ = await self.old.link()
             watch.feed.reconnect_to(self.old.address)
             second, number = await self.old.link()
             second.send(frame(2, 2, record(5, DRAINING)))
-            await watch.until(2)
+            await watch.wait_for_event(2)
             await ended(first)
             self.assertEqual(1, number)
 
         watch = Watch(self.old.address, silence_timeout_s=30, frame_timeout_s=30)
-        watch.play(scene)
+        watch.play(scenario)
 
     def test_twice_in_a_row_and_back(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             await self.old.link()
             for address in (self.new.address, self.old.address):
                 watch.feed.reconnect_to(address)
@@ -439,33 +439,33 @@
             await ended(made)
             made, number = await self.new.link()
             made.send(frame(2, 2))
-            await watch.until(2)
+            await watch.wait_for_event(2)
             self.assertEqual(1, number)
 
         watch = Watch(self.old.address, silence_timeout_s=30, frame_timeout_s=30)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual((2, 1), (self.old.links, self.new.links))
 
     def test_while_a_connection_never_comes_up(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             await anyio.sleep(0.05)
             watch.feed.reconnect_to(self.new.address)
             await self.new.link()
             self.assertEqual(0, watch.counters.counts["coordinator connections ended"])
 
         watch = Watch(hanging(self), connect_timeout_s=30)
-        watch.play(scene)
+        watch.play(scenario)
 
     def test_a_connection_that_never_comes_up_is_tried_again(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             while watch.counters.counts["coordinator connections ended"] < 2:
                 await anyio.sleep(0.01)
 
         watch = Watch(hanging(self), connect_timeout_s=0.1)
-        self.assertIn("TimeoutError", watch.play(scene))
+        self.assertIn("TimeoutError", watch.play(scenario))
 
     def test_during_the_pause(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             while not watch.counters.counts["coordinator connections ended"]:
                 await anyio.sleep(0.01)
             watch.feed.reconnect_to(self.new.address)
@@ -473,10 +473,10 @@
 
         self.old.close()
         watch = Watch(self.old.address, random=lambda: 1000.0)  # the pause is 40 s
-        watch.play(scene)
+        watch.play(scenario)
 
     def test_to_none_and_back(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             made, _ = await self.old.link()
             watch.feed.reconnect_to(None)
             await ended(made)
@@ -485,7 +485,7 @@
             await self.old.link()
 
         watch = Watch(self.old.address)
-        self.assertEqual(1, watch.play(scene).count("now follows None"))
+        self.assertEqual(1, watch.play(scenario).count("now follows None"))
 
     def test_no_address(self) -> None:
         """ValueError that names the value, at the start and in a new configuration, whose old one stays."""
@@ -526,45 +526,45 @@
         self.addCleanup(self.coordinator.close)
 
     def test_an_event_whose_telling_fails_comes_again(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             data = frame(2, 2, record(5, DRAINING))
             for _ in range(2):
                 made, number = await self.coordinator.link()
                 self.assertEqual(1, number)
                 made.send(data)
-            await watch.until(2)
+            await watch.wait_for_event(2)
 
         watch = Watch(self.coordinator.address)
         watch.fails = [2]
-        said = watch.play(scene)
+        said = watch.play(scenario)
         self.assertEqual([(2, {5: "draining"})], watch.told)
         self.assertEqual((1, 1), (watch.counters.counts["faults"], said.count("RuntimeError: half way")))
 
     def test_one_that_can_never_be_told_keeps_nothing_behind_it_away(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             numbers = []
             for _ in range(4):
                 made, number = await self.coordinator.link()
                 numbers.append(number)
                 for late in range(number + 1, 4):
                     made.send(frame(late, 2, record(late, DRAINING)))
-            await watch.until(3)
+            await watch.wait_for_event(3)
             self.assertEqual([1, 1, 1, 2], numbers)
 
         watch = Watch(self.coordinator.address)
         watch.fails = 9 * [2]
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual([(3, {3: "draining"})], watch.told)
         self.assertEqual(3, watch.counters.counts["faults"])
 
     def test_what_has_come_together_is_known_from_the_first(self) -> None:
-        async def scene(_: anyio.abc.TaskGroup) -> None:
+        async def scenario(_: anyio.abc.TaskGroup) -> None:
             made, _ = await self.coordinator.link()
             made.send(frame(2, 2, record(5)) + frame(3, 2, record(5, DRAINING), record(6)))
-            await watch.until(3)
+            await watch.wait_for_event(3)
 
         watch = Watch(self.coordinator.address)
-        watch.play(scene)
+        watch.play(scenario)
         self.assertEqual([(2, {5: "draining"}), (3, {6: "ready", 5: "draining"})], watch.told)
 
 
@@ -817,12 +817,12 @@
     """The whole gateway, with engines that listen."""
 
     def play(
-        self, scene: Callable[[GatewayHarness, ClientStandIn], Awaitable], engines: int, **parts: object
+        self, scenario: Callable[[GatewayHarness, ClientStandIn], Awaitable], engines: int, **parts: object
     ) -> GatewayHarness:
         stage, self.coordinator = GatewayHarness(engines, **parts), Coordinator()
         self.addCleanup(self.coordinator.close)
         with contextlib.redirect_stderr(io.StringIO()) as said:
-            anyio.run(stage.run, scene, self.coordinator.address)
+            anyio.run(stage.run, scenario, self.coordinator.address)
         self.said = said.getvalue()
         return stage
 
@@ -833,7 +833,7 @@
             self.assertIn("result", answer)
 
     def test_an_address_of_another_id(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             made, _ = await self.coordinator.link()
             port = stage.engines[0].port
             made.send(frame(2, 2, record(5, port=port)))
@@ -850,7 +850,7 @@
             await self.served(client, range(3, 5))
             self.assertEqual([6], list(stage.service.parts.router.engines))
 
-        self.play(scene, 1)
+        self.play(scenario, 1)
 
     def test_a_drain_that_is_told_as_it_starts(self) -> None:
         """Clients are refused before the first word of the coordinator; nothing goes to what drains by it."""
@@ -869,7 +869,7 @@
                 with self.assertRaises(OSError):
                     await connect(*service.listen)
                 made.send(frame(2, 2, record(1, DRAINING, engines[0].port)) + frame(2, 0))
-                await until(lambda: service.parts.listener._listener)
+                await wait_until(lambda: service.parts.listener._listener)
                 async with await anyio.connect_tcp(*service.listen) as stream:
                     client = ClientStandIn(stream, stage.lines)
                     for request in range(1, 9):
@@ -893,7 +893,7 @@
                 made, _ = await coordinator.link()
                 with socket.create_server(service.listen):
                     made.send(frame(1, 0))
-                    await until(lambda: told)
+                    await wait_until(lambda: told)
 
         async def ends(service: Service) -> None:
             try:
@@ -916,8 +916,8 @@
     def run_slowly(self, main: Callable[[], Awaitable]) -> None:
         """Only the coordinator's word ends the wait for it."""
         with (
-            mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", LONG),
-            mock.patch.object(services, "_INITIAL_LIST_SECONDS", LONG),
+            mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", TIMEOUT_S),
+            mock.patch.object(services, "_INITIAL_LIST_SECONDS", TIMEOUT_S),
             contextlib.redirect_stderr(io.StringIO()),
         ):
             anyio.run(main, backend_options={"use_uvloop": True})
@@ -936,7 +936,7 @@
             service.parts.listener.run = lambda listener: noted("clients")
             async with anyio.create_task_group() as tasks:
                 await tasks.start(service.run)
-                await turns()
+                await run_loop_turns()
                 tasks.cancel_scope.cancel()
 
         with contextlib.redirect_stderr(io.StringIO()):
@@ -956,7 +956,7 @@
                 "its address is another's": frame(3, 2, record(3, port=port, started=1), late),
             }[how]
 
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             made, _ = await self.coordinator.link()
             made.send(frame(2, 2, record(1, port=port)))
             while not stage.service.parts.controller.ready_engines:
@@ -969,15 +969,15 @@
 
         for how in ("drains", "removed", "not named", "its address is another's"):
             with self.subTest(how):
-                # A connection that never comes up would be given up far later than the scene is.
-                stage = self.play(scene, 1, Limits={"ConnectTimeout": 60_000, "MaxAttempts": 3})
+                # A connection that never comes up would be given up far later than the scenario is.
+                stage = self.play(scenario, 1, Limits={"ConnectTimeout": 60_000, "MaxAttempts": 3})
                 counts = stage.service.parts.counters.counts
                 self.assertEqual(
                     (1, 1), (counts["attempts expired before send"], counts["attempts succeeded"])
                 )
 
     def test_a_drain_right_after_a_move_and_before_a_bad_frame(self) -> None:
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             made, _ = await self.coordinator.link()
             first, second = (engine.port for engine in stage.engines)
             made.send(frame(2, 2, record(1, port=first))[:20])
@@ -991,12 +991,12 @@
             await self.served(client, range(1, 9))
             self.assertEqual(([], 8), (stage.engines[0].lines, len(stage.engines[1].lines)))
 
-        self.play(scene, 2)
+        self.play(scenario, 2)
 
     def test_an_event_whose_telling_fails_half_way(self) -> None:
         """The route has heard that one is gone, the module has not: the event comes again, and it is gone."""
 
-        async def scene(stage: GatewayHarness, client: ClientStandIn) -> None:
+        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
             gateway = stage.service.parts.controller
             made, _ = await self.coordinator.link()
             first, second = (engine.port for engine in stage.engines)
@@ -1020,7 +1020,7 @@
             await self.served(client, range(5, 9))
             self.assertEqual(([], 8), (stage.engines[0].lines, len(stage.engines[1].lines)))
 
-        stage = self.play(scene, 2)
+        stage = self.play(scenario, 2)
         self.assertEqual(1, stage.service.parts.counters.counts["faults"])
         self.assertIn("RuntimeError: half way", self.said)
 
