--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections on loopback: read at all times, ended in order, and nothing of one that has gone."""
+"""Connections of clients on loopback: reading, orderly end, eviction, and what follows a disconnect."""
 
 import errno
 import socket
@@ -22,19 +22,19 @@
     wait_until,
 )
 
-BIG = b"x" * 4_000_000
+BIG_RESULT = b"x" * 4_000_000
 
 
-class Reading(unittest.TestCase):
-    def test_a_client_that_reads_nothing_is_read_all_the_same(self) -> None:
-        """Its withdrawals and its end are heard, what it asks is refused and not sent on."""
+class ReadingTest(unittest.TestCase):
+    def test_client_that_does_not_read_responses_is_still_read_from(self) -> None:
+        """Its cancellations and its disconnect are noticed; its requests are rejected and not accepted."""
 
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client(small=True)
             client.sendall(request(1) + request(2) + request(3))
             await wait_until(lambda: len(harness.handler.accepted) == 3)
-            harness.handler.sessions[0].succeed(1, BIG)
-            for data in (request(4), request(5), cancellation(2)):  # in a reading each
+            harness.handler.sessions[0].succeed(1, BIG_RESULT)
+            for data in (request(4), request(5), cancellation(2)):  # each is read separately
                 client.sendall(data)
                 await run_loop_turns()
             await wait_until(lambda: harness.handler.cancelled == [2])
@@ -45,12 +45,12 @@
 
         run_scenario(scenario)
 
-    def test_a_client_that_reads_nothing_and_goes_on_asking_is_cut_off(self) -> None:
+    def test_client_that_does_not_read_but_keeps_sending_requests_is_disconnected(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client(small=True)
             client.sendall(request(1) + request(2))
             await wait_until(lambda: len(harness.handler.accepted) == 2)
-            harness.handler.sessions[0].succeed(1, BIG)
+            harness.handler.sessions[0].succeed(1, BIG_RESULT)
             await anyio.to_thread.run_sync(client.sendall, b"".join(map(request, range(3, 2100))))
             await wait_until(lambda: harness.handler.cancelled == [2])
             self.assertEqual([1, 2], harness.handler.accepted)
@@ -58,7 +58,7 @@
 
         run_scenario(scenario)
 
-    def test_a_client_that_was_turned_out_is_read_all_the_same(self) -> None:
+    def test_banned_client_is_still_read_from_until_its_requests_are_answered(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client()
             client.sendall(request(1) + request(2) + 12 * b"no JSON\n" + request(3) + cancellation(2))
@@ -71,83 +71,96 @@
 
         run_scenario(scenario)
 
-    def test_the_end_of_a_client_that_was_turned_out_is_heard(self) -> None:
-        for end in (socket.socket.close, lambda client: client.shutdown(socket.SHUT_WR), close_with_reset):
+    def test_disconnect_of_a_banned_client_cancels_its_requests(self) -> None:
+        for disconnect in (
+            socket.socket.close,
+            lambda client: client.shutdown(socket.SHUT_WR),
+            close_with_reset,
+        ):
 
-            async def scenario(harness: ListenerHarness, end: object = end) -> None:
+            async def scenario(harness: ListenerHarness, disconnect: object = disconnect) -> None:
                 client = harness.client()
                 client.sendall(request(1) + 10 * b"no JSON\n")
                 for _ in range(10):
                     await receive_response(client)
                 self.assertEqual([], harness.handler.cancelled)
-                end(client)
+                disconnect(client)
                 await wait_until(lambda: harness.handler.cancelled == [1])
 
             run_scenario(scenario)
 
-    def test_a_client_that_writes_much_and_goes(self) -> None:
-        """Nothing of it is sent on, however it went; who only shut its side hears that all is refused."""
-        for end in (socket.socket.close, lambda client: client.shutdown(socket.SHUT_WR), close_with_reset):
-            for statement in (b"select 1", b"select 1" + b" " * 3_000):  # the latter: more than one reading
+    def test_requests_followed_by_a_disconnect_are_not_accepted(self) -> None:
+        """However the client disconnects; one that only shuts down its side gets a rejection for each."""
+        for disconnect in (
+            socket.socket.close,
+            lambda client: client.shutdown(socket.SHUT_WR),
+            close_with_reset,
+        ):
+            for statement in (b"select 1", b"select 1" + b" " * 3_000):  # the second needs more than one read
 
                 async def scenario(
-                    harness: ListenerHarness, end: object = end, statement: bytes = statement
+                    harness: ListenerHarness, disconnect: object = disconnect, statement: bytes = statement
                 ) -> None:
                     client = harness.client()
                     client.sendall(b"".join(request(number, "", statement) for number in range(1, 25)))
-                    end(client)
+                    disconnect(client)
                     await wait_until(lambda: harness.client_listener.counters.counts["clients connected"])
                     await wait_until(lambda: not harness.client_listener.connections)
                     self.assertEqual([], harness.handler.accepted)
                     if client.fileno() >= 0:
-                        heard = [f"{number} -32000" for number in range(1, 25)]
-                        self.assertEqual((heard, "closed"), await receive_all(client))
+                        responses = [f"{number} -32000" for number in range(1, 25)]
+                        self.assertEqual((responses, "closed"), await receive_all(client))
 
                 run_scenario(scenario)
 
-    def test_whether_a_client_has_left(self) -> None:
-        for end in (socket.socket.close, lambda client: client.shutdown(socket.SHUT_WR), close_with_reset):
+    def test_disconnect_is_noticed_before_it_has_been_read(self) -> None:
+        for disconnect in (
+            socket.socket.close,
+            lambda client: client.shutdown(socket.SHUT_WR),
+            close_with_reset,
+        ):
 
-            async def scenario(harness: ListenerHarness, end: object = end) -> None:
+            async def scenario(harness: ListenerHarness, disconnect: object = disconnect) -> None:
                 client = harness.client()
                 client.sendall(request(1))
                 await wait_until(lambda: harness.handler.accepted)
-                talk = harness.handler.sessions[0]
-                self.assertFalse(talk.has_disconnected())
-                end(client)
-                self.assertTrue(talk.has_disconnected())  # before the loop has read its end
+                session = harness.handler.sessions[0]
+                self.assertFalse(session.has_disconnected())
+                disconnect(client)
+                # The event loop has not read the end of stream yet.
+                self.assertTrue(session.has_disconnected())
                 self.assertEqual([], harness.handler.cancelled)
 
             run_scenario(scenario)
 
-    def test_a_flood_leaves_the_others_their_turn(self) -> None:
+    def test_client_that_sends_many_lines_does_not_delay_others(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
-            flood, other = harness.client(), harness.client()
-            flood.sendall(status(1) * 2500)
+            busy, other = harness.client(), harness.client()
+            busy.sendall(status(1) * 2500)
             await wait_until(lambda: len(harness.client_listener.connections) == 2)
             other.sendall(status(1))
             self.assertEqual("1 pass", await receive_response(other))
             self.assertTrue(next(iter(harness.client_listener.connections)).has_buffered_lines)
             for _ in range(2500):
-                self.assertEqual("1 pass", await receive_response(flood))
+                self.assertEqual("1 pass", await receive_response(busy))
 
         run_scenario(scenario)
 
-    def test_bytes_one_at_a_time(self) -> None:
+    def test_request_received_byte_by_byte_is_accepted(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client()
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            for at in range(len(request(1))):
-                client.sendall(request(1)[at : at + 1])
+            for offset in range(len(request(1))):
+                client.sendall(request(1)[offset : offset + 1])
                 await run_loop_turns(3)
             await wait_until(lambda: harness.handler.accepted == [1])
 
         run_scenario(scenario)
 
 
-class Ending(unittest.TestCase):
-    def test_a_line_without_an_end(self) -> None:
-        """The answers of what is open, and the error, come whole before the end; nothing is reset."""
+class ConnectionEndTest(unittest.TestCase):
+    def test_unterminated_line_ends_the_connection_in_order(self) -> None:
+        """Responses to open requests and the error arrive before the end of stream; no reset loses them."""
 
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client()
@@ -156,14 +169,14 @@
             await anyio.to_thread.run_sync(client.sendall, b"a" * 300_000)
             self.assertEqual("None -32600", await receive_response(client))
             harness.handler.sessions[0].succeed(1, b"a\tb\tc\n")
-            client.sendall(b"a" * 100_000 + b"\n" + request(2))  # unread as it is ended
-            heard, end = await receive_all(client)
-            self.assertEqual(("1 6 bytes", "closed"), (heard[0], end))
+            client.sendall(b"a" * 100_000 + b"\n" + request(2))  # unread when the connection is ended
+            responses, end = await receive_all(client)
+            self.assertEqual(("1 6 bytes", "closed"), (responses[0], end))
             self.assertEqual([1], harness.handler.accepted)
 
         run_scenario(scenario)
 
-    def test_what_has_come_is_read_before_an_idle_connection_is_ended(self) -> None:
+    def test_request_received_before_an_idle_close_is_accepted(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client()
             client.sendall(status(1))
@@ -179,8 +192,8 @@
 
         run_scenario(scenario)
 
-    def test_what_comes_after_the_end_is_thrown_away(self) -> None:
-        """It is not sent on, not answered, and not reset."""
+    def test_requests_after_an_idle_close_are_discarded(self) -> None:
+        """They are neither accepted nor answered, and the connection is not reset."""
 
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client()
@@ -205,7 +218,7 @@
 
         run_scenario(scenario)
 
-    def test_a_client_that_does_not_hang_up_is_closed(self) -> None:
+    def test_client_that_does_not_disconnect_after_a_shutdown_is_closed(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client()
             client.sendall(status(1))
@@ -218,22 +231,22 @@
         with mock.patch.object(client_connection, "_DRAIN_TIMEOUT_S", 0.05):
             run_scenario(scenario)
 
-    def test_what_waits_is_written_before_the_end(self) -> None:
+    def test_unsent_responses_are_written_before_the_end(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client(small=True)
             client.sendall(request(1))
             await wait_until(lambda: harness.handler.accepted)
-            harness.handler.sessions[0].succeed(1, BIG)
+            harness.handler.sessions[0].succeed(1, BIG_RESULT)
             harness.client_listener.close()
             await run_loop_turns()
-            client.sendall(request(2))  # while that is written
-            heard = await receive_all(client)
-            self.assertEqual((["1 4000000 bytes", "2 -32000"], "closed"), heard)
+            client.sendall(request(2))  # while the response is being written
+            responses = await receive_all(client)
+            self.assertEqual((["1 4000000 bytes", "2 -32000"], "closed"), responses)
             self.assertEqual([1], harness.handler.accepted)
 
         run_scenario(scenario)
 
-    def test_half_a_line_and_silence(self) -> None:
+    def test_client_silent_after_a_partial_line_is_closed(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
             client = harness.client()
             client.sendall(request(1)[:-9])
@@ -247,8 +260,8 @@
 
         run_scenario(scenario)
 
-    def test_the_queue_of_a_listener_that_is_closed(self) -> None:
-        """All who wait in it are accepted, and all they ask is refused at once; none is reset."""
+    def test_connections_in_the_backlog_of_a_closing_listener_are_not_reset(self) -> None:
+        """All are accepted and all their requests are rejected at once."""
 
         async def scenario(harness: ListenerHarness) -> None:
             await run_loop_turns(3)
@@ -257,13 +270,13 @@
                 client.sendall(request(1))
             harness.client_listener.stop_listening()
             await run_loop_turns()
-            for client in clients[50:75]:  # after it has been accepted
+            for client in clients[50:75]:  # after the connection has been accepted
                 client.sendall(request(1))
             await run_loop_turns()
             harness.client_listener.close()
-            for at, client in enumerate(clients):
-                heard = (["1 -32000"] if at < 75 else [], "closed")
-                self.assertEqual(heard, await receive_all(client), at)
+            for position, client in enumerate(clients):
+                responses = (["1 -32000"] if position < 75 else [], "closed")
+                self.assertEqual(responses, await receive_all(client), position)
                 client.close()
             self.assertEqual([], harness.handler.accepted)
             await wait_until(
@@ -276,8 +289,8 @@
         run_scenario(scenario, lambda: 200)
 
 
-class Room(unittest.TestCase):
-    def test_a_fault_of_ours_ends_one_connection(self) -> None:
+class ResourceLimitTest(unittest.TestCase):
+    def test_handler_fault_ends_only_its_connection(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
             harness.handler.fails_on, harness.handler.fails_on_disconnect = 7, True
             other, client = harness.client(), harness.client()
@@ -299,44 +312,44 @@
 
         self.assertEqual(1, run_scenario(scenario).count("fault: a client's connection: Traceback"))
 
-    def test_without_descriptors_nothing_spins_or_ends(self) -> None:
+    def test_lack_of_descriptors_neither_ends_the_listener_nor_makes_it_spin(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
-            tried = []
+            attempts = []
 
-            class Full:
+            class ListenerWithoutDescriptors:
                 def __getattr__(self, name: str) -> object:
                     return getattr(harness.listener, name)
 
                 def accept(self) -> None:
-                    tried.append(1)
-                    if len(tried) > 3:
+                    attempts.append(1)
+                    if len(attempts) > 3:
                         return harness.listener.accept()
                     raise OSError(errno.EMFILE, "too many open files")
 
-            full = Full()
+            listener = ListenerWithoutDescriptors()
             with mock.patch.object(
                 harness.client_listener,
                 "_accept",
-                lambda _: type(harness.client_listener)._accept(harness.client_listener, full),
+                lambda _: type(harness.client_listener)._accept(harness.client_listener, listener),
             ):
                 client = harness.client()
                 client.sendall(status(1))
                 self.assertEqual("1 pass", await receive_response(client))
-            self.assertLess(len(tried), 8)
+            self.assertLess(len(attempts), 8)
 
         self.assertIn("can't accept", run_scenario(scenario))
 
-    def test_who_leaves_makes_way_first(self) -> None:
+    def test_closing_connections_are_evicted_first(self) -> None:
         async def scenario(harness: ListenerHarness) -> None:
-            leaves, idle = harness.client(), harness.client()
-            leaves.sendall(status(1))
-            self.assertEqual("1 pass", await receive_response(leaves))
+            closing, idle = harness.client(), harness.client()
+            closing.sendall(status(1))
+            self.assertEqual("1 pass", await receive_response(closing))
             await wait_until(lambda: len(harness.client_listener.connections) == 2)
             next(iter(harness.client_listener.connections)).close_idle(force=False)
-            self.assertEqual("closed", await receive_response(leaves))
-            third = harness.client()
-            third.sendall(status(1))
-            self.assertEqual("1 pass", await receive_response(third))
+            self.assertEqual("closed", await receive_response(closing))
+            new_client = harness.client()
+            new_client.sendall(status(1))
+            self.assertEqual("1 pass", await receive_response(new_client))
             idle.sendall(status(2))
             self.assertEqual("2 pass", await receive_response(idle))
             self.assertEqual(
@@ -346,22 +359,22 @@
 
         run_scenario(scenario, lambda: 2)
 
-    def test_links_that_need_descriptors_get_them(self) -> None:
-        """Clients that idle, and come so often that none idles for long, do not keep more than is left."""
-        most = [10]
+    def test_clients_are_evicted_when_the_limit_falls(self) -> None:
+        """The limit falls as connections to engines need descriptors, both with idle and with new clients."""
+        max_connections = [10]
 
         async def scenario(harness: ListenerHarness) -> None:
             clients = [harness.client() for _ in range(10)]
             await wait_until(lambda: len(harness.client_listener.connections) == 10)
-            most[0] = 6
+            max_connections[0] = 6
             harness.client_listener.close_idle()
             self.assertEqual(6, len(harness.client_listener.connections))
-            most[0] = 4
+            max_connections[0] = 4
             clients.append(harness.client())
             await run_loop_turns()
             self.assertEqual(4, len(harness.client_listener.connections))
 
-        run_scenario(scenario, lambda: most[0])
+        run_scenario(scenario, lambda: max_connections[0])
 
 
 if __name__ == "__main__":
--- a/tests/test_client_session.py
+++ b/tests/test_client_session.py
@@ -1,4 +1,4 @@
-"""The state of a client's connection and of a connection to an engine, stepped without sockets."""
+"""States of a client's session and of a connection to an engine, without sockets."""
 
 import json
 from base64 import b64encode
@@ -15,7 +15,7 @@
 
 
 class FakeTransport:
-    """Records what is written; a client that `reads` nothing leaves it waiting."""
+    """Records what is written; if the client does not read (`reads` is False), it stays unsent."""
 
     def __init__(self, lines: list[str], reads: bool = True) -> None:
         self.lines, self.reads, self.unsent = lines, reads, bytearray()
@@ -41,19 +41,21 @@
 
 
 class RecordingHandler:
+    """Accepts all requests and records the calls."""
+
     def __init__(self, lines: list[str]) -> None:
         self.lines = lines
 
-    def accept(self, connection: ClientSession, number: int, query: object) -> None:
-        self.lines.append(f"asks {number}")
-        connection.open_requests[number] = query
+    def accept(self, session: ClientSession, request_id: int, query: object) -> None:
+        self.lines.append(f"asks {request_id}")
+        session.open_requests[request_id] = query
 
-    def cancel(self, connection: ClientSession, number: int | None, name: str | None) -> None:
-        self.lines.append(f"withdraws {number or name}")
-        connection.open_requests.pop(number, None)
+    def cancel(self, session: ClientSession, request_id: int | None, name: str | None) -> None:
+        self.lines.append(f"withdraws {request_id or name}")
+        session.open_requests.pop(request_id, None)
 
-    def on_disconnected(self, connection: ClientSession) -> None:
-        self.lines.append(f"is gone, {len(connection.open_requests)} open")
+    def on_disconnected(self, session: ClientSession) -> None:
+        self.lines.append(f"is gone, {len(session.open_requests)} open")
 
 
 def request(number: int) -> bytes:
@@ -61,25 +63,25 @@
     return json.dumps({"jsonrpc": "2.0", "id": number, "method": "lookup", "params": params}).encode() + b"\n"
 
 
-def withdrawal(number: int) -> bytes:
-    told = {"jsonrpc": "2.0", "method": "withdraw", "params": {"id": number}}
-    return json.dumps(told).encode() + b"\n"
+def cancellation(number: int) -> bytes:
+    message = {"jsonrpc": "2.0", "method": "withdraw", "params": {"id": number}}
+    return json.dumps(message).encode() + b"\n"
 
 
 def status() -> bytes:
     return b'{"jsonrpc":"2.0","id":1,"method":"status"}\n'
 
 
-class ClientSessions(TraceCase):
+class ClientSessionTest(TraceCase):
     def setUp(self) -> None:
         self.lines: list[str] = []
-        self.now = 0
+        self.now_us = 0
         self.registry = ConnectionRegistry(
             frozenset(("lookup",)),
             RecordingHandler(self.lines),
             lambda: 2,
             2,
-            lambda: self.now,
+            lambda: self.now_us,
             Counters(),
             lambda kind, text: None,
         )
@@ -89,12 +91,14 @@
         self.registry.connections[session] = None
         return session
 
-    def test_every_cut_of_two_requests_is_the_same(self) -> None:
+    def test_requests_split_anywhere_are_accepted(self) -> None:
         data = request(1) + b"\n" + request(2)
-        for at in range(len(data) + 1):
+        for split in range(len(data) + 1):
             self.lines.clear()
             session = self.session()
-            self.assertEqual([NextAction.READ] * 2, [session.receive(data[:at]), session.receive(data[at:])])
+            self.assertEqual(
+                [NextAction.READ] * 2, [session.receive(data[:split]), session.receive(data[split:])]
+            )
             session.succeed(1, b"a\tb\tc\n")
             session.on_disconnected()
             self.assertEqual(
@@ -103,8 +107,8 @@
             )
             self.assertEqual((0, {}), (self.registry.buffered_bytes, self.registry.connections))
 
-    def test_what_is_asked_after_the_close_is_rejected(self) -> None:
-        """A client that reads slowly goes on asking while its last answer is written; none is accepted."""
+    def test_requests_after_close_are_rejected(self) -> None:
+        """A client that reads slowly sends more requests while its last response is being written."""
         session = self.session(reads=False)
         session.receive(request(1))
         session.reject(1, 0)
@@ -113,18 +117,18 @@
         self.assertEqual({}, session.open_requests)
         self.check("talk_closing", self.lines)
 
-    def test_too_many_malformed_messages(self) -> None:
-        """Open requests are still answered, cancellations handled, the rest is rejected; then it ends."""
+    def test_too_many_malformed_messages_ban_the_client(self) -> None:
+        """Open requests are answered, cancellations handled, all else is rejected; then the session ends."""
         session = self.session()
         session.receive(request(1) + request(2))
         for _ in range(9):
             self.assertEqual(NextAction.READ, session.receive(b"no JSON\n"))
         self.assertFalse(session.is_banned())
         del self.lines[:]
-        self.assertEqual(NextAction.READ, session.receive(3 * b"no JSON\n" + request(3) + withdrawal(2)))
+        self.assertEqual(NextAction.READ, session.receive(3 * b"no JSON\n" + request(3) + cancellation(2)))
         self.assertEqual(
             [-32700, -32000, "withdraws 2"],
-            [line if line.startswith("w") else code_of(line) for line in self.lines],
+            [line if line.startswith("w") else error_code_of(line) for line in self.lines],
         )
         self.assertEqual([1], list(session.open_requests))
         session.fail(1)
@@ -133,126 +137,130 @@
         self.assertEqual(
             ({}, [session]), (self.registry.connections, list(self.registry.closing_connections))
         )
-        seen = len(self.lines)
+        line_count = len(self.lines)
         self.assertEqual(NextAction.READ, session.receive(request(4)))
-        self.assertEqual(seen, len(self.lines))
+        self.assertEqual(line_count, len(self.lines))
 
     def test_messages_without_effect_are_bounded(self) -> None:
-        for data in (b"no JSON\n", request(2), b"a"):  # the latter: parts of a line
+        for data in (b"no JSON\n", request(2), b"a"):  # the last: parts of a line
             session = self.session()
             session.receive(request(1) + 10 * b"no JSON\n")
-            found = [session.receive(data) for _ in range(2001)]
-            self.assertEqual(({NextAction.READ}, NextAction.CLOSE), (set(found[:-1]), found[-1]))
+            actions = [session.receive(data) for _ in range(2001)]
+            self.assertEqual(({NextAction.READ}, NextAction.CLOSE), (set(actions[:-1]), actions[-1]))
 
-    def test_a_client_that_does_not_read(self) -> None:
-        """Its requests are rejected until it reads again; its cancellations are handled."""
+    def test_requests_of_a_client_that_does_not_read_are_rejected(self) -> None:
+        """Until it reads again; its cancellations are handled. It is disconnected if it goes on."""
         slow = self.session(reads=False)
         slow.receive(request(1) + request(2))
         slow._transport.write(b" " * (256 * 1024 + 1))
-        slow.receive(request(3) + withdrawal(2))
+        slow.receive(request(3) + cancellation(2))
         self.assertEqual("withdraws 2", self.lines[-1])
-        self.assertEqual(-32000, code_of(self.lines[-2]))
+        self.assertEqual(-32000, error_code_of(self.lines[-2]))
         slow._transport.unsent.clear()
         slow.receive(request(3))
         self.assertEqual("asks 3", self.lines[-1])
         slow._transport.write(b" " * (256 * 1024 + 1))
-        found = [slow.receive(one) for _ in range(667) for one in (request(9), request(10), status())]
-        self.assertEqual(NextAction.CLOSE, found[-1])
-        self.assertEqual(2000, found.index(NextAction.CLOSE))
+        actions = [slow.receive(line) for _ in range(667) for line in (request(9), request(10), status())]
+        self.assertEqual(NextAction.CLOSE, actions[-1])
+        self.assertEqual(2000, actions.index(NextAction.CLOSE))
 
-    def test_a_line_without_an_end(self) -> None:
-        """Whether its end comes or not: one error, open requests are answered, those behind it rejected."""
+    def test_overlong_line_is_rejected_once_and_bans_the_client(self) -> None:
+        """Whether its end is received or not. Open requests are answered, later ones are rejected."""
         for pieces in ((b"a" * 256 * 1024, b"a"), (b"a" * (256 * 1024 + 1) + b"\n",)):
             session = self.session()
             session.receive(request(1))
             del self.lines[:]
             for piece in pieces:
                 self.assertEqual(NextAction.READ, session.receive(piece))
-            self.assertEqual([-32600], list(map(code_of, self.lines)))
+            self.assertEqual([-32600], list(map(error_code_of, self.lines)))
             self.assertEqual(0, self.registry.buffered_bytes)
             session.receive(b"a" * 100_000)
             session.receive(b"a" if len(pieces) > 1 else b"")
             session.receive(b"\n" + request(2))
             self.assertEqual([1], list(session.open_requests))
-            self.assertEqual(-32000, code_of(self.lines[-1]))
+            self.assertEqual(-32000, error_code_of(self.lines[-1]))
             session.fail(1)
             self.assertEqual("ends once it is written", self.lines[-1])
             session.on_disconnected()
             self.assertEqual(0, self.registry.buffered_bytes)
 
-    def test_of_too_many_partial_lines_the_longest_is_dropped(self) -> None:
-        """Not that of whoever sends next."""
-        many = [self.session() for _ in range(9)]
-        longest, other = many[3], self.session()
-        for session in many:
+    def test_longest_partial_line_is_dropped_when_the_buffers_are_full(self) -> None:
+        """Not the line of the client that sends next."""
+        sessions = [self.session() for _ in range(9)]
+        longest, other = sessions[3], self.session()
+        for session in sessions:
             session.receive(b"a" * (250_000 if session is longest else 230_000))
         self.assertFalse(longest.is_banned())
         other.receive(request(1)[:50])
         self.assertFalse(longest.is_banned())
-        many[-1].receive(b"a" * 10_000)
-        self.assertEqual([longest], [session for session in (*many, other) if session.is_banned()])
+        sessions[-1].receive(b"a" * 10_000)
+        self.assertEqual([longest], [session for session in (*sessions, other) if session.is_banned()])
         other.receive(request(1)[50:])
         self.assertEqual([1], list(other.open_requests))
         self.assertLess(self.registry.buffered_bytes, 2 * 1024 * 1024)
 
-    def test_many_lines_take_many_turns(self) -> None:
+    def test_many_lines_are_handled_in_several_turns(self) -> None:
         session = self.session()
         session.receive(250 * status() + status()[:9])
         self.assertEqual((100, True), (len(self.lines), session.has_buffered_lines))
-        session.close()  # not before all has been read
+        session.close()  # takes effect only after all lines have been handled
         session.receive(b"")
         session.receive(status()[9:])
         self.assertEqual((252, "ends once it is written"), (len(self.lines), self.lines[-1]))
         self.assertEqual((False, 0), (session.has_buffered_lines, self.registry.buffered_bytes))
 
-    def test_behind_the_end_of_the_client(self) -> None:
+    def test_request_followed_by_end_of_stream_is_not_accepted(self) -> None:
         session = self.session()
         session.receive(request(1) + status(), ended=True)
         self.assertEqual(({}, True), (session.open_requests, session.has_disconnected()))
 
-    def test_silence(self) -> None:
-        """Who says nothing is ended after 2.2 s, and stays if something has come; not 0.4 s later."""
+    def test_silent_client_is_closed(self) -> None:
+        """After 2.2 s it is closed unless data turns out to have been received; 0.4 s later in any case."""
         session = self.session()
-        for self.now, came in ((2_199_999, False), (2_200_000, True), (2_599_999, True), (2_600_000, True)):
+        for self.now_us, has_received in (
+            (2_199_999, False),
+            (2_200_000, True),
+            (2_599_999, True),
+            (2_600_000, True),
+        ):
             self.registry.close_idle()
             if self.lines and self.lines[-1] == "ends once it is written":
-                self.lines.append(f"may be shut: {session.can_shut_down(came)}")
-            there = len(self.registry.connections), len(self.registry.closing_connections)
-            self.lines.append(f"{self.now} us: {there[0]} there, {there[1]} leaving")
+                self.lines.append(f"may be shut: {session.can_shut_down(has_received)}")
+            counts = len(self.registry.connections), len(self.registry.closing_connections)
+            self.lines.append(f"{self.now_us} us: {counts[0]} there, {counts[1]} leaving")
         self.check("talk_silent", self.lines)
 
-    def test_who_does_not_read_the_last_answer(self) -> None:
-        """It has ten seconds for it, then it is closed."""
+    def test_client_that_does_not_read_its_last_response_is_closed_after_ten_seconds(self) -> None:
         session = self.session(reads=False)
         session.receive(request(1))
         session.succeed(1, b"a\tb\tc\n")
-        for self.now, there in ((9_999_999, 1), (10_000_000, 0)):
+        for self.now_us, connection_count in ((9_999_999, 1), (10_000_000, 0)):
             self.registry.close_idle()
-            self.assertEqual(there, len(self.registry.connections))
+            self.assertEqual(connection_count, len(self.registry.connections))
         self.assertEqual("is closed", self.lines[-1])
 
-    def test_what_waits_is_written_before_it_is_shut(self) -> None:
+    def test_unsent_responses_are_written_before_the_shutdown(self) -> None:
         session = self.session(reads=False)
         session.receive(request(1))
         session.close()
-        self.assertNotIn("ends once it is written", self.lines)  # it is owed an answer
+        self.assertNotIn("ends once it is written", self.lines)  # a request is open
         session.reject(1, 0)
         self.assertFalse(session.can_shut_down(has_received=False))
         session._transport.unsent.clear()
         self.assertTrue(session.can_shut_down(has_received=True))
         self.assertEqual(2, self.lines.count("ends once it is written"))
 
-    def test_which_are_evicted(self) -> None:
-        """Nobody who has something open, unread or unwritten."""
-        asking, unread, unwritten, idle = (self.session(reads=at != 2) for at in range(4))
-        asking.receive(request(1))
+    def test_only_idle_sessions_are_evicted(self) -> None:
+        """Not one with an open request, unread data or unsent data."""
+        requesting, unread, unsent, idle = (self.session(reads=position != 2) for position in range(4))
+        requesting.receive(request(1))
         unread._transport.unread = True
-        unwritten._transport.write(b"answer")
-        made = [session.try_evict() for session in (asking, unread, unwritten, idle)]
-        self.assertEqual([False, False, False, True], made)
+        unsent._transport.write(b"answer")
+        evicted = [session.try_evict() for session in (requesting, unread, unsent, idle)]
+        self.assertEqual([False, False, False, True], evicted)
 
 
-def code_of(line: str) -> int:
+def error_code_of(line: str) -> int:
     return json.loads(line.removeprefix("hears "))["error"]["code"]
 
 
@@ -266,7 +274,7 @@
         return True
 
     def on_sent(self, in_flight: InFlightRequest) -> None:
-        """What is written is recorded by the pool."""
+        """Does nothing: the pool records what is written."""
 
     def on_answer(self, in_flight: InFlightRequest, answer: codec.Answer) -> bool:
         in_flight.connection.finish(in_flight)
@@ -279,12 +287,12 @@
 
 
 class FakePool(ConnectionPool):
-    """Connections that are made by the test's hand; what is written goes to `lines`."""
+    """A pool whose connections the test completes; what is written is recorded in `lines`."""
 
     def __init__(self, lines: list[str]) -> None:
         timers = type("Timers", (), {"call_after": lambda *_: None})()
         super().__init__(("e", 1), {}, DescriptorQuota(1, 2), timers, lambda: 0, Counters())
-        self.lines, self.ended, self.unsent = lines, False, bytearray()
+        self.lines, self.has_peer_ended, self.unsent = lines, False, bytearray()
 
     def connect(self) -> FakeConnection:
         return FakeConnection(self)
@@ -294,28 +302,28 @@
         return True
 
     def has_ended(self) -> bool:
-        return self.ended
+        return self.has_peer_ended
 
 
-class EngineConnections(TraceCase):
-    def test_a_rejected_name_takes_another_connection(self) -> None:
-        """A duplicate of the rejection would be taken for the next attempt's answer, while that runs."""
+class EngineConnectionTest(TraceCase):
+    def test_retry_of_a_rejected_request_takes_another_connection(self) -> None:
+        """On the same one a duplicate of the rejection would be taken for the answer to the retry."""
         pool = FakePool([])
-        for word, same in ((b"overload", False), (b"crashed", False), (b"served", True)):
+        for outcome, is_same in ((b"overload", False), (b"crashed", False), (b"served", True)):
             first, second = RecordingRequest(b"one"), RecordingRequest(b"one")
             pool.start(first)
             if first.connection.transport is None:
                 first.connection.on_connected(pool)
             first.connection.on_received(
-                b"*4\r\n$3\r\none\r\n$%d\r\n%b\r\n$1\r\n-\r\n$0\r\n\r\n" % (len(word), word)
+                b"*4\r\n$3\r\none\r\n$%d\r\n%b\r\n$1\r\n-\r\n$0\r\n\r\n" % (len(outcome), outcome)
             )
             pool.start(second)
-            self.assertEqual(same, second.connection is first.connection, word)
+            self.assertEqual(is_same, second.connection is first.connection, outcome)
             second.connection.finish(second)
             first.connection.close()
             first.connection.on_closed()
 
-    def test_rejected_names_are_bounded(self) -> None:
+    def test_number_of_remembered_rejections_is_bounded(self) -> None:
         connection = FakePool([]).connect()
         for number in range(1000):
             connection.in_flight.on_rejected(RecordingRequest(b"%d" % number))
@@ -328,20 +336,20 @@
             ),
         )
 
-    def test_the_end_of_a_connection_within_an_answer(self) -> None:
+    def test_end_of_stream_within_an_answer_is_a_protocol_error(self) -> None:
         pool = FakePool([])
         in_flight = RecordingRequest(b"one")
         pool.start(in_flight)
         connection = in_flight.connection
         connection.on_connected(pool)
-        connection.on_end_of_stream()  # nothing has begun
+        connection.on_end_of_stream()  # no answer has begun
         self.assertIsNone(connection.seconds_left())
         connection.on_received(b"*4\r\n$3\r\n")
         self.assertEqual(0.25, connection.seconds_left())
-        for end in (connection.on_end_of_stream, connection.on_stalled):
+        for report_end in (connection.on_end_of_stream, connection.on_stalled):
             with self.assertRaises(EngineProtocolError):
-                end()
-        pool.ended = True
+                report_end()
+        pool.has_peer_ended = True
         connection.in_flight.finish(in_flight)
         self.assertFalse(connection.start(RecordingRequest(b"two")))
         self.assertEqual(["ASK one", "hangs up"], pool.lines)
