--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -1,4 +1,4 @@
-"""The watch on the list of engines at rare moments: scripted coordinators on loopback, and what they tell."""
+"""The endpoint watch and the routing of its events, with scripted coordinators on loopback."""
 
 import contextlib
 import io
@@ -36,302 +36,316 @@
 from tests.test_codecs import frame
 from tests.test_service import GatewayHarness
 
-READY, DRAINING, GONE = 0, 1, 2
+READY, DRAINING, REMOVED = 0, 1, 2  # states in a record of a frame
 LOOPBACK = 0x7F000001
 
 
-def record(number: int, state: int = READY, port: int = 7001, started: int = 0) -> tuple:
-    return (number, LOOPBACK, port, state, 0, 0, 0, 1000, started)
+def record(endpoint_id: int, state: int = READY, port: int = 7001, started_ms: int = 0) -> tuple:
+    return (endpoint_id, LOOPBACK, port, state, 0, 0, 0, 1000, started_ms)
 
 
 class Coordinator:
-    """Takes links one at a time, each with the number that it asks for; the test says what goes out."""
+    """A coordinator that accepts connections one at a time and sends what the test makes it send."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
         self._listener.setblocking(False)
         self.address = "127.0.0.1:{}".format(*self._listener.getsockname()[1:])
-        self.links = 0
+        self.connection_count = 0
 
-    async def link(self) -> tuple[socket.socket, int]:
+    async def accept(self) -> tuple[socket.socket, int]:
+        """Accepts a connection; returns it with the index of the last event that the watch has."""
         await anyio.wait_readable(self._listener)
-        made = self._listener.accept()[0]
-        made.setblocking(False)
-        made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.links += 1
-        await anyio.wait_readable(made)
-        return made, struct.unpack(">Q", made.recv(8))[0]
+        connection = self._listener.accept()[0]
+        connection.setblocking(False)
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.connection_count += 1
+        await anyio.wait_readable(connection)
+        return connection, struct.unpack(">Q", connection.recv(8))[0]
 
     def close(self) -> None:
         self._listener.close()
 
 
-class Watch:
-    """One feed, what it has told as (number, states by engine), and what it says."""
+class WatchHarness:
+    """An endpoint watch; `handled` records its events as index and states by endpoint id."""
 
-    def __init__(self, address: str, last: int = 1, **limits: object) -> None:
-        self.told: list[tuple[int, dict[int, str]]] = []
-        self.fails: list[int] = []  # numbers whose telling fails, once each
-        self.counters, self._changed = Counters(), anyio.Event()
-        self.feed = EndpointWatch(address, last, self._told, self.counters, Log("n0", Clock()), **limits)
+    def __init__(self, address: str, last_index: int = 1, **timeouts: object) -> None:
+        self.handled: list[tuple[int, dict[int, str]]] = []
+        self.failing_indexes: list[int] = []  # events whose handling fails, once for each entry
+        self.counters, self._event_handled = Counters(), anyio.Event()
+        self.endpoint_watch = EndpointWatch(
+            address, last_index, self._on_event, self.counters, Log("n0", Clock()), **timeouts
+        )
 
-    def _told(self, event: EndpointEvent) -> None:
-        self._changed.set()
-        self._changed = anyio.Event()
-        if event.index in self.fails:
-            self.fails.remove(event.index)
+    def _on_event(self, event: EndpointEvent) -> None:
+        self._event_handled.set()
+        self._event_handled = anyio.Event()
+        if event.index in self.failing_indexes:
+            self.failing_indexes.remove(event.index)
             raise RuntimeError("half way")
-        self.told.append((event.index, {one.id: one.state.value for one in event.endpoints}))
+        self.handled.append(
+            (event.index, {endpoint.id: endpoint.state.value for endpoint in event.endpoints})
+        )
 
-    async def wait_for_event(self, number: int) -> None:
-        while number not in [one for one, _ in self.told]:
-            await self._changed.wait()
+    async def wait_for_event(self, index: int) -> None:
+        while index not in [handled_index for handled_index, _ in self.handled]:
+            await self._event_handled.wait()
 
-    def play(self, scenario: Callable[[anyio.abc.TaskGroup], Awaitable]) -> str:
-        """What was said on standard error while the scenario was played; the feed runs to its end."""
+    def run(self, scenario: Callable[[anyio.abc.TaskGroup], Awaitable]) -> str:
+        """Runs the scenario together with the watch; returns what was written to standard error."""
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.feed.run, tasks)
+                tasks.start_soon(self.endpoint_watch.run, tasks)
                 with anyio.fail_after(5):
                     await scenario(tasks)
                 tasks.cancel_scope.cancel()
 
-        with contextlib.redirect_stderr(io.StringIO()) as said:
+        with contextlib.redirect_stderr(io.StringIO()) as log_output:
             anyio.run(main, backend_options={"use_uvloop": True})
-        return said.getvalue()
+        return log_output.getvalue()
 
 
-class Starts(unittest.TestCase):
-    """How long a gateway that starts waits for what is new."""
+class InitialWaitTest(unittest.TestCase):
+    """How long a starting gateway waits for new events."""
 
     def setUp(self) -> None:
         self.coordinator = Coordinator()
         self.addCleanup(self.coordinator.close)
 
-    def waits(self, watch: Watch, says: bytes | None, within: float) -> float:
-        """Seconds until it has caught up with a coordinator that answers a hello so; None: not at all."""
-        taken = 0.0
+    def measure_wait_s(self, watch: WatchHarness, answer: bytes | None, timeout_s: float) -> float:
+        """Returns the seconds until the watch is current, or until the timeout.
+
+        The coordinator answers the subscription with these bytes; with None it accepts no connection.
+        """
+        duration_s = 0.0
 
         async def scenario(tasks: anyio.abc.TaskGroup) -> None:
-            nonlocal taken
-            begun = anyio.current_time()
-            if says is not None:
-                tasks.start_soon(tells)
-            await watch.feed.wait_until_current(within)
-            taken = anyio.current_time() - begun
-
-        async def tells() -> None:
-            made, _ = await self.coordinator.link()
-            made.send(says)
+            nonlocal duration_s
+            start_s = anyio.current_time()
+            if answer is not None:
+                tasks.start_soon(answer_subscription)
+            await watch.endpoint_watch.wait_until_current(timeout_s)
+            duration_s = anyio.current_time() - start_s
+
+        async def answer_subscription() -> None:
+            connection, _ = await self.coordinator.accept()
+            connection.send(answer)
             await anyio.sleep_forever()
 
-        watch.play(scenario)
-        return taken
+        watch.run(scenario)
+        return duration_s
 
-    def test_what_is_new_is_told_first(self) -> None:
-        for number, says in enumerate(
+    def test_new_events_are_handled_before_the_wait_ends(self) -> None:
+        for number, answer in enumerate(
             (frame(2, 2, record(5)) + frame(3, 2, record(5, DRAINING)), frame(2, 2, record(5, DRAINING))), 1
         ):
-            watch = Watch(self.coordinator.address)
-            self.assertLess(self.waits(watch, says, TIMEOUT_S), TIMEOUT_S)
-            self.assertEqual("draining", watch.told[-1][1][5], number)
+            watch = WatchHarness(self.coordinator.address)
+            self.assertLess(self.measure_wait_s(watch, answer, TIMEOUT_S), TIMEOUT_S)
+            self.assertEqual("draining", watch.handled[-1][1][5], number)
 
-    def test_nothing_new_is_an_end_of_the_wait(self) -> None:
+    def test_wait_ends_with_a_frame_without_an_event(self) -> None:
         with mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", TIMEOUT_S):
-            self.assertLess(self.waits(Watch(self.coordinator.address), frame(1, 0), TIMEOUT_S), TIMEOUT_S)
+            self.assertLess(
+                self.measure_wait_s(WatchHarness(self.coordinator.address), frame(1, 0), TIMEOUT_S), TIMEOUT_S
+            )
 
-    def test_a_coordinator_that_is_silent_or_away_is_not_waited_for(self) -> None:
-        self.assertLess(self.waits(Watch(self.coordinator.address), b"", TIMEOUT_S), TIMEOUT_S)
+    def test_wait_is_bounded_if_the_coordinator_is_silent_or_unreachable(self) -> None:
+        self.assertLess(
+            self.measure_wait_s(WatchHarness(self.coordinator.address), b"", TIMEOUT_S), TIMEOUT_S
+        )
         with mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", TIMEOUT_S):
-            self.assertGreater(self.waits(Watch(self.coordinator.address), None, 0.1), 0.09)
+            self.assertGreater(self.measure_wait_s(WatchHarness(self.coordinator.address), None, 0.1), 0.09)
         self.coordinator.close()
-        self.assertGreater(self.waits(Watch(self.coordinator.address), None, 0.1), 0.09)
-        self.assertLess(self.waits(Watch(None), None, TIMEOUT_S), TIMEOUT_S)
+        self.assertGreater(self.measure_wait_s(WatchHarness(self.coordinator.address), None, 0.1), 0.09)
+        self.assertLess(self.measure_wait_s(WatchHarness(None), None, TIMEOUT_S), TIMEOUT_S)
 
-    def test_half_an_event_is_waited_for(self) -> None:
-        """What has come, and was not read yet, counts as well."""
+    def test_wait_does_not_end_within_an_event(self) -> None:
+        """Received data that was not read yet counts as well."""
 
         async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             event = frame(2, 2, record(5, DRAINING))
-            made, _ = await self.coordinator.link()
-            made.send(event[:9])
-            while not watch.feed._last_received_s:
+            connection, _ = await self.coordinator.accept()
+            connection.send(event[:9])
+            while not watch.endpoint_watch._last_received_s:
                 await run_loop_turns(1)
-            tasks.start_soon(watch.feed.wait_until_current, TIMEOUT_S)
+            tasks.start_soon(watch.endpoint_watch.wait_until_current, TIMEOUT_S)
             await run_loop_turns(3)
-            made.send(event[9:])
-            time.sleep(0.1)  # the loop is late: it finds the end of the wait beside what has come
-            self.assertFalse(watch.feed._has_caught_up())
+            connection.send(event[9:])
+            time.sleep(0.1)  # the event loop is late: the wait is over while data is unread
+            self.assertFalse(watch.endpoint_watch._has_caught_up())
             await watch.wait_for_event(2)
 
-        watch = Watch(self.coordinator.address)
-        watch.play(scenario)
-        self.assertEqual([(2, {5: "draining"})], watch.told)
+        watch = WatchHarness(self.coordinator.address)
+        watch.run(scenario)
+        self.assertEqual([(2, {5: "draining"})], watch.handled)
 
 
-async def ended(made: socket.socket) -> None:
+async def wait_until_closed(connection: socket.socket) -> None:
     """Waits until the other side has closed."""
     while True:
-        await anyio.wait_readable(made)
+        await anyio.wait_readable(connection)
         try:
-            if not made.recv(100):
+            if not connection.recv(100):
                 return
         except ConnectionError:
             return
 
 
-class Links(unittest.TestCase):
-    """When a link is left, and what is asked for on the next one."""
+class ConnectionTest(unittest.TestCase):
+    """When a connection is given up, and which index the next one subscribes with."""
 
     def setUp(self) -> None:
         self.coordinator = Coordinator()
         self.addCleanup(self.coordinator.close)
 
-    def test_silent_while_open_and_a_drain_right_after(self) -> None:
+    def test_silent_connection_is_replaced_and_a_drain_follows(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            first, number = await self.coordinator.link()
+            first, last_index = await self.coordinator.accept()
             first.send(frame(1, 0) + frame(2, 2, record(5)))
-            second, again = await self.coordinator.link()
+            second, next_last_index = await self.coordinator.accept()
             second.send(frame(3, 2, record(5, DRAINING)))
             await watch.wait_for_event(3)
-            self.assertEqual((1, 2), (number, again))
-            await ended(first)
+            self.assertEqual((1, 2), (last_index, next_last_index))
+            await wait_until_closed(first)
 
-        watch = Watch(self.coordinator.address, silence_timeout_s=0.3)
-        watch.play(scenario)
-        self.assertEqual([(2, {5: "ready"}), (3, {5: "draining"})], watch.told)
+        watch = WatchHarness(self.coordinator.address, silence_timeout_s=0.3)
+        watch.run(scenario)
+        self.assertEqual([(2, {5: "ready"}), (3, {5: "draining"})], watch.handled)
 
-    def test_accepted_and_nothing_said(self) -> None:
+    def test_connection_without_any_data_is_replaced(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            self.assertEqual(1, (await self.coordinator.link())[1])
-            made, number = await self.coordinator.link()
-            self.assertEqual(1, number)
-            made.send(frame(2, 2))
+            self.assertEqual(1, (await self.coordinator.accept())[1])
+            connection, last_index = await self.coordinator.accept()
+            self.assertEqual(1, last_index)
+            connection.send(frame(2, 2))
             await watch.wait_for_event(2)
 
-        watch = Watch(self.coordinator.address, silence_timeout_s=0.3, frame_timeout_s=30)
-        watch.play(scenario)
+        watch = WatchHarness(self.coordinator.address, silence_timeout_s=0.3, frame_timeout_s=30)
+        watch.run(scenario)
 
-    def test_a_trickle_that_never_ends_a_frame(self) -> None:
-        async def trickle(made: socket.socket) -> None:
+    def test_connection_that_never_completes_a_frame_is_replaced(self) -> None:
+        async def trickle(connection: socket.socket) -> None:
             with contextlib.suppress(OSError):
-                for byte in frame(2, 2, *[record(number) for number in range(50)]):
-                    made.send(bytes([byte]))
+                for byte in frame(2, 2, *[record(endpoint_id) for endpoint_id in range(50)]):
+                    connection.send(bytes([byte]))
                     await anyio.sleep(0.02)
 
         async def scenario(tasks: anyio.abc.TaskGroup) -> None:
-            made, _ = await self.coordinator.link()
-            made.send(frame(1, 0))
-            tasks.start_soon(trickle, made)
-            other, number = await self.coordinator.link()
-            self.assertEqual(1, number)
+            connection, _ = await self.coordinator.accept()
+            connection.send(frame(1, 0))
+            tasks.start_soon(trickle, connection)
+            other, last_index = await self.coordinator.accept()
+            self.assertEqual(1, last_index)
             other.send(frame(2, 2, record(5, DRAINING)))
             await watch.wait_for_event(2)
 
-        # Fifty records take 27 s; the silence between two bytes never reaches its limit.
-        watch = Watch(self.coordinator.address, silence_timeout_s=2, frame_timeout_s=0.3)
-        watch.play(scenario)
-        self.assertEqual([(2, {5: "draining"})], watch.told)
+        # Fifty records take 27 s; the time between two bytes never reaches the silence timeout.
+        watch = WatchHarness(self.coordinator.address, silence_timeout_s=2, frame_timeout_s=0.3)
+        watch.run(scenario)
+        self.assertEqual([(2, {5: "draining"})], watch.handled)
 
-    def test_a_whole_list_over_a_slow_network_gets_through(self) -> None:
+    def test_complete_list_arrives_over_a_slow_network(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            made, _ = await self.coordinator.link()
-            data = frame(2, 1, *[record(number, port=1 + number) for number in range(1024)])
-            for at in range(0, len(data), 2800):
-                made.send(data[at : at + 2800])
+            connection, _ = await self.coordinator.accept()
+            data = frame(2, 1, *[record(endpoint_id, port=1 + endpoint_id) for endpoint_id in range(1024)])
+            for offset in range(0, len(data), 2800):
+                connection.send(data[offset : offset + 2800])
                 await anyio.sleep(0.02)
             await watch.wait_for_event(2)
 
-        watch = Watch(self.coordinator.address, frame_timeout_s=2)
-        watch.play(scenario)
-        self.assertEqual((1, 1024), (self.coordinator.links, len(watch.told[0][1])))
+        watch = WatchHarness(self.coordinator.address, frame_timeout_s=2)
+        watch.run(scenario)
+        self.assertEqual((1, 1024), (self.coordinator.connection_count, len(watch.handled[0][1])))
 
-    def test_frames_that_go_on_coming_hold_the_link(self) -> None:
+    def test_connection_is_kept_while_frames_arrive(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            made, _ = await self.coordinator.link()
+            connection, _ = await self.coordinator.accept()
             for _ in range(10):
-                made.send(frame(1, 0))
+                connection.send(frame(1, 0))
                 await anyio.sleep(0.1)
-            made.send(frame(2, 2))
+            connection.send(frame(2, 2))
             await watch.wait_for_event(2)
 
-        watch = Watch(self.coordinator.address, frame_timeout_s=0.8)
-        watch.play(scenario)
-        self.assertEqual(1, self.coordinator.links)
+        watch = WatchHarness(self.coordinator.address, frame_timeout_s=0.8)
+        watch.run(scenario)
+        self.assertEqual(1, self.coordinator.connection_count)
 
-    def test_a_stop_is_heard_of_in_time(self) -> None:
-        """What there is to tell counts as told four seconds after a stop, two after a break."""
-        longest = discovery_watch._MAX_BACKOFF_S * 1.5 + discovery_watch._CONNECT_TIMEOUT_S
+    def test_timeouts_allow_a_new_connection_in_time(self) -> None:
+        """Events count as known four seconds after the coordinator stops sending, and two after a break."""
+        longest_reconnect_s = discovery_watch._MAX_BACKOFF_S * 1.5 + discovery_watch._CONNECT_TIMEOUT_S
         self.assertLess(
             discovery_watch._FRAME_TIMEOUT_S
             + discovery_watch._FIRST_BACKOFF_S * 1.5
             + discovery_watch._CONNECT_TIMEOUT_S,
             4,
         )
-        self.assertLess(discovery_watch._SILENCE_TIMEOUT_S + longest + discovery_watch._SILENCE_TIMEOUT_S, 4)
-        self.assertLess(longest, 2)
+        self.assertLess(
+            discovery_watch._SILENCE_TIMEOUT_S + longest_reconnect_s + discovery_watch._SILENCE_TIMEOUT_S, 4
+        )
+        self.assertLess(longest_reconnect_s, 2)
         self.assertLess(
             1024 * 27 / discovery_watch._FRAME_TIMEOUT_S, 10_000, "bytes a second for a list of 1,024 engines"
         )
 
-    def test_cut_within_a_frame(self) -> None:
+    def test_connection_that_ends_within_a_frame_loses_no_event(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
             data = frame(2, 2, record(5)) + frame(3, 2, record(5, DRAINING))
-            for cut, asked in ((3, 1), (20, 1), (len(data) - 1, 1), (len(data), 2)):
-                made, number = await self.coordinator.link()
-                self.assertEqual(asked, number)
-                made.send(data[:cut] if asked == 1 else data[len(data) // 2 :])
-                made.close()
+            for end, requested_index in ((3, 1), (20, 1), (len(data) - 1, 1), (len(data), 2)):
+                connection, last_index = await self.coordinator.accept()
+                self.assertEqual(requested_index, last_index)
+                connection.send(data[:end] if requested_index == 1 else data[len(data) // 2 :])
+                connection.close()
             await watch.wait_for_event(3)
 
-        watch = Watch(self.coordinator.address)
-        watch.play(scenario)
-        self.assertEqual([(2, {5: "ready"}), (3, {5: "draining"})], watch.told)
+        watch = WatchHarness(self.coordinator.address)
+        watch.run(scenario)
+        self.assertEqual([(2, {5: "ready"}), (3, {5: "draining"})], watch.handled)
 
-    def test_a_word_and_a_close_each_time_is_no_reason_to_hurry(self) -> None:
+    def test_backoff_grows_if_each_connection_ends_without_an_event(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            began = anyio.current_time()
+            start_s = anyio.current_time()
             for _ in range(5):
-                made, _ = await self.coordinator.link()
-                made.send(frame(1, 0) + frame(2, 2, record(5))[:20])
-                made.close()
-            self.assertGreater(anyio.current_time() - began, 0.5)
+                connection, _ = await self.coordinator.accept()
+                connection.send(frame(1, 0) + frame(2, 2, record(5))[:20])
+                connection.close()
+            self.assertGreater(anyio.current_time() - start_s, 0.5)
 
-        Watch(self.coordinator.address).play(scenario)
+        WatchHarness(self.coordinator.address).run(scenario)
 
-    def test_chance_spreads_the_pauses(self) -> None:
+    def test_backoff_is_randomized(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            made, _ = await self.coordinator.link()
-            began = anyio.current_time()
-            made.close()
-            await self.coordinator.link()
-            self.assertGreater(anyio.current_time() - began, 0.39)
+            connection, _ = await self.coordinator.accept()
+            start_s = anyio.current_time()
+            connection.close()
+            await self.coordinator.accept()
+            self.assertGreater(anyio.current_time() - start_s, 0.39)
 
-        Watch(self.coordinator.address, random=lambda: 9.5).play(scenario)
+        WatchHarness(self.coordinator.address, random=lambda: 9.5).run(scenario)
 
-    def test_old_numbers_and_events_twice(self) -> None:
+    def test_old_and_repeated_events_are_ignored(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            made, _ = await self.coordinator.link()
-            drains, ready = record(5, DRAINING), record(5)
-            made.send(2 * frame(8, 2, drains))
+            connection, _ = await self.coordinator.accept()
+            draining, ready = record(5, DRAINING), record(5)
+            connection.send(2 * frame(8, 2, draining))
             await watch.wait_for_event(8)
             for data in (
                 frame(7, 2, ready) + frame(8, 1, ready),
                 frame(2, 1, record(6)),
                 frame(9, 2),
             ):
-                made.send(data)
+                connection.send(data)
             await watch.wait_for_event(9)
 
-        watch = Watch(self.coordinator.address, last=7)
-        watch.play(scenario)
-        self.assertEqual([(8, {5: "draining"}), (9, {})], watch.told)
-        self.assertEqual(1, self.coordinator.links)
+        watch = WatchHarness(self.coordinator.address, last_index=7)
+        watch.run(scenario)
+        self.assertEqual([(8, {5: "draining"}), (9, {})], watch.handled)
+        self.assertEqual(1, self.coordinator.connection_count)
 
-    def test_bad_frames(self) -> None:
-        """Each right behind a drain, which is told; the link is made again, and asks for what comes next."""
-        bad = (
+    def test_event_before_a_malformed_frame_is_handled(self) -> None:
+        """Each malformed frame follows a drain; the next connection subscribes with the drain's index."""
+        malformed = (
             frame(3, 3),
             frame(3, 0xFF, record(5)),
             frame(3, 2, record(5, state=3)),
@@ -343,20 +357,22 @@
         )
 
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            for turn, data in enumerate(bad):
-                made, number = await self.coordinator.link()
-                self.assertEqual(1 + turn, number)
-                made.send(frame(2 + turn, 2, record(turn, DRAINING)) + data)
-                await watch.wait_for_event(2 + turn)
-                await ended(made)
-
-        watch = Watch(self.coordinator.address)
-        said = watch.play(scenario)
-        self.assertEqual([(2 + turn, {turn: "draining"}) for turn in range(len(bad))], watch.told)
+            for position, data in enumerate(malformed):
+                connection, last_index = await self.coordinator.accept()
+                self.assertEqual(1 + position, last_index)
+                connection.send(frame(2 + position, 2, record(position, DRAINING)) + data)
+                await watch.wait_for_event(2 + position)
+                await wait_until_closed(connection)
+
+        watch = WatchHarness(self.coordinator.address)
+        log_text = watch.run(scenario)
+        self.assertEqual(
+            [(2 + position, {position: "draining"}) for position in range(len(malformed))], watch.handled
+        )
         self.assertEqual(0, watch.counters.counts["faults"])
-        self.assertIn("MalformedEventError", said)
+        self.assertIn("MalformedEventError", log_text)
 
-    def test_away_at_the_start_and_back_later(self) -> None:
+    def test_coordinator_that_is_unreachable_at_first_is_tried_again(self) -> None:
         self.coordinator.close()
         port = int(self.coordinator.address.rpartition(":")[2])
 
@@ -365,18 +381,18 @@
                 await anyio.sleep(0.01)
             self.coordinator._listener = socket.create_server(("127.0.0.1", port))
             self.coordinator._listener.setblocking(False)
-            made, number = await self.coordinator.link()
-            made.send(frame(2, 1, record(5, DRAINING)))
+            connection, last_index = await self.coordinator.accept()
+            connection.send(frame(2, 1, record(5, DRAINING)))
             await watch.wait_for_event(2)
-            self.assertEqual(1, number)
+            self.assertEqual(1, last_index)
 
-        watch = Watch(self.coordinator.address)
-        watch.play(scenario)
-        self.assertEqual([(2, {5: "draining"})], watch.told)
+        watch = WatchHarness(self.coordinator.address)
+        watch.run(scenario)
+        self.assertEqual([(2, {5: "draining"})], watch.handled)
 
 
-def hanging(case: unittest.TestCase) -> str:
-    """An address where connections never come up: nobody takes them, and no more may wait."""
+def hanging_address(case: unittest.TestCase) -> str:
+    """Returns an address to which connecting hangs, as its accept queue is full and nothing is accepted."""
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     case.addCleanup(full.close)
     for _ in range(2):
@@ -388,109 +404,109 @@
     return "127.0.0.1:{}".format(*full.getsockname()[1:])
 
 
-class Moves(unittest.TestCase):
-    """The configuration is replaced: another coordinator, or the same, at once."""
+class AddressChangeTest(unittest.TestCase):
+    """The address is replaced by a reload: by another one, or by the same."""
 
     def setUp(self) -> None:
         self.old, self.new = Coordinator(), Coordinator()
         self.addCleanup(self.old.close)
         self.addCleanup(self.new.close)
 
-    def test_while_a_frame_is_half_read(self) -> None:
+    def test_change_within_a_frame_loses_no_event(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            first, _ = await self.old.link()
+            first, _ = await self.old.accept()
             event = frame(3, 2, record(6, DRAINING))
             first.send(frame(2, 2, record(5)) + event[:20])
             await watch.wait_for_event(2)
-            watch.feed.reconnect_to(self.new.address)
-            second, number = await self.new.link()
-            self.assertEqual(2, number)
-            await ended(first)
+            watch.endpoint_watch.reconnect_to(self.new.address)
+            second, last_index = await self.new.accept()
+            self.assertEqual(2, last_index)
+            await wait_until_closed(first)
             second.send(event)
             await watch.wait_for_event(3)
 
-        watch = Watch(self.old.address)
-        watch.play(scenario)
-        self.assertEqual([(2, {5: "ready"}), (3, {6: "draining"})], watch.told)
+        watch = WatchHarness(self.old.address)
+        watch.run(scenario)
+        self.assertEqual([(2, {5: "ready"}), (3, {6: "draining"})], watch.handled)
 
-    def test_to_the_same_address(self) -> None:
-        """It may have stopped telling: the next link asks at once."""
+    def test_change_to_the_same_address_reconnects(self) -> None:
+        """The present connection may deliver nothing more; the next one is made at once."""
 
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            first, _ = await self.old.link()
-            watch.feed.reconnect_to(self.old.address)
-            second, number = await self.old.link()
+            first, _ = await self.old.accept()
+            watch.endpoint_watch.reconnect_to(self.old.address)
+            second, last_index = await self.old.accept()
             second.send(frame(2, 2, record(5, DRAINING)))
             await watch.wait_for_event(2)
-            await ended(first)
-            self.assertEqual(1, number)
+            await wait_until_closed(first)
+            self.assertEqual(1, last_index)
 
-        watch = Watch(self.old.address, silence_timeout_s=30, frame_timeout_s=30)
-        watch.play(scenario)
+        watch = WatchHarness(self.old.address, silence_timeout_s=30, frame_timeout_s=30)
+        watch.run(scenario)
 
-    def test_twice_in_a_row_and_back(self) -> None:
+    def test_repeated_changes_use_the_last_address(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            await self.old.link()
+            await self.old.accept()
             for address in (self.new.address, self.old.address):
-                watch.feed.reconnect_to(address)
-            made, _ = await self.old.link()
+                watch.endpoint_watch.reconnect_to(address)
+            connection, _ = await self.old.accept()
             for address in (self.old.address, self.new.address):
-                watch.feed.reconnect_to(address)
-            await ended(made)
-            made, number = await self.new.link()
-            made.send(frame(2, 2))
+                watch.endpoint_watch.reconnect_to(address)
+            await wait_until_closed(connection)
+            connection, last_index = await self.new.accept()
+            connection.send(frame(2, 2))
             await watch.wait_for_event(2)
-            self.assertEqual(1, number)
+            self.assertEqual(1, last_index)
 
-        watch = Watch(self.old.address, silence_timeout_s=30, frame_timeout_s=30)
-        watch.play(scenario)
-        self.assertEqual((2, 1), (self.old.links, self.new.links))
+        watch = WatchHarness(self.old.address, silence_timeout_s=30, frame_timeout_s=30)
+        watch.run(scenario)
+        self.assertEqual((2, 1), (self.old.connection_count, self.new.connection_count))
 
-    def test_while_a_connection_never_comes_up(self) -> None:
+    def test_change_while_connecting_hangs(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
             await anyio.sleep(0.05)
-            watch.feed.reconnect_to(self.new.address)
-            await self.new.link()
+            watch.endpoint_watch.reconnect_to(self.new.address)
+            await self.new.accept()
             self.assertEqual(0, watch.counters.counts["coordinator connections ended"])
 
-        watch = Watch(hanging(self), connect_timeout_s=30)
-        watch.play(scenario)
+        watch = WatchHarness(hanging_address(self), connect_timeout_s=30)
+        watch.run(scenario)
 
-    def test_a_connection_that_never_comes_up_is_tried_again(self) -> None:
+    def test_connection_attempt_that_hangs_is_repeated(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
             while watch.counters.counts["coordinator connections ended"] < 2:
                 await anyio.sleep(0.01)
 
-        watch = Watch(hanging(self), connect_timeout_s=0.1)
-        self.assertIn("TimeoutError", watch.play(scenario))
+        watch = WatchHarness(hanging_address(self), connect_timeout_s=0.1)
+        self.assertIn("TimeoutError", watch.run(scenario))
 
-    def test_during_the_pause(self) -> None:
+    def test_change_during_the_backoff_takes_effect_at_once(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
             while not watch.counters.counts["coordinator connections ended"]:
                 await anyio.sleep(0.01)
-            watch.feed.reconnect_to(self.new.address)
-            await self.new.link()
+            watch.endpoint_watch.reconnect_to(self.new.address)
+            await self.new.accept()
 
         self.old.close()
-        watch = Watch(self.old.address, random=lambda: 1000.0)  # the pause is 40 s
-        watch.play(scenario)
+        watch = WatchHarness(self.old.address, random=lambda: 1000.0)  # the pause is 40 s
+        watch.run(scenario)
 
-    def test_to_none_and_back(self) -> None:
+    def test_change_to_none_and_back(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            made, _ = await self.old.link()
-            watch.feed.reconnect_to(None)
-            await ended(made)
-            watch.feed.reconnect_to(None)
-            watch.feed.reconnect_to(self.old.address)
-            await self.old.link()
-
-        watch = Watch(self.old.address)
-        self.assertEqual(1, watch.play(scenario).count("now follows None"))
-
-    def test_no_address(self) -> None:
-        """ValueError that names the value, at the start and in a new configuration, whose old one stays."""
-        watch = Watch(self.old.address)
-        for wrong in (
+            connection, _ = await self.old.accept()
+            watch.endpoint_watch.reconnect_to(None)
+            await wait_until_closed(connection)
+            watch.endpoint_watch.reconnect_to(None)
+            watch.endpoint_watch.reconnect_to(self.old.address)
+            await self.old.accept()
+
+        watch = WatchHarness(self.old.address)
+        self.assertEqual(1, watch.run(scenario).count("now follows None"))
+
+    def test_invalid_addresses_raise_value_error(self) -> None:
+        """At the start and in a change, which leaves the present address; the error names the value."""
+        watch = WatchHarness(self.old.address)
+        for invalid in (
             "127.0.0.1:65536",
             "127.0.0.1:99999999999999999999",
             "127.0.0.1:0",
@@ -506,117 +522,129 @@
             "x" * 300 + ":7001",
             "\x00:7001",
         ):
-            with self.subTest(wrong):
+            with self.subTest(invalid):
                 for call in (
-                    lambda wrong=wrong: EndpointWatch(wrong, 0, None, None, None),
-                    watch.feed.reconnect_to,
+                    lambda invalid=invalid: EndpointWatch(invalid, 0, None, None, None),
+                    watch.endpoint_watch.reconnect_to,
                 ):
                     with self.assertRaises(ValueError) as caught:
-                        call(wrong) if call == watch.feed.reconnect_to else call()
-                    self.assertTrue(any(part and part in str(caught.exception) for part in wrong.split(":")))
+                        call(invalid) if call == watch.endpoint_watch.reconnect_to else call()
+                    self.assertTrue(
+                        any(part and part in str(caught.exception) for part in invalid.split(":"))
+                    )
                     self.assertNotIn("\n", str(caught.exception))
-        self.assertEqual(self.old.address, "{}:{}".format(*watch.feed._address))
+        self.assertEqual(self.old.address, "{}:{}".format(*watch.endpoint_watch._address))
 
 
-class Telling(unittest.TestCase):
-    """A fault in telling an event is contained, and the event is not lost."""
+class EventHandlingFaultTest(unittest.TestCase):
+    """A fault in handling an event is contained, and the event is not lost."""
 
     def setUp(self) -> None:
         self.coordinator = Coordinator()
         self.addCleanup(self.coordinator.close)
 
-    def test_an_event_whose_telling_fails_comes_again(self) -> None:
+    def test_event_whose_handling_fails_is_requested_again(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
             data = frame(2, 2, record(5, DRAINING))
             for _ in range(2):
-                made, number = await self.coordinator.link()
-                self.assertEqual(1, number)
-                made.send(data)
+                connection, last_index = await self.coordinator.accept()
+                self.assertEqual(1, last_index)
+                connection.send(data)
             await watch.wait_for_event(2)
 
-        watch = Watch(self.coordinator.address)
-        watch.fails = [2]
-        said = watch.play(scenario)
-        self.assertEqual([(2, {5: "draining"})], watch.told)
-        self.assertEqual((1, 1), (watch.counters.counts["faults"], said.count("RuntimeError: half way")))
+        watch = WatchHarness(self.coordinator.address)
+        watch.failing_indexes = [2]
+        log_text = watch.run(scenario)
+        self.assertEqual([(2, {5: "draining"})], watch.handled)
+        self.assertEqual((1, 1), (watch.counters.counts["faults"], log_text.count("RuntimeError: half way")))
 
-    def test_one_that_can_never_be_told_keeps_nothing_behind_it_away(self) -> None:
+    def test_event_whose_handling_always_fails_is_skipped(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            numbers = []
+            last_indexes = []
             for _ in range(4):
-                made, number = await self.coordinator.link()
-                numbers.append(number)
-                for late in range(number + 1, 4):
-                    made.send(frame(late, 2, record(late, DRAINING)))
+                connection, last_index = await self.coordinator.accept()
+                last_indexes.append(last_index)
+                for index in range(last_index + 1, 4):
+                    connection.send(frame(index, 2, record(index, DRAINING)))
             await watch.wait_for_event(3)
-            self.assertEqual([1, 1, 1, 2], numbers)
+            self.assertEqual([1, 1, 1, 2], last_indexes)
 
-        watch = Watch(self.coordinator.address)
-        watch.fails = 9 * [2]
-        watch.play(scenario)
-        self.assertEqual([(3, {3: "draining"})], watch.told)
+        watch = WatchHarness(self.coordinator.address)
+        watch.failing_indexes = 9 * [2]
+        watch.run(scenario)
+        self.assertEqual([(3, {3: "draining"})], watch.handled)
         self.assertEqual(3, watch.counters.counts["faults"])
 
-    def test_what_has_come_together_is_known_from_the_first(self) -> None:
+    def test_final_states_apply_to_all_events_received_together(self) -> None:
         async def scenario(_: anyio.abc.TaskGroup) -> None:
-            made, _ = await self.coordinator.link()
-            made.send(frame(2, 2, record(5)) + frame(3, 2, record(5, DRAINING), record(6)))
+            connection, _ = await self.coordinator.accept()
+            connection.send(frame(2, 2, record(5)) + frame(3, 2, record(5, DRAINING), record(6)))
             await watch.wait_for_event(3)
 
-        watch = Watch(self.coordinator.address)
-        watch.play(scenario)
-        self.assertEqual([(2, {5: "draining"}), (3, {6: "ready", 5: "draining"})], watch.told)
+        watch = WatchHarness(self.coordinator.address)
+        watch.run(scenario)
+        self.assertEqual([(2, {5: "draining"}), (3, {6: "ready", 5: "draining"})], watch.handled)
 
 
-def member(
-    number: int, state: EndpointState = EndpointState.READY, port: int = 7001, started: int = 0
+def make_endpoint(
+    endpoint_id: int, state: EndpointState = EndpointState.READY, port: int = 7001, started_us: int = 0
 ) -> Endpoint:
-    return Endpoint(number, "127.0.0.1", port, state, 0, 0, 0, started)
+    return Endpoint(endpoint_id, "127.0.0.1", port, state, 0, 0, 0, started_us)
 
 
-class Foreseen(unittest.TestCase):
+class FinalStatesTest(unittest.TestCase):
     def states(self, *events: EndpointEvent) -> list[tuple[int, dict[int, str]]]:
-        told = apply_final_states(events)
-        return [(event.index, {one.id: one.state.value for one in event.endpoints}) for event in told]
-
-    def test_events_of_one_reading(self) -> None:
-        drains, gone = member(1, EndpointState.DRAINING), member(1, EndpointState.REMOVED)
-        for text, events, wanted in (
-            ("one", (EndpointEvent(1, False, [member(1), drains]),), [(1, {1: "draining"})]),
+        final = apply_final_states(events)
+        return [
+            (event.index, {endpoint.id: endpoint.state.value for endpoint in event.endpoints})
+            for event in final
+        ]
+
+    def test_final_states_are_added_to_each_event(self) -> None:
+        draining, removed = make_endpoint(1, EndpointState.DRAINING), make_endpoint(1, EndpointState.REMOVED)
+        for text, events, expected in (
             (
-                "an engine of none of the first",
-                (EndpointEvent(1, False, [member(2)]), EndpointEvent(2, False, [drains])),
+                "a single event",
+                (EndpointEvent(1, False, [make_endpoint(1), draining]),),
+                [(1, {1: "draining"})],
+            ),
+            (
+                "an endpoint that the first event does not have",
+                (EndpointEvent(1, False, [make_endpoint(2)]), EndpointEvent(2, False, [draining])),
                 [(1, {2: "ready", 1: "draining"}), (2, {1: "draining"})],
             ),
             (
-                "a whole list, and one that is gone from it",
-                (EndpointEvent(1, True, [member(1)]), EndpointEvent(2, False, [gone])),
+                "a complete list, and the removal of one of its endpoints",
+                (EndpointEvent(1, True, [make_endpoint(1)]), EndpointEvent(2, False, [removed])),
                 [(1, {1: "removed"}), (2, {1: "removed"})],
             ),
             (
-                "what a whole list follows",
-                (EndpointEvent(1, False, [member(1)]), EndpointEvent(2, True, [member(2)])),
+                "an event before a complete list",
+                (EndpointEvent(1, False, [make_endpoint(1)]), EndpointEvent(2, True, [make_endpoint(2)])),
                 [(2, {2: "ready"})],
             ),
             (
-                "back again",
-                (EndpointEvent(1, False, [gone]), EndpointEvent(2, False, [member(1, started=9)])),
+                "removed, then started again",
+                (
+                    EndpointEvent(1, False, [removed]),
+                    EndpointEvent(2, False, [make_endpoint(1, started_us=9)]),
+                ),
                 [(1, {1: "removed"}), (2, {1: "ready"})],
             ),
         ):
             with self.subTest(text):
-                self.assertEqual(wanted, self.states(*events))
+                self.assertEqual(expected, self.states(*events))
 
-    def test_frames_before_a_bad_one_are_told_first(self) -> None:
-        frames = EventDecoder()
-        self.assertEqual([2], [event.index for event in frames.feed(frame(2, 2) + frame(3, 9))])
+    def test_frames_before_a_malformed_one_are_returned_first(self) -> None:
+        decoder = EventDecoder()
+        self.assertEqual([2], [event.index for event in decoder.feed(frame(2, 2) + frame(3, 9))])
         for _ in range(2):
             with self.assertRaises(MalformedEventError):
-                frames.feed(b"")
+                decoder.feed(b"")
 
 
-class PoolStandIn(list):
-    """Links to one engine, as the route sees them: what is asked of them."""
+class RecordingPool(list):
+    """A connection pool that records the calls of the router."""
 
     def __init__(self, label: str, address: tuple[str, int]) -> None:
         self.label, self.address = label, address
@@ -632,135 +660,155 @@
         self.append("recall")
 
 
-class Listed(unittest.TestCase):
-    """What the route makes of an event, whatever is in it."""
+class RouterEventTest(unittest.TestCase):
+    """How the router applies events, whatever they contain."""
 
     def setUp(self) -> None:
-        self.pools: list[PoolStandIn] = []
-        self.route = Router(self.pool, None)
+        self.pools: list[RecordingPool] = []
+        self.router = Router(self.make_pool, None)
 
-    def pool(self, label: str, address: tuple[str, int]) -> PoolStandIn:
-        self.pools.append(PoolStandIn(label, address))
+    def make_pool(self, label: str, address: tuple[str, int]) -> RecordingPool:
+        self.pools.append(RecordingPool(label, address))
         return self.pools[-1]
 
-    def tell(self, *members: Endpoint, complete: bool = False) -> dict[int, str]:
-        """As the module would take it; the engines in use afterwards, with their states."""
-        event = EndpointEvent(1, complete, list(members))
-        before = dict(self.route.engines)
+    def apply(self, *endpoints: Endpoint, complete: bool = False) -> dict[int, str]:
+        """Applies an event as the gateway does; returns the engines in use afterwards, with their states."""
+        event = EndpointEvent(1, complete, list(endpoints))
+        previous_engines = dict(self.router.engines)
         self.entries = []
-        for engine, (_, _, _, started, standing) in self.route.apply_event(event):
-            engine.started_us, engine.state = started, standing
-            self.entries.append(standing.value)
-        self.route.cancel_unsent(event)
-        gone = [engine for number, engine in before.items() if self.route.engines.get(number) is not engine]
+        for engine, (_, _, _, started_us, state) in self.router.apply_event(event):
+            engine.started_us, engine.state = started_us, state
+            self.entries.append(state.value)
+        self.router.cancel_unsent(event)
+        removed = [
+            engine
+            for engine_id, engine in previous_engines.items()
+            if self.router.engines.get(engine_id) is not engine
+        ]
         if not complete:
             self.assertTrue(
-                all(engine.state is EndpointState.REMOVED for engine in gone), "the module is told"
+                all(engine.state is EndpointState.REMOVED for engine in removed), "the policy is notified"
             )
-        self.assertEqual(len(self.route.engines), len(self.route._pools))
-        return {number: engine.state.value for number, engine in self.route.engines.items()}
+        self.assertEqual(len(self.router.engines), len(self.router._pools))
+        return {engine_id: engine.state.value for engine_id, engine in self.router.engines.items()}
 
-    def asked(self) -> dict[str, list[str]]:
-        """What was asked of each pool."""
+    def pool_calls(self) -> dict[str, list[str]]:
+        """Returns the router's calls on each pool."""
         return {f"{pool.label[-2:]} {pool.address[1]}": list(pool) for pool in self.pools}
 
-    def test_an_address_of_another_id(self) -> None:
-        self.tell(member(1), member(2, port=7002), complete=True)
-        self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(3, started=5)))
+    def test_endpoint_at_the_address_of_another_replaces_it(self) -> None:
+        self.apply(make_endpoint(1), make_endpoint(2, port=7002), complete=True)
+        self.assertEqual({2: "ready", 3: "ready"}, self.apply(make_endpoint(3, started_us=5)))
         self.assertEqual(["ready", "removed"], self.entries)
-        self.assertEqual({"01 7001": ["retire", "recall"], "02 7002": [], "03 7001": []}, self.asked())
-        # The coordinator has not told it gone yet, and lists it.
+        self.assertEqual({"01 7001": ["retire", "recall"], "02 7002": [], "03 7001": []}, self.pool_calls())
+        # The coordinator still lists the replaced endpoint.
         for complete in (True, False):
-            told = self.tell(member(1), member(2, port=7002), member(3, started=5), complete=complete)
-            self.assertEqual({2: "ready", 3: "ready"}, told)
-        self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(1, EndpointState.DRAINING)))
-        self.assertEqual({2: "ready", 3: "ready"}, self.tell(member(1, EndpointState.REMOVED)))
+            states = self.apply(
+                make_endpoint(1),
+                make_endpoint(2, port=7002),
+                make_endpoint(3, started_us=5),
+                complete=complete,
+            )
+            self.assertEqual({2: "ready", 3: "ready"}, states)
+        self.assertEqual({2: "ready", 3: "ready"}, self.apply(make_endpoint(1, EndpointState.DRAINING)))
+        self.assertEqual({2: "ready", 3: "ready"}, self.apply(make_endpoint(1, EndpointState.REMOVED)))
         self.assertEqual(3, len(self.pools))
-        self.assertEqual({}, self.route._addresses._displaced)
+        self.assertEqual({}, self.router._addresses._displaced)
 
-    def test_who_lost_its_address_comes_back(self) -> None:
-        for text, back, wanted in (
-            ("elsewhere", [member(1, port=7009)], {3: "ready", 1: "ready"}),
-            ("started later", [member(1, started=9)], {1: "ready"}),
-            ("where nobody is", [member(3, EndpointState.REMOVED), member(1)], {1: "ready"}),
+    def test_replaced_endpoint_comes_back(self) -> None:
+        for text, endpoints, expected in (
+            ("elsewhere", [make_endpoint(1, port=7009)], {3: "ready", 1: "ready"}),
+            ("started later", [make_endpoint(1, started_us=9)], {1: "ready"}),
+            ("at a free address", [make_endpoint(3, EndpointState.REMOVED), make_endpoint(1)], {1: "ready"}),
         ):
             with self.subTest(text):
                 self.setUp()
-                self.tell(member(1), complete=True)
-                self.tell(member(3, started=5))
-                self.assertEqual(wanted, self.tell(*back))
+                self.apply(make_endpoint(1), complete=True)
+                self.apply(make_endpoint(3, started_us=5))
+                self.assertEqual(expected, self.apply(*endpoints))
                 self.assertEqual([], self.pools[-1])
 
-    def test_both_in_one_event(self) -> None:
-        old, new = member(1, started=2), member(3, started=5)
-        for text, members in (
+    def test_two_endpoints_at_one_address_in_one_event(self) -> None:
+        old, new = make_endpoint(1, started_us=2), make_endpoint(3, started_us=5)
+        for text, endpoints in (
             ("old first", [old, new]),
             ("new first", [new, old]),
-            ("told gone first", [member(1, EndpointState.REMOVED), new]),
-            ("told gone last", [new, member(1, EndpointState.REMOVED)]),
-            ("draining", [new, member(1, EndpointState.DRAINING)]),
+            ("removed first", [make_endpoint(1, EndpointState.REMOVED), new]),
+            ("removed last", [new, make_endpoint(1, EndpointState.REMOVED)]),
+            ("draining", [new, make_endpoint(1, EndpointState.DRAINING)]),
         ):
             for known_before in (True, False):
                 for complete in (True, False):
                     with self.subTest(text, known_before=known_before, complete=complete):
                         self.setUp()
                         if known_before:
-                            self.tell(old, complete=True)
-                        self.assertEqual({3: "ready"}, self.tell(*members, complete=complete))
-
-    def test_two_that_change_places_stay(self) -> None:
-        self.tell(member(1), member(2, port=7002), complete=True)
-        self.assertEqual({1: "ready", 2: "ready"}, self.tell(member(1, port=7002), member(2)))
-        self.assertEqual({"01 7002": ["move"], "02 7001": ["move"]}, self.asked())
-
-    def test_an_engine_twice_in_one_event(self) -> None:
-        drains, gone = member(1, EndpointState.DRAINING), member(1, EndpointState.REMOVED)
-        for text, members, wanted in (
-            ("draining and ready", [drains, member(1)], {1: "draining"}),
-            ("ready and draining", [member(1), drains], {1: "draining"}),
-            ("gone and ready", [gone, member(1)], {}),
-            ("ready and gone", [member(1), gone], {}),
-            ("ready later, and gone", [member(1, started=9), gone], {}),
-            ("gone, and back later", [gone, member(1, started=9)], {1: "ready"}),
+                            self.apply(old, complete=True)
+                        self.assertEqual({3: "ready"}, self.apply(*endpoints, complete=complete))
+
+    def test_endpoints_that_swap_addresses_stay(self) -> None:
+        self.apply(make_endpoint(1), make_endpoint(2, port=7002), complete=True)
+        self.assertEqual({1: "ready", 2: "ready"}, self.apply(make_endpoint(1, port=7002), make_endpoint(2)))
+        self.assertEqual({"01 7002": ["move"], "02 7001": ["move"]}, self.pool_calls())
+
+    def test_two_records_of_an_endpoint_in_one_event(self) -> None:
+        draining, removed = make_endpoint(1, EndpointState.DRAINING), make_endpoint(1, EndpointState.REMOVED)
+        for text, endpoints, expected in (
+            ("draining and ready", [draining, make_endpoint(1)], {1: "draining"}),
+            ("ready and draining", [make_endpoint(1), draining], {1: "draining"}),
+            ("removed and ready", [removed, make_endpoint(1)], {}),
+            ("ready and removed", [make_endpoint(1), removed], {}),
+            ("ready with a later start, then removed", [make_endpoint(1, started_us=9), removed], {}),
+            (
+                "removed, then ready with a later start",
+                [removed, make_endpoint(1, started_us=9)],
+                {1: "ready"},
+            ),
         ):
             for complete in (True, False):
                 with self.subTest(text, complete=complete):
                     self.setUp()
-                    self.tell(member(1), complete=True)
-                    self.assertEqual(wanted, self.tell(*members, complete=complete))
-
-    def test_what_has_not_left_is_recalled(self) -> None:
-        """From engines that drain or are gone; links to those that moved see to it themselves."""
-        drains = member(1, EndpointState.DRAINING)
-        for text, members, complete, wanted in (
-            ("drains", [drains], False, [["recall"]]),
-            ("gone", [member(1, EndpointState.REMOVED)], False, [["retire", "recall"]]),
-            ("not named", [], True, [["retire", "recall"]]),
-            ("elsewhere", [member(1, port=7009)], False, [["move"]]),
-            ("anew", [member(1, started=9)], False, [["move"]]),
-            ("anew, and gone", [member(1, EndpointState.REMOVED, 7009, 9)], False, [["retire", "recall"]]),
-            ("no change", [member(1)], False, [[]]),
+                    self.apply(make_endpoint(1), complete=True)
+                    self.assertEqual(expected, self.apply(*endpoints, complete=complete))
+
+    def test_unsent_attempts_are_cancelled(self) -> None:
+        """Those to engines that are draining or removed; pools whose address changes do so themselves."""
+        draining = make_endpoint(1, EndpointState.DRAINING)
+        for text, endpoints, complete, expected in (
+            ("draining", [draining], False, [["recall"]]),
+            ("removed", [make_endpoint(1, EndpointState.REMOVED)], False, [["retire", "recall"]]),
+            ("not listed", [], True, [["retire", "recall"]]),
+            ("another address", [make_endpoint(1, port=7009)], False, [["move"]]),
+            ("restarted", [make_endpoint(1, started_us=9)], False, [["move"]]),
+            (
+                "restarted and removed",
+                [make_endpoint(1, EndpointState.REMOVED, 7009, 9)],
+                False,
+                [["retire", "recall"]],
+            ),
+            ("no change", [make_endpoint(1)], False, [[]]),
         ):
             with self.subTest(text):
                 self.setUp()
-                self.tell(member(1), complete=True)
-                self.tell(*members, complete=complete)
-                self.assertEqual(wanted, [list(pool) for pool in self.pools])
-                self.assertEqual([], self.route._retired)
-
-    def test_gone_in_a_whole_list_is_forgotten(self) -> None:
-        self.tell(member(1), member(2, port=7002), complete=True)
-        told = self.tell(member(1, EndpointState.REMOVED), member(2, port=7002), complete=True)
-        self.assertEqual({2: "ready"}, told)
+                self.apply(make_endpoint(1), complete=True)
+                self.apply(*endpoints, complete=complete)
+                self.assertEqual(expected, [list(pool) for pool in self.pools])
+                self.assertEqual([], self.router._retired)
+
+    def test_removed_endpoint_in_a_complete_list_is_forgotten(self) -> None:
+        self.apply(make_endpoint(1), make_endpoint(2, port=7002), complete=True)
+        states = self.apply(
+            make_endpoint(1, EndpointState.REMOVED), make_endpoint(2, port=7002), complete=True
+        )
+        self.assertEqual({2: "ready"}, states)
 
-    def test_engines_that_were_never_listed(self) -> None:
-        self.assertEqual({}, self.tell(member(1, EndpointState.REMOVED)))
-        self.assertEqual({2: "draining"}, self.tell(member(2, EndpointState.DRAINING)))
+    def test_endpoints_that_were_never_listed(self) -> None:
+        self.assertEqual({}, self.apply(make_endpoint(1, EndpointState.REMOVED)))
+        self.assertEqual({2: "draining"}, self.apply(make_endpoint(2, EndpointState.DRAINING)))
 
 
-class Known(unittest.TestCase):
-    def test_what_can_not_be_used_is_said_at_the_start(self) -> None:
-        """In one line, with exit code 2: not as a traceback once a link is made."""
+class InitialListTest(unittest.TestCase):
+    def test_unusable_values_are_reported_at_startup(self) -> None:
+        """In one line and with exit code 2, not as a traceback when a connection is made later."""
         for name, value in (
             ("host_port", "10.1.0.9:65536"),
             ("host_port", "10.1.0.9:0"),
@@ -786,22 +834,22 @@
                 engine.pop("index", None)
                 update["endpoints"]["members"] = [engine]
                 update |= {name: value} if name == "index" else {}
-                given = {"index": 1, "updates": [update]}
+                known = {"index": 1, "updates": [update]}
                 path = Path(folder) / "config.json"
                 path.write_text(
                     json.dumps(
-                        {"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "settings": {}, "known": given}
+                        {"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "settings": {}, "known": known}
                     )
                 )
                 os.environ["GW_CONFIG"] = str(path)
                 with (
-                    contextlib.redirect_stderr(io.StringIO()) as said,
+                    contextlib.redirect_stderr(io.StringIO()) as error_output,
                     mock.patch("cresstray.gateway.startup.anyio.run"),
                 ):
                     self.assertEqual(2, program.main())
-                self.assertEqual(1, said.getvalue().count("\n"), said.getvalue())
+                self.assertEqual(1, error_output.getvalue().count("\n"), error_output.getvalue())
 
-    def test_all_that_a_frame_can_hold_can_be_known(self) -> None:
+    def test_initial_list_accepts_all_values_that_fit_a_frame(self) -> None:
         engine = endpoint_list._Member("s-fFffffff", "255.255.255.255:65535", up_since_ms=2.0**63)
         (event,) = endpoint_list.initial_events(
             endpoint_list.InitialList(
@@ -809,112 +857,115 @@
             ),
             {},
         )
-        told = event.endpoints[0]
-        self.assertEqual((2**32 - 1, 65_535, 2**63 * 1000), (told.id, told.port, told.started_us))
+        endpoint = event.endpoints[0]
+        self.assertEqual((2**32 - 1, 65_535, 2**63 * 1000), (endpoint.id, endpoint.port, endpoint.started_us))
 
 
-class Whole(unittest.TestCase):
-    """The whole gateway, with engines that listen."""
+class GatewayWatchTest(unittest.TestCase):
+    """A whole gateway with engines and a scripted coordinator."""
 
-    def play(
+    def run_gateway(
         self, scenario: Callable[[GatewayHarness, ClientStandIn], Awaitable], engines: int, **parts: object
     ) -> GatewayHarness:
-        stage, self.coordinator = GatewayHarness(engines, **parts), Coordinator()
+        harness, self.coordinator = GatewayHarness(engines, **parts), Coordinator()
         self.addCleanup(self.coordinator.close)
-        with contextlib.redirect_stderr(io.StringIO()) as said:
-            anyio.run(stage.run, scenario, self.coordinator.address)
-        self.said = said.getvalue()
-        return stage
+        with contextlib.redirect_stderr(io.StringIO()) as log_output:
+            anyio.run(harness.run, scenario, self.coordinator.address)
+        self.log_text = log_output.getvalue()
+        return harness
 
-    async def served(self, client: ClientStandIn, numbers: range) -> None:
+    async def assert_served(self, client: ClientStandIn, numbers: range) -> None:
         for number in numbers:
             await client.ask(number, "plain", timeout=20_000)
-            answer = await client.hear()
-            self.assertIn("result", answer)
-
-    def test_an_address_of_another_id(self) -> None:
-        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
-            made, _ = await self.coordinator.link()
-            port = stage.engines[0].port
-            made.send(frame(2, 2, record(5, port=port)))
-            await self.served(client, range(1, 3))
-            old = stage.service.parts.router.engines[5]
-            made.send(frame(3, 2, record(6, port=port)))
-            while 6 not in stage.service.parts.router.engines:
+            response = await client.hear()
+            self.assertIn("result", response)
+
+    def test_endpoint_at_the_address_of_another_replaces_it(self) -> None:
+        async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
+            connection, _ = await self.coordinator.accept()
+            port = harness.engines[0].port
+            connection.send(frame(2, 2, record(5, port=port)))
+            await self.assert_served(client, range(1, 3))
+            old = harness.service.parts.router.engines[5]
+            connection.send(frame(3, 2, record(6, port=port)))
+            while 6 not in harness.service.parts.router.engines:
                 await anyio.sleep(0.01)
             self.assertEqual(
-                [stage.service.parts.router.engines[6]], stage.service.parts.controller.ready_engines
+                [harness.service.parts.router.engines[6]], harness.service.parts.controller.ready_engines
             )
             self.assertEqual(EndpointState.REMOVED, old.state)
-            made.send(frame(4, 1, record(6, port=port), record(5, port=port)))
-            await self.served(client, range(3, 5))
-            self.assertEqual([6], list(stage.service.parts.router.engines))
+            connection.send(frame(4, 1, record(6, port=port), record(5, port=port)))
+            await self.assert_served(client, range(3, 5))
+            self.assertEqual([6], list(harness.service.parts.router.engines))
 
-        self.play(scenario, 1)
+        self.run_gateway(scenario, 1)
 
-    def test_a_drain_that_is_told_as_it_starts(self) -> None:
-        """Clients are refused before the first word of the coordinator; nothing goes to what drains by it."""
+    def test_engine_that_drains_during_startup_gets_no_request(self) -> None:
+        """Clients are refused until the coordinator has sent its events; one of them drains the engine."""
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
                 for engine in engines:
                     await tasks.start(engine.run)
-                places = enumerate(engines, 1)
-                listed = [
-                    Endpoint(n, "127.0.0.1", one.port, EndpointState.READY, 0, 0, 0, 0) for n, one in places
+                numbered = enumerate(engines, 1)
+                endpoints = [
+                    Endpoint(endpoint_id, "127.0.0.1", engine.port, EndpointState.READY, 0, 0, 0, 0)
+                    for endpoint_id, engine in numbered
                 ]
-                service = self.starts(stage, coordinator, EndpointEvent(1, True, listed))
+                service = self.make_service(harness, coordinator, EndpointEvent(1, True, endpoints))
                 tasks.start_soon(service.run)
-                made, number = await coordinator.link()
+                connection, last_index = await coordinator.accept()
                 with self.assertRaises(OSError):
                     await connect(*service.listen)
-                made.send(frame(2, 2, record(1, DRAINING, engines[0].port)) + frame(2, 0))
+                connection.send(frame(2, 2, record(1, DRAINING, engines[0].port)) + frame(2, 0))
                 await wait_until(lambda: service.parts.listener._listener)
                 async with await anyio.connect_tcp(*service.listen) as stream:
-                    client = ClientStandIn(stream, stage.lines)
+                    client = ClientStandIn(stream, harness.lines)
                     for request in range(1, 9):
                         await client.ask(request, "plain", timeout=20_000)
                     for _ in range(8):
                         self.assertIn("result", await client.hear())
-                self.assertEqual(1, number)
+                self.assertEqual(1, last_index)
                 tasks.cancel_scope.cancel()
 
-        stage, coordinator = GatewayHarness(2), Coordinator()
+        harness, coordinator = GatewayHarness(2), Coordinator()
         self.addCleanup(coordinator.close)
-        engines = stage.engines
-        self.run_slowly(main)
+        engines = harness.engines
+        self.run_with_long_waits(main)
         self.assertEqual(([], 8), (engines[0].lines, len(engines[1].lines)))
 
-    def test_another_listens_under_its_address_before_the_first_word(self) -> None:
+    def test_startup_fails_if_another_process_listens_before_the_first_frame(self) -> None:
         async def main() -> None:
-            service = self.starts(GatewayHarness(0), coordinator)
+            service = self.make_service(GatewayHarness(0), coordinator)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(ends, service)
-                made, _ = await coordinator.link()
+                tasks.start_soon(run_service, service)
+                connection, _ = await coordinator.accept()
                 with socket.create_server(service.listen):
-                    made.send(frame(1, 0))
-                    await wait_until(lambda: told)
+                    connection.send(frame(1, 0))
+                    await wait_until(lambda: errors)
 
-        async def ends(service: Service) -> None:
+        async def run_service(service: Service) -> None:
             try:
                 await service.run()
             except AddressError as error:
-                told.append(str(error))
+                errors.append(str(error))
 
-        told: list[str] = []
+        errors: list[str] = []
         coordinator = Coordinator()
         self.addCleanup(coordinator.close)
-        self.run_slowly(main)
-        self.assertIn("can't be listened on", told[0])
-
-    def starts(self, stage: GatewayHarness, coordinator: Coordinator, *events: EndpointEvent) -> Service:
-        """A gateway under an address that is known before it serves."""
-        with socket.create_server(("127.0.0.1", 0)) as place:
-            address = place.getsockname()
-        return Service("n0", address, 7, stage.settings, list(events), coordinator.address)
-
-    def run_slowly(self, main: Callable[[], Awaitable]) -> None:
-        """Only the coordinator's word ends the wait for it."""
+        self.run_with_long_waits(main)
+        self.assertIn("can't be listened on", errors[0])
+
+    def make_service(
+        self, harness: GatewayHarness, coordinator: Coordinator, *events: EndpointEvent
+    ) -> Service:
+        """Returns a service whose listen address is known before it serves."""
+        with socket.create_server(("127.0.0.1", 0)) as reservation:
+            address = reservation.getsockname()
+        return Service("n0", address, 7, harness.settings, list(events), coordinator.address)
+
+    def run_with_long_waits(self, main: Callable[[], Awaitable]) -> None:
+        """Runs `main` while only a frame of the coordinator ends the wait for the initial list."""
         with (
             mock.patch.object(discovery_watch, "_SETTLED_AFTER_S", TIMEOUT_S),
             mock.patch.object(services, "_INITIAL_LIST_SECONDS", TIMEOUT_S),
@@ -922,18 +973,18 @@
         ):
             anyio.run(main, backend_options={"use_uvloop": True})
 
-    def test_other_halls_and_clients_come_after_the_first_word(self) -> None:
+    def test_sites_and_clients_are_accepted_after_the_first_frame(self) -> None:
         order: list[str] = []
 
-        async def noted(word: str) -> None:
-            order.append(word)
+        async def record_step(step: str) -> None:
+            order.append(step)
 
         async def main() -> None:
             service = Service("n0", ("127.0.0.1", 0), 7, GatewayHarness(0).settings, [], "127.0.0.1:1")
             service.parts.links = mock.Mock()
-            service._start_links = lambda links: noted("halls")
-            service.parts.watch.wait_until_current = lambda within: noted("first word")
-            service.parts.listener.run = lambda listener: noted("clients")
+            service._start_links = lambda links: record_step("halls")
+            service.parts.watch.wait_until_current = lambda timeout_s: record_step("first word")
+            service.parts.listener.run = lambda listener: record_step("clients")
             async with anyio.create_task_group() as tasks:
                 await tasks.start(service.run)
                 await run_loop_turns()
@@ -943,86 +994,86 @@
             anyio.run(main, backend_options={"use_uvloop": True})
         self.assertEqual(["first word", "halls", "clients"], order)
 
-    def test_an_attempt_whose_link_is_in_the_making(self) -> None:
-        """Nothing of it has left when its engine may get nothing more: it goes elsewhere, at once."""
-        port = int(hanging(self).rpartition(":")[2])
+    def test_attempt_that_waits_for_a_connection_is_retried_on_another_engine(self) -> None:
+        """Nothing of it has been sent when an event withdraws its engine, so it is retried at once."""
+        port = int(hanging_address(self).rpartition(":")[2])
 
-        def words(how: str, other: int) -> bytes:
-            late = record(2, port=other)
+        def event_frame(change: str, other_port: int) -> bytes:
+            other = record(2, port=other_port)
             return {
-                "drains": frame(3, 2, record(1, DRAINING, port), late),
-                "removed": frame(3, 2, record(1, GONE, port), late),
-                "not named": frame(3, 1, late),
-                "its address is another's": frame(3, 2, record(3, port=port, started=1), late),
-            }[how]
-
-        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
-            made, _ = await self.coordinator.link()
-            made.send(frame(2, 2, record(1, port=port)))
-            while not stage.service.parts.controller.ready_engines:
+                "drains": frame(3, 2, record(1, DRAINING, port), other),
+                "removed": frame(3, 2, record(1, REMOVED, port), other),
+                "not named": frame(3, 1, other),
+                "its address is another's": frame(3, 2, record(3, port=port, started_ms=1), other),
+            }[change]
+
+        async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
+            connection, _ = await self.coordinator.accept()
+            connection.send(frame(2, 2, record(1, port=port)))
+            while not harness.service.parts.controller.ready_engines:
                 await anyio.sleep(0.01)
             await client.ask(1, "plain", timeout=20_000)
-            while not stage.service.parts.counters.counts["attempts sent"]:
+            while not harness.service.parts.counters.counts["attempts sent"]:
                 await anyio.sleep(0.01)
-            made.send(words(how, stage.engines[0].port))
+            connection.send(event_frame(change, harness.engines[0].port))
             self.assertIn("result", await client.hear())
 
-        for how in ("drains", "removed", "not named", "its address is another's"):
-            with self.subTest(how):
-                # A connection that never comes up would be given up far later than the scenario is.
-                stage = self.play(scenario, 1, Limits={"ConnectTimeout": 60_000, "MaxAttempts": 3})
-                counts = stage.service.parts.counters.counts
+        for change in ("drains", "removed", "not named", "its address is another's"):
+            with self.subTest(change):
+                # Connecting would time out long after the end of the scenario.
+                harness = self.run_gateway(scenario, 1, Limits={"ConnectTimeout": 60_000, "MaxAttempts": 3})
+                counts = harness.service.parts.counters.counts
                 self.assertEqual(
                     (1, 1), (counts["attempts expired before send"], counts["attempts succeeded"])
                 )
 
-    def test_a_drain_right_after_a_move_and_before_a_bad_frame(self) -> None:
-        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
-            made, _ = await self.coordinator.link()
-            first, second = (engine.port for engine in stage.engines)
-            made.send(frame(2, 2, record(1, port=first))[:20])
-            stage.service.parts.watch.reconnect_to(self.coordinator.address)
-            made, number = await self.coordinator.link()
-            self.assertEqual(1, number)
+    def test_drain_after_a_reconnect_and_before_a_malformed_frame(self) -> None:
+        async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
+            connection, _ = await self.coordinator.accept()
+            first, second = (engine.port for engine in harness.engines)
+            connection.send(frame(2, 2, record(1, port=first))[:20])
+            harness.service.parts.watch.reconnect_to(self.coordinator.address)
+            connection, last_index = await self.coordinator.accept()
+            self.assertEqual(1, last_index)
             events = frame(2, 2, record(1, port=first)) + frame(3, 2, record(2, port=second))
-            made.send(events + frame(4, 2, record(1, DRAINING, first)) + frame(5, 7))
-            _, number = await self.coordinator.link()
-            self.assertEqual(4, number)
-            await self.served(client, range(1, 9))
-            self.assertEqual(([], 8), (stage.engines[0].lines, len(stage.engines[1].lines)))
-
-        self.play(scenario, 2)
-
-    def test_an_event_whose_telling_fails_half_way(self) -> None:
-        """The route has heard that one is gone, the module has not: the event comes again, and it is gone."""
-
-        async def scenario(stage: GatewayHarness, client: ClientStandIn) -> None:
-            gateway = stage.service.parts.controller
-            made, _ = await self.coordinator.link()
-            first, second = (engine.port for engine in stage.engines)
-            made.send(frame(2, 2, record(1, port=first), record(2, port=second)))
-            while len(gateway.ready_engines) < 2:
+            connection.send(events + frame(4, 2, record(1, DRAINING, first)) + frame(5, 7))
+            _, last_index = await self.coordinator.accept()
+            self.assertEqual(4, last_index)
+            await self.assert_served(client, range(1, 9))
+            self.assertEqual(([], 8), (harness.engines[0].lines, len(harness.engines[1].lines)))
+
+        self.run_gateway(scenario, 2)
+
+    def test_event_whose_handling_fails_half_way_is_handled_again(self) -> None:
+        """The router has removed the engine and the policy has not; the event is requested again."""
+
+        async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
+            controller = harness.service.parts.controller
+            connection, _ = await self.coordinator.accept()
+            first, second = (engine.port for engine in harness.engines)
+            connection.send(frame(2, 2, record(1, port=first), record(2, port=second)))
+            while len(controller.ready_engines) < 2:
                 await anyio.sleep(0.01)
 
-            def fails(*_: object) -> None:
-                del gateway.on_endpoints_updated
+            def fail(*_: object) -> None:
+                del controller.on_endpoints_updated
                 raise RuntimeError("half way")
 
-            gateway.on_endpoints_updated = fails
-            made.send(frame(3, 2, record(1, GONE, first)))
-            made, number = await self.coordinator.link()
-            self.assertEqual(2, number)
-            # Before it comes again: the module still lists it, and must not send to it.
-            await self.served(client, range(1, 5))
-            made.send(frame(3, 2, record(1, GONE, first)))
-            while len(gateway.ready_engines) > 1:
+            controller.on_endpoints_updated = fail
+            connection.send(frame(3, 2, record(1, REMOVED, first)))
+            connection, last_index = await self.coordinator.accept()
+            self.assertEqual(2, last_index)
+            # Before the event is repeated: the policy still lists the engine and must not send to it.
+            await self.assert_served(client, range(1, 5))
+            connection.send(frame(3, 2, record(1, REMOVED, first)))
+            while len(controller.ready_engines) > 1:
                 await anyio.sleep(0.01)
-            await self.served(client, range(5, 9))
-            self.assertEqual(([], 8), (stage.engines[0].lines, len(stage.engines[1].lines)))
+            await self.assert_served(client, range(5, 9))
+            self.assertEqual(([], 8), (harness.engines[0].lines, len(harness.engines[1].lines)))
 
-        stage = self.play(scenario, 2)
-        self.assertEqual(1, stage.service.parts.counters.counts["faults"])
-        self.assertIn("RuntimeError: half way", self.said)
+        harness = self.run_gateway(scenario, 2)
+        self.assertEqual(1, harness.service.parts.counters.counts["faults"])
+        self.assertIn("RuntimeError: half way", self.log_text)
 
 
 if __name__ == "__main__":
