--- a/cresstray/clients/connection_registry.py
+++ b/cresstray/clients/connection_registry.py
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        class_names: frozenset[str],
+        request_class_names: frozenset[str],
         handler: RequestHandler,
         max_connections: Callable[[], int],
         idle_close_threshold: int,
@@ -29,7 +29,7 @@
         counters: Counters,
         log: Callable[[str, str], None],
     ) -> None:
-        self.class_names = class_names
+        self.request_class_names = request_class_names
         self.handler = handler
         self.now_us = now_us
         self.counters = counters
--- a/cresstray/clients/listener.py
+++ b/cresstray/clients/listener.py
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        class_names: frozenset[str],
+        request_class_names: frozenset[str],
         handler: RequestHandler,
         max_connections: Callable[[], int],
         idle_close_threshold: int,
@@ -40,7 +40,7 @@
         log: Log,
     ) -> None:
         super().__init__(
-            class_names, handler, max_connections, idle_close_threshold, now_us, counters, log.log
+            request_class_names, handler, max_connections, idle_close_threshold, now_us, counters, log.log
         )
         self._log = log
         self._listener: socket.socket | None = None
--- a/cresstray/clients/session.py
+++ b/cresstray/clients/session.py
@@ -259,7 +259,7 @@
             self._reject_overlong_line()
             return
         try:
-            request_id, message = codec.decode(line, self._registry.class_names)
+            request_id, message = codec.decode(line, self._registry.request_class_names)
         except codec.MalformedMessageError as error:
             self._on_malformed(error)
             return
--- a/cresstray/gateway/composition.py
+++ b/cresstray/gateway/composition.py
@@ -52,7 +52,7 @@
 class DescriptorPlan:
     """Divides the process's file descriptors among clients, engines and everything else.
 
-    Clients usually hold a third of the descriptors at most. Half of them are reserved for clients, who may
+    Clients usually hold a third of the descriptors at most. Half of them are reserved for clients, which may
     also use what the connections to engines leave free. The other half has room for one connection to each
     of hundreds of engines.
 
@@ -149,11 +149,11 @@
         self.ingress = Ingress(settings, self.controller.request_classes, self.clock, self.admission)
 
     def _make_listener(self, settings: Mapping[str, Any], descriptors: int) -> None:
-        class_names = frozenset(service["Name"] for service in settings.get("Services", []))
+        request_class_names = frozenset(service["Name"] for service in settings.get("Services", []))
         plan = DescriptorPlan(descriptors)
         self._engine_quota = plan.engine_quota
         self.listener = Listener(
-            class_names,
+            request_class_names,
             self.ingress,
             plan.max_clients,
             plan.idle_close_threshold,
--- a/cresstray/gateway/configuration.py
+++ b/cresstray/gateway/configuration.py
@@ -92,7 +92,10 @@
 
 
 class _Settings(msgspec.Struct, rename="pascal"):
-    """Types of the settings that the gateway reads; others are ignored."""
+    """Types of the settings that the gateway reads; others are ignored.
+
+    The fields of this and of the structs above are named after the settings, whose names are in Pascal case.
+    """
 
     balancers: _Number = None
     services: list[_RequestClass] = []
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -59,18 +59,18 @@
         self._request_positions = request_positions
         self._decision_start_us = 0  # when the current decision started
 
-    def gateway_count(self, now: int) -> int:
+    def gateway_count(self, now_us: int) -> int:
         """Returns how many gateways share the engines; starts a decision."""
-        # The clock is read again: the caller's `now` is outdated if the process was stopped in between.
+        # The clock is read again: the caller's `now_us` is outdated if the process was stopped in between.
         self._decision_start_us = self._now_us()
         return self._admission.gateway_count(self._decision_start_us)
 
-    def admits(self, request: Request, now: int) -> bool:
+    def admits(self, request: Request, now_us: int) -> bool:
         """Returns whether the request may be admitted; starts a decision."""
         self._decision_start_us = self._now_us()
         return self._admission.admits(request, self._decision_start_us)
 
-    def allows(self, request: Request, engine: Engine, now: int) -> bool:
+    def allows(self, request: Request, engine: Engine, now_us: int) -> bool:
         """Returns whether the request may be sent to the engine, at the time when the decision started."""
         is_allowed = self._admission.allows(request, engine, self._decision_start_us)
         if self._reads.urgent:
@@ -78,7 +78,7 @@
             self._request_positions()
         return is_allowed
 
-    def retry_budget_scale(self, request: Request, now: int) -> float:
+    def retry_budget_scale(self, request: Request, now_us: int) -> float:
         """Returns the factor by which the fleet scales the retry budget at present."""
         return self._admission.retry_budget_scale(request, self._now_us())
 
@@ -90,15 +90,15 @@
         super().__init__(
             board,
             _MAX_SHARDS_PER_MESSAGE,
-            lambda now: reads.wanted(now)[:_MAX_SHARDS_PER_MESSAGE],
-            lambda now: reads.needs(now, _MAX_SHARDS_PER_MESSAGE),
+            lambda now_us: reads.wanted(now_us)[:_MAX_SHARDS_PER_MESSAGE],
+            lambda now_us: reads.needs(now_us, _MAX_SHARDS_PER_MESSAGE),
         )
         self._reads = reads
         self._on_awaited_positions = on_awaited_positions
 
-    def on_message(self, body: bytes, now: int) -> None:
-        super().on_message(body, now)
-        if self._reads.waits(now):
+    def on_message(self, body: bytes, now_us: int) -> None:
+        super().on_message(body, now_us)
+        if self._reads.waits(now_us):
             self._on_awaited_positions()
 
 
@@ -228,7 +228,7 @@
         # A gateway that no configuration document lists would send in addition to all listed ones. Reachable
         # nodes say so in a lease; if none is reachable, the gateway serves with the smallest quota there is.
         fallback = self._worker.does(
-            "fallback quota", Priority.SAFETY, 0, lambda now: self.active_config.stop_waiting_for_list()
+            "fallback quota", Priority.SAFETY, 0, lambda now_us: self.active_config.stop_waiting_for_list()
         )
         self._worker.later(fallback, self._config.lease)
         tasks.start_soon(self.follower.run, tasks)
--- a/cresstray/gateway/shutdown.py
+++ b/cresstray/gateway/shutdown.py
@@ -1,7 +1,7 @@
 """Graceful shutdown: answers all open requests, then ends all connections, before the platform's SIGKILL.
 
-After SIGTERM the platform waits for the longest timeout of a request class, three seconds at most, and 0.7 s
-more before it sends SIGKILL. New requests keep arriving for up to 0.6 s after SIGTERM.
+After SIGTERM the platform waits at least for the longest timeout of a request class, three seconds at most,
+and 0.7 s more before it sends SIGKILL. New requests keep arriving for up to 0.6 s after SIGTERM.
 """
 
 from __future__ import annotations
