--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -26,7 +26,7 @@
 from cresstray.clock import Clock
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
-from tests.desk import settings
+from tests.harness import settings
 
 # Limit of all waits, in seconds; far longer than any of them takes.
 TIMEOUT_S = 10.0
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -29,7 +29,7 @@
 from cresstray.observability.log import Log
 from cresstray.pipeline.routing import Router
 from cresstray.policy.types import EndpointState
-from tests.desk import ClientStandIn, EngineStandIn, TraceCase, settings
+from tests.harness import ClientStandIn, EngineStandIn, TraceCase, settings
 from tests.test_codecs import frame
 
 
@@ -77,7 +77,7 @@
     async def wait_for_command(self, engine: int, text: str) -> None:
         """Waits until the engine has received a command that starts with `text`."""
         while not any(line.startswith(f"engine {engine} gets {text}") for line in self.engines[engine].lines):
-            await self.engines[engine].got.wait()
+            await self.engines[engine].received.wait()
 
     def trace(self) -> list[str]:
         """Returns the lines of each party in turn; the order between parties depends on the network."""
@@ -108,11 +108,11 @@
 
     def test_pages_of_a_result_arrive_in_order(self) -> None:
         async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
-            await client.say({"jsonrpc": "2.0", "id": 1, "method": "status", "params": {}})
-            await client.hear()
+            await client.send_line({"jsonrpc": "2.0", "id": 1, "method": "status", "params": {}})
+            await client.receive_response()
             for number, statement in enumerate(("pages", "plain"), 2):
-                await client.ask(number, statement)
-                await client.hear()
+                await client.send_request(number, statement)
+                await client.receive_response()
 
         harness = self.run_and_check("scene_pages", scenario)
         self.assertEqual(2, harness.service.parts.counters.counts["requests succeeded"])
@@ -125,15 +125,15 @@
                 b"\n",
                 b'{"jsonrpc":"2.0","id":4,"method":"lookup","params":{}}\n',
             ):
-                await client.say(line)
+                await client.send_line(line)
                 if line.strip():
-                    await client.hear()
-            await client.ask(5, "silent")
+                    await client.receive_response()
+            await client.send_request(5, "silent")
             await harness.wait_for_command(0, "ASK 0001")
-            await client.ask(5, "plain")  # two requests under one id: both are rejected
-            await client.hear()
-            await client.hear()
-            await client.say(
+            await client.send_request(5, "plain")  # two requests under one id: both are rejected
+            await client.receive_response()
+            await client.receive_response()
+            await client.send_line(
                 {
                     "jsonrpc": "2.0",
                     "id": 6,
@@ -141,26 +141,26 @@
                     "params": {"req": "0" * 16, "timeout": 900, "owner": "nobody", "data": ""},
                 }
             )
-            await client.hear()
-            await client.ask(7, "plain")
-            await client.hear()
+            await client.receive_response()
+            await client.send_request(7, "plain")
+            await client.receive_response()
 
         self.run_and_check("scene_malformed", scenario)
 
     def test_cancellation_and_disconnect_cancel_the_request_on_its_engine(self) -> None:
         async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
-            await client.ask(1, "silent one")
+            await client.send_request(1, "silent one")
             await harness.wait_for_command(0, "ASK 0001")
-            await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
+            await client.send_line({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
             await harness.wait_for_command(0, "QUIT 0001")
             async with await anyio.connect_tcp(*harness.address) as stream:
                 other = ClientStandIn(stream, harness.lines, names=16)
-                await other.ask(1, "silent two")
+                await other.send_request(1, "silent two")
                 await harness.wait_for_command(0, "ASK 0011")
             while len([line for line in harness.engines[0].lines if "QUIT" in line]) < 2:
-                await harness.engines[0].got.wait()
-            await client.ask(2, "plain")
-            await client.hear()
+                await harness.engines[0].received.wait()
+            await client.send_request(2, "plain")
+            await client.receive_response()
 
         harness = self.run_and_check("scene_left", scenario)
         self.assertEqual(2, harness.service.parts.counters.counts["requests cancelled"])
@@ -172,30 +172,30 @@
         """
 
         async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
-            await client.ask(1, "silent")
+            await client.send_request(1, "silent")
             await harness.wait_for_command(0, "ASK 0001")
             for state in ("taken", "used up"):
                 async with await anyio.connect_tcp(*harness.address) as stream:
                     harness.lines.append(f"a stranger comes with a name that is {state}")
                     other = ClientStandIn(stream, harness.lines)
-                    await other.ask(1, "plain")
-                    await other.hear()
+                    await other.send_request(1, "plain")
+                    await other.receive_response()
                     for _ in range(9 if state == "taken" else 0):
-                        await other.say(b"no JSON\n")
-                        await other.hear()
+                        await other.send_line(b"no JSON\n")
+                        await other.receive_response()
                     with contextlib.suppress(anyio.EndOfStream):
                         if state == "taken":
-                            await other.say(b"the tenth is not answered\n")
-                            await other.hear()
+                            await other.send_line(b"the tenth is not answered\n")
+                            await other.receive_response()
                 if state == "taken":
-                    await client.say({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
+                    await client.send_line({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": 1}})
                     await harness.wait_for_command(0, "QUIT 0001")
             start = len(harness.lines)
             for number in range(2, 35):
-                await client.ask(number, "silent")
-            await client.hear()
+                await client.send_request(number, "silent")
+            await client.receive_response()
             while len(harness.engines[0].lines) < 34:
-                await harness.engines[0].got.wait()
+                await harness.engines[0].received.wait()
             del harness.lines[start:-2]
             del harness.engines[0].lines[2:]
 
@@ -204,12 +204,12 @@
 
     def test_engine_faults_are_counted_by_outcome(self) -> None:
         async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
-            await client.ask(1, "silent", timeout=60000)
+            await client.send_request(1, "silent", timeout=60000)
             await harness.wait_for_command(0, "ASK 0001")
             statements = ("garbage", "noise", "half", "reset", "full", "more", "plain")
             for number, statement in enumerate(statements, 2):
-                await client.ask(number, statement, timeout=60000)
-                await client.hear()
+                await client.send_request(number, statement, timeout=60000)
+                await client.receive_response()
 
         # The first request stays open on its own connection until the gateway ends and resets it.
         harness = self.run_and_check("scene_faults", scenario, Limits={"MaxAttempts": 1})
@@ -224,15 +224,15 @@
     def test_failed_attempt_is_retried_on_another_engine(self) -> None:
         async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
             for number in range(1, 4):
-                await client.ask(number, "once", timeout=60000)
-                await client.hear()
+                await client.send_request(number, "once", timeout=60000)
+                await client.receive_response()
 
         self.run_and_check("scene_further", scenario, engines=2)
 
     def test_request_to_a_silent_engine_ends_before_its_deadline(self) -> None:
         async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
-            await client.ask(1, "silent", timeout=400)
-            await client.hear()
+            await client.send_request(1, "silent", timeout=400)
+            await client.receive_response()
             await harness.wait_for_command(0, "QUIT 0001")
 
         self.run_and_check("scene_silent", scenario)
@@ -240,22 +240,22 @@
     def test_unreachable_engine_counts_as_unreachable(self) -> None:
         async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
             list(harness.service.parts.router._pools.values())[0].address = ("127.0.0.1", 1)
-            await client.ask(1, "plain", timeout=1000)
-            await client.hear()
+            await client.send_request(1, "plain", timeout=1000)
+            await client.receive_response()
 
         harness = self.run_and_check("scene_unreachable", scenario, Limits={"MaxAttempts": 1})
         self.assertEqual(1, harness.service.parts.counters.counts["attempts unreachable"])
 
     def test_shutdown_limits_the_deadlines_of_open_requests(self) -> None:
         async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
-            await client.ask(1, "silent", timeout=1800)
+            await client.send_request(1, "silent", timeout=1800)
             await harness.wait_for_command(0, "ASK 0001")
             os.kill(os.getpid(), signal.SIGTERM)
-            await client.ask(2, "plain", timeout=1800)
-            await client.hear()
-            await client.hear()
+            await client.send_request(2, "plain", timeout=1800)
+            await client.receive_response()
+            await client.receive_response()
             with contextlib.suppress(anyio.EndOfStream):
-                await client.hear()
+                await client.receive_response()
                 harness.lines.append("more was said after the end")
             harness.lines.append("the connection has ended")
 
@@ -267,18 +267,18 @@
         """A repeated event, a broken connection, and reloads while the gateway runs and as it shuts down."""
 
         async def scenario(harness: GatewayHarness, client: ClientStandIn) -> None:
-            await client.ask(1, "plain", timeout=60000)
-            await client.hear()
+            await client.send_request(1, "plain", timeout=60000)
+            await client.receive_response()
             for address in ("no address", new_address):
                 harness.coordinator = address
                 os.kill(os.getpid(), signal.SIGHUP)
                 await anyio.sleep(0.05)
             await reconnected.wait()
-            await client.ask(2, "silent", timeout=800)
+            await client.send_request(2, "silent", timeout=800)
             await harness.wait_for_command(0, "ASK 0002")
             os.kill(os.getpid(), signal.SIGTERM)
             os.kill(os.getpid(), signal.SIGHUP)
-            await client.hear()
+            await client.receive_response()
 
         async def first(stream: anyio.abc.SocketStream) -> None:
             connection_lines.append(f"the first is told {struct.unpack('>Q', await stream.receive(8))[0]}")
@@ -560,8 +560,8 @@
 
             controller._check_attempts = fail
             # No engine exists, so the request stays queued until the sweep rejects it.
-            await client.ask(1, "plain", timeout=600)
-            self.assertEqual(-32000, (await client.hear())["error"]["code"])
+            await client.send_request(1, "plain", timeout=600)
+            self.assertEqual(-32000, (await client.receive_response())["error"]["code"])
 
         harness = GatewayHarness(0)
         with contextlib.redirect_stderr(io.StringIO()) as log_output:
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -31,7 +31,7 @@
 from cresstray.pipeline.routing import Router
 from cresstray.policy.types import EndpointState
 from cresstray.transport.streams import connect
-from tests.desk import ClientStandIn
+from tests.harness import ClientStandIn
 from tests.scripted import TIMEOUT_S, run_loop_turns, wait_until
 from tests.test_codecs import frame
 from tests.test_service import GatewayHarness
@@ -876,8 +876,8 @@
 
     async def assert_served(self, client: ClientStandIn, numbers: range) -> None:
         for number in numbers:
-            await client.ask(number, "plain", timeout=20_000)
-            response = await client.hear()
+            await client.send_request(number, "plain", timeout=20_000)
+            response = await client.receive_response()
             self.assertIn("result", response)
 
     def test_endpoint_at_the_address_of_another_replaces_it(self) -> None:
@@ -922,9 +922,9 @@
                 async with await anyio.connect_tcp(*service.listen) as stream:
                     client = ClientStandIn(stream, harness.lines)
                     for request in range(1, 9):
-                        await client.ask(request, "plain", timeout=20_000)
+                        await client.send_request(request, "plain", timeout=20_000)
                     for _ in range(8):
-                        self.assertIn("result", await client.hear())
+                        self.assertIn("result", await client.receive_response())
                 self.assertEqual(1, last_index)
                 tasks.cancel_scope.cancel()
 
@@ -1012,11 +1012,11 @@
             connection.send(frame(2, 2, record(1, port=port)))
             while not harness.service.parts.controller.ready_engines:
                 await anyio.sleep(0.01)
-            await client.ask(1, "plain", timeout=20_000)
+            await client.send_request(1, "plain", timeout=20_000)
             while not harness.service.parts.counters.counts["attempts sent"]:
                 await anyio.sleep(0.01)
             connection.send(event_frame(change, harness.engines[0].port))
-            self.assertIn("result", await client.hear())
+            self.assertIn("result", await client.receive_response())
 
         for change in ("drains", "removed", "not named", "its address is another's"):
             with self.subTest(change):
