--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -36,7 +36,7 @@
 from cresstray.transport.streams import connect
 from tests import desk
 from tests.desk import ClientStandIn, settings
-from tests.test_links import FakeLink, FakePool
+from tests.test_links import FakeConnection, FakePool
 from tests.test_service import Stage, member
 
 MILLI = 1_000
@@ -132,15 +132,18 @@
         """The process gets no turn: no timer runs."""
         self.clock.at += milliseconds * MILLI
 
-    def connection(self, engine: int = 0, number: int = -1) -> FakeLink:
-        return self.pools[engine].made[number]
+    def connection(self, engine: int = 0, number: int = -1) -> FakeConnection:
+        return self.pools[engine].created[number]
 
-    def connections(self) -> list[FakeLink]:
-        return [link for pool in self.pools for link in pool.made]
+    def connections(self) -> list[FakeConnection]:
+        return [link for pool in self.pools for link in pool.created]
 
     def sent_lines(self) -> list[str]:
         return [
-            line for link in self.connections() if link.transport is not None for line in link.wire.heard()
+            line
+            for link in self.connections()
+            if link.transport is not None
+            for line in link.fake_transport.received_commands()
         ]
 
     def outcomes(self) -> dict[str, int]:
@@ -249,8 +252,8 @@
             made.list(*states)
             first.come_up()
             other = made.connection(1 - gone)
-            self.assertEqual([], first.wire.heard())
-            self.assertEqual(["ASK a"], other.come_up().heard())
+            self.assertEqual([], first.fake_transport.received_commands())
+            self.assertEqual(["ASK a"], other.come_up().received_commands())
             other.answer("a", "served", "sheets=1", "a\tb\tc\n")
             self.assertEqual(["a succeeded"], made.client.answers)
             self.assert_at_rest(made)
@@ -270,7 +273,7 @@
             {}, {name: link for link in made.pools[drained].connections for name in link.in_flight.open}
         )
         made.wait(1)
-        for link in made.pools[1 - drained].made:
+        for link in made.pools[1 - drained].created:
             link.come_up()
         self.assertEqual(["ASK a", "ASK b", "ASK c", "ASK d"], sorted(made.sent_lines()))
 
@@ -281,8 +284,8 @@
         event = EndpointEvent(2, False, [Endpoint(0, "f", 9, EndpointState.READY, 0, 0, 0, 0)])
         made.controller.on_endpoints_updated(made.router.apply_event(event), False, made.clock.now())
         made.wait(1)
-        self.assertEqual([], first.come_up().heard())
-        self.assertEqual(["ASK a"], made.connection().come_up().heard())
+        self.assertEqual([], first.come_up().received_commands())
+        self.assertEqual(["ASK a"], made.connection().come_up().received_commands())
         self.assertEqual({"expired before send": 1}, made.outcomes())
 
     def test_the_window_for_repeats_is_over(self) -> None:
@@ -419,7 +422,7 @@
                 self.assertEqual(2 if again else 1, len(made.connections()))
                 self.assertEqual([] if again else ["a failed"], made.client.answers)
 
-    def _spoils(self, link: FakeLink) -> None:
+    def _spoils(self, link: FakeConnection) -> None:
         with self.assertRaises(links.codec.EngineProtocolError):
             link.answer("a", "served", "sheets=1", "\0")
         link.is_corrupt = True
@@ -542,7 +545,7 @@
         first.answer("a", "nobody")
         late = next(link for link in made.connections() if link is not first)
         made.wait(200)
-        self.assertEqual(["ASK a"], late.come_up().heard())
+        self.assertEqual(["ASK a"], late.come_up().received_commands())
         late.answer("a", "served", "sheets=1", "a\tb\tc\n")
         made.wait(830)
         made.ask("b", timeout_ms=60_000)
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -243,19 +243,19 @@
 
 
 class Folders(unittest.TestCase):
-    def play(self, scene: Callable[[join.Stage], Awaitable], draining: bool = False) -> None:
+    def play(self, scene: Callable[[join.GatewayFixture], Awaitable], draining: bool = False) -> None:
         """A gateway has been told of four engines, one of them draining or gone, and was killed."""
 
         async def main() -> None:
             with tempfile.TemporaryDirectory() as folder:
-                stage = join.Stage(folder)
+                stage = join.GatewayFixture(folder)
                 async with anyio.create_task_group() as tasks:
                     for engine in stage.engines:
                         tasks.start_soon(engine.run)
                     stage.listed[2].state = "terminating" if draining else "in_service"
                     try:
-                        await stage.first(tasks)
-                        await stage.on_disk([1, 2, 3], [4])
+                        await stage.run_first_gateway(tasks)
+                        await stage.wait_for_snapshot([1, 2, 3], [4])
                         stage.gateway.kill()
                         await scene(stage)
                         await stage.gateway.stop()
@@ -268,21 +268,21 @@
 
         anyio.run(main)
 
-    def odd(self, stage: join.Stage, how: str) -> None:
+    def odd(self, stage: join.GatewayFixture, how: str) -> None:
         stage.gateway = Odd("g0", stage.path)
         stage.gateway.how = how
 
-    def files(self, stage: join.Stage) -> dict[str, bytes]:
-        return {file.name: file.read_bytes() for file in stage.kept.glob("engines.*")}
+    def files(self, stage: join.GatewayFixture) -> dict[str, bytes]:
+        return {file.name: file.read_bytes() for file in stage.snapshot_folder.glob("engines.*")}
 
     def test_a_folder_that_cannot_be_written_costs_freshness_only(self) -> None:
-        async def scene(stage: join.Stage) -> None:
+        async def scene(stage: join.GatewayFixture) -> None:
             before = self.files(stage)
             self.odd(stage, "read-only")
             await stage.start()
-            await stage.served(12, 5)
+            await stage.wait_for_served(12, 5)
             await anyio.sleep(2.5)  # beyond the first write
-            await stage.served(1, 1)
+            await stage.wait_for_served(1, 1)
             self.assertEqual(before, self.files(stage))
             self.assertIn("snapshot not written: Read-only file system", stage.log())
             self.assertIn("recovered 3 endpoints", stage.log())
@@ -290,12 +290,12 @@
         self.play(scene)
 
     def test_a_clock_set_back_by_a_day_after_a_power_loss(self) -> None:
-        async def scene(stage: join.Stage) -> None:
+        async def scene(stage: join.GatewayFixture) -> None:
             self.odd(stage, "set back")
             await stage.start(known=True)  # the configuration still names the one that is gone
-            before = stage.got()
-            await stage.served(12, 5)
-            self.assertEqual(before[3], stage.got()[3], "a clock has raised the dead")
+            before = stage.received_counts()
+            await stage.wait_for_served(12, 5)
+            self.assertEqual(before[3], stage.received_counts()[3], "a clock has raised the dead")
             self.assertIn(
                 "recovered 3 endpoints and 0 request classes from a snapshot, of unknown age", stage.log()
             )
@@ -303,12 +303,12 @@
         self.play(scene)
 
     def test_two_processes_on_one_folder(self) -> None:
-        async def scene(stage: join.Stage) -> None:
+        async def scene(stage: join.GatewayFixture) -> None:
             await stage.start()
             first, stage.gateway = stage.gateway, Gateway("g0", stage.path)
             try:
                 await stage.start()
-                await stage.served(4, 5)
+                await stage.wait_for_served(4, 5)
                 with anyio.fail_after(KEPT_WITHIN):
                     while "another process holds this folder" not in stage.log():
                         await anyio.sleep(0.1)
@@ -317,9 +317,9 @@
                 stage.gateway.kill()  # it takes nothing with it
                 self.assertEqual(before, self.files(stage))
                 stage.gateway = first
-                await stage.served(4, 5)
+                await stage.wait_for_served(4, 5)
                 await stage.gateway.stop()
-                found = join.SnapshotFolder(str(stage.kept), "g0").read()
+                found = join.SnapshotFolder(str(stage.snapshot_folder), "g0").read()
                 self.assertEqual((True, []), (found.snapshot.is_handed_over, found.skipped_lines))
             finally:
                 if first.lives():
@@ -328,17 +328,17 @@
         self.play(scene)
 
     def test_draining_when_it_was_written_and_started_anew_since(self) -> None:
-        async def scene(stage: join.Stage) -> None:
+        async def scene(stage: join.GatewayFixture) -> None:
             engine, grace = stage.engines[2], 1.0
             engine.die()
             await anyio.sleep(0.05)
             engine.start_again()
             before, begun = engine.got, await stage.start()
             while time.monotonic() < begun + 0.9 * grace:
-                await stage.served(1, 5)
+                await stage.wait_for_served(1, 5)
             self.assertEqual(before, engine.got, "asked before its drain must be over")
             await anyio.sleep(max(0.0, begun + grace + 0.5 - time.monotonic()))
-            await stage.served(24, 5)
+            await stage.wait_for_served(24, 5)
             self.assertGreater(engine.got, before)
             self.assertIn("recovered 3 endpoints", stage.log())
 
--- a/tests/test_membership_recovery.py
+++ b/tests/test_membership_recovery.py
@@ -44,13 +44,13 @@
 """
 
 
-class Stage:
+class GatewayFixture:
     """Four engines, and one gateway with a folder; who the coordinator is, is told with each start."""
 
     def __init__(self, folder: str) -> None:
         self.path = Path(folder)
-        self.kept = self.path / "kept"
-        self.kept.mkdir()
+        self.snapshot_folder = self.path / "kept"
+        self.snapshot_folder.mkdir()
         marks, account = Marks(20.0), Account({kind.name: kind.effect for kind in KINDS}, 3, (5, 0.1, 5.0))
         self.engines = [Engine(f"engine {number}", 4, marks, account) for number in range(4)]
         self.listed = [Listed(number + 1, engine.port) for number, engine in enumerate(self.engines)]
@@ -62,7 +62,7 @@
     def write(self, coordinator: str | None, more: str = "", known: bool = False) -> None:
         given = settings(KINDS, 1, 4)
         given["Tenants"] = [{"Name": "acme"}]
-        (self.path / "g0.conf").write_text(f"kept {self.kept}\n{more}")
+        (self.path / "g0.conf").write_text(f"kept {self.snapshot_folder}\n{more}")
         (self.path / "g0.json").write_text(
             json.dumps(
                 {
@@ -94,16 +94,16 @@
             await client.ask(1, "run 20 1 1", request_class, 300)
             return await client.hear()
 
-    async def first(self, tasks: TaskGroup) -> None:
+    async def run_first_gateway(self, tasks: TaskGroup) -> None:
         coordinator = Coordinator(self.listed)
         self.known = coordinator.known
         tasks.start_soon(coordinator.run)
         await self.start(coordinator.address)
-        await self.served(8, 5)
+        await self.wait_for_served(8, 5)
         self.listed[3].state = "terminated"
         coordinator.tell(self.listed[3])
 
-    async def served(self, count: int, within: float) -> None:
+    async def wait_for_served(self, count: int, within: float) -> None:
         """That many lookups at the least, some at a time, so that they need more than one engine."""
         served = 0
 
@@ -118,10 +118,10 @@
                         tasks.start_soon(one)
                 await anyio.sleep(0.05 if served < count else 0)
 
-    async def on_disk(self, engines: list[int], gone: list[int]) -> None:
+    async def wait_for_snapshot(self, engines: list[int], gone: list[int]) -> None:
         with anyio.fail_after(8):
             while True:
-                found = SnapshotFolder(str(self.kept), "g0").read().snapshot
+                found = SnapshotFolder(str(self.snapshot_folder), "g0").read().snapshot
                 if found and (
                     [sorted(one.id for one in found.endpoints), sorted(one.id for one in found.tombstones)]
                     == [engines, gone]
@@ -129,7 +129,7 @@
                     return
                 await anyio.sleep(0.1)
 
-    def got(self) -> list[int]:
+    def received_counts(self) -> list[int]:
         return [engine.got for engine in self.engines]
 
     def log(self) -> str:
@@ -151,18 +151,18 @@
 
 
 class Restarts(unittest.TestCase):
-    def play(self, scene: Callable[[Stage], Awaitable], before: bool = True) -> Stage:
+    def play(self, scene: Callable[[GatewayFixture], Awaitable], before: bool = True) -> GatewayFixture:
         """`before`: a gateway has served, and has been told that the fourth engine is gone."""
 
-        async def main() -> Stage:
+        async def main() -> GatewayFixture:
             with tempfile.TemporaryDirectory() as folder:
-                stage = Stage(folder)
+                stage = GatewayFixture(folder)
                 async with anyio.create_task_group() as tasks:
                     for engine in stage.engines:
                         tasks.start_soon(engine.run)
                     try:
                         if before:
-                            await stage.first(tasks)
+                            await stage.run_first_gateway(tasks)
                         await scene(stage)
                         await stage.gateway.stop()
                         self.assertEqual(0, stage.gateway.process.returncode)
@@ -177,27 +177,31 @@
         return anyio.run(main)
 
     def test_killed_and_started_with_nobody_to_ask(self) -> None:
-        async def scene(stage: Stage) -> None:
-            await stage.on_disk([1, 2, 3], [4])
+        async def scene(stage: GatewayFixture) -> None:
+            await stage.wait_for_snapshot([1, 2, 3], [4])
             stage.gateway.kill()
             stage.engines[2].die()
-            before = stage.got()
+            before = stage.received_counts()
             begun = await stage.start()
             once = await stage.ask("ledger-post")
             self.assertEqual(-32000, once["error"]["code"], "what may run once went out on a guess")
-            await stage.served(1, 5)
+            await stage.wait_for_served(1, 5)
             self.assertLess(time.monotonic() - begun, 5)
-            await stage.served(16, 5)
+            await stage.wait_for_served(16, 5)
             self.assertIn("recovered 3 endpoints", stage.log())
-            self.assertEqual(before[2:], stage.got()[2:], "sent to one that is gone, or that refuses")
-            self.assertTrue(all(now > old for now, old in zip(stage.got(), before[:2])), "one is left idle")
+            self.assertEqual(
+                before[2:], stage.received_counts()[2:], "sent to one that is gone, or that refuses"
+            )
+            self.assertTrue(
+                all(now > old for now, old in zip(stage.received_counts(), before[:2])), "one is left idle"
+            )
             self.assertIn("result", await stage.ask("ledger-post"))
             await self.contradicted(stage)
 
         stage = self.play(scene)
         self.assertGreaterEqual(stage.names, 30)
 
-    async def contradicted(self, stage: Stage) -> None:
+    async def contradicted(self, stage: GatewayFixture) -> None:
         """A coordinator that is behind at first, and names who is gone; then says who else is."""
         stage.listed[3].state = "in_service"
         async with anyio.create_task_group() as tasks:
@@ -206,17 +210,17 @@
             stage.write(coordinator.address)
             stage.gateway.process.send_signal(signal.SIGHUP)
             await anyio.sleep(0.4)
-            before = stage.got()
-            await stage.served(8, 5)
-            self.assertEqual(before[3], stage.got()[3], "an old list has raised the dead")
+            before = stage.received_counts()
+            await stage.wait_for_served(8, 5)
+            self.assertEqual(before[3], stage.received_counts()[3], "an old list has raised the dead")
             stage.engines[2].start_again()
             stage.listed[0].state = stage.listed[1].state = "terminated"
             coordinator.tell(stage.listed[2])
             coordinator.tell(stage.listed[0], stage.listed[1])
             await anyio.sleep(0.3)
-            before = stage.got()
-            await stage.served(8, 5)
-            after = stage.got()
+            before = stage.received_counts()
+            await stage.wait_for_served(8, 5)
+            after = stage.received_counts()
             self.assertEqual([*before[:2], before[3]], [*after[:2], after[3]])
             self.assertGreaterEqual(after[2] - before[2], 8)
             stage.gateway.process.send_signal(signal.SIGUSR1)
@@ -233,9 +237,10 @@
             tasks.cancel_scope.cancel()
 
     def test_planned_restart_hands_over(self) -> None:
-        async def scene(stage: Stage) -> None:
+        async def scene(stage: GatewayFixture) -> None:
             self.assertIn(
-                "its gateway runs", command("forget", str(stage.kept), "s-00000001", "--name", "g0")[1]
+                "its gateway runs",
+                command("forget", str(stage.snapshot_folder), "s-00000001", "--name", "g0")[1],
             )
             await anyio.sleep(0.1)  # the list has been told
             name = stage.names
@@ -252,13 +257,13 @@
 
         self.play(scene)
 
-    async def overlapping(self, stage: Stage) -> None:
+    async def overlapping(self, stage: GatewayFixture) -> None:
         """The successor begins while the one before still serves, and takes over from it."""
         before, stage.gateway = stage.gateway, Gateway("g0", stage.path)
         try:
             await stage.start()
             name, handed = stage.names, stage.log().count("handed over")
-            await stage.served(5, 5)
+            await stage.wait_for_served(5, 5)
             await before.stop()
             self.assertEqual(0, before.process.returncode)
             with anyio.fail_after(5):
@@ -271,26 +276,26 @@
                 before.kill()
 
     def test_damaged_file_and_the_fleets_rules(self) -> None:
-        async def scene(stage: Stage) -> None:
-            await stage.on_disk([1, 2, 3], [4])
+        async def scene(stage: GatewayFixture) -> None:
+            await stage.wait_for_snapshot([1, 2, 3], [4])
             await stage.gateway.stop()
-            newest = stage.kept / SnapshotFolder(str(stage.kept), "g0").read().file_name
+            newest = stage.snapshot_folder / SnapshotFolder(str(stage.snapshot_folder), "g0").read().file_name
             data = bytearray(newest.read_bytes())
             data[-5] ^= 0x10
             newest.write_bytes(data)
-            code, said = command("verify", str(stage.kept), "--name", "g0")
+            code, said = command("verify", str(stage.snapshot_folder), "--name", "g0")
             self.assertEqual(1, code)
             self.assertIn(f"{newest.name}: damaged", said)
             await stage.start(more=FLEET)
-            await stage.served(3, 5)
+            await stage.wait_for_served(3, 5)
             self.assertEqual(1, stage.log().count("skipped, damaged"))
             stage.gateway.kill()
-            self.commands(str(stage.kept))
+            self.commands(str(stage.snapshot_folder))
             # The configuration's own list is older than what is kept, and names all four.
             await stage.start(known=True)
-            before = stage.got()
-            await stage.served(10, 5)
-            self.assertEqual([before[0], before[3]], [stage.got()[0], stage.got()[3]])
+            before = stage.received_counts()
+            await stage.wait_for_served(10, 5)
+            self.assertEqual([before[0], before[3]], [stage.received_counts()[0], stage.received_counts()[3]])
 
         self.play(scene)
 
@@ -311,9 +316,9 @@
         self.assertEqual(0, command("verify", folder, *name)[0])
 
     def test_nothing_kept_and_nobody_to_ask(self) -> None:
-        async def scene(stage: Stage) -> None:
+        async def scene(stage: GatewayFixture) -> None:
             for name in SNAPSHOT_FILE_NAMES:
-                (stage.kept / name).write_bytes(b"no list")
+                (stage.snapshot_folder / name).write_bytes(b"no list")
             await stage.start()
             self.assertEqual(2, stage.log().count("skipped, not a snapshot"))
             await anyio.sleep(0.5)
