--- a/cresstray/engines/__init__.py
+++ b/cresstray/engines/__init__.py
@@ -1,1 +1,1 @@
-"""The engines' side: the RESP codec, the connections to each engine and the pages of a result."""
+"""Connections to engines: the RESP codec, the connection pools and the pages of a result."""
--- a/cresstray/engines/codec.py
+++ b/cresstray/engines/codec.py
@@ -1,19 +1,19 @@
-"""RESP as the engines speak it: arrays of four bulk strings. Knows no socket and decides nothing.
+"""Codec of the engines' protocol: RESP, with arrays of four bulk strings as answers. Free of I/O.
 
-The words of the protocol, which appear nowhere behind this module except as the constants here:
+Other modules use the constants and names of this one instead of the words on the wire:
 
-| protocol             | here                                                                 |
+| on the wire          | here                                                                 |
 | -------------------- | -------------------------------------------------------------------- |
 | `ASK`                | `encode_request`; its fields: `c` class, `w` timeout in ms, `i` idempotency key |
-| `QUIT`               | `encode_cancellation`                                                |
-| `NEXT`               | `encode_page_requests`                                               |
-| `FREE`               | `encode_release`, of a result whose pages are not all wanted any more |
+| `QUIT`               | `encode_cancellation`, the answer is not awaited any more            |
+| `NEXT`               | `encode_page_requests`, of all pages behind the first one            |
+| `FREE`               | `encode_release`, the remaining pages are not awaited any more       |
 | `served`             | `SERVED`, a result or its first page                                 |
-| `rows`               | `ROWS`, another page of a result                                     |
+| `rows`               | `ROWS`, a further page of a result                                   |
 | `overload`           | `OVERLOADED`, the engine rejects the request                         |
-| `crashed`            | `CRASHED`, the request failed while it ran                           |
-| `nobody`             | `EXPIRED`, the request's timeout was over before it ran              |
-| `green`              | `GREEN`, to nothing that this gateway sends                          |
+| `crashed`            | `CRASHED`, the request failed while it was running                   |
+| `nobody`             | `EXPIRED`, the request's timeout had passed before it was run        |
+| `green`              | `GREEN`, of the protocol; answers no message that a gateway sends    |
 | `sheets`, `sheet`    | `Answer.pages`, `Answer.page`                                        |
 | `load`               | `Answer.report`, the engine's load report                            |
 | `inflight` in a report | `concurrent`                                                       |
@@ -49,30 +49,31 @@
 _NO_FIELDS = b"-"
 _ARRAY_HEADER = b"*4\r\n"
 _LENGTH = re.compile(rb"\$(\d{1,4})\r\n")
-_MAX_LENGTH_BYTES = 7  # of what _LENGTH matches
-# Of an answer's name, word, fields and body: a page by the protocol, the others with room to spare.
+_MAX_LENGTH_BYTES = 7  # the longest text that _LENGTH matches
+# Bounds of an answer's name, kind, fields and body. The bound of the body is the protocol's page size; the
+# others are above all that engines send.
 _MAX_PART_BYTES = (64, 16, 1024, 6_000)
-# Threads, shares and rates: what is larger was never measured.
+# Bound of reported thread counts, shares and rates. A larger figure can only be an error.
 _MAX_REPORTED = 1e6
-# Positions in a shard's log only grow.
+# Positions in a shard's log grow without limit, so their bound is the largest exact integer of a float.
 _MAX_POSITION = 2.0**53
 _POSITION_NAMES = frozenset(("shard", "epoch", "applied", "head"))
 _EXCERPT_BYTES = 20
 
 
 class EngineProtocolError(Exception):
-    """What came cannot be an engine's answer; nothing behind it on this connection can be trusted."""
+    """Received data is no answer of the protocol, so nothing after it on the connection can be trusted."""
 
 
 class Answer(msgspec.Struct):
     """One answer of an engine.
 
     Attributes:
-        name: the request's name.
+        name: the name of the request that it answers.
         kind: one of ANSWER_KINDS.
-        pages: how many pages the result has, in the answer with its first one.
-        page: the number of the page, from 1 on, in an answer with a further one.
-        report: the load report of the engine, by our names.
+        pages: the number of pages of the result, in the answer with its first page.
+        page: the number of the page, from 1 on, in an answer with a further page.
+        report: the load report of the engine, by the names in the table above.
         body: the rows of the page.
     """
 
@@ -85,11 +86,11 @@
 
 
 class AnswerDecoder:
-    """Decodes the answers in what is received, however it is cut.
+    """Decodes answers from received data, in whatever pieces the data arrives.
 
-    hiredis allocates what an array claims before it comes: one of 400 million parts would block the event
-    loop for a second, one of three billion would take all memory. Answers are four short strings, and nothing
-    else is read, so this does not use it.
+    hiredis is not used for decoding, as it allocates the length that an array claims before the elements
+    arrive: an array of 400 million elements would block the event loop for a second, and one of three billion
+    would take all memory. This decoder accepts arrays of four short strings only.
     """
 
     def __init__(self) -> None:
@@ -97,16 +98,15 @@
         self._pending_error: EngineProtocolError | None = None
 
     def has_partial_answer(self) -> bool:
-        """Whether part of an answer has come, and the rest has not."""
+        """Whether an answer has been received in part only."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Answer]:
-        """Returns the answers that are whole with this data.
+        """Returns the answers that are complete with this data.
 
         Raises:
-            EngineProtocolError: what came cannot be an answer. Answers before it are returned first, since
-            they
-                would be run again if they were lost; the error is raised by the next call.
+            EngineProtocolError: the data is no answer. Complete answers before it are returned first, as
+                their requests would be run again if they were lost; the next call raises the error.
         """
         if self._pending_error is not None:
             raise self._pending_error
@@ -126,7 +126,7 @@
         return answers
 
     def _parse_parts(self, position: int) -> tuple[list[bytes], int] | None:
-        """Returns the parts of the answer at this position and its end; None if it is not whole."""
+        """Returns the parts of the answer at this position and its end; None while it is incomplete."""
         buffer = self._buffer
         parts: list[bytes] = []
         if not buffer.startswith(_ARRAY_HEADER, position):
@@ -153,24 +153,24 @@
         return parts, position
 
     def _may_be_length(self, position: int) -> bool:
-        """Whether what there is may be the beginning of a length."""
+        """Whether the data from this position on may be the beginning of a length."""
         return len(self._buffer) - position < _MAX_LENGTH_BYTES and self._buffer.find(b"\n", position) < 0
 
     def _excerpt(self, position: int) -> bytes:
         return bytes(self._buffer[position : position + _EXCERPT_BYTES])
 
 
-def _parse_answer(name: bytes, word: bytes, fields: bytes, body: bytes) -> Answer:
-    if word not in ANSWER_KINDS:
-        raise EngineProtocolError(f"unknown word {word!r}")
-    answer = Answer(name, word, 1, 0, {}, body)
+def _parse_answer(name: bytes, kind: bytes, fields: bytes, body: bytes) -> Answer:
+    if kind not in ANSWER_KINDS:
+        raise EngineProtocolError(f"unknown word {kind!r}")
+    answer = Answer(name, kind, 1, 0, {}, body)
     if fields != _NO_FIELDS:
         try:
             _parse_fields(fields, answer)
         except ValueError:
             raise EngineProtocolError(f"fields that can't be used: {fields[:80]!r}") from None
-    first_page = 1 if word == ROWS else 0
-    if answer.pages < 1 or answer.page < first_page:
+    min_page = 1 if kind == ROWS else 0
+    if answer.pages < 1 or answer.page < min_page:
         raise EngineProtocolError(f"no such page: {fields[:80]!r}")
     return answer
 
@@ -193,7 +193,7 @@
         figure = float(value)
         report[_REPORT_NAMES.get(key, key)] = figure
         maximum = _MAX_POSITION if key in _POSITION_NAMES else _MAX_REPORTED
-        if not 0 <= figure <= maximum:  # nor does NaN pass
+        if not 0 <= figure <= maximum:  # written so that NaN is rejected too
             raise ValueError(value)
     return report
 
@@ -201,7 +201,7 @@
 def encode_request(
     name: bytes, request_class: str, timeout_ms: int, idempotency_key: str, statement: bytes
 ) -> bytes:
-    """Encodes a request; `timeout_ms` is how long its response is awaited, the key may be empty."""
+    """Encodes a request; `timeout_ms` is how long its answer is awaited, the idempotency key may be empty."""
     fields = f"c={request_class},w={timeout_ms}"
     if idempotency_key:
         fields += f",i={idempotency_key}"
@@ -209,17 +209,17 @@
 
 
 def encode_cancellation(name: bytes) -> bytes:
-    """Encodes that the answer to this request is not awaited any more."""
+    """Encodes the cancellation of a request whose answer is not awaited any more."""
     return _pack(b"QUIT", name)
 
 
 def encode_page_requests(name: bytes, pages: int) -> bytes:
-    """Encodes requests for all pages behind the first at once; `pages` counts the first one too."""
+    """Encodes the requests for all pages after the first; `pages` counts the first one too."""
     return b"".join(_pack(b"NEXT", name, b"%d" % page) for page in range(1, pages))
 
 
 def encode_release(name: bytes) -> bytes:
-    """Encodes that the rest of this result is not awaited any more."""
+    """Encodes the release of a result whose remaining pages are not awaited any more."""
     return _pack(b"FREE", name)
 
 
--- a/cresstray/engines/connection.py
+++ b/cresstray/engines/connection.py
@@ -1,4 +1,4 @@
-"""The sockets of connections to engines: made, read, ended. EngineConnection decides what that means."""
+"""Connections to engines over sockets. EngineConnection, free of I/O, decides what each event means."""
 
 from __future__ import annotations
 
@@ -20,13 +20,15 @@
 
 __all__ = ["SocketConnection", "SocketConnectionPool", "DescriptorQuota"]
 
-# What this process or machine lacks for a connection, which says nothing about the engine.
-_LOCAL_SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+# Shortages of this process or machine that prevent a connection; they are no evidence against the engine.
+_LOCAL_SHORTAGE_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+)
 _DEFAULT_CONNECT_TIMEOUT_MS = 250
 
 
 class SocketConnection(EngineConnection):
-    """One connection to an engine, with its socket."""
+    """One connection to an engine over a socket."""
 
     pool: SocketConnectionPool
 
@@ -35,7 +37,7 @@
         self._scope = anyio.CancelScope()
 
     def abort(self) -> None:
-        """Ends the connection, or does not make it."""
+        """Ends the connection or the attempt to connect."""
         self._scope.cancel()
 
     async def run(self) -> None:
@@ -69,7 +71,7 @@
             try:
                 return await connect(*self.pool.address)
             except OSError as error:
-                self.is_out_of_descriptors = error.errno in _LOCAL_SHORTAGES
+                self.is_out_of_descriptors = error.errno in _LOCAL_SHORTAGE_ERRNOS
                 self.pool.log.log("connection", f"{self.pool.label} can't be reached: {error!r}")
                 return None
         self.pool.log.log("connection", f"{self.pool.label} can't be reached: no connection in time")
@@ -88,7 +90,12 @@
 
 
 class SocketConnectionPool(ConnectionPool):
-    """All connections to one engine, with their sockets. `label` names the engine in log lines."""
+    """All connections to one engine, over sockets.
+
+    Attributes:
+        label: names the engine in log lines.
+        connect_timeout_us: an attempt to connect fails after it, in microseconds.
+    """
 
     def __init__(
         self,
@@ -110,11 +117,11 @@
         self.connect_timeout_us = int(limits.get("ConnectTimeout", _DEFAULT_CONNECT_TIMEOUT_MS) * 1000)
 
     def connect(self) -> SocketConnection:
-        """Begins to make a new connection."""
+        """Starts to connect; returns the connection at once."""
         connection = SocketConnection(self)
         self.tasks.start_soon(connection.run)
         return connection
 
     def on_fault(self, error: Exception) -> None:
-        """Logs and counts a failure of the gateway's own code with one request."""
+        """Logs and counts an exception of the gateway's own code while it handled one request."""
         log_fault(f"a request to {self.label}", error, self.counters, self.log)
--- a/cresstray/engines/connection_pool.py
+++ b/cresstray/engines/connection_pool.py
@@ -1,6 +1,6 @@
-"""The connections to one engine: which takes a request, when an idle one is closed, when another one is made.
+"""The pool of connections to one engine: selects, creates and closes connections. Free of I/O.
 
-Free of I/O. A connection belongs to its engine, not to an address.
+A connection belongs to an engine, not to an address: a restarted engine may have another address.
 """
 
 from __future__ import annotations
@@ -21,34 +21,40 @@
 
 
 class DescriptorQuota:
-    """The connections to all engines together.
+    """The quota of file descriptors for the connections to all engines together.
 
-    From `per_engine` on requests share the connections of their engine; from `total` on an idle connection
-    makes room for another. With hundreds of engines idle connections would take the clients' descriptors.
-    Where none is idle there is one more, and the listener accepts one client less.
+    Once `per_engine` connections are open, requests share the connections of their engine. Once `total` are
+    open, an idle connection is closed before another one is made: with hundreds of engines, idle connections
+    would take the descriptors that clients need. Where none is idle the total is exceeded, and the listener
+    accepts one client less.
+
+    Attributes:
+        used: the connections that are open or being made.
+        idle: the idle connections, the one that has been idle for longest first.
     """
 
     def __init__(self, per_engine: int, total: int) -> None:
         self.per_engine = per_engine
         self.total = total
         self.used = 0
-        self.idle: dict[EngineConnection, None] = {}  # idle for longest first
+        self.idle: dict[EngineConnection, None] = {}
 
     def make_room(self) -> None:
-        """Closes an idle connection if there are as many as there may be."""
+        """Closes an idle connection if the total quota is used up."""
         if self.used >= self.total:
             self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes the connection that has been idle for longest, if any is."""
+        """Closes the connection that has been idle for longest, if any connection is idle."""
         if self.idle:
             next(iter(self.idle)).close()
 
 
 class ConnectionPool:
-    """All connections to one engine. A subclass has the sockets, and defines `connect`.
+    """All connections to one engine. A subclass has the sockets and defines `connect`.
 
-    `settings` has the operator's `Limits`; times that are given in them are in milliseconds.
+    `Limits` is read from `settings`; times in it are in milliseconds. `now_us` returns the present time in
+    microseconds.
     """
 
     def __init__(
@@ -65,7 +71,8 @@
         self.now_us = now_us
         self.counters = counters
         self.max_streams = max(1, limits.get("StreamsPerConn", _DEFAULT_MAX_STREAMS))
-        # Well before the engine's own timeout, as a request may cross its close of an idle connection.
+        # Well before the engine's own idle timeout: a request that is sent while the engine closes an idle
+        # connection would be lost.
         idle_timeout_ms = limits.get("ConnIdle", _DEFAULT_IDLE_TIMEOUT_MS)
         self._idle_timeout_us = int(idle_timeout_ms * 1000) * 2 // 3
         self.connections: list[EngineConnection] = []
@@ -74,11 +81,11 @@
         self._is_sweep_scheduled = False
 
     def connect(self) -> EngineConnection:
-        """Begins to make a new connection, which says by `on_connected` or `on_closed` how that went."""
+        """Starts to connect; `on_connected` or `on_closed` of the returned connection is called later."""
         raise NotImplementedError
 
     def start(self, request: InFlightRequest) -> None:
-        """Starts a request on one of the connections, or on a new one."""
+        """Starts a request on one of the connections, or on a new connection."""
         while not self._pick(request.name).start(request):
             pass
         if not self._is_sweep_scheduled:
@@ -86,9 +93,9 @@
             self._timers.call_after(self._idle_timeout_us, self._sweep)
 
     def _pick(self, name: bytes) -> EngineConnection:
-        """Picks an idle connection or a new one; where that would be too many, the least loaded one.
+        """Picks an idle connection or a new one; the least loaded one where the quota is used up.
 
-        One corrupt answer ends all requests on its connection, so they share one only where they must.
+        A corrupt answer ends all requests on its connection, so requests share one only where they must.
         """
         least_loaded = None
         for connection in self.connections:
@@ -107,27 +114,28 @@
         return connection
 
     def on_removed(self, connection: EngineConnection) -> None:
-        """A connection has ended."""
+        """Drops a connection that has ended."""
         self.connections.remove(connection)
         self.quota.used -= 1
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """The engine has restarted, maybe elsewhere: what runs may end, new requests take new connections.
+        """Takes the address of an engine that has restarted, maybe on another host.
 
-        Another engine may have the old address by now, so nothing more is sent to it.
+        Requests in flight may end on the old connections; new requests take new ones. Another engine may have
+        the old address by now, so nothing more is sent to it.
         """
         self.address = address
         outdated = list(self.connections)
         for connection in outdated:
             connection.is_outdated = True
             connection.retire()
-        # The policy hears of what was not sent once it has been told of the endpoint list.
+        # Deferred, so that the policy has the new endpoint list before it is told of unsent requests.
         self._timers.call_after(0, lambda _: self._cancel_unwritten(outdated))
 
     def cancel_unwritten(self) -> None:
-        """Ends what has not been sent on any connection as never sent, as the engine drains or is removed.
+        """Ends the requests that are not sent yet as unsent, because the engine drains or is removed.
 
-        To be called once the policy has been told, which may send it elsewhere at once.
+        To be called once the policy knows of that, as it may send the requests to other engines at once.
         """
         self._cancel_unwritten(list(self.connections))
 
@@ -136,7 +144,7 @@
             connection.cancel_unwritten()
 
     def for_each(self, items: Iterable[_Item], handle: Callable[[_Item], None]) -> None:
-        """Handles all items, also where one fails: the others must not be left without an end."""
+        """Handles every item: an exception for one must not leave the others without an end."""
         for item in items:
             try:
                 handle(item)
@@ -144,11 +152,11 @@
                 self.on_fault(error)
 
     def on_fault(self, error: Exception) -> None:
-        """The gateway's own code has failed with one request; the others go on."""
+        """Counts an exception of the gateway's own code while it handled one request; the others go on."""
         self.counters.add("faults")
 
     def retire(self) -> None:
-        """Takes no more requests on the present connections; each closes once its last one has ended."""
+        """Retires the present connections: each takes no more requests, and closes after its last one."""
         for connection in list(self.connections):
             connection.retire()
 
--- a/cresstray/engines/connection_state.py
+++ b/cresstray/engines/connection_state.py
@@ -1,7 +1,7 @@
-"""One connection to an engine without its socket: what it takes, when it is idle, what its end means.
+"""The state of one connection to an engine: requests in flight, idle times, and what the end means for each.
 
-Free of I/O: whoever has the socket says what was received and lost, and is called for the rest. What becomes
-of a request is told to its listener once.
+Free of I/O: a subclass owns the socket, reports what was received and lost, and is called to write and close.
+The listener of each request is told its outcome once.
 """
 
 from __future__ import annotations
@@ -14,59 +14,69 @@
 if TYPE_CHECKING:
     from cresstray.engines.connection_pool import ConnectionPool
 
-# An answer comes in one piece; the rest of one that has begun is not a quarter of a second late.
+# Engines send an answer in one piece, so the rest of a partial answer arrives within a quarter of a second.
 _PARTIAL_ANSWER_TIMEOUT_US = 250_000
 _RESULT_KINDS = (codec.SERVED, codec.ROWS)
-# Bound of what is kept for an engine that does not read: requests for all pages of two long results, or a
-# thousand cancellations.
+# Bound of the messages that wait behind a partly sent request while the engine does not read: enough for the
+# page requests of two long results, or for a thousand cancellations.
 MAX_QUEUED_BEHIND_BYTES = 64 * 1024
 
 
 class Transport(Protocol):
-    """What a connection writes to; `transport.streams.SocketStream` is one."""
+    """What a connection writes to; `transport.streams.SocketStream` implements it."""
 
-    unsent: bytearray  # written, and not yet taken by the kernel
+    unsent: bytearray  # written and not yet accepted by the kernel
 
     def write(self, message: bytes) -> bool:
-        """Takes all of the message and sends it now or later; False if it is broken and nothing has left."""
+        """Sends all of the message now or later; False if the transport is broken and nothing was sent."""
 
     def has_ended(self) -> bool:
         """Whether the engine has closed its side, or the connection has broken."""
 
 
 class EngineConnection:
-    """One connection to an engine. A subclass has the socket, and defines `abort`."""
+    """One connection to an engine. A subclass has the socket and defines `abort`.
+
+    Attributes:
+        is_corrupt: data was received that is no answer of the protocol.
+        is_out_of_descriptors: no descriptor was available, which is no evidence against the engine.
+        is_outdated: the engine has another address by now, or has restarted.
+        idle_since_us: when the last request ended.
+        transport: set once the connection is established.
+        answer_deadline_us: when the rest of a partial answer must have been received.
+    """
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.in_flight = InFlightRequests(pool.max_streams)
-        self.is_corrupt = False  # what came on it cannot be an answer
-        self.is_out_of_descriptors = False  # there was none for it, which says nothing about its engine
-        self.is_outdated = False  # its engine has another address by now, or has restarted
+        self.is_corrupt = False
+        self.is_out_of_descriptors = False
+        self.is_outdated = False
         self.idle_since_us = 0
-        self.transport: Transport | None = None  # once it is connected
-        self.answer_deadline_us = 0  # for the rest of an answer that has begun
+        self.transport: Transport | None = None
+        self.answer_deadline_us = 0
         self._decoder = codec.AnswerDecoder()
-        self._partly_sent: InFlightRequest | None = None  # the last one written, if part of it had to wait
-        self._queued_behind_bytes = 0  # written behind what waits of it
+        # The request written last, if part of it has to wait, and the size of the messages written after it.
+        self._partly_sent: InFlightRequest | None = None
+        self._queued_behind_bytes = 0
 
     def abort(self) -> None:
-        """Ends the connection, or does not make it; `on_closed` follows."""
+        """Ends the connection or the attempt to connect; `on_closed` follows."""
         raise NotImplementedError
 
     def has_room_for(self, name: bytes) -> bool:
-        """Whether a request of this name may start here.
+        """Whether a request of this name may start on this connection.
 
-        Behind what the engine does not read, a request would leave when it may not be sent any more.
+        Queued behind data that the engine does not read, a request would be sent after it may no longer be.
         """
         if self.transport is not None and self.transport.unsent:
             return False
         return self.in_flight.has_room_for(name)
 
     def start(self, request: InFlightRequest) -> bool:
-        """Starts a request; False, and nothing of it has left, if the connection is dead or not read."""
+        """Starts a request; False, with nothing of it sent, if the connection is dead or not read."""
         transport = self.transport
-        # What is written to a connection that the engine has closed is lost, and may have run.
+        # A request written to a connection that the engine has closed is lost, but must count as maybe run.
         if transport is not None and not self.in_flight.open and transport.has_ended():
             self.close()
             return False
@@ -76,14 +86,17 @@
         return transport is None or self._write(request, transport)
 
     def _write(self, request: InFlightRequest, transport: Transport) -> bool:
-        """Writes it; False, and no more is taken here, if nothing has left as the engine does not read."""
+        """Writes a request.
+
+        Returns False, and retires the connection, if nothing was sent because the engine does not read.
+        """
         if not transport.unsent:
-            has_left = transport.write(request.message)
+            is_sent = transport.write(request.message)
             if not transport.unsent or len(transport.unsent) < len(request.message):
-                self.in_flight.on_written(request, has_left)
+                self.in_flight.on_written(request, is_sent)
                 self._partly_sent = request if transport.unsent else None
                 self._queued_behind_bytes = 0
-                if has_left:
+                if is_sent:
                     request.listener.on_sent(request)
                 return True
             transport.unsent.clear()
@@ -92,7 +105,7 @@
         return False
 
     def _is_partly_sent(self, request: InFlightRequest) -> bool:
-        """Whether part of its message still waits to be sent."""
+        """Whether part of the request's message still waits to be sent."""
         if request is not self._partly_sent or self.transport is None:
             return False
         return len(self.transport.unsent) > self._queued_behind_bytes
@@ -100,8 +113,8 @@
     def send(self, message: bytes) -> None:
         """Sends a further message of a request that was sent.
 
-        Nothing is sent on a connection that is closing: behind a request that was cut short it would be read
-        as its rest, and the end of the connection tells the engine.
+        Nothing is sent on a connection that is closing: after a truncated request the engine would read the
+        message as the rest of that request. The end of the connection tells the engine enough.
         """
         if self.in_flight.is_closed:
             return
@@ -119,33 +132,36 @@
         transport.write(message)
 
     def finish(self, request: InFlightRequest) -> None:
-        """All that was to come for the request has come."""
+        """Ends a request that is answered in full."""
         self.in_flight.finish(request)
-        self._forget(request)
+        self._on_request_ended(request)
 
     def abandon(self, request: InFlightRequest) -> bool:
-        """Drops what still comes for it. True, as the engine hears of that before it hears of another."""
+        """Drops all later answers to the request, and cancels it at the engine.
+
+        Returns True: the engine receives the cancellation before any other request.
+        """
         is_partly_sent = self._is_partly_sent(request)
         message = self.in_flight.abandon(request)
         if is_partly_sent and not self.in_flight.is_closed:
-            # Its rest would leave once the engine reads again, and be run for nobody.
+            # The rest would be sent once the engine reads again, and be run in vain.
             self.close()
         elif message is not None:
             self.send(message)
-        self._forget(request)
+        self._on_request_ended(request)
         return True
 
-    def _forget(self, request: InFlightRequest) -> None:
+    def _on_request_ended(self, request: InFlightRequest) -> None:
         if self._partly_sent is request:
             self._partly_sent = None
         self._update_idle()
 
     def cancel_unwritten(self) -> None:
-        """Ends what has not been sent yet as never sent."""
+        """Ends the requests that are not sent yet as unsent."""
         self.pool.for_each(self.in_flight.unwritten(), self._cancel)
 
     def _cancel(self, request: InFlightRequest) -> None:
-        # What the end of another request set off may have ended this one.
+        # The handling of another request's end may have ended this request.
         if self.in_flight.is_open(request):
             self._finish_unsent(request)
 
@@ -162,22 +178,22 @@
                 self.pool.quota.idle[self] = None
 
     def retire(self) -> None:
-        """Takes no more requests; closes once the last one has ended."""
+        """Takes no more requests; closes once the last request has ended."""
         self.in_flight.is_retired = True
         self._update_idle()
 
     def close(self) -> None:
-        """Closes at once; nothing of what waits to be sent leaves."""
+        """Closes at once; data that waits to be sent is discarded."""
         self.in_flight.is_closed = True
         self.pool.quota.idle.pop(self, None)
         if self.transport is not None:
             self.transport.unsent.clear()
         self.abort()
 
-    # What whoever has the socket says.
+    # Called by the subclass that owns the socket.
 
     def on_connected(self, transport: Transport) -> None:
-        """The connection is made; what has waited for it is written."""
+        """Writes the requests that have waited for the connection to be established."""
         self.transport = transport
         self.pool.for_each(self.in_flight.unwritten(), self._write_late)
 
@@ -191,28 +207,28 @@
             self.pool.start(request)
 
     def _may_send(self, request: InFlightRequest) -> bool:
-        """Whether a request may be sent later than it was handed over.
+        """Whether a request may still be sent later than it was handed over.
 
-        A connection takes a while to be made, and a process may be stopped meanwhile. By then the engine may
-        drain, the client have disconnected, or the window for a retry be over.
+        Connecting takes time, and the process may be stopped meanwhile. By then the engine may be draining,
+        the client may have disconnected, or the window for a retry may have passed.
         """
         return not self.is_outdated and request.listener.may_send(request)
 
     def seconds_left(self) -> float | None:
-        """Returns the time in which the rest of an answer must come; None where none has begun."""
+        """Returns the time left for the rest of a partial answer; None if no answer is partial."""
         if not self._decoder.has_partial_answer():
             return None
         return max(0.0, (self.answer_deadline_us - self.pool.now_us()) / 1e6)
 
     def has_partial_answer(self) -> bool:
-        """Whether part of an answer has come, and the rest has not."""
+        """Whether an answer has been received in part only."""
         return self._decoder.has_partial_answer()
 
     def on_received(self, data: bytes) -> None:
-        """Hands on the answers in what has come.
+        """Hands the answers in received data to the listeners of their requests.
 
         Raises:
-            EngineProtocolError: it cannot be an answer.
+            EngineProtocolError: the data is no answer of the protocol.
         """
         self.in_flight.received_count += 1
         if not self._decoder.has_partial_answer():
@@ -226,40 +242,45 @@
     def _on_answer(self, answer: codec.Answer) -> None:
         request = self.in_flight.open.get(answer.name)
         if request is not None and self._is_partly_sent(request):
-            # Taken for a rejection, it would be retried, and its rest here be run as well.
-            raise codec.EngineProtocolError("an answer to what has not been asked whole")
+            # If this counted as a rejection the request would be retried, while the rest of the first attempt
+            # is sent here and run as well.
+            raise codec.EngineProtocolError("an answer to a request that is not sent in full")
         if request is not None and not request.is_written:
             request = None
         if request is not None and answer.kind not in _RESULT_KINDS:
             self.in_flight.on_rejected(request)
         if request is None or not request.listener.on_answer(request, answer):
-            # A duplicate, or an answer that comes too late: no fault of what else is open.
+            # A duplicate or late answer is no reason to fail the other requests on this connection.
             self.pool.counters.add("answers not awaited")
 
     def on_stalled(self) -> NoReturn:
-        """The rest of an answer has not come in time; always raises EngineProtocolError."""
-        raise codec.EngineProtocolError("it stopped within an answer")
+        """Handles an answer whose rest is overdue.
+
+        Raises:
+            EngineProtocolError: always.
+        """
+        raise codec.EngineProtocolError("the rest of an answer was not received in time")
 
     def on_end_of_stream(self) -> None:
-        """The engine has closed its side.
+        """Handles that the engine has closed its side.
 
         Raises:
-            EngineProtocolError: part of an answer had come.
+            EngineProtocolError: an answer was received in part only.
         """
         if self._decoder.has_partial_answer():
-            raise codec.EngineProtocolError("it ended within an answer")
+            raise codec.EngineProtocolError("the connection ended within an answer")
 
     def on_closed(self) -> None:
-        """The connection has ended, or could not be made; tells the listeners of all that was open."""
+        """Handles the end of the connection, or of the attempt to connect, for all open requests."""
         self.in_flight.is_closed = True
         self.pool.quota.idle.pop(self, None)
         self.pool.on_removed(self)
         if self.is_out_of_descriptors:
             self.pool.quota.close_idle()
         was_connected = self.transport is not None
-        self.pool.for_each(self.in_flight.on_connection_closed(was_connected), self._dispose)
+        self.pool.for_each(self.in_flight.on_connection_closed(was_connected), self._apply_disposition)
 
-    def _dispose(self, ended: tuple[InFlightRequest, Disposition]) -> None:
+    def _apply_disposition(self, ended: tuple[InFlightRequest, Disposition]) -> None:
         request, disposition = ended
         if disposition is Disposition.CONNECTION_LOST:
             request.listener.on_connection_lost(request, self.is_corrupt)
--- a/cresstray/engines/in_flight.py
+++ b/cresstray/engines/in_flight.py
@@ -1,6 +1,6 @@
-"""Requests in flight on one connection to an engine: which may start, what is awaited, what its end means.
+"""Requests in flight on one connection to an engine, and what the end of the connection means for each.
 
-Free of I/O: the connection says what it wrote, received and lost, and writes what it is given.
+Free of I/O: the connection reports what was written, received and lost, and writes the messages.
 """
 
 from __future__ import annotations
@@ -14,70 +14,75 @@
     from cresstray.engines.result_pages import ResultPages
     from cresstray.policy.types import Attempt
 
-# Connections that were reset before anything was sent, one after the other: then the engine is unreachable.
+# After so many connections in a row that were reset before anything was sent, the engine is unreachable.
 _MAX_RECONNECTS = 2
-# The names of abandoned requests are kept as long as the connection, which may live for days.
+# Bounds the names of abandoned requests, which are kept as long as the connection; it may stay open for days.
 _MAX_ABANDONED = 500
-# A duplicate of an answer comes soon after it: some seconds of rejections on one connection.
+# A duplicate follows its answer soon: this many names are some seconds of rejections on one connection.
 _MAX_REJECTED = 200
 
 
 class Cancellable(Protocol):
-    """A call that is scheduled, as `clock.TimerHandle` is one."""
+    """A scheduled call; `clock.TimerHandle` implements it."""
 
     def cancel(self) -> None:
-        """Keeps it from being made."""
+        """Cancels the call."""
 
 
 class RequestConnection(Protocol):
-    """The connection of a request in flight, as its listener needs it."""
+    """What a listener may call on the connection of a request in flight."""
 
     def send(self, message: bytes) -> None:
         """Sends a further message of a request."""
 
     def finish(self, request: InFlightRequest) -> None:
-        """All that was to come for the request has come."""
+        """Ends a request that is answered in full."""
 
     def abandon(self, request: InFlightRequest) -> bool:
-        """Drops what still comes for it; False if the engine may start it before it hears of that."""
+        """Drops all later answers; False if the engine may start the request before it is told to cancel."""
 
 
 class InFlightListener(Protocol):
-    """Who is told of a request in flight.
+    """Is told of the events of a request in flight.
 
-    Nothing more comes of it after `on_unreachable`, `on_connection_lost` and `on_unsent`, one of which is
-    called once at most.
+    At most one of `on_unreachable`, `on_connection_lost` and `on_unsent` is called, once, as the last call.
     """
 
     def may_send(self, request: InFlightRequest) -> bool:
-        """Whether its first bytes may still leave, later than it was handed over."""
+        """Whether the request may still be sent, later than it was handed over."""
 
     def on_sent(self, request: InFlightRequest) -> None:
-        """Its first bytes have left, at once or later."""
+        """The first bytes of the request were sent, at once or later."""
 
     def on_answer(self, request: InFlightRequest, answer: codec.Answer) -> bool:
-        """An answer under its name has come; False if it is not awaited."""
+        """An answer by the request's name was received; returns False if it is not awaited."""
 
     def on_unreachable(self, request: InFlightRequest) -> None:
-        """The engine cannot be reached; nothing of the request has left."""
+        """The engine is unreachable; nothing of the request was sent."""
 
     def on_connection_lost(self, request: InFlightRequest, is_corrupt: bool) -> None:
-        """The connection has ended, or is dropped for what came on it; the request may have run."""
+        """The connection has ended, or is dropped for corrupt data; the request may have run."""
 
     def on_unsent(self, request: InFlightRequest) -> None:
-        """Nothing of the request has left, which says nothing about the engine."""
+        """Nothing of the request was sent, which is no evidence against the engine."""
 
 
 class InFlightRequest:
-    """One request on one connection, from its first byte to its end or until it is abandoned.
+    """One request on one connection, until it is answered or abandoned.
 
-    | state     | seen by                                  | left by                                      |
+    | state     | condition                                | ended by                                     |
     | --------- | ---------------------------------------- | -------------------------------------------- |
-    | unsent    | `is_written` is false                    | its first bytes leave; `cancel_unwritten`    |
-    | sent      | `is_written` is true                     | an answer, `abandon`, end of the connection  |
-    | in pages  | `pages` is set                           | last page, `abandon`, end of the connection  |
+    | unsent    | `is_written` is false                    | its first bytes are sent; `cancel_unwritten` |
+    | sent      | `is_written` is true                     | an answer; `abandon`; end of the connection  |
+    | in pages  | `pages` is set                           | last page; `abandon`; end of the connection  |
     | finished  | it is not in `InFlightRequests.open`     | -                                            |
     | abandoned | its name in `InFlightRequests.abandoned` | the end of the connection                    |
+
+    Attributes:
+        received_before: `received_count` of its connection when it was sent.
+        reconnects: connections that ended before anything of it was sent.
+        pages: set once the first page has been received.
+        latest_send_us: nothing of it may be sent from then on.
     """
 
     __slots__ = (
@@ -101,25 +106,26 @@
         self.attempt = attempt
         self.connection: RequestConnection | None = None
         self.is_written = False
-        self.received_before = 0  # its connection's `received_count` when it was sent
-        self.reconnects = 0  # connections that ended before anything of it was sent
-        self.pages: ResultPages | None = None  # once the first page has come
+        self.received_before = 0
+        self.reconnects = 0
+        self.pages: ResultPages | None = None
         self.timeout: Cancellable | None = None
-        self.latest_send_us: int | None = None  # nothing of it may leave from then on
+        self.latest_send_us: int | None = None
 
 
 class Disposition(Enum):
-    """What the end of its connection means for a request that was open on it.
+    """What the end of a connection means for a request that was open on it.
 
-    | disposition       | has anything left      | was connected | reconnects       | then                 |
+    | disposition       | was anything sent      | was connected | reconnects       | consequence          |
     | ----------------- | ---------------------- | ------------- | ---------------- | -------------------- |
     | `CONNECTION_LOST` | maybe: it may have run | yes           | any              | `on_connection_lost` |
     | `UNREACHABLE`     | no                     | no            | any              | `on_unreachable`     |
     | `UNREACHABLE`     | no                     | yes           | at their maximum | `on_unreachable`     |
     | `RETRY_ELSEWHERE` | no                     | yes           | fewer            | another connection   |
 
-    Where the connection was outdated, or there was no descriptor for it, whatever has not left ends by
-    `on_unsent` instead, which says nothing about the engine; so does what may not be sent any more.
+    Where the connection was outdated, or no descriptor was available for it, unsent requests end by
+    `on_unsent` instead, which is no evidence against the engine. So do requests that may not be sent any
+    more.
     """
 
     CONNECTION_LOST = "connection lost"
@@ -128,24 +134,33 @@
 
 
 class InFlightRequests:
-    """All requests that are open on one connection, by name."""
+    """All requests that are open on one connection, by name.
+
+    Attributes:
+        open: the open requests.
+        abandoned: names that are not used again on this connection.
+        rejected: names of the latest rejected requests, the oldest first.
+        is_closed: the connection has ended or is being closed.
+        is_retired: the connection takes no more requests.
+        received_count: how often data was received.
+    """
 
     def __init__(self, max_open: int) -> None:
         self._max_open = max_open
         self.open: dict[bytes, InFlightRequest] = {}
-        # An answer that crosses its cancellation would be taken for that of a second attempt of the same
-        # name. So a name that was abandoned is not used again on this connection, and what comes under it is
-        # dropped.
+        # An answer that crosses its cancellation would be taken for the answer to a second attempt of that
+        # name. So the name of an abandoned request is not used again on this connection, and answers by that
+        # name are dropped.
         self.abandoned: set[bytes] = set()
-        # A duplicate of a rejection would be taken for the answer to the next attempt of that name, which
-        # runs and might be rejected or retried for it. That attempt takes another connection.
+        # A duplicate of a rejection would be taken for the answer to the next attempt of the same name: that
+        # one would be rejected or retried although it runs. So it takes another connection.
         self.rejected: dict[bytes, None] = {}
         self.is_closed = False
-        self.is_retired = False  # takes no more requests
-        self.received_count = 0  # how often something was received
+        self.is_retired = False
+        self.received_count = 0
 
     def has_room_for(self, name: bytes) -> bool:
-        """Whether a request of this name may start here."""
+        """Whether a request of this name may start on the connection."""
         return not (
             self.is_closed
             or self.is_retired
@@ -156,41 +171,44 @@
         )
 
     def add(self, request: InFlightRequest) -> None:
-        """The request is open from now on."""
+        """Adds a request to the open ones."""
         self.open[request.name] = request
 
     def is_open(self, request: InFlightRequest) -> bool:
-        """Whether the request is open here."""
+        """Whether the request is open on the connection."""
         return self.open.get(request.name) is request
 
     def unwritten(self) -> list[InFlightRequest]:
-        """Returns the open requests of which nothing has left."""
+        """Returns the open requests of which nothing was sent."""
         return [request for request in self.open.values() if not request.is_written]
 
-    def on_written(self, request: InFlightRequest, has_left: bool) -> None:
-        """The request was written; `has_left`: whether any of it may have left."""
-        request.is_written = has_left
+    def on_written(self, request: InFlightRequest, is_sent: bool) -> None:
+        """Records that a request was written; `is_sent`: whether any of it may have been sent."""
+        request.is_written = is_sent
         request.received_before = self.received_count
 
     def finish(self, request: InFlightRequest) -> None:
-        """All that was to come for the request has come, or nothing of it has left."""
+        """Removes a request that is answered in full, or of which nothing was sent."""
         del self.open[request.name]
 
     def on_rejected(self, request: InFlightRequest) -> None:
-        """The engine's answer is no result; the request's listener is still to be told."""
+        """Records a rejection by the engine; the request's listener is told separately."""
         self.rejected[request.name] = None
         if len(self.rejected) > _MAX_REJECTED:
             del self.rejected[next(iter(self.rejected))]
 
     def abandon(self, request: InFlightRequest) -> bytes | None:
-        """Drops what still comes for it; returns what to send, None if the engine never heard of it."""
+        """Drops all later answers to a request.
+
+        Returns the message to send to the engine; None if nothing of the request was sent.
+        """
         if not self.is_open(request):
             return None
         del self.open[request.name]
         if not request.is_written:
             return None
         self.abandoned.add(request.name)
-        # A connection that stays open may be dead, and would swallow the next request.
+        # Without any data since the request was sent the connection may be dead, and lose the next request.
         is_maybe_dead = self.received_count == request.received_before
         self.is_retired = self.is_retired or is_maybe_dead or len(self.abandoned) >= _MAX_ABANDONED
         if request.pages is None:
@@ -198,11 +216,11 @@
         return codec.encode_release(request.name)
 
     def on_connection_closed(self, was_connected: bool) -> list[tuple[InFlightRequest, Disposition]]:
-        """The connection has ended, or was never made; returns what that means for each open request."""
+        """Returns what the end of the connection, or of the attempt to connect, means for each request."""
         self.is_closed = True
-        left = list(self.open.values())
+        requests = list(self.open.values())
         self.open = {}
-        return [(request, self._disposition_of(request, was_connected)) for request in left]
+        return [(request, self._disposition_of(request, was_connected)) for request in requests]
 
     def _disposition_of(self, request: InFlightRequest, was_connected: bool) -> Disposition:
         if request.is_written:
--- a/cresstray/engines/result_pages.py
+++ b/cresstray/engines/result_pages.py
@@ -1,22 +1,22 @@
-"""The pages of one result, put together in order."""
+"""Assembles the pages of one result."""
 
 from __future__ import annotations
 
 from cresstray.engines.codec import EngineProtocolError
 
-# A result has 48,000 bytes at most, and fits even if its pages have some hundred.
+# A result of the maximum size fits into so many pages even if each has only about a hundred bytes.
 _MAX_PAGES = 512
 _MAX_RESULT_BYTES = 48_000
-# The separators in a row of three columns, and all bytes that are none.
+# The separators in a row of three columns, and all other bytes.
 _ROW_SEPARATORS = b"\t\t\n"
 _NO_SEPARATORS = bytes(set(range(256)) - set(_ROW_SEPARATORS))
 
 
 class ResultPages:
-    """Takes the pages of a result in any order, and is whole once the last one has come.
+    """Collects the pages of a result, which may arrive in any order.
 
     Raises:
-        EngineProtocolError: from every method that takes a page, if it is none.
+        EngineProtocolError: by each method that takes a page, if the page is not valid.
     """
 
     __slots__ = ("_missing_count", "_pages", "_size_bytes")
@@ -30,7 +30,7 @@
         self.add(0, first)
 
     def add(self, number: int, body: bytes) -> bool:
-        """Adds a page, the first being 0; False if it had come before, and nothing is changed."""
+        """Adds a page, counted from 0; returns False, and changes nothing, if the page is known already."""
         if not 0 <= number < len(self._pages):
             raise EngineProtocolError(f"page {number} of {len(self._pages)}")
         if self._pages[number] is not None:
@@ -50,7 +50,7 @@
 
 
 def _are_rows(body: bytes) -> bool:
-    """Whether it is text in rows of three columns; a client would take anything else for rows too."""
+    """Whether the body is text in rows of three columns, as clients parse it without a check of their own."""
     try:
         body.decode()
     except UnicodeDecodeError:
