--- a/cresstray/engines/connection.py
+++ b/cresstray/engines/connection.py
@@ -52,10 +52,10 @@
             self.on_closed()
 
     async def _serve(self) -> None:
-        connected = await self._connect()
-        if connected is None:
+        connected_socket = await self._connect()
+        if connected_socket is None:
             return
-        with SocketStream(connected, self.pool.tasks, self._scope.cancel) as stream:
+        with SocketStream(connected_socket, self.pool.tasks, self._scope.cancel) as stream:
             self.on_connected(stream)
             try:
                 await self._read(stream)
--- a/cresstray/transport/greeting.py
+++ b/cresstray/transport/greeting.py
@@ -1,4 +1,4 @@
-"""The greeting of a link between processes of one fleet: who it is, and whether it may bear that name."""
+"""The greeting of a link between processes of one fleet: the peer's identity, and whether it may use it."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from cresstray.config.fleet import Fleet
 
-# As the documents have gateways' names; the incarnation of a control-plane node is part of its name in the
-# log.
+# The form of gateways' names in configuration documents. Names of control-plane nodes in the log hold their
+# incarnation as well.
 _NAME = re.compile(r"[0-9A-Za-z_.:@-]{1,64}")
 _INCARNATION = re.compile(r"[0-9a-f]{1,32}")
 _OPERATOR = "operator"
@@ -26,30 +26,30 @@
 
 
 def settings_digest(fleet: Fleet) -> bytes:
-    """Returns a digest of what all processes of one fleet must have the same.
+    """Returns a digest of the settings that must be the same in all processes of one fleet.
 
-    A gateway with a longer lease would act when its leader takes it for stopped, and control-plane nodes that
-    check documents by different limits would apply one log to different states.
+    A gateway with a longer lease would still act when its leader takes it for stopped. Control-plane nodes
+    that check documents by different limits would reach different states from one log.
     """
     settings = [fleet.lease, fleet.floor_lease, fleet.drift, fleet.most, fleet.barred]
     return blake2b(msgspec.msgpack.encode(settings), digest_size=_DIGEST_BYTES).digest()
 
 
 def make_greeting(role: str, fleet: str, name: str, incarnation: str, digest: bytes = b"") -> Greeting:
-    """Makes a greeting; `digest` is needed from control-plane nodes and gateways that ask for leases."""
+    """Returns a greeting; control-plane nodes, and gateways that ask for leases, must give the `digest`."""
     return Greeting(MAGIC, VERSION, role, fleet, name, incarnation, digest)
 
 
 def check_greeting(greeting: Frame, fleet: Fleet, certificate_names: set[str] | None) -> Greeting:
-    """Returns a greeting of this fleet by a process that may bear its name.
+    """Returns the greeting if it is of this fleet and its sender may use the name and role in it.
 
     Args:
         greeting: the first frame of a link.
-        fleet: what this process knows of the fleet.
+        fleet: the fleet by the configuration of this process.
         certificate_names: the names in the peer's certificate; None without TLS.
 
     Raises:
-        FramingError: with what is wrong.
+        FramingError: the greeting is not accepted; the message says why.
     """
     if not isinstance(greeting, Greeting) or greeting.magic != MAGIC:
         raise FramingError("no greeting")
@@ -73,7 +73,7 @@
 
 
 def _check_role(greeting: Greeting, fleet: Fleet, certificate_names: set[str] | None) -> None:
-    """Checks that the name may have the role: a gateway's key must not change the configuration of all."""
+    """Checks the role by the name: with a gateway's key nobody may change the configuration of the fleet."""
     is_node = fleet.keeper(greeting.name) is not None
     if greeting.role == _OPERATOR:
         is_operator = greeting.name == _OPERATOR or is_node
--- a/cresstray/transport/link.py
+++ b/cresstray/transport/link.py
@@ -1,4 +1,4 @@
-"""One link between processes of a fleet, once both sides have greeted: frames written and read."""
+"""One link between processes of a fleet, after both sides have greeted: writes and reads frames."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
 from cresstray.transport.streams import CONNECTION_ENDED, SocketStream
 
-# Bound of what is kept for a peer that reads nothing.
+# Bound of the data that is buffered for a peer that does not read.
 _MAX_UNSENT_BYTES = 8 * 1024 * 1024
 
 
 class PositionExchange(Protocol):
-    """What is said of replicas' positions on one link; made with the link, and dropped with it."""
+    """The exchange of replica positions on one link; created with the link, and dropped with it."""
 
-    def next_message(self, now: int) -> bytes:
+    def next_message(self, now_us: int) -> bytes:
         """Returns the body of the next message to the peer."""
 
-    def on_message(self, body: bytes, now: int) -> None:
-        """Takes the body of a message of the peer.
+    def on_message(self, body: bytes, now_us: int) -> None:
+        """Handles the body of a message of the peer.
 
         Raises:
-            FramingError: it does not follow the protocol.
+            FramingError: the message does not follow the protocol.
         """
 
 
 class Channel(Protocol):
-    """What a link is written to and read from: a SocketStream, or TLS over one."""
+    """The byte stream below a link: a SocketStream, or TLS over one."""
 
     def write(self, message: bytes) -> object:
-        """Takes all of the message and sends it now or later."""
+        """Sends all of the message now or later."""
 
     async def receive(self) -> bytes:
         """Waits for data and returns it; raises one of CONNECTION_ENDED."""
 
 
 class Link:
-    """One greeted connection. What is written in one turn of the event loop leaves in one piece.
+    """One link. All frames that are written in one turn of the event loop are sent together.
 
     Attributes:
-        greeting: the peer's.
-        peer: what its owner knows the peer by.
-        close_reason: why it has ended, or empty.
-        sent_bytes: of frames that were given to the channel.
-        received_bytes: of frames that came after the greeting.
+        greeting: the greeting of the peer.
+        peer: set and used by the owner of the link to identify the peer.
+        close_reason: why the link has ended; empty while it is open.
+        sent_bytes: size of the frames that were handed to the channel.
+        received_bytes: size of the data that was received after the greeting.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._scope = scope
         self._decoder = decoder
         self.greeting = greeting
-        self._early_frames = early_frames  # those that came with the greeting
+        self._early_frames = early_frames  # received together with the greeting
         self._max_unsent_bytes = max_unsent_bytes
         self._outgoing = bytearray()
         self.peer: Any = None
@@ -75,11 +75,11 @@
         self.received_bytes = 0
 
     def put(self, frame: Frame) -> None:
-        """Sends one frame, or nothing if the link has ended."""
+        """Sends one frame; does nothing if the link has ended."""
         self.write(encode_frame(frame))
 
     def write(self, message: bytes) -> None:
-        """Sends encoded frames, or nothing if the link has ended."""
+        """Sends encoded frames; does nothing if the link has ended."""
         if self.close_reason:
             return
         if not self._outgoing:
@@ -90,7 +90,7 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the kernel has not taken yet."""
+        """Size of the data that the kernel has not accepted yet."""
         return len(self._outgoing) + len(self._stream.unsent)
 
     def _flush(self) -> None:
@@ -103,7 +103,7 @@
         self._outgoing.clear()
 
     def end(self, reason: str) -> None:
-        """Ends the link; only the first reason is kept."""
+        """Ends the link; of several reasons the first one is kept."""
         self.close_reason = self.close_reason or reason
         self._scope.cancel()
 
--- a/cresstray/transport/streams.py
+++ b/cresstray/transport/streams.py
@@ -1,4 +1,4 @@
-"""Stream connections: reading, writing without waiting, and containment of faults."""
+"""Stream connections: reads, writes that do not wait, and containment of exceptions to one connection."""
 
 from __future__ import annotations
 
@@ -15,78 +15,84 @@
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 
-# The state of a connection whose peer has closed its side: the first byte of TCP_INFO.
+# CLOSE_WAIT, the state of a connection whose peer has closed its side, as in the first byte of TCP_INFO.
 _CLOSE_WAIT = b"\x08"
-# What reading and writing raise once a connection is closed, cut or reset.
+# The exceptions of reads and writes on a connection that is closed, broken or reset.
 CONNECTION_ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
-# All connections read into this buffer and keep a copy of what came: one of 64 kB for each read, cut down to
-# what came, would leave a hole in the memory on every connection (256 of them: 20 MB).
+# All connections read into this buffer and copy the received bytes. A new buffer of 64 kB for each read,
+# shrunk to the received size, would fragment the memory: by 20 MB with 256 connections.
 _READ_BUFFER = memoryview(bytearray(65536))
 
 
 @contextmanager
-def faults_contained(what: str, counters: Counters, log: Log) -> Iterator[None]:
-    """Contains failures of the program itself to one connection: they are counted and logged, not raised."""
+def faults_contained(where: str, counters: Counters, log: Log) -> Iterator[None]:
+    """Contains exceptions of the program itself to one connection: counts and logs them, raises none."""
     try:
         yield
     except Exception as error:
-        log_fault(what, error, counters, log)
+        log_fault(where, error, counters, log)
 
 
-def log_fault(what: str, error: Exception, counters: Counters, log: Log) -> None:
-    """Counts a failure of the program itself and logs it with its traceback; `what` says where it was."""
+def log_fault(where: str, error: Exception, counters: Counters, log: Log) -> None:
+    """Counts an exception of the program itself and logs `where` it occurred, with its traceback."""
     counters.add("faults")
-    log.log("fault", f"{what}: {''.join(traceback.format_exception(error))}")
+    log.log("fault", f"{where}: {''.join(traceback.format_exception(error))}")
 
 
 async def connect(host: str, port: int) -> socket.socket:
-    """Connects, without a timeout of its own.
+    """Returns a connected socket; callers set the timeout.
 
     Raises:
-        OSError: no connection could be made.
+        OSError: the connection could not be made.
     """
-    connected = socket.socket()
+    connected_socket = socket.socket()
     try:
-        connected.setblocking(False)
+        connected_socket.setblocking(False)
         try:
-            connected.connect((host, port))
+            connected_socket.connect((host, port))
         except BlockingIOError:
-            await anyio.wait_writable(connected)
-        error_number = connected.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            await anyio.wait_writable(connected_socket)
+        error_number = connected_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error_number:
             raise OSError(error_number, os.strerror(error_number))
     except BaseException:
-        connected.close()
+        connected_socket.close()
         raise
-    return connected
+    return connected_socket
 
 
 class SocketStream:
-    """One connection. What is written goes to the kernel at once; what that does not take waits, in order.
+    """One connection. Messages are sent at once as far as the kernel accepts them; the rest waits in order.
 
-    Only what waits is written by a task, so that messages leave in the order in which they are written.
+    While data waits, one task sends it and messages are appended to it, so the order of messages is kept.
 
     Args:
-        connected: its socket.
-        tasks: runs the task that writes what waits.
+        connected_socket: the socket of the connection.
+        tasks: runs the task that sends waiting data.
         on_ended: is called when the connection is found broken, or is drained after `write_eof_when_drained`.
+
+    Attributes:
+        unsent: data that was written and is not yet accepted by the kernel.
+        is_broken: a write has found the connection broken.
     """
 
-    def __init__(self, connected: socket.socket, tasks: TaskGroup, on_ended: Callable[[], None]) -> None:
-        connected.setblocking(False)
-        connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._socket = connected
+    def __init__(
+        self, connected_socket: socket.socket, tasks: TaskGroup, on_ended: Callable[[], None]
+    ) -> None:
+        connected_socket.setblocking(False)
+        connected_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self._socket = connected_socket
         self._tasks = tasks
         self._on_ended = on_ended
-        self.unsent = bytearray()  # written, and not yet taken by the kernel
-        self.is_broken = False  # whether it was found broken by writing
-        self._is_sending = False  # whether the task that writes what waits runs
-        self._is_finishing = False  # whether `on_ended` is called once it is drained
+        self.unsent = bytearray()
+        self.is_broken = False
+        self._is_sending = False  # the task that sends waiting data is running
+        self._is_finishing = False  # `on_ended` is to be called once the connection is drained
 
     def write(self, message: bytes) -> bool:
-        """Sends a message now or later; False if the connection is broken and nothing of it has left."""
+        """Sends a message now or later; False if the connection is broken and nothing of it was sent."""
         sent = 0
         if not self.unsent:
             try:
@@ -94,7 +100,7 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._break()
+                self._on_broken()
                 return False
         if sent < len(message):
             self.unsent += message[sent:]
@@ -104,10 +110,10 @@
         return True
 
     def write_eof_when_drained(self) -> None:
-        """Has `on_ended` called once what waits has been sent."""
+        """Lets `on_ended` be called once all waiting data has been sent."""
         self._is_finishing = True
         if not self.unsent:
-            self._finished()
+            self._on_drained()
 
     async def _send_unsent(self) -> None:
         try:
@@ -115,36 +121,36 @@
                 await anyio.wait_writable(self._socket)
                 with suppress(BlockingIOError):
                     del self.unsent[: self._socket.send(self.unsent)]
-        except (*CONNECTION_ENDED, ValueError):  # the latter if it was closed before the wait
-            self._break()
+        except (*CONNECTION_ENDED, ValueError):  # ValueError if the socket was closed before the wait
+            self._on_broken()
         self._is_sending = False
         if self._is_finishing:
-            self._finished()
+            self._on_drained()
 
-    def _break(self) -> None:
+    def _on_broken(self) -> None:
         self.is_broken = True
         self._on_ended()
 
-    def _finished(self) -> None:
+    def _on_drained(self) -> None:
         self._is_finishing = False
         self._on_ended()
 
     def shutdown_write(self) -> None:
-        """Shuts the sending side; what the peer sends can still be received."""
+        """Shuts down the sending side; data of the peer can still be received."""
         self._socket.shutdown(socket.SHUT_WR)
 
     def is_open(self) -> bool:
-        """Whether it has not been closed on this side."""
+        """Whether the connection is not closed on this side."""
         return self._socket.fileno() >= 0
 
     def close(self) -> None:
-        """Closes the descriptor at once; tasks that wait for it are told so."""
+        """Closes the descriptor at once, and wakes the tasks that wait for it."""
         if self._socket.fileno() >= 0:
             anyio.notify_closing(self._socket)
             self._socket.close()
 
     def reset_on_close(self) -> None:
-        """Has the close reset the connection, as the end of a process does."""
+        """Lets `close` reset the connection, as the end of a process does."""
         if self._socket.fileno() >= 0:
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
@@ -152,9 +158,9 @@
         """Waits for data and returns it.
 
         Raises:
-            TimeoutError: nothing came in time.
+            TimeoutError: nothing was received in time.
             anyio.EndOfStream: the peer has closed its side.
-            anyio.ClosedResourceError: it was closed on this side.
+            anyio.ClosedResourceError: the connection was closed on this side.
             OSError: the connection is broken.
         """
         if self._socket.fileno() < 0:
@@ -165,7 +171,7 @@
             with anyio.move_on_after(timeout_s):
                 await anyio.wait_readable(self._socket)
         try:
-            # Also after the timeout: on a late event loop it may be over while data is there.
+            # Read even after the timeout: if the event loop was late, data may have arrived all the same.
             size = self._socket.recv_into(_READ_BUFFER)
         except BlockingIOError:
             raise TimeoutError from None
@@ -174,7 +180,7 @@
         return bytes(_READ_BUFFER[:size])
 
     def receive_available(self) -> bytes | None:
-        """Returns what has come, without waiting: None if nothing has, b"" once the connection has ended."""
+        """Returns the available data without waiting; None if there is none, b"" after the end."""
         try:
             return bytes(_READ_BUFFER[: self._socket.recv_into(_READ_BUFFER)])
         except BlockingIOError:
@@ -183,13 +189,13 @@
             return b""
 
     def has_unread(self) -> bool:
-        """Whether data has come that was not received yet; the end of the stream is none."""
+        """Whether there is data that was not received yet; the end of the stream does not count as data."""
         return bool(self._peek())
 
     def has_ended(self) -> bool:
         """Whether the peer has closed its side, or the connection has broken.
 
-        This is asked of the kernel, as the end would be read seconds late behind megabytes of data.
+        The kernel is asked, as a reader would find the end only after megabytes of data, seconds later.
         """
         peeked = self._peek()
         if peeked is None:
@@ -200,7 +206,7 @@
         try:
             return self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) == _CLOSE_WAIT
         except OSError:
-            return False  # this system does not have it
+            return False  # the system does not support TCP_INFO
 
     def _peek(self) -> bytes | None:
         try:
