--- a/cresstray/membership/__init__.py
+++ b/cresstray/membership/__init__.py
@@ -1,5 +1,5 @@
-"""The endpoint list that survives a restart: its snapshot on disk, and the estimate that is made from it.
+"""The endpoint list across restarts: its snapshot on disk, and the membership estimate that is made from it.
 
-A gateway that starts while the discovery service is down has only what it wrote before. It probes each
-endpoint of that snapshot before it sends requests there, and discovery overrides the snapshot as it returns.
+A gateway that starts while the discovery service is down knows only the endpoints of its own snapshot. It
+probes each of them before it sends requests there. Once discovery is back its list overrides the snapshot.
 """
--- a/cresstray/membership/background_writer.py
+++ b/cresstray/membership/background_writer.py
@@ -1,4 +1,4 @@
-"""When a snapshot is written: seldom enough to cost nothing, later where the disk is slow or fails."""
+"""Decides when a snapshot is written: seldom enough to cost little, later if the disk is slow or fails."""
 
 from __future__ import annotations
 
@@ -6,29 +6,33 @@
 
 from cresstray.membership.confidence import SECOND_US
 
-# Changes of the list wait this long, so that a rollout of hundreds of engines is one write.
+# A change of the list is written after this delay, so that a rollout of hundreds of engines is one write.
 _CHANGE_DELAY_US = 2 * SECOND_US
-# Learned state alone is written this often.
+# Without a change of the list, learned state is written at this interval.
 _WRITE_INTERVAL_US = 30 * SECOND_US
-# Writing takes at most one part in so many of the time: after a sync of 5 s the disk rests for four minutes.
+# After a write the disk is left alone for this multiple of the write's duration, so that writes take at most
+# two per cent of the time: after a sync of 5 s the next write is four minutes later.
 _REST_FACTOR = 50
-# A predecessor that ends as planned releases the folder within some four seconds.
+# A predecessor that ends as planned releases the folder within about four seconds.
 _LOCK_RETRY_DELAY_US = SECOND_US
-# A full or read-only disk is tried again after so long, doubled each time.
+# The delay after a failed write, as of a full or read-only disk; it doubles with each failure.
 _MIN_RETRY_DELAY_US = 5 * SECOND_US
 _MAX_RETRY_DELAY_US = 300 * SECOND_US
 _MAX_DOUBLINGS = 6
-# Delays are drawn from this share of the full delay on, so that gateways don't retry together.
+# Delays are random between this share of the full delay and the full delay, so that gateways don't retry
+# together.
 _MIN_DELAY_SHARE = 0.5
 
 
 class WriteSchedule:
     """Decides when the next snapshot is due; one write runs at a time.
 
+    `chance` returns a number in [0, 1).
+
     Attributes:
-        changed_at_us: Since when the list differs from the disk; None where it does not.
-        last_write_us: When the last write that succeeded started.
-        write_started_us: When the running write started; None where none runs.
+        changed_at_us: Since when the list differs from the disk; None if it does not differ.
+        last_write_us: When the last successful write started.
+        write_started_us: When the running write started; None if no write is running.
     """
 
     def __init__(self, chance: Callable[[], float], now_us: int) -> None:
@@ -53,20 +57,20 @@
         return now_us - self.last_write_us >= _WRITE_INTERVAL_US
 
     def on_write_started(self, now_us: int) -> None:
-        """Records that all known until now is being written; later changes need another write."""
+        """Records that the present state is being written; later changes need another write."""
         assert self.write_started_us is None, "two writes at once"
         self.write_started_us = now_us
         self.changed_at_us = None
 
     def on_folder_locked(self, now_us: int) -> None:
-        """Records that another process still holds the folder; the write is repeated soon."""
+        """Records that another process still has the folder locked; the write is repeated soon."""
         self.changed_at_us = self.write_started_us
         self.write_started_us = None
         self._not_before_us = now_us + _LOCK_RETRY_DELAY_US
 
     def on_write_finished(self, is_success: bool, duration_us: int, now_us: int) -> None:
         """Records the end of a write that kept the disk busy for `duration_us`."""
-        assert self.write_started_us is not None, "a write ended that had not started"
+        assert self.write_started_us is not None, "a write has ended that was not started"
         started_us = self.write_started_us
         self.write_started_us = None
         if is_success:
@@ -79,5 +83,5 @@
         delay_us = min(
             _MAX_RETRY_DELAY_US, _MIN_RETRY_DELAY_US << min(self._failure_count - 1, _MAX_DOUBLINGS)
         )
-        drawn_us = int(delay_us * (_MIN_DELAY_SHARE + (1 - _MIN_DELAY_SHARE) * self._chance()))
-        self._not_before_us = now_us + max(_REST_FACTOR * duration_us, drawn_us)
+        retry_delay_us = int(delay_us * (_MIN_DELAY_SHARE + (1 - _MIN_DELAY_SHARE) * self._chance()))
+        self._not_before_us = now_us + max(_REST_FACTOR * duration_us, retry_delay_us)
--- a/cresstray/membership/connection_probe.py
+++ b/cresstray/membership/connection_probe.py
@@ -1,4 +1,4 @@
-"""Probes an endpoint by a connection that is closed at once, so that no request is risked."""
+"""Probes an endpoint by a connection that is closed at once, so that no request is put at risk."""
 
 from __future__ import annotations
 
--- a/cresstray/membership/errors.py
+++ b/cresstray/membership/errors.py
@@ -1,17 +1,17 @@
-"""Errors of this package."""
+"""Errors of the membership package."""
 
 from __future__ import annotations
 
 
 class MembershipError(Exception):
-    """Base class of all errors that this package raises itself."""
+    """Base class of the errors of this package."""
 
 
 class UnusableSnapshotError(MembershipError, ValueError):
     """A snapshot can't be read or written; the message is one line that says why.
 
     Attributes:
-        serial: The serial in the header of the file; 0 where it has none.
+        serial: The serial number in the header of the file; 0 if it has none.
     """
 
     def __init__(self, reason: str, serial: int = 0) -> None:
@@ -20,7 +20,7 @@
 
 
 class ForeignSnapshotError(UnusableSnapshotError):
-    """The snapshot is whole, but another gateway's; it must not be overwritten."""
+    """The snapshot is intact, but was written by another gateway; it must not be overwritten."""
 
 
 class FolderInUseError(MembershipError, BlockingIOError):
@@ -28,4 +28,4 @@
 
 
 class UnknownEndpointError(MembershipError, KeyError):
-    """A snapshot does not hold the endpoint."""
+    """The snapshot does not contain the endpoint."""
--- a/cresstray/membership/estimate.py
+++ b/cresstray/membership/estimate.py
@@ -10,10 +10,11 @@
 | REGISTERED | - | - | - | - | - | - | - |
 | REMOVED | - | - | - | - | - | - | - |
 
-"-" changes nothing. Discovery makes any state REGISTERED by naming the endpoint, and REMOVED by removing it,
-or leaving it out of a complete list; a removed endpoint returns by news that is later than its removal. What
-leaves PROBING (listed) or CONFIRMED for UNREACHABLE or REMOVED is taken off the list. Snapshots change the
-states of endpoints only that neither discovery nor a contact of this process tells of.
+"-" stands for no change. Discovery changes any state to REGISTERED by naming the endpoint, and to REMOVED by
+removing it or by leaving it out of a complete list; a removed endpoint returns by news that is later than its
+removal. An endpoint that changes from PROBING (listed) or CONFIRMED to UNREACHABLE or REMOVED is not listed
+any more. A snapshot only changes the states of endpoints that neither discovery nor a contact of this process
+has given evidence of.
 """
 
 from __future__ import annotations
@@ -39,24 +40,25 @@
 from cresstray.membership.remembered_list import apply_tombstones, merge_endpoints
 from cresstray.policy.types import EndpointState
 
-# A probe without a result after so long is lost: a connection attempt is given up far sooner.
+# A probe without a result after so long is lost, as an attempt to connect times out far sooner.
 _PROBE_LOST_US = 5 * SECOND_US
-# Discovery sends an empty frame each second; without one for so long it is silent.
+# Discovery sends an empty frame each second; after so long without one its watch counts as silent.
 _WATCH_SILENT_US = 2 * SECOND_US
-# While nothing is listed yet, requests wait so long for the first probes; after that they are rejected.
+# While no endpoint is listed, requests wait for the first probes for so long; after that they are rejected.
 _FIRST_PROBES_US = SECOND_US // 2
-# A rejected request is told to return after a time drawn from this share of the longest on.
+# The retry_after of a rejected request is random between this share of the maximum and the maximum.
 _MIN_RETRY_AFTER_SHARE = 0.25
 
 
 class MembershipEstimate(EstimateTable):
     """The estimates of all endpoints. Times are microseconds of one clock, ages microseconds.
 
-    What must be listed for requests as a result of a call is returned, as endpoints of an event.
+    Methods return the endpoints whose listing for requests changes by the call, as endpoints of an event.
+    `chance` returns a number in [0, 1).
 
     Attributes:
         started_us: When the process started.
-        is_handed_over: The snapshot is of a gateway that handed over to this one a moment ago.
+        is_handed_over: The snapshot is of a gateway that has handed over to this one a moment ago.
     """
 
     def __init__(
@@ -68,10 +70,10 @@
         self._chance = chance
         self.started_us = now_us
         self.is_handed_over = False
-        # Drawn, so that gateways probe in different orders.
+        # Random, so that gateways probe in different orders.
         self._probe_order: list[int] = []
 
-    # Lists of others than discovery.
+    # Lists from other sources than discovery.
 
     def merge_remembered(
         self,
@@ -82,18 +84,18 @@
         now_us: int,
         is_handed_over: bool = False,
     ) -> list[Endpoint]:
-        """Merges a snapshot or another gateway's list; what this process knows better stays.
+        """Merges a snapshot or the list of another gateway; better evidence of this process takes precedence.
 
         Args:
-            remembered: Endpoints, each with the age of the evidence of it.
-            index: The index of discovery when the list was made.
-            tombstones: Removed endpoints, which count before what listens at their addresses.
+            remembered: Endpoints, each with the age of the last evidence of it.
+            index: The index of discovery when the list was written.
+            tombstones: Removed endpoints, which take precedence over whatever listens at their addresses.
             source: Where the list comes from.
             now_us: The present time.
             is_handed_over: The list was written a moment ago by a gateway that ended as planned.
 
         Returns:
-            Listed endpoints that the list names as removed, or as started since.
+            Listed endpoints that the list names as removed, or as restarted since.
         """
         listed_before = {
             endpoint_id: (estimate.endpoint, estimate.listed_start_us)
@@ -125,13 +127,13 @@
                 changed.append(_ready(estimate.endpoint, estimate.listed_start_us))
         return changed
 
-    # Events of discovery, which count before all other evidence.
+    # Events of discovery, which take precedence over all other evidence.
 
     def apply_event(self, event: EndpointEvent, now_us: int) -> EndpointEvent:
-        """Applies an event; returns it without what an older list would bring back.
+        """Applies an event; returns it without the endpoints that an older list would bring back.
 
-        A complete list with a smaller index than one known before becomes a partial one: it can't say which
-        endpoints are removed.
+        A complete list with a smaller index than an earlier one becomes a partial list, as it can't tell
+        which endpoints are removed.
         """
         is_complete = self.index_tracker.observe(event.index, event.is_complete, now_us)
         named = {endpoint.id for endpoint in event.endpoints}
@@ -143,14 +145,14 @@
             elif not self._is_outdated(endpoint, event.index):
                 endpoints += self._register(endpoint, named, event.index, now_us)
         if is_complete:
-            for endpoint_id in [engine for engine in self.endpoints if engine not in named]:
+            for endpoint_id in [known_id for known_id in self.endpoints if known_id not in named]:
                 self.remove(endpoint_id, 0, event.index, now_us)
-            # A complete list removes by leaving out, connections included.
-            endpoints = [one for one in endpoints if one.state is not EndpointState.REMOVED]
+            # A complete list removes endpoints, and their connections, by leaving them out.
+            endpoints = [endpoint for endpoint in endpoints if endpoint.state is not EndpointState.REMOVED]
         return EndpointEvent(event.index, is_complete, endpoints)
 
     def _is_outdated(self, endpoint: Endpoint, index: int) -> bool:
-        """Whether a later removal is known, or from an older list a later start."""
+        """Whether a later removal of the endpoint is known or, if the list is an older one, a later start."""
         if self.tombstones.forbids(endpoint.id, endpoint.started_us, index):
             return True
         known = self.endpoints.get(endpoint.id)
@@ -179,7 +181,7 @@
     def _release_address(
         self, endpoint: Endpoint, named: set[int], index: int, now_us: int
     ) -> list[Endpoint]:
-        """Removes the endpoint that had this address, unless the event names it as well."""
+        """Removes the endpoint that has had this address, unless the event names that endpoint as well."""
         owner = self.id_by_address.get((endpoint.host, endpoint.port), endpoint.id)
         if owner == endpoint.id or owner in named:
             return []
@@ -188,15 +190,15 @@
         return [_removed(known.endpoint)] if known.is_listed else []
 
     def _start_for_listing_us(self, endpoint: Endpoint, index: int, now_us: int) -> int:
-        """Returns since when the endpoint may be taken to be up.
+        """Returns since when the endpoint may be assumed to be up.
 
-        Discovery that was down, or is behind, names starts from before a loss of power. All gateways hear of
-        it at once, and would send full load to engines that are still cold.
+        Discovery that was down, or is behind, names starts from before a power failure. All gateways receive
+        that event together, and would send full load to engines that are still cold.
         """
         known = self.endpoints.get(endpoint.id)
         if known is not None and known.is_listed:
             return max(endpoint.started_us, known.listed_start_us)
-        # One that failed is probed again by now, and is still as cold.
+        # An endpoint that has failed may be probed again by now, and is still as cold as after its failure.
         has_failed = known is not None and known.failure_count > 0
         if index < self.index_tracker.highest or has_failed:
             return max(endpoint.started_us, now_us)
@@ -206,7 +208,7 @@
         if endpoint.state is not EndpointState.DRAINING:
             return 0
         known = self.endpoints.get(endpoint.id)
-        # Named again it is the same drain: its grace counts from when this process first heard of it.
+        # A drain that is named again is the same drain, and its grace period counts from the first event.
         if (
             known is not None
             and known.state is EstimateState.REGISTERED
@@ -217,21 +219,22 @@
         return now_us
 
     def drain_grace_left_us(self, endpoint_id: int, now_us: int) -> int:
-        """Returns what is left of the grace of a drain that discovery named; 0 where there is none."""
+        """Returns the rest of the grace period of a drain that discovery has named; 0 if there is none."""
         estimate = self.endpoints.get(endpoint_id)
         if estimate is None or not estimate.drain_began_us:
             return 0
         return max(0, estimate.drain_began_us + self._drain_grace_us - now_us)
 
     def on_watch_frame(self, now_us: int) -> None:
-        """Records a frame of the watch: what discovery has named is as fresh as that."""
+        """Records a frame of the watch, which renews the evidence of all endpoints named by discovery."""
         self._last_frame_us = now_us
 
     def settle_index(self, now_us: int) -> EndpointEvent | None:
-        """Accepts a smaller index that has stood for the settle time.
+        """Accepts a smaller index that discovery has kept to for the settle time.
 
         Returns:
-            The event that removes endpoints that discovery has not named; None while nothing is settled.
+            The event that removes the endpoints that discovery has not named; None while the index is not
+            settled.
         """
         if now_us - self._last_frame_us > _WATCH_SILENT_US:
             self.index_tracker.on_watch_silent(now_us)
@@ -239,16 +242,16 @@
             return None
         self.index_tracker.accept_last()
         last_index = self.index_tracker.last
-        unnamed = [one for one in self.endpoints.values() if one.state is not EstimateState.REGISTERED]
+        unnamed = [known for known in self.endpoints.values() if known.state is not EstimateState.REGISTERED]
         for estimate in unnamed:
             self.remove(estimate.endpoint.id, 0, last_index, now_us)
         self.tombstones.rebase(last_index)
-        return EndpointEvent(0, False, [_removed(one.endpoint) for one in unnamed if one.is_listed])
+        return EndpointEvent(0, False, [_removed(known.endpoint) for known in unnamed if known.is_listed])
 
-    # Probes: a connection first, then requests as a cold engine gets them, until it has served.
+    # Probes: first a connection, then requests at the rate for a cold engine, until one is served.
 
     def start_due_probes(self, now_us: int) -> list[Endpoint]:
-        """Returns the endpoints to probe now, each once; results go to `on_contact`."""
+        """Starts the probes that are due and returns their endpoints; `on_contact` takes the results."""
         for endpoint_id, started_us in list(self.probe_budget.in_flight.items()):
             if now_us - started_us >= _PROBE_LOST_US:
                 self.on_contact(endpoint_id, ContactResult.TIMED_OUT, now_us)
@@ -269,7 +272,7 @@
         return started
 
     def on_contact(self, endpoint_id: int, result: ContactResult, now_us: int) -> list[Endpoint]:
-        """Applies the result of a probe or of an attempt; returns what must be listed because of it."""
+        """Applies the result of a probe or of an attempt; returns the endpoints whose listing changes."""
         estimate = self.endpoints.get(endpoint_id)
         is_success = result in (ContactResult.LISTENING, ContactResult.SERVED)
         self.probe_budget.on_finished(endpoint_id, is_success)
@@ -278,7 +281,7 @@
         if is_success:
             return self._on_success(estimate, result, now_us)
         if result is ContactResult.TIMED_OUT and estimate.state is EstimateState.CONFIRMED:
-            return []  # heavy work takes long too; the policy's suspicion has this one
+            return []  # heavy requests time out too; the policy has rules of its own to suspect an engine
         return self._on_failure(estimate, result, now_us)
 
     def _on_success(self, estimate: EndpointEstimate, result: ContactResult, now_us: int) -> list[Endpoint]:
@@ -297,7 +300,7 @@
         was_listed = estimate.is_listed
         estimate.is_listed = False
         if result is ContactResult.WRONG_IDENTITY:
-            # The address is another endpoint's now, which is not listed until a list names it.
+            # The address belongs to another endpoint now, which is not listed until a list names it.
             self.remove(endpoint.id, endpoint.started_us, self.index_tracker.highest, now_us)
         else:
             self.transition(estimate, EstimateState.UNREACHABLE)
@@ -309,7 +312,7 @@
         return [_removed(endpoint)] if was_listed else []
 
     def forget(self, endpoint_id: int, now_us: int) -> list[Endpoint]:
-        """Removes a known endpoint for an operator; later news of discovery may bring it back."""
+        """Removes a known endpoint at an operator's request; a later event of discovery may bring it back."""
         estimate = self.endpoints[endpoint_id]
         self.remove(endpoint_id, estimate.endpoint.started_us, self.index_tracker.highest, now_us)
         return [_removed(estimate.endpoint)] if estimate.is_listed else []
@@ -317,8 +320,8 @@
     def _list_endpoint(self, estimate: EndpointEstimate, now_us: int) -> list[Endpoint]:
         estimate.is_listed = True
         self._counts = None
-        # It may have started at any time until now, alone or with all others: it is cold from this moment on,
-        # unless the gateway that handed over saw it warm a few seconds ago.
+        # The engine may have started at any time until now, alone or with all others. So it counts as cold
+        # from now on, unless the gateway that has handed over found it warm a few seconds ago.
         is_warm = (
             self.is_handed_over
             and now_us - self.started_us < HANDOVER_VALIDITY_US
@@ -328,25 +331,25 @@
         estimate.listed_start_us = estimate.endpoint.started_us if is_warm else now_us
         return [_ready(estimate.endpoint, estimate.listed_start_us)]
 
-    # What it means for requests.
+    # Admission of requests.
 
     def retry_after_us(self, can_repeat: bool, now_us: int) -> int | None:
-        """Returns None where a request is taken in, else after how long a client should retry.
+        """Returns None if a request is admitted, else after how long the client should retry.
 
         Args:
-            can_repeat: The request may run more than once without harm.
+            can_repeat: The request may safely run more than once.
             now_us: The present time.
         """
         counts = self.counts()
         if counts.registered or counts.confirmed:
             return None
         if counts.listed_probing:
-            # A request that may run only once must not be the first that a remembered address gets.
+            # The first request to a remembered address must not be one that may run only once.
             if can_repeat or self.is_handed_over:
                 return None
         elif now_us - self.started_us < _FIRST_PROBES_US:
             return None
-        # All gateways of a site reject at once, and engines warm up slowly: the delays are spread widely.
+        # All gateways of a site reject together, and engines warm up slowly, so the delays are spread widely.
         share = _MIN_RETRY_AFTER_SHARE + (1 - _MIN_RETRY_AFTER_SHARE) * self._chance()
         return int(self._max_retry_after_us * share)
 
--- a/cresstray/membership/estimate_states.py
+++ b/cresstray/membership/estimate_states.py
@@ -11,24 +11,24 @@
 
 
 class EstimateState(Enum):
-    """What is known of an endpoint; the transitions are in `cresstray.membership.estimate`."""
+    """What is known of an endpoint; `cresstray.membership.estimate` has the table of transitions."""
 
     REMEMBERED = "remembered"
-    """A snapshot or another gateway's list has it."""
+    """A snapshot or the list of another gateway has it."""
     PROBING = "probing"
-    """A connection is being made, or something listens that has not served yet."""
+    """A connection probe is in flight, or something listens there that has not served a request yet."""
     CONFIRMED = "confirmed"
-    """It has served this process."""
+    """It has served a request of this process."""
     UNREACHABLE = "unreachable"
-    """It refused, timed out, or drains; it is probed again."""
+    """It refused or timed out, or is draining; it will be probed again."""
     REGISTERED = "registered"
     """Discovery has named it to this process."""
     REMOVED = "removed"
-    """A tombstone stands for it."""
+    """It was removed, and has a tombstone."""
 
 
 class EvidenceSource(Enum):
-    """Where the last evidence of an endpoint came from."""
+    """Where the last evidence of an endpoint came from; the values are those of status reports."""
 
     DISCOVERY = "register"
     PEER = "peer"
@@ -51,13 +51,15 @@
     """What is known of one endpoint; times are microseconds of this process's clock.
 
     Attributes:
-        endpoint: As discovery or a list last named it, with the start named there.
-        evidence_us: When it was last known to be there; before the process started for what is older.
-        next_probe_us: When it may be probed.
-        failure_count: Failures in a row.
+        endpoint: As discovery or a list named it last, with the start that was named with it.
+        state: Its state.
+        source: Where the last evidence of it came from.
+        evidence_us: The time of that evidence, which may be before the start of this process.
+        next_probe_us: It may be probed from then on.
+        failure_count: The number of failures in a row.
         is_listed: Requests may be sent to it.
-        listed_start_us: The start that it was listed with on no evidence but this process's.
-        drain_began_us: When its drain was first named to this process; 0 where it was not.
+        listed_start_us: The start that it was listed with by the evidence of this process alone.
+        drain_began_us: When this process was first told that it drains; 0 if it was not told.
     """
 
     endpoint: Endpoint
--- a/cresstray/membership/estimate_table.py
+++ b/cresstray/membership/estimate_table.py
@@ -1,4 +1,4 @@
-"""The estimates of all endpoints by id and address, and the one place that changes the state of one."""
+"""The estimates of all endpoints by id and address, and the only methods that change their states."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from cresstray.membership.reconciliation import IndexTracker, Tombstones
 from cresstray.policy.types import EndpointState
 
-# Far beyond any fleet: bounds what a faulty list or a folder that grew for years takes.
+# Far above the size of any fleet: bounds the memory for a faulty list, or for a folder that grew for years.
 MAX_ENDPOINTS = 20_000
-# An endpoint of unknown age that failed so many probes is not stored any more.
+# An endpoint of unknown age is not stored any more after so many failed probes.
 _MAX_STORED_FAILURES = 20
 
 
 class EstimateTable:
-    """Estimates and tombstones. `transition`, `put` and `remove` alone change the state of an endpoint.
+    """Estimates and tombstones. Only `transition`, `put` and `remove` change the state of an endpoint.
 
     Attributes:
         endpoints: The estimates by endpoint id.
-        tombstones: Removed endpoints.
-        index_tracker: The index of discovery.
-        probe_budget: Probes in flight, and how many there may be.
-        id_by_address: Which endpoint has a host and port.
+        tombstones: The removed endpoints.
+        index_tracker: The index of the discovery service.
+        probe_budget: The probes in flight, and their limit.
+        id_by_address: The ids of the endpoints by host and port.
     """
 
     def __init__(self, now_us: int) -> None:
@@ -36,14 +36,14 @@
         self._counts: EstimateCounts | None = None
 
     def state_of(self, endpoint_id: int) -> EstimateState | None:
-        """Returns the state of an endpoint; None where it is not known."""
+        """Returns the state of an endpoint; None if the endpoint is unknown."""
         estimate = self.endpoints.get(endpoint_id)
         if estimate is not None:
             return estimate.state
         return EstimateState.REMOVED if endpoint_id in self.tombstones else None
 
     def counts(self) -> EstimateCounts:
-        """Returns how many endpoints may be sent to, on what evidence, and how many are not listed."""
+        """Returns how many endpoints requests may be sent to, by evidence, and how many are not listed."""
         if self._counts is None:
             self._counts = self._count_states()
         return self._counts
@@ -70,15 +70,15 @@
         registered = EstimateState.REGISTERED
         return [
             (
-                one.endpoint,
-                max(one.evidence_us, last_frame_us) if one.state is registered else one.evidence_us,
+                known.endpoint,
+                max(known.evidence_us, last_frame_us) if known.state is registered else known.evidence_us,
             )
-            for one in self.endpoints.values()
-            if one.failure_count < _MAX_STORED_FAILURES or now_us - one.evidence_us < UNKNOWN_AGE_US
+            for known in self.endpoints.values()
+            if known.failure_count < _MAX_STORED_FAILURES or now_us - known.evidence_us < UNKNOWN_AGE_US
         ]
 
     def evidence_ages(self, now_us: int) -> list[tuple[Endpoint, int]]:
-        """Returns the same with the ages of the evidence."""
+        """Returns the endpoints to store, each with the age of the last evidence of it."""
         return [
             (endpoint, max(0, min(UNKNOWN_AGE_US, now_us - evidence_us)))
             for endpoint, evidence_us in self.evidence(now_us)
@@ -90,14 +90,14 @@
         self._counts = None
 
     def put(self, estimate: EndpointEstimate) -> None:
-        """Begins an estimate, in place of any other of the endpoint."""
+        """Adds an estimate, in place of any earlier one of the endpoint."""
         endpoint = estimate.endpoint
         self.drop(endpoint.id)
         self.endpoints[endpoint.id] = estimate
         self.id_by_address[endpoint.host, endpoint.port] = endpoint.id
 
     def drop(self, endpoint_id: int) -> EndpointEstimate | None:
-        """Ends an estimate; returns it, where there was one."""
+        """Drops the estimate of an endpoint; returns it, or None if there was none."""
         self.probe_budget.in_flight.pop(endpoint_id, None)
         self._counts = None
         estimate = self.endpoints.pop(endpoint_id, None)
@@ -108,7 +108,7 @@
         return estimate
 
     def remove(self, endpoint_id: int, started_us: int, index: int, now_us: int) -> None:
-        """Ends an estimate with a tombstone."""
+        """Drops the estimate of an endpoint and adds a tombstone."""
         estimate = self.drop(endpoint_id)
         if estimate is not None:
             started_us = max(started_us, estimate.endpoint.started_us)
--- a/cresstray/membership/inspection.py
+++ b/cresstray/membership/inspection.py
@@ -1,4 +1,4 @@
-"""What operators see of a snapshot folder, and how they remove an endpoint from it."""
+"""Reports on snapshot folders for operators, and the removal of an endpoint from a folder."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 _DAY_US = 86_400 * SECOND_US
 
 
-# The states by the words that reports have always had.
+# The names of the states in reports, which operators' scripts read; they are older than the names in code.
 _REPORTED_STATES = {
     EstimateState.REMEMBERED: "remembered",
     EstimateState.PROBING: "on trial",
@@ -36,43 +36,43 @@
 
 
 class FileCheck(NamedTuple):
-    """Whether one file of a folder can be used, and a line that says so."""
+    """Whether one file of a folder can be used, and a line that explains it."""
 
     file_name: str
     is_usable: bool
     line: str
 
 
-# The keys of the reports are what operators' scripts read; they keep the earlier terms.
+# Operators' scripts read the keys of the reports, so the keys keep earlier terms.
 
 
 def report(snapshot: Snapshot, now: ClockReading) -> dict[str, Any]:
-    """Returns the snapshot as plain maps, ages in seconds; an age of None is not known."""
-    age = age_us(snapshot.written_at, now)
+    """Returns the snapshot as plain maps, with ages in seconds; an unknown age is None."""
+    snapshot_age_us = age_us(snapshot.written_at, now)
     return {
         "owner": snapshot.owner,
-        "age": _age_seconds(age),
+        "age": _to_seconds(snapshot_age_us),
         "index": snapshot.index,
         "handed_over": snapshot.is_handed_over,
-        "engines": [_endpoint_report(entry, age) for entry in snapshot.endpoints],
+        "engines": [_endpoint_report(entry, snapshot_age_us) for entry in snapshot.endpoints],
         "gone": [_tombstone_report(tombstone) for tombstone in snapshot.tombstones],
         "tariffs": [_latency_report(entry) for entry in snapshot.latencies],
         "limits": len(snapshot.limits),
     }
 
 
-def _age_seconds(age: int) -> float | None:
-    return None if age >= UNKNOWN_AGE_US else round(age / 1e6, 1)
+def _to_seconds(elapsed_us: int) -> float | None:
+    return None if elapsed_us >= UNKNOWN_AGE_US else round(elapsed_us / 1e6, 1)
 
 
 def _endpoint_report(entry: EndpointEntry, snapshot_age_us: int) -> dict[str, Any]:
-    age = snapshot_age_us + entry.age_us
+    evidence_age_us = snapshot_age_us + entry.age_us
     return {
         "id": endpoint_label(entry.id),
         "address": f"{entry.host}:{entry.port}",
         "draining": entry.is_draining,
-        "age": _age_seconds(age),
-        "trust": round(confidence(min(age, UNKNOWN_AGE_US), LIST_HALF_LIFE_US), 3),
+        "age": _to_seconds(evidence_age_us),
+        "trust": round(confidence(min(evidence_age_us, UNKNOWN_AGE_US), LIST_HALF_LIFE_US), 3),
     }
 
 
@@ -93,29 +93,32 @@
 
 
 def endpoint_label(endpoint_id: int) -> str:
-    """Returns the label of an endpoint, as operators write it."""
+    """Returns the label of an endpoint in reports and commands."""
     return f"s-{endpoint_id:08x}"
 
 
-def status(estimate: MembershipEstimate, now_us: int) -> list[dict[str, Any]]:
-    """Returns the estimate of a running gateway, a plain map for each endpoint; ages in seconds."""
-    ages_us = {endpoint.id: age for endpoint, age in estimate.evidence_ages(now_us)}
+def status(membership_estimate: MembershipEstimate, now_us: int) -> list[dict[str, Any]]:
+    """Returns the estimates of a running gateway, a plain map for each endpoint; ages are in seconds."""
+    ages_us = {
+        endpoint.id: evidence_age_us
+        for endpoint, evidence_age_us in membership_estimate.evidence_ages(now_us)
+    }
     return [
         {
             "id": endpoint_label(endpoint_id),
-            "address": f"{one.endpoint.host}:{one.endpoint.port}",
-            "state": _REPORTED_STATES[one.state],
-            "source": one.source.value,
-            "listed": one.is_listed,
-            "age": _age_seconds(ages_us.get(endpoint_id, UNKNOWN_AGE_US)),
-            "failed": one.failure_count,
+            "address": f"{estimate.endpoint.host}:{estimate.endpoint.port}",
+            "state": _REPORTED_STATES[estimate.state],
+            "source": estimate.source.value,
+            "listed": estimate.is_listed,
+            "age": _to_seconds(ages_us.get(endpoint_id, UNKNOWN_AGE_US)),
+            "failed": estimate.failure_count,
         }
-        for endpoint_id, one in estimate.endpoints.items()
+        for endpoint_id, estimate in membership_estimate.endpoints.items()
     ]
 
 
 def verify(folder: SnapshotFolder) -> list[FileCheck]:
-    """Checks each file that is there."""
+    """Checks each snapshot file of the folder that exists."""
     checks = []
     for found in folder.read_each():
         if found.snapshot is None:
@@ -128,10 +131,12 @@
 
 
 def without_endpoint(snapshot: Snapshot, endpoint_id: int) -> Snapshot:
-    """Returns the snapshot with a tombstone in place of the endpoint, which only later news lifts.
+    """Returns the snapshot with a tombstone in place of the endpoint.
+
+    Only a later event of discovery brings the endpoint back.
 
     Raises:
-        UnknownEndpointError: The snapshot does not hold the endpoint.
+        UnknownEndpointError: The snapshot does not contain the endpoint.
     """
     removed = next((entry for entry in snapshot.endpoints if entry.id == endpoint_id), None)
     if removed is None:
@@ -149,8 +154,8 @@
     """Removes an endpoint from the folder of a stopped gateway.
 
     Raises:
-        FolderInUseError: The gateway runs.
-        UnknownEndpointError: No snapshot holds the endpoint.
+        FolderInUseError: The gateway is running.
+        UnknownEndpointError: No snapshot contains the endpoint.
         OSError, UnusableSnapshotError: The snapshot can't be written.
     """
     if not folder.lock():
@@ -159,6 +164,6 @@
     if found is None:
         raise UnknownEndpointError(endpoint_id)
     changed = without_endpoint(found, endpoint_id)
-    # Both generations are written: the older one would still name the endpoint.
+    # Written twice, to replace both generations, as the older one would still contain the endpoint.
     folder.write(changed)
     folder.write(changed)
--- a/cresstray/membership/learned_state.py
+++ b/cresstray/membership/learned_state.py
@@ -1,4 +1,4 @@
-"""Takes learned latencies and limits out of the policy controller for a snapshot, and restores them."""
+"""Collects learned latencies and limits from the policy controller for a snapshot, and restores them."""
 
 from __future__ import annotations
 
@@ -19,22 +19,23 @@
 from cresstray.policy.engine_state import EngineState
 from cresstray.policy.types import Engine
 
-# A request class with fewer known answers weighs its whole latency objective on an engine that warms up. With
-# many gateways that alone may be over this gateway's part, and nothing would be sent until engines are warm.
-# Latencies of an old snapshot count as no more than this, so the first answers correct them.
+# A request class with fewer samples counts with its whole latency objective on an engine that is warming up.
+# With many gateways one request may then exceed this gateway's share, and nothing would be sent until engines
+# are warm. Latencies of an old snapshot count as no more samples than this, so that the first answers correct
+# them.
 _MIN_SAMPLE_COUNT = 5
 _MAX_SAMPLE_COUNT = 200
-# A limit with fewer samples has learned nothing worth storing.
+# A limit with fewer samples is not worth storing.
 _MIN_LIMIT_SAMPLES = 10
-# The bounds that the concurrency limit itself keeps to, as factors of what it starts with.
+# The bounds of the concurrency limit, as factors of its initial value.
 _MIN_LIMIT_RATIO = 0.1
 _MAX_LIMIT_RATIO = 1.99
-# An endpoint that nobody has vouched for gets its first request within two turns of a cold one, not one.
+# The first request to an unproven endpoint is spread over two slow-start turns of a cold engine, not one.
 _UNPROVEN_SHARE = 0.5
 
 
 class LearnedLimit(NamedTuple):
-    """The fields of a LimitEntry, gathered without the checks of its type."""
+    """The fields of a LimitEntry, collected without the checks of its type."""
 
     id: int
     started_us: int
@@ -43,7 +44,7 @@
 
 
 def collect_latencies(controller: PolicyController, names: Iterable[str]) -> list[LatencyEntry]:
-    """Returns the latencies of all request classes that have seen an answer; `names` are theirs, in order."""
+    """Returns the latencies of all request classes with samples; `names` has their names in order."""
     return [
         LatencyEntry(
             name,
@@ -60,7 +61,7 @@
 def collect_limits(
     engines: Mapping[int, tuple[Engine, EngineState]], estimates: Mapping[int, EndpointEstimate]
 ) -> list[LearnedLimit]:
-    """Returns the limits of all engines that have learned any, by endpoint id."""
+    """Returns the limits with enough samples; `engines` and `estimates` are by endpoint id."""
     return [
         LearnedLimit(
             endpoint_id,
@@ -76,9 +77,9 @@
 def restore_latencies(
     controller: PolicyController, names: Iterable[str], entries: Iterable[LatencyEntry], age_us: int
 ) -> int:
-    """Restores latencies into request classes that have seen no answer; returns into how many.
+    """Restores the latencies of request classes without samples; returns how many were restored.
 
-    Nothing is restored where the age is not known.
+    Nothing is restored if the age is unknown.
     """
     entry_by_name = {entry.name: entry for entry in entries}
     remaining = confidence(age_us, LATENCY_HALF_LIFE_US)
@@ -91,7 +92,7 @@
         latency.mean_us = entry.mean_us
         latency.mean_work_us = entry.mean_work_us
         latency.work_factor = decayed_ratio(entry.work_factor, age_us, LATENCY_HALF_LIFE_US)
-        # The older the entry, the fewer samples it counts as, and the sooner new answers move it.
+        # An older entry counts as fewer samples, so that new answers change it sooner.
         sample_count = int(min(entry.sample_count, _MAX_SAMPLE_COUNT) * remaining)
         latency.sample_count = max(_MIN_SAMPLE_COUNT, sample_count)
         restored += 1
@@ -99,21 +100,21 @@
 
 
 def restore_limit(state: EngineState, entry: LimitEntry, started_us: int | None, age_us: int) -> bool:
-    """Restores a limit into a state without samples; returns whether it did.
+    """Restores a limit into a state without samples; returns whether it was restored.
 
     Args:
-        state: What the policy knows of the engine.
-        entry: What an earlier process learned.
-        started_us: The start of the endpoint as discovery names it; None where it has not been named.
+        state: The policy's state of the engine.
+        entry: The limit that an earlier process has learned.
+        started_us: The start of the endpoint as discovery names it; None if discovery has not named it.
         age_us: The age of the entry in microseconds.
     """
-    # What was learned before an engine restarted says nothing of it now.
+    # A limit that was learned before the engine restarted does not apply any more.
     has_restarted = started_us is not None and started_us != entry.started_us
     if state.limit.sample_count or has_restarted:
         return False
     ratio = decayed_ratio(entry.ratio, age_us, LIMIT_HALF_LIFE_US)
     if started_us is None:
-        # It may have restarted: then only a lower limit is safe to restore.
+        # The engine may have restarted, so only a lower limit is safe to restore.
         ratio = min(1.0, ratio)
     state.limit.value = min(max(ratio, _MIN_LIMIT_RATIO), _MAX_LIMIT_RATIO) * state.limit.initial
     state.limit.slowdown = decayed(entry.slowdown, 1.0, age_us, SLOWDOWN_HALF_LIFE_US)
@@ -121,7 +122,7 @@
 
 
 def delay_first_turn(state: EngineState, chance: Callable[[], float], now_us: int) -> None:
-    """Draws the first turn of an unproven endpoint over twice the time of one that only warms up."""
+    """Delays the first slow-start turn of an unproven endpoint, at random by up to its remaining time."""
     if state.slow_start.next_send_us > now_us:
         delay_us = int((state.slow_start.next_send_us - now_us) / _UNPROVEN_SHARE * (0.5 + 0.5 * chance()))
         state.slow_start.next_send_us = now_us + delay_us
--- a/cresstray/membership/listed_engines.py
+++ b/cresstray/membership/listed_engines.py
@@ -1,4 +1,4 @@
-"""The engines that the policy controller has for listed endpoints, and what was learned of them before."""
+"""The policy controller's engines of listed endpoints, and the limits learned for them earlier."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """Restores learned limits as endpoints are listed.
 
     Attributes:
-        by_id: The engine and its state in the policy of each listed endpoint.
+        by_id: The engine of each listed endpoint and its state in the policy, by endpoint id.
     """
 
     def __init__(self, chance: Callable[[], float], now_us: int) -> None:
@@ -24,22 +24,22 @@
         self._chance = chance
         self._started_us = now_us
         self._id_by_engine: dict[Engine, int] = {}
-        # Endpoints that discovery has named with the start that they were remembered with.
+        # Endpoints that discovery names with the start that was known already.
         self._same_start: set[int] = set()
         self._limits: dict[int, LimitEntry] = {}
         self._limits_age_us = UNKNOWN_AGE_US
 
     def id_of(self, engine: Engine) -> int | None:
-        """Returns the endpoint id of a listed engine; None for any other."""
+        """Returns the endpoint id of a listed engine; None for any other engine."""
         return self._id_by_engine.get(engine)
 
     def remember_limits(self, limits: Iterable[LimitEntry], age_us: int) -> None:
-        """Takes the limits of a snapshot, for endpoints that are listed later."""
+        """Stores the limits of a snapshot, for endpoints that are listed later."""
         self._limits = {entry.id: entry for entry in limits}
         self._limits_age_us = age_us
 
     def set_same_start(self, endpoint_ids: set[int]) -> None:
-        """Sets the endpoints whose engines have not restarted, by the event that is listed next."""
+        """Sets the endpoints of the next event whose engines have not restarted."""
         self._same_start = endpoint_ids
 
     def on_listed(
@@ -49,7 +49,7 @@
         is_registered: Callable[[int], bool],
         now_us: int,
     ) -> None:
-        """Restores what was learned of the endpoints of an event that the controller has applied."""
+        """Restores the learned state of the endpoints of an event that the controller has applied."""
         for endpoint in event.endpoints:
             engine = engines.get(endpoint.id)
             if engine is None or engine.policy_state is None:
@@ -62,8 +62,10 @@
             self.by_id[endpoint.id] = (engine, engine.policy_state)
             self._id_by_engine[engine] = endpoint.id
         if len(self.by_id) > len(engines):
-            self.by_id = {number: listed for number, listed in self.by_id.items() if number in engines}
-            self._id_by_engine = {listed[0]: number for number, listed in self.by_id.items()}
+            self.by_id = {
+                listed_id: listed for listed_id, listed in self.by_id.items() if listed_id in engines
+            }
+            self._id_by_engine = {listed[0]: listed_id for listed_id, listed in self.by_id.items()}
 
     def _restore(
         self,
--- a/cresstray/membership/persistence.py
+++ b/cresstray/membership/persistence.py
@@ -1,4 +1,4 @@
-"""Writes snapshots in the background, and the last one for the successor of a gateway that ends."""
+"""Writes snapshots in the background, and a last one for the successor of a gateway that shuts down."""
 
 from __future__ import annotations
 
@@ -9,16 +9,19 @@
 from cresstray.membership.snapshot_files import ReadResult, SnapshotWriter, WriteResult
 from cresstray.observability.counters import Counters
 
-# Given the time, request names in use, and whether it is the last write: a function that makes the snapshot.
+# Takes the time, the request names in use, and whether it is the last write; returns a function that builds
+# the snapshot.
 PrepareSnapshot = Callable[[int, Sequence[str], bool], Callable[[], Snapshot]]
 
 
 class SnapshotPersistence:
-    """Starts writes as they are due, and reports their results.
+    """Starts writes when they are due, and reports their results.
+
+    `log_line` logs a line for operators.
 
     Attributes:
-        schedule: When the next write is due.
-        is_complete: The last write, which hands over, has ended.
+        schedule: Decides when the next write is due.
+        is_complete: The last write, for the handover, has ended.
     """
 
     def __init__(
@@ -26,16 +29,16 @@
         writer: SnapshotWriter,
         schedule: WriteSchedule,
         counters: Counters,
-        notify: Callable[[str], None],
+        log_line: Callable[[str], None],
         prepare: PrepareSnapshot,
     ) -> None:
         self.schedule = schedule
         self.is_complete = False
         self._writer = writer
         self._counters = counters
-        self._notify = notify
+        self._log_line = log_line
         self._prepare = prepare
-        # Set once the gateway ends, for the last write.
+        # Set by `hand_over`, for the last write.
         self._final_request_names: list[str] | None = None
         self._is_final_write_started = False
         self._last_error = ""
@@ -46,11 +49,11 @@
         return self._final_request_names is not None
 
     def hand_over(self, request_names: Sequence[str]) -> None:
-        """Requests the last write, with the names in use of late."""
+        """Requests the last write, with the request names that were in use lately."""
         self._final_request_names = list(request_names)
 
     def poll(self, now_us: int) -> ReadResult | None:
-        """Ends a write whose result is there; returns a newer snapshot that was found in its place."""
+        """Handles the result of a finished write; returns a newer snapshot if one was found instead."""
         result = self._writer.poll()
         if result is None:
             return None
@@ -60,7 +63,7 @@
         return None if self.is_handing_over else result.newer
 
     def start_due_write(self, now_us: int, read_serial: int) -> None:
-        """Starts a write if one is due; `read_serial`: of the newest snapshot that was applied."""
+        """Starts a write if one is due; `read_serial` is the serial of the newest applied snapshot."""
         if self._final_request_names is None:
             if self.schedule.is_due(now_us):
                 self._start(now_us, (), False, read_serial)
@@ -69,7 +72,7 @@
             self._start(now_us, self._final_request_names, True, read_serial)
 
     def close(self) -> None:
-        """Releases the folder for the successor; while a write hangs it stays with this process."""
+        """Releases the folder for the successor, unless a write is still running."""
         if self.schedule.write_started_us is None:
             self._writer.folder.unlock()
 
@@ -96,4 +99,4 @@
         if error == self._last_error:
             return
         self._last_error = error
-        self._notify(f"snapshot not written: {error}; retrying" if error else "snapshot written again")
+        self._log_line(f"snapshot not written: {error}; retrying" if error else "snapshot written again")
--- a/cresstray/membership/probe_budget.py
+++ b/cresstray/membership/probe_budget.py
@@ -1,4 +1,4 @@
-"""How many remembered endpoints are probed at once, and when a failed probe is repeated."""
+"""Limits how many remembered endpoints are probed at once, and delays the repetition of failed probes."""
 
 from __future__ import annotations
 
@@ -6,19 +6,21 @@
 
 from cresstray.membership.confidence import SECOND_US
 
-# A connection costs an engine some ten microseconds: probes of 200 gateways at once cost it two milliseconds.
-# With all of 500 endpoints gone each is probed within seven seconds at ten rounds a second.
+# A connection costs an engine about ten microseconds, so concurrent probes of 200 gateways cost it two
+# milliseconds. With the minimum and ten rounds a second, each of 500 unreachable endpoints is probed within
+# seven seconds.
 _MIN_PROBES = 8
 _MAX_PROBES = 64
-# If half of the probes fail the budget still grows: the endpoints that are there are found in a few rounds.
+# The budget grows even if half of the probes fail, so that reachable endpoints are found in a few rounds.
 _GROWTH_ON_SUCCESS = 1.0
 _GROWTH_ON_FAILURE = -0.5
-# Of the expected endpoints this share is probed in the first round.
-_FIRST_ROUND_SHARE = 4
+# The first round probes the expected number of reachable endpoints, divided by this.
+_FIRST_ROUND_DIVISOR = 4
 _MIN_RETRY_DELAY_US = SECOND_US // 2
 _MAX_RETRY_DELAY_US = 30 * SECOND_US
 _MAX_DOUBLINGS = 6
-# Delays are drawn from this share of the full delay on, so that gateways don't retry together.
+# Delays are random between this share of the full delay and the full delay, so that gateways don't retry
+# together.
 _MIN_DELAY_SHARE = 0.5
 
 
@@ -26,18 +28,18 @@
     """The number of probes that may be in flight; it grows with each success.
 
     Attributes:
-        size: The limit on probes in flight.
-        in_flight: When each probe in flight started, in microseconds, by endpoint id.
+        size: The limit of probes in flight.
+        in_flight: The start of each probe in flight, in microseconds, by endpoint id.
     """
 
     def __init__(self) -> None:
         self.size = float(_MIN_PROBES)
         self.in_flight: dict[int, int] = {}
 
-    def open(self, endpoint_count: int, mean_confidence: float) -> None:
-        """Raises the limit for a list: the fresher it is, the more are probed at once."""
-        wanted = endpoint_count * mean_confidence / _FIRST_ROUND_SHARE
-        self.size = min(_MAX_PROBES, max(self.size, wanted))
+    def raise_for_list(self, endpoint_count: int, mean_confidence: float) -> None:
+        """Raises the limit for the endpoints of a list: the fresher the list, the more are probed at once."""
+        first_round_size = endpoint_count * mean_confidence / _FIRST_ROUND_DIVISOR
+        self.size = min(_MAX_PROBES, max(self.size, first_round_size))
 
     def available(self) -> int:
         """Returns how many probes may start now."""
@@ -48,7 +50,7 @@
         self.in_flight[endpoint_id] = now_us
 
     def on_finished(self, endpoint_id: int, is_success: bool) -> None:
-        """Adjusts the limit by the result of a probe; ignores what was not in flight."""
+        """Adjusts the limit by the result of a probe; ignores endpoints without a probe in flight."""
         if self.in_flight.pop(endpoint_id, None) is None:
             return
         growth = _GROWTH_ON_SUCCESS if is_success else _GROWTH_ON_FAILURE
@@ -56,7 +58,7 @@
 
 
 def retry_delay_us(failure_count: int, chance: Callable[[], float]) -> int:
-    """Returns microseconds until the next probe after `failure_count` failures in a row, at least one."""
+    """Returns the microseconds until the next probe after `failure_count` failures in a row, one or more."""
     doublings = min(failure_count - 1, _MAX_DOUBLINGS)
     delay_us = min(_MAX_RETRY_DELAY_US, _MIN_RETRY_DELAY_US << doublings)
     return int(delay_us * (_MIN_DELAY_SHARE + (1 - _MIN_DELAY_SHARE) * chance()))
--- a/cresstray/membership/reconciliation.py
+++ b/cresstray/membership/reconciliation.py
@@ -1,4 +1,4 @@
-"""Tombstones of removed endpoints, and a discovery service whose index is behind the one remembered."""
+"""Tombstones of removed endpoints, and the index of a discovery service that is behind the stored index."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 from cresstray.membership.confidence import SECOND_US
 
-# A removed id comes back under a later start, so a tombstone only has to outlive lists that still name it:
-# those on repaired disks, and a backup of the discovery service. Counted while gateways run.
+# A removed endpoint returns with a later start, so a tombstone only has to outlive the lists that still name
+# the endpoint: those on repaired disks, and a backup of the discovery service. Only time while gateways run
+# counts.
 TOMBSTONE_LIFETIME_US = 7 * 86_400 * SECOND_US
 # Replacing a tenth of 500 engines a day leaves 350 tombstones in a week.
 MAX_TOMBSTONES = 4096
-# A discovery service with a smaller index is behind, or was set up anew. One that is behind catches up within
-# a restart; an index that stands for five minutes is accepted.
+# A discovery service with a smaller index is behind, or was set up anew. If it is behind it catches up within
+# the time of a restart, so an index that is kept for five minutes is accepted.
 INDEX_SETTLE_TIME_US = 300 * SECOND_US
 
 
@@ -20,10 +21,10 @@
     """A removed endpoint. On disk it is an array of the fields in this order.
 
     Attributes:
-        id: The endpoint.
-        started_us: The latest start of it that is known to be over.
-        index: The index at which it was removed.
-        known_for_us: For how long gateways have run with it, in microseconds.
+        id: The id of the endpoint.
+        started_us: Its latest start that the removal covers.
+        index: The index of discovery at the removal.
+        known_for_us: For how long gateways have been running with the tombstone, in microseconds.
     """
 
     id: int
@@ -33,10 +34,10 @@
 
 
 class Tombstones:
-    """Removed endpoints, so that no older list brings one back."""
+    """The tombstones of all removed endpoints, which keep older lists from bringing one back."""
 
     def __init__(self) -> None:
-        # With the time from which its running time still counts.
+        # Each with the time from which `known_for_us` is to be counted on.
         self._tombstones: dict[int, tuple[Tombstone, int]] = {}
 
     def __contains__(self, endpoint_id: int) -> bool:
@@ -46,7 +47,10 @@
         return len(self._tombstones)
 
     def add(self, endpoint_id: int, started_us: int, index: int, now_us: int, known_for_us: int = 0) -> None:
-        """Adds a tombstone, or moves it to the later start and the later index; the oldest makes room."""
+        """Adds a tombstone, or raises start and index of the present one.
+
+        Drops the oldest tombstones beyond MAX_TOMBSTONES.
+        """
         known = self._tombstones.pop(endpoint_id, None)
         if known is not None:
             started_us = max(started_us, known[0].started_us)
@@ -56,21 +60,21 @@
             del self._tombstones[next(iter(self._tombstones))]
 
     def forbids(self, endpoint_id: int, started_us: int, index: int) -> bool:
-        """Returns whether a list of this index, that names this start, is older than the removal."""
+        """Returns whether a list with this index that names this start is older than the removal."""
         known = self._tombstones.get(endpoint_id)
         return known is not None and started_us <= known[0].started_us and index <= known[0].index
 
     def discard(self, endpoint_id: int) -> None:
-        """Drops a tombstone, where there is one: later news names the endpoint again."""
+        """Drops the tombstone of an endpoint, if there is one, as a later list names the endpoint again."""
         self._tombstones.pop(endpoint_id, None)
 
     def rebase(self, index: int) -> None:
-        """Follows an index that starts anew: whatever has a higher index than this one is later news."""
+        """Adapts to an index that starts anew, so that each list with a higher index counts as later."""
         for tombstone, _ in self._tombstones.values():
             tombstone.index = min(tombstone.index, index)
 
     def unexpired(self, now_us: int) -> list[Tombstone]:
-        """Returns the tombstones whose lifetime is not over, oldest first, and drops the others."""
+        """Returns the tombstones within their lifetime, the oldest first, and drops the others."""
         aged = [
             Tombstone(
                 tombstone.id,
@@ -87,12 +91,12 @@
 
 
 class IndexTracker:
-    """Compares the index of the discovery service with the highest that was ever heard or stored.
+    """Compares the index of the discovery service with the highest index that was ever received or stored.
 
     Attributes:
-        highest: That index.
-        last: The index heard last.
-        behind_since_us: Since when complete lists have had a smaller index; None where they have not.
+        highest: The highest index.
+        last: The index received last.
+        behind_since_us: Since when complete lists have had a smaller index; None if they have not.
     """
 
     def __init__(self) -> None:
@@ -101,7 +105,7 @@
         self.behind_since_us: int | None = None
 
     def observe(self, index: int, is_complete: bool, now_us: int) -> bool:
-        """Takes the index of an event; returns whether what the event leaves out is removed."""
+        """Records the index of an event; returns whether endpoints that the event leaves out are removed."""
         self.last = index
         if index >= self.highest:
             self.highest = index
@@ -112,7 +116,7 @@
         return False
 
     def on_watch_silent(self, now_us: int) -> None:
-        """Restarts the settle time: a service that is silent does not confirm its index."""
+        """Restarts the settle time, as a silent service does not confirm its index."""
         if self.behind_since_us is not None:
             self.behind_since_us = now_us
 
@@ -121,6 +125,6 @@
         return self.behind_since_us is not None and now_us - self.behind_since_us >= INDEX_SETTLE_TIME_US
 
     def accept_last(self) -> None:
-        """Takes the smaller index as the one in force."""
+        """Accepts the smaller index as the current one."""
         self.highest = self.last
         self.behind_since_us = None
--- a/cresstray/membership/remembered_list.py
+++ b/cresstray/membership/remembered_list.py
@@ -1,4 +1,4 @@
-"""Merges lists of others than discovery into the estimates: a snapshot, or another gateway's list."""
+"""Merges lists from other sources than discovery into the estimates: snapshots, lists of other gateways."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def apply_tombstones(table: EstimateTable, tombstones: Iterable[Tombstone], now_us: int) -> None:
-    """Ends the estimates that the tombstones of a list supersede, and takes these tombstones."""
+    """Drops the estimates that the tombstones of a list supersede, and adds these tombstones."""
     for tombstone in tombstones:
         if _is_superseded(table, tombstone):
             table.drop(tombstone.id)
@@ -25,8 +25,8 @@
 
 
 def _is_superseded(table: EstimateTable, tombstone: Tombstone) -> bool:
-    # A successor lists by the last write but one. What discovery said before the last one, that an endpoint
-    # is removed, counts before whatever listens or serves there.
+    # A successor starts with the snapshot before the last one. A removal that discovery has told its
+    # predecessor since then takes precedence over whatever listens or serves at the address.
     estimate = table.endpoints.get(tombstone.id)
     return estimate is None or (
         estimate.state is not EstimateState.REGISTERED
@@ -42,19 +42,21 @@
     drain_grace_us: int,
     now_us: int,
 ) -> None:
-    """Merges endpoints, youngest evidence first, and opens the probe budget for them.
+    """Merges endpoints, those with the latest evidence first, and raises the probe budget for them.
 
     Args:
-        table: Where they go.
-        remembered: Endpoints, each with the age of the evidence of it.
-        index: The index of discovery when the list was made.
+        table: The estimates to merge into.
+        remembered: Endpoints, each with the age of the last evidence of it.
+        index: The index of discovery when the list was written.
         source: Where the list comes from.
-        drain_grace_us: For how long an engine drains at the most.
+        drain_grace_us: The longest time that an engine drains for.
         now_us: The present time.
     """
     merged_count = 0
     total_confidence = 0.0
-    for endpoint, age_us in sorted(remembered, key=lambda one: (one[1], -one[0].started_us, one[0].id)):
+    for endpoint, age_us in sorted(
+        remembered, key=lambda entry: (entry[1], -entry[0].started_us, entry[0].id)
+    ):
         known = table.endpoints.get(endpoint.id)
         if known is not None:
             _take_later_start(known, endpoint)
@@ -64,13 +66,13 @@
         _merge_endpoint(table, endpoint, known, evidence_us, source, drain_grace_us, now_us)
         merged_count += 1
         total_confidence += confidence(age_us, LIST_HALF_LIFE_US)
-    table.probe_budget.open(merged_count, total_confidence / max(1, merged_count))
+    table.probe_budget.raise_for_list(merged_count, total_confidence / max(1, merged_count))
 
 
 def _take_later_start(known: EndpointEstimate, endpoint: Endpoint) -> None:
-    """Takes a later start of an endpoint that is listed, or being probed, by what an earlier list said.
+    """Applies a later start to an endpoint that is listed or being probed on the evidence of an earlier list.
 
-    Without it the endpoint would be taken as warm by its earlier start.
+    Otherwise the endpoint would count as warm by its earlier start.
     """
     if (
         known.state in (EstimateState.PROBING, EstimateState.CONFIRMED)
@@ -98,7 +100,7 @@
         return False
     elif known.evidence_us >= evidence_us:
         return False
-    # An address that another endpoint has, of which more is known, stays with that one.
+    # An address that belongs to another endpoint, with better evidence, stays with that endpoint.
     return table.id_by_address.get((endpoint.host, endpoint.port), endpoint.id) == endpoint.id
 
 
@@ -111,10 +113,11 @@
     drain_grace_us: int,
     now_us: int,
 ) -> None:
-    # What a drain on disk has come to is not known: by a grace after the start it is over.
+    # Whether a drain in the list has ended is unknown. It has once a grace period after the start has passed.
     is_draining = endpoint.state is EndpointState.DRAINING
     next_probe_us = now_us + drain_grace_us if is_draining else now_us
-    # The writer saw it well, but this process has seen it fail: the pause after a failure stays.
+    # The evidence of the list is later, but this process has seen the endpoint fail, so the delay after that
+    # failure stays.
     failure_count = 0 if known is None else known.failure_count
     if known is not None and failure_count:
         next_probe_us = max(next_probe_us, known.next_probe_us)
--- a/cresstray/membership/settings.py
+++ b/cresstray/membership/settings.py
@@ -1,4 +1,4 @@
-"""What the membership reads of the gateway's settings."""
+"""The settings of the gateway that the membership uses."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class MembershipSettings(NamedTuple):
-    """Settings by the terms of the glossary; the keys of the settings keep the earlier ones.
+    """The settings of the membership. The keys of the settings file use earlier terms.
 
     Attributes:
-        request_class_names: By place, as the request classes of the policy controller.
-        zones: Names by place.
-        instance_types: Names by place.
-        probe_timeout_us: After so long a connection probe has failed.
-        drain_grace_us: For how long an engine drains at the most.
-        max_retry_after_us: The longest delay that clients honour.
+        request_class_names: In the order of the request classes of the policy controller.
+        zones: The names of the zones; endpoints refer to them by position.
+        instance_types: The names of the instance types; endpoints refer to them by position.
+        probe_timeout_us: The timeout of a connection probe.
+        drain_grace_us: The longest time that an engine drains for.
+        max_retry_after_us: The longest retry_after that clients honour.
     """
 
     request_class_names: Sequence[str]
@@ -32,11 +32,11 @@
 
 
 def from_settings(settings: Mapping[str, Any]) -> MembershipSettings:
-    """Reads the settings of the module."""
+    """Returns the settings of the membership out of those of the gateway."""
     limits = settings.get("Limits", {})
     safety = settings.get("Safety", {})
     return MembershipSettings(
-        request_class_names=[service.get("Name", "") for service in settings.get("Services", [])],
+        request_class_names=[request_class.get("Name", "") for request_class in settings.get("Services", [])],
         zones=settings.get("Localities", []),
         instance_types=settings.get("Flavors", []),
         probe_timeout_us=to_microseconds(limits.get("ConnectTimeout", _DEFAULT_CONNECT_TIMEOUT_MS)),
--- a/cresstray/membership/snapshot.py
+++ b/cresstray/membership/snapshot.py
@@ -1,14 +1,16 @@
-"""A snapshot of the membership as bytes: a header with a checksum, and a body in msgpack.
+"""The file format of membership snapshots: a header with a checksum, and a body in msgpack.
 
-State that must not outlive a process has no field here: permits, requests in flight, suspected engines, and
-when a drain began.
+State that must not outlive a process is not stored: permits, requests in flight, suspected engines, and when
+a drain began.
 
-The body of format 2 is a map with the names in `_NAMES_ON_DISK`; its entries are arrays, of the fields in the
-order of their types. The body of format 1 is an array. Earlier terms on disk:
+The body of format 2 is a map with the names in `_NAMES_ON_DISK`; its entries are arrays of the fields of
+their types, in order. The body of format 1 is an array. Some names on disk are earlier terms:
 
 | in code | on disk |
 | --- | --- |
-| index | number, of the register |
+| index | number |
+| uptime_us | ticked |
+| is_handed_over | handed |
 | instance_types | machines |
 | endpoints | engines |
 | tombstones | tombs |
@@ -33,20 +35,20 @@
 
 MAGIC = b"cray\x00kpt"
 FORMAT_VERSION = 2
-# Bounds what the length in a damaged header can allocate. 20,000 endpoints are some two megabytes.
+# Bounds the memory that is allocated for a damaged header. 20,000 endpoints take about two megabytes.
 MAX_BODY_BYTES = 16 << 20
 _MAX_REQUEST_NAMES = 4096
-_MAX_OWNER_SHOWN = 64
+_MAX_SHOWN_OWNER_LENGTH = 64
 
-# Magic, format, serial, length and checksum of the body.
+# The magic number, the format, the serial, and the length and checksum of the body.
 _HEADER = Struct(">8sHQII")
-# What the checksum covers besides the body, from format 2 on: format, serial and length.
+# The fields that the checksum covers besides the body, from format 2 on: format, serial and length.
 _CHECKED_HEADER = Struct(">HQI")
 
 _MAX_U16 = 65_535
 _MAX_ID = 2**32 - 1
-_MAX_MICROS = 2**62
-_Micros = Annotated[int, msgspec.Meta(ge=0, le=_MAX_MICROS)]
+_MAX_MICROSECONDS = 2**62
+_Microseconds = Annotated[int, msgspec.Meta(ge=0, le=_MAX_MICROSECONDS)]
 _U16 = Annotated[int, msgspec.Meta(ge=0, le=_MAX_U16)]
 _Port = Annotated[int, msgspec.Meta(ge=1, le=_MAX_U16)]
 _Id = Annotated[int, msgspec.Meta(ge=0, le=_MAX_ID)]
@@ -54,11 +56,11 @@
 
 
 class EndpointEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One endpoint; zone and instance type are places in the lists of the snapshot.
+    """One endpoint; zone and instance type are positions in the lists of the snapshot.
 
     Attributes:
-        started_us: Its start, Unix microseconds.
-        age_us: Microseconds since the last evidence of it, when the snapshot was written.
+        started_us: The start of the endpoint in Unix microseconds.
+        age_us: The microseconds since the last evidence of it, when the snapshot was written.
     """
 
     id: _Id
@@ -68,25 +70,25 @@
     zone: _U16
     instance_type: _U16
     cell: _U16
-    started_us: _Micros
-    age_us: _Micros = 0
+    started_us: _Microseconds
+    age_us: _Microseconds = 0
 
 
 class LatencyEntry(msgspec.Struct, array_like=True, frozen=True):
-    """The LatencyEstimate of a request class, by the name of the class."""
+    """The latency estimate of a request class, by the name of the class."""
 
     name: str
-    sample_count: _Micros
+    sample_count: _Microseconds
     mean_us: _Factor
     mean_work_us: _Factor
     work_factor: _Factor
 
 
 class LimitEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A concurrency limit as a factor of what it starts with, so that the number of gateways may change."""
+    """A concurrency limit as a factor of its initial value, so that the number of gateways may change."""
 
     id: _Id
-    started_us: _Micros
+    started_us: _Microseconds
     ratio: _Factor
     slowdown: _Factor
 
@@ -110,22 +112,23 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True, rename=_NAMES_ON_DISK):
-    """All that a gateway stores.
+    """The state that a gateway stores.
 
     Attributes:
         owner: The name of the gateway.
-        wall_us: Unix microseconds when it was written; with boot_id and uptime_us a ClockReading.
-        index: The highest index heard of the discovery service.
-        is_handed_over: It is the last write of a gateway that ended as planned.
-        zones: Names by place, as places may change between configurations; so for instance_types.
-        request_names: Names in use when a gateway ended as planned; they are as old as the snapshot.
+        wall_us: When it was written, in Unix microseconds; with boot_id and uptime_us a ClockReading.
+        index: The highest index that was received from the discovery service.
+        is_handed_over: It is the last snapshot of a gateway that ended as planned.
+        zones: The names of the zones by position, as positions may change between configurations.
+        instance_types: The names of the instance types by position, for the same reason.
+        request_names: The names in use when a gateway ended as planned; they are as old as the snapshot.
     """
 
     owner: str
-    wall_us: _Micros
+    wall_us: _Microseconds
     boot_id: str
-    uptime_us: _Micros
-    index: _Micros
+    uptime_us: _Microseconds
+    index: _Microseconds
     is_handed_over: bool
     zones: list[str]
     instance_types: list[str]
@@ -137,16 +140,16 @@
 
     @property
     def written_at(self) -> ClockReading:
-        """When it was written, by all clocks."""
+        """The time of the write by all clocks."""
         return ClockReading(self.wall_us, self.boot_id, self.uptime_us)
 
 
 class _SnapshotV1(msgspec.Struct, array_like=True, frozen=True):
-    """The body of format 1: endpoints only, and no clock but the wall clock."""
+    """The body of format 1, which has endpoints only, and no clock but the wall clock."""
 
     owner: str
-    wall_us: _Micros
-    index: _Micros
+    wall_us: _Microseconds
+    index: _Microseconds
     zones: list[str]
     instance_types: list[str]
     endpoints: list[EndpointEntry]
@@ -158,16 +161,17 @@
 
 
 def encode(snapshot: Snapshot, serial: int) -> bytes:
-    """Returns the bytes of a file.
+    """Returns the content of a file.
 
     Raises:
-        UnusableSnapshotError: What is too large, or could not be read again; it must not replace what can.
+        UnusableSnapshotError: The snapshot is too large, or could not be decoded again; it must not replace
+            one that can.
     """
     body = _encode_body(snapshot)
     if len(body) > MAX_BODY_BYTES:
         raise UnusableSnapshotError(f"{len(body)} bytes, more than a snapshot may have")
     try:
-        # Bounds are checked by the decoder only.
+        # Only the decoder checks the bounds of fields.
         _decode_body(body)
     except msgspec.MsgspecError as error:
         raise UnusableSnapshotError(f"it could not be read again: {error}") from None
@@ -181,11 +185,11 @@
 
 
 def decode(data: bytes, owner: str) -> tuple[int, Snapshot]:
-    """Returns serial and snapshot of a file's bytes.
+    """Returns the serial and the snapshot in the content of a file.
 
     Raises:
-        UnusableSnapshotError: Anything is not as it was written, or the format is a later one.
-        ForeignSnapshotError: It is another gateway's.
+        UnusableSnapshotError: The content is damaged, or of a later format.
+        ForeignSnapshotError: The snapshot was written by another gateway.
     """
     if len(data) < _HEADER.size:
         is_torn = MAGIC.startswith(data[:8])
@@ -203,7 +207,7 @@
     snapshot = _decode_version(version, serial, body)
     if snapshot.owner != owner:
         raise ForeignSnapshotError(
-            f"written by {snapshot.owner[:_MAX_OWNER_SHOWN]!r}, not by {owner!r}", serial
+            f"written by {snapshot.owner[:_MAX_SHOWN_OWNER_LENGTH]!r}, not by {owner!r}", serial
         )
     return serial, snapshot
 
@@ -214,21 +218,21 @@
             return _decode_body(body)
         return _migrate_v1(_decode_body_v1(body))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        # The checksum holds, so it was written like this, by a build between two formats.
+        # The checksum is right, so a build between two formats has written it like this.
         raise UnusableSnapshotError(f"damaged: no body of format {version}: {error}", serial) from None
 
 
-def _migrate_v1(first: _SnapshotV1) -> Snapshot:
+def _migrate_v1(snapshot_v1: _SnapshotV1) -> Snapshot:
     return Snapshot(
-        owner=first.owner,
-        wall_us=first.wall_us,
+        owner=snapshot_v1.owner,
+        wall_us=snapshot_v1.wall_us,
         boot_id="",
         uptime_us=0,
-        index=first.index,
+        index=snapshot_v1.index,
         is_handed_over=False,
-        zones=first.zones,
-        instance_types=first.instance_types,
-        endpoints=first.endpoints,
+        zones=snapshot_v1.zones,
+        instance_types=snapshot_v1.instance_types,
+        endpoints=snapshot_v1.endpoints,
         tombstones=[],
         latencies=[],
         limits=[],
@@ -239,16 +243,17 @@
 def to_endpoints(
     snapshot: Snapshot, zones: Sequence[str], instance_types: Sequence[str]
 ) -> list[tuple[Endpoint, int]]:
-    """Returns the endpoints by the places of the present settings, with the ages that were written.
+    """Returns the endpoints with positions by the present settings, each with its stored age.
 
-    An endpoint whose zone or instance type has no name any more is left out: its cores are not known.
+    An endpoint whose zone or instance type is not in the settings any more is left out, as its cores are
+    unknown.
     """
-    zone_of = _place_mapping(snapshot.zones, zones)
-    instance_type_of = _place_mapping(snapshot.instance_types, instance_types)
+    to_present_zone = _position_mapping(snapshot.zones, zones)
+    to_present_instance_type = _position_mapping(snapshot.instance_types, instance_types)
     endpoints = []
     for entry in snapshot.endpoints:
-        zone = zone_of(entry.zone)
-        instance_type = instance_type_of(entry.instance_type)
+        zone = to_present_zone(entry.zone)
+        instance_type = to_present_instance_type(entry.instance_type)
         if zone is None or instance_type is None:
             continue
         state = EndpointState.DRAINING if entry.is_draining else EndpointState.READY
@@ -259,31 +264,33 @@
     return endpoints
 
 
-def _place_mapping(before: Sequence[str], after: Sequence[str]) -> Callable[[int], int | None]:
-    place_by_name = {name: place for place, name in enumerate(after)}
-    is_same = list(before) == list(after)
+def _position_mapping(
+    stored_names: Sequence[str], present_names: Sequence[str]
+) -> Callable[[int], int | None]:
+    position_by_name = {name: position for position, name in enumerate(present_names)}
+    is_same = list(stored_names) == list(present_names)
 
-    def place_after(place: int) -> int | None:
+    def to_present_position(position: int) -> int | None:
         if is_same:
-            # A place behind all names is a zone by itself, and means the same while the names do.
-            return place
-        return place_by_name.get(before[place]) if place < len(before) else None
+            # A position beyond all names is a zone of its own. It stays the same while the names do.
+            return position
+        return position_by_name.get(stored_names[position]) if position < len(stored_names) else None
 
-    return place_after
+    return to_present_position
 
 
 def can_store(endpoint: Endpoint) -> bool:
-    """Returns whether all fields are in bounds: one odd endpoint must not cost the whole snapshot."""
+    """Returns whether all fields are in bounds; one bad endpoint must not make the whole snapshot fail."""
     return (
         0 <= endpoint.id <= _MAX_ID
         and 1 <= endpoint.port <= _MAX_U16
-        and 0 <= endpoint.started_us <= _MAX_MICROS
-        and all(0 <= place <= _MAX_U16 for place in (endpoint.zone, endpoint.instance_type, endpoint.cell))
+        and 0 <= endpoint.started_us <= _MAX_MICROSECONDS
+        and all(0 <= value <= _MAX_U16 for value in (endpoint.zone, endpoint.instance_type, endpoint.cell))
     )
 
 
 def to_entry(endpoint: Endpoint, age_us: int) -> EndpointEntry:
-    """Returns the entry of an endpoint with evidence of this age."""
+    """Returns the entry of an endpoint; `age_us` is the age of the last evidence of it."""
     return EndpointEntry(
         endpoint.id,
         endpoint.host,
@@ -300,5 +307,5 @@
 def newest_entries(
     tombstones: list[Tombstone], request_names: list[str]
 ) -> tuple[list[Tombstone], list[str]]:
-    """Returns the newest of each, as many as a snapshot holds."""
+    """Returns the newest tombstones and request names, as many as a snapshot may hold."""
     return tombstones[-MAX_TOMBSTONES:], request_names[-_MAX_REQUEST_NAMES:]
--- a/cresstray/membership/snapshot_builder.py
+++ b/cresstray/membership/snapshot_builder.py
@@ -1,4 +1,4 @@
-"""Makes a snapshot of what was gathered on the event loop, in the thread that writes it."""
+"""Builds a snapshot, in the thread that writes it, from state that was collected on the event loop."""
 
 from __future__ import annotations
 
@@ -18,15 +18,17 @@
     to_entry,
 )
 
-# A thread that holds the interpreter delays the event loop, so entries are made in pieces of some 80 us.
-_PIECE_ENDPOINTS = 50
-_PAUSE_SECONDS = 50e-6
+# While this thread holds the interpreter lock the event loop is delayed, so entries are made in chunks of
+# about 80 us with a pause after each.
+_ENDPOINTS_PER_CHUNK = 50
+_PAUSE_S = 50e-6
 
 
 class SnapshotContent(NamedTuple):
-    """All that a snapshot is made of, as of `now_us`.
+    """The content of a snapshot, as of `now_us`.
 
-    Making the entries of 500 endpoints on the event loop would take a millisecond of it at each write.
+    The entries are made in the thread, as those of 500 endpoints would block the event loop for a
+    millisecond.
 
     Attributes:
         evidence: Endpoints, each with the time of the last evidence of it.
@@ -46,7 +48,7 @@
     request_names: list[str]
 
     def build(self, pause: Callable[[float], None]) -> Snapshot:
-        """Returns the snapshot; `pause` is called with seconds between the pieces."""
+        """Returns the snapshot; `pause` is called with a number of seconds after each chunk of endpoints."""
         return Snapshot(
             owner=self.owner,
             wall_us=self.written_at.wall_us,
@@ -65,11 +67,11 @@
 
     def _entries(self, pause: Callable[[float], None]) -> list[EndpointEntry]:
         entries: list[EndpointEntry] = []
-        for begin in range(0, len(self.evidence), _PIECE_ENDPOINTS):
+        for begin in range(0, len(self.evidence), _ENDPOINTS_PER_CHUNK):
             entries += [
                 to_entry(endpoint, max(0, min(UNKNOWN_AGE_US, self.now_us - evidence_us)))
-                for endpoint, evidence_us in self.evidence[begin : begin + _PIECE_ENDPOINTS]
+                for endpoint, evidence_us in self.evidence[begin : begin + _ENDPOINTS_PER_CHUNK]
                 if can_store(endpoint)
             ]
-            pause(_PAUSE_SECONDS)
+            pause(_PAUSE_S)
         return entries
--- a/cresstray/membership/snapshot_files.py
+++ b/cresstray/membership/snapshot_files.py
@@ -1,4 +1,4 @@
-"""The folder of a gateway's snapshots: two generations, a lock, and a thread that writes."""
+"""The folder of a gateway's snapshots: files of two generations, a lock, and a writer thread."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 _TEMPORARY_NAME = "engines.new"
 _LOCK_NAME = "lock"
 _FILE_MODE = 0o600
-# A slow disk gets a file in pieces.
-_WRITE_PIECE_BYTES = 1 << 16
-_READ_PIECE_BYTES = 1 << 20
-# Room for the header over the longest body.
+# Files are written in chunks, for slow disks.
+_WRITE_CHUNK_BYTES = 1 << 16
+_READ_CHUNK_BYTES = 1 << 20
+# The longest body, with room for the header.
 _MAX_FILE_BYTES = MAX_BODY_BYTES + 64
-# A serial above this is a damaged header's, not one that was ever counted up to.
+# A serial above this can't be reached by counting, so it comes from a damaged header.
 _MAX_SERIAL = 1 << 40
 _MAX_ERROR_LENGTH = 160
 _BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
 class FileSystem:
-    """The calls to the disk, each one system call, so that a test can fail any of them."""
+    """The file system calls of this module, one system call each, so that tests can let each of them fail."""
 
     open = staticmethod(os.open)
     close = staticmethod(os.close)
@@ -42,17 +42,21 @@
 
     @staticmethod
     def lock(descriptor: int) -> None:
-        """Locks the file. BlockingIOError: another process holds the lock."""
+        """Locks the file.
+
+        Raises:
+            BlockingIOError: Another process holds the lock.
+        """
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
     @staticmethod
     def is_regular_file(descriptor: int) -> bool:
-        """Returns whether it is a regular file."""
+        """Returns whether the descriptor is of a regular file."""
         return stat.S_ISREG(os.fstat(descriptor).st_mode)
 
 
 class FileResult(NamedTuple):
-    """One file: its snapshot, or the error for which it can't be used."""
+    """The result of reading one file: its snapshot, or the error why it can't be used."""
 
     file_name: str
     serial: int
@@ -61,15 +65,15 @@
 
 
 class ReadResult(NamedTuple):
-    """The newest snapshot of a folder that is whole.
+    """The newest usable snapshot of a folder.
 
     Attributes:
-        snapshot: None where no file can be used.
-        serial: Its serial.
-        file_name: Its file.
+        snapshot: The snapshot; None if no file can be used.
+        serial: The serial of the snapshot.
+        file_name: The name of its file.
         skipped_lines: A line for each file that can't be used.
-        highest_serial: Of all files, those that can't be used included.
-        has_foreign_file: Another gateway's file is in the folder.
+        highest_serial: The highest serial of all files, including those that can't be used.
+        has_foreign_file: The folder has a file of another gateway.
     """
 
     snapshot: Snapshot | None
@@ -92,15 +96,15 @@
 
 
 class SnapshotFolder:
-    """One gateway's folder. The holder of its lock writes; anybody may read at any time.
+    """The snapshot folder of one gateway. Only the holder of the lock writes; any process may read.
 
-    A file is written under a temporary name, synced, renamed over the older generation, and the folder is
-    synced. At any moment at least the newer generation is whole under its name.
+    A file is written under a temporary name, synced and renamed over the older generation; then the folder is
+    synced. So at any moment at least the newer generation is intact under its name.
 
     Attributes:
-        path: The folder.
+        path: The path of the folder.
         owner: The name of the gateway.
-        found_at_lock: What the folder held when the lock was taken.
+        found_at_lock: The newest snapshot when the lock was acquired.
     """
 
     def __init__(self, path: str, owner: str, file_system: FileSystem | None = None) -> None:
@@ -109,7 +113,7 @@
         self.found_at_lock = ReadResult(None, 0, "", [])
         self._system = file_system or FileSystem()
         self._lock_descriptor: int | None = None
-        # Of the newest file; known once it was read under the lock.
+        # The serial and name of the newest file, known once the folder was read under the lock.
         self._serial = 0
         self._newest_name = ""
 
@@ -119,10 +123,10 @@
         return self._lock_descriptor is not None
 
     def lock(self) -> bool:
-        """Takes the lock, if it is not held; returns whether this process may write.
+        """Acquires the lock unless it is held already; returns whether this process may write.
 
         Raises:
-            OSError: The disk's.
+            OSError: The lock file can't be opened or locked.
         """
         if self._lock_descriptor is not None:
             return True
@@ -137,26 +141,27 @@
             self._system.close(descriptor)
             raise
         self._lock_descriptor = descriptor
-        # The former holder may have written since the folder was read: its last write is not the older one.
+        # The former holder may have written since this process read the folder; that file must not be
+        # overwritten as the older generation.
         self.found_at_lock = self.read()
         self._serial = self.found_at_lock.highest_serial
         self._newest_name = self.found_at_lock.file_name
         return True
 
     def unlock(self) -> None:
-        """Releases the lock, if it is held."""
+        """Releases the lock if it is held."""
         if self._lock_descriptor is not None:
             self._system.close(self._lock_descriptor)
             self._lock_descriptor = None
 
     def read(self) -> ReadResult:
-        """Returns the newest snapshot; never raises for the state of a file or of the disk."""
+        """Returns the newest usable snapshot; errors of files and of the disk are reported, not raised."""
         skipped_lines: list[str] = []
         newest = ReadResult(None, 0, "", skipped_lines)
         highest_serial = 0
         has_foreign_file = False
         for found in self.read_each():
-            # A later build's file counts as well: it would be the newest again once that build is back.
+            # Files of a later build count too, as they would be the newest again once that build runs again.
             if found.serial < _MAX_SERIAL:
                 highest_serial = max(highest_serial, found.serial)
             if found.snapshot is None:
@@ -167,7 +172,7 @@
         return newest._replace(highest_serial=highest_serial, has_foreign_file=has_foreign_file)
 
     def read_each(self) -> Iterator[FileResult]:
-        """Reads each file that is there."""
+        """Reads each snapshot file that exists."""
         for file_name in SNAPSHOT_FILE_NAMES:
             try:
                 serial, snapshot = decode(self._read_file(self._path_of(file_name)), self.owner)
@@ -179,19 +184,19 @@
                 yield FileResult(file_name, serial, snapshot, None)
 
     def _read_file(self, path: str) -> bytes:
-        # Without O_NONBLOCK a pipe of this name would hold up the start for good.
+        # Without O_NONBLOCK a named pipe in place of the file would block the start forever.
         descriptor = self._system.open(path, os.O_RDONLY | os.O_CLOEXEC | os.O_NONBLOCK)
         try:
             if not self._system.is_regular_file(descriptor):
                 raise UnusableSnapshotError("not a file")
-            pieces: list[bytes] = []
+            chunks: list[bytes] = []
             size_bytes = 0
-            while piece := self._system.read(descriptor, _READ_PIECE_BYTES):
-                pieces.append(piece)
-                size_bytes += len(piece)
+            while chunk := self._system.read(descriptor, _READ_CHUNK_BYTES):
+                chunks.append(chunk)
+                size_bytes += len(chunk)
                 if size_bytes > _MAX_FILE_BYTES:
                     raise UnusableSnapshotError("longer than any snapshot")
-            return b"".join(pieces)
+            return b"".join(chunks)
         finally:
             self._system.close(descriptor)
 
@@ -199,7 +204,7 @@
         """Replaces the older generation; returns the size in bytes once the file is synced.
 
         Raises:
-            OSError, UnusableSnapshotError: The write failed; the old snapshot or the new one is there, whole.
+            OSError, UnusableSnapshotError: The write failed; the last snapshot or the new one is intact.
         """
         if self._lock_descriptor is None:
             raise OSError(errno.EBUSY, "another process holds this folder")
@@ -210,7 +215,8 @@
         older_name = second_name if self._newest_name == first_name else first_name
         self._write_file(self._path_of(_TEMPORARY_NAME), data)
         self._system.rename(self._path_of(_TEMPORARY_NAME), self._path_of(older_name))
-        # From here on it is the newest for readers, synced or not; the next write goes over the other one.
+        # Readers find it as the newest from here on, even before the sync, so the next write replaces the
+        # other.
         self._serial += 1
         self._newest_name = older_name
         self._sync_folder()
@@ -222,9 +228,9 @@
         try:
             remaining = memoryview(data)
             while remaining:
-                written = self._system.write(descriptor, remaining[:_WRITE_PIECE_BYTES])
+                written = self._system.write(descriptor, remaining[:_WRITE_CHUNK_BYTES])
                 remaining = remaining[written:]
-            # Without the sync the rename may reach the disk before the content.
+            # Without the sync the rename may reach the disk before the content does.
             self._system.fsync(descriptor)
         finally:
             self._system.close(descriptor)
@@ -241,7 +247,7 @@
 
 
 def one_line(error: Exception | None) -> str:
-    """Returns the error in one line of bounded length, without the path of an OSError."""
+    """Returns the text of an error as one line of bounded length, without the path of an OSError."""
     text = (error.strerror or repr(error)) if isinstance(error, OSError) else str(error)
     return " ".join(text.split())[:_MAX_ERROR_LENGTH]
 
@@ -250,11 +256,11 @@
     """The result of one write.
 
     Attributes:
-        error: One line; empty where the write succeeded.
-        duration_us: Microseconds that it took.
+        error: One line; empty if the write succeeded.
+        duration_us: The duration of the write in microseconds.
         size_bytes: The size of the file.
         is_folder_busy: Another process holds the lock.
-        newer: With the lock came a newer snapshot than the one that was read; it was not overwritten.
+        newer: A newer snapshot than the applied one that was found with the lock; it was not overwritten.
     """
 
     error: str
@@ -265,12 +271,12 @@
 
 
 class SnapshotWriter:
-    """Writes one snapshot at a time in a thread, so that a disk that hangs holds up nothing.
+    """Writes one snapshot at a time in a thread, so that a hanging disk does not block the event loop.
 
-    The thread is a daemon: the end of the process does not wait for it.
+    The thread is a daemon thread, so that the end of the process does not wait for it.
 
     Attributes:
-        folder: Where it writes.
+        folder: The folder to write to.
     """
 
     def __init__(self, folder: SnapshotFolder) -> None:
@@ -282,7 +288,7 @@
         """Starts a write.
 
         Args:
-            build: Makes the snapshot, in the thread; what it reads must not change.
+            build: Builds the snapshot, in the thread; the state that it reads must not change.
             read_serial: The serial of the newest snapshot that this process has applied.
         """
         assert self._thread is None, "two writes at once"
@@ -293,9 +299,9 @@
         self._thread.start()
 
     def poll(self) -> WriteResult | None:
-        """Returns the result of the last write, once."""
+        """Returns the result of a finished write, once; else None."""
         result = self._result
-        # The thread may set it at any moment, so it is cleared only once it was seen.
+        # The thread may set the result at any moment, so it is cleared only after it was read.
         if result is not None:
             self._result = None
             self._thread = None
@@ -307,15 +313,15 @@
             result = self._write(build, read_serial)
         except (OSError, UnusableSnapshotError) as error:
             result = WriteResult(one_line(error), 0, 0)
-        except Exception as error:  # a thread that ends unnoticed would write no more
-            result = WriteResult(f"a fault of its own: {error!r}", 0, 0)
+        except Exception as error:  # without a result no further write would be started
+            result = WriteResult(f"internal error: {error!r}", 0, 0)
         duration_us = (time.monotonic_ns() - started_ns) // 1000
         self._result = result._replace(duration_us=duration_us)
 
     def _write(self, build: Callable[[], Snapshot], read_serial: int) -> WriteResult:
-        had_lock = self.folder.is_locked
+        was_locked = self.folder.is_locked
         if not self.folder.lock():
             return WriteResult("another process holds this folder", 0, 0, is_folder_busy=True)
-        if not had_lock and self.folder.found_at_lock.serial > read_serial:
+        if not was_locked and self.folder.found_at_lock.serial > read_serial:
             return WriteResult("", 0, 0, newer=self.folder.found_at_lock)
         return WriteResult("", 0, self.folder.write(build()))
--- a/cresstray/model_checking/membership_mutants.py
+++ b/cresstray/model_checking/membership_mutants.py
@@ -82,7 +82,7 @@
         "left_out_is_kept",
         "belief",
         "belief",
-        lines((MembershipEstimate.apply_event, "if engine not in named]", "if False]")),
+        lines((MembershipEstimate.apply_event, "if known_id not in named]", "if False]")),
     ),
     Mutant(
         "older_start_believed",
@@ -108,7 +108,7 @@
             (
                 Membership.on_endpoint_event,
                 "self._pending.pop(endpoint.id, None)\n"
-                "    if passed.is_complete:\n        self._pending.clear()",
+                "    if applied_event.is_complete:\n        self._pending.clear()",
                 "pass",
             )
         ),
