--- a/cresstray/pipeline/policy_port.py
+++ b/cresstray/pipeline/policy_port.py
@@ -14,7 +14,7 @@
 from cresstray.policy.types import Attempt, Engine, Request
 
 
-class SocketPort(PolicyPort):
+class PipelinePolicyPort(PolicyPort):
     """Carries out what the policy decides. Outcomes come back by later calls, never within one of these."""
 
     def __init__(
@@ -35,7 +35,7 @@
 
     def send_attempt(self, attempt: Attempt, timeout_us: int) -> None:
         """Sends the attempt; it ends as timed out after `timeout_us`."""
-        self._router.route(attempt, self._accounting.open, timeout_us)
+        self._router.route(attempt, self._accounting.open_requests, timeout_us)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancels an attempt in flight."""
