--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""What is read from sockets: typed values out of any cut of the bytes, plain words on what is malformed."""
+"""Tests of the codecs: data in pieces of any size, malformed data, and the round trip of values."""
 
 import base64
 import json
@@ -16,16 +16,16 @@
 from cresstray.clients.session import ClientSession, NextAction
 from cresstray.config import lines as conf_lines
 from cresstray.config import operator
-from cresstray.consensus import codec as consensus
-from cresstray.control_plane import codec as keeper
+from cresstray.consensus import codec as consensus_codec
+from cresstray.control_plane import codec as control_plane_codec
 from cresstray.discovery import codec as event_codec
 from cresstray.discovery import endpoint_list
 from cresstray.engines import codec as engine_codec
 from cresstray.engines.result_pages import ResultPages
-from cresstray.fleet_config import codec as rules
+from cresstray.fleet_config import codec as fleet_config_codec
 from cresstray.membership import snapshot as record
 from cresstray.observability.counters import Counters
-from cresstray.sites import codec as halls
+from cresstray.sites import codec as sites_codec
 from cresstray.tables import find_table_group
 from cresstray.transport.framing import MAX_FRAME_BYTES, FrameDecoder, FramingError, encode_frame
 from tests.desk import TraceCase
@@ -42,15 +42,17 @@
 
 
 def call(**changes: object) -> bytes:
-    """A well-formed call with some members changed, or left out where None is given."""
+    """Returns a well-formed call with some members changed; a member that is None is left out."""
     params = PARAMS | changes.pop("params", {})
     params = {name: value for name, value in params.items() if value is not None}
     whole = {"jsonrpc": "2.0", "id": 7, "method": "report", "params": params} | changes
     return json.dumps({name: value for name, value in whole.items() if value is not None}).encode()
 
 
-class Clients(TraceCase):
-    def test_lines(self) -> None:
+class ClientCodecTest(TraceCase):
+    """The JSON-RPC lines of clients."""
+
+    def test_lines_are_decoded_or_rejected_with_a_code(self) -> None:
         lines = []
         for text, line in [
             ("a call", call()),
@@ -90,7 +92,7 @@
                 lines.append(f"{text}: {error.code} to {error.request_id}")
         self.check("rpc_lines", lines)
 
-    def test_answers(self) -> None:
+    def test_answers_are_encoded_as_lines(self) -> None:
         self.check(
             "rpc_answers",
             [
@@ -107,11 +109,14 @@
 
 
 def array(*parts: bytes) -> bytes:
+    """Returns an array of bulk strings in RESP."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
-class Engines(TraceCase):
-    def test_any_cut(self) -> None:
+class EngineCodecTest(TraceCase):
+    """The RESP messages of engines, and the pages of results."""
+
+    def test_answers_are_decoded_from_pieces_of_any_size(self) -> None:
         stream = (
             array(b"q1", b"served", b"sheets=2,load=inflight:7;util:0.61;x0:1.2", b"a\tb\tc\n")
             + array(b"q2", b"overload", b"load=inflight:9", b"")
@@ -119,13 +124,13 @@
             + array(b"t", b"green", b"-", b"")
         )
         whole = engine_codec.AnswerDecoder().feed(stream)
-        bytewise, answers = [], engine_codec.AnswerDecoder()
-        for at in range(len(stream)):
-            bytewise += answers.feed(stream[at : at + 1])
+        bytewise, decoder = [], engine_codec.AnswerDecoder()
+        for position in range(len(stream)):
+            bytewise += decoder.feed(stream[position : position + 1])
         self.assertEqual(whole, bytewise)
         self.check("resp_answers", [str(answer) for answer in whole])
 
-    def test_malformed(self) -> None:
+    def test_malformed_answers_are_rejected(self) -> None:
         lines = []
         for text, data in [
             ("no RESP", b"HTTP/1.1 200 OK\r\n\r\n"),
@@ -152,14 +157,14 @@
             lines.append(f"{text}: {caught.exception}")
         self.check("resp_malformed", lines)
 
-    def test_what_came_whole_before_noise_counts(self) -> None:
-        answers, good = engine_codec.AnswerDecoder(), array(b"q", b"served", b"-", b"a\tb\tc\n")
-        self.assertEqual([b"q"], [one.name for one in answers.feed(good + b"noise\r\n" + good)])
+    def test_complete_answers_before_malformed_data_are_returned(self) -> None:
+        decoder, valid = engine_codec.AnswerDecoder(), array(b"q", b"served", b"-", b"a\tb\tc\n")
+        self.assertEqual([b"q"], [answer.name for answer in decoder.feed(valid + b"noise\r\n" + valid)])
         for _ in range(2):
             with self.assertRaises(engine_codec.EngineProtocolError):
-                answers.feed(b"")
+                decoder.feed(b"")
 
-    def test_requests(self) -> None:
+    def test_requests_are_encoded_as_commands(self) -> None:
         self.check(
             "resp_requests",
             [
@@ -174,7 +179,7 @@
             ],
         )
 
-    def test_pages(self) -> None:
+    def test_pages_are_assembled_in_order_and_invalid_ones_rejected(self) -> None:
         lines = []
         pages = ResultPages(4, b"a\t0\t\n")
         for number, body in (
@@ -199,23 +204,28 @@
 
 
 def frame(number: int, kind: int, *records: tuple) -> bytes:
-    body = struct.pack(">QB", number, kind) + b"".join(struct.pack(">IIHBBBHIQ", *one) for one in records)
+    """Returns a frame of discovery; `number` is its index."""
+    body = struct.pack(">QB", number, kind) + b"".join(
+        struct.pack(">IIHBBBHIQ", *record_fields) for record_fields in records
+    )
     return struct.pack(">I", len(body)) + body
 
 
-class Coordinator(TraceCase):
+class DiscoveryCodecTest(TraceCase):
+    """The frames of the watch and the initial list."""
+
     SETTINGS = {"Localities": ["east", "west"], "Flavors": ["std", "big"]}
     RECORD = (0xC41F7A, 0x0A010009, 7001, 1, 1, 0, 2, 4000, 1_700_000_000_000)
 
-    def test_any_cut_and_both_forms(self) -> None:
-        late = (1, 0x7F000001, 80, 2, 0, 1, 0, 0, 0)
-        stream = frame(41, 1, self.RECORD) + frame(41, 0) + frame(42, 2, late)
+    def test_frames_in_pieces_and_the_initial_list_give_the_same_events(self) -> None:
+        later_record = (1, 0x7F000001, 80, 2, 0, 1, 0, 0, 0)
+        stream = frame(41, 1, self.RECORD) + frame(41, 0) + frame(42, 2, later_record)
         whole = event_codec.EventDecoder().feed(stream)
-        bytewise, reader = [], event_codec.EventDecoder()
-        for at in range(len(stream)):
-            bytewise += reader.feed(stream[at : at + 1])
+        bytewise, decoder = [], event_codec.EventDecoder()
+        for position in range(len(stream)):
+            bytewise += decoder.feed(stream[position : position + 1])
         self.assertEqual(whole, bytewise)
-        given = endpoint_list.InitialList(
+        initial_list = endpoint_list.InitialList(
             41,
             [
                 endpoint_list._Update(
@@ -237,10 +247,10 @@
                 )
             ],
         )
-        self.assertEqual(endpoint_list.initial_events(given, self.SETTINGS), whole[:1])
+        self.assertEqual(endpoint_list.initial_events(initial_list, self.SETTINGS), whole[:1])
         self.check("events", [str(event) for event in whole])
 
-    def test_malformed(self) -> None:
+    def test_malformed_frames_and_lists_are_rejected(self) -> None:
         lines = []
         for text, data in [
             ("an unknown kind", frame(1, 3)),
@@ -255,19 +265,19 @@
         for name, change in [("id", "x"), ("host_port", "10.1.0.9"), ("phase", "asleep")]:
             member = endpoint_list._Member("s-1", "10.1.0.9:7001", "east", "std")
             setattr(member, name, change)
-            given = endpoint_list.InitialList(
+            initial_list = endpoint_list.InitialList(
                 1, [endpoint_list._Update(1, endpoint_list._Endpoints(True, [member]))]
             )
             with self.assertRaises(endpoint_list.MalformedEventError, msg=name) as caught:
-                endpoint_list.initial_events(given, self.SETTINGS)
+                endpoint_list.initial_events(initial_list, self.SETTINGS)
             lines.append(f"{name} {change}: {caught.exception}")
         self.check("events_malformed", lines)
 
-    def test_zones_and_kinds_that_the_settings_do_not_name(self) -> None:
+    def test_unknown_zones_and_instance_types_get_positions_of_their_own(self) -> None:
         (event,) = event_codec.EventDecoder().feed(
             frame(1, 1, (1, 1, 1, 0, 7, 9, 0, 0, 0), (2, 1, 1, 0, 1, 0, 0, 0, 0))
         )
-        given = endpoint_list.InitialList(
+        initial_list = endpoint_list.InitialList(
             1,
             [
                 endpoint_list._Update(
@@ -284,31 +294,33 @@
                 )
             ],
         )
-        told = [
+        events = [
             (f"frame {event.index}", event),
-            ("known", endpoint_list.initial_events(given, self.SETTINGS)[0]),
-            ("settings without any", endpoint_list.initial_events(given, {})[0]),
+            ("known", endpoint_list.initial_events(initial_list, self.SETTINGS)[0]),
+            ("settings without any", endpoint_list.initial_events(initial_list, {})[0]),
         ]
         self.check(
             "events_unnamed",
             [
-                f"{text}: zones {[one.zone for one in told.endpoints]}, kinds "
-                f"{[one.instance_type for one in told.endpoints]}"
-                for text, told in told
+                f"{text}: zones {[endpoint.zone for endpoint in listed.endpoints]}, kinds "
+                f"{[endpoint.instance_type for endpoint in listed.endpoints]}"
+                for text, listed in events
             ],
         )
 
 
-class Statements(TraceCase):
-    def test_what_is_far_behind_is_not_read(self) -> None:
-        """A line holds 256 kB; read whole, statements like these hold up everybody else."""
-        for noise in ("x.", "from x ", "join  ", "a "):
-            for behind in (3_000, 200_000):
-                statement = noise * (behind // len(noise)) + " from sales_17.t"
-                with self.subTest(noise, behind=behind):
-                    self.assertEqual(17 if behind < 4_096 else 0, find_table_group(statement))
+class TableGroupTest(TraceCase):
+    """The table group that a statement reads from."""
+
+    def test_only_the_beginning_of_a_statement_is_read(self) -> None:
+        """A line has up to 256 kB; reading all of such a statement would block the event loop too long."""
+        for filler in ("x.", "from x ", "join  ", "a "):
+            for offset in (3_000, 200_000):
+                statement = filler * (offset // len(filler)) + " from sales_17.t"
+                with self.subTest(filler, behind=offset):
+                    self.assertEqual(17 if offset < 4_096 else 0, find_table_group(statement))
 
-    def test_a_number_too_long_to_be_read_is_no_group(self) -> None:
+    def test_number_that_is_too_long_is_no_group(self) -> None:
         long_number = "7" * 5000
         for statement in (
             f"select 1 from a_{long_number}.t",
@@ -319,7 +331,7 @@
                 self.assertEqual(0, find_table_group(statement))
         self.assertEqual(17, find_table_group("select 1 from sales_000000000000000017.t"))
 
-    def test_groups(self) -> None:
+    def test_groups_of_statements(self) -> None:
         self.check(
             "groups",
             [
@@ -351,6 +363,8 @@
         )
 
 
+# Hypothesis derives the seed of a property from its source, decorators included. Any change of the text of a
+# property below changes the tested cases.
 usually = settings(
     derandomize=True,
     database=None,
@@ -359,73 +373,75 @@
     phases=(Phase.generate, Phase.shrink),
     suppress_health_check=list(HealthCheck),
 )
-# All that frames are made of: those of a fleet go over links of keepers, gateways and operators.
-HALLS = halls._KINDS
-FLEET = (*consensus.KINDS, *rules.KINDS, keeper.Alive)
+# The frames on links between sites, and on links between control-plane nodes, gateways and operators.
+SITE_FRAMES = sites_codec._KINDS
+FLEET_FRAMES = (*consensus_codec.KINDS, *fleet_config_codec.KINDS, control_plane_codec.Alive)
 
 
-def value(kind: Any) -> some.SearchStrategy:
-    """Values of a type as msgspec describes it, within its bounds."""
-    of = msgspec.inspect
-    if isinstance(kind, of.IntType):
+def values_of(kind: Any) -> some.SearchStrategy:
+    """Returns a strategy for values of a type, within its bounds, as msgspec describes it."""
+    types = msgspec.inspect
+    if isinstance(kind, types.IntType):
         low = kind.ge if kind.ge is not None else -(2**63) if kind.gt is None else kind.gt + 1
         high = kind.le if kind.le is not None else 2**63 - 1 if kind.lt is None else kind.lt - 1
         return some.integers(low, high)
-    if isinstance(kind, of.FloatType):
+    if isinstance(kind, types.FloatType):
         return some.floats(kind.ge, kind.le, allow_nan=False, allow_infinity=False)
-    if isinstance(kind, of.BoolType):
+    if isinstance(kind, types.BoolType):
         return some.booleans()
-    if isinstance(kind, of.StrType):
-        longest = min(20, kind.max_length or 20)
+    if isinstance(kind, types.StrType):
+        max_length = min(20, kind.max_length or 20)
         return (
             some.from_regex(kind.pattern.replace("$", r"\Z"), fullmatch=True)
             if kind.pattern
-            else some.text(min_size=kind.min_length or 0, max_size=longest)
+            else some.text(min_size=kind.min_length or 0, max_size=max_length)
         )
-    if isinstance(kind, of.BytesType):
+    if isinstance(kind, types.BytesType):
         return some.binary(min_size=kind.min_length or 0, max_size=min(50, kind.max_length or 50))
-    if isinstance(kind, of.ListType):
-        return some.lists(value(kind.item_type), max_size=4)
-    if isinstance(kind, of.VarTupleType):
-        return some.lists(value(kind.item_type), max_size=4).map(tuple)
-    if isinstance(kind, of.TupleType):
-        return some.tuples(*map(value, kind.item_types))
-    if isinstance(kind, of.DictType):
-        return some.dictionaries(value(kind.key_type), value(kind.value_type), max_size=3)
-    if isinstance(kind, of.UnionType):
-        return some.one_of([value(one) for one in kind.types])
-    if isinstance(kind, of.NoneType):
+    if isinstance(kind, types.ListType):
+        return some.lists(values_of(kind.item_type), max_size=4)
+    if isinstance(kind, types.VarTupleType):
+        return some.lists(values_of(kind.item_type), max_size=4).map(tuple)
+    if isinstance(kind, types.TupleType):
+        return some.tuples(*map(values_of, kind.item_types))
+    if isinstance(kind, types.DictType):
+        return some.dictionaries(values_of(kind.key_type), values_of(kind.value_type), max_size=3)
+    if isinstance(kind, types.UnionType):
+        return some.one_of([values_of(one) for one in kind.types])
+    if isinstance(kind, types.NoneType):
         return some.none()
-    if isinstance(kind, of.LiteralType):
+    if isinstance(kind, types.LiteralType):
         return some.sampled_from(kind.values)
-    assert isinstance(kind, of.StructType), kind
-    return some.builds(kind.cls, **{field.name: value(field.type) for field in kind.fields})
+    assert isinstance(kind, types.StructType), kind
+    return some.builds(kind.cls, **{field.name: values_of(field.type) for field in kind.fields})
 
 
 def made(*kinds: type) -> some.SearchStrategy:
-    return some.one_of([value(msgspec.inspect.type_info(kind)) for kind in kinds])
+    """Returns a strategy for instances of the types."""
+    return some.one_of([values_of(msgspec.inspect.type_info(kind)) for kind in kinds])
 
 
-def almost(right: some.SearchStrategy) -> some.SearchStrategy:
-    """Bytes that are right but for some of them: changed, left out, doubled, or put in."""
+def almost(valid: some.SearchStrategy) -> some.SearchStrategy:
+    """Returns a strategy for valid data in which a few bytes are replaced, removed or inserted."""
 
-    def changed(given: tuple[bytes, list[tuple[int, int, bytes]]]) -> bytes:
-        data, changes = given
-        for at, left_out, put_in in changes:
-            at %= len(data) + 1
-            data = data[:at] + put_in + data[at + left_out :]
+    def apply_changes(drawn: tuple[bytes, list[tuple[int, int, bytes]]]) -> bytes:
+        data, changes = drawn
+        for position, removed_count, inserted in changes:
+            position %= len(data) + 1
+            data = data[:position] + inserted + data[position + removed_count :]
         return data
 
     change = some.tuples(some.integers(0, 2**16), some.integers(0, 3), some.binary(max_size=4))
-    return some.tuples(right, some.lists(change, max_size=3)).map(changed)
+    return some.tuples(valid, some.lists(change, max_size=3)).map(apply_changes)
 
 
 def cut(data: bytes, sizes: list[int]) -> list[bytes]:
-    found, at = [], 0
+    """Cuts the data into pieces of these sizes and a last one with the rest."""
+    pieces, position = [], 0
     for size in sizes:
-        found.append(data[at : at + size])
-        at += size
-    return [*found, data[at:]]
+        pieces.append(data[position : position + size])
+        position += size
+    return [*pieces, data[position:]]
 
 
 CUTS = some.lists(some.integers(0, 40), max_size=8)
@@ -467,8 +483,8 @@
 )
 
 
-class AnyBytes(TraceCase):
-    """Arbitrary and almost right bytes in any pieces: the stated error or values, memory within a bound."""
+class ArbitraryBytesTest(TraceCase):
+    """Arbitrary and almost valid data in any pieces gives values or the stated error, in bounded memory."""
 
     def read(
         self,
@@ -476,22 +492,22 @@
         data: bytes,
         sizes: list[int],
         error: type[Exception],
-        kept: Callable[[], int],
-        most: int,
+        buffered_size: Callable[[], int],
+        max_buffered_size: int,
     ) -> list | None:
-        """What comes of it; None where the reader says that it can't be read."""
-        found = []
+        """Returns the decoded values; None if the decoder raises `error`."""
+        values = []
         try:
             for piece in cut(data, sizes):
-                # What can't be read is told in the next call where something could be read before it.
-                while told := feed(piece):
-                    found, piece = found + told, b""
-                self.assertLessEqual(kept(), most)
+                # A decoder returns the values before malformed data first, and raises at its next call.
+                while decoded := feed(piece):
+                    values, piece = values + decoded, b""
+                self.assertLessEqual(buffered_size(), max_buffered_size)
         except error:
             return None
-        return found
+        return values
 
-    def test_requests(self) -> None:
+    def test_client_requests(self) -> None:
         @usually
         @given(almost(REQUESTS) | some.binary(max_size=80))
         def never_fails(line: bytes) -> None:
@@ -515,8 +531,8 @@
         never_fails()
         round_trip()
 
-    def test_a_connection_of_lines(self) -> None:
-        """What is taken does not rest on how it is cut; nothing but half a line is kept."""
+    def test_lines_of_a_connection_in_pieces_of_any_size(self) -> None:
+        """What a session receives does not depend on the pieces; only an incomplete line is buffered."""
 
         def received_lines(data: bytes, sizes: list[int]) -> list[str]:
             lines: list[str] = []
@@ -552,8 +568,8 @@
 
         any_cut()
 
-    def test_answers(self) -> None:
-        most = 64 + 16 + 1024 + 6_000 + 4 + 4 * 9 + 2 * 4  # the longest of each part, with what is round it
+    def test_engine_answers(self) -> None:
+        most = 64 + 16 + 1024 + 6_000 + 4 + 4 * 9 + 2 * 4  # the longest of each part, with its framing
 
         @usually
         @given(almost(some.lists(ANSWERS, max_size=3).map(b"".join)) | some.binary(max_size=60), CUTS)
@@ -581,7 +597,7 @@
         never_fails()
         any_cut()
 
-    def test_events(self) -> None:
+    def test_discovery_events(self) -> None:
         @usually
         @given(almost(some.lists(EVENTS, max_size=3).map(b"".join)) | some.binary(max_size=60), CUTS)
         def never_fails(data: bytes, sizes: list[int]) -> None:
@@ -609,10 +625,10 @@
         never_fails()
         any_cut()
 
-    def test_frames(self) -> None:
-        """Of links between halls, and of a fleet's."""
+    def test_frames_of_links(self) -> None:
+        """Of links between sites, and of links within a fleet."""
 
-        def checked(kinds: tuple[type, ...]) -> None:
+        def check_kinds(kinds: tuple[type, ...]) -> None:
             @usually
             @given(
                 almost(some.lists(made(*kinds).map(encode_frame), max_size=3).map(b"".join))
@@ -635,10 +651,10 @@
             never_fails()
             round_trip()
 
-        checked(HALLS)
-        checked(FLEET)
+        check_kinds(SITE_FRAMES)
+        check_kinds(FLEET_FRAMES)
 
-    def test_kept_records(self) -> None:
+    def test_membership_snapshots(self) -> None:
         @usually
         @given(made(record.Snapshot), some.integers(0, 2**64 - 1))
         def round_trip(given: record.Snapshot, serial: int) -> None:
@@ -663,7 +679,7 @@
         round_trip()
         never_fails()
 
-    def test_operators_files(self) -> None:
+    def test_operator_files(self) -> None:
         right = [path.read_text() for path in sorted(Path(__file__).parent.parent.glob("deploy/*.conf"))]
         words = some.sampled_from(sorted({word for text in right for word in text.split()}))
         line = some.builds(
