--- a/tests/test_membership_files.py
+++ b/tests/test_membership_files.py
@@ -1,6 +1,6 @@
 """Snapshot files stay readable, and are written byte for byte as the first build of each format wrote them.
 
-The files under tests/fixtures/membership were written once and are never made anew.
+The files under tests/fixtures/membership were written once and are never written again.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class SnapshotFileTest(unittest.TestCase):
-    """Each kind of file, read and written again."""
+    """Each kind of file is read and written again."""
 
     def test_format_2_is_written_again_byte_for_byte(self) -> None:
         for file_name, serial in (("engines.a", SERIAL_A), ("engines.b", SERIAL_B), ("empty.snapshot", 1)):
@@ -53,7 +53,7 @@
                 self.assertEqual(serial, found_serial)
                 self.assertEqual(data, snapshot.encode(found, serial))
 
-    def test_format_2_names_its_fields_as_it_always_did(self) -> None:
+    def test_names_and_order_of_fields_in_format_2_are_fixed(self) -> None:
         body = msgspec.msgpack.decode((FIXTURES / "engines.a").read_bytes()[HEADER_BYTES:])
         self.assertEqual(BODY_KEYS, list(body))
         self.assertEqual(
@@ -68,48 +68,49 @@
         self.assertEqual(7, serial)
         self.assertEqual((FIXTURES / "format1-migrated.snapshot").read_bytes(), snapshot.encode(found, 8))
 
-    def test_the_folder_takes_the_newer_generation(self) -> None:
+    def test_folder_reads_the_newer_generation(self) -> None:
         found = SnapshotFolder(str(FIXTURES), OWNER).read()
         self.assertEqual(("engines.a", SERIAL_A, []), (found.file_name, found.serial, found.skipped_lines))
 
-    def test_the_report_of_a_snapshot_is_as_it_was(self) -> None:
+    def test_report_of_a_snapshot_is_unchanged(self) -> None:
         found = SnapshotFolder(str(FIXTURES), OWNER).read().snapshot
         now = ClockReading(1_800_000_060_000_000, "boot-2", 5_000_000)
         self.assertEqual(json.loads((FIXTURES / "report.json").read_text()), inspection.report(found, now))
 
-    def test_a_folder_is_written_byte_for_byte(self) -> None:
-        """The third write goes over the older generation, as the second file of the fixtures."""
+    def test_folder_is_written_byte_for_byte(self) -> None:
+        """The next write replaces the older generation, engines.b."""
         with tempfile.TemporaryDirectory() as path:
             for file_name in ("engines.a", "engines.b"):
                 (Path(path) / file_name).write_bytes((FIXTURES / file_name).read_bytes())
             folder = SnapshotFolder(path, OWNER)
             self.assertTrue(folder.lock())
-            written = folder.write(folder.read().snapshot)
+            size_bytes = folder.write(folder.read().snapshot)
             folder.unlock()
             expected = snapshot.encode(
                 snapshot.decode((FIXTURES / "engines.a").read_bytes(), OWNER)[1], SERIAL_A + 1
             )
             self.assertEqual(expected, (Path(path) / "engines.b").read_bytes())
-            self.assertEqual(len(expected), written)
+            self.assertEqual(len(expected), size_bytes)
             self.assertEqual(
-                ["engines.a", "engines.b", "lock"], sorted(one.name for one in Path(path).iterdir())
+                ["engines.a", "engines.b", "lock"], sorted(file.name for file in Path(path).iterdir())
             )
 
 
 class CommandTest(unittest.TestCase):
-    """What the commands print of the fixtures, by their name and by the earlier one."""
+    """The output of the commands for the fixtures, by the present name and the earlier one."""
 
     NAMES = ("membership", "kept")
 
-    def output(self, *words: str) -> tuple[int, str]:
+    def output(self, *arguments: str) -> tuple[int, str]:
+        """Returns the exit code and the output of a command."""
         with contextlib.redirect_stdout(io.StringIO()) as out:
             try:
-                code = cli(list(words))
-            except SystemExit as ended:
-                code = ended.code
+                code = cli(list(arguments))
+            except SystemExit as exit_request:
+                code = exit_request.code
         return code, out.getvalue()
 
-    def test_verify(self) -> None:
+    def test_verify_prints_a_line_for_each_file(self) -> None:
         for command in self.NAMES:
             with self.subTest(command=command):
                 code, out = self.output(command, "verify", str(FIXTURES), "--name", OWNER)
@@ -131,7 +132,7 @@
                 for part in ("engines", "gone", "tariffs"):
                     self.assertEqual(list(stored[part][0]), list(printed[part][0]))
 
-    def test_show(self) -> None:
+    def test_show_prints_a_line_for_each_entry(self) -> None:
         for command in self.NAMES:
             with self.subTest(command=command):
                 code, out = self.output(command, "show", str(FIXTURES), "--name", OWNER)
--- a/tests/test_membership_joined.py
+++ b/tests/test_membership_joined.py
@@ -16,12 +16,12 @@
 from cresstray.membership.guard import AdmissionGuard
 from cresstray.membership.snapshot_files import FileSystem, SnapshotFolder
 from cresstray.policy.types import Outcome
-from tests.membership_desk import (
+from tests.membership_fixtures import (
     DRAINING,
-    SECOND,
-    START,
-    Fleet,
-    member,
+    SECOND_US,
+    START_US,
+    MembershipHarness,
+    make_endpoint,
 )
 
 
@@ -31,9 +31,15 @@
         self.addCleanup(held.cleanup)
         self.path = held.name
 
-    def first(self) -> Fleet:
-        fleet = Fleet(self.path)
-        fleet.tell(EndpointEvent(50, True, [member(1, started=7), member(2, started=7), member(3, DRAINING)]))
+    def first(self) -> MembershipHarness:
+        fleet = MembershipHarness(self.path)
+        fleet.on_discovery_event(
+            EndpointEvent(
+                50,
+                True,
+                [make_endpoint(1, started_us=7), make_endpoint(2, started_us=7), make_endpoint(3, DRAINING)],
+            )
+        )
         for number in (1, 2):
             limiter = fleet.engine(number).policy_state
             limiter.limit.sample_count, limiter.limit.slowdown = 50, 1.4
@@ -43,8 +49,8 @@
         return fleet
 
     def test_what_is_held_does_not_go_out_as_an_engine_is_listed(self) -> None:
-        self.first().written()
-        again = Fleet(self.path)
+        self.first().write_snapshot()
+        again = MembershipHarness(self.path)
         again.sent = []
         again.gateway.slow_start.warm_up_us = 0
         again.gateway.admission_rules = AdmissionGuard(again.membership, again.gateway)
@@ -57,12 +63,14 @@
 
     def test_a_restart_starts_from_what_was_kept_and_the_register_settles_it(self) -> None:
         fleet = self.first()
-        fleet.written()
+        fleet.write_snapshot()
         self.assertEqual(fleet.counters.counts["membership: snapshot writes"], 1)
         fleet.membership.close()
-        again = Fleet(self.path, wall=START + 60 * SECOND, boot="b2", ticked=SECOND)
+        again = MembershipHarness(
+            self.path, wall_us=START_US + 60 * SECOND_US, boot_id="b2", uptime_us=SECOND_US
+        )
         self.assertEqual(
-            again.logged, ["recovered 3 endpoints and 1 request classes from a snapshot, 60 s old"]
+            again.logged_lines, ["recovered 3 endpoints and 1 request classes from a snapshot, 60 s old"]
         )
         self.assertEqual(
             (again.gateway.request_classes[0].latency.sample_count, list(again.gateway.ready_engines)),
@@ -80,18 +88,18 @@
         self.assertEqual(two.limit.value, two.limit.initial)
         two.limit.sample_count, two.limit.slowdown = 40, 1.9
         again.membership._on_contact(2, ContactResult.SERVED, again.now)
-        again.tell(EndpointEvent(51, True, [member(2, started=7), member(4)]))
+        again.on_discovery_event(EndpointEvent(51, True, [make_endpoint(2, started_us=7), make_endpoint(4)]))
         # The same life: what was learnt stays, and so does its coldness, of which the register knows nothing.
         self.assertIs(again.engine(2).policy_state, two)
         self.assertTrue(two.slow_start.next_send_us)
         self.assertEqual({again.membership.estimate.state_of(n) for n in (1, 3)}, {EstimateState.REMOVED})
-        self.assertEqual(set(again.route._engines), {2, 4})
+        self.assertEqual(set(again.router._engines), {2, 4})
 
     def test_a_relay_that_finds_nobody_takes_its_engine_off_until_it_listens(self) -> None:
         fleet = self.first()
-        fleet.written()
+        fleet.write_snapshot()
         fleet.membership.close()
-        again = Fleet(self.path)
+        again = MembershipHarness(self.path)
         again.membership.estimate.start_due_probes(again.now)
         again.membership._on_contact(1, ContactResult.LISTENING, again.now)
         again.step()
@@ -113,11 +121,13 @@
 
     def test_all_gateways_restart_at_once_and_no_engine_gets_more_than_a_cold_one_may(self) -> None:
         fleet = self.first()
-        fleet.written()
+        fleet.write_snapshot()
         fleet.membership.close()
         gateways, per_engine, firsts = 20, {1: [], 2: []}, []
         for seed in range(gateways):
-            one = Fleet(self.path, wall=START + 5 * SECOND, boot="b2", seed=seed, gateways=gateways)
+            one = MembershipHarness(
+                self.path, wall_us=START_US + 5 * SECOND_US, boot_id="b2", seed=seed, gateways=gateways
+            )
             one.gateway.request_classes[0].latency.mean_us = 100_000.0
             for m in one.membership.estimate.start_due_probes(one.now):
                 one.membership._on_contact(m.id, ContactResult.LISTENING, one.now)
@@ -140,29 +150,31 @@
         self.assertTrue(1.2 < max(firsts) < 2 and min(firsts) < 0.4, firsts)
         # Rated as the module rates it: 2.0 * 0.5 of four cores at 0.85 busy and 0.9 of speed, in work of
         # 100 ms, over any second that falls over.
-        most = 2.0 * 0.5 * 4 * 0.85 * 0.9 * SECOND / 100_000
+        most = 2.0 * 0.5 * 4 * 0.85 * 0.9 * SECOND_US / 100_000
         for sent in per_engine.values():
-            peak = max(sum(at <= other < at + SECOND for other in sent) for at in sent)
+            peak = max(sum(at <= other < at + SECOND_US for other in sent) for at in sent)
             self.assertTrue(0 < peak <= most, (peak, most))
 
     def test_handed_over_engines_are_warm_and_marks_are_known(self) -> None:
         fleet = self.first()
-        fleet.written()
+        fleet.write_snapshot()
         # While the first ends, and with a clock that was set back by a day.
-        successor = Fleet(self.path, wall=START - 86_400 * SECOND, ticked=101 * SECOND)
+        successor = MembershipHarness(
+            self.path, wall_us=START_US - 86_400 * SECOND_US, uptime_us=101 * SECOND_US
+        )
         self.assertEqual(
-            successor.logged, ["recovered 3 endpoints and 1 request classes from a snapshot, 1 s old"]
+            successor.logged_lines, ["recovered 3 endpoints and 1 request classes from a snapshot, 1 s old"]
         )
         successor.membership.write_schedule.on_change(successor.now)
-        successor.written()
-        self.assertIn("another process holds this folder", successor.logged[-1])
+        successor.write_snapshot()
+        self.assertIn("another process holds this folder", successor.logged_lines[-1])
         fleet.membership.hand_over(["m1", "m2"], fleet.now)
         fleet.writer._thread.join(5)
         fleet.step()
         self.assertTrue(fleet.membership.is_handover_complete)
         fleet.membership.close()
-        successor.written()
-        self.assertIn("handed over", " ".join(successor.logged))
+        successor.write_snapshot()
+        self.assertIn("handed over", " ".join(successor.logged_lines))
         self.assertEqual(successor.membership.recovered_request_names, ["m1", "m2"])
         started = [
             successor.membership._on_contact(m.id, ContactResult.LISTENING, successor.now) or m.id
@@ -174,7 +186,7 @@
             [bool(successor.engine(n).policy_state.slow_start.next_send_us) for n in (1, 2)], [False, False]
         )
         self.assertIsNone(successor.membership.retry_after_us(successor.submit("one"), successor.now))
-        successor.written()
+        successor.write_snapshot()
         self.assertEqual(successor.counters.counts["membership: snapshot writes"], 2)
 
     def test_usual_times_of_any_known_age_are_known_and_move_soon(self) -> None:
@@ -183,9 +195,9 @@
                 snapshot.LatencyEntry("t0", 150, 90_000.0, 0.0, 1.0),
                 snapshot.LatencyEntry("t1", 4, 1.0, 0.0, 1.0),
             ]
-            gateway = Fleet(self.path).gateway
+            gateway = MembershipHarness(self.path).gateway
             put = learned_state.restore_latencies(
-                gateway, ["t0", "t1"], request_classes, days * 86_400 * SECOND
+                gateway, ["t0", "t1"], request_classes, days * 86_400 * SECOND_US
             )
             usual = gateway.request_classes[0].latency
             self.assertEqual((put, usual.sample_count, usual.mean_us), (seen > 0, seen, mean), days)
@@ -198,14 +210,16 @@
         fleet.step()
         fleet.membership.close()
         for boot, ticked in (("b2", 101), ("b1", 111)):
-            late = Fleet(self.path, wall=START + SECOND, boot=boot, ticked=ticked * SECOND)
-            self.assertNotIn("handed", late.logged[0])
+            late = MembershipHarness(
+                self.path, wall_us=START_US + SECOND_US, boot_id=boot, uptime_us=ticked * SECOND_US
+            )
+            self.assertNotIn("handed", late.logged_lines[0])
 
     def test_a_disk_that_takes_seconds_holds_up_nothing(self) -> None:
         fleet = self.first()
         fleet.writer.folder._system = slow = FileSystem()
         slow.fsync = lambda descriptor: time.sleep(0.3)
-        fleet.now += 3 * SECOND
+        fleet.now += 3 * SECOND_US
         begun, slowest = time.monotonic(), 0.0
         while (
             fleet.membership.write_schedule.changed_at_us is not None
@@ -222,9 +236,9 @@
 
     def test_what_may_run_once_waits_for_an_engine_that_has_served(self) -> None:
         fleet = self.first()
-        fleet.written()
+        fleet.write_snapshot()
         fleet.membership.close()
-        again = Fleet(self.path)
+        again = MembershipHarness(self.path)
         guard = again.gateway.admission_rules = AdmissionGuard(again.membership, again.gateway)
         for m in again.membership.estimate.start_due_probes(again.now):
             again.membership._on_contact(m.id, ContactResult.LISTENING, again.now)
@@ -235,14 +249,14 @@
         engines = [again.engine(1), again.engine(2)]
         takes = [[guard.allows(one, engine, again.now) for engine in engines] for one in (once, twice)]
         self.assertEqual(takes, [[True, False], [True, True]])
-        again.tell(EndpointEvent(51, False, [member(2)]))
+        again.on_discovery_event(EndpointEvent(51, False, [make_endpoint(2)]))
         self.assertTrue(guard.allows(once, again.engine(2), again.now))
 
     def test_operators_see_verify_and_forget(self) -> None:
         fleet = self.first()
-        fleet.written()
+        fleet.write_snapshot()
         fleet.membership.write_schedule.on_change(fleet.now)
-        fleet.written()
+        fleet.write_snapshot()
         folder = SnapshotFolder(self.path, "g1")
         self.assertRaises(BlockingIOError, inspection.forget, folder, 1)
         self.assertFalse(fleet.membership.forget(1, fleet.now))  # the register names it
@@ -257,27 +271,27 @@
         self.assertEqual([whole for _, whole, _ in inspection.verify(folder)], [True, True])
         self.assertRaises(KeyError, inspection.forget, folder, 1)
         folder.unlock()
-        again = Fleet(self.path)
+        again = MembershipHarness(self.path)
         self.assertEqual(again.membership.estimate.state_of(1), EstimateState.REMOVED)
         self.assertTrue(again.membership.forget(2, again.now))
         self.assertEqual(again.membership.estimate.state_of(2), EstimateState.REMOVED)
 
     def test_a_missing_folder_is_told_once(self) -> None:
-        fleet = Fleet(f"{self.path}/none")
+        fleet = MembershipHarness(f"{self.path}/none")
         for _ in range(2):
-            fleet.tell(EndpointEvent(50, True, [member(1)]))
-            fleet.now += 60 * SECOND
-            fleet.written()
-        self.assertEqual(fleet.logged, ["snapshot not written: No such file or directory; retrying"])
+            fleet.on_discovery_event(EndpointEvent(50, True, [make_endpoint(1)]))
+            fleet.now += 60 * SECOND_US
+            fleet.write_snapshot()
+        self.assertEqual(fleet.logged_lines, ["snapshot not written: No such file or directory; retrying"])
 
 
 class ProbeTest(unittest.IsolatedAsyncioTestCase):
     async def test_who_listens_and_who_does_not(self) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        self.assertIs(await probe_connection("127.0.0.1", port, SECOND), ContactResult.LISTENING)
+        self.assertIs(await probe_connection("127.0.0.1", port, SECOND_US), ContactResult.LISTENING)
         await listener.aclose()
-        self.assertIs(await probe_connection("127.0.0.1", port, SECOND), ContactResult.REFUSED)
+        self.assertIs(await probe_connection("127.0.0.1", port, SECOND_US), ContactResult.REFUSED)
 
 
 if __name__ == "__main__":
--- a/tests/test_membership_recovery.py
+++ b/tests/test_membership_recovery.py
@@ -31,7 +31,7 @@
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from tests.desk import ClientStandIn
-from tests.membership_desk import Fleet, member
+from tests.membership_fixtures import MembershipHarness, make_endpoint
 
 FLEET = """fleet balancer
     beat 5ms
@@ -332,11 +332,13 @@
 class InTurns(unittest.TestCase):
     def test_a_long_list_is_listed_and_asked_piece_by_piece(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            first = Fleet(folder)
-            first.tell(EndpointEvent(50, True, [member(number) for number in range(1, 21)]))
-            first.written()
+            first = MembershipHarness(folder)
+            first.on_discovery_event(
+                EndpointEvent(50, True, [make_endpoint(number) for number in range(1, 21)])
+            )
+            first.write_snapshot()
             first.membership.close()
-            fleet, asked = Fleet(folder), []
+            fleet, asked = MembershipHarness(folder), []
             membership = fleet.membership
             self.assertTrue(membership.queue_due_probes(fleet.now))
             tasks = SimpleNamespace(start_soon=lambda _, one, now: asked.append(one.id))
@@ -345,7 +347,7 @@
             self.assertEqual((8, fleet.counters.counts["membership: probes"]), (len(set(asked)), len(asked)))
             for number in asked:
                 membership._on_contact(number, ContactResult.LISTENING, fleet.now)
-            fleet.give(membership.take_changes(fleet.now, 3))
+            fleet.apply_event(membership.take_changes(fleet.now, 3))
             gone = asked[0]
             membership._on_contact(gone, ContactResult.REFUSED, fleet.now)
             told = membership.take_changes(fleet.now, 3)
--- a/tests/test_membership_snapshots.py
+++ b/tests/test_membership_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots on disk: formats, damage, disks that fail, and processes that are killed as they write."""
+"""Tests of snapshots on disk: formats, damage, failing disks, and processes killed during a write."""
 
 from __future__ import annotations
 
@@ -13,209 +13,229 @@
 from cresstray.discovery.endpoint_list import Endpoint
 from cresstray.membership import snapshot, snapshot_files
 from cresstray.membership.snapshot_files import FileSystem, SnapshotFolder
-from tests.membership_desk import (
+from tests.membership_fixtures import (
     READY,
-    STORED,
+    STORED_FILES,
+    make_endpoint,
     make_snapshot,
-    member,
 )
 
 
-class Killed(BaseException):
-    pass
+class ProcessKilledError(BaseException):
+    """The process is killed at this call."""
 
 
-class Disk(FileSystem):
-    """A disk in memory, that loses what was not synced, and a process that is killed at its nth call."""
+class FakeDisk(FileSystem):
+    """A file system in memory that loses unsynced data, and kills the process at its nth call.
 
-    def __init__(self, names: dict[str, bytes], kill_at: int = -1, after: bool = False) -> None:
-        self.now = {name: bytearray(data) for name, data in names.items()}
-        self.safe = {id(data): bytes(data) for data in self.now.values()}
-        self.names = [dict(self.now)]  # after each rename or creation since the folder was last synced
+    Attributes:
+        files: The content of each file by name, as processes see it.
+        synced_content: The content of each file at its last sync, by the id of its bytearray.
+        directories: The directory after each rename or creation since the folder was last synced.
+        all_contents: Keeps all bytearrays alive, so that no id is used twice.
+        call_count: The number of calls; the process is killed at call `kill_at`, before or after its effect.
+        errors: The error number of each call that fails, by name.
+    """
+
+    def __init__(self, files: dict[str, bytes], kill_at: int = -1, kill_after: bool = False) -> None:
+        self.files = {name: bytearray(data) for name, data in files.items()}
+        self.synced_content = {id(data): bytes(data) for data in self.files.values()}
+        self.directories = [dict(self.files)]
         self.open_files: dict[int, list] = {}
-        self.ever = list(self.now.values())  # so that no name by id is used twice
-        self.calls, self.kill_at, self.after = 0, kill_at, after
-        self.fails: dict[str, int] = {}
+        self.all_contents = list(self.files.values())
+        self.call_count, self.kill_at, self.kill_after = 0, kill_at, kill_after
+        self.errors: dict[str, int] = {}
 
-    def call(self, name: str) -> None:
-        self.calls += 1
-        if name in self.fails:
-            raise OSError(self.fails[name], os.strerror(self.fails[name]))
-        if self.calls - 1 == self.kill_at and not self.after:
-            raise Killed
+    def before_call(self, name: str) -> None:
+        self.call_count += 1
+        if name in self.errors:
+            raise OSError(self.errors[name], os.strerror(self.errors[name]))
+        if self.call_count - 1 == self.kill_at and not self.kill_after:
+            raise ProcessKilledError
 
-    def made(self) -> None:
-        if self.calls - 1 == self.kill_at:
-            raise Killed
+    def after_call(self) -> None:
+        if self.call_count - 1 == self.kill_at:
+            raise ProcessKilledError
 
     def open(self, path: str, flags: int, mode: int = 0) -> int:
-        self.call("open" if flags & os.O_CREAT else "look")
+        self.before_call("open" if flags & os.O_CREAT else "look")
         name = path.removeprefix("/kept").removeprefix("/")
-        if name and name not in self.now and not flags & os.O_CREAT:
+        if name and name not in self.files and not flags & os.O_CREAT:
             raise FileNotFoundError(errno.ENOENT, name)
-        if flags & os.O_CREAT and (name not in self.now):
-            self.now[name] = bytearray()
-            self.ever.append(self.now[name])
-            self.names.append(dict(self.now))
+        if flags & os.O_CREAT and (name not in self.files):
+            self.files[name] = bytearray()
+            self.all_contents.append(self.files[name])
+            self.directories.append(dict(self.files))
         if flags & os.O_TRUNC:
-            self.now[name][:] = b""
-        descriptor = 10 + self.calls
-        self.open_files[descriptor] = [self.now.get(name), 0]
-        self.made()
+            self.files[name][:] = b""
+        descriptor = 10 + self.call_count
+        self.open_files[descriptor] = [self.files.get(name), 0]
+        self.after_call()
         return descriptor
 
     def close(self, descriptor: int) -> None:
-        self.call("close")
+        self.before_call("close")
         del self.open_files[descriptor]
-        self.made()
+        self.after_call()
 
-    def read(self, descriptor: int, most: int) -> bytes:
-        self.call("read")
+    def read(self, descriptor: int, size: int) -> bytes:
+        self.before_call("read")
         file = self.open_files[descriptor]
-        piece = bytes(file[0][file[1] : file[1] + most])
-        file[1] += len(piece)
-        return piece
+        chunk = bytes(file[0][file[1] : file[1] + size])
+        file[1] += len(chunk)
+        return chunk
 
     def write(self, descriptor: int, data: memoryview) -> int:
-        part = data[: max(1, len(data) // 2)]  # a disk may take less than it is given
-        self.call("write")
+        part = data[: max(1, len(data) // 2)]  # a write may be partial
+        self.before_call("write")
         self.open_files[descriptor][0] += part
-        self.made()
+        self.after_call()
         return len(part)
 
     def fsync(self, descriptor: int) -> None:
-        self.call("fsync")
+        self.before_call("fsync")
         data = self.open_files[descriptor][0]
         if data is None:
-            self.names = [dict(self.now)]
+            self.directories = [dict(self.files)]
         else:
-            self.safe[id(data)] = bytes(data)
-        self.made()
+            self.synced_content[id(data)] = bytes(data)
+        self.after_call()
 
     def rename(self, old: str, new: str) -> None:
-        self.call("rename")
-        self.now[new.removeprefix("/kept/")] = self.now.pop(old.removeprefix("/kept/"))
-        self.names.append(dict(self.now))
-        self.made()
+        self.before_call("rename")
+        self.files[new.removeprefix("/kept/")] = self.files.pop(old.removeprefix("/kept/"))
+        self.directories.append(dict(self.files))
+        self.after_call()
 
     def lock(self, descriptor: int) -> None:
-        self.call("lock")
+        self.before_call("lock")
 
     def is_regular_file(self, descriptor: int) -> bool:
         return True
 
-    def crashed(self) -> list[dict[str, bytes]]:
-        """All that may stand there after the power failed: any names, unsynced data whole, torn, lost."""
+    def states_after_power_failure(self) -> list[dict[str, bytes]]:
+        """Returns the possible files after a power failure: unsynced data is complete, torn or lost."""
         states = []
-        for names in self.names:
+        for directory in self.directories:
             for share in (0.0, 0.5, 1.0):
-                found = {}
-                for name, data in names.items():
-                    safe = self.safe.get(id(data), b"")
-                    found[name] = bytes(data[: int(len(data) * share)]) if bytes(data) != safe else safe
-                states.append(found)
+                files = {}
+                for name, data in directory.items():
+                    synced = self.synced_content.get(id(data), b"")
+                    files[name] = bytes(data[: int(len(data) * share)]) if bytes(data) != synced else synced
+                states.append(files)
         return states
 
 
-class FilesTest(unittest.TestCase):
-    def folder(self, disk: Disk) -> SnapshotFolder:
+class SnapshotFilesTest(unittest.TestCase):
+    """Snapshot folders on fake and real disks."""
+
+    def locked_folder(self, disk: FakeDisk) -> SnapshotFolder:
         folder = SnapshotFolder("/kept", "g1", disk)
         self.assertTrue(folder.lock())
         return folder
 
-    def written(self, numbers: range) -> dict[str, bytes]:
-        disk = Disk({})
-        folder = self.folder(disk)
-        for number in numbers:
-            folder.write(make_snapshot(index=number))
-        return {name: bytes(data) for name, data in disk.now.items()}
-
-    def killed(self, kill: int, after: bool, syncs: bool = True) -> tuple[Disk, int]:
-        """Three writes, one after another, until the kill: the disk, and the last one that was answered."""
-        disk, done = Disk({}, kill, after), 0
+    def written_files(self, indexes: range) -> dict[str, bytes]:
+        """Returns the files after writing snapshots with these indexes."""
+        disk = FakeDisk({})
+        folder = self.locked_folder(disk)
+        for index in indexes:
+            folder.write(make_snapshot(index=index))
+        return {name: bytes(data) for name, data in disk.files.items()}
+
+    def write_until_killed(self, kill_at: int, kill_after: bool, syncs: bool = True) -> tuple[FakeDisk, int]:
+        """Writes three snapshots until the process is killed; returns the disk and the last written index."""
+        disk, last_index = FakeDisk({}, kill_at, kill_after), 0
         if not syncs:
             disk.fsync = lambda descriptor: None
         try:
-            folder = self.folder(disk)
-            for number in (1, 2, 3):
-                folder.write(make_snapshot(index=number))
-                done = number
-        except Killed:
+            folder = self.locked_folder(disk)
+            for index in (1, 2, 3):
+                folder.write(make_snapshot(index=index))
+                last_index = index
+        except ProcessKilledError:
             pass
-        return disk, done
-
-    def lost(self, disk: Disk, done: int) -> bool:
-        """Whether any state that the disk may be in is neither what was answered nor what was under way."""
-        process = {name: bytes(data) for name, data in disk.now.items()}
-        for state in [process, *disk.crashed()]:
-            again = Disk(state)
-            found = SnapshotFolder("/kept", "g1", again).read().snapshot
-            number = found.index if found else 0
-            if number not in (done, done + 1) or found not in (None, make_snapshot(index=number)):
+        return disk, last_index
+
+    def is_snapshot_lost(self, disk: FakeDisk, last_index: int) -> bool:
+        """Returns whether the disk may have neither the last written snapshot nor the next one."""
+        seen_by_processes = {name: bytes(data) for name, data in disk.files.items()}
+        for state in [seen_by_processes, *disk.states_after_power_failure()]:
+            disk_after = FakeDisk(state)
+            found = SnapshotFolder("/kept", "g1", disk_after).read().snapshot
+            index = found.index if found else 0
+            if index not in (last_index, last_index + 1) or found not in (None, make_snapshot(index=index)):
                 return True
-            # And the next write takes, whatever was left there.
-            self.folder(again).write(make_snapshot(index=9))
-            self.assertEqual(SnapshotFolder("/kept", "g1", again).read().snapshot.index, 9)
+            # The next write succeeds, whatever files are there.
+            self.locked_folder(disk_after).write(make_snapshot(index=9))
+            self.assertEqual(SnapshotFolder("/kept", "g1", disk_after).read().snapshot.index, 9)
         return False
 
-    def test_killed_at_each_call_the_old_or_the_new_state_is_there_whole(self) -> None:
-        for after in (False, True):
-            calls = self.killed(-1, after)[0].calls
-            self.assertGreater(calls, 30)
-            for kill in range(calls):
-                self.assertFalse(self.lost(*self.killed(kill, after)), (kill, after))
-
-    def test_a_write_without_its_syncs_is_caught_by_the_same_check(self) -> None:
-        self.assertTrue(any(self.lost(*self.killed(kill, False, False)) for kill in range(60)))
+    def test_kill_at_any_call_leaves_the_old_or_the_new_snapshot_intact(self) -> None:
+        for kill_after in (False, True):
+            call_count = self.write_until_killed(-1, kill_after)[0].call_count
+            self.assertGreater(call_count, 30)
+            for kill_at in range(call_count):
+                self.assertFalse(
+                    self.is_snapshot_lost(*self.write_until_killed(kill_at, kill_after)),
+                    (kill_at, kill_after),
+                )
+
+    def test_the_same_check_fails_for_writes_without_syncs(self) -> None:
+        self.assertTrue(
+            any(
+                self.is_snapshot_lost(*self.write_until_killed(kill_at, False, False))
+                for kill_at in range(60)
+            )
+        )
 
-    def test_full_read_only_or_refusing_disks_cost_freshness_only(self) -> None:
-        for call, number in (
+    def test_failing_disk_keeps_the_last_snapshot_and_later_writes_succeed(self) -> None:
+        for call, error_number in (
             ("write", errno.ENOSPC),
             ("open", errno.EROFS),
             ("fsync", errno.EIO),
             ("rename", errno.ENOSPC),
         ):
-            disk = Disk(self.written(range(1, 3)))
-            folder = self.folder(disk)
-            disk.fails[call] = number
+            disk = FakeDisk(self.written_files(range(1, 3)))
+            folder = self.locked_folder(disk)
+            disk.errors[call] = error_number
             with self.assertRaises(OSError):
                 folder.write(make_snapshot(index=3))
-            disk.fails.clear()
+            disk.errors.clear()
             self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 2, call)
             folder.write(make_snapshot(index=4))
             self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 4, call)
-        disk = Disk({})
-        disk.fails["look"] = errno.EIO
+        disk = FakeDisk({})
+        disk.errors["look"] = errno.EIO
         self.assertEqual(len(SnapshotFolder("/kept", "g1", disk).read().skipped_lines), 2)
 
-    def test_any_damage_is_told_and_the_other_generation_taken(self) -> None:
-        before, chance = self.written(range(1, 3)), random.Random(3)
+    def test_damaged_file_is_reported_and_the_other_generation_used(self) -> None:
+        files, chance = self.written_files(range(1, 3)), random.Random(3)
         newest = next(
             name
             for name in snapshot_files.SNAPSHOT_FILE_NAMES
-            if snapshot.decode(before[name], "g1")[1].index == 2
+            if snapshot.decode(files[name], "g1")[1].index == 2
         )
-        whole = before[newest]
-        bad = [whole[:cut] for cut in range(len(whole))]
-        for at in range(len(whole)):
-            broken = bytearray(whole)
-            broken[at] ^= 1 << chance.randrange(8)
-            bad.append(bytes(broken))
-        for data in (*bad, whole + b"x", chance.randbytes(500), whole * 2):
-            found = SnapshotFolder("/kept", "g1", Disk({**before, newest: data})).read()
+        intact = files[newest]
+        damaged_files = [intact[:size] for size in range(len(intact))]
+        for position in range(len(intact)):
+            damaged = bytearray(intact)
+            damaged[position] ^= 1 << chance.randrange(8)
+            damaged_files.append(bytes(damaged))
+        for data in (*damaged_files, intact + b"x", chance.randbytes(500), intact * 2):
+            found = SnapshotFolder("/kept", "g1", FakeDisk({**files, newest: data})).read()
             self.assertEqual((found.snapshot.index, len(found.skipped_lines)), (1, 1))
             self.assertNotIn("\n", found.skipped_lines[0])
 
-    def test_stored_files_of_earlier_and_other_versions(self) -> None:
-        """Stored once and never made anew: what lies on disks must stay readable."""
-        serial, first = snapshot.decode((STORED / "first.kept").read_bytes(), "g1")
+    def test_stored_files_of_all_versions_are_read_or_rejected_with_a_reason(self) -> None:
+        """The files were stored once and are never written again, as those on disks must stay readable."""
+        serial, first = snapshot.decode((STORED_FILES / "first.kept").read_bytes(), "g1")
         self.assertEqual(
-            (serial, first.index, [e.id for e in first.endpoints], first.endpoints[1].is_draining),
+            (serial, first.index, [entry.id for entry in first.endpoints], first.endpoints[1].is_draining),
             (41, 50, [1, 2, 3], True),
         )
         self.assertEqual((first.tombstones, first.is_handed_over, first.boot_id), ([], False, ""))
         self.assertEqual(snapshot.decode(snapshot.encode(first, 42), "g1"), (42, first))
-        for name, word in (
+        for name, reason in (
             ("half.kept", "no body of format 2"),
             ("future.kept", "of format 3"),
             ("foreign.kept", "not a snapshot"),
@@ -223,37 +243,41 @@
             ("other.kept", "written by 'g2'"),
             ("port.kept", "no body of format 2"),
         ):
-            with self.assertRaisesRegex(snapshot.UnusableSnapshotError, word):
-                snapshot.decode((STORED / name).read_bytes(), "g1")
-        second = snapshot.decode((STORED / "second.kept").read_bytes(), "g1")
+            with self.assertRaisesRegex(snapshot.UnusableSnapshotError, reason):
+                snapshot.decode((STORED_FILES / name).read_bytes(), "g1")
+        second = snapshot.decode((STORED_FILES / "second.kept").read_bytes(), "g1")
         self.assertEqual(second, (7, make_snapshot()))
 
-    def test_a_later_builds_file_does_not_come_back_as_the_newest(self) -> None:
+    def test_file_of_a_later_build_does_not_become_the_newest_again(self) -> None:
         later = bytearray(snapshot.encode(make_snapshot(index=77), 900))
         later[9] = 3
-        disk = Disk({"engines.a": bytes(later), "engines.b": bytes(later)})
-        self.folder(disk).write(make_snapshot(index=78))
+        disk = FakeDisk({"engines.a": bytes(later), "engines.b": bytes(later)})
+        self.locked_folder(disk).write(make_snapshot(index=78))
         later[9] = 2
-        disk.now["engines.b"][:] = later
+        disk.files["engines.b"][:] = later
         self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 78)
 
-    def test_another_gateways_files_are_not_written_over(self) -> None:
-        disk = Disk(self.written(range(1, 3)))
+    def test_files_of_another_gateway_are_not_overwritten(self) -> None:
+        disk = FakeDisk(self.written_files(range(1, 3)))
         folder = SnapshotFolder("/kept", "g2", disk)
         self.assertEqual((folder.lock(), folder.read().snapshot), (True, None))
         self.assertRaisesRegex(OSError, "another gateway", folder.write, make_snapshot(owner="g2"))
         self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 2)
 
-    def test_what_could_not_be_read_again_is_not_written(self) -> None:
-        disk = Disk(self.written(range(1, 3)))
-        bad = make_snapshot(limits=[snapshot.LimitEntry(1, 5, float("inf"), 1.0)])
-        self.assertRaises(snapshot.UnusableSnapshotError, self.folder(disk).write, bad)
+    def test_snapshot_that_could_not_be_decoded_is_not_written(self) -> None:
+        disk = FakeDisk(self.written_files(range(1, 3)))
+        undecodable = make_snapshot(limits=[snapshot.LimitEntry(1, 5, float("inf"), 1.0)])
+        self.assertRaises(snapshot.UnusableSnapshotError, self.locked_folder(disk).write, undecodable)
         self.assertEqual(SnapshotFolder("/kept", "g1", disk).read().snapshot.index, 2)
-        odd = [member(1), member(2, port=70_000), Endpoint(3, "h", 9, READY, 0, 0, 99_999, 5)]
-        self.assertEqual([snapshot.can_store(one) for one in odd], [True, False, False])
-
-    def test_never_kept(self) -> None:
-        told = {
+        endpoints = [
+            make_endpoint(1),
+            make_endpoint(2, port=70_000),
+            Endpoint(3, "h", 9, READY, 0, 0, 99_999, 5),
+        ]
+        self.assertEqual([snapshot.can_store(endpoint) for endpoint in endpoints], [True, False, False])
+
+    def test_state_that_must_not_outlive_a_process_is_not_stored(self) -> None:
+        stored_names = {
             name
             for kind in (
                 snapshot.Snapshot,
@@ -263,22 +287,30 @@
             )
             for name in (*kind.__struct_fields__, *kind.__struct_encode_fields__)
         }
-        never = {"permits", "out", "threads", "doubted", "mute", "drained", "full_until", "cold"}
-        never |= {"in_flight", "is_suspected", "is_unresponsive", "drain_began_us", "overloaded_until_us"}
-        self.assertFalse(told & never)
+        never_stored = {"permits", "out", "threads", "doubted", "mute", "drained", "full_until", "cold"}
+        never_stored |= {
+            "in_flight",
+            "is_suspected",
+            "is_unresponsive",
+            "drain_began_us",
+            "overloaded_until_us",
+        }
+        self.assertFalse(stored_names & never_stored)
 
-    def test_places_are_named(self) -> None:
-        kept = make_snapshot(
+    def test_zones_and_instance_types_are_matched_by_name(self) -> None:
+        stored = make_snapshot(
             zones=["a", "b"],
             instance_types=["small", "big"],
             endpoints=[
                 snapshot.to_entry(Endpoint(n, "h", 1, READY, n % 2, n % 2, 0, 0), 0) for n in range(2)
             ],
         )
-        moved = snapshot.to_endpoints(kept, ["b", "c"], ["big"])
-        self.assertEqual([(m.id, m.zone, m.instance_type) for m, _ in moved], [(1, 0, 0)])
+        endpoints = snapshot.to_endpoints(stored, ["b", "c"], ["big"])
+        self.assertEqual(
+            [(endpoint.id, endpoint.zone, endpoint.instance_type) for endpoint, _ in endpoints], [(1, 0, 0)]
+        )
 
-    def test_two_processes_on_one_folder(self) -> None:
+    def test_only_one_of_two_processes_locks_a_folder(self) -> None:
         with tempfile.TemporaryDirectory() as path:
             program = (
                 "import sys; from cresstray.membership.snapshot_files import SnapshotFolder; "
