--- a/tests/test_membership_joined.py
+++ b/tests/test_membership_joined.py
@@ -97,7 +97,7 @@
         successor.on_discovery_event(
             EndpointEvent(51, True, [make_endpoint(2, started_us=7), make_endpoint(4)])
         )
-        # Discovery names the same start, so the engine has not restarted: its learned state and slow start stay.
+        # Discovery names the same start, so the engine has not restarted: learned state and slow start stay.
         self.assertIs(successor.engine(2).policy_state, state_2)
         self.assertTrue(state_2.slow_start.next_send_us)
         self.assertEqual({successor.membership.estimate.state_of(n) for n in (1, 3)}, {EstimateState.REMOVED})
