--- a/tests/test_membership_recovery.py
+++ b/tests/test_membership_recovery.py
@@ -425,7 +425,7 @@
             watch.accepts_older_list = accepts_older_list
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(watch.run, tasks)
-                # Each on its connection: a complete list and changes; older complete lists and changes; changes.
+                # One connection each: a complete list and changes; older complete lists and changes; changes.
                 for events in (((5, 1), (6, 2)), ((2, 1), (1, 1), (3, 2)), ((1, 2), (7, 2))):
                     await anyio.wait_readable(listener)
                     connection = listener.accept()[0]
