--- a/cresstray/model_checking/gateway.py
+++ b/cresstray/model_checking/gateway.py
@@ -35,7 +35,7 @@
 from cresstray.pipeline.request_context import RequestContext
 from cresstray.pipeline.response import ResponseHandler
 from cresstray.pipeline.routing import Router
-from cresstray.policy.admission_queue import OrderedTurns
+from cresstray.policy.admission_queue import OrderingKeyQueues
 from cresstray.policy.concurrency_limit import ConcurrencyLimit
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.engine_registry import EngineRegistry
@@ -554,7 +554,7 @@
     def _tidy(self) -> None:
         """What is remembered and no longer has a future is dropped, so that states are the same that are."""
         # Names are new by the world's making; a set's order is not that of its making.
-        self.take_in._names.clear()
+        self.take_in._current_names.clear()
         self.take_in._next_generation_us = 0
         if not self.words:
             self.last = None
@@ -602,7 +602,7 @@
         gateway, engines = self.gateway, self.gateway.engines
         kept = {
             "held": gateway.admission_queue.first_attempts + gateway.admission_queue.retries,
-            "turns": gateway.admission_queue.turns.queues,
+            "turns": gateway.admission_queue.ordering.queues,
             "open": self.book.open_requests,
             "out": self.back.in_flight,
             "pages told": self.back._reports,
@@ -759,7 +759,7 @@
         lines(
             (
                 PolicyController.on_attempt_finished,
-                "else:\n        self._answer_unserved(request, now)",
+                "else:\n        self._reject_or_fail(request, now_us)",
                 "else:\n        pass",
             )
         ),
@@ -798,7 +798,7 @@
         "all_denied",
         "unrepeatable",
         "attempt",
-        lines((PolicyController._answer_unserved, "not self.retry_policy.may_reject(request)", "False")),
+        lines((PolicyController._reject_or_fail, "not self.retry_policy.may_reject(request)", "False")),
     ),
     Mutant(
         "group_unasked",
@@ -855,8 +855,8 @@
         lines(
             (
                 PolicyController._send,
-                "request.deadline_us - now - ATTEMPT_MARGIN_US",
-                "request.deadline_us - now",
+                "request.deadline_us - now_us - ATTEMPT_MARGIN_US",
+                "request.deadline_us - now_us",
             )
         ),
     ),
@@ -867,8 +867,8 @@
         lines(
             (
                 PolicyController.on_attempt_finished,
-                "min(request.deadline_us - DEADLINE_MARGIN_US, latest_us)",
-                "min(request.deadline_us, latest_us)",
+                "min(request.deadline_us - DEADLINE_MARGIN_US, latest_dispatch_us)",
+                "min(request.deadline_us, latest_dispatch_us)",
             )
         ),
     ),
@@ -903,7 +903,7 @@
         lines(
             (
                 ResponseHandler.finish_attempt,
-                "if outcome is Outcome.SUCCEEDED and not is_over:",
+                "if outcome is Outcome.SUCCEEDED and not is_request_finished:",
                 "if outcome is Outcome.SUCCEEDED:",
             ),
             (
@@ -919,7 +919,11 @@
         "nothing_after",
         "attempt",
         lines(
-            (ResponseHandler.finish_attempt, "is_over = request.is_finished", "is_over = False"),
+            (
+                ResponseHandler.finish_attempt,
+                "is_request_finished = request.is_finished",
+                "is_request_finished = False",
+            ),
             (PolicyController.on_attempt_finished, "if is_final or request.is_finished:", "if is_final:"),
         ),
     ),
@@ -1043,8 +1047,8 @@
         lines(
             (
                 PolicyController._send,
-                "self.retry_policy.on_retry(now)",
-                "request_class.latency.dispatched.add(now)",
+                "self.retry_policy.on_retry(now_us)",
+                "request_class.latency.dispatched.add(now_us)",
             )
         ),
     ),
@@ -1055,8 +1059,8 @@
         lines(
             (
                 PolicyController._try_send,
-                "is_retry and not self._has_retry_budget(request, now)",
-                "is_retry and not request.is_queued and not self._has_retry_budget(request, now)",
+                "is_retry and not self._has_retry_budget(request, now_us)",
+                "is_retry and not request.is_queued and not self._has_retry_budget(request, now_us)",
             )
         ),
     ),
@@ -1066,7 +1070,7 @@
         "order",
         lines(
             (
-                OrderedTurns.release,
+                OrderingKeyQueues.release,
                 "request.is_finished and not request.current_attempt",
                 "request.is_finished",
             )
@@ -1076,7 +1080,13 @@
         "no_gap",
         "key_order",
         "order",
-        lines((OrderedTurns.is_turn, "now_us < self.free_at_us.get(request.ordering_key, 0)", "False")),
+        lines(
+            (
+                OrderingKeyQueues.may_run,
+                "now_us < self.blocked_until_us.get(request.ordering_key, 0)",
+                "False",
+            )
+        ),
     ),
     Mutant(
         "gap_not_after_reset",
@@ -1106,12 +1116,12 @@
         "turn_unasked",
         "key_order",
         "order",
-        lines((OrderedTurns.is_turn, "self.queues[request.ordering_key][0] is request", "True")),
+        lines((OrderingKeyQueues.may_run, "self.queues[request.ordering_key][0] is request", "True")),
     ),
     Mutant(
         "turn_kept",
         "nothing_kept",
         "order",
-        lines((OrderedTurns.release, "queue.remove(request)", "pass")),
+        lines((OrderingKeyQueues.release, "queue.remove(request)", "pass")),
     ),
 )
--- a/tests/membership_fixtures.py
+++ b/tests/membership_fixtures.py
@@ -19,7 +19,7 @@
 from cresstray.pipeline.routing import Router
 from cresstray.policy.types import EndpointState
 from cresstray.simulation.cold_engine import AddressOnly
-from tests.desk import Desk, settings
+from tests.harness import PolicyHarness, settings
 
 SECOND_US, START_US = 1_000_000, 1_800_000_000_000_000
 DRAIN_GRACE_US, MAX_RETRY_AFTER_US = 10 * SECOND_US, 2 * SECOND_US
@@ -70,7 +70,7 @@
     return msgspec.structs.replace(unchanged, **changes)
 
 
-class MembershipHarness(Desk):
+class MembershipHarness(PolicyHarness):
     """Policy controller, router and membership joined as in the service, without sockets.
 
     Attributes:
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -28,7 +28,7 @@
 from cresstray.sites import codec as sites_codec
 from cresstray.tables import find_table_group
 from cresstray.transport.framing import MAX_FRAME_BYTES, FrameDecoder, FramingError, encode_frame
-from tests.desk import TraceCase
+from tests.harness import TraceCase
 
 PARAMS = {
     "req": "9b1f03aa5c7e2d41",
@@ -375,7 +375,7 @@
 )
 # The frames on links between sites, and on links between control-plane nodes, gateways and operators.
 SITE_FRAMES = sites_codec._KINDS
-FLEET_FRAMES = (*consensus_codec.KINDS, *fleet_config_codec.KINDS, control_plane_codec.Alive)
+FLEET_FRAMES = (*consensus_codec.KINDS, *fleet_config_codec.KINDS, control_plane_codec.KeepAlive)
 
 
 def values_of(kind: Any) -> some.SearchStrategy:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,14 +18,14 @@
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from cresstray.policy.types import Outcome
-from tests.desk import ClientStandIn, Desk, EngineStandIn, TraceCase, settings
+from tests.harness import ClientStandIn, EngineStandIn, PolicyHarness, TraceCase, settings
 
 BUSY_REPORT = {"concurrent": 50.0, "load_share": 1.0}
 
 
-def running_thread_count(desk: Desk) -> int:
+def running_thread_count(harness: PolicyHarness) -> int:
     """Returns how many threads run on all engines."""
-    return sum(engine.policy_state.limit.running_threads for engine in desk.engines)
+    return sum(engine.policy_state.limit.running_threads for engine in harness.engines)
 
 
 class FleetTest(TraceCase):
@@ -34,16 +34,16 @@
     def test_slow_engines_do_not_fill_up_with_one_request_of_each_gateway(self) -> None:
         lines = []
         for gateways in (2, 40, 400):
-            desk = Desk(settings(Balancers=gateways), engines=20)
+            harness = PolicyHarness(settings(Balancers=gateways), engines=20)
             for second in range(6):
-                for engine in desk.engines:
-                    desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, BUSY_REPORT, desk.now)
+                for engine in harness.engines:
+                    harness.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, BUSY_REPORT, harness.now)
                 for number in range(20):
-                    desk.submit(f"s{second}.{number}", left=60_000, estimated_work_us=100_000)
-                    desk.run(50)
-            limits = sum(engine.policy_state.limit.value for engine in desk.engines)
+                    harness.submit(f"s{second}.{number}", left_ms=60_000, estimated_work_us=100_000)
+                    harness.run(50)
+            limits = sum(engine.policy_state.limit.value for engine in harness.engines)
             lines.append(
-                f"{gateways} gateways, none answered for 6 s: {running_thread_count(desk)} threads out, "
+                f"{gateways} gateways, none answered for 6 s: {running_thread_count(harness)} threads out, "
                 f"limits {limits:.1f}"
             )
         self.check("fleet_limits", lines)
@@ -110,30 +110,33 @@
 
         One request of each class arrives every `interval_ms`, and light answers take `answer_ms`.
         """
-        desk = Desk(gateway_settings, engines=engines)
-        desk.list(
+        harness = PolicyHarness(gateway_settings, engines=engines)
+        harness.update_endpoints(
             {
-                engine: {"zone": number % 2, "machine": number % 2}
-                for number, engine in enumerate(desk.engines)
+                engine: {"zone": number % 2, "instance_type": number % 2}
+                for number, engine in enumerate(harness.engines)
             }
         )
-        submitted: list[list] = [[] for _ in desk.gateway.request_classes]
-        for request_class in desk.gateway.request_classes:
+        submitted: list[list] = [[] for _ in harness.gateway.request_classes]
+        for request_class in harness.gateway.request_classes:
             request_class.latency.sample_count, request_class.latency.mean_us = (
                 200,
                 answer_ms * 1000 * (1 + 9 * (request_class.index > 0)),
             )
         for turn in range(duration_s * 1000 // interval_ms):
-            for engine in desk.engines:
-                desk.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, BUSY_REPORT, desk.now)
+            for engine in harness.engines:
+                harness.gateway.on_probe_finished(engine, Outcome.SUCCEEDED, BUSY_REPORT, harness.now)
             for index in request_classes:
-                submitted[index].append(desk.submit(f"{index}.{turn}", index, left=20_000))
-            desk.run(interval_ms)
+                submitted[index].append(harness.submit(f"{index}.{turn}", index, left_ms=20_000))
+            harness.run(interval_ms)
             for index in request_classes:
-                latency_us = desk.gateway.request_classes[index].latency.expected_us(submitted[index][0])
+                latency_us = harness.gateway.request_classes[index].latency.expected_us(submitted[index][0])
                 for request in submitted[index]:
-                    if request.current_attempt and desk.now - request.current_attempt.sent_us >= latency_us:
-                        desk.back(request, Outcome.SUCCEEDED)
+                    if (
+                        request.current_attempt
+                        and harness.now - request.current_attempt.sent_us >= latency_us
+                    ):
+                        harness.finish_attempt(request, Outcome.SUCCEEDED)
         parts = [
             f"{sum(bool(request.attempts) for request in submitted[index])} of {len(submitted[index])}"
             for index in request_classes
@@ -213,8 +216,8 @@
 
                         async def record_state(text: str) -> None:
                             for number in range(40):
-                                await client.ask(client.names + 1, f"plain {number}")
-                                await client.hear()
+                                await client.send_request(client.names + 1, f"plain {number}")
+                                await client.receive_response()
                             zones = len({ready.zone for ready in gateway.ready_engines})
                             lines.append(
                                 f"{text}: {len(gateway.ready_engines)} ready in {zones} zones, "
--- a/tests/test_membership_joined.py
+++ b/tests/test_membership_joined.py
@@ -57,7 +57,7 @@
         successor.sent = []
         successor.gateway.slow_start.warm_up_us = 0
         successor.gateway.admission_rules = AdmissionGuard(successor.membership, successor.gateway)
-        once = successor.submit("once", left=20_000)
+        once = successor.submit("once", left_ms=20_000)
         once.request_class = dataclasses.replace(once.request_class, is_idempotent=False)
         for endpoint in successor.membership.estimate.start_due_probes(successor.now):
             successor.membership._on_contact(endpoint.id, ContactResult.LISTENING, successor.now)
@@ -112,7 +112,7 @@
         successor.membership._on_contact(1, ContactResult.LISTENING, successor.now)
         successor.step()
         successor.run(5000)
-        successor.submit("first", left=20_000)
+        successor.submit("first", left_ms=20_000)
         successor.run(5000)
         ((_, attempt),) = successor.sent
         successor.membership.on_attempt_finished(attempt, Outcome.UNREACHABLE, successor.now)
@@ -145,13 +145,13 @@
             started_us, ids = successor.now, {successor.engine(number): number for number in (1, 2)}
             first_turns += [
                 (engine.policy_state.slow_start.next_send_us - started_us)
-                * successor.gateway.slow_start.ration(engine.policy_state)
-                / min(map(successor.gateway.slow_start.weight, successor.gateway.request_classes))
+                * successor.gateway.slow_start.work_rate(engine.policy_state)
+                / min(map(successor.gateway.slow_start.expected_work_us, successor.gateway.request_classes))
                 for engine in ids
             ]
             successor.sent = []
             for n in range(160):
-                successor.submit(f"{n}", left=60_000)
+                successor.submit(f"{n}", left_ms=60_000)
                 successor.run(50)
             for sent_us, attempt in successor.sent:
                 successor.membership.on_attempt_finished(attempt, Outcome.SUCCEEDED, sent_us)
