--- a/cresstray/engines/codec.py
+++ b/cresstray/engines/codec.py
@@ -6,7 +6,7 @@
 | -------------------- | -------------------------------------------------------------------- |
 | `ASK`                | `encode_request`; its fields: `c` class, `w` timeout in ms, `i` idempotency key |
 | `QUIT`               | `encode_cancellation`, the answer is not awaited any more            |
-| `NEXT`               | `encode_page_requests`, of all pages behind the first one            |
+| `NEXT`               | `encode_page_requests`, of all pages after the first one             |
 | `FREE`               | `encode_release`, the remaining pages are not awaited any more       |
 | `served`             | `SERVED`, a result or its first page                                 |
 | `rows`               | `ROWS`, a further page of a result                                   |
--- a/cresstray/membership/estimate.py
+++ b/cresstray/membership/estimate.py
@@ -41,11 +41,11 @@
 from cresstray.policy.types import EndpointState
 
 # A probe without a result after so long is lost, as an attempt to connect times out far sooner.
-_PROBE_LOST_US = 5 * SECOND_US
+_PROBE_TIMEOUT_US = 5 * SECOND_US
 # Discovery sends an empty frame each second; after so long without one its watch counts as silent.
-_WATCH_SILENT_US = 2 * SECOND_US
+_WATCH_SILENCE_TIMEOUT_US = 2 * SECOND_US
 # While no endpoint is listed, requests wait for the first probes for so long; after that they are rejected.
-_FIRST_PROBES_US = SECOND_US // 2
+_FIRST_PROBES_TIMEOUT_US = SECOND_US // 2
 # The retry_after of a rejected request is random between this share of the maximum and the maximum.
 _MIN_RETRY_AFTER_SHARE = 0.25
 
@@ -107,10 +107,10 @@
             self.index_tracker.highest = max(self.index_tracker.highest, index)
             self.is_handed_over = is_handed_over
         merge_endpoints(self, remembered, index, source, self._drain_grace_us, now_us)
-        self._draw_probe_order()
+        self._shuffle_probe_order()
         return self._changed_since(listed_before)
 
-    def _draw_probe_order(self) -> None:
+    def _shuffle_probe_order(self) -> None:
         order = sorted(self.endpoints)
         for last in range(len(order) - 1, 0, -1):
             other = int(self._chance() * (last + 1))
@@ -122,9 +122,9 @@
         for endpoint_id, (endpoint, listed_start_us) in listed_before.items():
             estimate = self.endpoints.get(endpoint_id)
             if estimate is None:
-                changed.append(_removed(endpoint))
+                changed.append(_as_removed(endpoint))
             elif estimate.listed_start_us > listed_start_us:
-                changed.append(_ready(estimate.endpoint, estimate.listed_start_us))
+                changed.append(_as_ready(estimate.endpoint, estimate.listed_start_us))
         return changed
 
     # Events of discovery, which take precedence over all other evidence.
@@ -187,7 +187,7 @@
             return []
         known = self.endpoints[owner]
         self.remove(owner, known.endpoint.started_us, index, now_us)
-        return [_removed(known.endpoint)] if known.is_listed else []
+        return [_as_removed(known.endpoint)] if known.is_listed else []
 
     def _start_for_listing_us(self, endpoint: Endpoint, index: int, now_us: int) -> int:
         """Returns since when the endpoint may be assumed to be up.
@@ -236,7 +236,7 @@
             The event that removes the endpoints that discovery has not named; None while the index is not
             settled.
         """
-        if now_us - self._last_frame_us > _WATCH_SILENT_US:
+        if now_us - self._last_frame_us > _WATCH_SILENCE_TIMEOUT_US:
             self.index_tracker.on_watch_silent(now_us)
         if not self.index_tracker.is_settled(now_us):
             return None
@@ -246,14 +246,14 @@
         for estimate in unnamed:
             self.remove(estimate.endpoint.id, 0, last_index, now_us)
         self.tombstones.rebase(last_index)
-        return EndpointEvent(0, False, [_removed(known.endpoint) for known in unnamed if known.is_listed])
+        return EndpointEvent(0, False, [_as_removed(known.endpoint) for known in unnamed if known.is_listed])
 
     # Probes: first a connection, then requests at the rate for a cold engine, until one is served.
 
     def start_due_probes(self, now_us: int) -> list[Endpoint]:
         """Starts the probes that are due and returns their endpoints; `on_contact` takes the results."""
         for endpoint_id, started_us in list(self.probe_budget.in_flight.items()):
-            if now_us - started_us >= _PROBE_LOST_US:
+            if now_us - started_us >= _PROBE_TIMEOUT_US:
                 self.on_contact(endpoint_id, ContactResult.TIMED_OUT, now_us)
         started: list[Endpoint] = []
         if not self.counts().unlisted or not self.probe_budget.available():
@@ -309,13 +309,13 @@
                 estimate.next_probe_us = now_us + self._drain_grace_us
             else:
                 estimate.next_probe_us = now_us + retry_delay_us(estimate.failure_count, self._chance)
-        return [_removed(endpoint)] if was_listed else []
+        return [_as_removed(endpoint)] if was_listed else []
 
     def forget(self, endpoint_id: int, now_us: int) -> list[Endpoint]:
         """Removes a known endpoint at an operator's request; a later event of discovery may bring it back."""
         estimate = self.endpoints[endpoint_id]
         self.remove(endpoint_id, estimate.endpoint.started_us, self.index_tracker.highest, now_us)
-        return [_removed(estimate.endpoint)] if estimate.is_listed else []
+        return [_as_removed(estimate.endpoint)] if estimate.is_listed else []
 
     def _list_endpoint(self, estimate: EndpointEstimate, now_us: int) -> list[Endpoint]:
         estimate.is_listed = True
@@ -329,7 +329,7 @@
             and estimate.endpoint.state is EndpointState.READY
         )
         estimate.listed_start_us = estimate.endpoint.started_us if is_warm else now_us
-        return [_ready(estimate.endpoint, estimate.listed_start_us)]
+        return [_as_ready(estimate.endpoint, estimate.listed_start_us)]
 
     # Admission of requests.
 
@@ -347,16 +347,16 @@
             # The first request to a remembered address must not be one that may run only once.
             if can_repeat or self.is_handed_over:
                 return None
-        elif now_us - self.started_us < _FIRST_PROBES_US:
+        elif now_us - self.started_us < _FIRST_PROBES_TIMEOUT_US:
             return None
         # All gateways of a site reject together, and engines warm up slowly, so the delays are spread widely.
         share = _MIN_RETRY_AFTER_SHARE + (1 - _MIN_RETRY_AFTER_SHARE) * self._chance()
         return int(self._max_retry_after_us * share)
 
 
-def _removed(endpoint: Endpoint) -> Endpoint:
+def _as_removed(endpoint: Endpoint) -> Endpoint:
     return msgspec.structs.replace(endpoint, state=EndpointState.REMOVED)
 
 
-def _ready(endpoint: Endpoint, started_us: int) -> Endpoint:
+def _as_ready(endpoint: Endpoint, started_us: int) -> Endpoint:
     return msgspec.structs.replace(endpoint, state=EndpointState.READY, started_us=started_us)
--- a/cresstray/transport/greeting.py
+++ b/cresstray/transport/greeting.py
@@ -69,7 +69,7 @@
     if greeting.role not in ROLES:
         raise FramingError(f"role {greeting.role!r}")
     if not _NAME.fullmatch(greeting.name) or not _INCARNATION.fullmatch(greeting.incarnation):
-        raise FramingError(f"name {greeting.name!r}, life {greeting.incarnation!r}")
+        raise FramingError(f"name {greeting.name!r}, incarnation {greeting.incarnation!r}")
 
 
 def _check_role(greeting: Greeting, fleet: Fleet, certificate_names: set[str] | None) -> None:
