--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -31,7 +31,7 @@
 from cresstray.control_plane.replica_positions import Moving, Positions
 from cresstray.fleet_config import documents
 from cresstray.fleet_config.codec import ReplicaPositions
-from cresstray.fleet_config.documents import FleetState
+from cresstray.fleet_config.documents import FleetInventory
 from cresstray.fleet_config.leases import LeaseTable
 from cresstray.fleet_config.state import ConfigState
 from cresstray.observability.counters import Counters
@@ -344,9 +344,9 @@
             print(f"{self.name} counter: {line}", file=sys.stderr, flush=True)
 
 
-def world(given: Fleet) -> FleetState:
+def world(given: Fleet) -> FleetInventory:
     """What all keepers check changes by, so that one log makes one state of all of them."""
-    return FleetState(max_gateways=given.most, max_barred_fraction=given.barred)
+    return FleetInventory(max_gateways=given.most, max_barred_fraction=given.barred)
 
 
 def _contexts(given: Fleet) -> Contexts | None:
--- a/cresstray/control_plane/request_handlers.py
+++ b/cresstray/control_plane/request_handlers.py
@@ -125,7 +125,7 @@
         # Danger: a log that is read again with a newer file would come to another state.
         self._log(
             commands.encode_proposal(
-                ask.request, bases, ask.change, ask.why, ask.name, self._core.state.fleet_state
+                ask.request, bases, ask.change, ask.why, ask.name, self._core.state.fleet_inventory
             ),
             reply,
             refused,
@@ -140,9 +140,9 @@
             new = documents.apply_delta(state.latest, change)
         except ValueError:
             return []  # told by the log
-        known = checks.refusals(state.latest, new, state.fleet_state)
-        world = msgspec.structs.replace(state.fleet_state, engines=self.zones)
-        return [one for one in checks.refusals(state.latest, new, world) if one not in known]
+        known = checks.validation_errors(state.latest, new, state.fleet_inventory)
+        world = msgspec.structs.replace(state.fleet_inventory, engines=self.zones)
+        return [one for one in checks.validation_errors(state.latest, new, world) if one not in known]
 
     def _log(self, data: bytes, reply: Reply, instead: list[str] | None = None) -> None:
         def applied(outcome: bytes | None) -> None:
@@ -185,7 +185,9 @@
         ]
         dropped = state.latest.gateways.items.keys() - new.gateways.items.keys()
         ghosts = (state.departed_gateways | dropped) - new.gateways.items.keys()
-        refused += checks.refusals(state.latest, new, state.fleet_state, len(ghosts)) + self._too_much(change)
+        refused += checks.validation_errors(
+            state.latest, new, state.fleet_inventory, len(ghosts)
+        ) + self._too_much(change)
         reply(
             self._turns()
             | {
--- a/cresstray/emulators/fleet/crowd.py
+++ b/cresstray/emulators/fleet/crowd.py
@@ -32,7 +32,7 @@
                 given.floor_lease,
                 given.drift,
                 given.most,
-                waits=True,
+                requires_list=True,
                 incarnation=f"{os.getpid():x}",
             )
             tasks.start_soon(
--- a/cresstray/fleet_config/active_config.py
+++ b/cresstray/fleet_config/active_config.py
@@ -49,7 +49,7 @@
     """
 
     LEASE = "lease"
-    FLOOR = "floor"
+    FALLBACK = "floor"
     STOPPED = "stop"
 
 
@@ -63,42 +63,48 @@
 
 
 class ActiveConfig:
-    """The configuration in use at one gateway.
-
-    `lease` and `floor_lease` (how long the count without a lease may be used) in microseconds; `drift`: how
-    much a clock may run wrong, as a fraction; `max_gateways`: that may ever run. `waits`: until it has heard
-    of a list it sends nothing; else it divides by `max_gateways`.
+    """The configuration in use at one gateway, and the state of its lease.
+
+    Args:
+        name: This gateway's name in the gateway list.
+        lease_us: Length of a lease.
+        fallback_lease_us: How long after a renewal `count_without_lease` may be used, at least a lease.
+        drift: Largest rate error of a clock, as a fraction.
+        max_gateways: The number of gateways that may ever run at once; the divisor while no list is known.
+        requires_list: Whether the gateway sends nothing until it has received a gateway list. Otherwise it
+            divides the shares by `max_gateways` until then.
+        incarnation: Identifies this process; two processes with the same gateway name differ in it.
     """
 
     def __init__(
         self,
         name: str,
-        lease: int,
-        floor_lease: int,
+        lease_us: int,
+        fallback_lease_us: int,
         drift: float,
         max_gateways: int,
-        waits: bool = False,
+        requires_list: bool = False,
         incarnation: str = "",
     ) -> None:
         self.name = name
         self.max_gateways = max_gateways
         self.incarnation = incarnation
-        self._every = lease // _RENEWALS_PER_LEASE
-        self._at_once = lease // _MAX_RENEWALS_PER_LEASE
-        self._lease = int(lease * (1 - drift))
-        self._floor_lease = int(max(lease, floor_lease) * (1 - drift))
+        self._every = lease_us // _RENEWALS_PER_LEASE
+        self._at_once = lease_us // _MAX_RENEWALS_PER_LEASE
+        self._lease_us = int(lease_us * (1 - drift))
+        self._fallback_lease_us = int(max(lease_us, fallback_lease_us) * (1 - drift))
         self.turn = 0
         self.documents = EMPTY
         self.highest_turn_heard = 0  # above `turn`: its content is to come
-        self._waits = waits
+        self._requires_list = requires_list
         self._out = 0  # the highest turn of which it was told that it is not named
         self.revision = 0  # grows whenever the answer of `effective_at` may be another, beside by time
-        self._until = 0
-        self._floor_until = 0
+        self._lease_until_us = 0
+        self._fallback_until_us = 0
         self.due_us = 0
         self._spread_to = 0
         self._number = 0
-        self._asked: dict[int, tuple[int, int]] = {}  # number: when, and at which turn
+        self._pending_renewals: dict[int, tuple[int, int]] = {}  # number: when, and at which turn
         self._asked_at = -self._every  # when it last asked
         self._parts: list[ConfigPart] = []
         self._mode: Mode | None = None
@@ -112,7 +118,7 @@
         """On a new connection: parts begin anew; a lease is asked for at a moment of its own."""
         self._parts.clear()
         # Where nodes are back, all gateways would ask in the same moment: names spread them over a third.
-        if now >= self._until:
+        if now >= self._lease_until_us:
             self._spread_to = now + crc32(self.name.encode()) % max(1, self._every)
             self.due_us = max(self.due_us, self._spread_to)
         else:
@@ -123,14 +129,14 @@
         if now < self.due_us:
             return None
         self._number += 1
-        self._asked[self._number] = (now, self.turn)
+        self._pending_renewals[self._number] = (now, self.turn)
         # Answers that never come must not be waited for without end.
-        while len(self._asked) > _MAX_UNANSWERED:
-            del self._asked[next(iter(self._asked))]
+        while len(self._pending_renewals) > _MAX_UNANSWERED:
+            del self._pending_renewals[next(iter(self._pending_renewals))]
         self._asked_at, self.due_us = now, now + self._every
         return RenewLease(self._number, self.turn, self.incarnation, self._mode_at(now) is Mode.STOPPED)
 
-    def make_request(self) -> GetConfig:
+    def config_request(self) -> GetConfig:
         """What to ask a node for: all since this turn."""
         return GetConfig(self.turn)
 
@@ -152,7 +158,7 @@
             return
         if not isinstance(frame, (LeaseGranted, LeaseBehind, LeaseRefused)):
             raise FramingError(f"a {type(frame).__name__} for a gateway")
-        asked = self._asked.pop(frame.number, None)
+        asked = self._pending_renewals.pop(frame.number, None)
         # An answer to what this process didn't ask, or asked too long ago to know when.
         if asked is None:
             return
@@ -164,7 +170,7 @@
             if self._out <= self.turn:
                 self._log_lines.append(f"stopped: not named by the list of turn {frame.turn}")
                 self._soon(now)
-            self._out, self._until, self._floor_until = max(self._out, frame.turn), 0, 0
+            self._out, self._lease_until_us, self._fallback_until_us = max(self._out, frame.turn), 0, 0
             self.revision += 1
         elif isinstance(frame, LeaseRefused):
             self.due_us = min(self.due_us, self._asked_at + self._every // _REFUSED_SPEEDUP)
@@ -178,8 +184,8 @@
             return
         self.revision += 1
         # Counted from the answer's arrival, it would last longer than the leader waits.
-        self._until = max(self._until, asked_at + self._lease)
-        self._floor_until = max(self._floor_until, asked_at + self._floor_lease)
+        self._lease_until_us = max(self._lease_until_us, asked_at + self._lease_us)
+        self._fallback_until_us = max(self._fallback_until_us, asked_at + self._fallback_lease_us)
 
     def _take_content(self, frame: ConfigPart, now: int) -> None:
         self.highest_turn_heard = max(self.highest_turn_heard, frame.turn)
@@ -221,7 +227,7 @@
         self.turn, self.documents = frame.turn, documents
         self.revision += 1
         if not self._named():
-            self._until = self._floor_until = 0
+            self._lease_until_us = self._fallback_until_us = 0
         self._soon(now)
 
     def _named(self) -> bool:
@@ -229,15 +235,15 @@
 
     def stop_waiting_for_list(self) -> None:
         """No node could be reached for so long that service counts for more: it goes on without a list."""
-        self._waits = False
+        self._requires_list = False
         self.revision += 1
 
     # Acting.
 
     def _mode_at(self, now: int) -> Mode:
-        if self._out > self.turn or (not self._named() if self.turn else self._waits):
+        if self._out > self.turn or (not self._named() if self.turn else self._requires_list):
             return Mode.STOPPED
-        return Mode.LEASE if now < self._until else Mode.FLOOR
+        return Mode.LEASE if now < self._lease_until_us else Mode.FALLBACK
 
     def effective_at(self, now: int) -> EffectiveConfig:
         """What holds at this moment. Ask it when acting, each time: a lease ends without a word."""
@@ -250,14 +256,18 @@
             self._log_mode(mode)
         made = EffectiveConfig(mode, self.turn, self._divisor(mode, now), self.documents)
         if mode is Mode.LEASE:
-            ends = self._until
+            ends = self._lease_until_us
         else:
-            ends = self._floor_until if mode is Mode.FLOOR and now < self._floor_until else _NEVER_US
+            ends = (
+                self._fallback_until_us
+                if mode is Mode.FALLBACK and now < self._fallback_until_us
+                else _NEVER_US
+            )
         self._cached = self.revision, ends, made
         return made
 
     def _log_mode(self, mode: Mode) -> None:
-        if self._mode is not None or mode is not Mode.FLOOR:
+        if self._mode is not None or mode is not Mode.FALLBACK:
             before = self._mode.value if self._mode else "nothing"
             self._log_lines.append(f"{before} > {mode.value} at turn {self.turn}")
         self._mode = mode
@@ -269,12 +279,12 @@
         if mode is Mode.LEASE:
             return max(1, gateway_divisor(given))
         # After that time others may have agreed on a higher count: the file's most holds.
-        floor = given.count_without_lease if now < self._floor_until else 0
+        floor = given.count_without_lease if now < self._fallback_until_us else 0
         return max(floor or self.max_gateways, gateway_divisor(given)) if self.turn else self.max_gateways
 
     def lease_left_us(self, now: int) -> int:
         """Microseconds; 0: none."""
-        return max(0, self._until - now)
+        return max(0, self._lease_until_us - now)
 
     def take_log_lines(self) -> list[str]:
         """Lines for the log since it was last asked."""
--- a/cresstray/fleet_config/commands.py
+++ b/cresstray/fleet_config/commands.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cresstray.fleet_config.documents import FleetState
+from cresstray.fleet_config.documents import FleetInventory
 
 # What decoding raises for bytes that are not what they should be.
 MALFORMED = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
@@ -30,7 +30,7 @@
     change: bytes
     reason: Annotated[str, msgspec.Meta(max_length=1024)]
     author: _Name = ""
-    fleet_state: FleetState | None = None
+    fleet_inventory: FleetInventory | None = None
 
 
 class AdvanceTurn(msgspec.Struct, array_like=True, frozen=True, tag=2):
@@ -75,15 +75,22 @@
     change: bytes,
     reason: str,
     author: str = "",
-    fleet_state: FleetState | None = None,
+    fleet_inventory: FleetInventory | None = None,
 ) -> bytes:
-    """A proposal as an entry of the log.
-
-    `bases`: the version of each document that the change was made for; `change`: a delta. `fleet_state`: what
-    it is checked by, the proposing node's. It goes with the proposal, since nodes whose files differ, or that
-    read their log again with a newer file, would otherwise come to different states.
+    """Encodes a proposal as a log entry.
+
+    The inventory is part of the entry: nodes whose operator files differ, or that replay their log with a
+    newer file, would otherwise validate the same entry differently and reach different states.
+
+    Args:
+        request: Name of the request; a repeated request is not applied twice.
+        bases: For each document that changes, the version that the change was made against.
+        change: The delta from the base documents; see `encode_delta`.
+        reason: The operator's reason, kept in the history.
+        author: Who proposed the change, kept in the history.
+        fleet_inventory: The proposing node's inventory, which the change is validated against.
     """
-    return encode(ProposeChange(request, bases, change, reason, author, fleet_state))
+    return encode(ProposeChange(request, bases, change, reason, author, fleet_inventory))
 
 
 def encode_advance(turn: int) -> bytes:
--- a/cresstray/fleet_config/documents.py
+++ b/cresstray/fleet_config/documents.py
@@ -169,7 +169,7 @@
 EMPTY = Documents()
 
 
-class FleetState(
+class FleetInventory(
     _Typed,
     frozen=True,
     rename={
--- a/cresstray/fleet_config/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -88,7 +88,7 @@
         self.active_config = active_config
         self._linked = linked
         self._chance = chance
-        self._now = now
+        self._clock = now
         self._talks = talks
         self.counters = counters or Counters()
         self._said = EventLog(now, gateway=name)
@@ -120,7 +120,7 @@
         self._tick()
         while True:
             node = self._nodes[tried % len(self._nodes)]
-            began = self._now()
+            began = self._clock()
             await self._ends.run_outgoing(
                 node.address,
                 node.name,
@@ -148,7 +148,7 @@
             raise FramingError(f"the {greet.role} {greet.name!r} where {node.name!r} should be")
 
     def _up(self, node: Keeper, link: Link) -> None:
-        at = self._now()
+        at = self._clock()
         self._link = link
         self._node = node.name
         self._requested_turn = -1
@@ -157,7 +157,7 @@
         self._linked(True)
         self._said.log("link", "made", to=node.name)
         self.active_config.on_connected(at)
-        link.put(self.active_config.make_request())
+        link.put(self.active_config.config_request())
         self._tick()
 
     def _down(self, link: Link) -> None:
@@ -168,7 +168,7 @@
             self._linked(False)
 
     def _taken(self, link: Link, frame: Frame) -> None:
-        at = self._heard_at = self._now()
+        at = self._heard_at = self._clock()
         if isinstance(frame, Greeting):
             raise FramingError("a second greeting")
         if isinstance(frame, ReplicaPositions):
@@ -199,7 +199,7 @@
 
     def _tick(self) -> None:
         """Whatever is due; it calls itself again when more is."""
-        at = self._now()
+        at = self._clock()
         if self._timer is not None:
             self._timer.cancel()
         wait = self._given.lease // 12
@@ -220,7 +220,7 @@
             link.put(renew)
         if use.is_behind and self._requested_turn < use.highest_turn_heard:
             self._requested_turn = use.highest_turn_heard
-            link.put(use.make_request())
+            link.put(use.config_request())
         if self._talk is not None and at >= self._send_positions_at:
             self._send_positions(link, self._talk, at)
         # A renewal goes out each third of a lease; a sixth later its answer is overdue, and half of the lease
@@ -237,7 +237,7 @@
 
     def request_positions(self) -> None:
         """Sends, and so asks for, what is known of replicas now, where there is a node to hear it."""
-        at = self._now()
+        at = self._clock()
         if (
             self._link is not None
             and self._talk is not None
@@ -259,7 +259,7 @@
 
     def status(self) -> dict[str, Any]:
         """What an operator sees of the link and of the configuration in use."""
-        at = self._now()
+        at = self._clock()
         in_use = self.active_config.effective_at(at)
         return {
             "member": self.name,
--- a/cresstray/fleet_config/leases.py
+++ b/cresstray/fleet_config/leases.py
@@ -20,11 +20,11 @@
 class LeaseHolder:
     """One gateway.
 
-    By `until_us` and `count_until_us` what it was granted is over, whatever its clock does.
+    By `lease_until_us` and `fallback_until_us` what it was granted is over, whatever its clock does.
     """
 
-    until_us: int
-    count_until_us: int
+    lease_until_us: int
+    fallback_until_us: int
     turn: int = -1  # that it last said it acts at; -1: nothing yet
     heard_us: int = -1
     incarnation: str = ""
@@ -41,28 +41,30 @@
 
 
 class LeaseTable:
-    """The leases of all gateways.
+    """The leases of all gateways, as the leader knows them.
 
-    `lease_us` is a lease's length, `count_lease_us` how long the count without a lease may be used after it;
-    `drift`: how much a clock may run wrong, as a fraction.
+    Args:
+        lease_us: Length of a lease.
+        fallback_lease_us: How long after a renewal `count_without_lease` may be used, at least a lease.
+        drift: Largest rate error of a clock, as a fraction.
     """
 
-    def __init__(self, lease_us: int, count_lease_us: int, drift: float) -> None:
-        self._lease = int(lease_us * (1 + drift)) + 1
-        self._count_lease = int(max(lease_us, count_lease_us) * (1 + drift)) + 1
+    def __init__(self, lease_us: int, fallback_lease_us: int, drift: float) -> None:
+        self._lease_us = int(lease_us * (1 + drift)) + 1
+        self._fallback_lease_us = int(max(lease_us, fallback_lease_us) * (1 + drift)) + 1
         self._holders: dict[str, LeaseHolder] = {}
         # Until when gateways may hold a lease that the leader before granted.
-        self._until = 0
-        self._count_until = 0
+        self._lease_until_us = 0
+        self._fallback_until_us = 0
 
     def on_elected(self, gateways: Iterable[str], now: int) -> None:
         """Elected: each may hold a lease of the old leader's until it is over or has spoken to this one."""
-        self._until = now + self._lease
-        self._count_until = now + self._count_lease
+        self._lease_until_us = now + self._lease_us
+        self._fallback_until_us = now + self._fallback_lease_us
         self._holders = {name: self._unknown() for name in sorted(gateways)}
 
     def _unknown(self) -> LeaseHolder:
-        return LeaseHolder(self._until, self._count_until)
+        return LeaseHolder(self._lease_until_us, self._fallback_until_us)
 
     def renew(
         self,
@@ -70,16 +72,16 @@
         number: int,
         turn: int,
         state: ConfigState,
-        leads: bool,
+        is_leader: bool,
         now: int,
         incarnation: str = "",
         has_stopped: bool = False,
     ) -> Frame:
         """The answer to a renewal. What the gateway says of its turn counts even where it gets no lease.
 
-        `leads`: this node leads, and all entries up to the leader's own first one are applied.
+        `is_leader`: this node leads, and all entries up to the leader's own first one are applied.
         """
-        if not leads:
+        if not is_leader:
             return LeaseRefused(number, state.turn, "no leader")
         if not state.has_gateway_list():
             return LeaseRefused(number, state.turn, "no list of gateways yet")
@@ -87,7 +89,7 @@
             return LeaseRefused(number, state.turn, NOT_NAMED)
         holder = self._holders.setdefault(gateway, self._unknown())
         # Two of one name would each take that name's share: the second waits until the first's lease is over.
-        if holder.incarnation and incarnation != holder.incarnation and now < holder.until_us:
+        if holder.incarnation and incarnation != holder.incarnation and now < holder.lease_until_us:
             return LeaseRefused(number, state.turn, "another of that name has a lease")
         if incarnation != holder.incarnation:
             holder.incarnation = incarnation
@@ -100,8 +102,8 @@
             return LeaseRefused(number, state.turn, NOT_NAMED)
         if turn != state.turn:
             return LeaseBehind(number, state.turn)
-        holder.until_us = max(holder.until_us, now + self._lease)
-        holder.count_until_us = max(holder.count_until_us, now + self._count_lease)
+        holder.lease_until_us = max(holder.lease_until_us, now + self._lease_us)
+        holder.fallback_until_us = max(holder.fallback_until_us, now + self._fallback_lease_us)
         return LeaseGranted(number, turn)
 
     def has_departed(self, gateway: str, state: ConfigState) -> bool:
@@ -121,7 +123,7 @@
         found = []
         for name in state.counting_gateways():
             holder = self._holders.get(name) or self._unknown()
-            end = holder.count_until_us if with_count else holder.until_us
+            end = holder.fallback_until_us if with_count else holder.lease_until_us
             if holder.turn < state.turn and now < end:
                 found.append((name, end))
         return found
@@ -147,4 +149,4 @@
     def _status(self, name: str, now: int) -> GatewayStatus:
         holder = self._holders.get(name) or self._unknown()
         heard_ago_us = now - holder.heard_us if holder.heard_us >= 0 else -1
-        return GatewayStatus(name, holder.turn, max(0, holder.until_us - now), heard_ago_us)
+        return GatewayStatus(name, holder.turn, max(0, holder.lease_until_us - now), heard_ago_us)
--- a/cresstray/fleet_config/state.py
+++ b/cresstray/fleet_config/state.py
@@ -31,14 +31,14 @@
     EMPTY,
     NAMES,
     Documents,
-    FleetState,
+    FleetInventory,
     apply_delta,
     encode_delta,
     touched_documents,
 )
 from cresstray.fleet_config.history import ChangeHistory, HistoryEntry, ResultCache, TurnDeltas
 from cresstray.fleet_config.strictest import gateway_divisor, has_no_gateway_list, strictest
-from cresstray.fleet_config.validation import MAX_DOCUMENTS_BYTES, refusals
+from cresstray.fleet_config.validation import MAX_DOCUMENTS_BYTES, validation_errors
 
 # Each needs two turns, a second or so of an operator's patience.
 _MAX_PENDING_CHANGES = 64
@@ -101,8 +101,10 @@
 class ConfigState:
     """The state of one node. `turn` is twice the version in force, plus one while a change is joint."""
 
-    def __init__(self, fleet_state: FleetState, sections: Mapping[str, Section] | None = None) -> None:
-        self.fleet_state = fleet_state
+    def __init__(
+        self, fleet_inventory: FleetInventory, sections: Mapping[str, Section] | None = None
+    ) -> None:
+        self.fleet_inventory = fleet_inventory
         self.sections = dict(sections or {})
         self.turn = 0
         self.effective = EMPTY
@@ -183,10 +185,10 @@
         changed = tuple(name for name in NAMES if given.document(name) != latest.documents.document(name))
         if not changed:
             return CommandResult(not reasons, latest.version, reasons)
-        fleet_state = command.fleet_state or self.fleet_state
-        content = self._next_content(latest, given, changed, fleet_state)
+        fleet_inventory = command.fleet_inventory or self.fleet_inventory
+        content = self._next_content(latest, given, changed, fleet_inventory)
         new = content.documents
-        reasons += refusals(latest.documents, new, fleet_state, len(content.departed_gateways))
+        reasons += validation_errors(latest.documents, new, fleet_inventory, len(content.departed_gateways))
         if not reasons and len(encode_delta(EMPTY, new)) > MAX_DOCUMENTS_BYTES:
             reasons.append(f"all documents together are more than {MAX_DOCUMENTS_BYTES} bytes")
         if reasons:
@@ -217,7 +219,11 @@
         return reasons
 
     def _next_content(
-        self, latest: ContentVersion, given: Documents, changed: tuple[str, ...], fleet_state: FleetState
+        self,
+        latest: ContentVersion,
+        given: Documents,
+        changed: tuple[str, ...],
+        fleet_inventory: FleetInventory,
     ) -> ContentVersion:
         version = latest.version + 1
         new = given.with_versions(latest.documents.versions | dict.fromkeys(changed, version))
@@ -225,7 +231,7 @@
         dropped = latest.documents.gateways.items.keys() - named
         departed = frozenset((latest.departed_gateways | dropped) - named)
         # Before the first list any gateway may run, each by the file's most.
-        min_divisor = fleet_state.max_gateways if has_no_gateway_list(latest.documents) else 0
+        min_divisor = fleet_inventory.max_gateways if has_no_gateway_list(latest.documents) else 0
         return ContentVersion(version, new, departed, min_divisor)
 
     def _remove_departed(self, command: RemoveDeparted) -> CommandResult:
--- a/cresstray/fleet_config/validation.py
+++ b/cresstray/fleet_config/validation.py
@@ -5,7 +5,7 @@
 import re
 from collections import Counter
 
-from cresstray.fleet_config.documents import Documents, FleetState
+from cresstray.fleet_config.documents import Documents, FleetInventory
 from cresstray.fleet_config.strictest import gateway_divisor
 
 _NAME = re.compile(r"[0-9A-Za-z_.:@-]{1,64}")
@@ -13,7 +13,9 @@
 MAX_DOCUMENTS_BYTES = 8 * 1024 * 1024
 
 
-def refusals(old: Documents, new: Documents, world: FleetState, departed_count: int = 0) -> list[str]:
+def validation_errors(
+    old: Documents, new: Documents, world: FleetInventory, departed_count: int = 0
+) -> list[str]:
     """Every refusal, in order; none: fit. `departed_count`: gateways not named any more that may still run.
 
     What does not change is not judged again: the file may have changed, and a move may leave a pin behind.
@@ -28,7 +30,7 @@
     ]
 
 
-def _gateways(new: Documents, world: FleetState, departed_count: int) -> list[str]:
+def _gateways(new: Documents, world: FleetInventory, departed_count: int) -> list[str]:
     given, told = new.gateways, []
     named, needed = len(given.items), gateway_divisor(given, departed_count)
     if not named:
@@ -49,7 +51,7 @@
     return told
 
 
-def _engines(old: Documents, new: Documents, world: FleetState) -> list[str]:
+def _engines(old: Documents, new: Documents, world: FleetInventory) -> list[str]:
     if not world.engines or old.engines == new.engines:
         return []
     told = [
@@ -82,7 +84,7 @@
     ]
 
 
-def _placement(old: Documents, new: Documents, world: FleetState) -> list[str]:
+def _placement(old: Documents, new: Documents, world: FleetInventory) -> list[str]:
     told = []
     for name, shard in new.placement.items.items():
         at, before = f"placement: shard {name}: ", old.placement.items.get(name)
@@ -111,7 +113,7 @@
     return told
 
 
-def _replicas(old: Documents, new: Documents, world: FleetState) -> list[str]:
+def _replicas(old: Documents, new: Documents, world: FleetInventory) -> list[str]:
     told = []
     placed = {copy for shard in new.placement.items.values() for copy in shard.copies}
     for name, pin in new.replicas.items.items():
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -176,7 +176,7 @@
             config.floor_lease,
             config.drift,
             config.most,
-            waits=True,
+            requires_list=True,
             incarnation=incarnation,
         )
 
--- a/cresstray/placement/move_executor.py
+++ b/cresstray/placement/move_executor.py
@@ -315,7 +315,7 @@
                     {"placement": base},
                     documents.encode_delta(state.latest, after),
                     why[:200],
-                    fleet_state=state.fleet_state,
+                    fleet_inventory=state.fleet_inventory,
                 ),
             )
         )
--- a/cresstray/simulation/fleet.py
+++ b/cresstray/simulation/fleet.py
@@ -420,7 +420,7 @@
                 self.link.ends[0].put(frame)
             if self.use.is_behind and now - self.got > 500 * MS:
                 self.got = now
-                self.link.ends[0].put(self.use.make_request())
+                self.link.ends[0].put(self.use.config_request())
         self.wake(
             max(now + MS, min(self.use.due_us, now + 100 * MS) if self.use.due_us > now else now + 20 * MS),
             self.tick,
@@ -651,7 +651,7 @@
             plan.most,
         )
         self.engines = [f"s-{n:08x}" for n in range(plan.engines)]
-        self.rules = documents.FleetState(
+        self.rules = documents.FleetInventory(
             max_gateways=plan.most,
             max_barred_fraction=0.33,
             engines={name: f"z{n % 2}" for n, name in enumerate(self.engines)},
--- a/cresstray/simulation/joined.py
+++ b/cresstray/simulation/joined.py
@@ -165,7 +165,9 @@
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name, self.clock = world, name, Clock(world)
         self.frozen = 0
-        self.use = ActiveConfig(name, LEASE, FLOOR, DRIFT, 8, waits=True, incarnation=f"{name} {world.now}")
+        self.use = ActiveConfig(
+            name, LEASE, FLOOR, DRIFT, 8, requires_list=True, incarnation=f"{name} {world.now}"
+        )
         self.counters, self.said = Counters(), []
         board = Board(self.said.append, DRIFT)
         self.reads = Reads(
@@ -209,7 +211,7 @@
         if (renew := self.use.renewal_due(now)) is not None:
             world.send(lambda: world.leader and world.leader.renewed(self, renew))
         if self.use.is_behind:
-            world.send(self.got, self.use.make_request().turn)
+            world.send(self.got, self.use.config_request().turn)
 
     def got(self, turn: int) -> None:
         for frame in config_parts(*self._since(turn)):
@@ -346,7 +348,7 @@
         self.after(self.chance.uniform(4, 20) * SECOND, self.pins)
 
     def _found(self) -> None:
-        self.state = ConfigState(documents.FleetState(max_gateways=8), {moves.NAME: self.moves})
+        self.state = ConfigState(documents.FleetInventory(max_gateways=8), {moves.NAME: self.moves})
         items = {name: documents.Shard(copies, copies[0], 1, copies) for name, copies in PLACED.items()}
         names = {f"g{number}": documents.Gateway() for number in range(self.GATEWAYS)}
         pins = {
@@ -493,7 +495,7 @@
     def elect(self, left: list[bytes]) -> None:
         dumped = self.state.snapshot()
         self.moves = Moves()
-        self.state = ConfigState(documents.FleetState(max_gateways=8), {moves.NAME: self.moves})
+        self.state = ConfigState(documents.FleetInventory(max_gateways=8), {moves.NAME: self.moves})
         self.state.restore(dumped)
         for data in left:
             self.apply(data)
--- a/tests/test_fleet_config_stored.py
+++ b/tests/test_fleet_config_stored.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cresstray.fleet_config.documents import FleetState, parse_documents, to_plain
+from cresstray.fleet_config.documents import FleetInventory, parse_documents, to_plain
 from cresstray.fleet_config.state import ConfigState
 
 STORED = Path(__file__).parent / "fixtures" / "fleet_config"
@@ -14,7 +14,7 @@
 
 class Stored(unittest.TestCase):
     def setUp(self) -> None:
-        self.state = ConfigState(FleetState())
+        self.state = ConfigState(FleetInventory())
         self.snapshot = (STORED / "state.msgpack").read_bytes()
 
     def test_a_snapshot_is_read_and_written_again(self) -> None:
--- a/tests/test_fleet_joined.py
+++ b/tests/test_fleet_joined.py
@@ -253,7 +253,7 @@
 
     def test_lease_that_is_not_looked_at_when_acting(self) -> None:
         def ever(self: ActiveConfig, now: int) -> Mode:
-            return Mode.LEASE if self._until else Mode.FLOOR
+            return Mode.LEASE if self._lease_until_us else Mode.FALLBACK
 
         def worse(world: World) -> None:
             """One gateway after the other is frozen for longer than its lease, with work in its queue."""
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -39,7 +39,7 @@
     EMPTY,
     NAMES,
     Documents,
-    FleetState,
+    FleetInventory,
     apply_delta,
     encode_delta,
     parse_documents,
@@ -49,14 +49,14 @@
 from cresstray.fleet_config.leases import NOT_NAMED, LeaseTable
 from cresstray.fleet_config.state import ConfigState
 from cresstray.fleet_config.strictest import gateway_divisor, strictest
-from cresstray.fleet_config.validation import refusals
+from cresstray.fleet_config.validation import validation_errors
 from cresstray.observability.counters import Counters
 from cresstray.policy.engine_state import EngineState
 from cresstray.policy.load_signals import FleetSignals
 from cresstray.policy.types import Engine, Request, RequestClass
 
 LEASE, FLOOR_LEASE, DRIFT, MOST = 2_000_000, 8_000_000, 0.01, 20
-WORLD = FleetState(
+WORLD = FleetInventory(
     max_gateways=MOST,
     engines={f"s-{n}": "ab"[n % 2] for n in range(12)},
     request_classes=("fast", "slow"),
@@ -232,7 +232,7 @@
                 }
             },
         )
-        told = refusals(old, new, WORLD)
+        told = validation_errors(old, new, WORLD)
         for words in (
             "count 2",
             "floor 1",
@@ -259,13 +259,13 @@
         ):
             self.assertEqual(1, sum(words in line for line in told), (words, told))
         self.assertEqual(22, len(told), told)
-        self.assertEqual([], refusals(old, old, WORLD))
+        self.assertEqual([], validation_errors(old, old, WORLD))
         # What was there before, whatever the file says now, is in the way of no other change.
-        self.assertEqual([], refusals(new, amended(new, gateways=gateways("g1")), WORLD))
-        self.assertIn("none is named", refusals(old, EMPTY, WORLD)[0])
+        self.assertEqual([], validation_errors(new, amended(new, gateways=gateways("g1")), WORLD))
+        self.assertIn("none is named", validation_errors(old, EMPTY, WORLD)[0])
         many = amended(old, gateways=gateways("g1", count=21, floor=22))
-        self.assertEqual(2, len(refusals(old, many, WORLD)))
-        self.assertIn("19 not yet", refusals(old, old, WORLD, 19)[0])
+        self.assertEqual(2, len(validation_errors(old, many, WORLD)))
+        self.assertIn("19 not yet", validation_errors(old, old, WORLD, 19)[0])
 
 
 def changed(state: ConfigState, request: str = "", **given: Any) -> Any:
@@ -495,7 +495,9 @@
 
     def user(self, state: str) -> tuple[ActiveConfig, int]:
         me, now = (
-            ActiveConfig("g1", LEASE, FLOOR_LEASE, DRIFT, MOST, waits=state == "waits", incarnation="a"),
+            ActiveConfig(
+                "g1", LEASE, FLOOR_LEASE, DRIFT, MOST, requires_list=state == "waits", incarnation="a"
+            ),
             1_000_000,
         )
         if state in ("new", "waits"):
@@ -780,7 +782,7 @@
         self.clocks = {name: self.draw_clock() for name in (*self.names, "leader")}
         self.asleep = dict.fromkeys(self.names, 0)
         self.cut = dict.fromkeys(self.names, 0)
-        self.loss, self.turns, self.seen = 0.1, 0, {Mode.LEASE: 0, Mode.FLOOR: 0, Mode.STOPPED: 0}
+        self.loss, self.turns, self.seen = 0.1, 0, {Mode.LEASE: 0, Mode.FALLBACK: 0, Mode.STOPPED: 0}
         self.listed = False
         self.asked = self.accepted = self.epoch = 0
         self.restless = True
@@ -1008,7 +1010,7 @@
             ["LeaseGranted", "LeaseRefused", "LeaseGranted", "LeaseRefused", "LeaseGranted"], told
         )
         self.assertEqual(
-            [("g1", 2, table._lease, 0), ("g2", -1, 0, -1)],
+            [("g1", 2, table._lease_us, 0), ("g2", -1, 0, -1)],
             list(map(tuple, table.gateway_statuses(state, 4 * LEASE))),
         )
 
@@ -1021,14 +1023,14 @@
 
     def test_broken_ones_are_caught(self) -> None:
         def from_arrival(me: ActiveConfig, frame: Any, now: int) -> None:
-            asked = me._asked.get(getattr(frame, "number", None))
+            asked = me._pending_renewals.get(getattr(frame, "number", None))
             if isinstance(frame, LeaseGranted) and asked:
-                me._asked[frame.number] = (now, asked[1])
+                me._pending_renewals[frame.number] = (now, asked[1])
             take(me, frame, now)
 
         def by_timer(me: ActiveConfig, now: int) -> Mode:
             mode = mode_at(me, now)
-            return Mode.LEASE if mode is Mode.FLOOR and me._until else mode
+            return Mode.LEASE if mode is Mode.FALLBACK and me._lease_until_us else mode
 
         def any_turn(
             me: LeaseTable, gateway: str, number: int, turn: int, state: ConfigState, *more: Any
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -51,8 +51,8 @@
     take = ActiveConfig.receive
 
     def late(use: ActiveConfig, frame: Frame, now: int) -> None:
-        if isinstance(frame, LeaseGranted) and frame.number in use._asked:
-            use._asked[frame.number] = (now, use._asked[frame.number][1])
+        if isinstance(frame, LeaseGranted) and frame.number in use._pending_renewals:
+            use._pending_renewals[frame.number] = (now, use._pending_renewals[frame.number][1])
         take(use, frame, now)
 
     return patch.object(ActiveConfig, "receive", late)
@@ -93,10 +93,10 @@
     take = ActiveConfig.receive
 
     def extended(use: ActiveConfig, frame: Frame, now: int) -> None:
-        asked = use._asked.get(frame.number) if isinstance(frame, LeaseBehind) else None
+        asked = use._pending_renewals.get(frame.number) if isinstance(frame, LeaseBehind) else None
         take(use, frame, now)
         if asked is not None:
-            use._until = max(use._until, asked[0] + use._lease)
+            use._lease_until_us = max(use._lease_until_us, asked[0] + use._lease_us)
 
     return patch.object(ActiveConfig, "receive", extended)
 
@@ -115,7 +115,7 @@
     lead = LeaseTable.on_elected
 
     def at_once(leases: LeaseTable, gateways: Any, now: int) -> None:
-        lead(leases, gateways, now - leases._count_lease)
+        lead(leases, gateways, now - leases._fallback_lease_us)
 
     return patch.object(LeaseTable, "on_elected", at_once)
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -199,7 +199,7 @@
             for name in list(keepers.processes):
                 keepers.kill(name)
             await until(
-                lambda: followers[0].active_config.effective_at(followers[0]._now()).mode is Mode.FLOOR
+                lambda: followers[0].active_config.effective_at(followers[0]._clock()).mode is Mode.FALLBACK
             )
             self.assertEqual(2 * told["version"], followers[0].active_config.turn)
             tasks.cancel_scope.cancel()
--- a/tests/test_placement_moves.py
+++ b/tests/test_placement_moves.py
@@ -44,7 +44,7 @@
 
 
 def founded(section: Moves, placed: dict[str, tuple[str, ...]]) -> ConfigState:
-    state = ConfigState(documents.FleetState(max_gateways=9), {moves.NAME: section})
+    state = ConfigState(documents.FleetInventory(max_gateways=9), {moves.NAME: section})
     items = {name: documents.Shard(copies, copies[0], 1, copies) for name, copies in placed.items()}
     new = documents.Documents(
         gateways=documents.GatewayList({"g": documents.Gateway()}), placement=documents.Placement(items)
@@ -112,7 +112,7 @@
         self.log.clear()
         dumped = self.state.snapshot()
         self.moves = type(self.moves)()
-        self.state = ConfigState(documents.FleetState(max_gateways=9), {moves.NAME: self.moves})
+        self.state = ConfigState(documents.FleetInventory(max_gateways=9), {moves.NAME: self.moves})
         self.state.restore(dumped)
         assert self.state.snapshot() == dumped
         self.carrier, self.told = self.make(TIMES), {}
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -189,7 +189,7 @@
         self.assertEqual([one.takes("a1", edge + more) for more in (-1, 0, 2)], [True, True, False])
         limits.add("a1")  # a strict pin at its copies' limits goes first
         self.assertFalse(ask(reads, "read=replica within=1s").admits(30 * MS))
-        use.mode = Mode.FLOOR
+        use.mode = Mode.FALLBACK
         self.assertFalse(one.takes("a1", 20 * MS + 1))
 
     def test_waits_for_keepers_before_it_falls_back(self) -> None:
