--- a/cresstray/fleet_config/active_config.py
+++ b/cresstray/fleet_config/active_config.py
@@ -1,4 +1,4 @@
-"""A gateway's side: the lease it has asked for, the content it has heard, and what it may use now."""
+"""The gateway's side: its lease renewals, the documents it has received, and the configuration in effect."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
 from cresstray.fleet_config.state import ConfigUpdates
 from cresstray.fleet_config.strictest import gateway_divisor
 
-# A lease is renewed three times while it lasts: two answers may be lost.
+# Renewals per lease duration: with three, two replies in a row may be lost.
 _RENEWALS_PER_LEASE = 3
-# When something was learnt, a renewal goes out at once, though not more often than so many times in a lease.
-# A change takes two turns, and each waits for what all gateways say at once: 20 ms of a lease of two seconds.
+# Bounds the renewals that are sent early because the gateway has new information. A change takes two turns,
+# and each turn waits for the renewals of all gateways; with a lease of 2 s they may be 20 ms apart.
 _MAX_RENEWALS_PER_LEASE = 100
-# Refused for now, as when no leader is known: asked again so many times as often, so that one that is elected
-# hears of all within a fraction of a second, and turns go on.
-_REFUSED_SPEEDUP = 3
-# Renewals without an answer: what comes back later than this is of no use, whatever the lease.
-_MAX_UNANSWERED = 64
+# Factor of the renewal rate after a temporary refusal, such as while no leader is known: a new leader then
+# hears from all gateways within a fraction of a second, and turns go on.
+_REFUSED_RATE_FACTOR = 3
+# Pending renewals that are kept; a reply to an older renewal is of no use, whatever the length of the lease.
+_MAX_PENDING_RENEWALS = 64
 _NEVER_US = 1 << 62
-# Lines for the log that nobody has taken yet.
+# Log lines that are kept until `take_log_lines` is called.
 _MAX_LOG_LINES = 64
 
 _decode_updates = msgspec.msgpack.Decoder(ConfigUpdates).decode
 
 
 class Mode(Enum):
-    """What a gateway acts by.
+    """What a gateway acts on.
 
-    LEASE: all that was agreed on. FLOOR: what was last known, with the count without a lease. STOPPED:
-    nothing is sent.
+    LEASE: the committed configuration. FALLBACK: without a lease, the configuration that was last known, with
+    `count_without_lease` as the divisor. STOPPED: nothing is sent.
     """
 
     LEASE = "lease"
@@ -54,7 +54,10 @@
 
 
 class EffectiveConfig(NamedTuple):
-    """What holds at one moment. `gateway_count`: by how many to divide; 0: nothing may be sent."""
+    """The configuration in effect at one moment.
+
+    `gateway_count` is the number by which the engines' capacity is divided; 0 means that nothing may be sent.
+    """
 
     mode: Mode
     turn: int
@@ -89,105 +92,120 @@
         self.name = name
         self.max_gateways = max_gateways
         self.incarnation = incarnation
-        self._every = lease_us // _RENEWALS_PER_LEASE
-        self._at_once = lease_us // _MAX_RENEWALS_PER_LEASE
+        self._renewal_interval_us = lease_us // _RENEWALS_PER_LEASE
+        self._min_renewal_interval_us = lease_us // _MAX_RENEWALS_PER_LEASE
         self._lease_us = int(lease_us * (1 - drift))
         self._fallback_lease_us = int(max(lease_us, fallback_lease_us) * (1 - drift))
         self.turn = 0
         self.documents = EMPTY
-        self.highest_turn_heard = 0  # above `turn`: its content is to come
+        self.highest_turn_heard = 0  # above `turn` until the documents of that turn arrive
         self._requires_list = requires_list
-        self._out = 0  # the highest turn of which it was told that it is not named
-        self.revision = 0  # grows whenever the answer of `effective_at` may be another, beside by time
+        self._excluded_at_turn = 0  # highest turn reported to exclude this gateway
+        self.revision = 0  # grows when `effective_at` may change, other than by time
         self._lease_until_us = 0
         self._fallback_until_us = 0
-        self.due_us = 0
-        self._spread_to = 0
-        self._number = 0
-        self._pending_renewals: dict[int, tuple[int, int]] = {}  # number: when, and at which turn
-        self._asked_at = -self._every  # when it last asked
+        self.due_us = 0  # when the next renewal is due
+        self._not_before_us = 0  # no renewal before this time, to spread the gateways
+        self._renewal_number = 0
+        self._pending_renewals: dict[int, tuple[int, int]] = {}  # send time and turn by number
+        self._last_renewal_us = -self._renewal_interval_us
         self._parts: list[ConfigPart] = []
         self._mode: Mode | None = None
-        # The last answer of `effective_at`: of which revision, and until when it holds.
+        # The last result of `effective_at`: its revision, until when it holds, and the result.
         self._cached = (-1, 0, EffectiveConfig(Mode.STOPPED, 0, 0, EMPTY))
         self._log_lines: deque[str] = deque(maxlen=_MAX_LOG_LINES)
 
-    # Asking.
+    # Renewals and requests to a node.
 
-    def on_connected(self, now: int) -> None:
-        """On a new connection: parts begin anew; a lease is asked for at a moment of its own."""
+    def on_connected(self, now_us: int) -> None:
+        """Starts over on a new connection: drops incomplete parts and schedules a renewal."""
         self._parts.clear()
-        # Where nodes are back, all gateways would ask in the same moment: names spread them over a third.
-        if now >= self._lease_until_us:
-            self._spread_to = now + crc32(self.name.encode()) % max(1, self._every)
-            self.due_us = max(self.due_us, self._spread_to)
+        # When the nodes come back after an outage, all gateways would renew at the same moment: a hash of the
+        # name spreads their renewals over one interval, a third of a lease.
+        if now_us >= self._lease_until_us:
+            self._not_before_us = now_us + crc32(self.name.encode()) % max(1, self._renewal_interval_us)
+            self.due_us = max(self.due_us, self._not_before_us)
         else:
-            self._soon(now)
+            self._renew_soon(now_us)
 
-    def renewal_due(self, now: int) -> RenewLease | None:
-        """A renewal, if due. Its lease counts from this `now`, so it must go out after, not before."""
-        if now < self.due_us:
+    def renewal_due(self, now_us: int) -> RenewLease | None:
+        """Returns a renewal if one is due.
+
+        Its lease runs from `now_us`, so the renewal must not be sent before that time.
+        """
+        if now_us < self.due_us:
             return None
-        self._number += 1
-        self._pending_renewals[self._number] = (now, self.turn)
-        # Answers that never come must not be waited for without end.
-        while len(self._pending_renewals) > _MAX_UNANSWERED:
+        self._renewal_number += 1
+        self._pending_renewals[self._renewal_number] = (now_us, self.turn)
+        # Bounds the renewals whose replies never arrive.
+        while len(self._pending_renewals) > _MAX_PENDING_RENEWALS:
             del self._pending_renewals[next(iter(self._pending_renewals))]
-        self._asked_at, self.due_us = now, now + self._every
-        return RenewLease(self._number, self.turn, self.incarnation, self._mode_at(now) is Mode.STOPPED)
+        self._last_renewal_us, self.due_us = now_us, now_us + self._renewal_interval_us
+        return RenewLease(
+            self._renewal_number, self.turn, self.incarnation, self._mode_at(now_us) is Mode.STOPPED
+        )
 
     def config_request(self) -> GetConfig:
-        """What to ask a node for: all since this turn."""
+        """Returns the request for all changes since the turn of this gateway."""
         return GetConfig(self.turn)
 
     @property
     def is_behind(self) -> bool:
-        """Whether a turn was heard of whose content has not come yet."""
+        """Whether a turn is known whose documents have not arrived yet."""
         return self.highest_turn_heard > self.turn
 
-    def _soon(self, now: int) -> None:
-        # At once; a little later if it has only just asked.
-        self.due_us = min(self.due_us, max(now, self._asked_at + self._at_once, self._spread_to))
+    def _renew_soon(self, now_us: int) -> None:
+        # At once, or a minimum interval after the last renewal.
+        self.due_us = min(
+            self.due_us,
+            max(now_us, self._last_renewal_us + self._min_renewal_interval_us, self._not_before_us),
+        )
 
-    # Hearing.
+    # Frames from a node.
 
-    def receive(self, frame: Frame, now: int) -> None:
-        """BrokenError for what can't come here, or not now."""
+    def receive(self, frame: Frame, now_us: int) -> None:
+        """Handles a frame from a node; raises FramingError for a malformed or unexpected one."""
         if isinstance(frame, ConfigPart):
-            self._take_content(frame, now)
+            self._on_config_part(frame, now_us)
             return
         if not isinstance(frame, (LeaseGranted, LeaseBehind, LeaseRefused)):
             raise FramingError(f"a {type(frame).__name__} for a gateway")
-        asked = self._pending_renewals.pop(frame.number, None)
-        # An answer to what this process didn't ask, or asked too long ago to know when.
-        if asked is None:
+        renewal = self._pending_renewals.pop(frame.number, None)
+        # The renewal was not sent by this process, or too long ago for its send time to be known.
+        if renewal is None:
             return
         self.highest_turn_heard = max(self.highest_turn_heard, frame.turn)
         if isinstance(frame, LeaseGranted):
-            self._granted(frame, *asked)
+            self._on_lease_granted(frame, *renewal)
         elif isinstance(frame, LeaseRefused) and frame.reason == NOT_NAMED and frame.turn >= self.turn:
-            # That it has stopped is said at once, and then with each renewal.
-            if self._out <= self.turn:
+            # Reports at once that the gateway has stopped, and then with each renewal.
+            if self._excluded_at_turn <= self.turn:
                 self._log_lines.append(f"stopped: not named by the list of turn {frame.turn}")
-                self._soon(now)
-            self._out, self._lease_until_us, self._fallback_until_us = max(self._out, frame.turn), 0, 0
+                self._renew_soon(now_us)
+            self._excluded_at_turn, self._lease_until_us, self._fallback_until_us = (
+                max(self._excluded_at_turn, frame.turn),
+                0,
+                0,
+            )
             self.revision += 1
         elif isinstance(frame, LeaseRefused):
-            self.due_us = min(self.due_us, self._asked_at + self._every // _REFUSED_SPEEDUP)
+            self.due_us = min(
+                self.due_us, self._last_renewal_us + self._renewal_interval_us // _REFUSED_RATE_FACTOR
+            )
         elif isinstance(frame, LeaseBehind) and frame.turn < self.turn:
-            # The leader is still on its way to our turn.
-            self._soon(now)
+            # The leader has not reached this gateway's turn yet.
+            self._renew_soon(now_us)
 
-    def _granted(self, frame: LeaseGranted, asked_at: int, turn: int) -> None:
-        # A lease at a turn that was not this one then says nothing about what is acted at.
-        if frame.turn != turn or not turn or self._out > self.turn:
+    def _on_lease_granted(self, frame: LeaseGranted, renewed_us: int, turn: int) -> None:
+        # A grant for another turn than that of the renewal doesn't cover this gateway's documents.
+        if frame.turn != turn or not turn or self._excluded_at_turn > self.turn:
             return
         self.revision += 1
-        # Counted from the answer's arrival, it would last longer than the leader waits.
-        self._lease_until_us = max(self._lease_until_us, asked_at + self._lease_us)
-        self._fallback_until_us = max(self._fallback_until_us, asked_at + self._fallback_lease_us)
+        # Counted from the arrival of the reply, the lease would outlast the time that the leader waits.
+        self._lease_until_us = max(self._lease_until_us, renewed_us + self._lease_us)
+        self._fallback_until_us = max(self._fallback_until_us, renewed_us + self._fallback_lease_us)
 
-    def _take_content(self, frame: ConfigPart, now: int) -> None:
+    def _on_config_part(self, frame: ConfigPart, now_us: int) -> None:
         self.highest_turn_heard = max(self.highest_turn_heard, frame.turn)
         if frame.turn <= self.turn:
             self._parts.clear()
@@ -209,85 +227,92 @@
             return
         body = b"".join(part.body for part in self._parts)
         self._parts.clear()
-        self._move(frame, body, now)
+        self._apply_updates(frame, body, now_us)
 
-    def _move(self, frame: ConfigPart, body: bytes, now: int) -> None:
-        # What leads on from another turn than ours is of no use; `behind` has the rest asked for.
+    def _apply_updates(self, frame: ConfigPart, body: bytes, now_us: int) -> None:
+        # Deltas from another turn can't be applied; `is_behind` stays true, so the rest is requested.
         if frame.base and frame.base != self.turn:
             return
         try:
             updates = _decode_updates(body)
             if (updates.base, updates.turn) != (frame.base, frame.turn):
-                raise ValueError("its head says another turn")
+                raise ValueError("its turns differ from those of the frame")
             documents = self.documents if updates.base else EMPTY
             for delta in updates.deltas:
                 documents = apply_delta(documents, delta)
-        except (ValueError, UnicodeDecodeError, RecursionError) as trouble:
-            raise FramingError(f"content of turn {frame.turn}: {trouble}") from None
+        except (ValueError, UnicodeDecodeError, RecursionError) as error:
+            raise FramingError(f"content of turn {frame.turn}: {error}") from None
         self.turn, self.documents = frame.turn, documents
         self.revision += 1
-        if not self._named():
+        if not self._is_named():
             self._lease_until_us = self._fallback_until_us = 0
-        self._soon(now)
+        self._renew_soon(now_us)
 
-    def _named(self) -> bool:
+    def _is_named(self) -> bool:
         return self.name in self.documents.gateways.items
 
     def stop_waiting_for_list(self) -> None:
-        """No node could be reached for so long that service counts for more: it goes on without a list."""
+        """Lets the gateway send without a gateway list, after no node could be reached for too long."""
         self._requires_list = False
         self.revision += 1
 
-    # Acting.
+    # The configuration in effect.
 
-    def _mode_at(self, now: int) -> Mode:
-        if self._out > self.turn or (not self._named() if self.turn else self._requires_list):
+    def _mode_at(self, now_us: int) -> Mode:
+        if self._excluded_at_turn > self.turn or (not self._is_named() if self.turn else self._requires_list):
             return Mode.STOPPED
-        return Mode.LEASE if now < self._lease_until_us else Mode.FALLBACK
+        return Mode.LEASE if now_us < self._lease_until_us else Mode.FALLBACK
+
+    def effective_at(self, now_us: int) -> EffectiveConfig:
+        """Returns the configuration in effect at this time.
 
-    def effective_at(self, now: int) -> EffectiveConfig:
-        """What holds at this moment. Ask it when acting, each time: a lease ends without a word."""
-        # The same answer until something was heard, or its time is over: asked several times a request.
-        revision, ends, cached = self._cached
-        if revision == self.revision and now < ends:
+        Callers must ask for each decision: a lease expires without any event.
+        """
+        # Cached until something is received or the result expires: this is called several times per request.
+        revision, expires_us, cached = self._cached
+        if revision == self.revision and now_us < expires_us:
             return cached
-        mode = self._mode_at(now)
+        mode = self._mode_at(now_us)
         if mode is not self._mode:
             self._log_mode(mode)
-        made = EffectiveConfig(mode, self.turn, self._divisor(mode, now), self.documents)
+        effective = EffectiveConfig(mode, self.turn, self._divisor(mode, now_us), self.documents)
         if mode is Mode.LEASE:
-            ends = self._lease_until_us
+            expires_us = self._lease_until_us
         else:
-            ends = (
+            expires_us = (
                 self._fallback_until_us
-                if mode is Mode.FALLBACK and now < self._fallback_until_us
+                if mode is Mode.FALLBACK and now_us < self._fallback_until_us
                 else _NEVER_US
             )
-        self._cached = self.revision, ends, made
-        return made
+        self._cached = self.revision, expires_us, effective
+        return effective
 
     def _log_mode(self, mode: Mode) -> None:
         if self._mode is not None or mode is not Mode.FALLBACK:
-            before = self._mode.value if self._mode else "nothing"
-            self._log_lines.append(f"{before} > {mode.value} at turn {self.turn}")
+            previous = self._mode.value if self._mode else "nothing"
+            self._log_lines.append(f"{previous} > {mode.value} at turn {self.turn}")
         self._mode = mode
 
-    def _divisor(self, mode: Mode, now: int) -> int:
+    def _divisor(self, mode: Mode, now_us: int) -> int:
         if mode is Mode.STOPPED:
             return 0
-        given = self.documents.gateways
+        gateways = self.documents.gateways
         if mode is Mode.LEASE:
-            return max(1, gateway_divisor(given))
-        # After that time others may have agreed on a higher count: the file's most holds.
-        floor = given.count_without_lease if now < self._fallback_until_us else 0
-        return max(floor or self.max_gateways, gateway_divisor(given)) if self.turn else self.max_gateways
-
-    def lease_left_us(self, now: int) -> int:
-        """Microseconds; 0: none."""
-        return max(0, self._lease_until_us - now)
+            return max(1, gateway_divisor(gateways))
+        # Later than that, the others may have committed a higher count, so `max_gateways` applies.
+        fallback_count = gateways.count_without_lease if now_us < self._fallback_until_us else 0
+        return (
+            max(fallback_count or self.max_gateways, gateway_divisor(gateways))
+            if self.turn
+            else self.max_gateways
+        )
+
+    def lease_left_us(self, now_us: int) -> int:
+        """Returns the remaining time of the lease; 0 if there is none."""
+        return max(0, self._lease_until_us - now_us)
 
     def take_log_lines(self) -> list[str]:
-        """Lines for the log since it was last asked."""
+        """Returns and clears the log lines collected since the last call."""
         lines = list(self._log_lines)
         self._log_lines.clear()
         return lines
--- a/cresstray/fleet_config/commands.py
+++ b/cresstray/fleet_config/commands.py
@@ -1,4 +1,7 @@
-"""Commands of the replicated log, and their results. Entries are arrays: positions count, names do not."""
+"""Commands of the replicated log, and their results.
+
+Commands and results are encoded as arrays: the order of the fields is stored, their names are not.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +11,14 @@
 
 from cresstray.fleet_config.documents import FleetInventory
 
-# What decoding raises for bytes that are not what they should be.
+# Exceptions that msgspec raises for malformed bytes.
 MALFORMED = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
 _Name = Annotated[str, msgspec.Meta(max_length=128)]
 
 
 class CommandResult(msgspec.Struct, array_like=True, frozen=True):
-    """What became of a proposal: the version that it will be in force as, or every reason against it."""
+    """The result of a proposal: the version of the accepted change, or every reason for its rejection."""
 
     is_accepted: bool
     version: int = 0
@@ -23,7 +26,7 @@
 
 
 class ProposeChange(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A change of documents; see `encode_proposal`."""
+    """Proposes a change of documents; see `encode_proposal`."""
 
     request: _Name
     bases: dict[str, int]
@@ -34,20 +37,20 @@
 
 
 class AdvanceTurn(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The next turn is taken: a change becomes joint, or is in force."""
+    """Advances to the next turn: the first pending change becomes joint, or the joint change takes effect."""
 
     turn: int
 
 
 class RemoveDeparted(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A gateway that no list names any more is known to have stopped."""
+    """States that a gateway, which no gateway list names any more, has stopped."""
 
     gateway: _Name
     reason: str = ""
 
 
 class SectionCommand(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """A command of another package's section of the state."""
+    """A command for a section of the state that another package owns."""
 
     name: _Name
     request: _Name
@@ -62,7 +65,7 @@
 
 
 def decode_command(data: bytes) -> Command:
-    """The command in an entry; ValueError where there is none."""
+    """Decodes the command of a log entry; raises ValueError if the bytes are malformed."""
     try:
         return _decode_command(data)
     except MALFORMED as error:
@@ -94,15 +97,15 @@
 
 
 def encode_advance(turn: int) -> bytes:
-    """The step to this turn as an entry of the log."""
+    """Encodes the step to this turn as a log entry."""
     return encode(AdvanceTurn(turn))
 
 
 def encode_departed(gateway: str, reason: str = "") -> bytes:
-    """That a gateway has stopped, as an entry of the log."""
+    """Encodes that a departed gateway has stopped as a log entry."""
     return encode(RemoveDeparted(gateway, reason))
 
 
 def encode_section_command(name: str, request: str, data: bytes) -> bytes:
-    """A command of the section `name`, as an entry of the log."""
+    """Encodes a command of the section `name` as a log entry."""
     return encode(SectionCommand(name, request, data))
--- a/cresstray/fleet_config/documents.py
+++ b/cresstray/fleet_config/documents.py
@@ -1,8 +1,8 @@
 """The configuration documents that a fleet shares, and deltas between two versions of them.
 
-Names that are stored in the replicated log and written in operators' JSON stay; this module maps them:
+Some fields are stored in the replicated log and written in operators' JSON under other names:
 
-| stored | here |
+| stored name | field |
 | --- | --- |
 | `tariffs` (document; operator's file) | `request_classes` |
 | `further` | `retry_budget_scale` |
@@ -20,57 +20,59 @@
 import msgspec
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[0-9A-Za-z_.:@-]{1,64}$")]
-# Names of request classes and tenants are free text of the deploy file.
+# Names of request classes and tenants, which are free text in the deploy file.
 Label = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
-class _Typed(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """A value of a document; unknown fields are refused, defaults are not written."""
+class _DocumentValue(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+    """Base of all values in documents; unknown fields are rejected and defaults are not encoded."""
 
 
-class Gateway(_Typed, frozen=True):
-    """One gateway by its name; it has no rules of its own."""
+class Gateway(_DocumentValue, frozen=True):
+    """An entry of the gateway list; gateways have no settings of their own."""
 
 
-class EngineRule(_Typed, frozen=True, rename={"is_barred": "barred", "work_fraction": "work"}):
-    """What the fleet lets gateways do on one engine."""
+class EngineRule(_DocumentValue, frozen=True, rename={"is_barred": "barred", "work_fraction": "work"}):
+    """Limits the use of one engine by the gateways."""
 
     is_barred: bool = False
-    work_fraction: Part = 1.0  # of what it would be given
+    work_fraction: Fraction = 1.0  # of the work that the engine would otherwise get
 
 
-class TenantRule(_Typed, frozen=True, rename={"is_barred": "barred"}):
-    """What the fleet lets one tenant do."""
+class TenantRule(_DocumentValue, frozen=True, rename={"is_barred": "barred"}):
+    """Limits the requests of one tenant."""
 
     is_barred: bool = False
-    share: Part = 1.0  # of the work that a gateway takes in
+    share: Fraction = 1.0  # of the work that a gateway admits
 
 
 class RequestClassRule(
-    _Typed, frozen=True, rename={"is_stopped": "stopped", "retry_budget_scale": "further"}
+    _DocumentValue, frozen=True, rename={"is_stopped": "stopped", "retry_budget_scale": "further"}
 ):
-    """What the fleet lets requests of one class do."""
+    """Limits the requests of one class."""
 
     is_stopped: bool = False
-    retry_budget_scale: Part = 1.0  # of the retry budget
+    retry_budget_scale: Fraction = 1.0  # factor of the retry budget
 
 
-class Shard(_Typed, frozen=True):
-    """Where the replicas of one shard are, and which of them may be written or read."""
+class Shard(_DocumentValue, frozen=True):
+    """The engines that hold the replicas of one shard, and which of them may be written or read."""
 
     copies: tuple[Name, ...] = ()
-    primary: str = ""  # none may be written
+    primary: str = ""  # empty: no replica may be written
     epoch: Number = 0
-    reads: tuple[Name, ...] = ()  # of the copies, those that may be read
+    reads: tuple[Name, ...] = ()  # those of `copies` that may be read
 
 
-class Pin(_Typed, frozen=True, rename={"request_class": "tariff", "is_strict": "strict", "until_s": "until"}):
-    """Reads of a request class, a tenant or both go to these replicas, or to a zone's.
+class Pin(
+    _DocumentValue, frozen=True, rename={"request_class": "tariff", "is_strict": "strict", "until_s": "until"}
+):
+    """Directs the reads of a request class, a tenant or both to certain replicas, or to those of a zone.
 
-    `until_s` is a Unix time in seconds.
+    `until_s` is the Unix time in seconds at which the pin ends.
     """
 
     request_class: str = ""
@@ -81,11 +83,12 @@
     until_s: Number = 0
 
 
-class GatewayList(_Typed, frozen=True, rename={"count_without_lease": "floor"}):
+class GatewayList(_DocumentValue, frozen=True, rename={"count_without_lease": "floor"}):
     """The gateways of the fleet.
 
-    `count`: gateways that share the engines; 0: as many as are named. `count_without_lease`: by how many a
-    gateway without a lease divides; 0: by the most that may ever run.
+    `count` is the number of gateways that share the engines; 0 means as many as are named.
+    `count_without_lease` is the number by which a gateway without a lease divides the engines' capacity; 0
+    means the largest number that may ever run.
     """
 
     items: dict[Name, Gateway] = {}
@@ -93,37 +96,37 @@
     count_without_lease: Count = 0
 
 
-class EngineRules(_Typed, frozen=True):
+class EngineRules(_DocumentValue, frozen=True):
     """Rules by engine id."""
 
     items: dict[Name, EngineRule] = {}
 
 
-class TenantRules(_Typed, frozen=True):
+class TenantRules(_DocumentValue, frozen=True):
     """Rules by tenant name."""
 
     items: dict[Label, TenantRule] = {}
 
 
-class RequestClassRules(_Typed, frozen=True):
+class RequestClassRules(_DocumentValue, frozen=True):
     """Rules by request class name."""
 
     items: dict[Label, RequestClassRule] = {}
 
 
-class Placement(_Typed, frozen=True):
+class Placement(_DocumentValue, frozen=True):
     """Shards by name."""
 
     items: dict[Name, Shard] = {}
 
 
-class Replicas(_Typed, frozen=True):
+class Replicas(_DocumentValue, frozen=True):
     """Pins by name."""
 
-    items: dict[Label, Pin] = {}  # while joint, a changed strict pin is there twice, the second as "NAME'"
+    items: dict[Label, Pin] = {}  # while joint, a changed strict pin is listed twice, the second as "NAME'"
 
 
-TYPES: dict[str, type] = {
+DOCUMENT_TYPES: dict[str, type] = {
     "gateways": GatewayList,
     "engines": EngineRules,
     "tenants": TenantRules,
@@ -131,13 +134,13 @@
     "placement": Placement,
     "replicas": Replicas,
 }
-NAMES: tuple[str, ...] = tuple(TYPES)
-# Where a document's stored name is not the name of its field.
-_FIELDS = {"tariffs": "request_classes"}
+NAMES: tuple[str, ...] = tuple(DOCUMENT_TYPES)
+# The fields of Documents whose names differ from the stored names.
+_FIELD_BY_STORED_NAME = {"tariffs": "request_classes"}
 
 
-class Documents(_Typed, frozen=True, rename={"request_classes": "tariffs"}):
-    """All documents; a document's version is the number of the change that last touched it."""
+class Documents(_DocumentValue, frozen=True, rename={"request_classes": "tariffs"}):
+    """All documents; a document's version is the number of the change that last modified it."""
 
     gateways: GatewayList = GatewayList()
     engines: EngineRules = EngineRules()
@@ -148,21 +151,21 @@
     versions: dict[str, Number] = {}
 
     def version(self, name: str) -> int:
-        """The version of the document of this stored name; 0 where none was ever agreed on."""
+        """Returns the version of the document with this stored name; 0 if none was ever committed."""
         return self.versions.get(name, 0)
 
     def document(self, name: str) -> Any:
-        """The document of this stored name, one of NAMES."""
-        return getattr(self, _FIELDS.get(name, name))
+        """Returns the document with this stored name, one of NAMES."""
+        return getattr(self, _FIELD_BY_STORED_NAME.get(name, name))
 
     def with_documents(self, changed: Mapping[str, Any]) -> Documents:
-        """The same with other documents, by their stored names."""
+        """Returns a copy with these documents replaced, given by their stored names."""
         return msgspec.structs.replace(
-            self, **{_FIELDS.get(name, name): document for name, document in changed.items()}
+            self, **{_FIELD_BY_STORED_NAME.get(name, name): document for name, document in changed.items()}
         )
 
     def with_versions(self, versions: Mapping[str, int]) -> Documents:
-        """The same with other versions, in the order of their names."""
+        """Returns a copy with these versions, sorted by document name."""
         return msgspec.structs.replace(self, versions=dict(sorted(versions.items())))
 
 
@@ -170,7 +173,7 @@
 
 
 class FleetInventory(
-    _Typed,
+    _DocumentValue,
     frozen=True,
     rename={
         "max_gateways": "most",
@@ -178,29 +181,32 @@
         "request_classes": "tariffs",
     },
 ):
-    """What does not change while the fleet runs, from the operator's file; what is empty is not known."""
+    """What the operator's file says of the fleet; it doesn't change while the fleet runs.
+
+    An empty field means that the node doesn't know it, and changes are not checked against it.
+    """
 
     max_gateways: Annotated[int, msgspec.Meta(ge=1)] = 1  # gateways that may ever run at once
-    max_barred_fraction: Part = 1 / 3  # of the engines of a zone
-    engines: dict[str, str] = {}  # the zone of each
+    max_barred_fraction: Fraction = 1 / 3  # of the engines of one zone
+    engines: dict[str, str] = {}  # zone by engine id
     request_classes: tuple[str, ...] = ()
     tenants: tuple[str, ...] = ()
 
 
-def parse_documents(given: Mapping[str, Any]) -> Documents:
-    """Documents out of plain maps, as an operator's JSON has them; ValueError names what is wrong."""
+def parse_documents(plain: Mapping[str, Any]) -> Documents:
+    """Converts plain maps, as in an operator's JSON, to documents; the ValueError names what is invalid."""
     try:
-        found = msgspec.convert(given, Documents)
+        documents = msgspec.convert(plain, Documents)
     except msgspec.ValidationError as error:
         raise ValueError(str(error)) from None
-    unknown = sorted(set(found.versions) - set(NAMES))
+    unknown = sorted(set(documents.versions) - set(NAMES))
     if unknown:
         raise ValueError(f"there is no document {unknown[0]!r} that could have a version")
-    return sorted_documents(found)
+    return sorted_documents(documents)
 
 
 def to_plain(documents: Documents) -> dict[str, Any]:
-    """Plain maps with every field, for JSON; `parse_documents` reads them again."""
+    """Converts documents to plain maps with every field, for JSON; the inverse of `parse_documents`."""
     return {
         **{name: _document_to_plain(documents.document(name)) for name in NAMES},
         "versions": {name: documents.version(name) for name in NAMES},
@@ -214,7 +220,7 @@
 
 
 def _plain_fields(document: Any) -> dict[str, Any]:
-    """The fields beside the items, by their stored names."""
+    """Returns the fields other than `items`, by their stored names."""
     names = zip(document.__struct_fields__, document.__struct_encode_fields__, strict=True)
     return {stored: getattr(document, field) for field, stored in names if field != "items"}
 
@@ -230,51 +236,51 @@
 
 
 def sorted_documents(documents: Documents) -> Documents:
-    """The same with all items in the order of their names, so that equal documents are equal bytes."""
+    """Returns a copy with all items sorted by name, so that equal documents have equal encodings."""
     ordered = {name: _sorted_items(documents.document(name)) for name in NAMES}
     return documents.with_documents(ordered).with_versions(documents.versions)
 
 
-class _Change(msgspec.Struct, array_like=True, frozen=True):
-    """What differs in one document; `fields`: those beside the items, by their stored names."""
+class _DocumentDelta(msgspec.Struct, array_like=True, frozen=True):
+    """The differences in one document; `fields` holds those other than `items`, by their stored names."""
 
     name: str
     version: Number
     fields: dict[str, int]
-    put: dict[str, Any]
-    dropped: list[str]
+    changed_items: dict[str, Any]
+    removed_items: list[str]
 
 
 _encode = msgspec.msgpack.Encoder(order="sorted").encode
-_changes = msgspec.msgpack.Decoder(list[_Change]).decode
+_decode_delta = msgspec.msgpack.Decoder(list[_DocumentDelta]).decode
 
 
 def encode_delta(old: Documents, new: Documents) -> bytes:
-    """Only what differs, item by item, with the new versions."""
-    changes = []
+    """Encodes the differences between two sets of documents, item by item, with the new versions."""
+    document_deltas = []
     for name in NAMES:
         before, after = old.document(name), new.document(name)
         if before == after and old.version(name) == new.version(name):
             continue
-        changes.append(_change(name, new.version(name), before, after))
-    return _encode(changes)
+        document_deltas.append(_document_delta(name, new.version(name), before, after))
+    return _encode(document_deltas)
 
 
-def _change(name: str, version: int, before: Any, after: Any) -> _Change:
+def _document_delta(name: str, version: int, before: Any, after: Any) -> _DocumentDelta:
     fields_before = _plain_fields(before)
     fields = {field: value for field, value in _plain_fields(after).items() if value != fields_before[field]}
-    put = {key: item for key, item in after.items.items() if before.items.get(key) != item}
-    dropped = sorted(key for key in before.items if key not in after.items)
-    return _Change(name, version, fields, put, dropped)
+    changed = {key: item for key, item in after.items.items() if before.items.get(key) != item}
+    removed = sorted(key for key in before.items if key not in after.items)
+    return _DocumentDelta(name, version, fields, changed, removed)
 
 
 def apply_delta(old: Documents, delta: bytes) -> Documents:
-    """The old documents with what differs; ValueError where that can't be a delta of these documents."""
+    """Applies a delta to the old documents; raises ValueError if it is no delta of these documents."""
     try:
         changed: dict[str, Any] = {}
         versions = dict(old.versions)
-        for change in _changes(delta):
-            if change.name not in TYPES or change.name in changed:
+        for change in _decode_delta(delta):
+            if change.name not in DOCUMENT_TYPES or change.name in changed:
                 raise ValueError(f"no document {change.name!r}, or twice")
             changed[change.name] = _apply_change(old.document(change.name), change)
             if change.version:
@@ -286,17 +292,17 @@
     return old.with_documents(changed).with_versions(versions)
 
 
-def _apply_change(document: Any, change: _Change) -> Any:
-    dropped = set(change.dropped)
-    items = {key: item for key, item in document.items.items() if key not in dropped}
+def _apply_change(document: Any, change: _DocumentDelta) -> Any:
+    removed = set(change.removed_items)
+    items = {key: item for key, item in document.items.items() if key not in removed}
     fields = _plain_fields(document) | change.fields
-    fresh = msgspec.convert({**fields, "items": change.put}, type(document))
-    return msgspec.structs.replace(fresh, items=dict(sorted((items | fresh.items).items())))
+    changed = msgspec.convert({**fields, "items": change.changed_items}, type(document))
+    return msgspec.structs.replace(changed, items=dict(sorted((items | changed.items).items())))
 
 
-def touched_documents(change: bytes) -> tuple[str, ...]:
-    """The stored names of the documents that a delta touches; ValueError where it is none."""
+def touched_documents(delta: bytes) -> tuple[str, ...]:
+    """Returns the stored names of the documents that a delta modifies; raises ValueError if malformed."""
     try:
-        return tuple(one.name for one in _changes(change))
+        return tuple(change.name for change in _decode_delta(delta))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise ValueError(f"not a change of documents: {error}") from None
--- a/cresstray/fleet_config/history.py
+++ b/cresstray/fleet_config/history.py
@@ -1,4 +1,4 @@
-"""What the replicated state remembers of the past, each part bounded in number and bytes."""
+"""Past results, changes and turns that the replicated state keeps, each bounded in number and bytes."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from cresstray.fleet_config.documents import Documents, apply_delta
 
-# 1,024 clients ask again within seconds, each with a few requests under way.
+# Covers retries of 1,024 clients within seconds, each with a few requests in flight.
 _MAX_RESULTS = 4_096
 _MAX_RESULT_BYTES = 4 * 1024 * 1024
-# Changes that are listed and can be reverted to.
+# Changes that are listed and whose earlier versions can be restored.
 _MAX_CHANGES = 256
 _MAX_CHANGE_BYTES = 4 * 1024 * 1024
-# Turns that a follower may be behind before it gets the whole: some minutes of a busy day.
+# Turns that a follower may be behind before it is sent all documents: some minutes of a busy day.
 _MAX_TURNS = 256
 _MAX_TURN_BYTES = 1024 * 1024
 
 
 class HistoryEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A change that was accepted; `reverse_change` leads from its content to the one before."""
+    """An accepted change; `reverse_change` is the delta from its documents back to the previous ones."""
 
     version: int
     request: str
@@ -33,12 +33,12 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of both deltas."""
+        """Total size of both deltas."""
         return len(self.change) + len(self.reverse_change)
 
 
 class ResultCache:
-    """Results of requests by name, so that a request asked again is not carried out twice."""
+    """Results by request name, so that a repeated request is not carried out twice."""
 
     def __init__(self, results: Iterable[tuple[str, bytes]] = ()) -> None:
         self._results = dict(results)
@@ -48,16 +48,19 @@
         return len(self._results)
 
     def clear(self) -> None:
-        """Forgets all results."""
+        """Removes all results."""
         self._results.clear()
         self._bytes = 0
 
     def items(self) -> list[tuple[str, bytes]]:
-        """Requests and their results, the oldest first."""
+        """Returns the requests and their results, oldest first."""
         return list(self._results.items())
 
     def get_or_run(self, request: str, run: Callable[[], bytes]) -> bytes:
-        """The result of this request; `run` gives it the first time. A request without a name always runs."""
+        """Returns the result of this request; calls `run` for it the first time.
+
+        A request without a name is run each time, and its result is not kept.
+        """
         if request in self._results:
             return self._results[request]
         result = run()
@@ -74,59 +77,62 @@
 
 
 class ChangeHistory:
-    """The changes that were accepted of late."""
+    """The latest accepted changes."""
 
     def __init__(self, entries: Iterable[HistoryEntry] = ()) -> None:
         self._entries = deque(entries)
         self._bytes = sum(entry.size_bytes for entry in self._entries)
 
     def entries(self) -> list[HistoryEntry]:
-        """The oldest first."""
+        """Returns the changes, oldest first."""
         return list(self._entries)
 
     def append(self, entry: HistoryEntry) -> None:
-        """Adds a change, and drops the oldest beyond the bounds; the latest always stays."""
+        """Adds a change and drops the oldest ones beyond the bounds; the latest is always kept."""
         self._entries.append(entry)
         self._bytes += entry.size_bytes
-        while self._is_too_long():
+        while self._exceeds_bounds():
             self._bytes -= self._entries.popleft().size_bytes
 
-    def _is_too_long(self) -> bool:
+    def _exceeds_bounds(self) -> bool:
         if len(self._entries) > _MAX_CHANGES:
             return True
         return self._bytes > _MAX_CHANGE_BYTES and len(self._entries) > 1
 
-    def content(self, documents: Documents, version: int, wanted: int) -> Documents | None:
-        """The documents at the version `wanted`, led back from those of `version`; None: no longer known."""
+    def content(self, documents: Documents, version: int, wanted_version: int) -> Documents | None:
+        """Returns the documents at `wanted_version`, or None if the history doesn't reach back to it.
+
+        `documents` are those of `version`; the reverse changes are applied to them one by one.
+        """
         for entry in reversed(self._entries):
-            if version == wanted:
+            if version == wanted_version:
                 break
             documents = apply_delta(documents, entry.reverse_change)
             version -= 1
-        return documents if version == wanted else None
+        return documents if version == wanted_version else None
 
 
 class TurnDeltas:
-    """What leads from each of the last turns to the next one."""
+    """The deltas from each of the last turns to the next one."""
 
     def __init__(self) -> None:
         self._deltas: deque[bytes] = deque()
         self._bytes = 0
 
     def append(self, delta: bytes) -> None:
-        """Adds what leads to the latest turn."""
+        """Adds the delta to the latest turn and drops the oldest ones beyond the bounds."""
         self._deltas.append(delta)
         self._bytes += len(delta)
-        while self._is_too_long():
+        while self._exceeds_bounds():
             self._bytes -= len(self._deltas.popleft())
 
-    def _is_too_long(self) -> bool:
+    def _exceeds_bounds(self) -> bool:
         if len(self._deltas) > _MAX_TURNS:
             return True
         return self._bytes > _MAX_TURN_BYTES and bool(self._deltas)
 
     def last(self, count: int) -> list[bytes] | None:
-        """The last so many deltas; None where they are no longer known."""
+        """Returns the last `count` deltas, or None if fewer are kept."""
         if count > len(self._deltas):
             return None
         return list(self._deltas)[-count:]
--- a/cresstray/fleet_config/leases.py
+++ b/cresstray/fleet_config/leases.py
@@ -1,6 +1,6 @@
 """The leader's table of leases: which gateway may act at which turn, and until when.
 
-It is never in the log and is gone with the leader.
+The table is not replicated; a new leader starts with an empty one.
 """
 
 from __future__ import annotations
@@ -12,31 +12,32 @@
 from cresstray.fleet_config.codec import Frame, LeaseBehind, LeaseGranted, LeaseRefused
 from cresstray.fleet_config.state import ConfigState
 
-# The reason on the wire for a refusal after which the gateway must stop.
+# The wire reason of a refusal after which the gateway must stop sending.
 NOT_NAMED = "not named"
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """One gateway.
+    """The lease state of one gateway.
 
-    By `lease_until_us` and `fallback_until_us` what it was granted is over, whatever its clock does.
+    `lease_until_us` and `fallback_until_us` include the largest clock drift: after them the gateway no longer
+    acts on its lease or on `count_without_lease`, whatever its own clock does.
     """
 
     lease_until_us: int
     fallback_until_us: int
-    turn: int = -1  # that it last said it acts at; -1: nothing yet
-    heard_us: int = -1
+    turn: int = -1  # the latest turn that the gateway has confirmed; -1: none
+    heard_us: int = -1  # time of the last renewal; -1: none
     incarnation: str = ""
     has_stopped: bool = False
 
 
 class GatewayStatus(NamedTuple):
-    """What the leader knows of one gateway."""
+    """What the leader knows of one gateway, for status output."""
 
     gateway: str
-    turn: int  # -1: not heard of
-    lease_left_us: int  # 0: over
+    turn: int  # -1: none confirmed
+    lease_left_us: int  # 0: expired
     heard_ago_us: int  # -1: never
 
 
@@ -53,17 +54,21 @@
         self._lease_us = int(lease_us * (1 + drift)) + 1
         self._fallback_lease_us = int(max(lease_us, fallback_lease_us) * (1 + drift)) + 1
         self._holders: dict[str, LeaseHolder] = {}
-        # Until when gateways may hold a lease that the leader before granted.
+        # Until when a gateway may hold a lease that the previous leader granted.
         self._lease_until_us = 0
         self._fallback_until_us = 0
 
-    def on_elected(self, gateways: Iterable[str], now: int) -> None:
-        """Elected: each may hold a lease of the old leader's until it is over or has spoken to this one."""
-        self._lease_until_us = now + self._lease_us
-        self._fallback_until_us = now + self._fallback_lease_us
-        self._holders = {name: self._unknown() for name in sorted(gateways)}
+    def on_elected(self, gateways: Iterable[str], now_us: int) -> None:
+        """Starts a new table when this node is elected.
 
-    def _unknown(self) -> LeaseHolder:
+        Each gateway may hold a lease from the previous leader until that has expired or the gateway has
+        renewed its lease with this leader.
+        """
+        self._lease_until_us = now_us + self._lease_us
+        self._fallback_until_us = now_us + self._fallback_lease_us
+        self._holders = {name: self._new_holder() for name in sorted(gateways)}
+
+    def _new_holder(self) -> LeaseHolder:
         return LeaseHolder(self._lease_until_us, self._fallback_until_us)
 
     def renew(
@@ -73,13 +78,14 @@
         turn: int,
         state: ConfigState,
         is_leader: bool,
-        now: int,
+        now_us: int,
         incarnation: str = "",
         has_stopped: bool = False,
     ) -> Frame:
-        """The answer to a renewal. What the gateway says of its turn counts even where it gets no lease.
+        """Returns the reply to a renewal.
 
-        `is_leader`: this node leads, and all entries up to the leader's own first one are applied.
+        The turn that the gateway reports is recorded even if it gets no lease. `is_leader` says that this
+        node leads and has applied all entries up to the first one of its own term.
         """
         if not is_leader:
             return LeaseRefused(number, state.turn, "no leader")
@@ -87,27 +93,28 @@
             return LeaseRefused(number, state.turn, "no list of gateways yet")
         if gateway not in state.counting_gateways():
             return LeaseRefused(number, state.turn, NOT_NAMED)
-        holder = self._holders.setdefault(gateway, self._unknown())
-        # Two of one name would each take that name's share: the second waits until the first's lease is over.
-        if holder.incarnation and incarnation != holder.incarnation and now < holder.lease_until_us:
+        holder = self._holders.setdefault(gateway, self._new_holder())
+        # Two processes with one name would each use that name's share of the engines, so the second one gets
+        # no lease until the first one's has expired.
+        if holder.incarnation and incarnation != holder.incarnation and now_us < holder.lease_until_us:
             return LeaseRefused(number, state.turn, "another of that name has a lease")
         if incarnation != holder.incarnation:
             holder.incarnation = incarnation
             holder.turn = -1
-        # A renewal that was long on its way says less than what came after it.
+        # A delayed renewal may arrive after a later one; its lower turn is outdated.
         holder.turn = max(holder.turn, turn)
-        holder.heard_us = now
+        holder.heard_us = now_us
         holder.has_stopped = has_stopped
         if gateway not in state.named_gateways():
             return LeaseRefused(number, state.turn, NOT_NAMED)
         if turn != state.turn:
             return LeaseBehind(number, state.turn)
-        holder.lease_until_us = max(holder.lease_until_us, now + self._lease_us)
-        holder.fallback_until_us = max(holder.fallback_until_us, now + self._fallback_lease_us)
+        holder.lease_until_us = max(holder.lease_until_us, now_us + self._lease_us)
+        holder.fallback_until_us = max(holder.fallback_until_us, now_us + self._fallback_lease_us)
         return LeaseGranted(number, turn)
 
     def has_departed(self, gateway: str, state: ConfigState) -> bool:
-        """Whether a departed gateway has said that it stopped, at a turn that doesn't name it."""
+        """Returns whether a departed gateway has reported that it stopped at a turn without it."""
         holder = self._holders.get(gateway)
         return (
             gateway in state.departed_gateways
@@ -117,36 +124,39 @@
             and holder.turn >= state.turn
         )
 
-    def _unconfirmed(self, state: ConfigState, now: int) -> list[tuple[str, int]]:
-        """Gateways that may still act at an earlier turn, each with the time at which that is over."""
-        with_count = state.changes_count_without_lease()
-        found = []
+    def _unconfirmed(self, state: ConfigState, now_us: int) -> list[tuple[str, int]]:
+        """Returns the gateways that may still act at an earlier turn, each with the time when that ends."""
+        changes_fallback = state.changes_count_without_lease()
+        unconfirmed = []
         for name in state.counting_gateways():
-            holder = self._holders.get(name) or self._unknown()
-            end = holder.fallback_until_us if with_count else holder.lease_until_us
-            if holder.turn < state.turn and now < end:
-                found.append((name, end))
-        return found
-
-    def can_advance(self, state: ConfigState, now: int) -> bool:
-        """Whether each gateway acts at the present turn at least, or by nothing that it was granted."""
-        return not self._unconfirmed(state, now)
-
-    def next_expiry_us(self, state: ConfigState, now: int) -> int | None:
-        """When `can_advance` becomes true if nothing more is heard; None: no turn waits, or it may go now."""
+            holder = self._holders.get(name) or self._new_holder()
+            end_us = holder.fallback_until_us if changes_fallback else holder.lease_until_us
+            if holder.turn < state.turn and now_us < end_us:
+                unconfirmed.append((name, end_us))
+        return unconfirmed
+
+    def can_advance(self, state: ConfigState, now_us: int) -> bool:
+        """Returns whether every gateway has confirmed the current turn or holds no unexpired grant."""
+        return not self._unconfirmed(state, now_us)
+
+    def next_expiry_us(self, state: ConfigState, now_us: int) -> int | None:
+        """Returns when `can_advance` becomes true if no gateway is heard from.
+
+        None if no turn is pending, or if it can be taken now.
+        """
         if state.pending_turn() is None:
             return None
-        return max((end for _, end in self._unconfirmed(state, now)), default=None)
+        return max((end_us for _, end_us in self._unconfirmed(state, now_us)), default=None)
 
-    def blocking_gateways(self, state: ConfigState, now: int) -> list[str]:
-        """The gateways that the next turn waits for, sorted, for logs and status."""
-        return sorted(name for name, _ in self._unconfirmed(state, now))
+    def blocking_gateways(self, state: ConfigState, now_us: int) -> list[str]:
+        """Returns the sorted names of the gateways that the next turn waits for, for logs and status."""
+        return sorted(name for name, _ in self._unconfirmed(state, now_us))
 
-    def gateway_statuses(self, state: ConfigState, now: int) -> list[GatewayStatus]:
-        """What is known of each gateway that counts, sorted by name."""
-        return [self._status(name, now) for name in sorted(state.counting_gateways())]
+    def gateway_statuses(self, state: ConfigState, now_us: int) -> list[GatewayStatus]:
+        """Returns the status of each counted gateway, sorted by name."""
+        return [self._status(name, now_us) for name in sorted(state.counting_gateways())]
 
-    def _status(self, name: str, now: int) -> GatewayStatus:
-        holder = self._holders.get(name) or self._unknown()
-        heard_ago_us = now - holder.heard_us if holder.heard_us >= 0 else -1
-        return GatewayStatus(name, holder.turn, max(0, holder.lease_until_us - now), heard_ago_us)
+    def _status(self, name: str, now_us: int) -> GatewayStatus:
+        holder = self._holders.get(name) or self._new_holder()
+        heard_ago_us = now_us - holder.heard_us if holder.heard_us >= 0 else -1
+        return GatewayStatus(name, holder.turn, max(0, holder.lease_until_us - now_us), heard_ago_us)
--- a/cresstray/fleet_config/state.py
+++ b/cresstray/fleet_config/state.py
@@ -1,12 +1,12 @@
-"""The configuration that the replicated log makes: contents in order, one change at a time.
+"""The replicated state machine of the configuration: accepts changes and puts them in force one at a time.
 
 | state of a change | meaning |
 | --- | --- |
 | proposed | accepted; waits for the changes before it |
-| joint (odd turn) | all act on the strictest of the old and the new content |
-| in force (even turn) | all act on the new content |
+| joint (odd turn) | the strictest of the old and the new documents applies |
+| in force (even turn) | the new documents apply |
 
-Deterministic: every node that has applied the same entries holds the same state, whatever else it has seen.
+The state is deterministic: nodes that have applied the same log entries hold the same state.
 """
 
 from __future__ import annotations
@@ -40,25 +40,25 @@
 from cresstray.fleet_config.strictest import gateway_divisor, has_no_gateway_list, strictest
 from cresstray.fleet_config.validation import MAX_DOCUMENTS_BYTES, validation_errors
 
-# Each needs two turns, a second or so of an operator's patience.
+# Each change needs two turns, so an operator waits about a second for each change before their own.
 _MAX_PENDING_CHANGES = 64
 
 
 class Section(Protocol):
-    """State of another package in the same log; as deterministic as this."""
+    """State of another package that is kept in the same log; it must be deterministic, too."""
 
     def apply(self, state: ConfigState, data: bytes) -> bytes:
-        """Carries out a command of this section; its encoded result."""
+        """Applies a command of this section and returns its encoded result."""
 
     def snapshot(self) -> bytes:
-        """All of the section, for `restore`."""
+        """Returns the encoded state of the section, for `restore`."""
 
     def restore(self, data: bytes) -> None:
-        """Takes what `snapshot` gave; ValueError where it is none."""
+        """Replaces the state by that of a snapshot; raises ValueError if it is malformed."""
 
 
 class ConfigUpdates(msgspec.Struct, array_like=True, frozen=True):
-    """What leads a follower from `base` (0: from nothing) to `turn`, delta by delta."""
+    """The deltas that lead a follower from turn `base` (0: from empty documents) to `turn`."""
 
     base: int
     turn: int
@@ -66,15 +66,15 @@
 
 
 class ContentVersion(NamedTuple):
-    """One version's documents, and the gateways that they don't name and that may still run."""
+    """The documents of one version, and the departed gateways: no longer named but maybe still running."""
 
     version: int
     documents: Documents
     departed_gateways: frozenset[str]
-    min_divisor: int = 0  # by what to divide at least while it is joint
+    min_divisor: int = 0  # lower bound of the divisor while this version is joint
 
     def effective(self) -> Documents:
-        """What is acted on while this content is in force: `count` says the divisor."""
+        """Returns the documents that apply while this version is in force; `count` is the divisor."""
         return _with_count(
             self.documents, gateway_divisor(self.documents.gateways, len(self.departed_gateways))
         )
@@ -86,7 +86,7 @@
 
 
 class _Snapshot(msgspec.Struct, array_like=True):
-    """The content in force and those that wait, as deltas one behind the other, with what is remembered."""
+    """The versions in force and pending, each as the delta from the one before, with results and history."""
 
     is_joint: bool
     contents: list[tuple[int, bytes, list[str], int]]
@@ -99,7 +99,11 @@
 
 
 class ConfigState:
-    """The state of one node. `turn` is twice the version in force, plus one while a change is joint."""
+    """The configuration state of one node.
+
+    `turn` is twice the version in force, plus one while a change is joint. `effective` are the documents that
+    apply at this turn.
+    """
 
     def __init__(
         self, fleet_inventory: FleetInventory, sections: Mapping[str, Section] | None = None
@@ -118,37 +122,37 @@
 
     @property
     def latest(self) -> Documents:
-        """The documents that the next change will follow."""
+        """The documents of the latest accepted change, which the next change is based on."""
         return self._latest().documents
 
     @property
     def version(self) -> int:
-        """The one that the next change will follow; in force is `turn // 2`."""
+        """The version of the latest accepted change; the version in force is `turn // 2`."""
         return self._latest().version
 
     @property
     def departed_gateways(self) -> frozenset[str]:
-        """Not named any more in what is in force or joint, and not known to be out."""
+        """Gateways that the documents in force or joint no longer name and that may still run."""
         return self._in_force.departed_gateways | (
             self._pending[0].departed_gateways if self.is_joint else frozenset()
         )
 
     @property
     def is_joint(self) -> bool:
-        """Whether a change is on its way into force: what holds is the strictest of old and new."""
+        """Whether a change is joint: the strictest of the old and the new documents applies."""
         return self.turn % 2 == 1
 
     def pending_versions(self) -> list[int]:
-        """Versions that are accepted and not in force."""
+        """Returns the versions that are accepted and not yet in force."""
         return [content.version for content in self._pending]
 
     def _latest(self) -> ContentVersion:
         return self._pending[-1] if self._pending else self._in_force
 
-    # Commands, in the order of the log.
+    # Commands, applied in the order of the log.
 
     def apply(self, index: int, data: bytes) -> bytes:
-        """The command's encoded result. What can't be read changes nothing, and says so."""
+        """Applies a log entry and returns the encoded result; a malformed entry changes nothing."""
         try:
             command = decode_command(data)
         except ValueError as error:
@@ -162,7 +166,7 @@
         return self._apply_section_command(command)
 
     def _apply_proposal(self, command: ProposeChange) -> bytes:
-        # Its answer may have been lost: asked again, it must not become a second change.
+        # If the reply was lost, the client retries the request; it must not become a second change.
         request = f"= {command.request}" if command.request else ""
         return self._results.get_or_run(request, lambda: encode(self._propose(command)))
 
@@ -175,18 +179,18 @@
 
     def _propose(self, command: ProposeChange) -> CommandResult:
         latest = self._latest()
-        reasons = self._reasons_against_any(command)
+        reasons = self._request_errors(command)
         try:
-            given = apply_delta(latest.documents, command.change)
+            proposed = apply_delta(latest.documents, command.change)
             touched = touched_documents(command.change)
         except ValueError as error:
             return CommandResult(False, latest.version, [*reasons, str(error)])
         reasons += self._outdated_bases(command, touched, latest.documents)
-        changed = tuple(name for name in NAMES if given.document(name) != latest.documents.document(name))
+        changed = tuple(name for name in NAMES if proposed.document(name) != latest.documents.document(name))
         if not changed:
             return CommandResult(not reasons, latest.version, reasons)
         fleet_inventory = command.fleet_inventory or self.fleet_inventory
-        content = self._next_content(latest, given, changed, fleet_inventory)
+        content = self._next_content(latest, proposed, changed, fleet_inventory)
         new = content.documents
         reasons += validation_errors(latest.documents, new, fleet_inventory, len(content.departed_gateways))
         if not reasons and len(encode_delta(EMPTY, new)) > MAX_DOCUMENTS_BYTES:
@@ -196,13 +200,13 @@
         self._accept(content, command.request, command.author, command.reason, changed)
         return CommandResult(True, content.version)
 
-    def _reasons_against_any(self, command: ProposeChange) -> list[str]:
+    def _request_errors(self, command: ProposeChange) -> list[str]:
         reasons = []
         if not command.request:
             reasons.append("a proposal needs the name of its request")
-        return reasons + self._reasons_of_too_many()
+        return reasons + self._pending_limit_errors()
 
-    def _reasons_of_too_many(self) -> list[str]:
+    def _pending_limit_errors(self) -> list[str]:
         if len(self._pending) < _MAX_PENDING_CHANGES:
             return []
         return [f"{len(self._pending)} changes wait already"]
@@ -221,27 +225,27 @@
     def _next_content(
         self,
         latest: ContentVersion,
-        given: Documents,
+        proposed: Documents,
         changed: tuple[str, ...],
         fleet_inventory: FleetInventory,
     ) -> ContentVersion:
         version = latest.version + 1
-        new = given.with_versions(latest.documents.versions | dict.fromkeys(changed, version))
+        new = proposed.with_versions(latest.documents.versions | dict.fromkeys(changed, version))
         named = new.gateways.items.keys()
         dropped = latest.documents.gateways.items.keys() - named
         departed = frozenset((latest.departed_gateways | dropped) - named)
-        # Before the first list any gateway may run, each by the file's most.
+        # Before the first list any gateway may run, and each divides by the inventory's `max_gateways`.
         min_divisor = fleet_inventory.max_gateways if has_no_gateway_list(latest.documents) else 0
         return ContentVersion(version, new, departed, min_divisor)
 
     def _remove_departed(self, command: RemoveDeparted) -> CommandResult:
         latest = self._latest()
-        # While a list that is acted on names it, it may act; and a later one may name it again.
+        # A gateway that is named by a list in use may still send, and a pending list may name it again.
         if command.gateway not in self.departed_gateways & latest.departed_gateways - self._named:
             return CommandResult(False, latest.version, [f"{command.gateway} is not waited for"])
-        too_many = self._reasons_of_too_many()
-        if too_many:
-            return CommandResult(False, latest.version, too_many)
+        reasons = self._pending_limit_errors()
+        if reasons:
+            return CommandResult(False, latest.version, reasons)
         departed = latest.departed_gateways - {command.gateway}
         content = ContentVersion(latest.version + 1, latest.documents, departed)
         self._accept(content, "", "", command.reason or f"{command.gateway} is out", ())
@@ -258,21 +262,22 @@
             HistoryEntry(content.version, request, author, reason, names, change, reverse_change)
         )
 
-    # Turns: one change at a time.
+    # Turns put pending changes in force, one change at a time.
 
     def pending_turn(self) -> int | None:
-        """The turn that waits to be committed, if any; the leader commits it when LeaseTable.can_advance."""
+        """Returns the next turn if a change is pending; the leader commits it when LeaseTable.can_advance."""
         return self.turn + 1 if self._pending else None
 
     def _advance(self, turn: int) -> CommandResult:
-        # A turn committed twice, or by an earlier leader, would skip one that not all have taken.
+        # A turn that is committed twice, or by an earlier leader, would skip a turn that some gateways have
+        # not confirmed yet.
         if turn != self.turn + 1 or not self._pending:
             return CommandResult(False, self.version, [f"turn {turn} is not wanted after {self.turn}"])
         if self.is_joint:
             self._in_force = self._pending.popleft()
             effective = self._in_force.effective()
         else:
-            effective = self._joined()
+            effective = self._joint_documents()
         self._turn_deltas.append(encode_delta(self.effective, effective))
         self.turn = turn
         self.effective = effective
@@ -280,14 +285,15 @@
         return CommandResult(True, self.version)
 
     def _update_names(self) -> None:
-        # Once a turn: computed for each renewal, the leader's work would grow by the square.
+        # Computed once per turn: computed for each renewal, the leader's work would grow with the square of
+        # the number of gateways.
         named = set(self._in_force.documents.gateways.items)
         if self.is_joint:
             named |= set(self._pending[0].documents.gateways.items)
         self._named = frozenset(named)
         self._counting = self._named | self.departed_gateways
 
-    def _joined(self) -> Documents:
+    def _joint_documents(self) -> Documents:
         old = self._in_force
         new = self._pending[0]
         both = strictest(old.documents, new.documents)
@@ -295,29 +301,32 @@
         return _with_count(both, max(counts))
 
     def named_gateways(self) -> frozenset[str]:
-        """By the old or the new list: who may have a lease."""
+        """Returns the gateways that the old or the new list names; they may hold a lease."""
         return self._named
 
     def counting_gateways(self) -> frozenset[str]:
-        """Whose lease counts: named by the old or the new list, and those not known to be out."""
+        """Returns the gateways whose leases a turn waits for: the named ones and the departed ones."""
         return self._counting
 
     def has_gateway_list(self) -> bool:
-        """Whether there is a list of gateways in what is acted on."""
+        """Returns whether the documents that apply have a gateway list."""
         return not has_no_gateway_list(self.effective)
 
     def changes_count_without_lease(self) -> bool:
-        """Whether the turn that is waited for changes what holds without a lease."""
+        """Returns whether the pending turn changes `count_without_lease`."""
         if not self.is_joint or has_no_gateway_list(self._in_force.documents):
             return False
         old = self._in_force.documents.gateways
         new = self._pending[0].documents.gateways
         return old.count_without_lease != new.count_without_lease
 
-    # Followers.
+    # Updates of followers.
 
     def updates_since(self, turn: int) -> bytes:
-        """For one that acts at `turn`; empty if there is nothing newer. 0, or too old: the whole."""
+        """Returns the encoded ConfigUpdates for a follower at `turn`; empty if there is nothing newer.
+
+        For turn 0, or one that is too old, they hold all documents.
+        """
         if turn >= self.turn:
             return b""
         deltas = self._turn_deltas.last(self.turn - turn) if turn else None
@@ -328,26 +337,29 @@
     # History.
 
     def history(self) -> list[HistoryEntry]:
-        """The changes that were accepted of late, the oldest first."""
+        """Returns the latest accepted changes, oldest first."""
         return self._history.entries()
 
     def content(self, version: int) -> Documents | None:
-        """The documents as they were, or will be, at a version; None where that is no longer known."""
+        """Returns the documents of a past or pending version, or None if that is no longer known."""
         return self._history.content(self.latest, self.version, version)
 
     def revert_to(self, version: int) -> tuple[dict[str, int], bytes]:
-        """Bases and change of a proposal that brings an earlier content back; LookupError if not known."""
+        """Returns the bases and the delta of a proposal that restores an earlier version's documents.
+
+        Raises LookupError if that version is no longer known.
+        """
         earlier = self.content(version)
         if earlier is None:
             raise LookupError(f"version {version} is no longer known")
         names = [name for name in NAMES if earlier.document(name) != self.latest.document(name)]
-        made = self.latest.with_documents({name: earlier.document(name) for name in names})
-        return {name: self.latest.version(name) for name in names}, encode_delta(self.latest, made)
+        restored = self.latest.with_documents({name: earlier.document(name) for name in names})
+        return {name: self.latest.version(name) for name in names}, encode_delta(self.latest, restored)
 
     # Snapshots.
 
     def snapshot(self) -> bytes:
-        """All of the state, for `restore`."""
+        """Returns the encoded state, for `restore`."""
         before = EMPTY
         contents = []
         for content in (self._in_force, *self._pending):
@@ -360,33 +372,36 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Takes a snapshot; ValueError where it is none, or of sections that this program doesn't have."""
+        """Replaces the state by that of a snapshot.
+
+        Raises ValueError if the snapshot is malformed or has a section that this build doesn't know.
+        """
         try:
-            given = _decode_snapshot(data)
+            snapshot = _decode_snapshot(data)
         except MALFORMED as error:
             raise ValueError(f"not a state of the rules: {error}") from None
-        unknown = sorted(set(given.sections) - set(self.sections))
+        unknown = sorted(set(snapshot.sections) - set(self.sections))
         if unknown:
             raise ValueError(f"the state has a section {unknown[0]!r} that this build doesn't know")
-        contents = _restored_contents(given)
+        contents = _restored_contents(snapshot)
         self._in_force = contents[0]
         self._pending = deque(contents[1:])
-        self.turn = 2 * self._in_force.version + given.is_joint
-        self.effective = self._joined() if given.is_joint else self._in_force.effective()
+        self.turn = 2 * self._in_force.version + snapshot.is_joint
+        self.effective = self._joint_documents() if snapshot.is_joint else self._in_force.effective()
         self._update_names()
-        self._results = ResultCache(given.results)
-        self._history = ChangeHistory(given.history)
+        self._results = ResultCache(snapshot.results)
+        self._history = ChangeHistory(snapshot.history)
         self._turn_deltas = TurnDeltas()
-        for name, section in given.sections.items():
+        for name, section in snapshot.sections.items():
             self.sections[name].restore(section)
 
 
-def _restored_contents(given: _Snapshot) -> list[ContentVersion]:
+def _restored_contents(snapshot: _Snapshot) -> list[ContentVersion]:
     documents = EMPTY
     contents = []
-    for version, delta, departed, min_divisor in given.contents:
+    for version, delta, departed, min_divisor in snapshot.contents:
         documents = apply_delta(documents, delta)
         contents.append(ContentVersion(version, documents, frozenset(departed), min_divisor))
-    if not contents or given.is_joint and len(contents) < 2:
+    if not contents or snapshot.is_joint and len(contents) < 2:
         raise ValueError("not a state of the rules: no content")
     return contents
--- a/cresstray/fleet_config/strictest.py
+++ b/cresstray/fleet_config/strictest.py
@@ -1,6 +1,6 @@
-"""The strictest of two contents, field by field: what either forbids, it forbids.
+"""Merges two versions of the documents, field by field, into one that forbids whatever either forbids.
 
-It holds while a change is joint.
+The merged documents apply while a change is joint.
 """
 
 from __future__ import annotations
@@ -27,28 +27,34 @@
 
 
 def gateway_divisor(gateways: GatewayList, departed_count: int = 0) -> int:
-    """By how many the shares of the engines are divided.
+    """Returns the number by which the gateways divide the engines' capacity.
 
-    `departed_count`: gateways that are not named any more and may still run.
+    `departed_count` is the number of gateways that are no longer named and may still run.
     """
     return max(gateways.count, len(gateways.items) + departed_count)
 
 
 def has_no_gateway_list(documents: Documents) -> bool:
-    """Whether no list of gateways has ever been agreed on: then any may run, each by the file's most."""
+    """Returns whether no gateway list has ever been committed.
+
+    Until then any gateway may run, and each divides by the inventory's `max_gateways`.
+    """
     return not documents.version("gateways")
 
 
 def strictest(old: Documents, new: Documents) -> Documents:
-    """In either order the same; of one with itself, itself but for `count`, which then says the divisor."""
+    """Returns the merged documents; the order of the arguments doesn't matter.
+
+    Documents merged with themselves stay the same, except that `gateways.count` becomes the divisor.
+    """
     return Documents(
         _gateways(old, new),
         EngineRules(_engines(old.engines.items, new.engines.items)),
         TenantRules(_tenants(old.tenants.items, new.tenants.items)),
-        RequestClassRules(_tariffs(old.request_classes.items, new.request_classes.items)),
+        RequestClassRules(_request_classes(old.request_classes.items, new.request_classes.items)),
         Placement(_placement(old.placement.items, new.placement.items)),
         Replicas(_replicas(old.replicas.items, new.replicas.items)),
-        # Of an unagreed list nothing is known; the other's version says which one is meant.
+        # Version 0 says that a document was never committed; then the other version applies.
         {
             name: min(old.version(name), new.version(name)) or max(old.version(name), new.version(name))
             for name in sorted(NAMES)
@@ -58,82 +64,95 @@
 
 
 def _gateways(old: Documents, new: Documents) -> GatewayList:
-    one, other = old.gateways, new.gateways
+    old_list, new_list = old.gateways, new.gateways
     if has_no_gateway_list(old) != has_no_gateway_list(new):
-        # The first list against none would leave nobody who may send. Without a list, whoever runs may.
-        names = other.items if has_no_gateway_list(old) else one.items
+        # Without a list any gateway may run, so the first list applies as it is; its intersection with an
+        # empty list would allow no gateway at all.
+        names = new_list.items if has_no_gateway_list(old) else old_list.items
     else:
-        names = {name: item for name, item in one.items.items() if name in other.items}
-    floor = (
+        names = {name: item for name, item in old_list.items.items() if name in new_list.items}
+    # 0 stands for the inventory's `max_gateways`, which is the strictest.
+    count_without_lease = (
         0
-        if not one.count_without_lease or not other.count_without_lease
-        else max(one.count_without_lease, other.count_without_lease)
-    )  # 0: the most of all
-    return GatewayList(dict(sorted(names.items())), max(gateway_divisor(one), gateway_divisor(other)), floor)
+        if not old_list.count_without_lease or not new_list.count_without_lease
+        else max(old_list.count_without_lease, new_list.count_without_lease)
+    )
+    return GatewayList(
+        dict(sorted(names.items())),
+        max(gateway_divisor(old_list), gateway_divisor(new_list)),
+        count_without_lease,
+    )
 
 
-def _union(old: Mapping[str, object], new: Mapping[str, object]) -> list[str]:
+def _sorted_union(old: Mapping[str, object], new: Mapping[str, object]) -> list[str]:
     return sorted({**old, **new})
 
 
 def _engines(old: dict[str, EngineRule], new: dict[str, EngineRule]) -> dict[str, EngineRule]:
-    both = ((name, old.get(name, EngineRule()), new.get(name, EngineRule())) for name in _union(old, new))
+    rule_pairs = (
+        (name, old.get(name, EngineRule()), new.get(name, EngineRule())) for name in _sorted_union(old, new)
+    )
     return {
-        name: EngineRule(one.is_barred or other.is_barred, min(one.work_fraction, other.work_fraction))
-        for name, one, other in both
+        name: EngineRule(
+            old_rule.is_barred or new_rule.is_barred, min(old_rule.work_fraction, new_rule.work_fraction)
+        )
+        for name, old_rule, new_rule in rule_pairs
     }
 
 
 def _tenants(old: dict[str, TenantRule], new: dict[str, TenantRule]) -> dict[str, TenantRule]:
-    both = ((name, old.get(name, TenantRule()), new.get(name, TenantRule())) for name in _union(old, new))
+    rule_pairs = (
+        (name, old.get(name, TenantRule()), new.get(name, TenantRule())) for name in _sorted_union(old, new)
+    )
     return {
-        name: TenantRule(one.is_barred or other.is_barred, min(one.share, other.share))
-        for name, one, other in both
+        name: TenantRule(old_rule.is_barred or new_rule.is_barred, min(old_rule.share, new_rule.share))
+        for name, old_rule, new_rule in rule_pairs
     }
 
 
-def _tariffs(
+def _request_classes(
     old: dict[str, RequestClassRule], new: dict[str, RequestClassRule]
 ) -> dict[str, RequestClassRule]:
-    both = (
+    rule_pairs = (
         (name, old.get(name, RequestClassRule()), new.get(name, RequestClassRule()))
-        for name in _union(old, new)
+        for name in _sorted_union(old, new)
     )
     return {
         name: RequestClassRule(
-            one.is_stopped or other.is_stopped, min(one.retry_budget_scale, other.retry_budget_scale)
+            old_rule.is_stopped or new_rule.is_stopped,
+            min(old_rule.retry_budget_scale, new_rule.retry_budget_scale),
         )
-        for name, one, other in both
+        for name, old_rule, new_rule in rule_pairs
     }
 
 
 def _placement(old: dict[str, Shard], new: dict[str, Shard]) -> dict[str, Shard]:
-    # A shard in only one of both: the other lets its work go anywhere, this one to its copies only. Only the
-    # copies may be read or written by both, so its rule holds as it is.
-    return {name: _shard(old.get(name), new.get(name)) for name in _union(old, new)}
+    # Documents without a rule for a shard allow its requests on any engine. If only one version has a rule,
+    # that rule is the stricter one and applies as it is.
+    return {name: _shard(old.get(name), new.get(name)) for name in _sorted_union(old, new)}
 
 
-def _shard(one: Shard | None, other: Shard | None) -> Shard:
-    if one is None:
-        return other or Shard()
-    if other is None or one == other:
-        return one
-    # Of two primaries, or one of two epochs, both could take writes at once: then none may.
-    same = one.primary == other.primary and one.epoch == other.epoch
-    copies = tuple(copy for copy in sorted(one.copies) if copy in other.copies)
-    reads = tuple(copy for copy in sorted(one.reads) if copy in other.reads and copy in copies)
-    return Shard(copies, one.primary if same else "", max(one.epoch, other.epoch), reads)
+def _shard(old: Shard | None, new: Shard | None) -> Shard:
+    if old is None:
+        return new or Shard()
+    if new is None or old == new:
+        return old
+    # With two primaries, or one primary in two epochs, both could accept writes at once: no engine may.
+    has_same_primary = old.primary == new.primary and old.epoch == new.epoch
+    copies = tuple(copy for copy in sorted(old.copies) if copy in new.copies)
+    reads = tuple(copy for copy in sorted(old.reads) if copy in new.reads and copy in copies)
+    return Shard(copies, old.primary if has_same_primary else "", max(old.epoch, new.epoch), reads)
 
 
 def _replicas(old: dict[str, Pin], new: dict[str, Pin]) -> dict[str, Pin]:
-    made = {}
-    for name in _union(old, new):
+    merged = {}
+    for name in _sorted_union(old, new):
         pins = [pin for pin in (old.get(name), new.get(name)) if pin is not None]
         if len(pins) == 2 and pins[0] == pins[1]:
-            made[name] = pins[0]
+            merged[name] = pins[0]
             continue
-        # A strict pin forbids all other copies, a preference forbids nothing. Of a strict one that changes,
-        # both hold; no name that may be proposed ends like the second's.
+        # A strict pin forbids all other copies; a pin that isn't strict is a preference and forbids nothing.
+        # If a strict pin changes, both versions apply. The second gets a name that no proposal can contain.
         strict = sorted((pin for pin in pins if pin.is_strict), key=msgspec.msgpack.encode)
-        made |= zip((name, name + "'"), strict)
-    return dict(sorted(made.items()))
+        merged |= zip((name, name + "'"), strict)
+    return dict(sorted(merged.items()))
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -1043,7 +1043,7 @@
         self.broken(ActiveConfig, "_mode_at", by_timer)
         self.broken(LeaseTable, "can_advance", lambda *_: True)
         self.broken(LeaseTable, "on_elected", lambda me, gateways, now: me._holders.clear())
-        self.broken(ConfigState, "_joined", lambda me: me._pending[0].effective())
+        self.broken(ConfigState, "_joint_documents", lambda me: me._pending[0].effective())
         self.broken(state_of, "gateway_divisor", lambda gateways, departed_count=0: gateway_divisor(gateways))
 
 
