--- a/cresstray/fleet_config/admission.py
+++ b/cresstray/fleet_config/admission.py
@@ -1,4 +1,4 @@
-"""What the configuration in use says of a request and an engine, at the moment of acting."""
+"""Admission rules by the configuration in effect: whether a request may run, and on which engines."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 from cresstray.policy.sliding_window import SlidingWindow
 from cresstray.policy.types import Engine, Request
 
-# A tenant's share is of the work accepted in this time, as long as a burst lasts that is no trend.
+# A tenant's share is measured over this window, long enough that a short burst is not taken for a trend.
 _SHARE_WINDOW_US = 5_000_000
 _SHARE_BUCKETS = 20
-# So many requests of a tenant in that time always pass, or a quiet gateway's only tenant would get none.
-_ALWAYS_ADMITTED = 10
-# Expected work of a request whose answers have not been timed yet.
-_MIN_EXPECTED_US = 1_000
-# Threads a core that an engine is given at the most where nothing is limited: twice the start of its limit.
+# Requests of a tenant per window that its share never rejects; without them, the only tenant of a quiet
+# gateway would get none admitted.
+_MIN_ADMITTED_PER_WINDOW = 10
+# Used for requests whose latency has not been measured yet.
+_MIN_EXPECTED_LATENCY_US = 1_000
+# Most threads per core on an engine without a limited work fraction: twice the initial value of its limit.
 _MAX_THREADS_PER_CORE = 2
 
-_STOPPED = RequestClassRule(is_stopped=True, retry_budget_scale=0.0)
+_STOPPED_CLASS_RULE = RequestClassRule(is_stopped=True, retry_budget_scale=0.0)
 
 
 class _EffectiveRules:
-    """The documents of one turn, by the indexes that requests carry."""
+    """The rules of one turn's documents, by the tenant and class indexes that requests carry."""
 
     def __init__(self, documents: Documents, tenants: Sequence[str], request_classes: Sequence[str]) -> None:
         self.documents = documents
@@ -36,30 +37,30 @@
         ]
         self.has_share_limits = any(rule.share < 1 for rule in self.tenants)
         self.shards = documents.placement.items
-        # Nothing is said of any engine, tenant, class or shard: most fleets' most of the time.
+        # No rule for any engine, tenant, class or shard; so it is in most fleets most of the time.
         self.is_empty = not (
             documents.engines.items
             or documents.tenants.items
             or documents.request_classes.items
             or self.shards
         )
-        self.ranks: dict[str, int] = {}  # of this gateway among all, for the seats of an engine
+        self.gateway_ranks: dict[str, int] = {}  # this gateway's rank among all, by engine
 
 
 class _AdmittedWork:
-    """What was admitted of late of one tenant, or of all."""
+    """The recently admitted work of one tenant, or of all tenants."""
 
     def __init__(self) -> None:
         self.work = SlidingWindow(_SHARE_WINDOW_US, _SHARE_BUCKETS)
         self.count = SlidingWindow(_SHARE_WINDOW_US, _SHARE_BUCKETS)
 
-    def add(self, now: int, work: float) -> None:
-        self.work.add(now, work)
-        self.count.add(now)
+    def add(self, now_us: int, work: float) -> None:
+        self.work.add(now_us, work)
+        self.count.add(now_us)
 
 
-class _Judgement(NamedTuple):
-    """What the rules say of one request, whatever the engine."""
+class _RequestDecision(NamedTuple):
+    """What the rules say of one request, independent of the engine."""
 
     request: Request | None
     config: EffectiveConfig | None
@@ -68,9 +69,14 @@
 
 
 class ConfigAdmissionRules:
-    """AdmissionRules by the configuration in use.
-
-    `tenants`, `request_classes`: names by index; `engine_id` gives "" for an engine of another site.
+    """The AdmissionRules that follow from the configuration in effect.
+
+    Args:
+        active_config: The configuration in use at this gateway.
+        tenants: Tenant names by index.
+        request_classes: Request class names by index.
+        engine_id: Returns the id of an engine, or "" for an engine of another site.
+        counters: Counts rejected requests by reason.
     """
 
     def __init__(
@@ -86,61 +92,64 @@
         self._tenants = tuple(tenants)
         self._request_classes = tuple(request_classes)
         self._counters = counters or Counters()
-        self._rules = self._rules_of(active_config.documents)
-        self._judgement = _Judgement(None, None, False, None)
-        self._admitted = _AdmittedWork()
-        self._admitted_of = [_AdmittedWork() for _ in self._tenants]
+        self._rules = self._effective_rules(active_config.documents)
+        self._decision = _RequestDecision(None, None, False, None)
+        self._total_admitted = _AdmittedWork()
+        self._admitted_by_tenant = [_AdmittedWork() for _ in self._tenants]
 
-    def _rules_of(self, documents: Documents) -> _EffectiveRules:
+    def _effective_rules(self, documents: Documents) -> _EffectiveRules:
         return _EffectiveRules(documents, self._tenants, self._request_classes)
 
-    def _config_at(self, now: int) -> EffectiveConfig:
-        config = self.active_config.effective_at(now)
+    def _effective_config(self, now_us: int) -> EffectiveConfig:
+        config = self.active_config.effective_at(now_us)
         if config.documents is not self._rules.documents:
-            self._rules = self._rules_of(config.documents)
+            self._rules = self._effective_rules(config.documents)
         return config
 
-    def gateway_count(self, now: int) -> int:
-        """By how many the shares are divided; 0: nothing may be sent."""
-        return self._config_at(now).gateway_count
+    def gateway_count(self, now_us: int) -> int:
+        """Returns how many gateways share the engines; 0 if this gateway may not send."""
+        return self._effective_config(now_us).gateway_count
 
-    def retry_budget_scale(self, request: Request, now: int) -> float:
-        """Scales the retry budget, 0 to 1."""
-        return self._class_rule(request, self._config_at(now)).retry_budget_scale
+    def retry_budget_scale(self, request: Request, now_us: int) -> float:
+        """Returns the factor, from 0 to 1, by which the retry budget is scaled for this request."""
+        return self._class_rule(request, self._effective_config(now_us)).retry_budget_scale
 
     def _class_rule(self, request: Request, config: EffectiveConfig) -> RequestClassRule:
         if config.mode is Mode.STOPPED:
-            return _STOPPED
+            return _STOPPED_CLASS_RULE
         index = request.request_class.index
         rules = self._rules.request_classes
-        # A class whose name is not known has no rule.
+        # A request class without a known name has no rule.
         return rules[index] if index < len(rules) else RequestClassRule()
 
     def _tenant_rule(self, request: Request) -> TenantRule:
         rules = self._rules.tenants
         return rules[request.tenant] if 0 <= request.tenant < len(rules) else TenantRule()
 
-    def admits(self, request: Request, now: int) -> bool:
-        """Whether it may go on, each time it is offered; its first time counts for its tenant's share."""
-        config = self._config_at(now)
-        is_unruled = self._rules.is_empty and request.replica_read is None
-        if is_unruled and config.mode is not Mode.STOPPED:
+    def admits(self, request: Request, now_us: int) -> bool:
+        """Returns whether the request may run; asked again before each attempt.
+
+        A request's first admission counts towards its tenant's share.
+        """
+        config = self._effective_config(now_us)
+        has_no_rules = self._rules.is_empty and request.replica_read is None
+        if has_no_rules and config.mode is not Mode.STOPPED:
             return True
-        reason = self._reason_against(request, config, now)
+        reason = self._rejection_reason(request, config, now_us)
         if reason:
             self._counters.add(f"rules: denied, {reason}")
             return False
         if self._rules.has_share_limits and not request.attempts:
-            self._count_admitted(request, now)
+            self._count_admitted(request, now_us)
         return True
 
-    def _count_admitted(self, request: Request, now: int) -> None:
-        work = _work(request)
-        self._admitted.add(now, work)
-        if 0 <= request.tenant < len(self._admitted_of):
-            self._admitted_of[request.tenant].add(now, work)
+    def _count_admitted(self, request: Request, now_us: int) -> None:
+        work = _expected_thread_us(request)
+        self._total_admitted.add(now_us, work)
+        if 0 <= request.tenant < len(self._admitted_by_tenant):
+            self._admitted_by_tenant[request.tenant].add(now_us, work)
 
-    def _reason_against(self, request: Request, config: EffectiveConfig, now: int) -> str:
+    def _rejection_reason(self, request: Request, config: EffectiveConfig, now_us: int) -> str:
         if config.mode is Mode.STOPPED:
             return "this gateway is not named"
         if self._class_rule(request, config).is_stopped:
@@ -149,101 +158,112 @@
         if tenant.is_barred:
             return "tenant barred"
         is_first = not request.attempts
-        if tenant.share < 1 and is_first and self._is_over_share(request, tenant.share, now):
+        if tenant.share < 1 and is_first and self._is_over_share(request, tenant.share, now_us):
             return "tenant over its share"
-        if request.replica_read is not None and not request.replica_read.admits(now):
+        if request.replica_read is not None and not request.replica_read.admits(now_us):
             return "no copy is fresh enough"
         if config.mode is not Mode.LEASE and str(request.data_set) in self._rules.shards:
             return "placement without a lease"
         return ""
 
-    def _is_over_share(self, request: Request, share: float, now: int) -> bool:
-        own = self._admitted_of[request.tenant]
-        work = _work(request)
-        # Sums of buckets are too long or too short: its own are taken long, those of all short.
-        if own.count.upper_bound(now) < (_ALWAYS_ADMITTED if share else 0):
+    def _is_over_share(self, request: Request, share: float, now_us: int) -> bool:
+        admitted = self._admitted_by_tenant[request.tenant]
+        work = _expected_thread_us(request)
+        # The window yields only bounds of a sum: with the upper bound for the tenant and the lower bound for
+        # the total, the tenant never gets more than its share.
+        if admitted.count.upper_bound(now_us) < (_MIN_ADMITTED_PER_WINDOW if share else 0):
             return False
-        return own.work.upper_bound(now) + work > share * (self._admitted.work.lower_bound(now) + work)
+        return admitted.work.upper_bound(now_us) + work > share * (
+            self._total_admitted.work.lower_bound(now_us) + work
+        )
 
-    def allows(self, request: Request, engine: Engine, now: int) -> bool:
-        """Whether an attempt of it may go to this engine now; what was queued is judged anew."""
-        config = self._config_at(now)
+    def allows(self, request: Request, engine: Engine, now_us: int) -> bool:
+        """Returns whether an attempt may be sent to this engine now; asked again after queueing."""
+        config = self._effective_config(now_us)
         if self._rules.is_empty and request.replica_read is None:
             return config.mode is not Mode.STOPPED
-        judgement = self._judge(request, config)
-        shard = judgement.shard
-        is_unplaced = shard is None and request.replica_read is None
-        if not judgement.is_allowed:
+        decision = self._decide(request, config)
+        shard = decision.shard
+        has_no_placement = shard is None and request.replica_read is None
+        if not decision.is_allowed:
             return False
-        if is_unplaced and not config.documents.engines.items:
+        if has_no_placement and not config.documents.engines.items:
             return True
-        name = self._engine_id(engine)
-        if not is_unplaced and not self._placement_allows(request, shard, name, config, now):
+        engine_id = self._engine_id(engine)
+        if not has_no_placement and not self._placement_allows(request, shard, engine_id, config, now_us):
             return False
-        rule = config.documents.engines.items.get(name)
+        rule = config.documents.engines.items.get(engine_id)
         if rule is None:
             return True
         if rule.is_barred:
             return False
-        return rule.work_fraction >= 1 or self._has_room(request, engine, name, rule, config)
+        return rule.work_fraction >= 1 or self._has_capacity(request, engine, engine_id, rule, config)
 
-    def _judge(self, request: Request, config: EffectiveConfig) -> _Judgement:
-        # Asked for one engine after the other: what is said of the request is found once for a moment.
-        known = self._judgement
-        if known.request is not request or known.config is not config:
+    def _decide(self, request: Request, config: EffectiveConfig) -> _RequestDecision:
+        # The same request is checked against one engine after the other, so its decision is cached.
+        decision = self._decision
+        if decision.request is not request or decision.config is not config:
             is_forbidden = (
                 config.mode is Mode.STOPPED
                 or self._class_rule(request, config).is_stopped
                 or self._tenant_rule(request).is_barred
             )
             shard = self._rules.shards.get(str(request.data_set))
-            self._judgement = known = _Judgement(request, config, not is_forbidden, shard)
-        return known
+            self._decision = decision = _RequestDecision(request, config, not is_forbidden, shard)
+        return decision
 
     @staticmethod
     def _placement_allows(
-        request: Request, shard: Shard | None, name: str, config: EffectiveConfig, now: int
+        request: Request, shard: Shard | None, engine_id: str, config: EffectiveConfig, now_us: int
     ) -> bool:
-        # By an old placement it would write to what is no primary any more, or read a replica that has been
-        # dropped. Without a lease nobody can say.
-        if config.mode is not Mode.LEASE or not name:
+        # With an outdated placement, the request could write to a former primary or read a dropped replica.
+        # Without a lease the placement may be outdated.
+        if config.mode is not Mode.LEASE or not engine_id:
             return False
-        read = request.replica_read
-        if read is None:
-            return shard is None or name == shard.primary
-        if shard is None or name not in (*shard.reads, shard.primary):
+        replica_read = request.replica_read
+        if replica_read is None:
+            return shard is None or engine_id == shard.primary
+        if shard is None or engine_id not in (*shard.reads, shard.primary):
             return False
-        return bool(read.takes(name, now))
+        return bool(replica_read.takes(engine_id, now_us))
 
-    def _has_room(
-        self, request: Request, engine: Engine, name: str, rule: EngineRule, config: EffectiveConfig
+    def _has_capacity(
+        self, request: Request, engine: Engine, engine_id: str, rule: EngineRule, config: EffectiveConfig
     ) -> bool:
-        """Whether this gateway's part of what the engine is given leaves room.
+        """Returns whether this gateway's share of the engine's limited work has room for the request.
 
-        All gateways together have at most that part on it, and as much again in seats, or one: where a
-        gateway's part is less than a thread, a few of them have a whole one.
+        Where a gateway's share is less than one request, the gateways with the lowest ranks may run one
+        request each. So all gateways together use at most twice the engine's work fraction, or one request.
         """
-        own = engine.policy_state.limit.running_threads
+        running_threads = engine.policy_state.limit.running_threads
         threads = request.request_class.threads
-        whole = rule.work_fraction * _MAX_THREADS_PER_CORE * engine.policy_state.limit.cores
-        if own + threads <= whole / config.gateway_count:
+        engine_threads = rule.work_fraction * _MAX_THREADS_PER_CORE * engine.policy_state.limit.cores
+        if running_threads + threads <= engine_threads / config.gateway_count:
             return True
-        # A thread each for 230 gateways would be many times what a limited engine is to have.
-        return own == 0 and rule.work_fraction > 0 and self._rank(name) < max(1, int(whole / threads))
+        # One thread for each of 230 gateways would be many times what the limited engine may get.
+        return (
+            running_threads == 0
+            and rule.work_fraction > 0
+            and self._gateway_rank(engine_id) < max(1, int(engine_threads / threads))
+        )
 
-    def _rank(self, engine: str) -> int:
-        ranks = self._rules.ranks
-        if engine not in ranks:
-            # By a draw that all gateways make alike: others have the seats of another engine.
-            drawn = {name: _draw(engine, name) for name in self._rules.documents.gateways.items}
-            own = drawn.get(self.active_config.name)
-            ranks[engine] = len(drawn) if own is None else sum(draw < own for draw in drawn.values())
-        return ranks[engine]
+    def _gateway_rank(self, engine_id: str) -> int:
+        ranks = self._rules.gateway_ranks
+        if engine_id not in ranks:
+            # Rendezvous hashing: all gateways compute the same ranks, which differ from engine to engine.
+            hashes = {
+                name: _rendezvous_hash(engine_id, name) for name in self._rules.documents.gateways.items
+            }
+            own_hash = hashes.get(self.active_config.name)
+            ranks[engine_id] = (
+                len(hashes) if own_hash is None else sum(other < own_hash for other in hashes.values())
+            )
+        return ranks[engine_id]
 
 
-def _work(request: Request) -> float:
-    return float(max(_MIN_EXPECTED_US, request.expected_latency_us) * request.request_class.threads)
+def _expected_thread_us(request: Request) -> float:
+    return float(max(_MIN_EXPECTED_LATENCY_US, request.expected_latency_us) * request.request_class.threads)
 
 
-def _draw(engine: str, gateway: str) -> bytes:
-    return blake2b(f"{engine} {gateway}".encode(), digest_size=8).digest()
+def _rendezvous_hash(engine_id: str, gateway: str) -> bytes:
+    return blake2b(f"{engine_id} {gateway}".encode(), digest_size=8).digest()
--- a/cresstray/fleet_config/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -1,6 +1,6 @@
-"""A gateway's link to the control plane: one node at a time, another when it is silent.
+"""A gateway's connection to the control plane: to one node at a time, and to the next one if it fails.
 
-Gateways that come back at once are spread over time.
+Reconnects are delayed at random, so that gateways that lose a node at the same moment don't return at once.
 """
 
 from __future__ import annotations
@@ -40,237 +40,252 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-# What a node may send to a gateway.
-_FRAMES = (Greeting, LeaseGranted, LeaseBehind, LeaseRefused, ConfigPart, ReplicaPositions)
-# A link that worked is made again, to the next node, within this: a lease of two seconds outlives it.
-_RECONNECT_S = 0.2
-# After all nodes were tried in vain: doubled each time around, by chance from nothing to it. 230 gateways
-# that come back are some 80 links a second for all nodes together.
-_FIRST_PAUSE_S = 0.5
-_MAX_PAUSE_S = 3.0
-# What was seen of replicas goes out so often, in a message of some hundred bytes, as docs/replicas.md has
-# measured; asked for at once, not more often than the latter.
+# Frames that a node may send to a gateway.
+_NODE_FRAMES = (Greeting, LeaseGranted, LeaseBehind, LeaseRefused, ConfigPart, ReplicaPositions)
+# Longest delay before connecting to the next node after a connection is lost; a lease of 2 s outlasts it.
+_MAX_RECONNECT_DELAY_S = 0.2
+# Bounds of the random backoff after all nodes were tried without success; it doubles after each round. With
+# 230 gateways reconnecting, all nodes together get about 80 connections a second.
+_MIN_BACKOFF_S = 0.5
+_MAX_BACKOFF_S = 3.0
+# Interval between messages of replica positions, of some hundred bytes each (see docs/replicas.md), and the
+# least interval before a message that `request_positions` sends early.
 _POSITIONS_INTERVAL_US = 250_000
 _MIN_POSITIONS_INTERVAL_US = 20_000
 
 
 def boottime_us() -> int:
-    """Microseconds of a clock that neither a stopped process nor a sleeping machine stops."""
+    """Returns the time of a clock that also advances while the process is stopped or the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 def preference_order(name: str, nodes: tuple[Keeper, ...]) -> list[Keeper]:
-    """The nodes in this gateway's order, by rendezvous hashing: gateways spread over them evenly."""
+    """Returns the nodes in this gateway's order, by rendezvous hashing, which spreads gateways evenly."""
     return sorted(nodes, key=lambda node: blake2b(f"{name} {node.name}".encode(), digest_size=8).digest())
 
 
 class ConfigFollower:
-    """Follows the control plane for one gateway, and renews its lease.
+    """Follows the configuration of the control plane for one gateway, and renews its lease.
 
-    `now` is the clock that the gateway acts by, in microseconds. `talks` makes what exchanges replicas'
-    positions on a new link. `linked` is told whether there is a link now. OSError where the keys can't be
-    used.
+    Args:
+        fleet: The fleet section of the operator's file.
+        name: This gateway's name.
+        active_config: The configuration in use, which this class keeps up to date.
+        random: Returns random numbers from 0 to 1.
+        clock: The clock that the gateway acts by, in microseconds.
+        counters: Counts granted leases, changes of mode and faults.
+        new_position_exchange: Makes the object that exchanges replica positions on a new link.
+        on_link_changed: Called with whether there is a link to a node now.
+
+    Raises:
+        OSError: The TLS keys can't be used.
     """
 
     def __init__(
         self,
-        given: Fleet,
+        fleet: Fleet,
         name: str,
         active_config: ActiveConfig,
-        chance: Callable[[], float],
-        now: Callable[[], int] = boottime_us,
+        random: Callable[[], float],
+        clock: Callable[[], int] = boottime_us,
         counters: Counters | None = None,
-        talks: Callable[[], PositionExchange] | None = None,
-        linked: Callable[[bool], None] = lambda up: None,
+        new_position_exchange: Callable[[], PositionExchange] | None = None,
+        on_link_changed: Callable[[bool], None] = lambda is_linked: None,
     ) -> None:
-        self._given = given
+        self._fleet = fleet
         self.name = name
         self.active_config = active_config
-        self._linked = linked
-        self._chance = chance
-        self._clock = now
-        self._talks = talks
+        self._on_link_changed = on_link_changed
+        self._random = random
+        self._clock = clock
+        self._new_position_exchange = new_position_exchange
         self.counters = counters or Counters()
-        self._said = EventLog(now, gateway=name)
+        self._event_log = EventLog(clock, gateway=name)
         contexts = None
-        if given.tls is not None:
+        if fleet.tls is not None:
             from cresstray.sites.tls import Contexts
 
-            contexts = Contexts(given.tls)
-        # A node that is silent holds up the way to the next one; a lease is to outlive two of them.
-        self._ends = PeerLinkManager(_FRAMES, contexts, chance, self._said, self.counters, given.lease / 4e6)
-        self._hello = make_greeting(
-            "gateway", given.name, name, active_config.incarnation, settings_digest(given)
+            contexts = Contexts(fleet.tls)
+        # Connecting to an unresponsive node delays the next attempt; a lease must outlast two such delays.
+        self._link_manager = PeerLinkManager(
+            _NODE_FRAMES, contexts, random, self._event_log, self.counters, fleet.lease / 4e6
+        )
+        self._greeting = make_greeting(
+            "gateway", fleet.name, name, active_config.incarnation, settings_digest(fleet)
         )
-        self._nodes = preference_order(name, given.keepers)
+        self._nodes = preference_order(name, fleet.keepers)
         self._link: Link | None = None
-        self._node = ""
-        self._talk: PositionExchange | None = None
-        self._heard_at = self._leader_at = self._send_positions_at = self._sent_positions_at = 0
-        self._requested_turn = -1  # for which the rest has been asked for on this link
+        self._node_name = ""
+        self._position_exchange: PositionExchange | None = None
+        self._last_received_us = self._last_leader_us = self._next_positions_us = self._last_positions_us = 0
+        self._requested_turn = -1  # highest turn whose changes were requested on this link
         self._timer: asyncio.TimerHandle | None = None
-        self._was: tuple[Mode, int] | None = None
-        self._refused: tuple[str, int] | None = None  # why, and at which turn
-        self._silent_until = 0  # no renewal before this
-        self._line = ""
+        self._last_mode_and_turn: tuple[Mode, int] | None = None
+        self._last_refusal: tuple[str, int] | None = None  # reason and turn
+        self._no_renewal_before_us = 0
+        self._last_log_line = ""
 
     async def run(self, tasks: TaskGroup) -> None:
-        """Follows until it is cancelled; `tasks` write what a link does not take at once."""
-        tried, pause = 0, _FIRST_PAUSE_S
-        self._tick()
+        """Follows until cancelled; `tasks` runs the writers for frames that a link can't send at once."""
+        attempts, backoff_s = 0, _MIN_BACKOFF_S
+        self._run_due()
         while True:
-            node = self._nodes[tried % len(self._nodes)]
-            began = self._clock()
-            await self._ends.run_outgoing(
+            node = self._nodes[attempts % len(self._nodes)]
+            started_us = self._clock()
+            await self._link_manager.run_outgoing(
                 node.address,
                 node.name,
-                self._hello,
-                partial(self._check, node),
-                partial(self._up, node),
-                self._taken,
-                self._down,
+                self._greeting,
+                partial(self._check_greeting, node),
+                partial(self._on_link_made, node),
+                self._on_frame,
+                self._on_link_lost,
                 tasks,
             )
-            tried += 1
-            if self._leader_at >= began:
-                tried, pause = tried % len(self._nodes), _FIRST_PAUSE_S
-                # All that followed one node find it gone in the same moment, and would come at once.
-                await anyio.sleep(self._chance() * _RECONNECT_S)
-            elif tried % len(self._nodes):
-                await anyio.sleep(self._chance() * _RECONNECT_S)
+            attempts += 1
+            if self._last_leader_us >= started_us:
+                attempts, backoff_s = attempts % len(self._nodes), _MIN_BACKOFF_S
+                # All gateways that followed this node lose it at the same moment; the delay spreads them.
+                await anyio.sleep(self._random() * _MAX_RECONNECT_DELAY_S)
+            elif attempts % len(self._nodes):
+                await anyio.sleep(self._random() * _MAX_RECONNECT_DELAY_S)
             else:
-                await anyio.sleep(self._chance() * pause)
-                pause = min(2 * pause, _MAX_PAUSE_S)
+                await anyio.sleep(self._random() * backoff_s)
+                backoff_s = min(2 * backoff_s, _MAX_BACKOFF_S)
 
-    def _check(self, node: Keeper, greeting: Frame, names: set[str] | None) -> None:
-        greet = check_greeting(greeting, self._given, names)
-        if greet.role != "keeper" or greet.name != node.name:
-            raise FramingError(f"the {greet.role} {greet.name!r} where {node.name!r} should be")
+    def _check_greeting(self, node: Keeper, greeting: Frame, names: set[str] | None) -> None:
+        peer = check_greeting(greeting, self._fleet, names)
+        if peer.role != "keeper" or peer.name != node.name:
+            raise FramingError(f"the {peer.role} {peer.name!r} where {node.name!r} should be")
 
-    def _up(self, node: Keeper, link: Link) -> None:
-        at = self._clock()
+    def _on_link_made(self, node: Keeper, link: Link) -> None:
+        now_us = self._clock()
         self._link = link
-        self._node = node.name
+        self._node_name = node.name
         self._requested_turn = -1
-        self._heard_at = self._leader_at = at
-        self._talk = self._talks() if self._talks is not None else None
-        self._linked(True)
-        self._said.log("link", "made", to=node.name)
-        self.active_config.on_connected(at)
+        self._last_received_us = self._last_leader_us = now_us
+        self._position_exchange = (
+            self._new_position_exchange() if self._new_position_exchange is not None else None
+        )
+        self._on_link_changed(True)
+        self._event_log.log("link", "made", to=node.name)
+        self.active_config.on_connected(now_us)
         link.put(self.active_config.config_request())
-        self._tick()
+        self._run_due()
 
-    def _down(self, link: Link) -> None:
+    def _on_link_lost(self, link: Link) -> None:
         if self._link is link:
             self._link = None
-            self._node = ""
-            self._talk = None
-            self._linked(False)
+            self._node_name = ""
+            self._position_exchange = None
+            self._on_link_changed(False)
 
-    def _taken(self, link: Link, frame: Frame) -> None:
-        at = self._heard_at = self._clock()
+    def _on_frame(self, link: Link, frame: Frame) -> None:
+        now_us = self._last_received_us = self._clock()
         if isinstance(frame, Greeting):
             raise FramingError("a second greeting")
         if isinstance(frame, ReplicaPositions):
-            if self._talk is not None:
-                self._talk.on_message(frame.body, at)
+            if self._position_exchange is not None:
+                self._position_exchange.on_message(frame.body, now_us)
             return
         if not isinstance(frame, LeaseRefused) or frame.reason != "no leader":
-            self._leader_at = at
+            self._last_leader_us = now_us
         if isinstance(frame, LeaseGranted):
             self.counters.add("leases granted")
         try:
-            self.active_config.receive(frame, at)
+            self.active_config.receive(frame, now_us)
         except FramingError:
             raise
         except Exception:
-            # A fault here must not end the gateway; without a lease it divides by the count without one.
+            # An internal error must not stop the gateway; without a lease it uses `count_without_lease`.
             self.counters.add("faults")
-            self._said.log("fault", traceback.format_exc())
-            raise FramingError("a fault of ours") from None
-        refused = (frame.reason, frame.turn) if isinstance(frame, LeaseRefused) else None
-        # A refusal that is answered by the next renewal at once would go round without end.
-        if refused is not None and refused == self._refused:
-            self._silent_until = at + self._given.lease // 3
-        self._refused = (
-            refused if isinstance(frame, (LeaseGranted, LeaseBehind, LeaseRefused)) else self._refused
+            self._event_log.log("fault", traceback.format_exc())
+            raise FramingError("internal error of this gateway") from None
+        refusal = (frame.reason, frame.turn) if isinstance(frame, LeaseRefused) else None
+        # A renewal sent at once after each refusal would be refused again without end.
+        if refusal is not None and refusal == self._last_refusal:
+            self._no_renewal_before_us = now_us + self._fleet.lease // 3
+        self._last_refusal = (
+            refusal if isinstance(frame, (LeaseGranted, LeaseBehind, LeaseRefused)) else self._last_refusal
         )
-        self._tick()
+        self._run_due()
 
-    def _tick(self) -> None:
-        """Whatever is due; it calls itself again when more is."""
-        at = self._clock()
+    def _run_due(self) -> None:
+        """Sends and logs what is due, and schedules the next call."""
+        now_us = self._clock()
         if self._timer is not None:
             self._timer.cancel()
-        wait = self._given.lease // 12
+        wait_us = self._fleet.lease // 12
         try:
             if self._link is not None and not self._link.close_reason:
-                self._ask(self._link, at)
-                wait = max(1000, min(wait, max(self.active_config.due_us, self._silent_until) - at))
-            self._look(at)
+                self._send_due_frames(self._link, now_us)
+                wait_us = max(
+                    1000, min(wait_us, max(self.active_config.due_us, self._no_renewal_before_us) - now_us)
+                )
+            self._log_changes(now_us)
         except Exception:
             self.counters.add("faults")
-            self._said.log("fault", traceback.format_exc())
-        self._timer = asyncio.get_running_loop().call_later(wait / 1e6, self._tick)
+            self._event_log.log("fault", traceback.format_exc())
+        self._timer = asyncio.get_running_loop().call_later(wait_us / 1e6, self._run_due)
 
-    def _ask(self, link: Link, at: int) -> None:
-        use = self.active_config
-        renew = use.renewal_due(at) if at >= self._silent_until else None
-        if renew is not None:
-            link.put(renew)
-        if use.is_behind and self._requested_turn < use.highest_turn_heard:
-            self._requested_turn = use.highest_turn_heard
-            link.put(use.config_request())
-        if self._talk is not None and at >= self._send_positions_at:
-            self._send_positions(link, self._talk, at)
-        # A renewal goes out each third of a lease; a sixth later its answer is overdue, and half of the lease
-        # is left to find a node that answers.
-        quiet = self._given.lease // 2
-        if at - self._heard_at > quiet:
+    def _send_due_frames(self, link: Link, now_us: int) -> None:
+        config = self.active_config
+        renewal = config.renewal_due(now_us) if now_us >= self._no_renewal_before_us else None
+        if renewal is not None:
+            link.put(renewal)
+        if config.is_behind and self._requested_turn < config.highest_turn_heard:
+            self._requested_turn = config.highest_turn_heard
+            link.put(config.config_request())
+        if self._position_exchange is not None and now_us >= self._next_positions_us:
+            self._send_positions(link, self._position_exchange, now_us)
+        # Renewals are sent every third of a lease. A sixth of a lease later the reply is overdue, and half of
+        # the lease is left to find a node that replies.
+        silence_us = self._fleet.lease // 2
+        if now_us - self._last_received_us > silence_us:
             link.end("silent")
-        elif at - self._leader_at > max(quiet, 4 * self._given.election):
+        elif now_us - self._last_leader_us > max(silence_us, 4 * self._fleet.election):
             link.end("it knows no leader")
 
-    def _send_positions(self, link: Link, talk: PositionExchange, at: int) -> None:
-        self._sent_positions_at, self._send_positions_at = at, at + _POSITIONS_INTERVAL_US
-        link.put(ReplicaPositions(talk.next_message(at)))
+    def _send_positions(self, link: Link, exchange: PositionExchange, now_us: int) -> None:
+        self._last_positions_us, self._next_positions_us = now_us, now_us + _POSITIONS_INTERVAL_US
+        link.put(ReplicaPositions(exchange.next_message(now_us)))
 
     def request_positions(self) -> None:
-        """Sends, and so asks for, what is known of replicas now, where there is a node to hear it."""
-        at = self._clock()
+        """Sends the known replica positions now, if linked to a node; the node replies with its own."""
+        now_us = self._clock()
         if (
             self._link is not None
-            and self._talk is not None
-            and at - self._sent_positions_at >= _MIN_POSITIONS_INTERVAL_US
+            and self._position_exchange is not None
+            and now_us - self._last_positions_us >= _MIN_POSITIONS_INTERVAL_US
         ):
-            self._send_positions(self._link, self._talk, at)
+            self._send_positions(self._link, self._position_exchange, now_us)
 
-    def _look(self, at: int) -> None:
-        in_use = self.active_config.effective_at(at)
+    def _log_changes(self, now_us: int) -> None:
+        effective = self.active_config.effective_at(now_us)
         for line in self.active_config.take_log_lines():
-            if line != self._line:
-                self._said.log("rules", line)
-            self._line = line
-        now_is = in_use.mode, in_use.turn
-        if now_is != self._was:
-            if self._was is not None and now_is[0] is not self._was[0]:
-                self.counters.add(f"rules {now_is[0].value}")
-            self._was = now_is
+            if line != self._last_log_line:
+                self._event_log.log("rules", line)
+            self._last_log_line = line
+        mode_and_turn = effective.mode, effective.turn
+        if mode_and_turn != self._last_mode_and_turn:
+            if self._last_mode_and_turn is not None and mode_and_turn[0] is not self._last_mode_and_turn[0]:
+                self.counters.add(f"rules {mode_and_turn[0].value}")
+            self._last_mode_and_turn = mode_and_turn
 
     def status(self) -> dict[str, Any]:
-        """What an operator sees of the link and of the configuration in use."""
-        at = self._clock()
-        in_use = self.active_config.effective_at(at)
+        """Returns the state of the link and of the configuration in use, for an operator."""
+        now_us = self._clock()
+        effective = self.active_config.effective_at(now_us)
         return {
             "member": self.name,
-            "keeper": self._node or None,
-            "mode": in_use.mode.value,
-            "turn": in_use.turn,
-            "version": in_use.turn // 2,
-            "joint": bool(in_use.turn % 2),
+            "keeper": self._node_name or None,
+            "mode": effective.mode.value,
+            "turn": effective.turn,
+            "version": effective.turn // 2,
+            "joint": bool(effective.turn % 2),
             "heard": self.active_config.highest_turn_heard,
-            "gateways": in_use.gateway_count,
-            "lease ms": self.active_config.lease_left_us(at) // 1000,
-            "age ms": (at - self._heard_at) // 1000 if self._heard_at else None,
-            "versions": dict(in_use.documents.versions),
+            "gateways": effective.gateway_count,
+            "lease ms": self.active_config.lease_left_us(now_us) // 1000,
+            "age ms": (now_us - self._last_received_us) // 1000 if self._last_received_us else None,
+            "versions": dict(effective.documents.versions),
         }
