--- a/cresstray/control_plane/codec.py
+++ b/cresstray/control_plane/codec.py
@@ -1,6 +1,7 @@
-"""What keepers tell each other beside the log, and what operators ask and hear. Knows no socket.
+"""Frames between control-plane nodes besides the log's, and operators' commands and replies.
 
-Questions and answers are msgpack, in parts of `Request` and `Reply` frames.
+Commands and replies are msgpack, split into `OperatorRequest` and `OperatorReply` frames. This module does no
+I/O.
 """
 
 from __future__ import annotations
@@ -9,8 +10,8 @@
 
 import msgspec
 
-from cresstray.consensus import codec as log
-from cresstray.fleet_config import codec as rules
+from cresstray.consensus import codec as consensus_codec
+from cresstray.fleet_config import codec as config_codec
 from cresstray.fleet_config.codec import (
     MAX_PART_BYTES,
     MAX_PARTS,
@@ -22,101 +23,123 @@
 from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
 
 _Text = Annotated[str, msgspec.Meta(max_length=128)]
-# Danger: a question without end would be kept without end. A change of documents fits into one entry.
-_MOST_PARTS = 8
+# Bounds what is kept of an unfinished command. A configuration delta fits into one log entry.
+_MAX_COMMAND_PARTS = 8
 
 
-class Alive(Frame):
-    """From the keeper that made the link; sent back as it came. Without it, silence could mean anything."""
+class KeepAlive(Frame):
+    """Sent by the node that made the link, which the other node echoes: shows that the link still works."""
 
     kind = 79
     number: Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
-# What a keeper takes on a link that was made to it, by the role of who made it.
-FROM_KEEPER = (*log.KINDS, rules.ForwardedFrame, ReplicaPositions, Alive)
-FROM_GATEWAY = (rules.RenewLease, rules.GetConfig, ReplicaPositions)
+# Frames that a node accepts on an incoming link, by the role of the peer.
+FROM_NODE = (*consensus_codec.KINDS, config_codec.ForwardedFrame, ReplicaPositions, KeepAlive)
+FROM_GATEWAY = (config_codec.RenewLease, config_codec.GetConfig, ReplicaPositions)
 FROM_OPERATOR = (OperatorRequest,)
-TAKEN: dict[str, tuple[type[Frame], ...]] = {
-    "keeper": FROM_KEEPER,
+ACCEPTED_BY_ROLE: dict[str, tuple[type[Frame], ...]] = {
+    "keeper": FROM_NODE,
     "gateway": FROM_GATEWAY,
     "operator": FROM_OPERATOR,
 }
-ALL = (Greeting, *FROM_KEEPER, *FROM_GATEWAY[:2], OperatorRequest)
-# What comes back on a link that a keeper made.
-BACK = (Greeting, Alive, ReplicaPositions)
-# What may be carried to the leader, and what back from it.
-TO_LEADER = (rules.RenewLease, OperatorRequest)
-FROM_LEADER = (rules.LeaseGranted, rules.LeaseBehind, rules.LeaseRefused, OperatorReply)
-
-
-class Ask(msgspec.Struct, omit_defaults=True):
-    """A question. `what` is one of answers.py's kinds, the rest is theirs."""
-
-    what: _Text
-    request: _Text = ""
-    bases: dict[str, int] = {}
-    change: bytes = b""
-    why: Annotated[str, msgspec.Meta(max_length=1000)] = ""
+ACCEPTED_FRAMES = (Greeting, *FROM_NODE, *FROM_GATEWAY[:2], OperatorRequest)
+# Frames that a node accepts on a link to another node that it made.
+RETURNED_FRAMES = (Greeting, KeepAlive, ReplicaPositions)
+# Frames that may be forwarded to the leader, and the replies that it sends back.
+FORWARDED_REQUESTS = (config_codec.RenewLease, OperatorRequest)
+FORWARDED_REPLIES = (
+    config_codec.LeaseGranted,
+    config_codec.LeaseBehind,
+    config_codec.LeaseRefused,
+    OperatorReply,
+)
+
+
+class OperatorCommand(msgspec.Struct, omit_defaults=True):
+    """An operator's query or command. `kind` names its handler, which interprets the other fields."""
+
+    kind: _Text = msgspec.field(name="what")
+    request_id: _Text = msgspec.field(default="", name="request")
+    base_versions: dict[str, int] = msgspec.field(default_factory=dict, name="bases")
+    delta: bytes = msgspec.field(default=b"", name="change")
+    reason: Annotated[str, msgspec.Meta(max_length=1000)] = msgspec.field(default="", name="why")
     name: _Text = ""
     version: Annotated[int, msgspec.Meta(ge=0, le=2**53)] = 0
 
 
-_ask = msgspec.msgpack.Decoder(Ask)
+_command_decoder = msgspec.msgpack.Decoder(OperatorCommand)
 
 
-def asked(body: bytes) -> Ask:
-    """BrokenError where it can't be a question."""
+def decode_command(body: bytes) -> OperatorCommand:
+    """Decodes a command.
+
+    Raises:
+        FramingError: the body is no valid command.
+    """
     try:
-        return _ask.decode(body)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-        raise FramingError(f"a question: {trouble}") from None
+        return _command_decoder.decode(body)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise FramingError(f"a question: {error}") from None
 
 
-def _cut(body: bytes) -> list[bytes]:
-    """Parts that still fit when another frame carries them."""
+def _split(body: bytes) -> list[bytes]:
+    """Splits a body into parts that still fit into a frame inside a `ForwardedFrame`."""
     size = MAX_PART_BYTES - 1024
-    return [body[at : at + size] for at in range(0, len(body), size)]
+    return [body[position : position + size] for position in range(0, len(body), size)]
+
 
+def encode_command(number: int, command: OperatorCommand) -> list[OperatorRequest]:
+    """Encodes a command as frames.
 
-def requests(number: int, ask: Ask) -> list[OperatorRequest]:
-    """ValueError where it is too long."""
-    cut = _cut(msgspec.msgpack.encode(ask))
-    if len(cut) > _MOST_PARTS:
+    Raises:
+        ValueError: the command is too long.
+    """
+    parts = _split(msgspec.msgpack.encode(command))
+    if len(parts) > _MAX_COMMAND_PARTS:
         raise ValueError("a question that is too long")
-    return [OperatorRequest(number, part, at == len(cut) - 1) for at, part in enumerate(cut)]
+    return [OperatorRequest(number, part, position == len(parts) - 1) for position, part in enumerate(parts)]
 
 
-def replies(number: int, answer: dict[str, Any]) -> list[OperatorReply]:
-    cut = _cut(msgspec.msgpack.encode(answer))
-    if len(cut) > MAX_PARTS:
-        cut = [msgspec.msgpack.encode({"error": f"an answer of {len(cut)} parts; {MAX_PARTS} at most"})]
-    return [OperatorReply(number, part, at == len(cut) - 1) for at, part in enumerate(cut)]
+def encode_reply(number: int, answer: dict[str, Any]) -> list[OperatorReply]:
+    """Encodes a reply as frames; one that is too long becomes an error."""
+    parts = _split(msgspec.msgpack.encode(answer))
+    if len(parts) > MAX_PARTS:
+        parts = [msgspec.msgpack.encode({"error": f"an answer of {len(parts)} parts; {MAX_PARTS} at most"})]
+    return [OperatorReply(number, part, position == len(parts) - 1) for position, part in enumerate(parts)]
 
 
-class Gather:
-    """Puts together what comes in parts, from one side; a new number drops what was before."""
+class PartAssembler:
+    """Joins the parts of one peer's messages. A part with a new number discards an unfinished message."""
 
-    def __init__(self, most: int = _MOST_PARTS) -> None:
-        self._most = most
+    def __init__(self, max_parts: int = _MAX_COMMAND_PARTS) -> None:
+        self._max_parts = max_parts
         self._number, self._parts = -1, []
 
     def add(self, frame: OperatorRequest | OperatorReply) -> bytes | None:
-        """All of it once the last part is here; BrokenError beyond so many parts."""
+        """Adds a part; returns the whole body once the last part has arrived.
+
+        Raises:
+            FramingError: the message has too many parts.
+        """
         if frame.number != self._number:
             self._number, self._parts = frame.number, []
         self._parts.append(frame.body)
-        if len(self._parts) > self._most:
-            raise FramingError(f"more than {self._most} parts")
+        if len(self._parts) > self._max_parts:
+            raise FramingError(f"more than {self._max_parts} parts")
         if not frame.is_last:
             return None
-        whole, self._parts = b"".join(self._parts), []
-        return whole
+        body, self._parts = b"".join(self._parts), []
+        return body
+
 
+def decode_forwarded(body: bytes, kinds: tuple[type[Frame], ...]) -> Frame:
+    """Decodes the frame inside a `ForwardedFrame`.
 
-def carried(body: bytes, kinds: tuple[type[Frame], ...]) -> Frame:
-    """The one frame that another carries; BrokenError."""
-    found = FrameDecoder(kinds).feed(body)
-    if len(found) != 1 or len(body) != len(encode_frame(found[0])):
-        raise FramingError("what is carried is not one frame")
-    return found[0]
+    Raises:
+        FramingError: the body is not exactly one frame of `kinds`.
+    """
+    frames = FrameDecoder(kinds).feed(body)
+    if len(frames) != 1 or len(body) != len(encode_frame(frames[0])):
+        raise FramingError("a forwarded body is not one frame")
+    return frames[0]
