--- a/tests/test_fleet_config_stored.py
+++ b/tests/test_fleet_config_stored.py
@@ -1,4 +1,4 @@
-"""Stored configuration: what an earlier version wrote is read, and written again byte for byte."""
+"""Stored configuration: files of an earlier version are read, and written again byte for byte."""
 
 import json
 import unittest
@@ -9,15 +9,15 @@
 from cresstray.fleet_config.documents import FleetInventory, parse_documents, to_plain
 from cresstray.fleet_config.state import ConfigState
 
-STORED = Path(__file__).parent / "fixtures" / "fleet_config"
+FIXTURES = Path(__file__).parent / "fixtures" / "fleet_config"
 
 
-class Stored(unittest.TestCase):
+class StoredConfigTest(unittest.TestCase):
     def setUp(self) -> None:
         self.state = ConfigState(FleetInventory())
-        self.snapshot = (STORED / "state.msgpack").read_bytes()
+        self.snapshot = (FIXTURES / "state.msgpack").read_bytes()
 
-    def test_a_snapshot_is_read_and_written_again(self) -> None:
+    def test_a_stored_snapshot_is_read_and_written_unchanged(self) -> None:
         self.state.restore(self.snapshot)
         self.assertEqual(self.snapshot, self.state.snapshot())
         self.assertEqual((3, 2, True), (self.state.turn, self.state.version, self.state.is_joint))
@@ -27,12 +27,12 @@
         self.assertEqual(0.25, rules["slow"].retry_budget_scale)
         self.assertEqual(5, self.state.latest.gateways.count_without_lease)
 
-    def test_a_log_leads_to_the_same_snapshot(self) -> None:
-        log = msgspec.msgpack.decode((STORED / "log.msgpack").read_bytes(), type=list[bytes])
+    def test_a_replayed_log_gives_the_stored_snapshot(self) -> None:
+        log = msgspec.msgpack.decode((FIXTURES / "log.msgpack").read_bytes(), type=list[bytes])
         for index, entry in enumerate(log, 1):
             self.state.apply(index, entry)
         self.assertEqual(self.snapshot, self.state.snapshot())
 
-    def test_an_operators_documents_are_read_and_printed_again(self) -> None:
-        given = json.loads((STORED / "documents.json").read_text())
-        self.assertEqual(given, json.loads(json.dumps(to_plain(parse_documents(given)))))
+    def test_an_operators_documents_are_read_and_printed_unchanged(self) -> None:
+        plain = json.loads((FIXTURES / "documents.json").read_text())
+        self.assertEqual(plain, json.loads(json.dumps(to_plain(parse_documents(plain)))))
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -1,4 +1,4 @@
-"""Rules of a fleet: documents and their strictest, changes and turns, leases over bad links and clocks."""
+"""Fleet configuration: documents, changes, admission rules, and leases over bad links and clocks."""
 
 from __future__ import annotations
 
@@ -13,11 +13,10 @@
 
 import msgspec
 from hypothesis import HealthCheck, given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
-from cresstray.fleet_config import active_config as use
-from cresstray.fleet_config import codec
-from cresstray.fleet_config import state as state_of
+from cresstray.fleet_config import active_config, codec
+from cresstray.fleet_config import state as state_module
 from cresstray.fleet_config.active_config import ActiveConfig, Mode
 from cresstray.fleet_config.admission import ConfigAdmissionRules
 from cresstray.fleet_config.codec import (
@@ -55,14 +54,14 @@
 from cresstray.policy.load_signals import FleetSignals
 from cresstray.policy.types import Engine, Request, RequestClass
 
-LEASE, FLOOR_LEASE, DRIFT, MOST = 2_000_000, 8_000_000, 0.01, 20
-WORLD = FleetInventory(
-    max_gateways=MOST,
+LEASE_US, FALLBACK_LEASE_US, DRIFT, MAX_GATEWAYS = 2_000_000, 8_000_000, 0.01, 20
+INVENTORY = FleetInventory(
+    max_gateways=MAX_GATEWAYS,
     engines={f"s-{n}": "ab"[n % 2] for n in range(12)},
     request_classes=("fast", "slow"),
     tenants=("t0", "t1"),
 )
-FEW = settings(
+FEW_EXAMPLES = settings(
     derandomize=True,
     database=None,
     max_examples=150,
@@ -71,27 +70,23 @@
 )
 
 
-def gateways(names: str, **more: Any) -> dict[str, Any]:
-    return {"items": {name: {} for name in names.split()}, **more}
+def gateway_list(names: str, **fields: Any) -> dict[str, Any]:
+    return {"items": {name: {} for name in names.split()}, **fields}
 
 
-def amended(documents: Documents, **given: Any) -> Documents:
-    return parse_documents({**to_plain(documents), **given})
+def with_changes(documents: Documents, **changes: Any) -> Documents:
+    return parse_documents({**to_plain(documents), **changes})
 
 
-def items(names: str, **rules: Any) -> some.SearchStrategy:
-    return some.fixed_dictionaries(
-        {
-            "items": some.dictionaries(
-                some.sampled_from(names.split()), some.fixed_dictionaries(rules), max_size=4
-            )
-        }
+def item_maps(names: str, **fields: Any) -> st.SearchStrategy:
+    return st.fixed_dictionaries(
+        {"items": st.dictionaries(st.sampled_from(names.split()), st.fixed_dictionaries(fields), max_size=4)}
     )
 
 
-PARTS = some.sampled_from([0.0, 0.25, 0.5, 1.0])
-COPIES = some.lists(some.sampled_from(["s-1", "s-2", "s-3"]), unique=True, max_size=3)
-ALL = some.builds(
+FRACTIONS = st.sampled_from([0.0, 0.25, 0.5, 1.0])
+COPIES = st.lists(st.sampled_from(["s-1", "s-2", "s-3"]), unique=True, max_size=3)
+DOCUMENTS = st.builds(
     lambda base, count, floor, versions: sorted_documents(
         parse_documents(
             {
@@ -101,83 +96,90 @@
             }
         )
     ),
-    some.fixed_dictionaries(
+    st.fixed_dictionaries(
         {
-            "gateways": items("g1 g2 g3 g4"),
-            "engines": items("s-1 s-2 s-3", barred=some.booleans(), work=PARTS),
-            "tenants": items("t0 t1", barred=some.booleans(), share=PARTS),
-            "tariffs": items("fast slow", stopped=some.booleans(), further=PARTS),
-            "placement": items(
+            "gateways": item_maps("g1 g2 g3 g4"),
+            "engines": item_maps("s-1 s-2 s-3", barred=st.booleans(), work=FRACTIONS),
+            "tenants": item_maps("t0 t1", barred=st.booleans(), share=FRACTIONS),
+            "tariffs": item_maps("fast slow", stopped=st.booleans(), further=FRACTIONS),
+            "placement": item_maps(
                 "1 2",
                 copies=COPIES,
                 reads=COPIES,
-                epoch=some.integers(0, 2),
-                primary=some.sampled_from(["", "s-1", "s-2"]),
+                epoch=st.integers(0, 2),
+                primary=st.sampled_from(["", "s-1", "s-2"]),
             ),
-            "replicas": items("p q", copies=COPIES, strict=some.booleans(), until=some.integers(1, 3)),
+            "replicas": item_maps("p q", copies=COPIES, strict=st.booleans(), until=st.integers(1, 3)),
         }
     ),
-    some.integers(0, 9),
-    some.sampled_from([0, 5, 9]),
-    some.dictionaries(some.sampled_from(NAMES), some.integers(1, 9)),
+    st.integers(0, 9),
+    st.sampled_from([0, 5, 9]),
+    st.dictionaries(st.sampled_from(NAMES), st.integers(1, 9)),
 )
 
 
-class Contents(unittest.TestCase):
-    @FEW
-    @given(ALL, ALL)
+class DocumentsTest(unittest.TestCase):
+    @FEW_EXAMPLES
+    @given(DOCUMENTS, DOCUMENTS)
     def test_the_strictest_never_allows_what_either_forbids(self, old: Documents, new: Documents) -> None:
-        both = strictest(old, new)
-        self.assertEqual(both, strictest(new, old))
-        self.assertEqual(both, strictest(both, both))
-        own = strictest(old, old)
-        self.assertEqual(msgspec.structs.replace(old, gateways=own.gateways), own)
-        self.assertEqual(old.gateways.items, own.gateways.items)
-        for one in (old, new):
-            self.assertLessEqual(set(both.gateways.items), set(one.gateways.items))
-            self.assertGreaterEqual(both.gateways.count, gateway_divisor(one.gateways))
+        merged = strictest(old, new)
+        self.assertEqual(merged, strictest(new, old))
+        self.assertEqual(merged, strictest(merged, merged))
+        merged_with_itself = strictest(old, old)
+        self.assertEqual(
+            msgspec.structs.replace(old, gateways=merged_with_itself.gateways), merged_with_itself
+        )
+        self.assertEqual(old.gateways.items, merged_with_itself.gateways.items)
+        for documents in (old, new):
+            self.assertLessEqual(set(merged.gateways.items), set(documents.gateways.items))
+            self.assertGreaterEqual(merged.gateways.count, gateway_divisor(documents.gateways))
             self.assertGreaterEqual(
-                both.gateways.count_without_lease or 10**9, one.gateways.count_without_lease or 10**9
+                merged.gateways.count_without_lease or 10**9, documents.gateways.count_without_lease or 10**9
             )
-            for kind, stops, part in (
+            for kind, stop_field, fraction_field in (
                 ("engines", "is_barred", "work_fraction"),
                 ("tenants", "is_barred", "share"),
                 ("tariffs", "is_stopped", "retry_budget_scale"),
             ):
-                for name, rule in one.document(kind).items.items():
-                    found = both.document(kind).items[name]
-                    self.assertGreaterEqual(getattr(found, stops), getattr(rule, stops))
-                    self.assertLessEqual(getattr(found, part), getattr(rule, part))
-            for name, shard in one.placement.items.items():
-                found = both.placement.items[name]
-                self.assertIn(found.primary, ("", shard.primary))
-                self.assertLessEqual(set(found.reads), set(shard.reads))
-                self.assertGreaterEqual(found.epoch, shard.epoch)
-                self.assertTrue(not found.primary or found.epoch == shard.epoch)
-            for pin in one.replicas.items.values():
-                self.assertTrue(not pin.is_strict or pin in both.replicas.items.values())
-        for pin in both.replicas.items.values():
-            self.assertTrue(pin.is_strict or all(pin in one.replicas.items.values() for one in (old, new)))
-
-    @FEW
-    @given(ALL, ALL)
-    def test_a_delta_leads_from_one_to_the_other(self, old: Documents, new: Documents) -> None:
-        made = apply_delta(old, encode_delta(old, new))
-        self.assertEqual(new, made)
-        self.assertEqual(msgspec.msgpack.encode(new), msgspec.msgpack.encode(made))  # and their order
-        self.assertEqual(b"\x90", encode_delta(new, made))
+                for name, rule in documents.document(kind).items.items():
+                    merged_item = merged.document(kind).items[name]
+                    self.assertGreaterEqual(getattr(merged_item, stop_field), getattr(rule, stop_field))
+                    self.assertLessEqual(getattr(merged_item, fraction_field), getattr(rule, fraction_field))
+            for name, shard in documents.placement.items.items():
+                merged_item = merged.placement.items[name]
+                self.assertIn(merged_item.primary, ("", shard.primary))
+                self.assertLessEqual(set(merged_item.reads), set(shard.reads))
+                self.assertGreaterEqual(merged_item.epoch, shard.epoch)
+                self.assertTrue(not merged_item.primary or merged_item.epoch == shard.epoch)
+            for pin in documents.replicas.items.values():
+                self.assertTrue(not pin.is_strict or pin in merged.replicas.items.values())
+        for pin in merged.replicas.items.values():
+            self.assertTrue(
+                pin.is_strict or all(pin in documents.replicas.items.values() for documents in (old, new))
+            )
+
+    @FEW_EXAMPLES
+    @given(DOCUMENTS, DOCUMENTS)
+    def test_a_delta_applied_to_the_old_documents_gives_the_new_ones(
+        self, old: Documents, new: Documents
+    ) -> None:
+        result = apply_delta(old, encode_delta(old, new))
+        self.assertEqual(new, result)
+        # Also the order of the items is the same.
+        self.assertEqual(msgspec.msgpack.encode(new), msgspec.msgpack.encode(result))
+        self.assertEqual(b"\x90", encode_delta(new, result))
         self.assertEqual(new, parse_documents(to_plain(new) | {"versions": new.versions}))
-        both = strictest(old, new)
-        self.assertEqual(both, apply_delta(EMPTY, encode_delta(EMPTY, both)))
+        merged = strictest(old, new)
+        self.assertEqual(merged, apply_delta(EMPTY, encode_delta(EMPTY, merged)))
 
-    @FEW
-    @given(some.binary(max_size=40), ALL)
-    def test_what_is_no_delta_is_told(self, data: bytes, old: Documents) -> None:
-        state = ConfigState(WORLD)
+    @FEW_EXAMPLES
+    @given(st.binary(max_size=40), DOCUMENTS)
+    def test_a_malformed_delta_is_rejected_and_changes_nothing(self, data: bytes, old: Documents) -> None:
+        state = ConfigState(INVENTORY)
         before = state.snapshot()
-        for given_data in (data, encode_proposal("r", {}, data, "why")):
-            told = decode_result(state.apply(1, given_data))
-            self.assertTrue(told.reasons or data == b"\x90")
+        for entry in (data, encode_proposal("r", {}, data, "why")):
+            result = decode_result(state.apply(1, entry))
+            self.assertTrue(result.reasons or data == b"\x90")
         try:
             apply_delta(old, data)
         except ValueError:
@@ -185,8 +187,8 @@
         state._results.clear()
         self.assertEqual(before, state.snapshot())
 
-    def test_what_an_operator_wrote_wrongly_is_named(self) -> None:
-        for wrong, word in (
+    def test_an_invalid_field_of_an_operators_documents_is_named_in_the_error(self) -> None:
+        for invalid, named in (
             ({"engine": {}}, "engine"),
             ({"engines": {"items": {"s-1": {"bared": True}}}}, "bared"),
             ({"tariffs": {"items": {"fast": {"further": 1.5}}}}, "further"),
@@ -194,13 +196,13 @@
             ({"versions": {"engine": 1}}, "engine"),
             ({"engines": {"items": []}}, "engines"),
         ):
-            with self.assertRaisesRegex(ValueError, word):
-                parse_documents(wrong)
+            with self.assertRaisesRegex(ValueError, named):
+                parse_documents(invalid)
 
-    def test_all_refusals_come_in_one_answer(self) -> None:
+    def test_all_validation_errors_are_reported_at_once(self) -> None:
         old = parse_documents(
             {
-                "gateways": gateways("g1 g2"),
+                "gateways": gateway_list("g1 g2"),
                 "placement": {
                     "items": {
                         "1": {"copies": ["s-1", "s-2"], "primary": "s-1", "epoch": 4},
@@ -209,9 +211,9 @@
                 },
             }
         )
-        new = amended(
+        new = with_changes(
             old,
-            gateways=gateways("g1 g2 g3", count=2, floor=1),
+            gateways=gateway_list("g1 g2 g3", count=2, floor=1),
             engines={
                 "items": {"s-0": {"barred": True}, "s-2": {"barred": True}, "s-4": {"work": 0.0}, "s-99": {}}
             },
@@ -232,8 +234,8 @@
                 }
             },
         )
-        told = validation_errors(old, new, WORLD)
-        for words in (
+        errors = validation_errors(old, new, INVENTORY)
+        for text in (
             "count 2",
             "floor 1",
             "'s-99'",
@@ -257,19 +259,21 @@
             "q: there is no zone",
             "copy on s-9",
         ):
-            self.assertEqual(1, sum(words in line for line in told), (words, told))
-        self.assertEqual(22, len(told), told)
-        self.assertEqual([], validation_errors(old, old, WORLD))
-        # What was there before, whatever the file says now, is in the way of no other change.
-        self.assertEqual([], validation_errors(new, amended(new, gateways=gateways("g1")), WORLD))
-        self.assertIn("none is named", validation_errors(old, EMPTY, WORLD)[0])
-        many = amended(old, gateways=gateways("g1", count=21, floor=22))
-        self.assertEqual(2, len(validation_errors(old, many, WORLD)))
-        self.assertIn("19 not yet", validation_errors(old, old, WORLD, 19)[0])
-
-
-def changed(state: ConfigState, request: str = "", **given: Any) -> Any:
-    new = amended(state.latest, **given)
+            self.assertEqual(1, sum(text in error for error in errors), (text, errors))
+        self.assertEqual(22, len(errors), errors)
+        self.assertEqual([], validation_errors(old, old, INVENTORY))
+        # Items that were already there are not validated again, whatever the inventory says now.
+        self.assertEqual(
+            [], validation_errors(new, with_changes(new, gateways=gateway_list("g1")), INVENTORY)
+        )
+        self.assertIn("none is named", validation_errors(old, EMPTY, INVENTORY)[0])
+        too_many = with_changes(old, gateways=gateway_list("g1", count=21, floor=22))
+        self.assertEqual(2, len(validation_errors(old, too_many, INVENTORY)))
+        self.assertIn("19 not yet", validation_errors(old, old, INVENTORY, 19)[0])
+
+
+def propose(state: ConfigState, request: str = "", **changes: Any) -> Any:
+    new = with_changes(state.latest, **changes)
     return decode_result(
         state.apply(
             1,
@@ -279,71 +283,71 @@
                 encode_delta(state.latest, new),
                 "why",
                 "who",
-                WORLD,
+                INVENTORY,
             ),
         )
     )
 
 
-def turned(state: ConfigState, times: int = 99) -> None:
-    while state.pending_turn() is not None and times:
-        times -= 1
+def advance(state: ConfigState, max_turns: int = 99) -> None:
+    while state.pending_turn() is not None and max_turns:
+        max_turns -= 1
         assert decode_result(state.apply(1, encode_advance(state.turn + 1))).is_accepted
 
 
-def named(names: str = "g1 g2", **more: Any) -> ConfigState:
-    state = ConfigState(WORLD)
-    assert changed(state, gateways=gateways(names, **more)).is_accepted
-    turned(state)
+def state_with_gateways(names: str = "g1 g2", **fields: Any) -> ConfigState:
+    state = ConfigState(INVENTORY)
+    assert propose(state, gateways=gateway_list(names, **fields)).is_accepted
+    advance(state)
     return state
 
 
-class Changes(unittest.TestCase):
-    def test_one_asked_again_is_done_once(self) -> None:
-        state = named()
-        given = encode_proposal(
+class ConfigStateTest(unittest.TestCase):
+    def test_a_repeated_request_is_applied_once_and_gets_the_same_result(self) -> None:
+        state = state_with_gateways()
+        proposal = encode_proposal(
             "it",
             {"tariffs": 0},
             encode_delta(EMPTY, parse_documents({"tariffs": {"items": {"fast": {}}}})),
             "",
         )
-        first = state.apply(2, given)
-        self.assertEqual([first] * 3, [state.apply(n, given) for n in range(3)])
-        again = ConfigState(WORLD)
-        again.restore(state.snapshot())
-        turned(state)
-        turned(again)
-        self.assertEqual(first, state.apply(9, given))
-        self.assertEqual(first, again.apply(9, given))
+        first = state.apply(2, proposal)
+        self.assertEqual([first] * 3, [state.apply(n, proposal) for n in range(3)])
+        restored = ConfigState(INVENTORY)
+        restored.restore(state.snapshot())
+        advance(state)
+        advance(restored)
+        self.assertEqual(first, state.apply(9, proposal))
+        self.assertEqual(first, restored.apply(9, proposal))
         self.assertEqual(2, state.version)
-        # Of another's change since then: refused, and the refusal is what is heard again.
-        other = given.replace(b"it", b"at", 1)
+        # A proposal with outdated bases is refused, and a retry gets the same refusal.
+        other = proposal.replace(b"it", b"at", 1)
         self.assertIn("of version 0, and the latest is 2", decode_result(state.apply(10, other)).reasons[0])
         self.assertEqual(state.apply(11, other), state.apply(12, other))
         for n in range(4096):
             state.apply(n, encode_proposal(f"n{n}", {}, b"\x90", ""))
         self.assertEqual(4096, len(state._results))
-        self.assertNotEqual(first, state.apply(9, given))
+        self.assertNotEqual(first, state.apply(9, proposal))
 
-    def test_what_differs_in_nothing_needs_no_turn(self) -> None:
-        state = named()
-        self.assertTrue(changed(state, "same").is_accepted)
+    def test_a_proposal_without_differences_needs_no_turn(self) -> None:
+        state = state_with_gateways()
+        self.assertTrue(propose(state, "same").is_accepted)
         self.assertIsNone(state.pending_turn())
         self.assertEqual(1, state.version)
 
-    def test_history_and_back(self) -> None:
-        state = named()
+    def test_earlier_versions_are_kept_and_can_be_restored(self) -> None:
+        state = state_with_gateways()
         contents = [state.content(0), state.latest]
-        for further in (0.5, 0.25):
-            changed(state, tariffs={"items": {"fast": {"further": further}}}, engines={"items": {"s-1": {}}})
+        for scale in (0.5, 0.25):
+            propose(state, tariffs={"items": {"fast": {"further": scale}}}, engines={"items": {"s-1": {}}})
             contents.append(state.latest)
-        turned(state)
+        advance(state)
         self.assertEqual(EMPTY, contents[0])
         self.assertEqual(contents, [state.content(n) for n in range(4)])
         self.assertIsNone(state.content(4))
         self.assertEqual(
             [("engines", "tariffs"), ("tariffs",)],
-            [tuple(sorted(past.documents)) for past in state.history()[1:]],
+            [tuple(sorted(entry.documents)) for entry in state.history()[1:]],
         )
         bases, change = state.revert_to(2)
         self.assertEqual({"tariffs": 3}, bases)
@@ -354,95 +358,98 @@
             (contents[2].request_classes, 4), (state.latest.request_classes, state.latest.versions["tariffs"])
         )
         for n in range(300):
-            changed(state, tariffs={"items": {"fast": {"further": n / 300}}})
-            turned(state)
+            propose(state, tariffs={"items": {"fast": {"further": n / 300}}})
+            advance(state)
         self.assertEqual(256, len(state.history()))
         with self.assertRaises(LookupError):
             state.revert_to(3)
 
-    def test_a_follower_is_led_on_from_wherever_it_is(self) -> None:
-        state, at = named("g1 g2 g3"), {0: EMPTY}
+    def test_a_follower_at_any_turn_gets_the_updates_to_the_latest(self) -> None:
+        state, documents_at = state_with_gateways("g1 g2 g3"), {0: EMPTY}
         for n in range(150):
-            changed(
+            propose(
                 state,
                 tenants={"items": {"t0": {"share": n / 150}}},
-                gateways=gateways("g1 g2 g3" if n % 2 else "g1 g2"),
+                gateways=gateway_list("g1 g2 g3" if n % 2 else "g1 g2"),
             )
-            turned(state, 1)
-            at[state.turn] = state.effective
-            turned(state, 1)
-            at[state.turn] = state.effective
+            advance(state, 1)
+            documents_at[state.turn] = state.effective
+            advance(state, 1)
+            documents_at[state.turn] = state.effective
         self.assertEqual(302, state.turn)
-        for turn, documents in at.items():
-            since = use._decode_updates(state.updates_since(turn)) if turn < state.turn else None
-            if since is None:
+        for turn, documents in documents_at.items():
+            updates = active_config._decode_updates(state.updates_since(turn)) if turn < state.turn else None
+            if updates is None:
                 self.assertEqual(b"", state.updates_since(turn))
                 continue
-            self.assertEqual(turn if 302 - turn <= 256 else 0, since.base)
-            for told in since.deltas:
-                documents = apply_delta(documents if since.base else EMPTY, told)
-            self.assertEqual((302, state.effective), (since.turn, documents))
+            self.assertEqual(turn if 302 - turn <= 256 else 0, updates.base)
+            for delta in updates.deltas:
+                documents = apply_delta(documents if updates.base else EMPTY, delta)
+            self.assertEqual((302, state.effective), (updates.turn, documents))
         self.assertEqual(b"", state.updates_since(303))
 
-    def test_a_section_of_another_package(self) -> None:
-        class Moves:
+    def test_a_sections_commands_are_applied_once_and_its_state_is_restored(self) -> None:
+        class RecordingSection:
             def __init__(self) -> None:
-                self.seen: list[bytes] = []
+                self.commands: list[bytes] = []
 
             def apply(self, state: ConfigState, data: bytes) -> bytes:
-                self.seen.append(data)
-                return b"%d %d" % (state.turn, len(self.seen))
+                self.commands.append(data)
+                return b"%d %d" % (state.turn, len(self.commands))
 
             def snapshot(self) -> bytes:
-                return b" ".join(self.seen)
+                return b" ".join(self.commands)
 
             def restore(self, data: bytes) -> None:
-                self.seen = data.split()
+                self.commands = data.split()
 
-        state, other = ConfigState(WORLD, {"moves": Moves()}), ConfigState(WORLD, {"moves": Moves()})
+        state, restored = (
+            ConfigState(INVENTORY, {"moves": RecordingSection()}),
+            ConfigState(INVENTORY, {"moves": RecordingSection()}),
+        )
         for request in ("a", "a", "b", "", ""):
             state.apply(1, encode_section_command("moves", request, request.encode() or b"c"))
-        self.assertEqual([b"a", b"b", b"c", b"c"], state.sections["moves"].seen)
-        other.restore(state.snapshot())
-        self.assertEqual(state.snapshot(), other.snapshot())
-        self.assertEqual(b"0 1", other.apply(1, encode_section_command("moves", "a", b"a")))
+        self.assertEqual([b"a", b"b", b"c", b"c"], state.sections["moves"].commands)
+        restored.restore(state.snapshot())
+        self.assertEqual(state.snapshot(), restored.snapshot())
+        self.assertEqual(b"0 1", restored.apply(1, encode_section_command("moves", "a", b"a")))
         self.assertFalse(decode_result(state.apply(1, encode_section_command("none", "x", b""))).is_accepted)
-        for wrong in (b"", b"\x90", state.snapshot()):
+        for invalid in (b"", b"\x90", state.snapshot()):
             with self.assertRaises(ValueError):
-                ConfigState(WORLD).restore(wrong)
+                ConfigState(INVENTORY).restore(invalid)
 
-    def test_who_is_taken_off_the_list_counts_until_it_is_out(self) -> None:
-        state = named("g1 g2 g3")
-        changed(state, gateways=gateways("g1 g2"))
+    def test_a_removed_gateway_counts_until_it_is_known_to_have_stopped(self) -> None:
+        state = state_with_gateways("g1 g2 g3")
+        propose(state, gateways=gateway_list("g1 g2"))
         self.assertEqual(frozenset(), state.departed_gateways)
-        turned(state, 1)
+        advance(state, 1)
         self.assertEqual(
             (3, ["g1", "g2"]), (state.effective.gateways.count, list(state.effective.gateways.items))
         )
-        turned(state)
+        advance(state)
         self.assertEqual((3, {"g3"}), (state.effective.gateways.count, state.departed_gateways))
         self.assertEqual({"g1", "g2", "g3"}, state.counting_gateways())
         self.assertIn(
             "not yet known to be out",
-            changed(state, gateways=gateways(" ".join(f"h{n}" for n in range(18)))).reasons[0],
+            propose(state, gateways=gateway_list(" ".join(f"h{n}" for n in range(18)))).reasons[0],
         )
         self.assertFalse(decode_result(state.apply(1, encode_departed("g1"))).is_accepted)
         self.assertTrue(decode_result(state.apply(1, encode_departed("g3"))).is_accepted)
         self.assertFalse(decode_result(state.apply(1, encode_departed("g3"))).is_accepted)
-        again = ConfigState(WORLD)
-        again.restore(state.snapshot())
-        for one in (state, again):
-            turned(one)
-            self.assertEqual((2, frozenset()), (one.effective.gateways.count, one.departed_gateways))
-        # Named again before it was out: it is no ghost any more.
-        changed(state, gateways=gateways("g1"))
-        changed(state, gateways=gateways("g1 g2"))
-        turned(state)
+        restored = ConfigState(INVENTORY)
+        restored.restore(state.snapshot())
+        for replica in (state, restored):
+            advance(replica)
+            self.assertEqual((2, frozenset()), (replica.effective.gateways.count, replica.departed_gateways))
+        # A removed gateway that is named again before it stopped is no longer departed.
+        propose(state, gateways=gateway_list("g1"))
+        propose(state, gateways=gateway_list("g1 g2"))
+        advance(state)
         self.assertEqual((2, frozenset()), (state.effective.gateways.count, state.departed_gateways))
 
 
-class Frames(unittest.TestCase):
-    def test_every_frame_and_its_limits(self) -> None:
+class FramesTest(unittest.TestCase):
+    def test_frames_are_decoded_as_encoded_and_their_limits_hold(self) -> None:
         frames = [
             codec.Greeting(codec.MAGIC, 1, "gateway", "north", "g1", "life", b"n" * 16),
             RenewLease(1, 2, "life", True),
@@ -456,13 +463,13 @@
             codec.OperatorRequest(1, b"q", False),
             codec.OperatorReply(1, b"a", True),
         ]
-        self.assertEqual(list(range(48, 59)), [one.kind for one in codec.KINDS])
+        self.assertEqual(list(range(48, 59)), [frame.kind for frame in codec.KINDS])
         data = b"".join(map(codec.encode_frame, frames))
-        reader, found = codec.FrameDecoder(codec.KINDS), []
-        for at in range(0, len(data), 7):
-            found += reader.feed(data[at : at + 7])
-        self.assertEqual(frames, found)
-        for wrong in (
+        decoder, decoded = codec.FrameDecoder(codec.KINDS), []
+        for start in range(0, len(data), 7):
+            decoded += decoder.feed(data[start : start + 7])
+        self.assertEqual(frames, decoded)
+        for invalid in (
             RenewLease(-1, 2),
             LeaseGranted(2**60, 2),
             ConfigPart(0, 2, 0, 129, b""),
@@ -471,9 +478,9 @@
             codec.Greeting("m" * 129, 1, "", "", "", ""),
         ):
             with self.assertRaises(FramingError):
-                codec.FrameDecoder(codec.KINDS).feed(codec.encode_frame(wrong))
+                codec.FrameDecoder(codec.KINDS).feed(codec.encode_frame(invalid))
         body = random.Random(1).randbytes(300_000)
-        self.assertEqual([3, 3, 3], [one.part_count for one in codec.config_parts(0, 2, body)])
+        self.assertEqual([3, 3, 3], [part.part_count for part in codec.config_parts(0, 2, body)])
         with self.assertRaises(ValueError):
             codec.split_into_parts(b"x" * (codec.MAX_PART_BYTES * codec.MAX_PARTS + 1))
 
@@ -481,144 +488,165 @@
 TABLES = tomllib.loads((Path(__file__).parent / "conformance/rules.toml").read_text())
 
 
-class Tables(unittest.TestCase):
-    """Each row of tests/conformance/rules.toml: in a state, an event, and what must come of it."""
+class StateTablesTest(unittest.TestCase):
+    """Checks each row of tests/conformance/rules.toml: a state, an event and the required result."""
 
-    def whole(self, turn: int, names: str, base: int = 0, floor: int = 6) -> ConfigPart:
+    def config_part(self, turn: int, names: str, base: int = 0, floor: int = 6) -> ConfigPart:
         documents = parse_documents(
-            {"gateways": gateways(names, count=4, floor=floor), "versions": {"gateways": 1}}
+            {"gateways": gateway_list(names, count=4, floor=floor), "versions": {"gateways": 1}}
         )
-        # Led on, it is enough to name what is put.
-        told = encode_delta(EMPTY, documents)
-        body = msgspec.msgpack.encode([base, turn, [told]])
+        # A delta from a later base needs to name only the changed items, so this one fits any base.
+        delta = encode_delta(EMPTY, documents)
+        body = msgspec.msgpack.encode([base, turn, [delta]])
         return codec.config_parts(base, turn, body)[0]
 
-    def user(self, state: str) -> tuple[ActiveConfig, int]:
-        me, now = (
+    def config_in_state(self, state: str) -> tuple[ActiveConfig, int]:
+        config, now_us = (
             ActiveConfig(
-                "g1", LEASE, FLOOR_LEASE, DRIFT, MOST, requires_list=state == "waits", incarnation="a"
+                "g1",
+                LEASE_US,
+                FALLBACK_LEASE_US,
+                DRIFT,
+                MAX_GATEWAYS,
+                requires_list=state == "waits",
+                incarnation="a",
             ),
             1_000_000,
         )
         if state in ("new", "waits"):
-            return me, now
-        me.receive(self.whole(4, "g1 g2" if state != "not named" else "g2"), now)
-        asked = me.renewal_due(now)
+            return config, now_us
+        config.receive(self.config_part(4, "g1 g2" if state != "not named" else "g2"), now_us)
+        renewal = config.renewal_due(now_us)
         if state in ("lease", "floor", "most"):
-            me.receive(LeaseGranted(asked.number, 4), now + 1000)
-            now += {"lease": 1000, "floor": LEASE, "most": FLOOR_LEASE}[state]
+            config.receive(LeaseGranted(renewal.number, 4), now_us + 1000)
+            now_us += {"lease": 1000, "floor": LEASE_US, "most": FALLBACK_LEASE_US}[state]
         elif state == "refused":
-            me.receive(LeaseRefused(asked.number, 5, NOT_NAMED), now)
-        return me, now
+            config.receive(LeaseRefused(renewal.number, 5, NOT_NAMED), now_us)
+        return config, now_us
 
-    def mode(self, me: ActiveConfig, now: int) -> str:
-        held = me.effective_at(now)
-        return f"{held.mode.value} {held.gateway_count} {me.turn}"
+    def describe(self, config: ActiveConfig, now_us: int) -> str:
+        effective = config.effective_at(now_us)
+        return f"{effective.mode.value} {effective.gateway_count} {config.turn}"
 
-    def events(self, me: ActiveConfig, number: int, now: int) -> dict[str, Callable[[], Any]]:
+    def events(self, config: ActiveConfig, number: int, now_us: int) -> dict[str, Callable[[], Any]]:
         return {
             "nothing": lambda: None,
-            "granted": lambda: me.receive(LeaseGranted(number, me.turn), now),
-            "granted late": lambda: me.receive(LeaseGranted(number, me.turn), now + LEASE),
-            "granted at another turn": lambda: me.receive(LeaseGranted(number, me.turn + 2), now),
-            "granted unasked": lambda: me.receive(LeaseGranted(number + 7, me.turn), now),
-            "behind": lambda: me.receive(LeaseBehind(number, me.turn + 1), now),
-            "refused": lambda: me.receive(LeaseRefused(number, me.turn, "no leader"), now),
-            "refused not named": lambda: me.receive(LeaseRefused(number, me.turn + 1, NOT_NAMED), now),
-            "refused not named of old": lambda: me.receive(LeaseRefused(number, me.turn - 1, NOT_NAMED), now),
-            "content": lambda: me.receive(self.whole(6, "g1 g2"), now),
-            "content of old": lambda: me.receive(self.whole(3, "g2"), now),
-            "content without it": lambda: me.receive(self.whole(6, "g2"), now),
-            "content of another base": lambda: me.receive(self.whole(6, "g2", base=5), now),
+            "granted": lambda: config.receive(LeaseGranted(number, config.turn), now_us),
+            "granted late": lambda: config.receive(LeaseGranted(number, config.turn), now_us + LEASE_US),
+            "granted at another turn": lambda: config.receive(LeaseGranted(number, config.turn + 2), now_us),
+            "granted unasked": lambda: config.receive(LeaseGranted(number + 7, config.turn), now_us),
+            "behind": lambda: config.receive(LeaseBehind(number, config.turn + 1), now_us),
+            "refused": lambda: config.receive(LeaseRefused(number, config.turn, "no leader"), now_us),
+            "refused not named": lambda: config.receive(
+                LeaseRefused(number, config.turn + 1, NOT_NAMED), now_us
+            ),
+            "refused not named of old": lambda: config.receive(
+                LeaseRefused(number, config.turn - 1, NOT_NAMED), now_us
+            ),
+            "content": lambda: config.receive(self.config_part(6, "g1 g2"), now_us),
+            "content of old": lambda: config.receive(self.config_part(3, "g2"), now_us),
+            "content without it": lambda: config.receive(self.config_part(6, "g2"), now_us),
+            "content of another base": lambda: config.receive(self.config_part(6, "g2", base=5), now_us),
             "a lease later": lambda: None,
             "a floor lease later": lambda: None,
         }
 
-    def test_use(self) -> None:
-        states, done = {row["given"] for row in TABLES["use"]}, set()
-        later = {"granted late": LEASE, "a lease later": LEASE, "a floor lease later": FLOOR_LEASE}
+    def test_each_event_leads_a_gateway_to_the_required_mode_and_divisor(self) -> None:
+        states, checked = {row["given"] for row in TABLES["use"]}, set()
+        delays_us = {
+            "granted late": LEASE_US,
+            "a lease later": LEASE_US,
+            "a floor lease later": FALLBACK_LEASE_US,
+        }
         for row in TABLES["use"]:
             with self.subTest(row):
-                me, now = self.user(row["given"])
-                me.due_us = now
-                events = self.events(me, me.renewal_due(now).number, now)
+                config, now_us = self.config_in_state(row["given"])
+                config.due_us = now_us
+                events = self.events(config, config.renewal_due(now_us).number, now_us)
                 events[row["event"]]()
-                self.assertEqual(row["must"], self.mode(me, now + later.get(row["event"], 0)), row)
-                done.add((row["given"], row["event"]))
-        self.assertEqual(len(TABLES["use"]), len(done))
-        self.assertEqual({(state, event) for state in states for event in events}, done)
+                self.assertEqual(
+                    row["must"], self.describe(config, now_us + delays_us.get(row["event"], 0)), row
+                )
+                checked.add((row["given"], row["event"]))
+        self.assertEqual(len(TABLES["use"]), len(checked))
+        self.assertEqual({(state, event) for state in states for event in events}, checked)
 
-    def happens(self, state: ConfigState, event: str) -> None:
+    def apply_event(self, state: ConfigState, event: str) -> None:
         {
             "next turn": lambda: state.apply(1, encode_advance(state.turn + 1)),
             "the same turn": lambda: state.apply(1, encode_advance(state.turn)),
             "a turn too far": lambda: state.apply(1, encode_advance(state.turn + 2)),
-            "proposed": lambda: changed(state, tariffs={"items": {"fast": {"further": 0.5}}}),
-            "proposed again": lambda: changed(state, f"r{max(1, state.version - 1)}"),
+            "proposed": lambda: propose(state, tariffs={"items": {"fast": {"further": 0.5}}}),
+            "proposed again": lambda: propose(state, f"r{max(1, state.version - 1)}"),
             "gone": lambda: state.apply(1, encode_departed("g3")),
             "dump and restore": lambda: state.restore(state.snapshot()),
             "unreadable": lambda: state.apply(1, b"\xc1"),
         }[event]()
 
-    def test_change(self) -> None:
+    def test_each_event_leads_a_change_to_the_required_turn_and_count(self) -> None:
         for row in TABLES["change"]:
             with self.subTest(row):
-                state = named("g1 g2 g3")
+                state = state_with_gateways("g1 g2 g3")
                 if row["given"] != "none":
-                    changed(state, gateways=gateways("g1 g2"))
-                    turned(state, {"proposed": 0, "joint": 1, "in force": 2}[row["given"]])
+                    propose(state, gateways=gateway_list("g1 g2"))
+                    advance(state, {"proposed": 0, "joint": 1, "in force": 2}[row["given"]])
                 before, event = state.snapshot(), row["event"]
-                self.happens(state, event)
-                waits = len(state.pending_versions())
-                self.assertEqual(row["must"], f"{state.turn} {state.effective.gateways.count} {waits}", row)
+                self.apply_event(state, event)
+                pending_count = len(state.pending_versions())
+                self.assertEqual(
+                    row["must"], f"{state.turn} {state.effective.gateways.count} {pending_count}", row
+                )
                 self.assertEqual(row.get("same", False), before == state.snapshot(), row)
-        done = [(row["given"], row["event"]) for row in TABLES["change"]]
-        self.assertEqual(4 * 8, len(set(done)))
-        self.assertEqual(len(done), len(set(done)))
+        checked = [(row["given"], row["event"]) for row in TABLES["change"]]
+        self.assertEqual(4 * 8, len(set(checked)))
+        self.assertEqual(len(checked), len(set(checked)))
 
-    def test_leases(self) -> None:
+    def test_each_renewal_gets_the_required_reply_and_turns_wait_for_leases(self) -> None:
         for row in TABLES["leases"]:
             with self.subTest(row):
-                state, now = named("g1 g2 g3", floor=5), 10_000_000
-                table = LeaseTable(LEASE, FLOOR_LEASE, DRIFT)
-                table.on_elected(state.counting_gateways(), now)
+                state, now_us = state_with_gateways("g1 g2 g3", floor=5), 10_000_000
+                table = LeaseTable(LEASE_US, FALLBACK_LEASE_US, DRIFT)
+                table.on_elected(state.counting_gateways(), now_us)
                 changes = {
                     "none": {},
                     "joint": {"tariffs": {"items": {"fast": {"further": 0.5}}}},
-                    "floor joint": {"gateways": gateways("g1 g2 g3", floor=6)},
-                    "removing": {"gateways": gateways("g1 g2", floor=5)},
-                    "removed": {"gateways": gateways("g1 g2", floor=5)},
+                    "floor joint": {"gateways": gateway_list("g1 g2 g3", floor=6)},
+                    "removing": {"gateways": gateway_list("g1 g2", floor=5)},
+                    "removed": {"gateways": gateway_list("g1 g2", floor=5)},
                 }[row["given"]]
                 if changes:
-                    changed(state, **changes)
-                    turned(state, 2 if row["given"] == "removed" else 1)
+                    propose(state, **changes)
+                    advance(state, 2 if row["given"] == "removed" else 1)
                 for name in ("g1", "g2"):
-                    table.renew(name, 1, state.turn, state, True, now)
+                    table.renew(name, 1, state.turn, state, True, now_us)
                 turn = state.turn + row.get("turn", 0)
                 if row["event"] == "renews":
                     frame = table.renew(
-                        "g3", 1, turn, state, row.get("leads", True), now, "", row.get("stopped", False)
+                        "g3", 1, turn, state, row.get("leads", True), now_us, "", row.get("stopped", False)
                     )
-                    told = f"{type(frame).__name__} {getattr(frame, 'reason', '')}".strip()
-                    self.assertEqual(row["answer"], told)
-                later = {"a lease later": LEASE * 102 // 100, "a floor lease later": FLOOR_LEASE * 102 // 100}
-                now += later.get(row["event"], 0)
-                self.assertEqual(row["may"], table.can_advance(state, now), row)
+                    reply = f"{type(frame).__name__} {getattr(frame, 'reason', '')}".strip()
+                    self.assertEqual(row["answer"], reply)
+                delays_us = {
+                    "a lease later": LEASE_US * 102 // 100,
+                    "a floor lease later": FALLBACK_LEASE_US * 102 // 100,
+                }
+                now_us += delays_us.get(row["event"], 0)
+                self.assertEqual(row["may"], table.can_advance(state, now_us), row)
                 self.assertEqual(row.get("out", False), table.has_departed("g3", state), row)
-                self.assertEqual([] if row["may"] else ["g3"], table.blocking_gateways(state, now))
+                self.assertEqual([] if row["may"] else ["g3"], table.blocking_gateways(state, now_us))
 
 
-class Hook(unittest.TestCase):
-    """What the module hears of the documents, at the moment of acting."""
+class ConfigAdmissionRulesTest(unittest.TestCase):
+    """What the admission rules answer for the configuration in effect."""
 
     def setUp(self) -> None:
-        self.now = 5_000_000
-        self.use = ActiveConfig("g1", LEASE, FLOOR_LEASE, DRIFT, MOST)
+        self.now_us = 5_000_000
+        self.active_config = ActiveConfig("g1", LEASE_US, FALLBACK_LEASE_US, DRIFT, MAX_GATEWAYS)
         self.counters = Counters()
         self.rules = ConfigAdmissionRules(
-            self.use,
-            WORLD.tenants,
-            WORLD.request_classes,
+            self.active_config,
+            INVENTORY.tenants,
+            INVENTORY.request_classes,
             lambda engine: f"s-{engine.instance_type}",
             self.counters,
         )
@@ -626,63 +654,71 @@
         for engine in self.engines:
             engine.policy_state = EngineState(8, 4, FleetSignals())
 
-    def hear(self, turn: int, lease: bool = True, **given: Any) -> None:
+    def receive(self, turn: int, lease: bool = True, **changes: Any) -> None:
         documents = parse_documents(
-            {"gateways": gateways("g1 g2 g3 g4", floor=9), "versions": {"gateways": 1}, **given}
+            {"gateways": gateway_list("g1 g2 g3 g4", floor=9), "versions": {"gateways": 1}, **changes}
         )
         body = msgspec.msgpack.encode([0, turn, [encode_delta(EMPTY, documents)]])
-        self.use.receive(codec.config_parts(0, turn, body)[0], self.now)
-        self.now += LEASE // 2
-        asked = self.use.renewal_due(self.now)
+        self.active_config.receive(codec.config_parts(0, turn, body)[0], self.now_us)
+        self.now_us += LEASE_US // 2
+        renewal = self.active_config.renewal_due(self.now_us)
         if lease:
-            self.use.receive(LeaseGranted(asked.number, turn), self.now)
+            self.active_config.receive(LeaseGranted(renewal.number, turn), self.now_us)
 
-    def ask(
+    def request(
         self, tenant: int = 0, request_class: int = 0, data_set: int = 0, threads: int = 1, read: Any = None
     ) -> Request:
-        kind = RequestClass(
+        class_of_request = RequestClass(
             request_class, threads, 10**6, 0.0, 1.0, 0.0, True, False, "all", 0, False, None, None
         )
-        made = Request(
-            kind, self.now, self.now + 10**7, tenant, data_set=data_set, expected_latency_us=100_000
+        request = Request(
+            class_of_request,
+            self.now_us,
+            self.now_us + 10**7,
+            tenant,
+            data_set=data_set,
+            expected_latency_us=100_000,
         )
-        made.replica_read = read
-        return made
+        request.replica_read = read
+        return request
 
-    def takers(self, request: Request) -> str:
+    def allowed_engines(self, request: Request) -> str:
         return "".join(
             str(engine.instance_type)
             for engine in self.engines
-            if self.rules.allows(request, engine, self.now)
+            if self.rules.allows(request, engine, self.now_us)
         )
 
-    def test_stops_and_bars(self) -> None:
+    def test_stopped_classes_and_barred_tenants_and_engines_get_no_requests(self) -> None:
         self.assertEqual(
-            (20, True), (self.rules.gateway_count(self.now), self.rules.admits(self.ask(), self.now))
+            (20, True),
+            (self.rules.gateway_count(self.now_us), self.rules.admits(self.request(), self.now_us)),
         )
-        self.hear(
+        self.receive(
             2,
             tariffs={"items": {"slow": {"stopped": True}, "fast": {"further": 0.5}}},
             tenants={"items": {"t1": {"barred": True}}},
             engines={"items": {"s-2": {"barred": True}}},
         )
-        held = self.ask()
-        self.assertEqual((4, "013"), (self.rules.gateway_count(self.now), self.takers(held)))
+        request = self.request()
+        self.assertEqual((4, "013"), (self.rules.gateway_count(self.now_us), self.allowed_engines(request)))
         self.assertEqual(
-            (True, 0.5), (self.rules.admits(held, self.now), self.rules.retry_budget_scale(held, self.now))
+            (True, 0.5),
+            (self.rules.admits(request, self.now_us), self.rules.retry_budget_scale(request, self.now_us)),
         )
-        for one in (self.ask(request_class=1), self.ask(tenant=1)):
-            self.assertEqual((False, ""), (self.rules.admits(one, self.now), self.takers(one)))
-        self.assertTrue(
-            self.rules.admits(self.ask(tenant=7, request_class=7), self.now)
-        )  # no rule is about these
-        # The lease is over: the floor's count, and the rest as last known.
-        self.now += LEASE
-        self.assertEqual((9, "013"), (self.rules.gateway_count(self.now), self.takers(held)))
-        self.hear(4, gateways=gateways("g2"))
-        self.assertEqual((0, ""), (self.rules.gateway_count(self.now), self.takers(held)))
-        self.assertFalse(self.rules.admits(held, self.now))
-        self.assertEqual(0.0, self.rules.retry_budget_scale(held, self.now))
+        for denied in (self.request(request_class=1), self.request(tenant=1)):
+            self.assertEqual(
+                (False, ""), (self.rules.admits(denied, self.now_us), self.allowed_engines(denied))
+            )
+        # There is no rule for this tenant and class.
+        self.assertTrue(self.rules.admits(self.request(tenant=7, request_class=7), self.now_us))
+        # Without a lease, the count without a lease applies, and the rules as last known.
+        self.now_us += LEASE_US
+        self.assertEqual((9, "013"), (self.rules.gateway_count(self.now_us), self.allowed_engines(request)))
+        self.receive(4, gateways=gateway_list("g2"))
+        self.assertEqual((0, ""), (self.rules.gateway_count(self.now_us), self.allowed_engines(request)))
+        self.assertFalse(self.rules.admits(request, self.now_us))
+        self.assertEqual(0.0, self.rules.retry_budget_scale(request, self.now_us))
         self.assertEqual(
             {
                 "rules: denied, tariff stopped": 1,
@@ -692,15 +728,15 @@
             dict(self.counters.counts),
         )
 
-    def test_placed_shards(self) -> None:
-        class Read:
-            def admits(self, now: int) -> bool:
+    def test_requests_of_a_placed_shard_go_to_its_replicas_only_while_there_is_a_lease(self) -> None:
+        class FakeReplicaRead:
+            def admits(self, now_us: int) -> bool:
                 return True
 
-            def takes(self, engine: str, now: int) -> bool:
+            def takes(self, engine: str, now_us: int) -> bool:
                 return engine != "s-0"
 
-        self.hear(
+        self.receive(
             2,
             placement={
                 "items": {
@@ -714,232 +750,265 @@
                 }
             },
         )
-        write, read, other = self.ask(data_set=7), self.ask(data_set=7, read=Read()), self.ask(data_set=9)
+        write, read, other = (
+            self.request(data_set=7),
+            self.request(data_set=7, read=FakeReplicaRead()),
+            self.request(data_set=9),
+        )
         self.assertEqual(
             ("1", "12", "0123", ""),
-            (*map(self.takers, (write, read, other)), self.takers(self.ask(data_set=8))),
+            (
+                *map(self.allowed_engines, (write, read, other)),
+                self.allowed_engines(self.request(data_set=8)),
+            ),
         )
-        self.now += LEASE
-        self.assertEqual(("", "", "0123"), tuple(map(self.takers, (write, read, other))))
-        admitted = [self.rules.admits(one, self.now) for one in (write, read, other)]
+        self.now_us += LEASE_US
+        self.assertEqual(("", "", "0123"), tuple(map(self.allowed_engines, (write, read, other))))
+        admitted = [self.rules.admits(request, self.now_us) for request in (write, read, other)]
         self.assertEqual([False, False, True], admitted)
 
-    def test_a_tenant_has_its_share_and_no_more(self) -> None:
-        self.hear(2, tenants={"items": {"t0": {"share": 0.25}, "t1": {"share": 0.0}}})
-        passed = [self.rules.admits(self.ask(tenant=n % 3 and 2), self.now + n * 1000) for n in range(900)]
-        self.assertAlmostEqual(0.25, sum(passed[0::3]) / sum(passed), delta=0.02)
-        self.assertEqual(600, sum(passed[1::3] + passed[2::3]))
-        self.assertFalse(self.rules.admits(self.ask(tenant=1), self.now + 900_000))
-        # Alone, it has a few, and again when these are past.
-        self.now += 20_000_000
+    def test_a_tenant_gets_its_share_and_no_more(self) -> None:
+        self.receive(2, tenants={"items": {"t0": {"share": 0.25}, "t1": {"share": 0.0}}})
+        admitted = [
+            self.rules.admits(self.request(tenant=n % 3 and 2), self.now_us + n * 1000) for n in range(900)
+        ]
+        self.assertAlmostEqual(0.25, sum(admitted[0::3]) / sum(admitted), delta=0.02)
+        self.assertEqual(600, sum(admitted[1::3] + admitted[2::3]))
+        self.assertFalse(self.rules.admits(self.request(tenant=1), self.now_us + 900_000))
+        # The only active tenant gets a few requests admitted, and again after these have left the window.
+        self.now_us += 20_000_000
         self.assertEqual(
             [10, 10],
             [
-                sum(self.rules.admits(self.ask(), self.now + at + n) for n in range(50))
-                for at in (0, 6_000_000)
+                sum(self.rules.admits(self.request(), self.now_us + delay_us + n) for n in range(50))
+                for delay_us in (0, 6_000_000)
             ],
         )
 
-    def test_an_engine_on_limited_work(self) -> None:
-        # 64 gateways, 8 cores: a part of 0.25 of 16 threads is 4, so four of these may have one each.
+    def test_all_gateways_together_keep_to_an_engines_work_fraction(self) -> None:
+        # 64 gateways, 8 cores: a work fraction of 0.25 of 16 threads is 4, so four gateways may run one each.
         names = " ".join(f"g{n}" for n in range(64))
-        seats: dict[int, int] = {}
+        threads_by_total: dict[int, int] = {}
         for threads, cores, work in ((1, 8, 0.25), (3, 8, 0.25), (1, 640, 0.25), (1, 8, 0.0), (9, 8, 0.01)):
-            total = 0
+            total_threads = 0
             for n in range(64):
-                me = ActiveConfig(f"g{n}", LEASE, FLOOR_LEASE, DRIFT, 99)
+                config = ActiveConfig(f"g{n}", LEASE_US, FALLBACK_LEASE_US, DRIFT, 99)
                 documents = parse_documents(
                     {
-                        "gateways": gateways(names),
+                        "gateways": gateway_list(names),
                         "versions": {"gateways": 1},
                         "engines": {"items": {"s-1": {"work": work}}},
                     }
                 )
                 body = msgspec.msgpack.encode([0, 2, [encode_delta(EMPTY, documents)]])
-                me.receive(codec.config_parts(0, 2, body)[0], 1)
-                me.receive(LeaseGranted(me.renewal_due(1).number, 2), 1)
-                rules = ConfigAdmissionRules(me, (), (), lambda engine: f"s-{engine.instance_type}")
-                engine, one = self.engines[1], self.ask(threads=threads)
+                config.receive(codec.config_parts(0, 2, body)[0], 1)
+                config.receive(LeaseGranted(config.renewal_due(1).number, 2), 1)
+                rules = ConfigAdmissionRules(config, (), (), lambda engine: f"s-{engine.instance_type}")
+                engine, request = self.engines[1], self.request(threads=threads)
                 engine.policy_state = EngineState(cores, 64, FleetSignals())
-                while rules.allows(one, engine, 2):
+                while rules.allows(request, engine, 2):
                     engine.policy_state.limit.running_threads += threads
-                total += engine.policy_state.limit.running_threads
-            seats[total] = threads
-        self.assertEqual({4: 1, 3: 3, 320: 1, 0: 1, 9: 9}, seats)
+                total_threads += engine.policy_state.limit.running_threads
+            threads_by_total[total_threads] = threads
+        self.assertEqual({4: 1, 3: 3, 320: 1, 0: 1, 9: 9}, threads_by_total)
 
 
-class Fleet:
-    """One log, a leader's table that is lost now and then, and gateways behind links that lose and delay."""
+class SimulatedFleet:
+    """A log, a leader whose lease table is lost now and then, and gateways behind lossy, slow links."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
         self.names = [f"g{n}" for n in range(6)]
-        self.now, self.calls, self.serial = 50_000_000, [], 0
-        self.state, self.table = ConfigState(WORLD), LeaseTable(LEASE, FLOOR_LEASE, DRIFT)
-        self.leads_from = 0
-        self.uses = {name: use.ActiveConfig(name, LEASE, FLOOR_LEASE, DRIFT, MOST) for name in self.names}
-        # Each clock has its own start and runs wrong by the drift that is assumed, at the most.
+        self.now_us, self.scheduled, self.sequence_number = 50_000_000, [], 0
+        self.state, self.table = ConfigState(INVENTORY), LeaseTable(LEASE_US, FALLBACK_LEASE_US, DRIFT)
+        self.leader_from_us = 0
+        self.configs = {
+            name: ActiveConfig(name, LEASE_US, FALLBACK_LEASE_US, DRIFT, MAX_GATEWAYS) for name in self.names
+        }
+        # Each clock has its own start and a rate error of at most the assumed drift.
         self.clocks = {name: self.draw_clock() for name in (*self.names, "leader")}
-        self.asleep = dict.fromkeys(self.names, 0)
-        self.cut = dict.fromkeys(self.names, 0)
-        self.loss, self.turns, self.seen = 0.1, 0, {Mode.LEASE: 0, Mode.FALLBACK: 0, Mode.STOPPED: 0}
-        self.listed = False
-        self.asked = self.accepted = self.epoch = 0
-        self.restless = True
+        self.frozen_until_us = dict.fromkeys(self.names, 0)
+        self.cut_off_until_us = dict.fromkeys(self.names, 0)
+        self.loss, self.turns_taken, self.mode_counts = (
+            0.1,
+            0,
+            {Mode.LEASE: 0, Mode.FALLBACK: 0, Mode.STOPPED: 0},
+        )
+        self.has_gateway_list = False
+        self.proposed_count = self.accepted_count = self.epoch = 0
+        self.injects_faults = True
 
     def draw_clock(self) -> tuple[int, float]:
-        return self.chance.randrange(10**9), 1 + self.chance.uniform(-DRIFT, DRIFT) * 0.99
+        return self.random.randrange(10**9), 1 + self.random.uniform(-DRIFT, DRIFT) * 0.99
 
-    def lead(self) -> None:
-        self.table.on_elected(self.state.counting_gateways(), self.clock("leader"))
+    def elect_leader(self) -> None:
+        self.table.on_elected(self.state.counting_gateways(), self.clock_us("leader"))
 
-    def clock(self, who: str) -> int:
-        start, rate = self.clocks[who]
-        return start + int(self.now * rate)
+    def clock_us(self, name: str) -> int:
+        start, rate = self.clocks[name]
+        return start + int(self.now_us * rate)
 
-    def later(self, delay: float, call: Callable[[], None]) -> None:
-        self.serial += 1
-        heapq.heappush(self.calls, (self.now + int(delay), self.serial, call))
+    def call_later(self, delay_us: float, call: Callable[[], None]) -> None:
+        self.sequence_number += 1
+        heapq.heappush(self.scheduled, (self.now_us + int(delay_us), self.sequence_number, call))
 
     def send(self, name: str, call: Callable[[], None]) -> None:
-        if self.now >= self.cut[name] and self.chance.random() > self.loss:
-            # Now and then a word is on its way for longer than any lease.
-            late = self.chance.randrange(4_000_000) if self.chance.random() < 0.03 else 0
-            self.later(late + self.chance.expovariate(1 / 30_000), lambda: self.arrives(name, call))
-
-    def arrives(self, name: str, call: Callable[[], None]) -> None:
-        # What came for one that is frozen is read when it wakes.
-        if self.now < self.asleep[name]:
-            self.later(self.asleep[name] - self.now, lambda: self.arrives(name, call))
-        elif self.now >= self.cut[name]:
+        if self.now_us >= self.cut_off_until_us[name] and self.random.random() > self.loss:
+            # Now and then a frame is delayed for longer than any lease.
+            extra_delay_us = self.random.randrange(4_000_000) if self.random.random() < 0.03 else 0
+            self.call_later(
+                extra_delay_us + self.random.expovariate(1 / 30_000), lambda: self.deliver(name, call)
+            )
+
+    def deliver(self, name: str, call: Callable[[], None]) -> None:
+        # A frozen gateway reads the frame when it resumes.
+        if self.now_us < self.frozen_until_us[name]:
+            self.call_later(self.frozen_until_us[name] - self.now_us, lambda: self.deliver(name, call))
+        elif self.now_us >= self.cut_off_until_us[name]:
             call()
 
     def step(self) -> None:
-        self.now += 10_000
-        while self.calls and self.calls[0][0] <= self.now:
-            heapq.heappop(self.calls)[2]()
-        for name, me in self.uses.items():
-            if self.now < self.asleep[name]:
+        self.now_us += 10_000
+        while self.scheduled and self.scheduled[0][0] <= self.now_us:
+            heapq.heappop(self.scheduled)[2]()
+        for name, config in self.configs.items():
+            if self.now_us < self.frozen_until_us[name]:
                 continue
-            asked = me.renewal_due(self.clock(name))
-            if asked is not None:
-                self.send(name, lambda name=name, asked=asked: self.renew(name, asked))
-            if me.turn < self.state.turn and self.chance.random() < 0.2:
-                turn, since = self.state.turn, self.state.updates_since(me.turn)
-                for frame in codec.config_parts(use._decode_updates(since).base, turn, since):
-                    self.send(name, lambda me=me, frame=frame: self.give(me, frame))
-        if self.now >= self.leads_from and self.state.pending_turn() is not None:
-            if self.table.can_advance(self.state, self.clock("leader")):
+            renewal = config.renewal_due(self.clock_us(name))
+            if renewal is not None:
+                self.send(name, lambda name=name, renewal=renewal: self.renew(name, renewal))
+            if config.turn < self.state.turn and self.random.random() < 0.2:
+                turn, updates = self.state.turn, self.state.updates_since(config.turn)
+                for frame in codec.config_parts(active_config._decode_updates(updates).base, turn, updates):
+                    self.send(name, lambda config=config, frame=frame: self.receive(config, frame))
+        if self.now_us >= self.leader_from_us and self.state.pending_turn() is not None:
+            if self.table.can_advance(self.state, self.clock_us("leader")):
                 self.state.apply(1, encode_advance(self.state.turn + 1))
-                self.turns += 1
-        if self.restless:
-            self.trouble()
-        self.judge()
+                self.turns_taken += 1
+        if self.injects_faults:
+            self.inject_fault()
+        self.check_invariants()
 
-    def give(self, me: ActiveConfig, frame: Any) -> None:
-        me.receive(frame, self.clock(me.name))
+    def receive(self, config: ActiveConfig, frame: Any) -> None:
+        config.receive(frame, self.clock_us(config.name))
 
-    def renew(self, name: str, asked: RenewLease) -> None:
-        leads = self.now >= self.leads_from
-        answer = self.table.renew(
+    def renew(self, name: str, renewal: RenewLease) -> None:
+        is_leader = self.now_us >= self.leader_from_us
+        reply = self.table.renew(
             name,
-            asked.number,
-            asked.turn,
+            renewal.number,
+            renewal.turn,
             self.state,
-            leads,
-            self.clock("leader"),
-            asked.incarnation,
-            asked.has_stopped,
+            is_leader,
+            self.clock_us("leader"),
+            renewal.incarnation,
+            renewal.has_stopped,
         )
-        if leads and self.table.has_departed(name, self.state):
+        if is_leader and self.table.has_departed(name, self.state):
             self.state.apply(1, encode_departed(name))
-        self.send(name, lambda: self.give(self.uses[name], answer))
+        self.send(name, lambda: self.receive(self.configs[name], reply))
 
-    def trouble(self) -> None:
-        roll, name = self.chance.random(), self.chance.choice(self.names)
+    def inject_fault(self) -> None:
+        roll, name = self.random.random(), self.random.choice(self.names)
         if roll < 0.002:
-            self.asleep[name] = self.now + self.chance.randrange(15_000_000)
+            self.frozen_until_us[name] = self.now_us + self.random.randrange(15_000_000)
         elif roll < 0.004:
-            self.cut[name] = self.now + self.chance.randrange(20_000_000)
+            self.cut_off_until_us[name] = self.now_us + self.random.randrange(20_000_000)
         elif roll < 0.005:
-            # The leader is gone; the next one knows nothing, and has another clock.
-            self.leads_from = self.now + self.chance.randrange(3_000_000)
+            # The leader fails; the next one starts with an empty lease table and has another clock.
+            self.leader_from_us = self.now_us + self.random.randrange(3_000_000)
             self.clocks["leader"] = self.draw_clock()
-            self.later(self.leads_from - self.now, self.lead)
+            self.call_later(self.leader_from_us - self.now_us, self.elect_leader)
         elif roll < 0.007:
-            # Who has been taken off the list is started so that it waits for one, as the note says.
-            waits = self.listed and name not in self.state.counting_gateways()
-            self.uses[name] = use.ActiveConfig(name, LEASE, FLOOR_LEASE, DRIFT, MOST, waits, f"{self.now}")
+            # A gateway that was removed from the list sends nothing after a restart until it has a list.
+            requires_list = self.has_gateway_list and name not in self.state.counting_gateways()
+            self.configs[name] = ActiveConfig(
+                name, LEASE_US, FALLBACK_LEASE_US, DRIFT, MAX_GATEWAYS, requires_list, f"{self.now_us}"
+            )
         elif roll < 0.02:
-            self.change()
-
-    def change(self) -> None:
-        self.asked += 1
-        names = self.names if not self.listed else self.chance.sample(self.names, self.chance.randint(1, 6))
-        # Floors as low as may be: a gateway out of touch takes as much as it ever may.
-        least = max(len(names), self.chance.choice([0, 0, 7]))
-        given = {
-            "gateways": gateways(
+            self.propose_change()
+
+    def propose_change(self) -> None:
+        self.proposed_count += 1
+        names = (
+            self.names
+            if not self.has_gateway_list
+            else self.random.sample(self.names, self.random.randint(1, 6))
+        )
+        # The count without a lease is as low as allowed: a disconnected gateway takes its largest share.
+        min_count = max(len(names), self.random.choice([0, 0, 7]))
+        changes = {
+            "gateways": gateway_list(
                 " ".join(sorted(names)),
-                count=self.chance.choice([0, least]),
-                floor=self.chance.choice([0, least, least, 12]),
+                count=self.random.choice([0, min_count]),
+                floor=self.random.choice([0, min_count, min_count, 12]),
             )
         }
-        # A switch of a shard's primary, and its tariff stopped and begun.
+        # Switches the primary of a shard, and stops or starts a request class.
         self.epoch += 1
-        copy = f"s-{self.epoch % 3}"
-        given |= {
-            "placement": {"items": {"1": {"copies": [copy], "primary": copy, "epoch": self.epoch}}},
-            "tariffs": {"items": {"fast": {"stopped": self.chance.random() < 0.5}}},
+        engine_id = f"s-{self.epoch % 3}"
+        changes |= {
+            "placement": {"items": {"1": {"copies": [engine_id], "primary": engine_id, "epoch": self.epoch}}},
+            "tariffs": {"items": {"fast": {"stopped": self.random.random() < 0.5}}},
         }
-        if changed(self.state, f"c{self.asked}", **given).is_accepted:
-            self.accepted += 1
-            self.listed = True
-
-    def judge(self) -> None:
-        """At this moment: what each that is awake would act by, by its own clock."""
-        held = {
-            name: me.effective_at(self.clock(name))
-            for name, me in self.uses.items()
-            if self.now >= self.asleep[name]
+        if propose(self.state, f"c{self.proposed_count}", **changes).is_accepted:
+            self.accepted_count += 1
+            self.has_gateway_list = True
+
+    def check_invariants(self) -> None:
+        """Checks what each running gateway would act on now, by its own clock."""
+        effective = {
+            name: config.effective_at(self.clock_us(name))
+            for name, config in self.configs.items()
+            if self.now_us >= self.frozen_until_us[name]
         }
-        turns = [one.turn for one in held.values() if one.mode is Mode.LEASE]
-        assert not turns or max(turns) - min(turns) <= 1, (self.now, held)
-        shares = sum(1 / one.gateway_count for one in held.values() if one.gateway_count)
-        assert shares <= 1 + 1e-9, (self.now, {name: one[:3] for name, one in held.items()}, self.state.turn)
-        # Two that may write a shard to different engines; one that runs what the rules in force stop.
-        leased = [one.documents for one in held.values() if one.mode is Mode.LEASE]
-        shards = [one.placement.items["1"] for one in leased]
-        assert len({(one.primary, one.epoch) for one in shards if one.primary}) <= 1, (self.now, shards)
+        turns = [config.turn for config in effective.values() if config.mode is Mode.LEASE]
+        assert not turns or max(turns) - min(turns) <= 1, (self.now_us, effective)
+        shares = sum(1 / config.gateway_count for config in effective.values() if config.gateway_count)
+        assert shares <= 1 + 1e-9, (
+            self.now_us,
+            {name: config[:3] for name, config in effective.items()},
+            self.state.turn,
+        )
+        # No two gateways may write a shard to different engines, and none may run a class that is stopped.
+        leased = [config.documents for config in effective.values() if config.mode is Mode.LEASE]
+        shards = [documents.placement.items["1"] for documents in leased]
+        assert len({(shard.primary, shard.epoch) for shard in shards if shard.primary}) <= 1, (
+            self.now_us,
+            shards,
+        )
         rule = self.state._in_force.documents.request_classes.items.get("fast")
         assert not (rule and rule.is_stopped) or all(
-            one.request_classes.items["fast"].is_stopped for one in leased
+            documents.request_classes.items["fast"].is_stopped for documents in leased
         )
-        for one in held.values():
-            self.seen[one.mode] += 1
+        for config in effective.values():
+            self.mode_counts[config.mode] += 1
 
 
-class Played(unittest.TestCase):
-    def test_turns_and_shares_at_every_moment(self) -> None:
-        turns, seen = 0, dict.fromkeys(Mode, 0)
+class SimulatedFleetTest(unittest.TestCase):
+    def test_turns_and_shares_stay_consistent_under_faults(self) -> None:
+        turns_taken, mode_counts = 0, dict.fromkeys(Mode, 0)
         for seed in range(12):
-            fleet = Fleet(seed)
+            fleet = SimulatedFleet(seed)
             for _ in range(6_000):
                 fleet.step()
-            turns += fleet.turns
-            for mode, times in fleet.seen.items():
-                seen[mode] += times
-        # It went on, and each mode was there for long.
-        self.assertGreater(turns, 150)
-        self.assertGreater(min(seen.values()), 5_000, seen)
-
-    def raised_floor(self) -> tuple[int, int]:
-        """Of two gateways one is cut off, then four more come in: how long until they count; its share."""
-        fleet = Fleet(3)
-        fleet.restless, fleet.loss = False, 0.0
-        changed(
+            turns_taken += fleet.turns_taken
+            for mode, count in fleet.mode_counts.items():
+                mode_counts[mode] += count
+        # Turns were taken, and each mode occurred often enough for the checks to mean something.
+        self.assertGreater(turns_taken, 150)
+        self.assertGreater(min(mode_counts.values()), 5_000, mode_counts)
+
+    def raise_count_without_lease(self) -> tuple[int, int]:
+        """Cuts off one of two gateways and adds four more.
+
+        Returns the time until the next turn is taken, in microseconds, and the divisor of the one cut off.
+        """
+        fleet = SimulatedFleet(3)
+        fleet.injects_faults, fleet.loss = False, 0.0
+        propose(
             fleet.state,
-            gateways=gateways("g0 g1", floor=2),
+            gateways=gateway_list("g0 g1", floor=2),
             tariffs={"items": {"fast": {}}},
             placement={"items": {"1": {"copies": ["s-1"]}}},
         )
@@ -949,102 +1018,113 @@
             (2, [Mode.LEASE] * 2),
             (
                 fleet.state.turn,
-                [fleet.uses[name].effective_at(fleet.clock(name)).mode for name in ("g0", "g1")],
+                [fleet.configs[name].effective_at(fleet.clock_us(name)).mode for name in ("g0", "g1")],
             ),
         )
-        fleet.cut["g0"] = fleet.now + 20_000_000
-        changed(fleet.state, gateways=gateways("g0 g1 g2 g3 g4 g5", floor=6))
-        taken = 0
+        fleet.cut_off_until_us["g0"] = fleet.now_us + 20_000_000
+        propose(fleet.state, gateways=gateway_list("g0 g1 g2 g3 g4 g5", floor=6))
+        taken_us = 0
         for step in range(1200):
             fleet.step()
-            taken = taken or (fleet.state.turn == 4) * (step + 1) * 10_000
-        return taken, fleet.uses["g0"].effective_at(fleet.clock("g0")).gateway_count
+            taken_us = taken_us or (fleet.state.turn == 4) * (step + 1) * 10_000
+        return taken_us, fleet.configs["g0"].effective_at(fleet.clock_us("g0")).gateway_count
 
-    def test_a_floor_is_raised_when_the_old_one_is_over(self) -> None:
-        taken, gateways = self.raised_floor()
-        self.assertEqual(MOST, gateways)
-        self.assertTrue(0.75 * FLOOR_LEASE < taken < 1.05 * FLOOR_LEASE, taken)
+    def test_a_higher_count_without_lease_waits_until_the_old_one_has_expired(self) -> None:
+        taken_us, gateway_count = self.raise_count_without_lease()
+        self.assertEqual(MAX_GATEWAYS, gateway_count)
+        self.assertTrue(0.75 * FALLBACK_LEASE_US < taken_us < 1.05 * FALLBACK_LEASE_US, taken_us)
         with (
             patch.object(ConfigState, "changes_count_without_lease", lambda _: False),
             self.assertRaises(AssertionError),
         ):
-            self.raised_floor()
+            self.raise_count_without_lease()
 
-    def test_one_cut_off_delays_a_change_by_a_lease(self) -> None:
-        for cut, least, most in ((0, 0, 300_000), (20_000_000, LEASE // 2, 2_500_000)):
-            fleet = Fleet(5)
-            fleet.restless, fleet.loss = False, 0.0
-            fleet.change()
+    def test_a_disconnected_gateway_delays_a_change_by_a_lease(self) -> None:
+        for outage_us, min_us, max_us in ((0, 0, 300_000), (20_000_000, LEASE_US // 2, 2_500_000)):
+            fleet = SimulatedFleet(5)
+            fleet.injects_faults, fleet.loss = False, 0.0
+            fleet.propose_change()
             for _ in range(600):
                 fleet.step()
-            fleet.cut["g3"] = fleet.now + cut
-            turn, began = fleet.state.turn, fleet.now
-            changed(fleet.state, tariffs={"items": {"fast": {"stopped": True, "further": 0.5}}})
+            fleet.cut_off_until_us["g3"] = fleet.now_us + outage_us
+            turn, started_us = fleet.state.turn, fleet.now_us
+            propose(fleet.state, tariffs={"items": {"fast": {"stopped": True, "further": 0.5}}})
             while fleet.state.turn < turn + 2:
                 fleet.step()
-            self.assertTrue(least <= fleet.now - began <= most, fleet.now - began)
+            self.assertTrue(min_us <= fleet.now_us - started_us <= max_us, fleet.now_us - started_us)
 
-    def test_all_come_back_at_once(self) -> None:
-        fleet = [ActiveConfig(f"gateway-{n}", LEASE, FLOOR_LEASE, DRIFT, 300) for n in range(230)]
+    def test_renewals_are_spread_when_all_gateways_reconnect_at_once(self) -> None:
+        configs = [ActiveConfig(f"gateway-{n}", LEASE_US, FALLBACK_LEASE_US, DRIFT, 300) for n in range(230)]
         body = msgspec.msgpack.encode(
-            [0, 2, [encode_delta(EMPTY, parse_documents({"gateways": gateways("g1")}))]]
+            [0, 2, [encode_delta(EMPTY, parse_documents({"gateways": gateway_list("g1")}))]]
         )
-        for me in fleet:
-            me.on_connected(10**6)
-            me.receive(codec.config_parts(0, 2, body)[0], 10**6)
-        asked = [
-            sum(me.renewal_due(10**6 + at) is not None for me in fleet) for at in range(0, LEASE, 10_000)
+        for config in configs:
+            config.on_connected(10**6)
+            config.receive(codec.config_parts(0, 2, body)[0], 10**6)
+        renewal_counts = [
+            sum(config.renewal_due(10**6 + delay_us) is not None for config in configs)
+            for delay_us in range(0, LEASE_US, 10_000)
+        ]
+        sums_per_100_ms = [
+            sum(renewal_counts[start : start + 10]) for start in range(len(renewal_counts) - 9)
         ]
-        seconds = [sum(asked[at : at + 10]) for at in range(len(asked) - 9)]
-        self.assertLessEqual(max(seconds), 2 * 230 * 3 // 20, "in any 100 ms, twice the rate at rest")
-        self.assertGreaterEqual(sum(asked), 2 * 230)
+        self.assertLessEqual(max(sums_per_100_ms), 2 * 230 * 3 // 20, "in any 100 ms, twice the rate at rest")
+        self.assertGreaterEqual(sum(renewal_counts), 2 * 230)
 
-    def test_two_of_one_name(self) -> None:
-        state, table = named(), LeaseTable(LEASE, FLOOR_LEASE, DRIFT)
+    def test_a_second_process_of_one_name_gets_no_lease_until_the_first_has_expired(self) -> None:
+        state, table = state_with_gateways(), LeaseTable(LEASE_US, FALLBACK_LEASE_US, DRIFT)
         table.on_elected(state.counting_gateways(), 0)
-        told = [
-            type(table.renew("g1", 1, 2, state, True, now, life)).__name__
-            for now, life in ((1, "a"), (2, "b"), (LEASE, "a"), (2 * LEASE, "b"), (4 * LEASE, "b"))
+        replies = [
+            type(table.renew("g1", 1, 2, state, True, now_us, incarnation)).__name__
+            for now_us, incarnation in (
+                (1, "a"),
+                (2, "b"),
+                (LEASE_US, "a"),
+                (2 * LEASE_US, "b"),
+                (4 * LEASE_US, "b"),
+            )
         ]
         self.assertEqual(
-            ["LeaseGranted", "LeaseRefused", "LeaseGranted", "LeaseRefused", "LeaseGranted"], told
+            ["LeaseGranted", "LeaseRefused", "LeaseGranted", "LeaseRefused", "LeaseGranted"], replies
         )
         self.assertEqual(
             [("g1", 2, table._lease_us, 0), ("g2", -1, 0, -1)],
-            list(map(tuple, table.gateway_statuses(state, 4 * LEASE))),
+            list(map(tuple, table.gateway_statuses(state, 4 * LEASE_US))),
         )
 
-    def broken(self, where: Any, name: str, made: Any) -> None:
-        with patch.object(where, name, made), self.assertRaises(AssertionError, msg=name):
+    def assert_detected(self, target: Any, name: str, replacement: Any) -> None:
+        with patch.object(target, name, replacement), self.assertRaises(AssertionError, msg=name):
             for seed in range(12):
-                fleet = Fleet(seed)
+                fleet = SimulatedFleet(seed)
                 for _ in range(6_000):
                     fleet.step()
 
-    def test_broken_ones_are_caught(self) -> None:
-        def from_arrival(me: ActiveConfig, frame: Any, now: int) -> None:
-            asked = me._pending_renewals.get(getattr(frame, "number", None))
-            if isinstance(frame, LeaseGranted) and asked:
-                me._pending_renewals[frame.number] = (now, asked[1])
-            take(me, frame, now)
+    def test_broken_variants_are_detected(self) -> None:
+        def count_lease_from_arrival(config: ActiveConfig, frame: Any, now_us: int) -> None:
+            renewal = config._pending_renewals.get(getattr(frame, "number", None))
+            if isinstance(frame, LeaseGranted) and renewal:
+                config._pending_renewals[frame.number] = (now_us, renewal[1])
+            receive(config, frame, now_us)
 
-        def by_timer(me: ActiveConfig, now: int) -> Mode:
-            mode = mode_at(me, now)
-            return Mode.LEASE if mode is Mode.FALLBACK and me._lease_until_us else mode
+        def ignore_expiry(config: ActiveConfig, now_us: int) -> Mode:
+            mode = mode_at(config, now_us)
+            return Mode.LEASE if mode is Mode.FALLBACK and config._lease_until_us else mode
 
-        def any_turn(
-            me: LeaseTable, gateway: str, number: int, turn: int, state: ConfigState, *more: Any
+        def grant_at_any_turn(
+            table: LeaseTable, gateway: str, number: int, turn: int, state: ConfigState, *arguments: Any
         ) -> Any:
-            return renew(me, gateway, number, state.turn, state, *more)
-
-        take, mode_at, renew = ActiveConfig.receive, ActiveConfig._mode_at, LeaseTable.renew
-        self.broken(LeaseTable, "renew", any_turn)
-        self.broken(ActiveConfig, "receive", from_arrival)
-        self.broken(ActiveConfig, "_mode_at", by_timer)
-        self.broken(LeaseTable, "can_advance", lambda *_: True)
-        self.broken(LeaseTable, "on_elected", lambda me, gateways, now: me._holders.clear())
-        self.broken(ConfigState, "_joint_documents", lambda me: me._pending[0].effective())
-        self.broken(state_of, "gateway_divisor", lambda gateways, departed_count=0: gateway_divisor(gateways))
+            return renew(table, gateway, number, state.turn, state, *arguments)
+
+        receive, mode_at, renew = ActiveConfig.receive, ActiveConfig._mode_at, LeaseTable.renew
+        self.assert_detected(LeaseTable, "renew", grant_at_any_turn)
+        self.assert_detected(ActiveConfig, "receive", count_lease_from_arrival)
+        self.assert_detected(ActiveConfig, "_mode_at", ignore_expiry)
+        self.assert_detected(LeaseTable, "can_advance", lambda *_: True)
+        self.assert_detected(LeaseTable, "on_elected", lambda table, gateways, now_us: table._holders.clear())
+        self.assert_detected(ConfigState, "_joint_documents", lambda state: state._pending[0].effective())
+        self.assert_detected(
+            state_module, "gateway_divisor", lambda gateways, departed_count=0: gateway_divisor(gateways)
+        )
 
 
 if __name__ == "__main__":
