--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -30,7 +30,7 @@
 from cresstray.control_plane.replica_positions import MoveCoordinator, PositionDistributor
 from cresstray.fleet_config import documents
 from cresstray.fleet_config.codec import ReplicaPositions
-from cresstray.fleet_config.documents import FleetState
+from cresstray.fleet_config.documents import FleetInventory
 from cresstray.fleet_config.leases import LeaseTable
 from cresstray.fleet_config.state import ConfigState
 from cresstray.observability.counters import Counters
@@ -115,7 +115,7 @@
         random = Random(os.urandom(16)).random
         started_at_us = now_us()
         moves = Moves()
-        state = ConfigState(initial_fleet_state(settings), {"moves": moves})
+        state = ConfigState(initial_fleet_inventory(settings), {"moves": moves})
         node = Node(
             persistent_state, Timing(settings.beat, settings.election, settings.drift), random, started_at_us
         )
@@ -377,9 +377,9 @@
             print(f"{self.name} counter: {line}", file=sys.stderr, flush=True)
 
 
-def initial_fleet_state(settings: Fleet) -> FleetState:
+def initial_fleet_inventory(settings: Fleet) -> FleetInventory:
     """Returns what all nodes validate changes by, so that the same log gives them the same state."""
-    return FleetState(max_gateways=settings.most, max_barred_fraction=settings.barred)
+    return FleetInventory(max_gateways=settings.most, max_barred_fraction=settings.barred)
 
 
 def _contexts(settings: Fleet) -> Contexts | None:
@@ -404,7 +404,7 @@
         persistent_state = storage.load()
     finally:
         storage.close()
-    state = ConfigState(initial_fleet_state(settings), {"moves": Moves()})
+    state = ConfigState(initial_fleet_inventory(settings), {"moves": Moves()})
     if persistent_state.snapshot.data:
         state.restore(persistent_state.snapshot.data)
     for index, entry in enumerate(persistent_state.entries, persistent_state.snapshot.index + 1):
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -208,7 +208,7 @@
             for name in list(nodes.processes):
                 nodes.kill(name)
             await wait_until(
-                lambda: followers[0].active_config.effective_at(followers[0]._now()).mode is Mode.FLOOR
+                lambda: followers[0].active_config.effective_at(followers[0]._clock()).mode is Mode.FALLBACK
             )
             self.assertEqual(2 * proposed["version"], followers[0].active_config.turn)
             tasks.cancel_scope.cancel()
