--- a/cresstray/idempotency/codec.py
+++ b/cresstray/idempotency/codec.py
@@ -126,11 +126,11 @@
     """Returns a command whose reply `parse_compare_and_set` reads; `expected` is b"" for no value."""
     if not new or lifetime_ms < 1:
         raise ValueError("a value that is not empty, for a millisecond at the least")
-    rest = (b"1", key, expected, new, b"%d" % lifetime_ms)
+    script_arguments = (b"1", key, expected, new, b"%d" % lifetime_ms)
     return Command(
-        (b"EVALSHA", COMPARE_AND_SET_SHA, *rest),
+        (b"EVALSHA", COMPARE_AND_SET_SHA, *script_arguments),
         _is_compare_and_set_reply,
-        (b"EVAL", COMPARE_AND_SET_SCRIPT, *rest),
+        (b"EVAL", COMPARE_AND_SET_SCRIPT, *script_arguments),
     )
 
 
--- a/cresstray/idempotency/health.py
+++ b/cresstray/idempotency/health.py
@@ -64,7 +64,7 @@
         self._next_probe_us = now_us
         self._last_success_us = now_us
 
-    def time_budget(self, slack_us: int, now_us: int) -> int:
+    def time_budget_us(self, slack_us: int, now_us: int) -> int:
         """Returns how many microseconds of a slack a lookup may take; 0: go on without the store."""
         if self.is_open or len(self._started_us) >= _MAX_ROUND_TRIPS:
             return 0
--- a/cresstray/idempotency/record_lookup.py
+++ b/cresstray/idempotency/record_lookup.py
@@ -63,7 +63,7 @@
         """Looks the record up within a time budget, or decides without the store."""
         health = self._session.health
         slack_us = guarded.timing.latest_dispatch_us - now_us
-        guarded.lookup_deadline_us = now_us + health.time_budget(slack_us, now_us)
+        guarded.lookup_deadline_us = now_us + health.time_budget_us(slack_us, now_us)
         if self._open_requests.lookups_by_tenant[guarded.request.tenant] >= _MAX_LOOKUPS_PER_TENANT:
             self._fallback.decide(guarded, "too many lookups of its tenant", now_us)
         elif guarded.lookup_deadline_us <= now_us:
@@ -162,7 +162,7 @@
         if guarded.on_decision is not None and not guarded.has_retried_lookup and has_time:
             guarded.has_retried_lookup = True
             slack_us = guarded.timing.latest_dispatch_us - now_us
-            guarded.lookup_deadline_us = now_us + self._session.health.time_budget(slack_us, now_us)
+            guarded.lookup_deadline_us = now_us + self._session.health.time_budget_us(slack_us, now_us)
             if guarded.lookup_deadline_us > now_us:
                 self._read(guarded, now_us)
                 return
--- a/cresstray/model_checking/idempotency_mutants.py
+++ b/cresstray/model_checking/idempotency_mutants.py
@@ -61,8 +61,8 @@
         lines(
             (
                 codec.compare_and_set,
-                '(b"EVALSHA", COMPARE_AND_SET_SHA, *rest)',
-                '(b"SET", COMPARE_AND_SET_SHA, *rest)',
+                '(b"EVALSHA", COMPARE_AND_SET_SHA, *script_arguments)',
+                '(b"SET", COMPARE_AND_SET_SHA, *script_arguments)',
             )
         ),
     ),
@@ -98,7 +98,7 @@
         lines(
             (
                 RecordLookup.start,
-                "now_us + health.time_budget(slack_us, now_us)",
+                "now_us + health.time_budget_us(slack_us, now_us)",
                 "guarded.timing.deadline_us",
             )
         ),
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -304,17 +304,17 @@
         return tries
 
     def test_budget(self) -> None:
-        self.assertEqual(0, self.health.time_budget(SECOND, self.now), "nothing is known of it yet")
+        self.assertEqual(0, self.health.time_budget_us(SECOND, self.now), "nothing is known of it yet")
         self.assertEqual(1, self.close())
-        budgets = [self.health.time_budget(slack, self.now) for slack in (SECOND, 20_000, 0)]
+        budgets = [self.health.time_budget_us(slack, self.now) for slack in (SECOND, 20_000, 0)]
         self.assertEqual([50_000, 5_000, 0], budgets)
         for _ in range(10):
             self.trip(20_000)
-        self.assertEqual(80_000, self.health.time_budget(SECOND, self.now))
-        self.assertEqual(0, self.health.time_budget(70_000, self.now), "less than one usual round trip")
+        self.assertEqual(80_000, self.health.time_budget_us(SECOND, self.now))
+        self.assertEqual(0, self.health.time_budget_us(70_000, self.now), "less than one usual round trip")
         for _ in range(1000):
             self.health.on_round_trip_started(self.now)
-        self.assertEqual(0, self.health.time_budget(SECOND, self.now))
+        self.assertEqual(0, self.health.time_budget_us(SECOND, self.now))
 
     def test_breaker(self) -> None:
         for took, well, opens in ((500, False, 5), (60_000, True, 5), (500, True, 50), (40_000, True, 50)):
@@ -327,7 +327,7 @@
                     after += 1
                 self.assertEqual(opens, after)
                 if opens < 50:
-                    self.assertEqual(0, self.health.time_budget(SECOND, self.now))
+                    self.assertEqual(0, self.health.time_budget_us(SECOND, self.now))
                     self.assertEqual(3, self.close())
 
     def test_failed_trials_come_seldom_and_spread(self) -> None:
