--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -35,7 +35,7 @@
     from cresstray.config.idempotency import StoreSettings, StoreTlsFiles
 
 # One that is cut, or waits for a lost packet, leaves the other; a gateway's load fits on one.
-_CONNECTIONS = 2
+_CONNECTION_COUNT = 2
 # Each for a connection, and for TLS with the handshake: the longest round trips that are of use to a request.
 _HANDSHAKE_TIMEOUT_S = 1.0
 # What the network has taken and not delivered for so long is lost; otherwise the kernel retries for minutes.
@@ -91,7 +91,7 @@
     def __init__(
         self,
         settings: StoreSettings,
-        chance: Callable[[], float],
+        next_random: Callable[[], float],
         clock: Clock,
         timers: Timers,
         counters: Counters,
@@ -99,7 +99,7 @@
     ) -> None:
         """Raises OSError where a file for TLS cannot be used."""
         self._settings = settings
-        self._chance = chance
+        self._next_random = next_random
         self._clock = clock
         self._counters = counters
         self._log = log
@@ -136,39 +136,39 @@
         """Keeps the connections until it is cancelled; all callers that still wait then get None."""
         try:
             async with anyio.create_task_group() as self._tasks:
-                for _ in range(_CONNECTIONS):
+                for _ in range(_CONNECTION_COUNT):
                     self._tasks.start_soon(self._keep_connected)
         finally:
             self._pool.close()
 
     async def _keep_connected(self) -> None:
-        backoff = ReconnectBackoff(self._chance)
+        backoff = ReconnectBackoff(self._next_random)
         while True:
             lifetime_us = 0
             for index in self._tracker.connection_order():
                 with faults_contained("a connection to the store", self._counters, self._log):
-                    lifetime_us = await self._connect_and_use(index)
+                    lifetime_us = await self._run_connection(index)
                 if lifetime_us:
                     break
-            await anyio.sleep(backoff.next_delay(lifetime_us) / 1e6)
+            await anyio.sleep(backoff.next_delay_us(lifetime_us) / 1e6)
 
-    async def _connect_and_use(self, index: int) -> int:
+    async def _run_connection(self, index: int) -> int:
         """Returns for how many microseconds a connection to this address was used; 0 if it was not."""
         connection: StoreConnection | None = None
         with anyio.CancelScope() as scope:
-            connected = await self._open_socket(index)
-            if connected is None:
+            connected_socket = await self._open_socket(index)
+            if connected_socket is None:
                 return 0
-            with SocketStream(connected, self._tasks, scope.cancel) as stream:
-                opened = await self._open_channel(index, connected, stream)
+            with SocketStream(connected_socket, self._tasks, scope.cancel) as stream:
+                opened = await self._open_channel(index, connected_socket, stream)
                 if opened is None:
                     return 0
                 channel, reader, handshake = opened
-                if not self._tracker.on_greeted(index, handshake.is_primary):
+                if not self._tracker.on_handshake_finished(index, handshake.is_primary):
                     self._log_error(index, "a second primary" if handshake.is_primary else "a replica")
                     return 0
                 connection = StoreConnection(index, stream, channel, scope, self._clock.now())
-                await self._use(connection, reader, handshake)
+                await self._read_replies(connection, reader, handshake)
         if connection is None:
             self._log_error(index, "broken in the handshake")
             return 0
@@ -184,17 +184,17 @@
 
     async def _connect(self, host: str, port: int) -> socket.socket:
         # The kernel's resolver may take seconds for a name; it must not stop the loop.
-        found = await anyio.getaddrinfo(host, port, family=socket.AF_INET, type=socket.SOCK_STREAM)
-        host_address, port_number = found[0][4][:2]
+        resolved = await anyio.getaddrinfo(host, port, family=socket.AF_INET, type=socket.SOCK_STREAM)
+        host_address, port_number = resolved[0][4][:2]
         return await connect(str(host_address), int(port_number))
 
     async def _open_channel(
-        self, index: int, connected: socket.socket, stream: SocketStream
+        self, index: int, connected_socket: socket.socket, stream: SocketStream
     ) -> tuple[Channel, codec.ReplyReader, Handshake] | None:
         try:
-            connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS)
+            connected_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS)
             with anyio.fail_after(_HANDSHAKE_TIMEOUT_S):
-                channel = await self._secure(index, stream)
+                channel = await self._open_tls(index, stream)
                 reader = codec.ReplyReader()
                 handshake = await self._perform_handshake(channel, reader)
                 return channel, reader, handshake
@@ -203,7 +203,7 @@
             self._log_error(index, f"handshake failed: {error!r}")
             return None
 
-    async def _secure(self, index: int, stream: SocketStream) -> Channel:
+    async def _open_tls(self, index: int, stream: SocketStream) -> Channel:
         context = self._tls_contexts[index]
         if context is None:
             return stream
@@ -239,7 +239,7 @@
             raise HandshakeError(f"no password in {path}")
         return password
 
-    async def _use(
+    async def _read_replies(
         self, connection: StoreConnection, reader: codec.ReplyReader, handshake: Handshake
     ) -> None:
         index = connection.address_index
@@ -276,12 +276,12 @@
 
 
 def _check_handshake_replies(commands: Sequence[Command], replies: Replies) -> None:
-    fits = [
+    are_accepted = [
         type(reply) is ErrorReply or command.accepts_reply(reply) for command, reply in zip(commands, replies)
     ]
-    if len(replies) > len(commands) or not all(fits):
+    if len(replies) > len(commands) or not all(are_accepted):
         raise ProtocolError(f"an answer to a greeting: {str(replies)[:60]}")
 
 
-def _run_soon(call: Callable[..., object], *arguments: object) -> None:
-    asyncio.get_running_loop().call_soon(call, *arguments)
+def _run_soon(callback: Callable[..., object], *arguments: object) -> None:
+    asyncio.get_running_loop().call_soon(callback, *arguments)
--- a/cresstray/idempotency/codec.py
+++ b/cresstray/idempotency/codec.py
@@ -333,15 +333,15 @@
         HandshakeError: The store does not accept this client, or not now.
     """
     protocol = yield from _negotiate(user, password)
-    role, loaded = yield [
+    role_reply, load_reply = yield [
         get_role(),
         Command((b"SCRIPT", b"LOAD", COMPARE_AND_SET_SCRIPT), lambda reply: reply == COMPARE_AND_SET_SHA),
     ]
-    for reply in (role, loaded):
+    for reply in (role_reply, load_reply):
         if isinstance(reply, ErrorReply) and reply.kind in (ErrorKind.LOADING, ErrorKind.DENIED):
             raise HandshakeError(reply.text)
-    if not isinstance(role, ErrorReply):
-        return Handshake(protocol, is_primary(role))
+    if not isinstance(role_reply, ErrorReply):
+        return Handshake(protocol, is_primary(role_reply))
     (info,) = yield [Command((b"INFO", b"replication"), lambda reply: type(reply) is bytes)]
     if isinstance(info, ErrorReply):
         raise HandshakeError(info.text)
@@ -361,8 +361,8 @@
         raise HandshakeError(hello.text)
     if password:
         # Users came with HELLO: an older store has a password only.
-        named = () if user == "default" else (user.encode(),)
-        (auth,) = yield [Command((b"AUTH", *named, password), lambda reply: reply == b"OK")]
+        user_arguments = () if user == "default" else (user.encode(),)
+        (auth,) = yield [Command((b"AUTH", *user_arguments, password), lambda reply: reply == b"OK")]
         if isinstance(auth, ErrorReply):
             raise HandshakeError(auth.text)
     return 2
--- a/cresstray/idempotency/connection.py
+++ b/cresstray/idempotency/connection.py
@@ -83,12 +83,12 @@
             self.close("closed by the store")
             return
         try:
-            has_left = self.channel.write(message) is not False
+            may_have_been_sent = self.channel.write(message) is not False
         except OSError:  # of TLS: some of it may have left
-            has_left = True
+            may_have_been_sent = True
             self.close("broken")
         for batch in new_batches:
-            batch.may_have_been_sent = has_left
+            batch.may_have_been_sent = may_have_been_sent
 
     def was_closed(self) -> bool:
         """Returns whether this connection was closed; False where the whole client ends."""
--- a/cresstray/idempotency/coordinator.py
+++ b/cresstray/idempotency/coordinator.py
@@ -56,7 +56,7 @@
 _CLAIM_EXTENSION_US = 100_000
 
 
-def _ignore(_line: str) -> None:
+def _discard_line(_line: str) -> None:
     """Takes lines for operators where nobody reads them."""
 
 
@@ -87,12 +87,12 @@
         request_classes: Sequence[RequestClass],
         owner: str,
         incarnation: str,
-        chance: Callable[[], float],
+        next_random: Callable[[], float],
         clock: Clock,
         timers: Timers,
         counters: Counters,
         journal: ClaimJournal | None = None,
-        log: Callable[[str], None] = _ignore,
+        log: Callable[[str], None] = _discard_line,
     ) -> None:
         """Connects the parts.
 
@@ -105,24 +105,24 @@
         self._clock = clock
         self._timers = timers
         self._counters = counters
-        self._names = _DeploymentNames(deployment_settings)
+        self._deployment = _DeploymentNames(deployment_settings)
         self.guard_modes = self._guard_modes(request_classes)
         self._journal_slot = JournalSlot(journal)
-        self.health = StoreHealth(operator_settings, chance, clock.now())
+        self.health = StoreHealth(operator_settings, next_random, clock.now())
         self.store_clock = StoreClock()
         self.write_behind = WriteBehindQueue()
         self.open_requests = self._make_open_requests()
         session = StoreSession(
             client, operator_settings.namespace, self.health, self.store_clock, clock, counters
         )
-        self._lookup = self._make_lookup(session, chance)
+        self._lookup = self._make_lookup(session, next_random)
         self.writer = self._make_writer(session)
         self._monitor = self._make_monitor(session, log)
 
     def _guard_modes(self, request_classes: Sequence[RequestClass]) -> list[GuardMode]:
         return [
             guard_mode_of(request_class, name, self._settings)
-            for request_class, name in zip(request_classes, self._names.classes)
+            for request_class, name in zip(request_classes, self._deployment.classes)
         ]
 
     def _make_open_requests(self) -> OpenRequests:
@@ -136,8 +136,8 @@
             self._counters,
         )
 
-    def _make_lookup(self, session: StoreSession, chance: Callable[[], float]) -> RecordLookup:
-        guard = ExecutionGuard(self._settings, self._names.max_retry_after_us, chance)
+    def _make_lookup(self, session: StoreSession, next_random: Callable[[], float]) -> RecordLookup:
+        guard = ExecutionGuard(self._settings, self._deployment.max_retry_after_us, next_random)
         fallback = StoreFallback(
             self._holder,
             guard,
@@ -194,9 +194,9 @@
         # What another site has forwarded was checked where it was accepted.
         if mode is GuardMode.NOT_NEEDED or not idempotency_key or request.is_forwarded_in:
             return False
-        class_name = self._names.classes[request.request_class.index]
+        class_name = self._deployment.classes[request.request_class.index]
         scope = class_name + "/" + request.request_class.dedup_scope
-        tenant = self._names.tenant(request.tenant)
+        tenant = self._deployment.tenant(request.tenant)
         guarded = GuardedRequest(
             request,
             class_name,
@@ -232,9 +232,11 @@
         """An attempt has ended."""
         self.open_requests.on_attempt_finished(request, outcome, now_us)
 
-    def on_request_finished(self, request: Request, how: str, result: bytes | None, now_us: int) -> None:
+    def on_request_finished(
+        self, request: Request, final_state: str, result: bytes | None, now_us: int
+    ) -> None:
         """The final answer is out already, or its client has left; `how` as the accounting names it."""
-        self.open_requests.on_request_finished(request, how, result, now_us)
+        self.open_requests.on_request_finished(request, final_state, result, now_us)
 
     # Journal and crash recovery.
 
--- a/cresstray/idempotency/execution_guard.py
+++ b/cresstray/idempotency/execution_guard.py
@@ -160,18 +160,18 @@
     """Decides whether a request may be executed."""
 
     def __init__(
-        self, settings: IdempotencySettings, max_retry_after_us: int, chance: Callable[[], float]
+        self, settings: IdempotencySettings, max_retry_after_us: int, next_random: Callable[[], float]
     ) -> None:
         """`max_retry_after_us`.
 
         The longest that clients wait before they come back; `chance` is in [0, 1).
         """
         self._max_retry_after_us = max_retry_after_us
-        self._chance = chance
+        self._next_random = next_random
         # Off for classes that the operator does not name: no second execution is worth more than an answer.
         self._unguarded_rates = {name: float(rate) for name, rate in settings.unguarded_rates.items()}
         self._max_unguarded_us = settings.max_unguarded_us
-        self._unguarded_counts = {
+        self._recent_unguarded = {
             name: SlidingWindow(_UNGUARDED_WINDOW_US, _UNGUARDED_WINDOW_BUCKETS)
             for name in sorted(self._unguarded_rates)
         }
@@ -257,30 +257,30 @@
         if _has_window_left(lookup.store_now_ms, window_end_ms):
             return self.make_claim(mode, record, holder, lookup.store_now_ms, timing, now_us)
         if is_claim_valid:
-            return Reject(self.make_retry_after((record.valid_until_ms - lookup.store_now_ms) * 1000))
+            return Reject(self.draw_retry_after_us((record.valid_until_ms - lookup.store_now_ms) * 1000))
         return Fail("its gateway is gone, and may have sent it")
 
     def _retry_at_us(self, timing: RequestTiming, now_us: int) -> int:
         wait_us = min(_MAX_WAIT_US, max(_MIN_WAIT_US, (now_us - timing.started_us) // 2))
-        return now_us + int(wait_us * (0.5 + 0.5 * self._chance()))
+        return now_us + int(wait_us * (0.5 + 0.5 * self._next_random()))
 
     def decide_without_store(self, unavailable: StoreUnavailable, class_name: str, now_us: int) -> Decision:
         """Returns what to do while nothing is known.
 
         It may have run elsewhere, outside the engines' window.
         """
-        passed = self._unguarded_counts.get(class_name)
-        if passed is None or unavailable.unavailable_us > self._max_unguarded_us:
-            return Reject(self.make_retry_after(0))
-        if passed.upper_bound(now_us) + 1 > self._unguarded_rates[class_name]:
-            return Reject(self.make_retry_after(0))
-        passed.add(now_us)
+        unguarded_count = self._recent_unguarded.get(class_name)
+        if unguarded_count is None or unavailable.unavailable_us > self._max_unguarded_us:
+            return Reject(self.draw_retry_after_us(0))
+        if unguarded_count.upper_bound(now_us) + 1 > self._unguarded_rates[class_name]:
+            return Reject(self.draw_retry_after_us(0))
+        unguarded_count.add(now_us)
         return ProceedUnguarded(unavailable.reason)
 
-    def make_retry_after(self, min_us: int) -> int:
+    def draw_retry_after_us(self, min_us: int) -> int:
         """Returns a wait in microseconds, spread so that clients rejected together do not return together."""
         least_us = max(self._max_retry_after_us // 2, min(min_us, 3 * self._max_retry_after_us // 4))
-        return least_us + int((self._max_retry_after_us - least_us) * self._chance())
+        return least_us + int((self._max_retry_after_us - least_us) * self._next_random())
 
 
 def half_time_us(timing: RequestTiming) -> int:
--- a/cresstray/idempotency/health.py
+++ b/cresstray/idempotency/health.py
@@ -30,9 +30,9 @@
 _PROBES_TO_CLOSE = 3
 # At the start one is enough, as nothing speaks against the store.
 _PROBES_TO_CLOSE_AT_START = 1
-_PROBE_PAUSE_US = 250_000
-_MAX_PROBE_PAUSE_US = 4_000_000
-_MAX_PAUSE_DOUBLINGS = 4
+_PROBE_INTERVAL_US = 250_000
+_MAX_PROBE_INTERVAL_US = 4_000_000
+_MAX_INTERVAL_DOUBLINGS = 4
 # Requests accumulate in memory at a store that has just stopped, until its round trips show it.
 _MAX_ROUND_TRIPS = 1_000
 # A well-kept clock is set back by less; the guard's margin is fifteen of these for a window of 20 s.
@@ -46,21 +46,21 @@
 class StoreHealth:
     """Circuit breaker of the store. It starts open: nothing is known of the store before its first reply."""
 
-    def __init__(self, settings: IdempotencySettings, chance: Callable[[], float], now_us: int) -> None:
+    def __init__(self, settings: IdempotencySettings, next_random: Callable[[], float], now_us: int) -> None:
         """`chance` returns numbers in [0, 1)."""
         self._max_lookup_us = settings.max_lookup_us
         self._slow_us = settings.slow_us
-        self._chance = chance
+        self._next_random = next_random
         self._round_trip_sum = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
         self._round_trip_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
         self._fault_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
         self._started_us: dict[int, int] = {}  # by ticket
-        self._last_ticket = 0
+        self._last_round_trip_id = 0
         self.is_open = True
-        self._successes_in_row = 0
-        self._failures_in_row = 0
+        self._consecutive_successes = 0
+        self._consecutive_failures = 0
         self._successes_needed = _PROBES_TO_CLOSE_AT_START
-        self._probe_ticket: int | None = None
+        self._probe_id: int | None = None
         self._next_probe_us = now_us
         self._last_success_us = now_us
 
@@ -76,19 +76,19 @@
 
     def on_round_trip_started(self, now_us: int) -> int:
         """Returns the ticket to be handed to `on_round_trip_finished`."""
-        self._last_ticket += 1
-        self._started_us[self._last_ticket] = now_us
-        return self._last_ticket
+        self._last_round_trip_id += 1
+        self._started_us[self._last_round_trip_id] = now_us
+        return self._last_round_trip_id
 
-    def on_round_trip_finished(self, ticket: int, has_succeeded: bool, now_us: int) -> None:
+    def on_round_trip_finished(self, round_trip_id: int, has_succeeded: bool, now_us: int) -> None:
         """Records a reply, or its absence; may open or close the breaker."""
-        started_us = self._started_us.pop(ticket, None)
+        started_us = self._started_us.pop(round_trip_id, None)
         assert started_us is not None, "a round trip finished that was not started"
         if started_us is None:
             return
         duration_us = now_us - started_us
         is_good = has_succeeded and duration_us <= self._slow_us
-        if ticket == self._probe_ticket:
+        if round_trip_id == self._probe_id:
             self._on_probe_finished(is_good, now_us)
             return
         self._round_trip_sum.add(now_us, duration_us)
@@ -105,27 +105,27 @@
             return
         if faults >= _MIN_FAULT_RATIO * self._round_trip_count.upper_bound(now_us):
             self.is_open = True
-            self._successes_in_row = 0
-            self._failures_in_row = 0
+            self._consecutive_successes = 0
+            self._consecutive_failures = 0
             self._successes_needed = _PROBES_TO_CLOSE
             self._schedule_probe(now_us)
 
     def start_probe(self, now_us: int) -> int | None:
         """Returns a ticket for a probe if one is due; a probe is never a request's own lookup."""
-        if not self.is_open or self._probe_ticket is not None or now_us < self._next_probe_us:
+        if not self.is_open or self._probe_id is not None or now_us < self._next_probe_us:
             return None
-        self._probe_ticket = self.on_round_trip_started(now_us)
-        return self._probe_ticket
+        self._probe_id = self.on_round_trip_started(now_us)
+        return self._probe_id
 
     def _on_probe_finished(self, is_good: bool, now_us: int) -> None:
-        self._probe_ticket = None
+        self._probe_id = None
         if is_good:
-            self._successes_in_row += 1
-            self._failures_in_row = 0
+            self._consecutive_successes += 1
+            self._consecutive_failures = 0
         else:
-            self._successes_in_row = 0
-            self._failures_in_row += 1
-        if self._successes_in_row < self._successes_needed:
+            self._consecutive_successes = 0
+            self._consecutive_failures += 1
+        if self._consecutive_successes < self._successes_needed:
             self._schedule_probe(now_us)
             return
         self.is_open = False
@@ -137,11 +137,11 @@
 
     def _schedule_probe(self, now_us: int) -> None:
         # Hundreds of gateways lose the store at once; their probes are spread.
-        doublings = min(self._failures_in_row, _MAX_PAUSE_DOUBLINGS)
-        pause_us = min(_MAX_PROBE_PAUSE_US, _PROBE_PAUSE_US << doublings)
-        self._next_probe_us = now_us + int(pause_us * (0.5 + 0.5 * self._chance()))
+        doublings = min(self._consecutive_failures, _MAX_INTERVAL_DOUBLINGS)
+        interval_us = min(_MAX_PROBE_INTERVAL_US, _PROBE_INTERVAL_US << doublings)
+        self._next_probe_us = now_us + int(interval_us * (0.5 + 0.5 * self._next_random()))
 
-    def unavailable_for(self, now_us: int) -> int:
+    def unavailable_us_at(self, now_us: int) -> int:
         """Returns the microseconds since the last good reply."""
         return max(0, now_us - self._last_success_us)
 
@@ -155,7 +155,7 @@
     def __init__(self) -> None:
         # The last reading in ms, and between which two moments of this gateway's clock it was taken.
         self._reading_ms = 0
-        self._asked_us = 0
+        self._requested_us = 0
         self._received_us = 0
         self.age_unknown_before_ms = 0  # what is from before that may be older than it looks
         self.regressions = 0
@@ -164,37 +164,37 @@
         """Returns whether fences can be drawn from it; the drift in the time allowed is under a second."""
         return self._reading_ms > 0 and now_us - self._received_us < _MAX_READING_AGE_US
 
-    def lower_bound(self, now_us: int) -> int:
+    def lower_bound_ms(self, now_us: int) -> int:
         """Returns the earliest that the store's time may be, in ms."""
-        passed_us = now_us - self._received_us
-        return self._reading_ms + int(passed_us * (0.99 if passed_us > 0 else 1.01)) // 1000
+        elapsed_us = now_us - self._received_us
+        return self._reading_ms + int(elapsed_us * (0.99 if elapsed_us > 0 else 1.01)) // 1000
 
-    def upper_bound(self, now_us: int) -> int:
+    def upper_bound_ms(self, now_us: int) -> int:
         """Returns the latest that the store's time may be, in ms."""
-        passed_us = now_us - self._asked_us
-        return self._reading_ms + int(passed_us * (1.01 if passed_us > 0 else 0.99)) // 1000 + 1
+        elapsed_us = now_us - self._requested_us
+        return self._reading_ms + int(elapsed_us * (1.01 if elapsed_us > 0 else 0.99)) // 1000 + 1
 
     def on_published_regression(self, value: bytes | None) -> None:
         """Takes over what another gateway has left in the store when it saw the clock go back."""
         if value is None or not value.isdigit() or len(value) > _MAX_REGRESSION_DIGITS:
             return
-        before_ms = int(value)
+        cutoff_ms = int(value)
         # A wrong value far ahead would leave all records without an age for good.
-        if before_ms < self._reading_ms + _MAX_REGRESSION_AHEAD_MS:
-            self.age_unknown_before_ms = max(self.age_unknown_before_ms, before_ms)
+        if cutoff_ms < self._reading_ms + _MAX_REGRESSION_AHEAD_MS:
+            self.age_unknown_before_ms = max(self.age_unknown_before_ms, cutoff_ms)
 
-    def on_reading(self, store_now_ms: int, asked_us: int, now_us: int) -> None:
+    def on_reading(self, store_now_ms: int, requested_us: int, now_us: int) -> None:
         """Takes a reading that was asked for at `asked_us` and received now."""
-        has_gone_back = self._reading_ms > 0 and store_now_ms + _CLOCK_TOLERANCE_MS < self.lower_bound(
-            asked_us
+        has_regressed = self._reading_ms > 0 and store_now_ms + _CLOCK_TOLERANCE_MS < self.lower_bound_ms(
+            requested_us
         )
-        if has_gone_back:
+        if has_regressed:
             # After a failover to another machine, or a change of its clock, records look younger than they
             # are. All that may be from before that moment is of unknown age.
             self.regressions += 1
-            self.age_unknown_before_ms = max(self.age_unknown_before_ms, self.upper_bound(now_us))
+            self.age_unknown_before_ms = max(self.age_unknown_before_ms, self.upper_bound_ms(now_us))
         elif store_now_ms <= self._reading_ms:
             return  # a reply that was overtaken by a later one
         self._reading_ms = store_now_ms
-        self._asked_us = asked_us
+        self._requested_us = requested_us
         self._received_us = now_us
--- a/cresstray/idempotency/in_flight.py
+++ b/cresstray/idempotency/in_flight.py
@@ -94,7 +94,7 @@
     def __init__(self, max_groups: int) -> None:
         """`max_groups` counts those that nobody waits for any more too."""
         self._max_groups = max_groups
-        self._last_number = 0
+        self._last_token_number = 0
         self._groups: deque[_WrittenGroup] = deque()
         # When the last complete reply came, or the first of those in flight left.
         self.last_progress_us = 0
@@ -111,8 +111,8 @@
         return self._start(batch, range(len(batch.commands)), False, now_us)
 
     def _start(self, batch: CommandBatch, indexes: Sequence[int], carries_script: bool, now_us: int) -> bytes:
-        self._last_number += 1
-        group = _WrittenGroup(batch, indexes, b"%d" % self._last_number, carries_script)
+        self._last_token_number += 1
+        group = _WrittenGroup(batch, indexes, b"%d" % self._last_token_number, carries_script)
         if not self._groups:
             self.last_progress_us = now_us
         self._groups.append(group)
@@ -156,8 +156,8 @@
             type(reply) is ErrorReply and reply.kind in _REFUSES_ALL_COMMANDS and group.has_only_errors
         )
         if reply != group.token and not refuses_all:
-            place = f"where number {group.token.decode()} belongs"
-            raise ProtocolError(f"out of step: {str(reply)[:60]} {place}")
+            expected_position = f"where number {group.token.decode()} belongs"
+            raise ProtocolError(f"out of step: {str(reply)[:60]} {expected_position}")
 
     def _complete(self, group: _WrittenGroup, now_us: int) -> tuple[CommandBatch | None, bytes]:
         batch = group.batch
@@ -167,9 +167,9 @@
             batch.replies[index] = reply
         # The store does not know the script, and nothing of these ran. They are sent once more, with the
         # script.
-        unknown_scripts = [] if group.carries_script else _find_unknown_scripts(group)
-        if unknown_scripts:
-            return None, self._start(batch, unknown_scripts, True, now_us)
+        unknown_script_indexes = [] if group.carries_script else _find_unknown_scripts(group)
+        if unknown_script_indexes:
+            return None, self._start(batch, unknown_script_indexes, True, now_us)
         return batch, b""
 
     def close(self) -> list[CommandBatch]:
@@ -180,12 +180,12 @@
 
 
 def _find_unknown_scripts(group: _WrittenGroup) -> list[int]:
-    found = []
+    indexes = []
     for index, reply in zip(group.indexes, group.replies):
-        is_unknown = type(reply) is ErrorReply and reply.kind is ErrorKind.NOSCRIPT
-        if is_unknown and group.batch.commands[index].arguments_with_script:
-            found.append(index)
-    return found
+        is_unknown_script = type(reply) is ErrorReply and reply.kind is ErrorKind.NOSCRIPT
+        if is_unknown_script and group.batch.commands[index].arguments_with_script:
+            indexes.append(index)
+    return indexes
 
 
 class PrimaryTracker:
@@ -209,7 +209,7 @@
         others = [index for index in range(len(self.addresses)) if index != self._last_primary]
         return [self._last_primary, *others]
 
-    def on_greeted(self, index: int, is_primary: bool) -> bool:
+    def on_handshake_finished(self, index: int, is_primary: bool) -> bool:
         """Returns whether the connection is to be used; if so, `on_connection_closed` must follow."""
         if not is_primary or self.primary not in (None, index):
             return False
@@ -237,11 +237,11 @@
 class ReconnectBackoff:
     """Pauses before the addresses are tried again."""
 
-    def __init__(self, chance: Callable[[], float]) -> None:
-        self._chance = chance
+    def __init__(self, next_random: Callable[[], float]) -> None:
+        self._next_random = next_random
         self._next_us = _MIN_BACKOFF_US
 
-    def next_delay(self, lifetime_us: int) -> int:
+    def next_delay_us(self, lifetime_us: int) -> int:
         """Returns microseconds to wait after a connection that lived so long.
 
         The pauses are spread, because all gateways lose the store at once.
@@ -250,4 +250,4 @@
             self._next_us = _MIN_BACKOFF_US
         pause_us = self._next_us
         self._next_us = min(2 * self._next_us, _MAX_BACKOFF_US)
-        return int(pause_us * (0.5 + self._chance()))
+        return int(pause_us * (0.5 + self._next_random()))
--- a/cresstray/idempotency/journal.py
+++ b/cresstray/idempotency/journal.py
@@ -56,8 +56,8 @@
     def __init__(self, path: str, disk: DiskCalls | None = None) -> None:
         self.path = path
         self._disk = disk or DiskCalls()
-        self._lock: int | None = None
-        self._file: int | None = None
+        self._lock_descriptor: int | None = None
+        self._file_descriptor: int | None = None
         self._synced_bytes = 0
         self._is_tail_uncertain = False  # what the disk has of the file's end is unknown
         self.unsettled_entries: dict[int, JournalEntry] = {}  # by id
@@ -72,16 +72,16 @@
             OSError: From the disk.
         """
         # The lock is a file of its own, because the journal's file is replaced when it is compacted.
-        lock = self._disk.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        lock_descriptor = self._disk.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            self._disk.close(lock)
+            self._disk.close(lock_descriptor)
             raise JournalLockedError(f"{self.path}: another process has it") from None
         except BaseException:
-            self._disk.close(lock)
+            self._disk.close(lock_descriptor)
             raise
-        self._lock = lock
+        self._lock_descriptor = lock_descriptor
         try:
             self._replay()
         except BaseException:
@@ -104,7 +104,7 @@
         self.unsettled_entries = replayed.unsettled
         self._report_damage(replayed, len(data))
         is_torn = replayed.intact_bytes < len(data)
-        if is_torn or replayed.damaged_at or len(data) > _COMPACTION_BYTES:
+        if is_torn or replayed.damaged_offsets or len(data) > _COMPACTION_BYTES:
             self._rewrite(self.unsettled_entries.values())
         else:
             self._synced_bytes = len(data)
@@ -112,15 +112,15 @@
     def _read_file(self) -> bytes:
         # Not blocking: a named pipe under this path would hold up the start for good.
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NONBLOCK
-        self._file = self._disk.open(self.path, flags, 0o600)
-        pieces = []
+        self._file_descriptor = self._disk.open(self.path, flags, 0o600)
+        chunks = []
         size = 0
-        while piece := self._disk.read(self._file, _READ_BYTES):
-            pieces.append(piece)
-            size += len(piece)
+        while chunk := self._disk.read(self._file_descriptor, _READ_BYTES):
+            chunks.append(chunk)
+            size += len(chunk)
             if size > _MAX_BYTES:
                 raise JournalFormatError(f"{self.path}: longer than any journal")
-        return b"".join(pieces)
+        return b"".join(chunks)
 
     def _report_damage(self, replayed: journal_codec.ReplayedFile, size: int) -> None:
         cut_bytes = size - replayed.intact_bytes
@@ -128,10 +128,10 @@
             self.warnings.append(
                 f"{self.path}: a torn tail, {cut_bytes} bytes cut at {replayed.intact_bytes}"
             )
-        if replayed.damaged_at:
+        if replayed.damaged_offsets:
             self.warnings.append(
-                f"{self.path}: {len(replayed.damaged_at)} damaged records left out, the first at "
-                f"{replayed.damaged_at[0]}; what they claimed is not known"
+                f"{self.path}: {len(replayed.damaged_offsets)} damaged records left out, the first at "
+                f"{replayed.damaged_offsets[0]}; what they claimed is not known"
             )
 
     def append(self, entries: Iterable[JournalEntry]) -> None:
@@ -154,14 +154,14 @@
         return self._synced_bytes > _COMPACTION_BYTES and is_mostly_settled
 
     def _append(self, data: bytes) -> None:
-        assert self._file is not None, "the journal is not open"
+        assert self._file_descriptor is not None, "the journal is not open"
         if self._synced_bytes + len(data) > _MAX_BYTES:
             raise OSError(errno.EFBIG, "the journal is full of what was never settled")
         # After a failed sync the next may report success although data was lost. Nothing is appended to
         # such a file: all that counts is written anew.
         self._is_tail_uncertain = True
-        self._write_all(self._file, data)
-        self._disk.fsync(self._file)
+        self._write_all(self._file_descriptor, data)
+        self._disk.fsync(self._file_descriptor)
         self._synced_bytes += len(data)
         self._is_tail_uncertain = False
 
@@ -169,17 +169,17 @@
         """Writes a new file aside, syncs it, puts it in place, and syncs the directory."""
         data = journal_codec.encode_file(entries)
         new_path = f"{self.path}.new"
-        file = self._disk.open(new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        file_descriptor = self._disk.open(new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            self._write_all(file, data)
-            self._disk.fsync(file)
+            self._write_all(file_descriptor, data)
+            self._disk.fsync(file_descriptor)
             self._disk.rename(new_path, self.path)
         except BaseException:
-            self._disk.close(file)
+            self._disk.close(file_descriptor)
             raise
-        if self._file is not None:
-            self._disk.close(self._file)
-        self._file = file
+        if self._file_descriptor is not None:
+            self._disk.close(self._file_descriptor)
+        self._file_descriptor = file_descriptor
         self._synced_bytes = len(data)
         self._is_tail_uncertain = True
         self._sync_directory()
@@ -187,24 +187,24 @@
 
     def _sync_directory(self) -> None:
         path = os.path.dirname(os.path.abspath(self.path))
-        directory = self._disk.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        directory_descriptor = self._disk.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            self._disk.fsync(directory)
+            self._disk.fsync(directory_descriptor)
         finally:
-            self._disk.close(directory)
+            self._disk.close(directory_descriptor)
 
-    def _write_all(self, file: int, data: bytes) -> None:
+    def _write_all(self, file_descriptor: int, data: bytes) -> None:
         remaining = memoryview(data)
         while remaining:
-            remaining = remaining[self._disk.write(file, remaining) :]
+            remaining = remaining[self._disk.write(file_descriptor, remaining) :]
 
     def close(self) -> None:
         """Closes the file and releases its lock."""
-        for descriptor in (self._file, self._lock):
+        for descriptor in (self._file_descriptor, self._lock_descriptor):
             if descriptor is not None:
                 self._disk.close(descriptor)
-        self._file = None
-        self._lock = None
+        self._file_descriptor = None
+        self._lock_descriptor = None
 
 
 def make_unknown_event(entry: JournalEntry, owner: str, incarnation: str) -> RecordEvent:
@@ -232,7 +232,7 @@
         self._waiting: list[JournalEntry] = []
         self._unwritten_settled: list[JournalEntry] = []  # of a failed write: go with the next
         self._sync_results: dict[int, bool] = {}
-        self._changed = threading.Condition()
+        self._condition = threading.Condition()
         self._is_stopped = False
         self.last_error = ""  # of the last write; "" for none
         self._thread = threading.Thread(target=self._run, name="idempotency journal", daemon=True)
@@ -240,31 +240,31 @@
 
     def append_claim(self, digest: bytes, fence: int, tenant: int) -> int | None:
         """Returns the entry's id, for `take_sync_result`; None if too many wait."""
-        with self._changed:
+        with self._condition:
             if self._is_stopped or len(self._waiting) >= self.MAX_WAITING:
                 return None
             self._last_id += 1
             self._waiting.append(JournalEntry(EntryKind.CLAIMED, self._last_id, digest, fence, tenant))
-            self._changed.notify()
+            self._condition.notify()
             return self._last_id
 
     def append_settled(self, entry_id: int) -> None:
         """The claim with this id needs no report any more."""
-        with self._changed:
+        with self._condition:
             if not self._is_stopped and len(self._waiting) < self._MAX_WAITING_SETTLED:
                 self._waiting.append(JournalEntry(EntryKind.SETTLED, entry_id, b"", 0, 0))
-                self._changed.notify()
+                self._condition.notify()
 
     def take_sync_result(self, entry_id: int) -> bool | None:
         """Returns once whether the entry is on the disk; None while that is unknown."""
-        with self._changed:
+        with self._condition:
             return self._sync_results.pop(entry_id, None)
 
     def stop(self) -> None:
         """Accepts no more; what waits is still written, if the disk allows it."""
-        with self._changed:
+        with self._condition:
             self._is_stopped = True
-            self._changed.notify()
+            self._condition.notify()
 
     def join(self, timeout_s: float) -> bool:
         """Returns whether all is written and the file is closed."""
@@ -274,15 +274,15 @@
     def _run(self) -> None:
         while entries := self._take_waiting():
             error = self._write(entries)
-            with self._changed:
+            with self._condition:
                 self._on_written(entries, error)
         self._journal.close()
 
     def _take_waiting(self) -> list[JournalEntry]:
         """Blocks until there is something to write; returns nothing at the end."""
-        with self._changed:
+        with self._condition:
             while not (self._waiting or self._is_stopped):
-                self._changed.wait()
+                self._condition.wait()
             entries = self._unwritten_settled + self._waiting
             self._waiting = []
             self._unwritten_settled = []
--- a/cresstray/idempotency/journal_codec.py
+++ b/cresstray/idempotency/journal_codec.py
@@ -56,7 +56,7 @@
     """
 
     unsettled: dict[int, JournalEntry]
-    damaged_at: list[int]
+    damaged_offsets: list[int]
     intact_bytes: int
 
 
@@ -98,16 +98,16 @@
     """Reads a file whose header was checked."""
     size = len(data)
     intact: list[JournalEntry] = []
-    damaged_at: list[int] = []
+    damaged_offsets: list[int] = []
     for offset in range(ENTRY_SIZE, size - ENTRY_SIZE + 1, ENTRY_SIZE):
         entry = decode_entry(data[offset : offset + ENTRY_SIZE])
         if entry is None:
-            damaged_at.append(offset)
+            damaged_offsets.append(offset)
         else:
             intact.append(entry)
     # After a crash the file may have its full length, with zeros where nothing was written yet.
     intact_bytes = size
-    while damaged_at and damaged_at[-1] == (intact_bytes - ENTRY_SIZE) // ENTRY_SIZE * ENTRY_SIZE:
-        intact_bytes = damaged_at.pop()
+    while damaged_offsets and damaged_offsets[-1] == (intact_bytes - ENTRY_SIZE) // ENTRY_SIZE * ENTRY_SIZE:
+        intact_bytes = damaged_offsets.pop()
     intact_bytes = min(intact_bytes, intact_bytes // ENTRY_SIZE * ENTRY_SIZE)
-    return ReplayedFile(apply_entries({}, intact), damaged_at, intact_bytes)
+    return ReplayedFile(apply_entries({}, intact), damaged_offsets, intact_bytes)
--- a/cresstray/idempotency/open_requests.py
+++ b/cresstray/idempotency/open_requests.py
@@ -123,7 +123,7 @@
     def _dispatch_time_ms(self, now_us: int) -> int:
         if not self._store_clock.is_known(now_us):
             return 0
-        return max(1, self._store_clock.lower_bound(now_us))
+        return max(1, self._store_clock.lower_bound_ms(now_us))
 
     def on_attempt_finished(self, request: Request, outcome: Outcome, now_us: int) -> None:
         """An attempt has ended."""
@@ -135,7 +135,9 @@
         guarded.may_have_run = guarded.may_have_run or outcome not in _NOT_EXECUTED
         self.settle(guarded, now_us)
 
-    def on_request_finished(self, request: Request, how: str, result: bytes | None, now_us: int) -> None:
+    def on_request_finished(
+        self, request: Request, final_state: str, result: bytes | None, now_us: int
+    ) -> None:
         """The final answer is out already, or its client has left; `how` as the accounting names it."""
         guarded = self.by_request.get(request)
         if guarded is None:
@@ -143,7 +145,7 @@
         guarded.is_finished = True
         guarded.on_decision = None
         guarded.dispatch_until_us = 0
-        if how == "succeeded":
+        if final_state == "succeeded":
             guarded.has_completed = True
             guarded.outcome = make_outcome(result, self._max_result_bytes)
         self.settle(guarded, now_us)
@@ -161,7 +163,7 @@
         kind = EventKind.UNKNOWN if guarded.may_have_run else EventKind.NOT_EXECUTED
         if guarded.has_completed:
             kind = EventKind.COMPLETED
-        if guarded.claim is None and not _has_news(guarded, kind):
+        if guarded.claim is None and not _adds_information(guarded, kind):
             journal = self._journal_slot.journal
             if guarded.journal_id is not None and journal is not None:
                 journal.append_settled(guarded.journal_id)
@@ -204,7 +206,7 @@
                 guarded.stored_value = value
 
 
-def _has_news(guarded: GuardedRequest, kind: EventKind) -> bool:
+def _adds_information(guarded: GuardedRequest, kind: EventKind) -> bool:
     """Returns whether a report without a claim says more than the record does."""
     if kind is EventKind.NOT_EXECUTED:
         return False
@@ -224,12 +226,12 @@
         return first_dispatch_ms
     # Where another holder's attempt may be running too, or its own write is uncertain, it may have run
     # before the first attempt of this gateway.
-    earlier: list[int] = []
+    possible_dispatch_ms: list[int] = []
     if record is not None and not _is_absent(record):
-        earlier.append(record.earliest_dispatch_ms)
+        possible_dispatch_ms.append(record.earliest_dispatch_ms)
     if guarded.claim is not None:
-        earlier.append(guarded.claim.earliest_dispatch_ms)
-    return min(earlier, default=first_dispatch_ms)
+        possible_dispatch_ms.append(guarded.claim.earliest_dispatch_ms)
+    return min(possible_dispatch_ms, default=first_dispatch_ms)
 
 
 def _is_absent(record: IdempotencyRecord) -> bool:
--- a/cresstray/idempotency/record_lookup.py
+++ b/cresstray/idempotency/record_lookup.py
@@ -73,7 +73,7 @@
             self._read(guarded, now_us)
         else:
             # Nearly always there is no record: the claim itself is the question.
-            store_now_ms = self._session.store_clock.lower_bound(now_us)
+            store_now_ms = self._session.store_clock.lower_bound_ms(now_us)
             claim = self._guard.make_claim(
                 guarded.mode, None, self._holder, store_now_ms, guarded.timing, now_us
             )
@@ -93,8 +93,8 @@
         if replies is None:
             self._on_no_reply(guarded, now_us)
             return
-        value, time = replies
-        store_now_ms = codec.parse_time_ms(time)
+        value, time_reply = replies
+        store_now_ms = codec.parse_time_ms(time_reply)
         self._session.store_clock.on_reading(store_now_ms, started_us, now_us)
         self._on_found(guarded, value, store_now_ms, started_us, now_us)
 
@@ -109,7 +109,7 @@
         # Two requests with one key in the same millisecond must not take one claim for that of both.
         self._last_fence = max(event.fence, self._last_fence + 1)
         event = msgspec.structs.replace(event, fence=self._last_fence)
-        claimed = records.apply_event(record, event, self._session.store_clock.lower_bound(now_us))
+        claimed = records.apply_event(record, event, self._session.store_clock.lower_bound_ms(now_us))
         if claimed is None or guarded.claim_attempts >= _MAX_CLAIM_ATTEMPTS:
             self._fallback.decide(guarded, "other gateways were always first", now_us)
             return
@@ -183,9 +183,9 @@
             proceed = Proceed(record.fence, record.valid_until_ms)
             self._proceed(guarded, proceed, store_now_ms, started_us, now_us)
             return
-        known = self._apply_pending(guarded, record, store_now_ms)
+        record_with_pending = self._apply_pending(guarded, record, store_now_ms)
         age_unknown_before_ms = self._session.store_clock.age_unknown_before_ms
-        lookup = LookupResult(known, store_now_ms, age_unknown_before_ms)
+        lookup = LookupResult(record_with_pending, store_now_ms, age_unknown_before_ms)
         decision = self._guard.decide(guarded.mode, lookup, self._holder, guarded.timing, now_us)
         if isinstance(decision, Claim):
             self._claim(guarded, guarded.stored_value, record, decision.event, now_us)
@@ -200,17 +200,19 @@
     def _is_own_claim(self, guarded: GuardedRequest, record: IdempotencyRecord) -> bool:
         if guarded.claim is None or record.state is not RecordState.CLAIMED:
             return False
-        own = (*self._holder, guarded.claim.fence)
-        return (record.owner, record.incarnation, record.fence) == own
+        own_claim = (*self._holder, guarded.claim.fence)
+        return (record.owner, record.incarnation, record.fence) == own_claim
 
     def _apply_pending(
         self, guarded: GuardedRequest, record: IdempotencyRecord | None, store_now_ms: int
     ) -> IdempotencyRecord | None:
         """Returns the record with the reports that the store has not heard yet."""
-        known = record
+        record_with_pending = record
         for write in self._write_behind.pending_for(guarded.digest):
-            known = records.apply_event(known, write.event, store_now_ms) or known
-        return known
+            record_with_pending = (
+                records.apply_event(record_with_pending, write.event, store_now_ms) or record_with_pending
+            )
+        return record_with_pending
 
     def _on_wait_over(self, guarded: GuardedRequest, now_us: int) -> None:
         if not guarded.is_finished:
@@ -224,6 +226,6 @@
         valid_ms = proceed.valid_until_ms - store_now_ms
         guarded.dispatch_until_us = started_us + valid_ms * US_PER_STORE_MS
         if now_us >= guarded.dispatch_until_us:
-            self._open_requests.deliver(guarded, Reject(self._guard.make_retry_after(0)), now_us)
+            self._open_requests.deliver(guarded, Reject(self._guard.draw_retry_after_us(0)), now_us)
             return
         self._open_requests.deliver(guarded, proceed, now_us)
--- a/cresstray/idempotency/record_writer.py
+++ b/cresstray/idempotency/record_writer.py
@@ -52,7 +52,7 @@
         if self._failed:
             failed = self._failed
             self._failed = []
-            self._queue.put_back(failed)
+            self._queue.requeue(failed)
 
     def start_writes(self, now_us: int) -> None:
         """Writes what is due, within the limit of writes in flight."""
@@ -71,7 +71,7 @@
         attempts_left: int,
         now_us: int,
     ) -> None:
-        updated = records.apply_event(record, write.event, self._session.store_clock.lower_bound(now_us))
+        updated = records.apply_event(record, write.event, self._session.store_clock.lower_bound_ms(now_us))
         key = self._session.record_key(write.digest)
         deadline_us = now_us + BACKGROUND_TIMEOUT_US
         if updated is None:
@@ -103,8 +103,8 @@
         if replies is None:
             self._put_back(write)
             return
-        value, time = replies
-        self._session.store_clock.on_reading(codec.parse_time_ms(time), started_us, now_us)
+        value, time_reply = replies
+        self._session.store_clock.on_reading(codec.parse_time_ms(time_reply), started_us, now_us)
         record = records.decode_record(value)
         if record is None:
             self._finish(write)  # there is no record, and none is to be made
--- a/cresstray/idempotency/records.py
+++ b/cresstray/idempotency/records.py
@@ -154,8 +154,8 @@
     # A late report of an earlier holder must not release the claim under which the present one dispatches.
     if record is None or record.state not in _ACTIVE_STATES or not _is_holder(record, event):
         return None
-    released = RecordState.UNKNOWN if record.has_uncertain_predecessor else RecordState.ABSENT
-    return _replace_state(record, released)
+    state_after_release = RecordState.UNKNOWN if record.has_uncertain_predecessor else RecordState.ABSENT
+    return _replace_state(record, state_after_release)
 
 
 def _on_report(record: IdempotencyRecord | None, event: RecordEvent) -> IdempotencyRecord | None:
--- a/cresstray/idempotency/store_fallback.py
+++ b/cresstray/idempotency/store_fallback.py
@@ -65,7 +65,7 @@
         if own_decision is not None:
             self._open_requests.deliver(guarded, own_decision, now_us)
             return
-        unavailable = StoreUnavailable(reason, self._health.unavailable_for(now_us))
+        unavailable = StoreUnavailable(reason, self._health.unavailable_us_at(now_us))
         decision = self._guard.decide_without_store(unavailable, guarded.class_name, now_us)
         journal = self._journal_slot.journal
         if not isinstance(decision, ProceedUnguarded):
@@ -92,7 +92,7 @@
         if record is None or record.state not in (RecordState.COMPLETED, RecordState.UNKNOWN):
             return None
         # The store's time is an estimate here; the later it may be, the sooner a window is over.
-        store_now_ms = self._store_clock.upper_bound(now_us)
+        store_now_ms = self._store_clock.upper_bound_ms(now_us)
         lookup = LookupResult(record, store_now_ms)
         decision = self._guard.decide(guarded.mode, lookup, self._holder, guarded.timing, now_us)
         if isinstance(decision, Proceed):
@@ -109,7 +109,7 @@
         """Returns what the queued reports come to, and whether the store held a record before each."""
         merged: IdempotencyRecord | None = None
         is_dispatch_time_certain = True
-        store_now_ms = self._store_clock.lower_bound(now_us)
+        store_now_ms = self._store_clock.lower_bound_ms(now_us)
         for write in self._write_behind.pending_for(guarded.digest):
             # By what the store was last known to hold: the time of the first dispatch stands there.
             stored = records.decode_record(write.expected_value)
@@ -154,4 +154,4 @@
         self._timers.call_after(delay_us, partial(self._await_sync, guarded, decision, sync_deadline_us))
 
     def _reject(self, guarded: GuardedRequest, now_us: int) -> None:
-        self._open_requests.deliver(guarded, Reject(self._guard.make_retry_after(0)), now_us)
+        self._open_requests.deliver(guarded, Reject(self._guard.draw_retry_after_us(0)), now_us)
--- a/cresstray/idempotency/store_monitor.py
+++ b/cresstray/idempotency/store_monitor.py
@@ -43,54 +43,54 @@
         self._counters = counters
         self._log = log
         self._last_clock_read_us = 0
-        self._published_before_ms = 0
+        self._published_cutoff_ms = 0
         self.is_publishing = False
         # What was logged last.
-        self._was_open = True
+        self._logged_is_open = True
         self._logged_regressions = 0
-        self._logged_drops = 0
+        self._logged_drop_count = 0
         self._logged_journal_error = ""
 
     def start_probe(self, now_us: int) -> None:
         """Starts a probe if one is due, or a reading of the clock."""
         health = self._session.health
-        ticket = health.start_probe(now_us)
-        is_reading_due = now_us - self._last_clock_read_us >= _CLOCK_READ_INTERVAL_US
-        if ticket is None and not health.is_open and is_reading_due:
-            ticket = health.on_round_trip_started(now_us)
-        if ticket is not None:
+        round_trip_id = health.start_probe(now_us)
+        is_clock_read_due = now_us - self._last_clock_read_us >= _CLOCK_READ_INTERVAL_US
+        if round_trip_id is None and not health.is_open and is_clock_read_due:
+            round_trip_id = health.on_round_trip_started(now_us)
+        if round_trip_id is not None:
             self._last_clock_read_us = now_us
             commands = [codec.get_time(), codec.get_value(self._regression_key)]
-            self._session.submit_probe(commands, partial(self._on_probe_reply, ticket, now_us), now_us)
+            self._session.submit_probe(commands, partial(self._on_probe_reply, round_trip_id, now_us), now_us)
 
-    def _on_probe_reply(self, ticket: int, started_us: int, replies: list[Reply] | None) -> None:
+    def _on_probe_reply(self, round_trip_id: int, started_us: int, replies: list[Reply] | None) -> None:
         now_us = self._clock.now()
         has_succeeded = replies is not None and not has_errors(replies)
         if replies is not None and has_succeeded:
-            time, regression = replies
+            time_reply, regression_value = replies
             store_clock = self._session.store_clock
-            store_clock.on_reading(codec.parse_time_ms(time), started_us, now_us)
-            store_clock.on_published_regression(regression)
-        self._session.health.on_round_trip_finished(ticket, has_succeeded, now_us)
+            store_clock.on_reading(codec.parse_time_ms(time_reply), started_us, now_us)
+            store_clock.on_published_regression(regression_value)
+        self._session.health.on_round_trip_finished(round_trip_id, has_succeeded, now_us)
 
     def publish_regression(self, now_us: int) -> None:
         """Leaves in the store when its clock went back, for gateways that start later."""
-        has_news = self._published_before_ms < self._session.store_clock.age_unknown_before_ms
-        if has_news and not self.is_publishing and not self._session.health.is_open:
+        has_unpublished = self._published_cutoff_ms < self._session.store_clock.age_unknown_before_ms
+        if has_unpublished and not self.is_publishing and not self._session.health.is_open:
             self.is_publishing = True
             self._publish(b"", MAX_WRITE_ATTEMPTS, now_us)
 
     def _publish(self, stored_value: bytes, attempts_left: int, now_us: int) -> None:
-        before_ms = self._session.store_clock.age_unknown_before_ms
+        cutoff_ms = self._session.store_clock.age_unknown_before_ms
         command = codec.compare_and_set(
-            self._regression_key, stored_value, b"%d" % before_ms, self._retention_ms
+            self._regression_key, stored_value, b"%d" % cutoff_ms, self._retention_ms
         )
-        on_published = partial(self._on_published, before_ms, attempts_left)
+        on_published = partial(self._on_published, cutoff_ms, attempts_left)
         self._session.submit([command], now_us + BACKGROUND_TIMEOUT_US, on_published, now_us)
 
     def _on_published(
         self,
-        before_ms: int,
+        cutoff_ms: int,
         attempts_left: int,
         replies: list[Reply] | None,
         _started_us: int,
@@ -101,12 +101,12 @@
             if not result.is_applied:
                 store_clock = self._session.store_clock
                 store_clock.on_published_regression(result.current_value)
-                is_newest = store_clock.age_unknown_before_ms <= before_ms
-                is_present = result.current_value == b"%d" % before_ms
+                is_newest = store_clock.age_unknown_before_ms <= cutoff_ms
+                is_present = result.current_value == b"%d" % cutoff_ms
                 if is_newest and not is_present and attempts_left > 1:
                     self._publish(result.current_value or b"", attempts_left - 1, now_us)
                     return
-            self._published_before_ms = before_ms
+            self._published_cutoff_ms = cutoff_ms
         self.is_publishing = False
 
     def log_changes(self) -> None:
@@ -119,17 +119,17 @@
             )
             self._logged_regressions = regressions
             self._log("the store's clock went back: older records count as of unknown age")
-        dropped = self._write_behind.dropped_count
-        if dropped > self._logged_drops:
-            self._counters.add("idempotency: reports dropped", dropped - self._logged_drops)
-            self._logged_drops = dropped
+        dropped_count = self._write_behind.dropped_count
+        if dropped_count > self._logged_drop_count:
+            self._counters.add("idempotency: reports dropped", dropped_count - self._logged_drop_count)
+            self._logged_drop_count = dropped_count
         self._log_journal()
 
     def _log_breaker(self) -> None:
         is_open = self._session.health.is_open
-        if is_open == self._was_open:
+        if is_open == self._logged_is_open:
             return
-        self._was_open = is_open
+        self._logged_is_open = is_open
         if is_open:
             self._counters.add("idempotency: breaker opened")
             self._log("the store is away or slow: nothing is asked of it until probes succeed")
--- a/cresstray/idempotency/store_session.py
+++ b/cresstray/idempotency/store_session.py
@@ -42,19 +42,21 @@
 
     def submit(self, commands: list[Command], deadline_us: int, on_replies: OnReplies, now_us: int) -> None:
         """Calls `on_replies` once, by the deadline, never within this."""
-        ticket = self.health.on_round_trip_started(now_us)
+        round_trip_id = self.health.on_round_trip_started(now_us)
         self._counters.add("idempotency: round trips")
-        self._client.submit(commands, deadline_us, partial(self._on_replies, ticket, now_us, on_replies))
+        self._client.submit(
+            commands, deadline_us, partial(self._on_replies, round_trip_id, now_us, on_replies)
+        )
 
     def _on_replies(
-        self, ticket: int, started_us: int, on_replies: OnReplies, replies: list[Reply] | None
+        self, round_trip_id: int, started_us: int, on_replies: OnReplies, replies: list[Reply] | None
     ) -> None:
         now_us = self._clock.now()
         is_refused = has_errors(replies)
         if is_refused:
             self._counters.add("idempotency: refused by the store")
         has_succeeded = replies is not None and not is_refused
-        self.health.on_round_trip_finished(ticket, has_succeeded, now_us)
+        self.health.on_round_trip_finished(round_trip_id, has_succeeded, now_us)
         on_replies(None if is_refused else replies, started_us, now_us)
 
     def submit_probe(
--- a/cresstray/idempotency/write_behind.py
+++ b/cresstray/idempotency/write_behind.py
@@ -19,10 +19,10 @@
 # Most attempts finish sooner; the report of the dispatch and that of its outcome are then one write.
 _DISPATCH_DELAY_US = 250_000
 # Importance of an update, least first.
-_REPEATS_THE_CLAIM = 0
-_RELEASES_THE_CLAIM = 1
-_ADDS_TO_THE_CLAIM = 2
-_HAS_NO_CLAIM = 3
+_IMPORTANCE_OF_DISPATCH = 0
+_IMPORTANCE_OF_RELEASE = 1
+_IMPORTANCE_OF_OUTCOME = 2
+_IMPORTANCE_WITHOUT_CLAIM = 3
 _IMPORTANCE_LEVELS = 4
 
 
@@ -54,10 +54,10 @@
     def importance(self) -> int:
         """Higher for updates whose loss would say more."""
         if self.event.kind is EventKind.DISPATCHED:
-            return _REPEATS_THE_CLAIM
+            return _IMPORTANCE_OF_DISPATCH
         if self.event.kind is EventKind.NOT_EXECUTED:
-            return _RELEASES_THE_CLAIM
-        return _ADDS_TO_THE_CLAIM if self.event.fence else _HAS_NO_CLAIM
+            return _IMPORTANCE_OF_RELEASE
+        return _IMPORTANCE_OF_OUTCOME if self.event.fence else _IMPORTANCE_WITHOUT_CLAIM
 
 
 class WriteBehindQueue:
@@ -113,14 +113,16 @@
             self._remove(write)
         return due
 
-    def put_back(self, writes: Iterable[PendingWrite]) -> None:
+    def requeue(self, writes: Iterable[PendingWrite]) -> None:
         """Returns updates that were not written, or may not be, to before those that came since."""
         for write in sorted(writes, key=lambda write: -write.sequence):
             key = write.digest, write.event.fence
             if self._put(write):
-                kept = self._writes[key]
+                queued_write = self._writes[key]
                 self._writes.move_to_end(key, last=False)
-                self._by_tenant[kept.tenant][kept.importance].move_to_end(kept, last=False)
+                self._by_tenant[queued_write.tenant][queued_write.importance].move_to_end(
+                    queued_write, last=False
+                )
 
     def pending_for(self, digest: bytes) -> list[PendingWrite]:
         """Returns the updates of one record."""
@@ -128,9 +130,9 @@
 
     def _put(self, write: PendingWrite) -> bool:
         key = write.digest, write.event.fence
-        present = self._writes.get(key)
-        if present is not None:
-            self._replace(present, _merge(present, write))
+        queued = self._writes.get(key)
+        if queued is not None:
+            self._replace(queued, _merge(queued, write))
             return True
         self._insert(write)
         # One tenant's flood must push out neither the updates of others nor the gateway's memory.
@@ -150,10 +152,10 @@
         self._tenant_counts[write.tenant] += 1
         self._by_digest.setdefault(write.digest, {})[write.event.fence] = write
 
-    def _replace(self, present: PendingWrite, merged: PendingWrite) -> None:
+    def _replace(self, queued: PendingWrite, merged: PendingWrite) -> None:
         """The merged update takes the place of the present one in the order."""
-        del self._by_tenant[present.tenant][present.importance][present]
-        self._by_tenant[present.tenant][merged.importance][merged] = None
+        del self._by_tenant[queued.tenant][queued.importance][queued]
+        self._by_tenant[queued.tenant][merged.importance][merged] = None
         self._writes[merged.digest, merged.event.fence] = merged
         self._by_digest[merged.digest][merged.event.fence] = merged
 
@@ -169,15 +171,15 @@
         if not self._tenant_counts[write.tenant]:
             del self._tenant_counts[write.tenant]
             del self._by_tenant[write.tenant]
-        of_digest = self._by_digest[write.digest]
-        del of_digest[write.event.fence]
-        if not of_digest:
+        writes_by_fence = self._by_digest[write.digest]
+        del writes_by_fence[write.event.fence]
+        if not writes_by_fence:
             del self._by_digest[write.digest]
 
 
 # How much a report says about its claim. NOT_EXECUTED never follows UNKNOWN: what may have run is not taken
 # back.
-_STRENGTH = {
+_REPORT_STRENGTH = {
     EventKind.DISPATCHED: 0,
     EventKind.NOT_EXECUTED: 1,
     EventKind.UNKNOWN: 2,
@@ -187,7 +189,7 @@
 
 def _merge(first: PendingWrite, second: PendingWrite) -> PendingWrite:
     older, newer = sorted((first, second), key=lambda write: write.sequence)
-    strongest = max((older, newer), key=lambda write: (_STRENGTH[write.event.kind], write.sequence))
+    strongest = max((older, newer), key=lambda write: (_REPORT_STRENGTH[write.event.kind], write.sequence))
     event = strongest.event
     if event.kind is not EventKind.NOT_EXECUTED:
         event = msgspec.structs.replace(
@@ -198,7 +200,7 @@
     due_us = strongest.due_us
     if event.kind is EventKind.DISPATCHED:
         due_us = min(older.due_us, strongest.due_us)
-    added_ids = tuple(entry_id for entry_id in newer.journal_ids if entry_id not in older.journal_ids)
+    new_journal_ids = tuple(entry_id for entry_id in newer.journal_ids if entry_id not in older.journal_ids)
     return PendingWrite(
         older.digest,
         event,
@@ -207,5 +209,5 @@
         due_us,
         older.sequence,
         newer.expected_value or older.expected_value,
-        older.journal_ids + added_ids,
+        older.journal_ids + new_journal_ids,
     )
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -274,7 +274,9 @@
         self.assertEqual(
             [ProceedUnguarded, ProceedUnguarded, Reject, Reject, Reject, Reject, ProceedUnguarded], found
         )
-        waits = [self.guard.make_retry_after(least) for least in (0, SECOND, 9 * SECOND) for _ in range(50)]
+        waits = [
+            self.guard.draw_retry_after_us(least) for least in (0, SECOND, 9 * SECOND) for _ in range(50)
+        ]
         self.assertTrue(all(SECOND <= wait <= 2 * SECOND for wait in waits))
         self.assertGreater(max(waits[100:]) - min(waits[100:]), 400_000)
 
@@ -353,7 +355,7 @@
         clock = StoreClock()
         self.assertFalse(clock.is_known(START))
         clock.on_reading(50_000, START, START + 2_000)
-        self.assertTrue(clock.lower_bound(START + 2_000) <= 50_000 <= clock.upper_bound(START + 2_000))
+        self.assertTrue(clock.lower_bound_ms(START + 2_000) <= 50_000 <= clock.upper_bound_ms(START + 2_000))
         clock.on_reading(50_990, START + SECOND, START + SECOND + 1_000)
         self.assertEqual((0, 0), (clock.regressions, clock.age_unknown_before_ms))
         clock.on_reading(49_000, START + 2 * SECOND, START + 2 * SECOND)
@@ -401,7 +403,7 @@
         taken, merged = behind.take_due(1, START), RecordEvent(EventKind.COMPLETED, *A, 1, 5, 0, b"+r")
         self.assertEqual(merged, taken[0].event)
         self.add(behind, 1, EventKind.UNKNOWN, earliest_dispatch_ms=6)
-        behind.put_back(taken)
+        behind.requeue(taken)
         self.assertEqual([merged], [item.event for item in behind.pending_for(b"1")])
         self.assertEqual([1, 3], [int(item.digest) for item in behind.take_due(9, START)])
         self.add(behind, 4, EventKind.COMPLETED)
--- a/tests/test_idempotency_client.py
+++ b/tests/test_idempotency_client.py
@@ -158,9 +158,9 @@
     def test_primary_and_pauses(self) -> None:
         places = PrimaryTracker([("a", 1), ("b", 2)])
         self.assertEqual([0, 1], places.connection_order())
-        self.assertFalse(places.on_greeted(0, False))
-        self.assertTrue(places.on_greeted(1, True) and places.on_greeted(1, True))
-        self.assertFalse(places.on_greeted(0, True), "a second primary")
+        self.assertFalse(places.on_handshake_finished(0, False))
+        self.assertTrue(places.on_handshake_finished(1, True) and places.on_handshake_finished(1, True))
+        self.assertFalse(places.on_handshake_finished(0, True), "a second primary")
         places.on_connection_closed(1)
         self.assertEqual([1], places.connection_order())
         self.assertTrue(places.on_demoted(1))
@@ -169,9 +169,9 @@
         pause = ReconnectBackoff(lambda: 0.5)
         self.assertEqual(
             [50_000, 100_000, 200_000, 400_000, 800_000, 1_000_000, 1_000_000],
-            [pause.next_delay(0) for _ in range(7)],
+            [pause.next_delay_us(0) for _ in range(7)],
         )
-        self.assertEqual(50_000, pause.next_delay(2_000_000))
+        self.assertEqual(50_000, pause.next_delay_us(2_000_000))
 
 
 class Desk:
