--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -1,6 +1,6 @@
-"""Client of the shared store: a few pipelined connections to its primary, made again whenever they end.
+"""Client of the shared store: a few pipelined connections to its primary, reopened whenever they end.
 
-The sockets of this package are here; `connection_pool` has what waits and is in flight.
+This module owns the sockets; `connection_pool` holds the commands that are queued or in flight.
 """
 
 from __future__ import annotations
@@ -34,41 +34,54 @@
 if TYPE_CHECKING:
     from cresstray.config.idempotency import StoreSettings, StoreTlsFiles
 
-# One that is cut, or waits for a lost packet, leaves the other; a gateway's load fits on one.
+# If one connection is cut, or waits for a lost packet, the other still serves; a gateway's load fits on one.
 _CONNECTION_COUNT = 2
-# Each for a connection, and for TLS with the handshake: the longest round trips that are of use to a request.
+# Applies to connecting, and again to TLS with the handshake. A request cannot use a store with longer round
+# trips.
 _HANDSHAKE_TIMEOUT_S = 1.0
-# What the network has taken and not delivered for so long is lost; otherwise the kernel retries for minutes.
+# Sent data that is not acknowledged for this long counts as lost; by default the kernel retries for minutes.
 _TCP_USER_TIMEOUT_MS = 2000
 _MAX_PASSWORD_BYTES = 4096
 
 
 class StoreTlsContext:
-    """Verifies the store's certificate against its authority and the host's name. For sites.tls."""
+    """Client-side TLS context of the store, in the form that sites.tls expects.
+
+    Verifies the store's certificate against the configured authority and the host name.
+    """
 
     def __init__(self, files: StoreTlsFiles, host: str) -> None:
-        """Raises OSError where a file cannot be used."""
+        """Loads the certificates and keys.
+
+        Raises:
+            OSError: A file cannot be used.
+        """
         self._host = host
         try:
             self._context = ssl.create_default_context(cafile=files.authority_path)
-            self._context.minimum_version = ssl.TLSVersion.TLSv1_2  # what managed stores still offer
+            # Some managed stores offer no later version than TLS 1.2.
+            self._context.minimum_version = ssl.TLSVersion.TLSv1_2
             if files.certificate_path:
                 self._context.load_cert_chain(files.certificate_path, files.key_path)
         except OSError as error:
-            raise OSError(f"keys of the store, one of {files}: {error}") from None
+            raise OSError(f"cannot use the TLS files of the store, one of {files}: {error}") from None
 
     @property
     def near(self) -> StoreTlsContext:
-        """This side's context, as sites.tls looks for it."""
+        """The context for outgoing connections, under the name that sites.tls reads."""
         return self
 
     def wrap_bio(self, incoming: ssl.MemoryBIO, outgoing: ssl.MemoryBIO, server_side: bool) -> ssl.SSLObject:
-        """Returns a TLS connection over these buffers."""
+        """Returns a client-side TLS connection over these buffers; `server_side` must be False."""
         return self._context.wrap_bio(incoming, outgoing, server_side, self._host)
 
 
 def check_files(settings: StoreSettings) -> None:
-    """Raises OSError where a file that the settings name cannot be used."""
+    """Checks the TLS and password files that the settings name.
+
+    Raises:
+        OSError: A file cannot be used, or holds no password.
+    """
     if settings.tls:
         StoreTlsContext(settings.tls, settings.addresses[0][0])
     if settings.password_path and not _read_password(settings.password_path):
@@ -83,7 +96,7 @@
 class StoreClient:
     """Submits commands to the store's primary.
 
-    `check_connections` is to be called once every CHECK_INTERVAL_US while `run` runs.
+    While `run` runs, `check_connections` must be called every CHECK_INTERVAL_US.
     """
 
     CHECK_INTERVAL_US = 1_000_000
@@ -97,7 +110,11 @@
         counters: Counters,
         log: Log,
     ) -> None:
-        """Raises OSError where a file for TLS cannot be used."""
+        """Creates a client that is not connected yet; `next_random` returns numbers in [0, 1).
+
+        Raises:
+            OSError: A TLS file cannot be used.
+        """
         self._settings = settings
         self._next_random = next_random
         self._clock = clock
@@ -108,32 +125,33 @@
             StoreTlsContext(settings.tls, host) if settings.tls else None for host, _ in settings.addresses
         ]
         self._pool = ConnectionPool(self._tracker, clock, timers, counters, log, _run_soon)
-        self._last_errors: dict[int, str] = {}  # by address, as last logged
+        self._last_errors: dict[int, str] = {}  # last logged error, by address index
         self._tasks: TaskGroup
 
     def is_connected(self) -> bool:
-        """Returns whether the primary is known and connected to."""
+        """Returns whether there is an open connection to the primary."""
         return self._pool.is_connected()
 
     def pending_bytes(self) -> int:
-        """Returns the size of all commands that somebody waits for."""
+        """Returns the approximate size of all commands whose callers still wait."""
         return self._pool.pending_bytes
 
     def submit(self, commands: Sequence[Command], deadline_us: int, on_done: OnDone) -> CommandBatch:
-        """Calls `on_done` once, by the deadline, never within this, with a reply to each command.
+        """Submits commands; calls `on_done` once, by the deadline, with a reply to each command.
 
-        Or with None: no reply came. Where `may_have_been_sent` of the returned batch is False by then,
-        nothing of it has run or will; else that is unknown. The commands run in order, except that a script
-        the store did not know runs after those behind it.
+        `on_done` is never called before this method returns. It gets None if no reply came: if
+        `may_have_been_sent` of the returned batch is False by then, none of the commands has run or will run;
+        otherwise that is unknown. The commands run in order, except that a script that the store did not know
+        is sent again and runs after the commands that follow it.
         """
         return self._pool.submit(commands, deadline_us, on_done)
 
     def check_connections(self, now_us: int) -> None:
-        """Closes silent connections, and those to a primary that has become a replica."""
+        """Closes connections that are silent, or whose server has become a replica."""
         self._pool.check_connections(now_us)
 
     async def run(self) -> None:
-        """Keeps the connections until it is cancelled; all callers that still wait then get None."""
+        """Maintains the connections until cancelled; all callers that still wait then get None."""
         try:
             async with anyio.create_task_group() as self._tasks:
                 for _ in range(_CONNECTION_COUNT):
@@ -153,7 +171,10 @@
             await anyio.sleep(backoff.next_delay_us(lifetime_us) / 1e6)
 
     async def _run_connection(self, index: int) -> int:
-        """Returns for how many microseconds a connection to this address was used; 0 if it was not."""
+        """Connects to an address and uses the connection until it ends.
+
+        Returns for how many microseconds the connection was used; 0 if it was not.
+        """
         connection: StoreConnection | None = None
         with anyio.CancelScope() as scope:
             connected_socket = await self._open_socket(index)
@@ -170,7 +191,7 @@
                 connection = StoreConnection(index, stream, channel, scope, self._clock.now())
                 await self._read_replies(connection, reader, handshake)
         if connection is None:
-            self._log_error(index, "broken in the handshake")
+            self._log_error(index, "connection lost in the handshake")
             return 0
         return max(1, self._clock.now() - connection.opened_us)
 
@@ -183,7 +204,7 @@
             return None
 
     async def _connect(self, host: str, port: int) -> socket.socket:
-        # The kernel's resolver may take seconds for a name; it must not stop the loop.
+        # Resolving a name may take seconds, and must not block the event loop.
         resolved = await anyio.getaddrinfo(host, port, family=socket.AF_INET, type=socket.SOCK_STREAM)
         host_address, port_number = resolved[0][4][:2]
         return await connect(str(host_address), int(port_number))
@@ -209,7 +230,7 @@
             return stream
         from cresstray.sites.tls import Sealed
 
-        # Sealed takes any object with these two members in place of its own contexts.
+        # Sealed needs only `near` and `wrap_bio` of its contexts, which StoreTlsContext has.
         sealed = Sealed(stream, cast(Any, context), False)
         await sealed.shake_hands()
         return sealed
@@ -230,7 +251,11 @@
                 return handshake
 
     async def _password(self) -> bytes:
-        """Reads it for each connection, so that it can be changed, and in a thread: a disk may hang."""
+        """Reads the password file.
+
+        It is read for each connection, so that the password can be changed, and in a thread, because a disk
+        may hang.
+        """
         path = self._settings.password_path
         if not path:
             return b""
@@ -252,7 +277,7 @@
                 self._pool.on_replies(connection, reader.feed(await connection.channel.receive()))
         except ProtocolError as error:
             self._counters.add("store: protocol errors")
-            connection.close(f"dropped: {error}")
+            connection.close(f"connection closed after a protocol error: {error}")
         except CONNECTION_ENDED as error:
             connection.close(repr(error))
         finally:
@@ -269,7 +294,7 @@
         return f"{host}:{port}"
 
     def _log_error(self, index: int, error: str) -> None:
-        """Logs an error of an address once, until it changes or a connection is made."""
+        """Logs an error of an address unless it is the last one logged; a new connection resets this."""
         if self._last_errors.get(index) != error:
             self._last_errors[index] = error
             self._log.log("store", f"{self._address(index)}: {error}")
@@ -280,7 +305,7 @@
         type(reply) is ErrorReply or command.accepts_reply(reply) for command, reply in zip(commands, replies)
     ]
     if len(replies) > len(commands) or not all(are_accepted):
-        raise ProtocolError(f"an answer to a greeting: {str(replies)[:60]}")
+        raise ProtocolError(f"unexpected reply in the handshake: {str(replies)[:60]}")
 
 
 def _run_soon(callback: Callable[..., object], *arguments: object) -> None:
--- a/cresstray/idempotency/codec.py
+++ b/cresstray/idempotency/codec.py
@@ -1,6 +1,6 @@
 """Codec of the Redis protocol (RESP3, RESP2) for the shared store: commands and replies as values.
 
-It has no socket and decides nothing, and does not know what a record's bytes mean.
+It does no I/O, makes no decisions about requests, and treats a record as opaque bytes.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 import hiredis
 import msgspec
 
-# What a reply may be: bytes, int, float, bool, None, a list or dict of such, or ErrorReply.
+# A reply is bytes, int, float, bool, None, a list or dict of these, or ErrorReply.
 Reply = Any
 
-# Compare-and-set in one step of the store, with its time of that moment. KEYS[1]: the key; ARGV[1]: the
-# expected value, empty for none; ARGV[2]: the new value; ARGV[3]: its lifetime in ms. Arguments are
-# strings, so that nothing is rounded.
+# Atomic compare-and-set that also returns the store's time. KEYS[1]: the key; ARGV[1]: the expected value,
+# empty if the key must not exist; ARGV[2]: the new value; ARGV[3]: its lifetime in ms. Arguments are strings,
+# so that no number is rounded.
 COMPARE_AND_SET_SCRIPT = b"""local t = redis.call('TIME')
 local now = t[1] * 1000 + math.floor(t[2] / 1000)
 local found = redis.call('GET', KEYS[1])
@@ -28,16 +28,16 @@
 return {1, now}
 """
 COMPARE_AND_SET_SHA = sha1(COMPARE_AND_SET_SCRIPT).hexdigest().encode()
-# Version of the form of records, part of each key: in a rolling upgrade a build that reads records
-# differently neither takes an older build's for its own nor overwrites them.
+# Version of the record format, part of each key: during a rolling upgrade, a build with another format
+# neither misreads nor overwrites the records of an older build.
 _RECORD_VERSION = b"m1"
-# A record with the largest result that the operator's file allows (64 kB), and as much again.
+# Twice the largest result that the operator's configuration allows (64 kB), for the rest of the record.
 _MAX_STRING_BYTES = 128 * 1024
-# A line that is no string: errors with their text.
+# Lines other than strings; the longest are errors with their text.
 _MAX_LINE_BYTES = 4096
-# Elements of one reply still to come: a page of a scan, or ROLE with some hundred replicas.
+# Elements of one reply that are still missing. A page of a scan, or ROLE with some hundred replicas, fits.
 _MAX_PENDING_ELEMENTS = 1024
-# A page of a scan with long keys, and far more than any other reply.
+# A page of a scan with long keys fits; all other replies are far smaller.
 _MAX_REPLY_BYTES = 1024 * 1024
 _MAX_ERROR_CHARACTERS = 200
 _LENGTH = re.compile(rb"-1|\d{1,9}")
@@ -53,24 +53,24 @@
 
 
 class ProtocolError(StoreProtocolError):
-    """The bytes cannot be a reply to what was asked; nothing after them on this connection can be trusted."""
+    """The bytes cannot be a reply to the command sent; the connection cannot be used any further."""
 
 
 class HandshakeError(StoreProtocolError):
-    """The store does not accept this client, or not now."""
+    """The store does not accept this client, permanently or at present."""
 
 
 class ErrorKind(Enum):
     """Why the store refused a command."""
 
-    LOADING = "LOADING"  # it is starting and has not read its data yet
-    READONLY = "READONLY"  # a replica, not the primary
+    LOADING = "LOADING"  # the store is starting and has not read its data yet
+    READONLY = "READONLY"  # the server is a replica
     OOM = "OOM"  # no memory for a write
     WRONGTYPE = "WRONGTYPE"  # the key holds something other than a string
     NOSCRIPT = "NOSCRIPT"  # the script is not cached; nothing ran
-    BUSY = "BUSY"  # another client's script is running for long
-    MOVED = "MOVED"  # a node of a cluster, which is not supported
-    DENIED = "DENIED"  # no password, a wrong one, or no permission for this command
+    BUSY = "BUSY"  # another client's script has been running for long
+    MOVED = "MOVED"  # the server is a cluster node; clusters are not supported
+    DENIED = "DENIED"  # authentication or permission failure
     OTHER = "OTHER"
 
 
@@ -85,19 +85,22 @@
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """An error reply. The command was not executed, except for OTHER, which a script may raise halfway."""
+    """An error reply.
+
+    The command was not executed, except possibly for OTHER: a script may fail after some of its effects.
+    """
 
     kind: ErrorKind
     text: str
 
 
 class Command(NamedTuple):
-    """A command with what is known of its reply.
+    """A command, and the check of its reply.
 
     Attributes:
-        arguments: What is sent.
-        accepts_reply: Whether a reply, other than ErrorReply, can be one to this command.
-        arguments_with_script: Sent instead, once, where the store does not know the script.
+        arguments: The words of the command as sent.
+        accepts_reply: Returns whether a reply, other than ErrorReply, fits this command.
+        arguments_with_script: Sent once instead if the store does not know the script.
     """
 
     arguments: tuple[bytes, ...]
@@ -111,21 +114,27 @@
 
 
 def pack_arguments(arguments: Iterable[bytes]) -> bytes:
-    """Returns a command in its form on the wire."""
-    # The stubs of hiredis declare a tuple of one element.
+    """Returns a command as it is sent."""
+    # The type stubs of hiredis declare a tuple with exactly one element.
     packed: bytes = hiredis.pack_command(tuple(arguments))  # type: ignore[arg-type]
     return packed
 
 
 def record_key(namespace: str, digest: bytes) -> bytes:
-    """Returns the key of the record with this digest. Clients' own keys are never sent."""
+    """Returns the store key of the record with this digest; clients' own keys are never sent to the store."""
     return b"%s:%s:%s" % (namespace.encode(), _RECORD_VERSION, digest.hex().encode())
 
 
 def compare_and_set(key: bytes, expected: bytes, new: bytes, lifetime_ms: int) -> Command:
-    """Returns a command whose reply `parse_compare_and_set` reads; `expected` is b"" for no value."""
+    """Returns a command whose reply `parse_compare_and_set` reads.
+
+    `expected` is b"" if the key must not exist.
+
+    Raises:
+        ValueError: `new` is empty, or `lifetime_ms` is not positive.
+    """
     if not new or lifetime_ms < 1:
-        raise ValueError("a value that is not empty, for a millisecond at the least")
+        raise ValueError("the new value must not be empty, and its lifetime must be at least 1 ms")
     script_arguments = (b"1", key, expected, new, b"%d" % lifetime_ms)
     return Command(
         (b"EVALSHA", COMPARE_AND_SET_SHA, *script_arguments),
@@ -135,7 +144,7 @@
 
 
 def get_value(key: bytes) -> Command:
-    """Returns a command whose reply is the value, or None."""
+    """Returns a command whose reply is the value of the key, or None."""
     return Command((b"GET", key), _is_value)
 
 
@@ -145,7 +154,10 @@
 
 
 def make_ping(token: bytes) -> Command:
-    """Returns a command whose reply is the token; any other reply means that replies are out of step."""
+    """Returns a command whose reply is the token.
+
+    Any other reply means that replies and commands are out of step.
+    """
     return Command((b"PING", token), lambda reply: reply == token)
 
 
@@ -155,9 +167,12 @@
 
 
 class CompareAndSetResult(NamedTuple):
-    """What became of a compare-and-set, at `store_now_ms` of Unix time.
+    """Result of a compare-and-set.
 
-    `current_value` is what the key holds instead of the expected value, None for nothing.
+    Attributes:
+        is_applied: Whether the new value was written.
+        current_value: If not, what the key holds instead of the expected value; None if it does not exist.
+        store_now_ms: The store's time, in milliseconds of Unix time.
     """
 
     is_applied: bool
@@ -166,19 +181,19 @@
 
 
 def parse_compare_and_set(reply: Reply) -> CompareAndSetResult:
-    """Reads a reply to `compare_and_set` that is no ErrorReply."""
+    """Reads a reply to `compare_and_set`; it must not be an ErrorReply."""
     if reply[0] == 1:
         return CompareAndSetResult(True, None, reply[1])
     return CompareAndSetResult(False, reply[1], reply[2])
 
 
 def parse_time_ms(reply: Reply) -> int:
-    """Reads a reply to `get_time` that is no ErrorReply: milliseconds of Unix time."""
+    """Reads a reply to `get_time`, which must not be an ErrorReply; returns milliseconds of Unix time."""
     return int(reply[0]) * 1000 + int(reply[1]) // 1000
 
 
 def is_primary(reply: Reply) -> bool:
-    """Reads a reply to `get_role` that is no ErrorReply."""
+    """Reads a reply to `get_role`, which must not be an ErrorReply."""
     return bool(reply[0] == b"master")
 
 
@@ -209,27 +224,27 @@
 
 
 class ReplyReader:
-    """Parses the replies in received bytes, however they are cut; unrequested push messages are left out.
+    """Parses replies from received bytes, however they are split; unrequested push messages are skipped.
 
-    hiredis reserves what an array announces before it arrives, all memory for one of three billion
-    elements, and keeps a string of any length. So each reply is measured first, and only complete ones are
-    handed to it.
+    hiredis allocates memory for the announced size of an array before its elements arrive (an array of three
+    billion elements would take all memory), and accepts strings of any length. Therefore each reply is first
+    checked against limits, and only complete replies are passed to hiredis.
     """
 
     _INCOMPLETE = object()
 
     def __init__(self) -> None:
-        # RESP3's false is a reply as well, so that a marker of its own stands for none.
+        # False, the default marker for "no reply yet", is also a valid RESP3 reply.
         self._reader = hiredis.Reader(notEnoughData=self._INCOMPLETE)
         self._buffer = bytearray()
         self._measured_bytes = 0
-        self._pending_elements = 0  # of the reply that is being measured
+        self._pending_elements = 0  # elements of the reply being measured that are still missing
 
     def feed(self, data: bytes) -> list[Reply]:
-        """Returns the replies that are complete now.
+        """Returns the replies that these bytes complete.
 
         Raises:
-            ProtocolError: The bytes cannot be replies.
+            ProtocolError: The bytes are not valid replies, or exceed a limit.
         """
         self._buffer += data
         complete_bytes = 0
@@ -237,7 +252,7 @@
             if not self._pending_elements:
                 complete_bytes = self._measured_bytes
         if len(self._buffer) - complete_bytes > _MAX_REPLY_BYTES:
-            raise ProtocolError(f"a reply of more than {_MAX_REPLY_BYTES} bytes")
+            raise ProtocolError(f"a reply is longer than {_MAX_REPLY_BYTES} bytes")
         if not complete_bytes:
             return []
         replies = self._parse(bytes(self._buffer[:complete_bytes]))
@@ -252,17 +267,17 @@
             while (reply := self._reader.gets()) is not self._INCOMPLETE:
                 if not isinstance(reply, hiredis.PushNotification):
                     replies.append(_to_error_reply(reply) if isinstance(reply, Exception) else reply)
-        except (hiredis.HiredisError, ValueError, TypeError) as error:  # the last: a list as a key
-            raise ProtocolError(f"no reply: {error}") from None
+        except (hiredis.HiredisError, ValueError, TypeError) as error:  # TypeError: a list as a map key
+            raise ProtocolError(f"invalid reply: {error}") from None
         return replies
 
     def _measure_element(self) -> bool:
-        """Measures one more element. Returns False if it has not arrived completely."""
+        """Measures the next element; returns False if it has not arrived completely."""
         start = self._measured_bytes
         line_end = self._buffer.find(_LINE_END, start, start + _MAX_LINE_BYTES)
         if line_end < 0:
             if len(self._buffer) - start >= _MAX_LINE_BYTES:
-                raise ProtocolError(f"a line without an end: {self._excerpt(start)!r}")
+                raise ProtocolError(f"line too long: {self._excerpt(start)!r}")
             return False
         element_type = bytes(self._buffer[start : start + 1])
         element_end = line_end + len(_LINE_END)
@@ -276,32 +291,32 @@
             per_entry = 2 if element_type == _MAP_TYPE else 1
             children = max(0, self._length(start, line_end)) * per_entry
         elif element_type not in _SCALAR_TYPES:
-            raise ProtocolError(f"not the beginning of a reply: {self._excerpt(start)!r}")
+            raise ProtocolError(f"unknown reply type: {self._excerpt(start)!r}")
         self._pending_elements = max(0, self._pending_elements - 1) + children
         if self._pending_elements > _MAX_PENDING_ELEMENTS:
-            raise ProtocolError(f"a reply of {self._pending_elements} parts")
+            raise ProtocolError(f"a reply with too many elements: {self._pending_elements} pending")
         self._measured_bytes = element_end
         return True
 
     def _string_end(self, start: int, line_end: int) -> int | None:
-        """Returns where a string that starts here ends, or None if it has not arrived completely."""
+        """Returns the end of the string that starts here, or None if it has not arrived completely."""
         data_start = line_end + len(_LINE_END)
         size = self._length(start, line_end)
         if size > _MAX_STRING_BYTES:
-            raise ProtocolError(f"a string of {size} bytes")
+            raise ProtocolError(f"string too long: {size} bytes")
         if size < 0:
             return data_start
         string_end = data_start + size + len(_LINE_END)
         if len(self._buffer) < string_end:
             return None
         if self._buffer[string_end - len(_LINE_END) : string_end] != _LINE_END:
-            raise ProtocolError("a string longer than its length")
+            raise ProtocolError("a string does not end at its announced length")
         return string_end
 
     def _length(self, start: int, line_end: int) -> int:
         digits = bytes(self._buffer[start + 1 : line_end])
         if not _LENGTH.fullmatch(digits):
-            raise ProtocolError(f"not a length: {digits[:20]!r}")
+            raise ProtocolError(f"invalid length: {digits[:20]!r}")
         return int(digits)
 
     def _excerpt(self, start: int) -> bytes:
@@ -314,7 +329,7 @@
 
 
 class Handshake(NamedTuple):
-    """What a handshake has found: the protocol's version, and the store's role."""
+    """Result of a handshake: the protocol version, and whether the server is a primary."""
 
     protocol: int
     is_primary: bool
@@ -324,13 +339,13 @@
 
 
 def perform_handshake(user: str, password: bytes) -> HandshakeSteps:
-    """Yields the commands that open a connection, step by step, and is sent their replies.
+    """Yields the commands that open a connection, step by step; the caller sends it their replies.
 
-    RESP3 is used, or RESP2 where the store does not know HELLO (before Redis 6) or this version; the role
-    comes from ROLE or INFO. The script is loaded, so that commands need not carry it.
+    Uses RESP3, or RESP2 if the store does not know HELLO (before Redis 6) or does not support RESP3. Reads
+    the role by ROLE, or by INFO if ROLE is refused. Loads the script, so that commands need not carry it.
 
     Raises:
-        HandshakeError: The store does not accept this client, or not now.
+        HandshakeError: The store does not accept this client, permanently or at present.
     """
     protocol = yield from _negotiate(user, password)
     role_reply, load_reply = yield [
@@ -350,7 +365,7 @@
 
 
 def _negotiate(user: str, password: bytes) -> Generator[list[Command], list[Reply], int]:
-    """Agrees on the protocol and authenticates; returns the protocol's version."""
+    """Negotiates the protocol and authenticates; returns the protocol version."""
     arguments: tuple[bytes, ...] = (b"HELLO", b"3")
     if password:
         arguments += (b"AUTH", user.encode(), password)
@@ -360,7 +375,8 @@
     if not hello.text.startswith(("ERR unknown command", "NOPROTO")):
         raise HandshakeError(hello.text)
     if password:
-        # Users came with HELLO: an older store has a password only.
+        # A store without HELLO has no named users (both came with Redis 6), so only a password is sent for
+        # the default user.
         user_arguments = () if user == "default" else (user.encode(),)
         (auth,) = yield [Command((b"AUTH", *user_arguments, password), lambda reply: reply == b"OK")]
         if isinstance(auth, ErrorReply):
--- a/cresstray/idempotency/connection_pool.py
+++ b/cresstray/idempotency/connection_pool.py
@@ -1,7 +1,7 @@
-"""Batches of commands that wait for a connection to the store, and the connections that take them.
+"""Queue of command batches for the store, and the connections that take them.
 
-No sockets here. Nothing is sent twice by itself, except a script that the store does not know. Each batch
-has a deadline, and its caller is called once, by then.
+This module opens no sockets. Nothing is retried automatically, except a script that the store does not know.
+Each batch has a deadline; its callback is called exactly once, by the deadline.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 if TYPE_CHECKING:
     RunSoon = Callable[..., object]
 
-# While the store is away each batch would be kept until its deadline.
+# While the store is unavailable, every batch is queued until its deadline.
 _MAX_WAITING_BATCHES = 1024
-_MAX_PENDING_BYTES = 2 * 1024 * 1024  # of all that somebody waits for
-# No batch is open longer, so that whoever waited for what is in flight has gone: a connection that was
-# silent for so long is of no use.
+_MAX_PENDING_BYTES = 2 * 1024 * 1024  # of all batches whose callers still wait
+# No batch has a later deadline, so nobody waits any more for the commands in flight on a connection that was
+# silent for this long; it is closed.
 _MAX_SILENCE_US = 3_000_000
 
 
 class ConnectionPool:
-    """The client's connections, all to one primary, and what waits for them."""
+    """The client's connections, all to one primary, and the batches queued for them."""
 
     def __init__(
         self,
@@ -43,7 +43,10 @@
         log: Log,
         run_soon: RunSoon,
     ) -> None:
-        """`run_soon` calls a function with its arguments in the next turn of the event loop."""
+        """Creates a pool without connections.
+
+        `run_soon` calls a function with its arguments in the next iteration of the event loop.
+        """
         self._tracker = tracker
         self._clock = clock
         self._timers = timers
@@ -57,11 +60,11 @@
         self._is_closed = False
 
     def is_connected(self) -> bool:
-        """Returns whether the primary is known and connected to."""
+        """Returns whether there is an open connection to the primary."""
         return any(connection.is_open for connection in self.connections)
 
     def submit(self, commands: Sequence[Command], deadline_us: int, on_done: OnDone) -> CommandBatch:
-        """Calls `on_done` once, by the deadline, never within this; see StoreClient.submit."""
+        """Submits commands; see StoreClient.submit."""
         batch = CommandBatch(commands, deadline_us, on_done)
         self._counters.add("store: batches")
         is_full = (
@@ -81,7 +84,7 @@
         return batch
 
     def check_connections(self, now_us: int) -> None:
-        """Closes silent connections, and asks the others for the role.
+        """Closes silent connections, and asks the other ones for the role of their server.
 
         A primary may have become a replica.
         """
@@ -89,7 +92,7 @@
             silence_us = now_us - connection.pipeline.last_progress_us
             if len(connection.pipeline) and silence_us > _MAX_SILENCE_US:
                 self._counters.add("store: connections silent")
-                connection.close("silent")
+                connection.close("no replies to commands in flight")
             elif connection.has_capacity():
                 self._ask_role(connection, now_us)
 
@@ -100,10 +103,10 @@
 
     def _on_role(self, connection: StoreConnection, replies: Replies | None) -> None:
         if replies and type(replies[0]) is not ErrorReply and not codec.is_primary(replies[0]):
-            self._on_demoted(connection, "a replica now")
+            self._on_demoted(connection, "the server has become a replica")
 
     def close(self) -> None:
-        """Accepts no more; all that wait are told that no reply came."""
+        """Accepts no more batches; the callers of all queued ones get None."""
         self._is_closed = True
         while self._waiting:
             self._finish(self._waiting.popleft(), None)
@@ -114,7 +117,7 @@
             self._run_soon(self._flush)
 
     def _flush(self) -> None:
-        """Sends what was submitted in one turn of the loop in one piece for each connection."""
+        """Sends the batches of one iteration of the event loop, in one message for each connection."""
         self._is_flush_scheduled = False
         now_us = self._clock.now()
         started: dict[StoreConnection, list[CommandBatch]] = {}
@@ -124,7 +127,7 @@
             if connection is None:
                 break
             batch = self._waiting.popleft()
-            if batch.deadline_us > now_us:  # else its timer is due
+            if batch.deadline_us > now_us:  # otherwise its timer is due
                 message = connection.pipeline.start(batch, now_us)
                 messages.setdefault(connection, bytearray()).extend(message)
                 started.setdefault(connection, []).append(batch)
@@ -154,16 +157,16 @@
             on_done(replies)
 
     def add(self, connection: StoreConnection) -> None:
-        """Takes a greeted connection into use."""
+        """Adds a connection after its handshake."""
         self._counters.add("store: connections made")
         self.connections.append(connection)
         self._flush_soon()
 
     def on_replies(self, connection: StoreConnection, replies: Replies) -> None:
-        """Hands replies to their callers.
+        """Passes replies to the callers of their batches.
 
         Raises:
-            ProtocolError: They are no replies to what was asked; the connection must be closed.
+            ProtocolError: The replies do not fit the commands; the connection must be closed.
         """
         now_us = self._clock.now()
         for reply in replies:
@@ -182,14 +185,14 @@
                 self._on_demoted(connection, reply.text)
         if batch is None:
             return
-        # A process that was stopped for long reads what has come before its timers run.
+        # A process that was suspended reads the received replies before its overdue timers run.
         if now_us > batch.deadline_us:
             self._on_deadline(batch, now_us)
         else:
             self._finish(batch, batch.replies)
 
     def _on_demoted(self, connection: StoreConnection, reason: str) -> None:
-        """The store is no primary any more, by its own word: all connections to it end."""
+        """Closes all connections: the server reports that it is no longer a primary."""
         if connection.is_counted and self._tracker.on_demoted(connection.address_index):
             self._counters.add("store: primaries lost")
             for other in self.connections:
@@ -197,9 +200,9 @@
                 other.close(reason)
 
     def remove(self, connection: StoreConnection) -> None:
-        """The connection has ended.
+        """Removes a connection that has ended.
 
-        What may have been sent has failed; the rest waits for another connection.
+        `return_unsent` then ends the batches that may have been sent, and queues the others again.
         """
         connection.is_open = False
         self.connections.remove(connection)
@@ -208,10 +211,13 @@
         self._counters.add("store: connections ended")
 
     def return_unsent(self, connection: StoreConnection) -> None:
-        """After `remove`: ends batches that may have been sent, and puts the others first in the queue."""
+        """Ends batches that may have been sent, and puts the others first in the queue.
+
+        Called after `remove`.
+        """
         batches = connection.pipeline.close()
         for batch in batches:
-            is_role_check = batch.timeout is None  # of this connection only
+            is_role_check = batch.timeout is None  # a role check belongs to its connection
             if batch.may_have_been_sent or is_role_check:
                 self._finish(batch, None)
         self._waiting.extendleft(batch for batch in reversed(batches) if batch.on_done is not None)
--- a/cresstray/idempotency/coordinator.py
+++ b/cresstray/idempotency/coordinator.py
@@ -1,8 +1,8 @@
-"""Idempotency of one gateway's requests, as the stages of its pipeline call it.
+"""Entry point of the package: idempotency checks of one gateway's requests, for the stages of its pipeline.
 
-The parts: `record_lookup` reads and claims records, `execution_guard` decides, `open_requests` is the
-dispatch fence and makes reports, `record_writer` writes them, `store_fallback` decides without the store,
-`store_monitor` watches it.
+Connects the parts: `record_lookup` reads and claims records, `execution_guard` decides, `open_requests`
+checks each dispatch against the claim and makes reports, `record_writer` writes the reports, `store_fallback`
+decides without the store, and `store_monitor` watches the store.
 """
 
 from __future__ import annotations
@@ -43,25 +43,26 @@
 if TYPE_CHECKING:
     from cresstray.config.idempotency import IdempotencySettings
 
-# As the policy has it: what ends within this of the deadline is ended by its sweep.
+# Same value as in the policy, whose periodic sweep ends requests this close to their deadline.
 _DEADLINE_MARGIN_US = 200_000
-# Part of the time before the deadline that is left for the store in any case.
+# At least this part of the time before the deadline remains for lookups in the store.
 _MIN_SLACK_DIVISOR = 10
-# Usual duration of an attempt where nothing is known: this part of the latency objective.
+# Expected duration of an attempt without a latency estimate: this part of the latency objective.
 _DEFAULT_DURATION_DIVISOR = 4
-# What is forwarded to another site may be sent there until its deadline; a claim that ended before that, as
-# this gateway reckons it, would allow no forwarding. A fiftieth is for the speeds of two clocks, and a
-# tenth of a second for the store's time, which is only an estimate when the claim is written.
+# Another site may send a forwarded request until its deadline, so a request is only forwarded if its claim is
+# valid until then by this gateway's calculation. Claims therefore extend beyond the deadline: by a fiftieth
+# for the different speeds of two clocks, and by 0.1 s because the store's time is only estimated when the
+# claim is written.
 _CLAIM_EXTENSION_DIVISOR = 50
 _CLAIM_EXTENSION_US = 100_000
 
 
 def _discard_line(_line: str) -> None:
-    """Takes lines for operators where nobody reads them."""
+    """Default for `log`: ignores lines for operators."""
 
 
 class _DeploymentNames:
-    """What is used of the deployment's settings, whose keys are fixed."""
+    """The values read from the deployment settings, whose keys are fixed."""
 
     def __init__(self, settings: Mapping[str, Any]) -> None:
         limits = settings.get("Limits", {})
@@ -72,12 +73,12 @@
         self._tenants = [str(tenant.get("Name", "")) for tenant in settings.get("Tenants", [])]
 
     def tenant(self, index: int) -> str:
-        """Returns the tenant's name; "" for one that is not in the settings."""
+        """Returns the name of a tenant; "" if it is not in the settings."""
         return self._tenants[index] if index < len(self._tenants) else ""
 
 
 class IdempotencyCoordinator:
-    """Has requests with one idempotency key executed once, across gateways that share a store."""
+    """Lets requests with the same idempotency key be executed once, across gateways that share a store."""
 
     def __init__(
         self,
@@ -96,9 +97,9 @@
     ) -> None:
         """Connects the parts.
 
-        `owner` is this gateway's name, `incarnation` this process and no other that ever had the name. The
-        classes are in the order of the deployment's settings. `chance` is in [0, 1); `log` takes lines for
-        operators.
+        `owner` is this gateway's name; `incarnation` is unique to this process among all that had the name.
+        `request_classes` are in the order of the deployment settings. `next_random` returns numbers in
+        [0, 1); `log` takes lines for operators.
         """
         self._holder = ClaimHolder(owner, incarnation)
         self._settings = operator_settings
@@ -183,15 +184,15 @@
         )
 
     def check(self, context: RequestContext, now_us: int, on_decision: OnDecision) -> bool:
-        """Returns False for a request that needs no record; else calls `on_decision` once.
+        """Returns False for a request that needs no record; otherwise calls `on_decision` once.
 
-        The call may come within this. With Proceed or ProceedUnguarded it may be dispatched; Reject, Fail
-        and ReplayResult are its end.
+        The call may come before this method returns. After Proceed or ProceedUnguarded the request may be
+        dispatched; Reject, Fail and ReplayResult end it.
         """
         request = context.request
         mode = self.guard_modes[request.request_class.index]
         idempotency_key = context.query.idempotency_key
-        # What another site has forwarded was checked where it was accepted.
+        # A request forwarded by another site was checked at the site that accepted it.
         if mode is GuardMode.NOT_NEEDED or not idempotency_key or request.is_forwarded_in:
             return False
         class_name = self._deployment.classes[request.request_class.index]
@@ -210,42 +211,45 @@
         return True
 
     def may_dispatch(self, request: Request, now_us: int) -> bool:
-        """Returns whether an attempt may be sent at this moment, by the clock of this moment.
+        """Returns whether an attempt may be sent now; `now_us` must be a fresh reading of the clock.
 
-        If not, nothing may be sent, and the attempt ends as one that no engine has received.
+        If not, the attempt must not be sent, and ends as one that no engine has received.
         """
         return self.open_requests.may_dispatch(request, now_us)
 
     def remaining_us(self, request: Request, now_us: int) -> int | None:
-        """Returns for how long it may still be sent, here or by another site.
+        """Returns for how long attempts may still be sent, by this gateway or another site.
 
-        None for a request without record.
+        Returns None for a request without a record.
         """
         guarded = self.open_requests.by_request.get(request)
         return None if guarded is None else max(0, guarded.dispatch_until_us - now_us)
 
     def on_attempt_sent(self, request: Request, now_us: int) -> None:
-        """An attempt is sent; `on_attempt_finished` must follow."""
+        """Records that an attempt is being sent; `on_attempt_finished` must follow."""
         self.open_requests.on_attempt_sent(request, now_us)
 
     def on_attempt_finished(self, request: Request, outcome: Outcome, now_us: int) -> None:
-        """An attempt has ended."""
+        """Records the outcome of an attempt."""
         self.open_requests.on_attempt_finished(request, outcome, now_us)
 
     def on_request_finished(
         self, request: Request, final_state: str, result: bytes | None, now_us: int
     ) -> None:
-        """The final answer is out already, or its client has left; `how` as the accounting names it."""
+        """Records that the request was answered, or that its client has left.
+
+        `final_state` is the name used by the accounting.
+        """
         self.open_requests.on_request_finished(request, final_state, result, now_us)
 
     # Journal and crash recovery.
 
     def use_journal(self, journal: ClaimJournal) -> None:
-        """Uses this journal from here on; nothing is kept of the one before."""
+        """Replaces the journal; nothing is taken over from the previous one."""
         self._journal_slot.journal = journal
 
     def recover(self, entries: Iterable[JournalEntry], now_us: int) -> None:
-        """Reports claims that an earlier process never settled, from the journal: they may have run."""
+        """Reports claims that an earlier process never settled in the journal as possibly executed."""
         for entry in entries:
             event = RecordEvent(EventKind.UNKNOWN, *self._holder, entry.fence)
             self._counters.add("idempotency: unknown after a crash")
@@ -256,7 +260,10 @@
     # Background work.
 
     def run_background_step(self, now_us: int) -> bool:
-        """Runs some fifty times a second while it returns True: there is more to do."""
+        """Runs one background step; returns True while there is more to do.
+
+        It is called about fifty times a second as long as it returns True.
+        """
         self.writer.return_failed()
         self._monitor.start_probe(now_us)
         self._monitor.log_changes()
@@ -265,7 +272,7 @@
         return self.writer.is_busy() or self._monitor.is_publishing or self.health.is_open
 
     def run_shutdown_step(self, now_us: int) -> bool:
-        """Runs a background step before the process ends; returns whether the store would take more."""
+        """Runs a background step before the process ends; returns whether another one would be of use."""
         return self.run_background_step(now_us) and not self.health.is_open
 
 
@@ -275,7 +282,7 @@
         expected_us = request_class.latency.expected_us(request)
     else:
         expected_us = request_class.latency_objective_us // _DEFAULT_DURATION_DIVISOR
-    # What is too late for its latency objective may still be answered before its deadline.
+    # A request that has missed its latency objective may still be answered before its deadline.
     stretched_objective_us = (
         request_class.latency_objective_us + request_class.objective_stretch * expected_us
     )
--- a/cresstray/idempotency/execution_guard.py
+++ b/cresstray/idempotency/execution_guard.py
@@ -1,9 +1,11 @@
-"""Decides about one request from its idempotency record, or without it while the store is unavailable. Pure.
+"""Decides about one request from its idempotency record, or without it while the store is unavailable.
 
-Two things protect a deduplicated request against a second execution: the engines' deduplication window, for
-some seconds, and the record, which keeps any attempt from being sent once that window may have ended. While
-the window surely holds, another gateway's claim is waited for only to save work; after it nobody sends what
-may have run.
+Pure: no I/O, no clock.
+
+Two mechanisms protect a deduplicated request against a second execution: the engines' deduplication window,
+for some seconds, and the record, which prevents any attempt from being sent once that window may have ended.
+While the window certainly holds, waiting for another gateway's claim only saves work. After the window, a
+request that may have run is not sent again.
 """
 
 from __future__ import annotations
@@ -25,19 +27,19 @@
 if TYPE_CHECKING:
     from cresstray.config.idempotency import IdempotencySettings
 
-# An engine receives an attempt later than it was sent, and clocks run at different speeds. A repeated
-# request is sent no later than this before the window of the first ends.
+# An engine receives an attempt some time after it was sent. A repeated request is sent no later than this
+# before the end of the first attempt's window (plus the margin for clock drift below).
 _TRANSFER_MARGIN_US = 100_000
-# One hundredth of the window: more than any two clocks differ by.
+# A hundredth of the window: the speeds of two clocks differ by less.
 _CLOCK_DRIFT_DIVISOR = 100
-# Less than this left of a window is not worth an attempt.
+# If less than this is left of a window, no attempt is sent.
 _MIN_WINDOW_LEFT_US = 50_000
-# A record dated further in the future was written by another clock; its age is unknown.
+# A record dated further in the future was written by the store with another clock; its age is unknown.
 _MAX_FUTURE_MS = 1_000
-# Another gateway's claim is read again after half of the time waited so far, within these bounds.
+# A record claimed by another gateway is read again after half of the time waited so far, within these bounds.
 _MIN_WAIT_US = 20_000
 _MAX_WAIT_US = 200_000
-# A claim that no window bounds: longer than any request lives.
+# Longest claim if no window limits it: longer than any request lasts.
 _MAX_CLAIM_US = 600_000_000
 _UNGUARDED_WINDOW_US = 1_000_000
 _UNGUARDED_WINDOW_BUCKETS = 10
@@ -46,14 +48,14 @@
 class GuardMode(Enum):
     """What protects the requests of a class against a second execution."""
 
-    NOT_NEEDED = "free"  # idempotent, or not named by the operator
-    SHARED_DEDUP_WINDOW = "shared"  # all engines share one deduplication window: that, then the record
-    SCOPED_DEDUP_WINDOW = "apart"  # window by zone or cell, or none: across gateways the record alone
-    AT_MOST_ONCE = "once"  # the record alone, where the client gives a key
+    NOT_NEEDED = "free"  # idempotent, or not listed by the operator
+    SHARED_DEDUP_WINDOW = "shared"  # one window for all engines, then the record
+    SCOPED_DEDUP_WINDOW = "apart"  # window by zone or cell, or none: the record alone
+    AT_MOST_ONCE = "once"  # the record alone, if the client gives a key
 
 
 def guard_mode_of(request_class: RequestClass, name: str, settings: IdempotencySettings) -> GuardMode:
-    """Returns the mode of a request class with this name."""
+    """Returns the mode for a request class with this name."""
     if request_class.is_idempotent or name not in settings.request_classes:
         return GuardMode.NOT_NEEDED
     if not request_class.is_deduplicated:
@@ -65,7 +67,7 @@
 
 
 class ClaimHolder(NamedTuple):
-    """A gateway process: its name, and which of its starts this is."""
+    """A gateway process that holds claims: the gateway's name, and an identifier of this start."""
 
     owner: str
     incarnation: str
@@ -75,10 +77,10 @@
     """Times of one request in microseconds of this gateway's clock.
 
     Attributes:
-        started_us: When the record was first asked for.
-        latest_dispatch_us: Until then it can be sent and answered within its latency objective.
-        deadline_us: For so long a claim must hold.
-        dedup_window_us: For how long engines remember the request.
+        started_us: When the first lookup of the record began.
+        latest_dispatch_us: Latest dispatch time for an answer within the latency objective.
+        deadline_us: Time until which a claim must be valid.
+        dedup_window_us: Length of the engines' deduplication window.
     """
 
     started_us: int
@@ -88,9 +90,12 @@
 
 
 class LookupResult(NamedTuple):
-    """What the store holds, at `store_now_ms` of its clock.
+    """Result of a lookup.
 
-    Records from before `age_unknown_before_ms` may be older than they look.
+    Attributes:
+        record: The record in the store; None if there is none.
+        store_now_ms: The store's time at the lookup.
+        age_unknown_before_ms: Records dated before this may be older than their times say.
     """
 
     record: IdempotencyRecord | None
@@ -99,14 +104,14 @@
 
 
 class StoreUnavailable(NamedTuple):
-    """Why nothing is known, and for how many microseconds the store has not answered well."""
+    """Why the record is not known, and the time since the store's last good reply."""
 
     reason: str
     unavailable_us: int = 0
 
 
 class Claim(NamedTuple):
-    """The claim is to be written first; the store's reply then decides."""
+    """The claim must be written; the store's reply decides."""
 
     event: RecordEvent
 
@@ -119,19 +124,19 @@
 
 
 class Wait(NamedTuple):
-    """The record is to be read again at `retry_at_us` of this gateway's clock."""
+    """The record must be read again at `retry_at_us` of this gateway's clock."""
 
     retry_at_us: int
 
 
 class Reject(NamedTuple):
-    """The client is to try again after `retry_after_us`."""
+    """The request is rejected; the client may retry after `retry_after_us`."""
 
     retry_after_us: int
 
 
 class Fail(NamedTuple):
-    """It has run, or may have: engines would no longer discard a repeated request."""
+    """The request has run or may have run, and engines would no longer discard a repetition."""
 
     reason: str
 
@@ -143,7 +148,7 @@
 
 
 class ProceedUnguarded(NamedTuple):
-    """The request may be dispatched without the store's word, within the operator's allowance."""
+    """The request may be dispatched without a record, within the rate that the operator allows."""
 
     reason: str
 
@@ -152,7 +157,7 @@
 
 
 def dedup_safety_margin_us(dedup_window_us: int) -> int:
-    """Returns how long before the end of a deduplication window it counts as over."""
+    """Returns how long before its end a deduplication window counts as over."""
     return _TRANSFER_MARGIN_US + dedup_window_us // _CLOCK_DRIFT_DIVISOR
 
 
@@ -162,13 +167,15 @@
     def __init__(
         self, settings: IdempotencySettings, max_retry_after_us: int, next_random: Callable[[], float]
     ) -> None:
-        """`max_retry_after_us`.
+        """Creates the guard.
 
-        The longest that clients wait before they come back; `chance` is in [0, 1).
+        `max_retry_after_us` is the longest retry_after sent to clients; `next_random` returns numbers in
+        [0, 1).
         """
         self._max_retry_after_us = max_retry_after_us
         self._next_random = next_random
-        # Off for classes that the operator does not name: no second execution is worth more than an answer.
+        # Not allowed for classes that the operator does not list: avoiding a second execution matters more
+        # than an answer.
         self._unguarded_rates = {name: float(rate) for name, rate in settings.unguarded_rates.items()}
         self._max_unguarded_us = settings.max_unguarded_us
         self._recent_unguarded = {
@@ -185,10 +192,10 @@
         timing: RequestTiming,
         now_us: int,
     ) -> Claim:
-        """Returns a claim on a free record, or, within the engines' window, one beside another holder's.
+        """Returns a claim on an unclaimed record, or a takeover of another holder's claim within the window.
 
-        `store_now_ms` must not be later than the store's time. Fences grow with it where the last one was
-        lost.
+        `store_now_ms` must not be later than the store's time. It is the least value of the new fence, so
+        that fences grow even if the store has lost the previous record.
         """
         is_takeover = record is not None and record.state is not RecordState.ABSENT
         earliest_dispatch_ms = store_now_ms
@@ -217,7 +224,7 @@
     def _known_window_end_ms(
         self, mode: GuardMode, record: IdempotencyRecord, lookup: LookupResult, timing: RequestTiming
     ) -> int:
-        """Returns until when all engines surely remember the request; 0 if that is not known."""
+        """Returns until when all engines certainly remember the request; 0 if that is not known."""
         if mode is not GuardMode.SHARED_DEDUP_WINDOW:
             return 0
         is_from_the_future = record.earliest_dispatch_ms > lookup.store_now_ms + _MAX_FUTURE_MS
@@ -234,9 +241,9 @@
             if result is not None:
                 return ReplayResult(result)
         if _has_window_left(lookup.store_now_ms, window_end_ms):
-            # The engines answer a repeated request with the first result, or run what never ran.
+            # The engines answer a repetition with the first result, or execute the request if it never ran.
             return Proceed(record.fence, window_end_ms)
-        return Fail("it has run" if is_completed else "it may have run")
+        return Fail("the request has run" if is_completed else "the request may have run")
 
     def _decide_claimed(
         self,
@@ -251,23 +258,23 @@
         is_claim_valid = lookup.store_now_ms < record.valid_until_ms
         if is_claim_valid:
             retry_at_us = self._retry_at_us(timing, now_us)
-            # The other half of the time is for an attempt of this gateway, should the holder have died.
+            # The second half of the time is reserved for an attempt of this gateway, in case the holder died.
             if retry_at_us < half_time_us(timing):
                 return Wait(retry_at_us)
         if _has_window_left(lookup.store_now_ms, window_end_ms):
             return self.make_claim(mode, record, holder, lookup.store_now_ms, timing, now_us)
         if is_claim_valid:
             return Reject(self.draw_retry_after_us((record.valid_until_ms - lookup.store_now_ms) * 1000))
-        return Fail("its gateway is gone, and may have sent it")
+        return Fail("the claim has expired, and its holder may have sent the request")
 
     def _retry_at_us(self, timing: RequestTiming, now_us: int) -> int:
         wait_us = min(_MAX_WAIT_US, max(_MIN_WAIT_US, (now_us - timing.started_us) // 2))
         return now_us + int(wait_us * (0.5 + 0.5 * self._next_random()))
 
     def decide_without_store(self, unavailable: StoreUnavailable, class_name: str, now_us: int) -> Decision:
-        """Returns what to do while nothing is known.
+        """Returns the decision while the record is not known.
 
-        It may have run elsewhere, outside the engines' window.
+        The request may have run through another gateway, outside the engines' window.
         """
         unguarded_count = self._recent_unguarded.get(class_name)
         if unguarded_count is None or unavailable.unavailable_us > self._max_unguarded_us:
@@ -278,13 +285,13 @@
         return ProceedUnguarded(unavailable.reason)
 
     def draw_retry_after_us(self, min_us: int) -> int:
-        """Returns a wait in microseconds, spread so that clients rejected together do not return together."""
+        """Returns a random retry_after, so that clients rejected together do not retry together."""
         least_us = max(self._max_retry_after_us // 2, min(min_us, 3 * self._max_retry_after_us // 4))
         return least_us + int((self._max_retry_after_us - least_us) * self._next_random())
 
 
 def half_time_us(timing: RequestTiming) -> int:
-    """Returns when half of the time between the first lookup and the latest dispatch has passed."""
+    """Returns the middle of the time between the first lookup and the latest dispatch time."""
     return timing.started_us + (timing.latest_dispatch_us - timing.started_us) // 2
 
 
@@ -293,6 +300,6 @@
 
 
 def _window_end_ms(earliest_dispatch_ms: int, timing: RequestTiming) -> int:
-    """Returns until when engines surely remember what was sent no sooner than `earliest_dispatch_ms`."""
+    """Returns until when engines certainly remember a request sent at `earliest_dispatch_ms` or later."""
     margin_us = dedup_safety_margin_us(timing.dedup_window_us)
     return earliest_dispatch_ms + max(0, timing.dedup_window_us - margin_us) // 1000
--- a/cresstray/idempotency/guarded_request.py
+++ b/cresstray/idempotency/guarded_request.py
@@ -1,4 +1,4 @@
-"""One request that needs an idempotency record, from its first lookup to the report on its outcome."""
+"""State of a request that needs an idempotency record, from its first lookup to the report on its outcome."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 
 class GuardedRequest:
-    """State of one request; it is open until it has its answer and nothing of it is in flight.
+    """State of one request; the request is open until it is answered and has no attempt or lookup in flight.
 
     Attributes:
         request: The request.
-        class_name: Name of its class in the deployment's settings.
+        class_name: Name of its request class in the deployment settings.
         mode: What protects it against a second execution.
-        timing: Its times, by this gateway's clock.
-        digest: Of its idempotency key.
+        timing: Its times by this gateway's clock.
+        digest: Digest of its idempotency key.
         on_decision: Called once with the decision; None afterwards.
-        lookup_deadline_us: End of the present lookup's time budget.
-        claim_attempts: Claims written or tried so far.
-        claim: A claim that is in the store, or may be.
-        dispatch_until_us: No attempt is sent from then on; 0: none may be.
-        stored_value: The record's bytes as last read or written.
-        record: What these bytes say.
-        is_claim_current: Its own claim is what the store holds.
-        attempts_in_flight: Attempts sent and not finished.
-        is_finished: Its client has the answer, or has left.
-        has_completed: An attempt has succeeded.
-        may_have_run: An attempt may have been executed.
-        first_dispatch_ms: By the store's clock; 0 before the first attempt.
-        outcome: What the record is to keep of the result.
-        journal_id: Its claim in the journal.
-        is_lookup_pending: A round trip to the store is in flight for it.
-        has_retried_lookup: The lookup was repeated once because no reply came.
+        lookup_deadline_us: End of the time budget of the current lookup.
+        claim_attempts: Number of compare-and-set commands for a claim so far.
+        claim: The claim that is in the store, or may be; None if there is none.
+        dispatch_until_us: Attempts may be sent before this time only; 0 if none may be sent.
+        stored_value: Encoded record as last read or written.
+        record: The record in `stored_value`.
+        is_claim_current: Whether the record in the store is its own claim.
+        attempts_in_flight: Number of attempts sent and not finished.
+        is_finished: Whether it was answered, or its client has left.
+        has_completed: Whether an attempt has succeeded.
+        may_have_run: Whether an attempt may have been executed.
+        first_dispatch_ms: Earliest store time of the first attempt; 0 if there was none, or if it is unknown.
+        outcome: Outcome to store in the record; see records.make_outcome.
+        journal_id: Entry id of its claim in the journal; None without one.
+        is_lookup_pending: Whether a round trip to the store is in flight for it.
+        has_retried_lookup: Whether the lookup was repeated once because no reply came.
     """
 
     __slots__ = (
--- a/cresstray/idempotency/health.py
+++ b/cresstray/idempotency/health.py
@@ -1,7 +1,7 @@
 """Circuit breaker, concurrency limit and time budget of the shared store, and bounds of its clock. Pure.
 
-The store is an aid that requests must never hang on. Time spent on it is taken from a request's slack, and
-while it fails or is slow nothing is asked of it until a probe has succeeded.
+Requests must never hang on the store: a lookup may take only a part of a request's slack, and while the store
+fails or is slow, requests do not use it until probes have succeeded.
 """
 
 from __future__ import annotations
@@ -16,45 +16,47 @@
 
 _WINDOW_US = 2_000_000
 _WINDOW_BUCKETS = 10
-# At most this part of a request's slack goes to the store, whatever it asks there.
+# One lookup may take at most this part of a request's slack.
 _SLACK_DIVISOR = 4
-# Usual round trips that a lookup may take: two that it needs, and as much again for variation. The
-# threshold for slow replies is always allowed, because an event loop that was busy for some milliseconds is
-# no fault of the store.
+# Time budget of a lookup in mean round trips: the two that it needs, and as much again for variation. The
+# budget is never below the threshold for slow replies, because some milliseconds in which the event loop was
+# busy must not count against the store.
 _BUDGET_ROUND_TRIPS = 4
-# Faults in the window that open the breaker, if they are this part of all replies too. Fewer are
-# accidental, and more would cost the slack of that many requests.
+# Failed or slow round trips in the window that open the breaker, if they are also this part of all. Fewer may
+# be accidental; with a higher threshold, more requests would lose their slack first.
 _MIN_FAULTS = 5
 _MIN_FAULT_RATIO = 0.5
-# Probes that must succeed in a row, because one may by chance.
+# Consecutive successful probes that close the breaker; a single one may succeed by chance.
 _PROBES_TO_CLOSE = 3
-# At the start one is enough, as nothing speaks against the store.
+# After startup one is enough, as there was no failure.
 _PROBES_TO_CLOSE_AT_START = 1
 _PROBE_INTERVAL_US = 250_000
 _MAX_PROBE_INTERVAL_US = 4_000_000
 _MAX_INTERVAL_DOUBLINGS = 4
-# Requests accumulate in memory at a store that has just stopped, until its round trips show it.
+# Limits the requests held in memory when the store has just stopped and no round trip has failed yet.
 _MAX_ROUND_TRIPS = 1_000
-# A well-kept clock is set back by less; the guard's margin is fifteen of these for a window of 20 s.
+# A synchronized clock is set back by less. The guard's safety margin for a window of 20 s is 15 times as
+# long.
 _CLOCK_TOLERANCE_MS = 20
-# A clock that is a day off is corrected by people, who also look after what depends on it.
+# A published regression further ahead is ignored. A clock that is a day off is corrected by operators, who
+# also take care of the records.
 _MAX_REGRESSION_AHEAD_MS = 86_400_000
 _MAX_REGRESSION_DIGITS = 15
 _MAX_READING_AGE_US = 60_000_000
 
 
 class StoreHealth:
-    """Circuit breaker of the store. It starts open: nothing is known of the store before its first reply."""
+    """Circuit breaker of the store; open at first, as the store's state is unknown before its first reply."""
 
     def __init__(self, settings: IdempotencySettings, next_random: Callable[[], float], now_us: int) -> None:
-        """`chance` returns numbers in [0, 1)."""
+        """Creates an open breaker; `next_random` returns numbers in [0, 1)."""
         self._max_lookup_us = settings.max_lookup_us
         self._slow_us = settings.slow_us
         self._next_random = next_random
         self._round_trip_sum = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
         self._round_trip_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
         self._fault_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
-        self._started_us: dict[int, int] = {}  # by ticket
+        self._started_us: dict[int, int] = {}  # by round trip id
         self._last_round_trip_id = 0
         self.is_open = True
         self._consecutive_successes = 0
@@ -65,7 +67,7 @@
         self._last_success_us = now_us
 
     def time_budget_us(self, slack_us: int, now_us: int) -> int:
-        """Returns how many microseconds of a slack a lookup may take; 0: go on without the store."""
+        """Returns how much of a request's slack a lookup may take; 0 if the store must not be used."""
         if self.is_open or len(self._started_us) >= _MAX_ROUND_TRIPS:
             return 0
         count = self._round_trip_count.lower_bound(now_us)
@@ -75,15 +77,15 @@
         return budget_us if budget_us > mean_us else 0
 
     def on_round_trip_started(self, now_us: int) -> int:
-        """Returns the ticket to be handed to `on_round_trip_finished`."""
+        """Returns the id to pass to `on_round_trip_finished`."""
         self._last_round_trip_id += 1
         self._started_us[self._last_round_trip_id] = now_us
         return self._last_round_trip_id
 
     def on_round_trip_finished(self, round_trip_id: int, has_succeeded: bool, now_us: int) -> None:
-        """Records a reply, or its absence; may open or close the breaker."""
+        """Records the end of a round trip; may open or close the breaker."""
         started_us = self._started_us.pop(round_trip_id, None)
-        assert started_us is not None, "a round trip finished that was not started"
+        assert started_us is not None, "a round trip finished that was not started, or twice"
         if started_us is None:
             return
         duration_us = now_us - started_us
@@ -111,7 +113,7 @@
             self._schedule_probe(now_us)
 
     def start_probe(self, now_us: int) -> int | None:
-        """Returns a ticket for a probe if one is due; a probe is never a request's own lookup."""
+        """Returns the round trip id of a probe if one is due; lookups of requests never serve as probes."""
         if not self.is_open or self._probe_id is not None or now_us < self._next_probe_us:
             return None
         self._probe_id = self.on_round_trip_started(now_us)
@@ -130,13 +132,13 @@
             return
         self.is_open = False
         self._last_success_us = now_us
-        # What the store was like before the breaker opened says nothing about the present.
+        # Statistics from before the breaker opened do not describe the store's present state.
         self._round_trip_sum = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
         self._round_trip_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
         self._fault_count = SlidingWindow(_WINDOW_US, _WINDOW_BUCKETS)
 
     def _schedule_probe(self, now_us: int) -> None:
-        # Hundreds of gateways lose the store at once; their probes are spread.
+        # Hundreds of gateways may lose the store at once, so their probes are spread at random.
         doublings = min(self._consecutive_failures, _MAX_INTERVAL_DOUBLINGS)
         interval_us = min(_MAX_PROBE_INTERVAL_US, _PROBE_INTERVAL_US << doublings)
         self._next_probe_us = now_us + int(interval_us * (0.5 + 0.5 * self._next_random()))
@@ -147,54 +149,58 @@
 
 
 class StoreClock:
-    """Bounds of the store's time, from its replies, and whether that time went back.
+    """Bounds of the store's time, estimated from its replies, and detection of regressions of its clock.
 
-    The two clocks may differ by anything, and in speed by a hundredth.
+    The offset between the store's clock and this gateway's may have any size; their speeds differ by at most
+    a hundredth.
     """
 
     def __init__(self) -> None:
-        # The last reading in ms, and between which two moments of this gateway's clock it was taken.
+        # The last reading in ms, and the two times of this gateway's clock between which it was taken.
         self._reading_ms = 0
         self._requested_us = 0
         self._received_us = 0
-        self.age_unknown_before_ms = 0  # what is from before that may be older than it looks
+        self.age_unknown_before_ms = 0  # records dated before this may be older than they seem
         self.regressions = 0
 
     def is_known(self, now_us: int) -> bool:
-        """Returns whether fences can be drawn from it; the drift in the time allowed is under a second."""
+        """Returns whether a recent reading exists, from which fences can be derived.
+
+        The drift since a reading of the greatest allowed age is under a second.
+        """
         return self._reading_ms > 0 and now_us - self._received_us < _MAX_READING_AGE_US
 
     def lower_bound_ms(self, now_us: int) -> int:
-        """Returns the earliest that the store's time may be, in ms."""
+        """Returns the earliest possible store time at `now_us`."""
         elapsed_us = now_us - self._received_us
         return self._reading_ms + int(elapsed_us * (0.99 if elapsed_us > 0 else 1.01)) // 1000
 
     def upper_bound_ms(self, now_us: int) -> int:
-        """Returns the latest that the store's time may be, in ms."""
+        """Returns the latest possible store time at `now_us`."""
         elapsed_us = now_us - self._requested_us
         return self._reading_ms + int(elapsed_us * (1.01 if elapsed_us > 0 else 0.99)) // 1000 + 1
 
     def on_published_regression(self, value: bytes | None) -> None:
-        """Takes over what another gateway has left in the store when it saw the clock go back."""
+        """Applies a clock regression that another gateway has observed and published in the store."""
         if value is None or not value.isdigit() or len(value) > _MAX_REGRESSION_DIGITS:
             return
         cutoff_ms = int(value)
-        # A wrong value far ahead would leave all records without an age for good.
+        # A wrong value far in the future would make the age of all records unknown permanently.
         if cutoff_ms < self._reading_ms + _MAX_REGRESSION_AHEAD_MS:
             self.age_unknown_before_ms = max(self.age_unknown_before_ms, cutoff_ms)
 
     def on_reading(self, store_now_ms: int, requested_us: int, now_us: int) -> None:
-        """Takes a reading that was asked for at `asked_us` and received now."""
+        """Records a reading of the store's clock that was requested at `requested_us` and received now."""
         has_regressed = self._reading_ms > 0 and store_now_ms + _CLOCK_TOLERANCE_MS < self.lower_bound_ms(
             requested_us
         )
         if has_regressed:
-            # After a failover to another machine, or a change of its clock, records look younger than they
-            # are. All that may be from before that moment is of unknown age.
+            # After a failover to another machine, or a change of the store's clock, older records seem
+            # younger than they are. The age of all records that may date from before now is unknown.
             self.regressions += 1
             self.age_unknown_before_ms = max(self.age_unknown_before_ms, self.upper_bound_ms(now_us))
         elif store_now_ms <= self._reading_ms:
-            return  # a reply that was overtaken by a later one
+            return  # a later reading was processed first
         self._reading_ms = store_now_ms
         self._requested_us = requested_us
         self._received_us = now_us
--- a/cresstray/idempotency/in_flight.py
+++ b/cresstray/idempotency/in_flight.py
@@ -1,4 +1,4 @@
-"""Commands in flight on one connection to the store, in order, and which address is the primary. No I/O."""
+"""Command batches, the pipeline of one connection to the store, and the choice of the primary. No I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 Replies = list[Reply]
 OnDone = Callable[[Replies | None], None]
-# Errors that the store gives to a PING as well.
+# Errors with which the store replies to every command, also to PING.
 _REFUSES_ALL_COMMANDS = (ErrorKind.LOADING, ErrorKind.BUSY, ErrorKind.DENIED)
-# Pause between two rounds over all addresses: doubled each time, and spread by a half.
+# Delay between two rounds over all addresses: doubled each time, and multiplied by a random factor of 0.5 to
+# 1.5.
 _MIN_BACKOFF_US = 50_000
 _MAX_BACKOFF_US = 1_000_000
-# A connection that lived so long has worked and resets the pause.
+# A connection that lasted this long resets the delay.
 _STABLE_CONNECTION_US = 2_000_000
 
 
@@ -24,18 +25,18 @@
     """A timer that can be cancelled."""
 
     def cancel(self) -> None:
-        """Prevents the call."""
+        """Cancels the timer."""
 
 
 class CommandBatch:
-    """Commands that are answered together, from their submission until the caller has been called.
+    """Commands that are answered together, from their submission to the call of their callback.
 
     Attributes:
-        commands: What is asked; empty once nobody waits for it.
-        deadline_us: When the caller is called at the latest.
-        on_done: The caller's handler; None once nobody waits.
+        commands: The commands; empty after `release`.
+        deadline_us: Latest time of the call.
+        on_done: The caller's callback; None after `release`.
         size_bytes: Approximate size on the wire.
-        may_have_been_sent: Whether any byte may have left; False at the end: nothing of it ran.
+        may_have_been_sent: Whether any byte may have been sent. If still False at the end, no command ran.
         replies: One for each command.
         timeout: The timer of the deadline.
     """
@@ -60,14 +61,14 @@
         self.timeout: Cancellable | None = None
 
     def release(self) -> None:
-        """Nobody waits for it any more. Replies that still come are counted, not kept."""
+        """Drops the callback and the commands; replies that still come are only counted."""
         self.on_done = None
         self.commands = ()
         self.replies = []
 
 
 class _WrittenGroup:
-    """Commands of one batch that were written in one piece, followed by a PING with a token."""
+    """Commands of one batch that were written together, followed by a PING with a token."""
 
     __slots__ = ("batch", "indexes", "acceptors", "token", "carries_script", "replies", "has_only_errors")
 
@@ -84,19 +85,19 @@
 
 
 class CommandPipeline:
-    """All that is in flight on one connection.
+    """The commands in flight on one connection.
 
-    Replies carry no names. With one too many, each command would get the reply to the one before, and a
-    record that is present would be taken for an absent one. So each batch is followed by a token, and none
-    of its replies is passed on before the token has come back at its place.
+    Replies carry no identifiers. After one surplus reply, each command would get the reply to the command
+    before it, and an existing record could be taken for an absent one. Therefore each batch is followed by a
+    PING with a token, and its replies are passed on only after the token has come back in the right position.
     """
 
     def __init__(self, max_groups: int) -> None:
-        """`max_groups` counts those that nobody waits for any more too."""
+        """Creates an empty pipeline; `max_groups` includes groups whose callers do not wait any more."""
         self._max_groups = max_groups
         self._last_token_number = 0
         self._groups: deque[_WrittenGroup] = deque()
-        # When the last complete reply came, or the first of those in flight left.
+        # When the last reply came, or when the first group in flight was written, if that was later.
         self.last_progress_us = 0
 
     def __len__(self) -> int:
@@ -107,7 +108,7 @@
         return len(self._groups) < self._max_groups
 
     def start(self, batch: CommandBatch, now_us: int) -> bytes:
-        """Returns what is to be written."""
+        """Adds a batch; returns the bytes to write."""
         return self._start(batch, range(len(batch.commands)), False, now_us)
 
     def _start(self, batch: CommandBatch, indexes: Sequence[int], carries_script: bool, now_us: int) -> bytes:
@@ -124,15 +125,14 @@
         return b"".join(map(codec.pack_arguments, arguments))
 
     def on_reply(self, reply: Reply, now_us: int) -> tuple[CommandBatch | None, bytes]:
-        """Returns a batch that is complete now, and what is to be written.
+        """Processes a reply; returns the batch that it completes, if any, and bytes to write.
 
         Raises:
-            ProtocolError: The reply is not one to what was asked. An error of this connection is noticed
-            only if
-                replies are too many or too few, not both at once.
+            ProtocolError: The reply does not fit the command in its position. This detects surplus or missing
+                replies on a connection, but not both at once.
         """
         if not self._groups:
-            raise ProtocolError("a reply that nobody has asked for")
+            raise ProtocolError("a reply without a command")
         self.last_progress_us = now_us
         group = self._groups[0]
         if len(group.replies) < len(group.acceptors):
@@ -146,7 +146,7 @@
     def _on_command_reply(group: _WrittenGroup, reply: Reply) -> None:
         is_error = type(reply) is ErrorReply
         if not is_error and not group.acceptors[len(group.replies)](reply):
-            raise ProtocolError(f"out of step: {str(reply)[:60]}")
+            raise ProtocolError(f"reply does not fit the command: {str(reply)[:60]}")
         group.has_only_errors = group.has_only_errors and is_error
         group.replies.append(None if group.batch.on_done is None else reply)
 
@@ -156,8 +156,8 @@
             type(reply) is ErrorReply and reply.kind in _REFUSES_ALL_COMMANDS and group.has_only_errors
         )
         if reply != group.token and not refuses_all:
-            expected_position = f"where number {group.token.decode()} belongs"
-            raise ProtocolError(f"out of step: {str(reply)[:60]} {expected_position}")
+            expected_position = f"instead of token {group.token.decode()}"
+            raise ProtocolError(f"reply out of step: {str(reply)[:60]} {expected_position}")
 
     def _complete(self, group: _WrittenGroup, now_us: int) -> tuple[CommandBatch | None, bytes]:
         batch = group.batch
@@ -165,15 +165,15 @@
             return None, b""
         for index, reply in zip(group.indexes, group.replies):
             batch.replies[index] = reply
-        # The store does not know the script, and nothing of these ran. They are sent once more, with the
-        # script.
+        # These commands did not run, because the store does not know the script. They are sent once more,
+        # with the script.
         unknown_script_indexes = [] if group.carries_script else _find_unknown_scripts(group)
         if unknown_script_indexes:
             return None, self._start(batch, unknown_script_indexes, True, now_us)
         return batch, b""
 
     def close(self) -> list[CommandBatch]:
-        """The connection has ended. Returns the batches that somebody waits for."""
+        """Empties the pipeline after its connection ended; returns the batches whose callers still wait."""
         batches = [group.batch for group in self._groups]
         self._groups = deque()
         return [batch for batch in batches if batch.on_done is not None]
@@ -189,11 +189,11 @@
 
 
 class PrimaryTracker:
-    """The store's addresses, and which of them is the primary by its own word.
+    """The store's addresses, and which of them is used as the primary.
 
-    With connections to two servers that both call themselves primary, a record written to one would not be
-    found in the other. All connections go to the first primary found, until it says otherwise or its last
-    connection ends.
+    With connections to two servers that both report to be the primary, a record written to one would not be
+    found in the other. Therefore all connections go to the first primary found, until it reports to be a
+    replica or its last connection ends.
     """
 
     def __init__(self, addresses: Sequence[tuple[str, int]]) -> None:
@@ -203,14 +203,14 @@
         self._connections = 0  # to the primary
 
     def connection_order(self) -> list[int]:
-        """Returns the indexes of the addresses to try now, in order."""
+        """Returns the indexes of the addresses to connect to, in order."""
         if self.primary is not None:
             return [self.primary]
         others = [index for index in range(len(self.addresses)) if index != self._last_primary]
         return [self._last_primary, *others]
 
     def on_handshake_finished(self, index: int, is_primary: bool) -> bool:
-        """Returns whether the connection is to be used; if so, `on_connection_closed` must follow."""
+        """Returns whether a new connection is to be used; if so, `on_connection_closed` must follow."""
         if not is_primary or self.primary not in (None, index):
             return False
         self.primary = index
@@ -219,14 +219,17 @@
         return True
 
     def on_connection_closed(self, index: int) -> None:
-        """A connection that was used has ended."""
+        """Records the end of a connection that was used."""
         if index == self.primary:
             self._connections -= 1
             if not self._connections:
                 self.primary = None
 
     def on_demoted(self, index: int) -> bool:
-        """Returns whether this is news; the connections to the address are then to be closed."""
+        """Records that the server is no longer a primary.
+
+        Returns whether it was used as one; all connections to it must then be closed.
+        """
         if index != self.primary:
             return False
         self.primary = None
@@ -235,16 +238,16 @@
 
 
 class ReconnectBackoff:
-    """Pauses before the addresses are tried again."""
+    """Delays before the addresses are tried again: exponential, with random spread."""
 
     def __init__(self, next_random: Callable[[], float]) -> None:
         self._next_random = next_random
         self._next_us = _MIN_BACKOFF_US
 
     def next_delay_us(self, lifetime_us: int) -> int:
-        """Returns microseconds to wait after a connection that lived so long.
+        """Returns the delay after a connection that lasted `lifetime_us`.
 
-        The pauses are spread, because all gateways lose the store at once.
+        Delays are spread at random, because all gateways lose the store at once.
         """
         if lifetime_us >= _STABLE_CONNECTION_US:
             self._next_us = _MIN_BACKOFF_US
--- a/cresstray/idempotency/journal.py
+++ b/cresstray/idempotency/journal.py
@@ -1,8 +1,8 @@
-"""Journal of claims on a local disk, synced before an attempt is sent while the store is unavailable.
+"""Journal of claims on a local disk; while the store is unavailable, claims are synced before dispatch.
 
-A claim that was not settled when the process ended is unknown to the next one. A torn end of the file is
-cut, a damaged entry in the middle is left out, and both are reported. `journal_codec` has the form of the
-file.
+The next process reports claims that were not settled when this one ended: their outcome is unknown. An
+incomplete end of the file is truncated, a damaged entry in the middle is skipped, and both are reported as
+warnings. `journal_codec` defines the file format.
 """
 
 from __future__ import annotations
@@ -17,12 +17,14 @@
 from cresstray.idempotency.journal_codec import ENTRY_SIZE, HEADER, EntryKind, JournalEntry
 from cresstray.idempotency.records import EventKind, RecordEvent
 
-# Rewritten once it is so long and mostly settled: 16,000 entries, a few milliseconds of a disk.
+# A longer file is compacted once most of its claims are settled. Writing 16,000 entries takes a disk a few
+# milliseconds.
 _COMPACTION_BYTES = 16_000 * ENTRY_SIZE
-# A file of any length would delay the start. So many entries are a day of one a second, none settled.
+# Limits the time to read the file at startup. 100,000 entries are more than a day of one unsettled claim a
+# second.
 _MAX_BYTES = 100_000 * ENTRY_SIZE
 _READ_BYTES = 1 << 20
-# A file that is rewritten once less than this part of it counts.
+# A file is compacted if less than this part of it consists of unsettled claims.
 _MIN_UNSETTLED_DIVISOR = 4
 _MAX_ERROR_CHARACTERS = 160
 
@@ -32,15 +34,15 @@
 
 
 class JournalLockedError(JournalError):
-    """Another process has this journal."""
+    """Another process holds the lock of the journal."""
 
 
 class JournalFormatError(JournalError, ValueError):
-    """The file is no journal, or one of another form; a line that says why."""
+    """The file is not a journal, or has another format."""
 
 
 class DiskCalls:
-    """The calls to the disk, so that a test can make any of them fail."""
+    """System calls on the disk; tests replace them to make a call fail."""
 
     open = staticmethod(os.open)
     close = staticmethod(os.close)
@@ -51,7 +53,7 @@
 
 
 class Journal:
-    """One process's file. `open` may take long; `append` syncs. Both belong in a thread."""
+    """The journal file of one process. `open` and `append` may block on the disk; call them in a thread."""
 
     def __init__(self, path: str, disk: DiskCalls | None = None) -> None:
         self.path = path
@@ -59,25 +61,25 @@
         self._lock_descriptor: int | None = None
         self._file_descriptor: int | None = None
         self._synced_bytes = 0
-        self._is_tail_uncertain = False  # what the disk has of the file's end is unknown
+        self._is_tail_uncertain = False  # whether the last write is on the disk is unknown
         self.unsettled_entries: dict[int, JournalEntry] = {}  # by id
-        self.warnings: list[str] = []  # what was wrong with the file
+        self.warnings: list[str] = []  # damage found when the file was read
 
     def open(self) -> list[JournalEntry]:
-        """Returns the claims of earlier processes that were never settled.
+        """Locks and reads the journal; returns the claims that earlier processes never settled.
 
         Raises:
-            JournalLockedError: Another process has it.
-            JournalFormatError: The file is no journal of this form.
-            OSError: From the disk.
+            JournalLockedError: Another process holds the lock.
+            JournalFormatError: The file is not a journal, or has another format.
+            OSError: A call to the disk failed.
         """
-        # The lock is a file of its own, because the journal's file is replaced when it is compacted.
+        # The lock is a separate file, because compaction replaces the journal file.
         lock_descriptor = self._disk.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             self._disk.close(lock_descriptor)
-            raise JournalLockedError(f"{self.path}: another process has it") from None
+            raise JournalLockedError(f"{self.path}: locked by another process") from None
         except BaseException:
             self._disk.close(lock_descriptor)
             raise
@@ -93,13 +95,15 @@
         data = self._read_file()
         header = data[:ENTRY_SIZE]
         if len(header) < ENTRY_SIZE and HEADER.startswith(header):
-            # New, or its first write was torn: it never held a claim.
+            # A new file, or one whose first write was incomplete: it never held a claim.
             if header:
-                self.warnings.append(f"{self.path}: torn in its first record; begun anew")
+                self.warnings.append(f"{self.path}: first record incomplete; starting a new journal")
             self._rewrite(())
             return
         if header != HEADER:
-            raise JournalFormatError(f"{self.path}: not a journal of claims, or one of another build")
+            raise JournalFormatError(
+                f"{self.path}: not a journal of claims, or a journal with another format"
+            )
         replayed = journal_codec.replay(data)
         self.unsettled_entries = replayed.unsettled
         self._report_damage(replayed, len(data))
@@ -110,7 +114,7 @@
             self._synced_bytes = len(data)
 
     def _read_file(self) -> bytes:
-        # Not blocking: a named pipe under this path would hold up the start for good.
+        # O_NONBLOCK: opening or reading a named pipe at this path would otherwise block the start forever.
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NONBLOCK
         self._file_descriptor = self._disk.open(self.path, flags, 0o600)
         chunks = []
@@ -119,26 +123,26 @@
             chunks.append(chunk)
             size += len(chunk)
             if size > _MAX_BYTES:
-                raise JournalFormatError(f"{self.path}: longer than any journal")
+                raise JournalFormatError(f"{self.path}: longer than the maximum size of a journal")
         return b"".join(chunks)
 
     def _report_damage(self, replayed: journal_codec.ReplayedFile, size: int) -> None:
         cut_bytes = size - replayed.intact_bytes
         if cut_bytes:
             self.warnings.append(
-                f"{self.path}: a torn tail, {cut_bytes} bytes cut at {replayed.intact_bytes}"
+                f"{self.path}: incomplete end, {cut_bytes} bytes truncated at offset {replayed.intact_bytes}"
             )
         if replayed.damaged_offsets:
             self.warnings.append(
-                f"{self.path}: {len(replayed.damaged_offsets)} damaged records left out, the first at "
-                f"{replayed.damaged_offsets[0]}; what they claimed is not known"
+                f"{self.path}: {len(replayed.damaged_offsets)} damaged records skipped, the first at offset "
+                f"{replayed.damaged_offsets[0]}; their claims are unknown"
             )
 
     def append(self, entries: Iterable[JournalEntry]) -> None:
-        """Writes and syncs all of them.
+        """Writes and syncs the entries.
 
         Raises:
-            OSError: None of them counts, and what was there before is kept.
+            OSError: None of the entries counts as written; the earlier ones are kept.
         """
         entries = list(entries)
         unsettled = journal_codec.apply_entries(self.unsettled_entries, entries)
@@ -156,9 +160,9 @@
     def _append(self, data: bytes) -> None:
         assert self._file_descriptor is not None, "the journal is not open"
         if self._synced_bytes + len(data) > _MAX_BYTES:
-            raise OSError(errno.EFBIG, "the journal is full of what was never settled")
-        # After a failed sync the next may report success although data was lost. Nothing is appended to
-        # such a file: all that counts is written anew.
+            raise OSError(errno.EFBIG, "the journal is full of unsettled claims")
+        # After a failed sync the next one may report success although data was lost. Nothing is appended to
+        # such a file; the next write rewrites it with all unsettled claims.
         self._is_tail_uncertain = True
         self._write_all(self._file_descriptor, data)
         self._disk.fsync(self._file_descriptor)
@@ -166,7 +170,7 @@
         self._is_tail_uncertain = False
 
     def _rewrite(self, entries: Iterable[JournalEntry]) -> None:
-        """Writes a new file aside, syncs it, puts it in place, and syncs the directory."""
+        """Writes and syncs a new file, renames it to the journal's path, and syncs the directory."""
         data = journal_codec.encode_file(entries)
         new_path = f"{self.path}.new"
         file_descriptor = self._disk.open(new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
@@ -199,7 +203,7 @@
             remaining = remaining[self._disk.write(file_descriptor, remaining) :]
 
     def close(self) -> None:
-        """Closes the file and releases its lock."""
+        """Closes the file and releases the lock."""
         for descriptor in (self._file_descriptor, self._lock_descriptor):
             if descriptor is not None:
                 self._disk.close(descriptor)
@@ -208,38 +212,38 @@
 
 
 def make_unknown_event(entry: JournalEntry, owner: str, incarnation: str) -> RecordEvent:
-    """Returns the report on a claim that a crash interrupted: when it was dispatched is unknown."""
+    """Returns the report on a claim that was unsettled at a crash; its time of dispatch is unknown."""
     return RecordEvent(EventKind.UNKNOWN, owner, incarnation, entry.fence)
 
 
 class JournalWriter:
-    """Appends in a thread of its own, all that waits in one sync, so that a disk that hangs delays nothing.
+    """Appends entries in a separate thread, with one sync for all that wait.
 
-    The thread is a daemon, because a process that waited for it at its end would hang for as long as the
-    disk.
+    A disk that hangs does not block the event loop. The thread is a daemon, because a process that waits for
+    it at exit would hang for as long as the disk.
     """
 
-    # Beyond this the disk does not keep up; what would wait behind it would be late.
+    # With more waiting entries the disk is too slow, and a new claim would be synced too late.
     MAX_WAITING = 1_000
-    # Settlements may wait longer: nobody depends on them.
+    # More settlements may wait, as no request depends on them.
     _MAX_WAITING_SETTLED = 4 * MAX_WAITING
 
     def __init__(self, journal: Journal) -> None:
-        """Takes over a journal that is open."""
+        """Starts the thread; takes over a journal that is open."""
         self._journal = journal
-        # Ids go on after those that the file has open.
+        # New ids follow the greatest id among the unsettled claims in the file.
         self._last_id = max(journal.unsettled_entries, default=0)
         self._waiting: list[JournalEntry] = []
-        self._unwritten_settled: list[JournalEntry] = []  # of a failed write: go with the next
+        self._unwritten_settled: list[JournalEntry] = []  # from a failed write; retried with the next one
         self._sync_results: dict[int, bool] = {}
         self._condition = threading.Condition()
         self._is_stopped = False
-        self.last_error = ""  # of the last write; "" for none
+        self.last_error = ""  # error of the last write; "" if it succeeded
         self._thread = threading.Thread(target=self._run, name="idempotency journal", daemon=True)
         self._thread.start()
 
     def append_claim(self, digest: bytes, fence: int, tenant: int) -> int | None:
-        """Returns the entry's id, for `take_sync_result`; None if too many wait."""
+        """Queues a claim; returns its entry id for `take_sync_result`, or None if too many entries wait."""
         with self._condition:
             if self._is_stopped or len(self._waiting) >= self.MAX_WAITING:
                 return None
@@ -249,25 +253,25 @@
             return self._last_id
 
     def append_settled(self, entry_id: int) -> None:
-        """The claim with this id needs no report any more."""
+        """Queues the settlement of a claim: it needs no report any more."""
         with self._condition:
             if not self._is_stopped and len(self._waiting) < self._MAX_WAITING_SETTLED:
                 self._waiting.append(JournalEntry(EntryKind.SETTLED, entry_id, b"", 0, 0))
                 self._condition.notify()
 
     def take_sync_result(self, entry_id: int) -> bool | None:
-        """Returns once whether the entry is on the disk; None while that is unknown."""
+        """Returns whether the entry is on the disk, and forgets it; None while that is unknown."""
         with self._condition:
             return self._sync_results.pop(entry_id, None)
 
     def stop(self) -> None:
-        """Accepts no more; what waits is still written, if the disk allows it."""
+        """Accepts no more entries; those that wait are still written, unless the disk hangs."""
         with self._condition:
             self._is_stopped = True
             self._condition.notify()
 
     def join(self, timeout_s: float) -> bool:
-        """Returns whether all is written and the file is closed."""
+        """Waits for the thread; returns whether it has written all entries and closed the file."""
         self._thread.join(timeout_s)
         return not self._thread.is_alive()
 
@@ -279,7 +283,7 @@
         self._journal.close()
 
     def _take_waiting(self) -> list[JournalEntry]:
-        """Blocks until there is something to write; returns nothing at the end."""
+        """Blocks until entries wait; returns an empty list when the thread must end."""
         with self._condition:
             while not (self._waiting or self._is_stopped):
                 self._condition.wait()
@@ -289,13 +293,13 @@
             return entries
 
     def _write(self, entries: list[JournalEntry]) -> str:
-        """Returns what went wrong; "" for nothing."""
+        """Writes and syncs entries; returns an error text, or "" on success."""
         try:
             self._journal.append(entries)
         except OSError as error:
             return " ".join((error.strerror or repr(error)).split())[:_MAX_ERROR_CHARACTERS]
-        except Exception as error:  # A thread that ended unnoticed would sync nothing any more.
-            return f"a fault of its own: {error!r}"
+        except Exception as error:  # An uncaught exception would end the thread, and nothing would be synced.
+            return f"internal error: {error!r}"
         return ""
 
     def _on_written(self, entries: list[JournalEntry], error: str) -> None:
--- a/cresstray/idempotency/journal_codec.py
+++ b/cresstray/idempotency/journal_codec.py
@@ -1,7 +1,7 @@
-"""Form of the journal file of claims: entries of one length, each with its own checksum. Pure.
+"""File format of the journal of claims: entries of fixed length, each with its own checksum. Pure.
 
-The file begins with a header as long as an entry. The numbers of the kinds and the order of the fields are
-fixed by files on disk. Names that earlier builds used:
+The file begins with a header as long as an entry. The numbers of the kinds and the order of the fields must
+not change, because of existing files. Names that earlier builds used:
 
     earlier    here
     what       kind: INTENDED 1 > CLAIMED, SETTLED 2
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-# Kind, entry id, digest of 20 bytes, fence, tenant; then a checksum of these.
+# Kind, entry id, digest of 20 bytes, fence, tenant; followed by a checksum of these.
 _BODY = struct.Struct(">BQ20sQI")
 _CHECKSUM = struct.Struct(">I")
 ENTRY_SIZE = _BODY.size + _CHECKSUM.size
@@ -27,16 +27,17 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry says."""
+    """Kind of an entry: a claim, or the settlement of an earlier one."""
 
     CLAIMED = 1
     SETTLED = 2
 
 
 class JournalEntry(NamedTuple):
-    """One entry. `entry_id` is its own among this file's, so that two claims of one key are two.
+    """One entry.
 
-    An entry that settles a claim has its id; the other fields are empty.
+    `entry_id` is unique among the claims of a file, also for two claims of the same key. A settlement has the
+    id of its claim; its other fields are empty.
     """
 
     kind: EntryKind
@@ -47,12 +48,12 @@
 
 
 class ReplayedFile(NamedTuple):
-    """Content of a file: claims that were not settled, by id, and where it is damaged.
+    """Content of a file: unsettled claims by entry id, and its damage.
 
     Attributes:
-        unsettled: Claims in the order of the file.
-        damaged_at: Offsets of damaged entries before the end.
-        intact_bytes: Where the file is to be cut.
+        unsettled: The claims, in the order of the file.
+        damaged_offsets: Offsets of damaged entries that are followed by intact ones.
+        intact_bytes: Length to which the file must be truncated.
     """
 
     unsettled: dict[int, JournalEntry]
@@ -61,13 +62,13 @@
 
 
 def encode_entry(entry: JournalEntry) -> bytes:
-    """Returns the entry as it stands in the file."""
+    """Returns the bytes of an entry in the file."""
     body = _BODY.pack(*entry)
     return body + _CHECKSUM.pack(crc32(body))
 
 
 def encode_file(entries: Iterable[JournalEntry]) -> bytes:
-    """Returns a whole file with these entries."""
+    """Returns the bytes of a file with these entries."""
     return HEADER + b"".join(map(encode_entry, entries))
 
 
@@ -84,7 +85,7 @@
 def apply_entries(
     unsettled: dict[int, JournalEntry], entries: Iterable[JournalEntry]
 ) -> dict[int, JournalEntry]:
-    """Returns the claims that are not settled after these entries."""
+    """Returns the claims that are still unsettled after these entries."""
     remaining = dict(unsettled)
     for entry in entries:
         if entry.kind is EntryKind.CLAIMED:
@@ -95,7 +96,7 @@
 
 
 def replay(data: bytes) -> ReplayedFile:
-    """Reads a file whose header was checked."""
+    """Reads the content of a file whose header was checked."""
     size = len(data)
     intact: list[JournalEntry] = []
     damaged_offsets: list[int] = []
@@ -105,7 +106,7 @@
             damaged_offsets.append(offset)
         else:
             intact.append(entry)
-    # After a crash the file may have its full length, with zeros where nothing was written yet.
+    # After a crash the file may have its full length, with zeros where data was not yet written.
     intact_bytes = size
     while damaged_offsets and damaged_offsets[-1] == (intact_bytes - ENTRY_SIZE) // ENTRY_SIZE * ENTRY_SIZE:
         intact_bytes = damaged_offsets.pop()
--- a/cresstray/idempotency/open_requests.py
+++ b/cresstray/idempotency/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open at one gateway: their decisions, their attempts, and the report at their end."""
+"""The open requests of one gateway: their decisions, their attempts, and the final reports on them."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from cresstray.observability.counters import Counters
 from cresstray.policy.types import Outcome, Request
 
-# Outcomes which prove that an attempt was never executed, as the policy has them.
+# Outcomes which prove that an attempt was never executed, the same as in the policy.
 _NOT_EXECUTED = (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.EXPIRED_BEFORE_SEND)
-# Names of the decisions in counters.
+# Counters of decisions.
 _DECISION_COUNTERS = {
     "Proceed": "idempotency: proceed",
     "Reject": "idempotency: reject",
@@ -34,7 +34,7 @@
 class OpenRequests:
     """Guarded requests by request.
 
-    Every method that looks a request up does nothing for one that needs no record.
+    Methods that take a Request ignore requests without a record.
     """
 
     def __init__(
@@ -58,19 +58,19 @@
         self.lookups_by_tenant: Counter[int] = Counter()
 
     def add(self, guarded: GuardedRequest) -> None:
-        """Opens a request."""
+        """Adds a request, which is open from now on."""
         self.by_request[guarded.request] = guarded
         self._counters.add("idempotency: requests")
 
-    # Round trips that a request waits for, counted by tenant.
+    # Lookups in flight, counted by tenant.
 
     def on_lookup_started(self, guarded: GuardedRequest) -> None:
-        """A round trip to the store begins for it."""
+        """Records that a round trip to the store begins for the request."""
         guarded.is_lookup_pending = True
         self.lookups_by_tenant[guarded.request.tenant] += 1
 
     def on_lookup_finished(self, guarded: GuardedRequest) -> None:
-        """The round trip has ended, well or not."""
+        """Records that the round trip has ended, with or without success."""
         guarded.is_lookup_pending = False
         tenant = guarded.request.tenant
         self.lookups_by_tenant[tenant] -= 1
@@ -80,7 +80,7 @@
     # Decisions.
 
     def deliver(self, guarded: GuardedRequest, decision: Decision, now_us: int) -> None:
-        """Hands the decision to who waits for it; after the first one only settles the request."""
+        """Passes the decision to the caller; after the first decision, only settles the request."""
         on_decision = guarded.on_decision
         guarded.on_decision = None
         if on_decision is None:
@@ -88,7 +88,7 @@
             return
         self._counters.add(_DECISION_COUNTERS[type(decision).__name__])
         if not isinstance(decision, Proceed | ProceedUnguarded):
-            # It ends here; a claim that was made for it is released.
+            # The request ends here; the claim that was made for it, if any, is released.
             guarded.is_finished = True
             guarded.dispatch_until_us = 0
             self.settle(guarded, now_us)
@@ -100,17 +100,18 @@
         """Returns whether an attempt may be sent at this moment; see IdempotencyCoordinator.may_dispatch."""
         guarded = self.by_request.get(request)
         if guarded is None:
-            # What another site has forwarded is guarded there, until its deadline.
+            # The site that forwarded a request guards it, until its deadline.
             is_allowed = not request.is_forwarded_in or now_us < request.deadline_us
         else:
-            # A process that was stopped wakes up before any of its timers has run. Only the clock tells.
+            # After a suspension of the process, code may run before overdue timers; only the clock is
+            # reliable.
             is_allowed = guarded.on_decision is None and now_us < guarded.dispatch_until_us
         if not is_allowed:
             self._counters.add("idempotency: claims expired before dispatch")
         return is_allowed
 
     def on_attempt_sent(self, request: Request, now_us: int) -> None:
-        """An attempt is sent; `on_attempt_finished` must follow."""
+        """Records that an attempt is being sent; `on_attempt_finished` must follow."""
         guarded = self.by_request.get(request)
         if guarded is None:
             return
@@ -126,7 +127,7 @@
         return max(1, self._store_clock.lower_bound_ms(now_us))
 
     def on_attempt_finished(self, request: Request, outcome: Outcome, now_us: int) -> None:
-        """An attempt has ended."""
+        """Records the outcome of an attempt."""
         guarded = self.by_request.get(request)
         if guarded is None:
             return
@@ -138,7 +139,10 @@
     def on_request_finished(
         self, request: Request, final_state: str, result: bytes | None, now_us: int
     ) -> None:
-        """The final answer is out already, or its client has left; `how` as the accounting names it."""
+        """Records that the request was answered, or that its client has left.
+
+        `final_state` is the name used by the accounting.
+        """
         guarded = self.by_request.get(request)
         if guarded is None:
             return
@@ -150,10 +154,10 @@
             guarded.outcome = make_outcome(result, self._max_result_bytes)
         self.settle(guarded, now_us)
 
-    # Report on the outcome: all of this comes after the final answer.
+    # Report on the outcome, made after the request was answered.
 
     def settle(self, guarded: GuardedRequest, now_us: int) -> None:
-        """Closes the request and queues the report on it, once nothing of it is in flight."""
+        """Closes a finished request and queues the report on it, once no attempt or lookup is in flight."""
         is_in_flight = guarded.attempts_in_flight > 0 or guarded.is_lookup_pending
         if not guarded.is_finished or is_in_flight:
             return
@@ -198,7 +202,7 @@
         )
 
     def on_dispatch_written(self, write: PendingWrite, value: bytes) -> None:
-        """The store holds the report of a dispatch; the report on the outcome comes later and expects it."""
+        """Records that the store holds a DISPATCHED report, which the report on the outcome will replace."""
         for guarded in self.by_request.values():
             if guarded.digest != write.digest or not guarded.claim:
                 continue
@@ -207,7 +211,7 @@
 
 
 def _adds_information(guarded: GuardedRequest, kind: EventKind) -> bool:
-    """Returns whether a report without a claim says more than the record does."""
+    """Returns whether a report without a claim would add to what the record says."""
     if kind is EventKind.NOT_EXECUTED:
         return False
     record = guarded.record
@@ -224,8 +228,8 @@
     is_certain = guarded.is_claim_current and record is not None and not record.has_uncertain_predecessor
     if is_certain and first_dispatch_ms:
         return first_dispatch_ms
-    # Where another holder's attempt may be running too, or its own write is uncertain, it may have run
-    # before the first attempt of this gateway.
+    # If another holder's attempt may be running too, or this gateway's own claim was not confirmed, the
+    # request may have run before the first attempt of this gateway.
     possible_dispatch_ms: list[int] = []
     if record is not None and not _is_absent(record):
         possible_dispatch_ms.append(record.earliest_dispatch_ms)
--- a/cresstray/idempotency/ports.py
+++ b/cresstray/idempotency/ports.py
@@ -1,4 +1,4 @@
-"""What the coordinator needs from outside: the store's client, clock, timers, journal and requests."""
+"""Interfaces that the coordinator needs: store client, clock, timers, journal, and request contexts."""
 
 from __future__ import annotations
 
@@ -15,50 +15,53 @@
     def submit(
         self, commands: Sequence[Command], deadline_us: int, on_done: Callable[[list[Reply] | None], None], /
     ) -> object:
-        """Calls `on_done` once, by the deadline, never within this; with None: no reply, it may have run."""
+        """Calls `on_done` once, by the deadline, after this method has returned.
+
+        It gets None if no reply came; the commands may have run.
+        """
 
 
 class Clock(Protocol):
     """The gateway's clock."""
 
     def now(self) -> int:
-        """Returns microseconds."""
+        """Returns the time in microseconds."""
 
 
 class Timers(Protocol):
-    """Calls at a later time."""
+    """Timers of the gateway."""
 
     def call_after(self, delay_us: int, callback: Callable[[int], None], /) -> object:
-        """Calls with the time of the call, in microseconds."""
+        """Calls `callback` after the delay, with the time of the call in microseconds."""
 
 
 class ClaimJournal(Protocol):
-    """Claims on a local disk; see journal.JournalWriter."""
+    """Journal of claims on a local disk; see journal.JournalWriter."""
 
     last_error: str
 
     def append_claim(self, digest: bytes, fence: int, tenant: int) -> int | None:
-        """Returns the entry's id; None if it cannot be taken."""
+        """Queues a claim; returns its entry id, or None if it is not accepted."""
 
     def append_settled(self, entry_id: int, /) -> None:
-        """The claim with this id needs no report any more."""
+        """Queues the settlement of a claim: it needs no report any more."""
 
     def take_sync_result(self, entry_id: int, /) -> bool | None:
-        """Returns once whether the entry is on the disk; None while that is unknown."""
+        """Returns whether the entry is on the disk, and forgets it; None while that is unknown."""
 
 
 class RequestContext(Protocol):
-    """What is used of a request's context."""
+    """The part of a request's context that is used here."""
 
     request: Request
 
     @property
     def query(self) -> Any:
-        """The client's query; `idempotency_key` is used."""
+        """The client's query; only its `idempotency_key` is used."""
 
 
 class JournalSlot:
-    """The journal that is in use now: None where there is none, replaced once the file is open."""
+    """Holds the current journal, which is replaced once its file is open; None without a journal."""
 
     def __init__(self, journal: ClaimJournal | None) -> None:
         self.journal = journal
--- a/cresstray/idempotency/record_lookup.py
+++ b/cresstray/idempotency/record_lookup.py
@@ -1,4 +1,4 @@
-"""Lookup and claim of a request's record: at most two round trips where no other gateway has it."""
+"""Lookup and claim of a request's record; two round trips at most if no other gateway holds the record."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from cresstray.idempotency.write_behind import WriteBehindQueue
 from cresstray.observability.counters import Counters
 
-# One tenant's flood would otherwise take all round trips that may be in flight: a quarter of them.
+# A quarter of all round trips that may be in flight, so that one tenant's flood does not use them all.
 _MAX_LOOKUPS_PER_TENANT = 250
-# A record that all gateways compete for would otherwise be tried for as long as there is time.
+# Without a limit, a record that all gateways compete for would be tried until the deadline.
 _MAX_CLAIM_ATTEMPTS = 4
 
 
 class RecordLookup:
-    """Reads and claims records for requests, and has the guard decide."""
+    """Reads and claims records for requests, and delivers the decisions of the guard."""
 
     def __init__(
         self,
@@ -57,22 +57,22 @@
         self._retention_ms = retention_ms
         self._timers = timers
         self._counters = counters
-        self._last_fence = 0  # of this process's claims
+        self._last_fence = 0  # greatest fence among this process's claims
 
     def start(self, guarded: GuardedRequest, now_us: int) -> None:
-        """Looks the record up within a time budget, or decides without the store."""
+        """Starts a lookup within a time budget, or decides without the store."""
         health = self._session.health
         slack_us = guarded.timing.latest_dispatch_us - now_us
         guarded.lookup_deadline_us = now_us + health.time_budget_us(slack_us, now_us)
         if self._open_requests.lookups_by_tenant[guarded.request.tenant] >= _MAX_LOOKUPS_PER_TENANT:
-            self._fallback.decide(guarded, "too many lookups of its tenant", now_us)
+            self._fallback.decide(guarded, "too many lookups of this tenant", now_us)
         elif guarded.lookup_deadline_us <= now_us:
-            reason = "it is away or slow" if health.is_open else "no time to ask"
+            reason = "the store is unavailable or slow" if health.is_open else "no time for a lookup"
             self._fallback.decide(guarded, reason, now_us)
         elif guarded.stored_value or not self._session.store_clock.is_known(now_us):
             self._read(guarded, now_us)
         else:
-            # Nearly always there is no record: the claim itself is the question.
+            # A record rarely exists already, so the claim is tried first, without reading.
             store_now_ms = self._session.store_clock.lower_bound_ms(now_us)
             claim = self._guard.make_claim(
                 guarded.mode, None, self._holder, store_now_ms, guarded.timing, now_us
@@ -106,15 +106,16 @@
         event: RecordEvent,
         now_us: int,
     ) -> None:
-        # Two requests with one key in the same millisecond must not take one claim for that of both.
+        # The fences of this process are unique: two requests with one key in the same millisecond must not
+        # both take the same claim for their own.
         self._last_fence = max(event.fence, self._last_fence + 1)
         event = msgspec.structs.replace(event, fence=self._last_fence)
         claimed = records.apply_event(record, event, self._session.store_clock.lower_bound_ms(now_us))
         if claimed is None or guarded.claim_attempts >= _MAX_CLAIM_ATTEMPTS:
-            self._fallback.decide(guarded, "other gateways were always first", now_us)
+            self._fallback.decide(guarded, "other gateways changed the record first at each attempt", now_us)
             return
         guarded.claim_attempts += 1
-        # From here on it may be in the store, whatever reply comes.
+        # From now on the claim may be in the store, whatever the reply is.
         guarded.claim = event
         key = self._session.record_key(guarded.digest)
         value = records.encode_record(claimed)
@@ -150,14 +151,15 @@
         guarded.record = claimed
         guarded.is_claim_current = True
         if store_clock.regressions > regressions:
-            # It was written with a time that is not the store's any more; others would take it for younger.
-            self._fallback.decide(guarded, "its clock went back", now_us)
+            # The claim was written with a time from before the regression; other gateways would take it for
+            # younger than it is.
+            self._fallback.decide(guarded, "the store's clock went backwards", now_us)
             return
         proceed = Proceed(claimed.fence, claimed.valid_until_ms)
         self._proceed(guarded, proceed, result.store_now_ms, started_us, now_us)
 
     def _on_no_reply(self, guarded: GuardedRequest, now_us: int) -> None:
-        """Reads the record once more: a connection may have ended, and the claim may be there or not."""
+        """Reads the record once more, as a connection may have ended and the claim may have been written."""
         has_time = now_us < half_time_us(guarded.timing)
         if guarded.on_decision is not None and not guarded.has_retried_lookup and has_time:
             guarded.has_retried_lookup = True
@@ -166,7 +168,7 @@
             if guarded.lookup_deadline_us > now_us:
                 self._read(guarded, now_us)
                 return
-        self._fallback.decide(guarded, "it did not answer in time", now_us)
+        self._fallback.decide(guarded, "the store did not answer in time", now_us)
 
     def _on_found(
         self, guarded: GuardedRequest, value: bytes | None, store_now_ms: int, started_us: int, now_us: int
@@ -178,7 +180,7 @@
         guarded.stored_value = value or b""
         guarded.record = record
         if record is not None and self._is_own_claim(guarded, record):
-            # Written after all, by a round trip whose reply was lost.
+            # The claim was written by a round trip whose reply was lost.
             guarded.is_claim_current = True
             proceed = Proceed(record.fence, record.valid_until_ms)
             self._proceed(guarded, proceed, store_now_ms, started_us, now_us)
@@ -206,7 +208,7 @@
     def _apply_pending(
         self, guarded: GuardedRequest, record: IdempotencyRecord | None, store_now_ms: int
     ) -> IdempotencyRecord | None:
-        """Returns the record with the reports that the store has not heard yet."""
+        """Returns the record with the reports applied that are not in the store yet."""
         record_with_pending = record
         for write in self._write_behind.pending_for(guarded.digest):
             record_with_pending = (
@@ -221,8 +223,8 @@
     def _proceed(
         self, guarded: GuardedRequest, proceed: Proceed, store_now_ms: int, started_us: int, now_us: int
     ) -> None:
-        # The claim is counted by this gateway's clock from when the round trip began: the store's clock may
-        # differ, and only spans are compared.
+        # The claim's remaining time is counted on this gateway's clock from the start of the round trip. The
+        # store's clock may have any offset, so only durations are compared.
         valid_ms = proceed.valid_until_ms - store_now_ms
         guarded.dispatch_until_us = started_us + valid_ms * US_PER_STORE_MS
         if now_us >= guarded.dispatch_until_us:
--- a/cresstray/idempotency/record_writer.py
+++ b/cresstray/idempotency/record_writer.py
@@ -1,4 +1,4 @@
-"""Writes reports from the write-behind queue to the store, some at a time."""
+"""Writes reports from the write-behind queue to the store, with a limit on writes in flight."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 # Writes in flight at once.
 _MAX_WRITES = 32
-# A record that all gateways write would otherwise be tried for as long as there is time.
+# Limits consecutive attempts, as a record that all gateways write could otherwise be retried without end.
 MAX_WRITE_ATTEMPTS = 4
 
-# Called where the store holds the report of a dispatch now, with the value written.
+# Called with the value written when a DISPATCHED report is in the store.
 OnDispatchWritten = Callable[[PendingWrite, bytes], None]
 
 
@@ -44,18 +44,18 @@
         self._failed: list[PendingWrite] = []
 
     def is_busy(self) -> bool:
-        """Returns whether anything waits to be written, or is being written."""
+        """Returns whether any report waits to be written or is being written."""
         return len(self._queue) > 0 or self.writes_in_flight > 0 or bool(self._failed)
 
     def return_failed(self) -> None:
-        """Puts what could not be written back into the queue."""
+        """Returns reports whose write failed to the queue."""
         if self._failed:
             failed = self._failed
             self._failed = []
             self._queue.requeue(failed)
 
     def start_writes(self, now_us: int) -> None:
-        """Writes what is due, within the limit of writes in flight."""
+        """Starts writing the reports that are due, within the limit of writes in flight."""
         if self._session.health.is_open or self.writes_in_flight >= _MAX_WRITES:
             return
         for write in self._queue.take_due(_MAX_WRITES - self.writes_in_flight, now_us):
@@ -76,8 +76,7 @@
         deadline_us = now_us + BACKGROUND_TIMEOUT_US
         if updated is None:
             if record is None and stored_value == write.expected_value:
-                # The record was not read yet, and there is nothing to write where there is none: it must be
-                # read.
+                # The report changes nothing if there is no record, but the record has not been read yet.
                 on_read = partial(self._on_read, write, attempts_left)
                 self._session.submit([codec.get_value(key), codec.get_time()], deadline_us, on_read, now_us)
             else:
@@ -107,7 +106,7 @@
         self._session.store_clock.on_reading(codec.parse_time_ms(time_reply), started_us, now_us)
         record = records.decode_record(value)
         if record is None:
-            self._finish(write)  # there is no record, and none is to be made
+            self._finish(write)  # there is no record, and the report creates none
         else:
             self._write(write, value, record, attempts_left - 1, now_us)
 
@@ -139,7 +138,8 @@
         self._write(write, result.current_value or b"", current, attempts_left - 1, now_us)
 
     def _put_back(self, write: PendingWrite) -> None:
-        # Whether it was written is unknown, and so is what it will find; it is tried again in the next step.
+        # Whether the report was written is unknown, and the record may have changed; the write is retried in
+        # the next step.
         self.writes_in_flight -= 1
         self._failed.append(write)
 
--- a/cresstray/idempotency/records.py
+++ b/cresstray/idempotency/records.py
@@ -1,10 +1,10 @@
-"""Idempotency records and their transitions. Pure: no I/O, no clock.
+"""Idempotency records and their state transitions. Pure: no I/O, no clock.
 
-A record is changed one event at a time, by compare-and-set in the shared store. All times in a record are
-milliseconds of the store's clock; nothing here compares them with a clock of this machine.
+A record changes by one event at a time, by compare-and-set in the shared store. All times in a record are
+milliseconds of the store's clock; this module never compares them with a clock of this machine.
 
-The store holds a record as a MessagePack array, so that field names are not encoded, only their order and
-the numbers of states. Names that earlier builds and documents used for them:
+The store holds a record as a MessagePack array: field names are not encoded, only their order and the numbers
+of states. Names that earlier builds and documents used for them:
 
     position  earlier    field
     0         state      state
@@ -32,38 +32,38 @@
 
 import msgspec
 
-# After a release the record stays for this long, because its fence must outlast any error in the estimate
-# of the store's time, from which the next fence is drawn.
+# A released record is kept for this long: its fence must outlast any error in the estimate of the store's
+# time, from which the next fence is derived.
 _FENCE_RETENTION_MS = 60_000
-# 160 bits: collisions are out of the question in one fleet, and keys stay short.
+# 160 bits: short keys, with a negligible probability of collisions in one fleet.
 _DIGEST_BYTES = 20
 _MAX_NAMESPACE_BYTES = 64
-# Precedes a stored result, so that an empty result differs from none.
+# Prefix of a stored result, so that an empty result differs from no result.
 _RESULT_PREFIX = b"+"
 
 
 class RecordState(IntEnum):
-    """What is known about the work behind one idempotency key."""
+    """What is known about the execution of the request with one idempotency key."""
 
-    ABSENT = 0  # no execution is known; the same as no key, or an expired one
-    CLAIMED = 1  # its holder may dispatch it until `valid_until_ms`
+    ABSENT = 0  # no execution is known; equivalent to a missing or expired key
+    CLAIMED = 1  # the holder may dispatch the request until `valid_until_ms`
     DISPATCHED = 2  # an attempt was sent
-    COMPLETED = 3  # it was executed
-    UNKNOWN = 4  # it may have been executed, and no report is to be expected
+    COMPLETED = 3  # the request was executed
+    UNKNOWN = 4  # the request may have been executed; no further report is expected
 
 
 class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One record as the store holds it.
+    """One record, with the fields in the order of the stored array.
 
     Attributes:
-        state: What is known about the work.
+        state: What is known about the execution.
         owner: Name of the gateway that wrote the claim or the report.
-        incarnation: Start of that gateway's process; an earlier one's claims are not its own.
-        fence: Grows with each claim.
+        incarnation: Identifies that gateway's process; claims of an earlier process are not its own.
+        fence: Fencing token; grows with each claim.
         valid_until_ms: End of the claim; 0 without one.
-        earliest_dispatch_ms: No attempt that may have run was sent before; 0 if unknown.
-        has_uncertain_predecessor: An attempt of an earlier holder may have run as well.
-        outcome: The stored result, see `stored_result`.
+        earliest_dispatch_ms: No attempt that may have run was sent before this time; 0 if unknown.
+        has_uncertain_predecessor: Whether an attempt of an earlier holder may have run too.
+        outcome: The stored result, if any; see `stored_result`.
     """
 
     state: RecordState
@@ -77,22 +77,23 @@
 
 
 class EventKind(IntEnum):
-    """What happened to a claim."""
+    """Kind of an event: a claim, a report on it, or a decision of an operator."""
 
     CLAIM = 1
     DISPATCHED = 2
     COMPLETED = 3
     UNKNOWN = 4
-    NOT_EXECUTED = 5  # the holder has finished, and nothing was executed for it
-    OPERATOR_COMPLETED = 6  # an operator's decision on the record with this fence
+    NOT_EXECUTED = 5  # the holder has finished, and no attempt was executed
+    OPERATOR_COMPLETED = 6  # an operator's decision about the record with this fence
     OPERATOR_NOT_EXECUTED = 7
 
 
 class RecordEvent(msgspec.Struct, frozen=True, array_like=True):
-    """A claim, or a holder's report on its claim. Fence 0: it never had a claim in the store.
+    """A claim, a holder's report on its claim, or an operator's decision.
 
-    For OPERATOR_NOT_EXECUTED, `valid_until_ms` is the earliest time at which it may be applied: by then no
-    engine's deduplication window allows a gateway to send the request again.
+    A report with fence 0 comes from a gateway that had no claim in the store. For OPERATOR_NOT_EXECUTED,
+    `valid_until_ms` is the earliest time at which it may be applied: by then no deduplication window of an
+    engine allows a gateway to send the request again.
     """
 
     kind: EventKind
@@ -136,8 +137,8 @@
             return None
         is_takeover = record.state in _ACTIVE_STATES
         if is_takeover:
-            # The previous holder's attempt may be running; the engines' deduplication window counts from
-            # its start.
+            # The previous holder's attempt may be running, and the engines' deduplication window begins with
+            # that attempt.
             earliest_dispatch_ms = min(record.earliest_dispatch_ms, event.earliest_dispatch_ms)
     return IdempotencyRecord(
         RecordState.CLAIMED,
@@ -151,7 +152,8 @@
 
 
 def _on_not_executed(record: IdempotencyRecord | None, event: RecordEvent) -> IdempotencyRecord | None:
-    # A late report of an earlier holder must not release the claim under which the present one dispatches.
+    # A late report of an earlier holder must not release the claim of the present one, which may be
+    # dispatching.
     if record is None or record.state not in _ACTIVE_STATES or not _is_holder(record, event):
         return None
     state_after_release = RecordState.UNKNOWN if record.has_uncertain_predecessor else RecordState.ABSENT
@@ -159,12 +161,12 @@
 
 
 def _on_report(record: IdempotencyRecord | None, event: RecordEvent) -> IdempotencyRecord | None:
-    """Applies DISPATCHED, COMPLETED or UNKNOWN. Such a report is true whoever holds the record by now."""
+    """Applies DISPATCHED, COMPLETED or UNKNOWN, which are true whoever holds the record now."""
     if record is None:
         return _make_record(event, event.fence, event.earliest_dispatch_ms, False)
     fence = max(record.fence, event.fence)
     if record.state is RecordState.ABSENT:
-        # The claim was lost, or cleared by an operator; the report is as true.
+        # The claim was lost, or cleared by an operator; the report still holds.
         return _make_record(event, fence, event.earliest_dispatch_ms, False)
     earliest_dispatch_ms = min(record.earliest_dispatch_ms, event.earliest_dispatch_ms)
     if event.kind is EventKind.COMPLETED:
@@ -179,7 +181,8 @@
     if _is_holder(record, event):
         return _on_holder_report(record, event)
     if event.fence < record.fence:
-        # Where the store lost the earlier claim, the present holder does not know of that holder's attempt.
+        # If the store lost the earlier claim, the present holder does not know of the earlier holder's
+        # attempt.
         return _with_uncertain_predecessor(record, earliest_dispatch_ms)
     return _make_record(event, fence, earliest_dispatch_ms, True)
 
@@ -189,7 +192,7 @@
         return _replace_state(record, RecordState.UNKNOWN)
     if record.state is RecordState.DISPATCHED:
         return None
-    # The engines' window starts with the dispatch; until that is known, with the claim.
+    # The engines' window begins with the dispatch. While its time was unknown, the claim's time stood for it.
     earliest_dispatch_ms = record.earliest_dispatch_ms
     if not record.has_uncertain_predecessor:
         earliest_dispatch_ms = max(record.earliest_dispatch_ms, event.earliest_dispatch_ms)
@@ -215,7 +218,7 @@
 def _on_operator_decision(
     record: IdempotencyRecord | None, event: RecordEvent, store_now_ms: int
 ) -> IdempotencyRecord | None:
-    # The decision holds for the record that the operator looked at, not for what a gateway has made of it
+    # The decision applies to the record that the operator has seen, not to one that a gateway has claimed
     # since.
     if record is None or event.fence != record.fence:
         return None
@@ -223,7 +226,7 @@
         return None
     if event.kind is EventKind.OPERATOR_COMPLETED:
         return _replace_state(record, RecordState.COMPLETED)
-    # A holder that may still dispatch the request must not be joined by a second one.
+    # No second holder is allowed while the present one may still dispatch the request.
     if store_now_ms < max(record.valid_until_ms, event.valid_until_ms):
         return None
     return _replace_state(record, RecordState.ABSENT)
@@ -260,30 +263,30 @@
 
 
 def retention_ms(record: IdempotencyRecord, configured_ms: int) -> int:
-    """Returns for how long the store keeps the record; `configured_ms` holds for what may have run."""
+    """Returns for how long the store keeps a record; `configured_ms` applies unless its state is ABSENT."""
     return min(configured_ms, _FENCE_RETENTION_MS) if record.state is RecordState.ABSENT else configured_ms
 
 
 def digest_key(namespace: str, tenant: str, scope: str, idempotency_key: str) -> bytes:
-    """Returns the digest that stands for a client's key in the store; no raw key leaves the gateway."""
-    # Parts that were only joined would let one tenant construct the digest of another's key.
+    """Returns the digest used in place of a client's key; the raw key never leaves the gateway."""
+    # With plain concatenation, one tenant could construct the digest of another tenant's key.
     parts = msgspec.msgpack.encode((tenant, scope, idempotency_key))
     namespace_key = namespace.encode()[:_MAX_NAMESPACE_BYTES]
     return blake2b(parts, digest_size=_DIGEST_BYTES, key=namespace_key).digest()
 
 
 _decoder = msgspec.msgpack.Decoder(IdempotencyRecord)
-# Stands for a value of a later build, or for one that is no record. It is never overwritten.
+# Represents a value of a later build, or one that is not a record. It is never overwritten.
 UNREADABLE_RECORD = IdempotencyRecord(RecordState.UNKNOWN, "", "", 1 << 62)
 
 
 def encode_record(record: IdempotencyRecord) -> bytes:
-    """Returns the value that the store holds for the record."""
+    """Returns the value to store for the record."""
     return msgspec.msgpack.encode(record)
 
 
 def decode_record(value: bytes | None) -> IdempotencyRecord | None:
-    """Returns the record in a stored value; None for no value, UNREADABLE_RECORD for an unknown form."""
+    """Returns the record in a stored value; None for no value, UNREADABLE_RECORD for an unknown format."""
     if not value:
         return None
     try:
@@ -295,7 +298,7 @@
 
 
 def stored_result(outcome: bytes) -> bytes | None:
-    """Returns the result in a record's outcome; None if none is stored."""
+    """Returns the result in a record's outcome; None if no result is stored."""
     return outcome[len(_RESULT_PREFIX) :] if outcome else None
 
 
--- a/cresstray/idempotency/store_fallback.py
+++ b/cresstray/idempotency/store_fallback.py
@@ -1,4 +1,4 @@
-"""Decisions while the store gives no answer: from what this gateway itself knows, or within an allowance."""
+"""Decisions without the store: from this gateway's own reports, or within the operator's allowance."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from cresstray.idempotency.records import IdempotencyRecord, RecordState
 from cresstray.idempotency.write_behind import WriteBehindQueue
 
-# The disk is polled so often while a claim waits for its sync; 1 to 10 ms are usual.
+# Interval between two checks whether a claim is synced to the disk, which usually takes 1 to 10 ms.
 _SYNC_POLL_US = 1_000
 _LATE_SYNC_POLL_US = 100 * _SYNC_POLL_US
-# Part of the time left that a sync may take.
+# A sync may take at most this part of the time until the latest dispatch.
 _SYNC_BUDGET_DIVISOR = 4
-# Microseconds of this gateway's clock for a millisecond of the store's, with a margin for their speeds.
+# Microseconds of this gateway's clock per millisecond of the store's clock, less a margin for their speeds.
 US_PER_STORE_MS = 990
 
 
 class StoreFallback:
-    """Decides about requests whose record could not be read or claimed."""
+    """Decides about requests whose records could not be read or claimed."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._timers = timers
 
     def decide(self, guarded: GuardedRequest, reason: str, now_us: int) -> None:
-        """Decides without the store's word; `reason` is why there is none."""
+        """Decides without the record; `reason` says why it is not known."""
         if guarded.on_decision is None:
             self._open_requests.settle(guarded, now_us)
             return
@@ -78,26 +78,27 @@
             if guarded.journal_id is None:
                 self._reject(guarded, now_us)
                 return
-            # It has its own time budget, as the store has: what is not synced by then is rejected.
+            # The sync has a time budget, like a lookup; a request whose claim is not synced by then is
+            # rejected.
             time_left_us = max(0, guarded.timing.latest_dispatch_us - now_us)
             sync_deadline_us = now_us + time_left_us // _SYNC_BUDGET_DIVISOR
             self._await_sync(guarded, decision, sync_deadline_us, now_us)
 
     def _decide_from_own_reports(self, guarded: GuardedRequest, now_us: int) -> Decision | None:
-        """Decides by what this gateway did of late and the store has not heard.
+        """Decides from this gateway's recent reports that are not in the store yet.
 
-        None if that is not enough.
+        Returns None if they are not sufficient.
         """
         record, is_dispatch_time_certain = self._merge_own_reports(guarded, now_us)
         if record is None or record.state not in (RecordState.COMPLETED, RecordState.UNKNOWN):
             return None
-        # The store's time is an estimate here; the later it may be, the sooner a window is over.
+        # The store's time is only estimated; its upper bound is used, so that no window is overestimated.
         store_now_ms = self._store_clock.upper_bound_ms(now_us)
         lookup = LookupResult(record, store_now_ms)
         decision = self._guard.decide(guarded.mode, lookup, self._holder, guarded.timing, now_us)
         if isinstance(decision, Proceed):
-            # What this gateway sent without the store's word may have been a repeated request itself, of an
-            # execution that the engines forget sooner.
+            # A request that this gateway sent without a record may itself have been a repetition of an
+            # earlier execution, which the engines forget sooner.
             if not is_dispatch_time_certain:
                 return None
             guarded.dispatch_until_us = now_us + (decision.valid_until_ms - store_now_ms) * US_PER_STORE_MS
@@ -106,12 +107,12 @@
     def _merge_own_reports(
         self, guarded: GuardedRequest, now_us: int
     ) -> tuple[IdempotencyRecord | None, bool]:
-        """Returns what the queued reports come to, and whether the store held a record before each."""
+        """Returns the record after the queued reports, and whether the store had one before each of them."""
         merged: IdempotencyRecord | None = None
         is_dispatch_time_certain = True
         store_now_ms = self._store_clock.lower_bound_ms(now_us)
         for write in self._write_behind.pending_for(guarded.digest):
-            # By what the store was last known to hold: the time of the first dispatch stands there.
+            # The last known record in the store has the time of the first dispatch.
             stored = records.decode_record(write.expected_value)
             is_dispatch_time_certain = is_dispatch_time_certain and stored is not None
             updated = records.apply_event(stored, write.event, store_now_ms) or stored
@@ -125,9 +126,11 @@
     def _await_sync(
         self, guarded: GuardedRequest, decision: Decision, sync_deadline_us: int, now_us: int
     ) -> None:
-        """Delivers the decision once the journal has the claim, or a rejection at the deadline."""
+        """Delivers the decision once the claim is synced to the journal, or a rejection at the deadline."""
         journal = self._journal_slot.journal
-        assert journal is not None and guarded.journal_id is not None, "waits for no sync"
+        assert journal is not None and guarded.journal_id is not None, (
+            "no claim of the request waits for a sync"
+        )
         is_synced = journal.take_sync_result(guarded.journal_id)
         is_late = now_us >= sync_deadline_us
         if is_synced is None and (not is_late or guarded.on_decision is None):
@@ -135,7 +138,8 @@
             self._poll_again(guarded, decision, sync_deadline_us, poll_us)
             return
         if guarded.on_decision is None:
-            # Rejected already, or its client has left: the disk has the entry by now, or never will.
+            # The request was rejected, or its client has left; whether the entry is on the disk is settled
+            # now.
             self._open_requests.settle(guarded, now_us)
             return
         if is_synced:
--- a/cresstray/idempotency/store_monitor.py
+++ b/cresstray/idempotency/store_monitor.py
@@ -1,4 +1,4 @@
-"""Watches the store beside requests: probes, its clock, and what operators are told of changes."""
+"""Monitors the store independently of requests: probes, readings of its clock, and log lines on changes."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from cresstray.idempotency.write_behind import WriteBehindQueue
 from cresstray.observability.counters import Counters
 
-# A clock that goes back while this gateway asks nothing would go unnoticed. Each gateway reads it so often:
-# a fleet of hundreds asks a hundred times a second so, in one command of a few bytes.
+# Interval of clock readings, so that a regression is noticed while this gateway sends no other commands. For
+# hundreds of gateways this amounts to about a hundred small commands a second.
 _CLOCK_READ_INTERVAL_US = 3_000_000
 
 
@@ -32,9 +32,10 @@
         counters: Counters,
         log: Callable[[str], None],
     ) -> None:
-        """`log` takes lines for operators."""
+        """Creates a monitor; `log` takes lines for operators."""
         self._session = session
-        # Not a record's key. Its value: from which time on the age of records is known.
+        # Key of the published regression, not of a record. Its value is the store time in ms from which on
+        # the age of records is known.
         self._regression_key = f"{namespace}:clock1".encode()
         self._retention_ms = retention_ms
         self._write_behind = write_behind
@@ -45,14 +46,14 @@
         self._last_clock_read_us = 0
         self._published_cutoff_ms = 0
         self.is_publishing = False
-        # What was logged last.
+        # State as last logged.
         self._logged_is_open = True
         self._logged_regressions = 0
         self._logged_drop_count = 0
         self._logged_journal_error = ""
 
     def start_probe(self, now_us: int) -> None:
-        """Starts a probe if one is due, or a reading of the clock."""
+        """Starts a probe or a reading of the store's clock if one is due."""
         health = self._session.health
         round_trip_id = health.start_probe(now_us)
         is_clock_read_due = now_us - self._last_clock_read_us >= _CLOCK_READ_INTERVAL_US
@@ -74,7 +75,7 @@
         self._session.health.on_round_trip_finished(round_trip_id, has_succeeded, now_us)
 
     def publish_regression(self, now_us: int) -> None:
-        """Leaves in the store when its clock went back, for gateways that start later."""
+        """Publishes the last clock regression in the store, for gateways that start later."""
         has_unpublished = self._published_cutoff_ms < self._session.store_clock.age_unknown_before_ms
         if has_unpublished and not self.is_publishing and not self._session.health.is_open:
             self.is_publishing = True
@@ -110,7 +111,7 @@
         self.is_publishing = False
 
     def log_changes(self) -> None:
-        """Writes a line for each change since the last call."""
+        """Logs and counts changes since the last call."""
         self._log_breaker()
         regressions = self._session.store_clock.regressions
         if regressions > self._logged_regressions:
@@ -118,7 +119,7 @@
                 "idempotency: clock of the store went back", regressions - self._logged_regressions
             )
             self._logged_regressions = regressions
-            self._log("the store's clock went back: older records count as of unknown age")
+            self._log("the store's clock went backwards; the age of older records is unknown now")
         dropped_count = self._write_behind.dropped_count
         if dropped_count > self._logged_drop_count:
             self._counters.add("idempotency: reports dropped", dropped_count - self._logged_drop_count)
@@ -132,10 +133,10 @@
         self._logged_is_open = is_open
         if is_open:
             self._counters.add("idempotency: breaker opened")
-            self._log("the store is away or slow: nothing is asked of it until probes succeed")
+            self._log("the store is unavailable or slow; requests do not use it until probes succeed")
         else:
             self._counters.add("idempotency: breaker closed")
-            self._log(f"the store is asked again; {len(self._write_behind)} reports wait to be written")
+            self._log(f"the store is available again; {len(self._write_behind)} reports wait to be written")
 
     def _log_journal(self) -> None:
         journal = self._journal_slot.journal
@@ -145,4 +146,4 @@
         if journal.last_error:
             self._log(f"the journal can't be written: {journal.last_error}")
         else:
-            self._log("the journal is written again")
+            self._log("the journal can be written again")
--- a/cresstray/idempotency/store_session.py
+++ b/cresstray/idempotency/store_session.py
@@ -1,4 +1,4 @@
-"""Round trips to the store: each is counted, measured for the circuit breaker, and its errors told apart."""
+"""Round trips to the store: counts them, reports them to the circuit breaker, and detects error replies."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from cresstray.idempotency.ports import Clock, CommandClient
 from cresstray.observability.counters import Counters
 
-# Called with the replies (None: none came, or an error), when the round trip began, and the time now.
+# Called with the replies (None without a reply, or after an error reply), the start time and the present
+# time.
 OnReplies = Callable[[list[Reply] | None, int, int], None]
-# Time that a write or a probe has; no request waits for it.
+# Time limit of writes and probes, for which no request waits.
 BACKGROUND_TIMEOUT_US = 2_000_000
 
 
 class StoreSession:
-    """Asks the store on behalf of the parts of the coordinator."""
+    """Sends commands to the store for the parts of the coordinator."""
 
     def __init__(
         self,
@@ -37,11 +38,11 @@
         self._counters = counters
 
     def record_key(self, digest: bytes) -> bytes:
-        """Returns the key of a record in the store."""
+        """Returns the store key of the record with this digest."""
         return codec.record_key(self._namespace, digest)
 
     def submit(self, commands: list[Command], deadline_us: int, on_replies: OnReplies, now_us: int) -> None:
-        """Calls `on_replies` once, by the deadline, never within this."""
+        """Submits commands; calls `on_replies` once, by the deadline, after this method has returned."""
         round_trip_id = self.health.on_round_trip_started(now_us)
         self._counters.add("idempotency: round trips")
         self._client.submit(
@@ -65,7 +66,7 @@
         on_replies: Callable[[list[Reply] | None], None],
         now_us: int,
     ) -> None:
-        """Submits commands whose round trip the caller measures itself."""
+        """Submits commands whose round trip the caller reports to the circuit breaker itself."""
         self._client.submit(commands, now_us + BACKGROUND_TIMEOUT_US, on_replies)
 
 
--- a/cresstray/idempotency/write_behind.py
+++ b/cresstray/idempotency/write_behind.py
@@ -1,6 +1,6 @@
-"""Queue of record updates that wait to be written, bounded in all and by tenant. Pure.
+"""Queue of record updates that wait to be written, with limits in total and per tenant. Pure.
 
-Beyond its bounds the least important update of a tenant is dropped first.
+Beyond a limit, the least important update of a tenant is dropped.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from cresstray.idempotency.records import EventKind, RecordEvent
 
-# Some 300 bytes each: 5 MB in all, and what ten minutes without the store bring at ten updates a second.
+# Some 300 bytes each, 5 MB in total; enough for ten minutes without the store at ten updates a second.
 MAX_PENDING = 10_000
 MAX_PENDING_PER_TENANT = 2_500
-# Most attempts finish sooner; the report of the dispatch and that of its outcome are then one write.
+# Most attempts finish sooner, so that the reports of dispatch and outcome are merged into one write.
 _DISPATCH_DELAY_US = 250_000
-# Importance of an update, least first.
+# Importance of updates; lower ones are dropped first.
 _IMPORTANCE_OF_DISPATCH = 0
 _IMPORTANCE_OF_RELEASE = 1
 _IMPORTANCE_OF_OUTCOME = 2
@@ -31,14 +31,14 @@
     """One update of a record.
 
     Attributes:
-        digest: Of the idempotency key.
-        event: What is to be applied to the record.
+        digest: Digest of the idempotency key.
+        event: The event to apply to the record.
         tenant: Index of the tenant.
-        expires_us: From then on the update is of no use.
-        due_us: Not to be written before.
+        expires_us: The update is dropped from this time on.
+        due_us: The update is not written before this time.
         sequence: Position in the order of arrival.
-        expected_value: What the store is believed to hold.
-        journal_ids: Entries of the journal that are settled once this is written.
+        expected_value: The value that the store is expected to hold.
+        journal_ids: Ids of journal entries to settle once the update is written.
     """
 
     digest: bytes
@@ -52,7 +52,7 @@
 
     @property
     def importance(self) -> int:
-        """Higher for updates whose loss would say more."""
+        """The importance level; higher if more information would be lost with the update."""
         if self.event.kind is EventKind.DISPATCHED:
             return _IMPORTANCE_OF_DISPATCH
         if self.event.kind is EventKind.NOT_EXECUTED:
@@ -72,7 +72,7 @@
         # By tenant and importance, the oldest first.
         self._by_tenant: dict[int, tuple[OrderedDict[PendingWrite, None], ...]] = {}
         self._tenant_counts: dict[int, int] = {}
-        self._by_digest: dict[bytes, dict[int, PendingWrite]] = {}  # then by fence
+        self._by_digest: dict[bytes, dict[int, PendingWrite]] = {}  # by digest, then by fence
         self._last_sequence = 0
         self.dropped_count = 0
 
@@ -89,7 +89,7 @@
         expected_value: bytes = b"",
         journal_ids: tuple[int, ...] = (),
     ) -> bool:
-        """Merges the update with one of the same claim; returns whether it is kept."""
+        """Adds an update, or merges it with one of the same claim; returns whether it is kept."""
         self._last_sequence += 1
         due_us = now_us + _DISPATCH_DELAY_US if event.kind is EventKind.DISPATCHED else now_us
         return self._put(
@@ -99,7 +99,7 @@
         )
 
     def take_due(self, max_count: int, now_us: int) -> list[PendingWrite]:
-        """Removes and returns the oldest updates that are due, in order; drops expired ones on the way."""
+        """Removes and returns the oldest updates that are due, in order; drops expired ones that it meets."""
         due: list[PendingWrite] = []
         expired: list[PendingWrite] = []
         for write in self._writes.values():
@@ -114,7 +114,7 @@
         return due
 
     def requeue(self, writes: Iterable[PendingWrite]) -> None:
-        """Returns updates that were not written, or may not be, to before those that came since."""
+        """Puts updates whose write failed or is uncertain back at the front of the queue, in order."""
         for write in sorted(writes, key=lambda write: -write.sequence):
             key = write.digest, write.event.fence
             if self._put(write):
@@ -125,7 +125,7 @@
                 )
 
     def pending_for(self, digest: bytes) -> list[PendingWrite]:
-        """Returns the updates of one record."""
+        """Returns the queued updates of one record."""
         return list(self._by_digest.get(digest, {}).values())
 
     def _put(self, write: PendingWrite) -> bool:
@@ -135,7 +135,7 @@
             self._replace(queued, _merge(queued, write))
             return True
         self._insert(write)
-        # One tenant's flood must push out neither the updates of others nor the gateway's memory.
+        # A flood of one tenant must neither displace the updates of others nor exhaust the gateway's memory.
         if self._tenant_counts[write.tenant] > self._max_pending_per_tenant:
             self._drop_from(write.tenant)
         elif len(self._writes) > self._max_pending:
@@ -153,7 +153,7 @@
         self._by_digest.setdefault(write.digest, {})[write.event.fence] = write
 
     def _replace(self, queued: PendingWrite, merged: PendingWrite) -> None:
-        """The merged update takes the place of the present one in the order."""
+        """Puts the merged update in the queued one's position."""
         del self._by_tenant[queued.tenant][queued.importance][queued]
         self._by_tenant[queued.tenant][merged.importance][merged] = None
         self._writes[merged.digest, merged.event.fence] = merged
@@ -177,8 +177,8 @@
             del self._by_digest[write.digest]
 
 
-# How much a report says about its claim. NOT_EXECUTED never follows UNKNOWN: what may have run is not taken
-# back.
+# When reports are merged, the stronger kind wins. NOT_EXECUTED never replaces UNKNOWN: an execution that may
+# have happened is not retracted.
 _REPORT_STRENGTH = {
     EventKind.DISPATCHED: 0,
     EventKind.NOT_EXECUTED: 1,
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -491,17 +491,19 @@
         for length in range(len(whole) + 1):
             Path(self.path).write_bytes(whole[:length])
             kept = max(0, length // size - 1)
-            torn = f"a torn tail, {length % size} bytes cut at {length // size * size}"
+            torn = f"incomplete end, {length % size} bytes truncated at offset {length // size * size}"
             told_of = [] if length % size == 0 else [torn]
             if 0 < length < size:
-                told_of = ["torn in its first record; begun anew"]
+                told_of = ["first record incomplete; starting a new journal"]
             self.assertEqual((list(range(1, kept + 1)), told_of), self.again())
             self.assertEqual((list(range(1, kept + 1)), []), self.again())
         Path(self.path).write_bytes(whole + bytes(2 * size))
-        self.assertEqual(([1, 2, 3], [f"a torn tail, {2 * size} bytes cut at {4 * size}"]), self.again())
+        self.assertEqual(
+            ([1, 2, 3], [f"incomplete end, {2 * size} bytes truncated at offset {4 * size}"]), self.again()
+        )
         for at in range(2 * size, 3 * size):
             Path(self.path).write_bytes(whole[:at] + bytes([whole[at] ^ 4]) + whole[at + 1 :])
-            damaged = f"1 damaged records left out, the first at {2 * size}; what they claimed is not known"
+            damaged = f"1 damaged records skipped, the first at offset {2 * size}; their claims are unknown"
             self.assertEqual(([1, 3], [damaged]), self.again())
         Path(self.path).write_bytes(b"x" + whole[1:])
         with self.assertRaises(JournalFormatError):
