--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Marks of deduplicated submissions: their life and guard, the store's limiter, the journal, random walks."""
+"""Tests of idempotency records, execution guard, circuit breaker and journal, and simulated gateways."""
 
 from __future__ import annotations
 
@@ -55,45 +55,62 @@
 from cresstray.observability.counters import Counters
 from cresstray.policy.types import Outcome, Request, RequestClass
 
-SECOND, START = 1_000_000, 1_800_000_000_000_000
-MEMORY = 20 * SECOND
-TABLE = tomllib.loads((Path(__file__).parent / "conformance" / "idempotency_records.toml").read_text())
-A, B = ClaimHolder("a", "1"), ClaimHolder("b", "1")
+SECOND_US, START_US = 1_000_000, 1_800_000_000_000_000
+DEDUP_WINDOW_US = 20 * SECOND_US
+TRANSITION_TABLE = tomllib.loads(
+    (Path(__file__).parent / "conformance" / "idempotency_records.toml").read_text()
+)
+HOLDER_A, HOLDER_B = ClaimHolder("a", "1"), ClaimHolder("b", "1")
 
 
-# The table of docs/idempotency.md: every state with every event.
+# State transitions: the table of docs/idempotency.md, with every state and every event.
 
 
-def state(name: str) -> IdempotencyRecord | None:
+def record_from_words(name: str) -> IdempotencyRecord | None:
     words = name.split()
     if words[0] == "none":
         return None
     if words[0] == "unreadable":
         return records.UNREADABLE_RECORD
-    kind = RecordState[words[0].upper()]
-    held = kind in (RecordState.CLAIMED, RecordState.DISPATCHED)
+    record_state = RecordState[words[0].upper()]
+    is_claimed = record_state in (RecordState.CLAIMED, RecordState.DISPATCHED)
     outcome = b"+r" if "stored" in words else b""
-    return IdempotencyRecord(kind, *A, 10, 3000 if held else 0, 1000, "uncertain" in words, outcome)
-
-
-def event(name: str) -> tuple[RecordEvent, int]:
-    """And the store's time. `older` and `newer` by the fence; `since` of an older one is before that."""
-    what, _, who = name.partition(", ")
-    if what.startswith("operator"):
-        fence, at = (9 if who == "of another fence" else 10), (2000 if who == "early" else 4000)
-        return RecordEvent(EventKind[what.upper().replace(" ", "_")], "", "", fence, valid_until_ms=3500), at
-    holder, fence, since = {
-        "holder": (A, 10, 1500),
-        "older": (B, 5, 500),
-        "newer": (B, 20, 1500),
-        "same fence": (B, 10, 1500),
-    }[who]
+    return IdempotencyRecord(
+        record_state, *HOLDER_A, 10, 3000 if is_claimed else 0, 1000, "uncertain" in words, outcome
+    )
+
+
+def event_from_words(name: str) -> tuple[RecordEvent, int]:
+    """Returns the event and the store's time.
+
+    `older` and `newer` refer to the fence; an older event has an earlier dispatch time too.
+    """
+    kind_name, _, sender = name.partition(", ")
+    if kind_name.startswith("operator"):
+        fence, store_now_ms = (
+            (9 if sender == "of another fence" else 10),
+            (2000 if sender == "early" else 4000),
+        )
+        return RecordEvent(
+            EventKind[kind_name.upper().replace(" ", "_")], "", "", fence, valid_until_ms=3500
+        ), store_now_ms
+    holder, fence, earliest_dispatch_ms = {
+        "holder": (HOLDER_A, 10, 1500),
+        "older": (HOLDER_B, 5, 500),
+        "newer": (HOLDER_B, 20, 1500),
+        "same fence": (HOLDER_B, 10, 1500),
+    }[sender]
     return RecordEvent(
-        EventKind[what.upper()], *holder, fence, since, 5000, b"+r" if what == "completed" else b""
+        EventKind[kind_name.upper()],
+        *holder,
+        fence,
+        earliest_dispatch_ms,
+        5000,
+        b"+r" if kind_name == "completed" else b"",
     ), 2000
 
 
-def told(record: IdempotencyRecord | None) -> str:
+def record_to_words(record: IdempotencyRecord | None) -> str:
     if record is None:
         return "-"
     words = [record.state.name.lower(), record.owner, str(record.fence), str(record.earliest_dispatch_ms)]
@@ -102,43 +119,52 @@
     )
 
 
-class Life(unittest.TestCase):
-    def test_every_state_with_every_event(self) -> None:
+class RecordTransitionTest(unittest.TestCase):
+    def test_every_state_with_every_event_matches_the_table(self) -> None:
         states = ["none", "absent", "unreadable", "completed", "completed stored"] + [
-            f"{one}{more}" for one in ("claimed", "dispatched", "unknown") for more in ("", " uncertain")
+            f"{state_name}{suffix}"
+            for state_name in ("claimed", "dispatched", "unknown")
+            for suffix in ("", " uncertain")
         ]
-        self.assertEqual(sorted(states), sorted(TABLE["states"]))
-        for name, row in TABLE["states"].items():
+        self.assertEqual(sorted(states), sorted(TRANSITION_TABLE["states"]))
+        for name, row in TRANSITION_TABLE["states"].items():
             self.assertEqual(
-                row, [told(apply_event(state(name), *event(one))) for one in TABLE["events"]], name
+                row,
+                [
+                    record_to_words(apply_event(record_from_words(name), *event_from_words(event_name)))
+                    for event_name in TRANSITION_TABLE["events"]
+                ],
+                name,
             )
 
-    def test_fences_grow_and_what_may_have_run_is_not_cleared(self) -> None:
-        chance, cleared = random.Random(5), 0
+    def test_fences_grow_and_possible_executions_are_not_cleared(self) -> None:
+        random_source, cleared_count = random.Random(5), 0
         for _ in range(300):
             record, may_have_run = None, False
-            for kind in chance.choices(
+            for kind in random_source.choices(
                 [kind for kind in EventKind if kind < EventKind.OPERATOR_COMPLETED], k=12
             ):
-                holder = chance.choice((A, B))
-                fence = (record.fence if record else 1) + chance.choice((-1, 0, 1, 3))
-                if record is not None and chance.random() < 0.4:
+                holder = random_source.choice((HOLDER_A, HOLDER_B))
+                fence = (record.fence if record else 1) + random_source.choice((-1, 0, 1, 3))
+                if record is not None and random_source.random() < 0.4:
                     holder, fence = ClaimHolder(record.owner, record.incarnation), record.fence
-                after = apply_event(record, RecordEvent(kind, *holder, fence, 1000, 9000), 2000)
-                if after is None:
+                updated = apply_event(record, RecordEvent(kind, *holder, fence, 1000, 9000), 2000)
+                if updated is None:
                     continue
-                self.assertNotEqual(after, record, "a change that changes nothing")
+                self.assertNotEqual(updated, record, "an applied event that changes nothing")
                 self.assertGreaterEqual(
-                    after.fence - (kind is EventKind.CLAIM), record.fence if record else -1
+                    updated.fence - (kind is EventKind.CLAIM), record.fence if record else -1
                 )
                 may_have_run = may_have_run or kind in (EventKind.COMPLETED, EventKind.UNKNOWN)
-                self.assertFalse(may_have_run and after.state is RecordState.ABSENT, (record, kind, after))
-                cleared += after.state is RecordState.ABSENT
-                record = after
-        self.assertGreater(cleared, 0)
+                self.assertFalse(
+                    may_have_run and updated.state is RecordState.ABSENT, (record, kind, updated)
+                )
+                cleared_count += updated.state is RecordState.ABSENT
+                record = updated
+        self.assertGreater(cleared_count, 0)
 
-    def test_digests_and_bytes(self) -> None:
-        made = {
+    def test_digests_differ_and_unknown_values_are_unreadable(self) -> None:
+        digests = {
             records.digest_key(*parts)
             for parts in (
                 ("n", "t", "g", "ab"),
@@ -148,11 +174,11 @@
                 ("n", "t", "g", "ab"),
             )
         }
-        self.assertEqual(4, len(made))
+        self.assertEqual(4, len(digests))
         record = IdempotencyRecord(RecordState.DISPATCHED, "a", "1", 7, 8, 9, True, b"+x")
         self.assertEqual(record, records.decode_record(records.encode_record(record)))
-        later = msgspec.msgpack.encode([9, "a", "1", 7])
-        for value in (b"\xff", b"no record", later, msgspec.msgpack.encode([1, "a", "1", -4])):
+        value_of_later_build = msgspec.msgpack.encode([9, "a", "1", 7])
+        for value in (b"\xff", b"no record", value_of_later_build, msgspec.msgpack.encode([1, "a", "1", -4])):
             self.assertIs(records.UNREADABLE_RECORD, records.decode_record(value))
         self.assertEqual(
             (None, b""), (records.stored_result(b""), records.stored_result(records.make_outcome(b"", 1)))
@@ -160,37 +186,56 @@
         self.assertEqual(b"", records.make_outcome(b"12", 1))
 
 
-# The guard.
+# Execution guard.
 
 
-def tariff(
-    deduplicated: bool = True, group: str = "all", idempotent: bool = False, index: int = 0
+def make_request_class(
+    is_deduplicated: bool = True, dedup_scope: str = "all", is_idempotent: bool = False, index: int = 0
 ) -> RequestClass:
     return RequestClass(
-        index, 1, SECOND, 0.0, 1.0, 0.0, idempotent, deduplicated, group, MEMORY, False, None, None
+        index,
+        1,
+        SECOND_US,
+        0.0,
+        1.0,
+        0.0,
+        is_idempotent,
+        is_deduplicated,
+        dedup_scope,
+        DEDUP_WINDOW_US,
+        False,
+        None,
+        None,
     )
 
 
-class Guarding(unittest.TestCase):
+class ExecutionGuardTest(unittest.TestCase):
     def setUp(self) -> None:
-        settings = IdempotencySettings(unguarded_rates={"load": 2}, max_unguarded_us=10 * SECOND)
-        self.guard = ExecutionGuard(settings, 2 * SECOND, random.Random(3).random)
-        self.times = RequestTiming(START, START + SECOND, START + 3 * SECOND, MEMORY)
+        settings = IdempotencySettings(unguarded_rates={"load": 2}, max_unguarded_us=10 * SECOND_US)
+        self.guard = ExecutionGuard(settings, 2 * SECOND_US, random.Random(3).random)
+        self.timing = RequestTiming(START_US, START_US + SECOND_US, START_US + 3 * SECOND_US, DEDUP_WINDOW_US)
 
     def decide(
         self,
-        kind: GuardMode,
+        mode: GuardMode,
         record: IdempotencyRecord | None,
-        at: int = 10_000,
-        now: int = START,
-        before: int = 0,
+        store_now_ms: int = 10_000,
+        now_us: int = START_US,
+        age_unknown_before_ms: int = 0,
     ) -> Any:
-        return self.guard.decide(kind, LookupResult(record, at, before), B, self.times, now)
+        return self.guard.decide(
+            mode, LookupResult(record, store_now_ms, age_unknown_before_ms), HOLDER_B, self.timing, now_us
+        )
 
-    def test_who_needs_a_mark(self) -> None:
-        kinds = [
-            guard_mode_of(one, "load", IdempotencySettings(request_classes=("load",)))
-            for one in (tariff(), tariff(group="cell"), tariff(False), tariff(False, idempotent=True))
+    def test_guard_mode_follows_from_the_request_class(self) -> None:
+        modes = [
+            guard_mode_of(request_class, "load", IdempotencySettings(request_classes=("load",)))
+            for request_class in (
+                make_request_class(),
+                make_request_class(dedup_scope="cell"),
+                make_request_class(False),
+                make_request_class(False, is_idempotent=True),
+            )
         ]
         self.assertEqual(
             [
@@ -199,282 +244,320 @@
                 GuardMode.AT_MOST_ONCE,
                 GuardMode.NOT_NEEDED,
             ],
-            kinds,
+            modes,
+        )
+        self.assertIs(
+            GuardMode.NOT_NEEDED, guard_mode_of(make_request_class(), "load", IdempotencySettings())
         )
-        self.assertIs(GuardMode.NOT_NEEDED, guard_mode_of(tariff(), "load", IdempotencySettings()))
 
-    def test_each_doubt_by_kind(self) -> None:
-        """The table of decisions in docs/idempotency.md: what is found, how old it is, and each mode."""
-        ran, kept = (
-            IdempotencyRecord(RecordState.COMPLETED, *A, 4, 0, 5000),
-            IdempotencyRecord(RecordState.COMPLETED, *A, 4, 0, 5000, False, b"+r"),
+    def test_decision_for_each_record_and_mode(self) -> None:
+        """Checks the decision table in docs/idempotency.md: each record, its age, and each mode."""
+        completed, completed_with_result = (
+            IdempotencyRecord(RecordState.COMPLETED, *HOLDER_A, 4, 0, 5000),
+            IdempotencyRecord(RecordState.COMPLETED, *HOLDER_A, 4, 0, 5000, False, b"+r"),
         )
-        unknown, held = (
-            IdempotencyRecord(RecordState.UNKNOWN, *A, 4, 0, 5000),
-            IdempotencyRecord(RecordState.CLAIMED, *A, 4, 11_000, 5000),
+        unknown, claimed = (
+            IdempotencyRecord(RecordState.UNKNOWN, *HOLDER_A, 4, 0, 5000),
+            IdempotencyRecord(RecordState.CLAIMED, *HOLDER_A, 4, 11_000, 5000),
         )
-        late, past = START + 600_000, 5000 + 19_700  # half of the slack is over; the memory, but for a margin
+        # Half of the slack has passed; the deduplication window less its safety margin has passed.
+        late_us, window_over_ms = START_US + 600_000, 5000 + 19_700
         rows = [
-            (None, 10_000, START, Claim, Claim),
-            (IdempotencyRecord(RecordState.ABSENT, *A, 4), 10_000, START, Claim, Claim),
-            (kept, 10_000, START, ReplayResult, ReplayResult),
-            (kept, past, START, ReplayResult, ReplayResult),
-            (ran, 10_000, START, Proceed, Fail),
-            (ran, past, START, Fail, Fail),
-            (unknown, 10_000, START, Proceed, Fail),
-            (unknown, past, START, Fail, Fail),
-            (held, 10_000, START, Wait, Wait),
-            (held, 10_000, late, Claim, Reject),
-            (held, 11_000, START, Claim, Fail),
-            (held, past, START, Fail, Fail),
-            (records.UNREADABLE_RECORD, past, START, Fail, Fail),
+            (None, 10_000, START_US, Claim, Claim),
+            (IdempotencyRecord(RecordState.ABSENT, *HOLDER_A, 4), 10_000, START_US, Claim, Claim),
+            (completed_with_result, 10_000, START_US, ReplayResult, ReplayResult),
+            (completed_with_result, window_over_ms, START_US, ReplayResult, ReplayResult),
+            (completed, 10_000, START_US, Proceed, Fail),
+            (completed, window_over_ms, START_US, Fail, Fail),
+            (unknown, 10_000, START_US, Proceed, Fail),
+            (unknown, window_over_ms, START_US, Fail, Fail),
+            (claimed, 10_000, START_US, Wait, Wait),
+            (claimed, 10_000, late_us, Claim, Reject),
+            (claimed, 11_000, START_US, Claim, Fail),
+            (claimed, window_over_ms, START_US, Fail, Fail),
+            (records.UNREADABLE_RECORD, window_over_ms, START_US, Fail, Fail),
         ]
-        for record, at, now, shared, other in rows:
-            with self.subTest(record=record, at=at, now=now - START):
-                found = [
-                    type(self.decide(kind, record, at, now))
-                    for kind in (
+        for record, store_now_ms, now_us, expected_with_shared_window, expected_otherwise in rows:
+            with self.subTest(record=record, store_now_ms=store_now_ms, now_us=now_us - START_US):
+                decisions = [
+                    type(self.decide(mode, record, store_now_ms, now_us))
+                    for mode in (
                         GuardMode.SHARED_DEDUP_WINDOW,
                         GuardMode.SCOPED_DEDUP_WINDOW,
                         GuardMode.AT_MOST_ONCE,
                     )
                 ]
-                self.assertEqual([shared, other, other], found)
-        ahead = msgspec.structs.replace(ran, earliest_dispatch_ms=12_000)
-        self.assertIsInstance(self.decide(GuardMode.SHARED_DEDUP_WINDOW, ahead), Fail)
-        self.assertIsInstance(self.decide(GuardMode.SHARED_DEDUP_WINDOW, ran, before=5_001), Fail)
-
-    def test_a_takeover_keeps_the_first_time(self) -> None:
-        held = IdempotencyRecord(RecordState.DISPATCHED, *A, 40_000, 9_000, 5000)
-        claim = self.decide(GuardMode.SHARED_DEDUP_WINDOW, held).event
+                self.assertEqual(
+                    [expected_with_shared_window, expected_otherwise, expected_otherwise], decisions
+                )
+        record_of_the_future = msgspec.structs.replace(completed, earliest_dispatch_ms=12_000)
+        self.assertIsInstance(self.decide(GuardMode.SHARED_DEDUP_WINDOW, record_of_the_future), Fail)
+        self.assertIsInstance(
+            self.decide(GuardMode.SHARED_DEDUP_WINDOW, completed, age_unknown_before_ms=5_001), Fail
+        )
+
+    def test_takeover_keeps_the_earliest_dispatch_time(self) -> None:
+        dispatched = IdempotencyRecord(RecordState.DISPATCHED, *HOLDER_A, 40_000, 9_000, 5000)
+        claim = self.decide(GuardMode.SHARED_DEDUP_WINDOW, dispatched).event
         self.assertEqual(
             (40_001, 5000, 13_000), (claim.fence, claim.earliest_dispatch_ms, claim.valid_until_ms)
         )
-        claim = self.decide(GuardMode.SHARED_DEDUP_WINDOW, held, 24_000).event
+        claim = self.decide(GuardMode.SHARED_DEDUP_WINDOW, dispatched, 24_000).event
         self.assertEqual(5000 + 19_700, claim.valid_until_ms)
         self.assertEqual(
             10_000,
             self.decide(
-                GuardMode.SHARED_DEDUP_WINDOW, IdempotencyRecord(RecordState.ABSENT, *A, 4)
+                GuardMode.SHARED_DEDUP_WINDOW, IdempotencyRecord(RecordState.ABSENT, *HOLDER_A, 4)
             ).event.fence,
         )
 
-    def test_without_the_store(self) -> None:
-        def silent(name: str, since: int = 0, now: int = START) -> Any:
-            return self.guard.decide_without_store(StoreUnavailable("away", since), name, now)
+    def test_unguarded_requests_are_limited_without_the_store(self) -> None:
+        def decide(class_name: str, unavailable_us: int = 0, now_us: int = START_US) -> Any:
+            return self.guard.decide_without_store(
+                StoreUnavailable("unavailable", unavailable_us), class_name, now_us
+            )
 
-        found = [type(silent("load")) for _ in range(4)] + [
-            type(one)
-            for one in (
-                silent("post"),
-                silent("load", 11 * SECOND, START + 2 * SECOND),
-                silent("load", SECOND, START + 2 * SECOND),
+        decisions = [type(decide("load")) for _ in range(4)] + [
+            type(decision)
+            for decision in (
+                decide("post"),
+                decide("load", 11 * SECOND_US, START_US + 2 * SECOND_US),
+                decide("load", SECOND_US, START_US + 2 * SECOND_US),
             )
         ]
         self.assertEqual(
-            [ProceedUnguarded, ProceedUnguarded, Reject, Reject, Reject, Reject, ProceedUnguarded], found
+            [ProceedUnguarded, ProceedUnguarded, Reject, Reject, Reject, Reject, ProceedUnguarded], decisions
         )
-        waits = [
-            self.guard.draw_retry_after_us(least) for least in (0, SECOND, 9 * SECOND) for _ in range(50)
+        retry_afters_us = [
+            self.guard.draw_retry_after_us(min_us)
+            for min_us in (0, SECOND_US, 9 * SECOND_US)
+            for _ in range(50)
         ]
-        self.assertTrue(all(SECOND <= wait <= 2 * SECOND for wait in waits))
-        self.assertGreater(max(waits[100:]) - min(waits[100:]), 400_000)
+        self.assertTrue(
+            all(SECOND_US <= retry_after_us <= 2 * SECOND_US for retry_after_us in retry_afters_us)
+        )
+        self.assertGreater(max(retry_afters_us[100:]) - min(retry_afters_us[100:]), 400_000)
 
 
-# The limiter on the store, and its clock.
+# Circuit breaker and clock of the store.
 
 
-class Limiting(unittest.TestCase):
+class StoreHealthTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.health, self.now = StoreHealth(IdempotencySettings(), random.Random(1).random, START), START
+        self.health, self.now_us = (
+            StoreHealth(IdempotencySettings(), random.Random(1).random, START_US),
+            START_US,
+        )
 
-    def trip(self, took: int, well: bool = True) -> None:
-        ticket = self.health.on_round_trip_started(self.now)
-        self.now += took
-        self.health.on_round_trip_finished(ticket, well, self.now)
+    def finish_round_trip(self, duration_us: int, has_succeeded: bool = True) -> None:
+        round_trip_id = self.health.on_round_trip_started(self.now_us)
+        self.now_us += duration_us
+        self.health.on_round_trip_finished(round_trip_id, has_succeeded, self.now_us)
 
-    def close(self) -> int:
-        """Trials until it is closed; one is out at a time."""
-        tries = 0
+    def close_breaker(self) -> int:
+        """Returns the number of probes until the breaker is closed; only one probe is in flight at a time."""
+        probe_count = 0
         while self.health.is_open:
-            ticket = self.health.start_probe(self.now)
-            if ticket is not None:
-                self.assertIsNone(self.health.start_probe(self.now))
-                self.health.on_round_trip_finished(ticket, True, self.now + 500)
-                tries += 1
-            self.now += 10_000
-        return tries
-
-    def test_budget(self) -> None:
-        self.assertEqual(0, self.health.time_budget_us(SECOND, self.now), "nothing is known of it yet")
-        self.assertEqual(1, self.close())
-        budgets = [self.health.time_budget_us(slack, self.now) for slack in (SECOND, 20_000, 0)]
+            round_trip_id = self.health.start_probe(self.now_us)
+            if round_trip_id is not None:
+                self.assertIsNone(self.health.start_probe(self.now_us))
+                self.health.on_round_trip_finished(round_trip_id, True, self.now_us + 500)
+                probe_count += 1
+            self.now_us += 10_000
+        return probe_count
+
+    def test_time_budget_depends_on_slack_and_round_trips(self) -> None:
+        self.assertEqual(
+            0, self.health.time_budget_us(SECOND_US, self.now_us), "the state of the store is not known yet"
+        )
+        self.assertEqual(1, self.close_breaker())
+        budgets = [self.health.time_budget_us(slack_us, self.now_us) for slack_us in (SECOND_US, 20_000, 0)]
         self.assertEqual([50_000, 5_000, 0], budgets)
         for _ in range(10):
-            self.trip(20_000)
-        self.assertEqual(80_000, self.health.time_budget_us(SECOND, self.now))
-        self.assertEqual(0, self.health.time_budget_us(70_000, self.now), "less than one usual round trip")
+            self.finish_round_trip(20_000)
+        self.assertEqual(80_000, self.health.time_budget_us(SECOND_US, self.now_us))
+        self.assertEqual(0, self.health.time_budget_us(70_000, self.now_us), "less than one usual round trip")
         for _ in range(1000):
-            self.health.on_round_trip_started(self.now)
-        self.assertEqual(0, self.health.time_budget_us(SECOND, self.now))
-
-    def test_breaker(self) -> None:
-        for took, well, opens in ((500, False, 5), (60_000, True, 5), (500, True, 50), (40_000, True, 50)):
-            with self.subTest(took=took, well=well):
+            self.health.on_round_trip_started(self.now_us)
+        self.assertEqual(0, self.health.time_budget_us(SECOND_US, self.now_us))
+
+    def test_breaker_opens_after_failures_and_closes_after_probes(self) -> None:
+        for duration_us, has_succeeded, expected_count in (
+            (500, False, 5),
+            (60_000, True, 5),
+            (500, True, 50),
+            (40_000, True, 50),
+        ):
+            with self.subTest(duration_us=duration_us, has_succeeded=has_succeeded):
                 self.setUp()
-                self.close()
-                after = 0
-                while not self.health.is_open and after < 50:
-                    self.trip(took, well)
-                    after += 1
-                self.assertEqual(opens, after)
-                if opens < 50:
-                    self.assertEqual(0, self.health.time_budget_us(SECOND, self.now))
-                    self.assertEqual(3, self.close())
-
-    def test_failed_trials_come_seldom_and_spread(self) -> None:
-        def found(seed: int) -> list[int]:
-            health, times, now = (
-                StoreHealth(IdempotencySettings(), random.Random(seed).random, START),
+                self.close_breaker()
+                round_trip_count = 0
+                while not self.health.is_open and round_trip_count < 50:
+                    self.finish_round_trip(duration_us, has_succeeded)
+                    round_trip_count += 1
+                self.assertEqual(expected_count, round_trip_count)
+                if expected_count < 50:
+                    self.assertEqual(0, self.health.time_budget_us(SECOND_US, self.now_us))
+                    self.assertEqual(3, self.close_breaker())
+
+    def test_failed_probes_back_off_with_random_spread(self) -> None:
+        def probe_times_us(seed: int) -> list[int]:
+            health, times_us, now_us = (
+                StoreHealth(IdempotencySettings(), random.Random(seed).random, START_US),
                 [],
-                START,
+                START_US,
             )
-            while len(times) < 6:
-                ticket = health.start_probe(now)
-                if ticket is not None:
-                    times.append(now)
-                    health.on_round_trip_finished(ticket, False, now)
-                now += 1_000
-            return times
-
-        times = found(1)
-        self.assertTrue(2 * SECOND <= times[-1] - times[-2] <= 4 * SECOND + 1_000)
-        self.assertGreater(len({found(seed)[3] for seed in range(20)}), 15)
-
-    def test_a_clock_that_goes_back(self) -> None:
+            while len(times_us) < 6:
+                round_trip_id = health.start_probe(now_us)
+                if round_trip_id is not None:
+                    times_us.append(now_us)
+                    health.on_round_trip_finished(round_trip_id, False, now_us)
+                now_us += 1_000
+            return times_us
+
+        times_us = probe_times_us(1)
+        self.assertTrue(2 * SECOND_US <= times_us[-1] - times_us[-2] <= 4 * SECOND_US + 1_000)
+        self.assertGreater(len({probe_times_us(seed)[3] for seed in range(20)}), 15)
+
+    def test_clock_regression_makes_the_age_of_older_records_unknown(self) -> None:
         clock = StoreClock()
-        self.assertFalse(clock.is_known(START))
-        clock.on_reading(50_000, START, START + 2_000)
-        self.assertTrue(clock.lower_bound_ms(START + 2_000) <= 50_000 <= clock.upper_bound_ms(START + 2_000))
-        clock.on_reading(50_990, START + SECOND, START + SECOND + 1_000)
+        self.assertFalse(clock.is_known(START_US))
+        clock.on_reading(50_000, START_US, START_US + 2_000)
+        self.assertTrue(
+            clock.lower_bound_ms(START_US + 2_000) <= 50_000 <= clock.upper_bound_ms(START_US + 2_000)
+        )
+        clock.on_reading(50_990, START_US + SECOND_US, START_US + SECOND_US + 1_000)
         self.assertEqual((0, 0), (clock.regressions, clock.age_unknown_before_ms))
-        clock.on_reading(49_000, START + 2 * SECOND, START + 2 * SECOND)
+        clock.on_reading(49_000, START_US + 2 * SECOND_US, START_US + 2 * SECOND_US)
         self.assertEqual(1, clock.regressions)
         self.assertGreaterEqual(clock.age_unknown_before_ms, 51_990)
 
 
-class WritingBehind(unittest.TestCase):
+class WriteBehindQueueTest(unittest.TestCase):
     def add(
         self,
-        behind: WriteBehindQueue,
+        queue: WriteBehindQueue,
         number: int,
         kind: EventKind,
         tenant: int = 0,
         fence: int = 1,
-        now: int = START,
-        **more: Any,
+        now_us: int = START_US,
+        **event_fields: Any,
     ) -> bool:
-        return behind.add(
-            b"%d" % number, RecordEvent(kind, *A, fence, **more), tenant, now + 60 * SECOND, now
+        return queue.add(
+            b"%d" % number,
+            RecordEvent(kind, *HOLDER_A, fence, **event_fields),
+            tenant,
+            now_us + 60 * SECOND_US,
+            now_us,
         )
 
-    def test_bounds(self) -> None:
-        behind = WriteBehindQueue(max_pending=6, max_pending_per_tenant=4)
+    def test_least_important_update_is_dropped_beyond_a_limit(self) -> None:
+        queue = WriteBehindQueue(max_pending=6, max_pending_per_tenant=4)
         kinds = [EventKind.COMPLETED, EventKind.DISPATCHED, EventKind.NOT_EXECUTED, EventKind.UNKNOWN]
         for number, kind in enumerate(kinds):
-            self.assertTrue(self.add(behind, number, kind))
-        self.assertTrue(self.add(behind, 4, EventKind.UNKNOWN, fence=0))
-        self.assertFalse(self.add(behind, 5, EventKind.DISPATCHED), "it is needed least itself")
-        self.assertTrue(self.add(behind, 6, EventKind.COMPLETED))
+            self.assertTrue(self.add(queue, number, kind))
+        self.assertTrue(self.add(queue, 4, EventKind.UNKNOWN, fence=0))
+        self.assertFalse(
+            self.add(queue, 5, EventKind.DISPATCHED), "the added update is the least important one"
+        )
+        self.assertTrue(self.add(queue, 6, EventKind.COMPLETED))
         for number in (7, 8):
-            self.assertTrue(self.add(behind, number, EventKind.COMPLETED, tenant=1))
-        self.assertTrue(self.add(behind, 9, EventKind.COMPLETED, tenant=1), "the flood gives way")
-        left = [int(item.digest) for item in behind.take_due(9, START + SECOND)]
-        self.assertEqual(([3, 4, 6, 7, 8, 9], 4), (left, behind.dropped_count))
-
-    def test_order_and_merging(self) -> None:
-        behind = WriteBehindQueue()
-        self.add(behind, 1, EventKind.DISPATCHED, earliest_dispatch_ms=5)
-        self.add(behind, 2, EventKind.UNKNOWN, earliest_dispatch_ms=7)
-        ripe = [int(item.digest) for item in behind.take_due(9, START)]
-        self.assertEqual([2], ripe, "what is sent is not ripe")
-        self.add(behind, 1, EventKind.COMPLETED, earliest_dispatch_ms=6, outcome=b"+r")
-        self.add(behind, 3, EventKind.NOT_EXECUTED)
-        taken, merged = behind.take_due(1, START), RecordEvent(EventKind.COMPLETED, *A, 1, 5, 0, b"+r")
-        self.assertEqual(merged, taken[0].event)
-        self.add(behind, 1, EventKind.UNKNOWN, earliest_dispatch_ms=6)
-        behind.requeue(taken)
-        self.assertEqual([merged], [item.event for item in behind.pending_for(b"1")])
-        self.assertEqual([1, 3], [int(item.digest) for item in behind.take_due(9, START)])
-        self.add(behind, 4, EventKind.COMPLETED)
-        self.assertEqual(([], 0), (behind.take_due(9, START + 61 * SECOND), len(behind)), "no longer needed")
-
-
-# The journal.
-
-
-class Disk(DiskCalls):
-    """Fails the call with that number, counted over all calls; writes half of it first."""
-
-    def __init__(self, fails: int = -1) -> None:
-        self.calls, self.fails = 0, fails
-
-    def _count(self) -> bool:
-        self.calls += 1
-        return self.calls - 1 == self.fails
+            self.assertTrue(self.add(queue, number, EventKind.COMPLETED, tenant=1))
+        self.assertTrue(
+            self.add(queue, 9, EventKind.COMPLETED, tenant=1), "the tenant with the most updates loses one"
+        )
+        remaining = [int(write.digest) for write in queue.take_due(9, START_US + SECOND_US)]
+        self.assertEqual(([3, 4, 6, 7, 8, 9], 4), (remaining, queue.dropped_count))
+
+    def test_updates_of_one_claim_are_merged_in_order(self) -> None:
+        queue = WriteBehindQueue()
+        self.add(queue, 1, EventKind.DISPATCHED, earliest_dispatch_ms=5)
+        self.add(queue, 2, EventKind.UNKNOWN, earliest_dispatch_ms=7)
+        due_numbers = [int(write.digest) for write in queue.take_due(9, START_US)]
+        self.assertEqual([2], due_numbers, "the DISPATCHED report is not due yet")
+        self.add(queue, 1, EventKind.COMPLETED, earliest_dispatch_ms=6, outcome=b"+r")
+        self.add(queue, 3, EventKind.NOT_EXECUTED)
+        taken, merged_event = (
+            queue.take_due(1, START_US),
+            RecordEvent(EventKind.COMPLETED, *HOLDER_A, 1, 5, 0, b"+r"),
+        )
+        self.assertEqual(merged_event, taken[0].event)
+        self.add(queue, 1, EventKind.UNKNOWN, earliest_dispatch_ms=6)
+        queue.requeue(taken)
+        self.assertEqual([merged_event], [write.event for write in queue.pending_for(b"1")])
+        self.assertEqual([1, 3], [int(write.digest) for write in queue.take_due(9, START_US)])
+        self.add(queue, 4, EventKind.COMPLETED)
+        self.assertEqual(
+            ([], 0), (queue.take_due(9, START_US + 61 * SECOND_US), len(queue)), "expired updates are dropped"
+        )
+
+
+# Journal.
+
+
+class FailingDisk(DiskCalls):
+    """Makes the call with the given number fail; a failing write writes half of the data first."""
+
+    def __init__(self, failing_call: int = -1) -> None:
+        self.call_count, self.failing_call = 0, failing_call
+
+    def _is_failing_call(self) -> bool:
+        self.call_count += 1
+        return self.call_count - 1 == self.failing_call
 
     def write(self, file: int, data: Any) -> int:
-        if self._count():
+        if self._is_failing_call():
             os.write(file, data[: len(data) // 2])
             raise OSError(errno.ENOSPC, "no space")
         return os.write(file, data)
 
     def fsync(self, file: int) -> None:
-        if self._count():
+        if self._is_failing_call():
             raise OSError(errno.EIO, "lost")
         os.fsync(file)
 
     def rename(self, old: str, new: str) -> None:
-        if self._count():
+        if self._is_failing_call():
             raise OSError(errno.EIO, "lost")
         os.rename(old, new)
 
 
-class Journals(unittest.TestCase):
+class JournalTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = f"{folder.name}/marks"
 
-    def opened(self, system: DiskCalls | None = None) -> Journal:
-        made = Journal(self.path, system)
-        self.addCleanup(made.close)
-        made.open()
-        return made
+    def open_journal(self, disk: DiskCalls | None = None) -> Journal:
+        claim_journal = Journal(self.path, disk)
+        self.addCleanup(claim_journal.close)
+        claim_journal.open()
+        return claim_journal
 
-    def again(self) -> tuple[list[int], list[str]]:
-        made = Journal(self.path)
-        numbers = sorted(entry.entry_id for entry in made.open())
-        made.close()
-        return numbers, [line.partition(": ")[2] for line in made.warnings]
+    def reopen(self) -> tuple[list[int], list[str]]:
+        claim_journal = Journal(self.path)
+        entry_ids = sorted(entry.entry_id for entry in claim_journal.open())
+        claim_journal.close()
+        return entry_ids, [line.partition(": ")[2] for line in claim_journal.warnings]
 
     @staticmethod
-    def intended(number: int) -> JournalEntry:
-        return JournalEntry(EntryKind.CLAIMED, number, b"d" * 20, 0, 1)
+    def claim_entry(entry_id: int) -> JournalEntry:
+        return JournalEntry(EntryKind.CLAIMED, entry_id, b"d" * 20, 0, 1)
 
     @staticmethod
-    def settled(number: int) -> JournalEntry:
-        return JournalEntry(EntryKind.SETTLED, number, b"", 0, 0)
+    def settled_entry(entry_id: int) -> JournalEntry:
+        return JournalEntry(EntryKind.SETTLED, entry_id, b"", 0, 0)
 
-    def test_what_is_not_settled_is_unknown(self) -> None:
-        made = self.opened()
-        made.append(map(self.intended, (1, 2, 3)))
-        made.append([self.settled(2)])
+    def test_unsettled_claims_are_returned_after_reopening(self) -> None:
+        claim_journal = self.open_journal()
+        claim_journal.append(map(self.claim_entry, (1, 2, 3)))
+        claim_journal.append([self.settled_entry(2)])
         with self.assertRaises(JournalLockedError):
             Journal(self.path).open()
-        made.close()
-        self.assertEqual(([1, 3], []), self.again())
-        entry = self.intended(1)
+        claim_journal.close()
+        self.assertEqual(([1, 3], []), self.reopen())
+        entry = self.claim_entry(1)
         self.assertEqual(
             (EventKind.UNKNOWN, 0),
             (
@@ -483,327 +566,380 @@
             ),
         )
 
-    def test_tails_and_damage(self) -> None:
-        made = self.opened()
-        made.append(map(self.intended, (1, 2, 3)))
-        made.close()
-        whole, size = Path(self.path).read_bytes(), ENTRY_SIZE
-        for length in range(len(whole) + 1):
-            Path(self.path).write_bytes(whole[:length])
-            kept = max(0, length // size - 1)
-            torn = f"incomplete end, {length % size} bytes truncated at offset {length // size * size}"
-            told_of = [] if length % size == 0 else [torn]
-            if 0 < length < size:
-                told_of = ["first record incomplete; starting a new journal"]
-            self.assertEqual((list(range(1, kept + 1)), told_of), self.again())
-            self.assertEqual((list(range(1, kept + 1)), []), self.again())
-        Path(self.path).write_bytes(whole + bytes(2 * size))
+    def test_incomplete_and_damaged_entries_are_reported(self) -> None:
+        claim_journal = self.open_journal()
+        claim_journal.append(map(self.claim_entry, (1, 2, 3)))
+        claim_journal.close()
+        file_bytes, entry_size = Path(self.path).read_bytes(), ENTRY_SIZE
+        for length in range(len(file_bytes) + 1):
+            Path(self.path).write_bytes(file_bytes[:length])
+            kept_count = max(0, length // entry_size - 1)
+            warning = (
+                f"incomplete end, {length % entry_size} bytes truncated at offset "
+                f"{length // entry_size * entry_size}"
+            )
+            expected_warnings = [] if length % entry_size == 0 else [warning]
+            if 0 < length < entry_size:
+                expected_warnings = ["first record incomplete; starting a new journal"]
+            self.assertEqual((list(range(1, kept_count + 1)), expected_warnings), self.reopen())
+            self.assertEqual((list(range(1, kept_count + 1)), []), self.reopen())
+        Path(self.path).write_bytes(file_bytes + bytes(2 * entry_size))
         self.assertEqual(
-            ([1, 2, 3], [f"incomplete end, {2 * size} bytes truncated at offset {4 * size}"]), self.again()
+            ([1, 2, 3], [f"incomplete end, {2 * entry_size} bytes truncated at offset {4 * entry_size}"]),
+            self.reopen(),
         )
-        for at in range(2 * size, 3 * size):
-            Path(self.path).write_bytes(whole[:at] + bytes([whole[at] ^ 4]) + whole[at + 1 :])
-            damaged = f"1 damaged records skipped, the first at offset {2 * size}; their claims are unknown"
-            self.assertEqual(([1, 3], [damaged]), self.again())
-        Path(self.path).write_bytes(b"x" + whole[1:])
+        for position in range(2 * entry_size, 3 * entry_size):
+            Path(self.path).write_bytes(
+                file_bytes[:position] + bytes([file_bytes[position] ^ 4]) + file_bytes[position + 1 :]
+            )
+            warning = (
+                f"1 damaged records skipped, the first at offset {2 * entry_size}; their claims are unknown"
+            )
+            self.assertEqual(([1, 3], [warning]), self.reopen())
+        Path(self.path).write_bytes(b"x" + file_bytes[1:])
         with self.assertRaises(JournalFormatError):
-            self.again()
+            self.reopen()
 
-    def test_every_failing_call(self) -> None:
-        for fails in range(4, 30):
+    def test_synced_entries_survive_any_failing_call(self) -> None:
+        for failing_call in range(4, 30):
             self.path += "."
-            disk = Disk(fails)
-            made, safe, settled = self.opened(disk), set(), set()
-            for number in range(1, 9):
+            disk = FailingDisk(failing_call)
+            claim_journal, synced_ids, settled_ids = self.open_journal(disk), set(), set()
+            for entry_id in range(1, 9):
                 try:
-                    made.append([self.intended(number)])
-                    safe.add(number)
-                    if number % 2:
-                        made.append([self.settled(number)])
-                        settled.add(number)
+                    claim_journal.append([self.claim_entry(entry_id)])
+                    synced_ids.add(entry_id)
+                    if entry_id % 2:
+                        claim_journal.append([self.settled_entry(entry_id)])
+                        settled_ids.add(entry_id)
                 except OSError:
-                    disk.fails = -1
-            made.close()
-            found = set(self.again()[0])
-            # What was acknowledged is there; beside it at most what the failed call was about.
-            kept = safe - settled
-            self.assertTrue(kept <= found and len(found - kept) <= 1, (fails, kept, found))
-
-    def test_compaction(self) -> None:
+                    disk.failing_call = -1
+            claim_journal.close()
+            found_ids = set(self.reopen()[0])
+            # All acknowledged claims are there, and at most the entry of the failed call in addition.
+            expected_ids = synced_ids - settled_ids
+            self.assertTrue(
+                expected_ids <= found_ids and len(found_ids - expected_ids) <= 1,
+                (failing_call, expected_ids, found_ids),
+            )
+
+    def test_compaction_keeps_unsettled_claims(self) -> None:
         with patch.object(journal, "_COMPACTION_BYTES", 40 * ENTRY_SIZE):
-            made = self.opened()
-            for number in range(1, 500):
-                made.append([self.intended(number)])
-                if number % 100:
-                    made.append([self.settled(number)])
+            claim_journal = self.open_journal()
+            for entry_id in range(1, 500):
+                claim_journal.append([self.claim_entry(entry_id)])
+                if entry_id % 100:
+                    claim_journal.append([self.settled_entry(entry_id)])
             self.assertLess(os.path.getsize(self.path), 60 * ENTRY_SIZE)
-            made.close()
-        self.assertEqual(([100, 200, 300, 400], []), self.again())
-
-    def test_the_thread(self) -> None:
-        disk = Disk()
-        made = self.opened(disk)
-        scribe = JournalWriter(made)
-        first, second = scribe.append_claim(b"d" * 20, 0, 1), scribe.append_claim(b"e" * 20, 0, 1)
-        self.assertTrue(self.told_of(scribe, first) and self.told_of(scribe, second))
-        scribe.append_settled(first)
-        # The settlement may be one with the failed write; it then goes with the next.
-        disk.fails = disk.calls + 2
-        while scribe.last_error == "":
-            self.told_of(scribe, scribe.append_claim(b"f" * 20, 0, 1))
-        self.assertTrue(self.told_of(scribe, scribe.append_claim(b"g" * 20, 0, 1)))
-        scribe.stop()
-        self.assertTrue(scribe.join(5))
-        numbers = self.again()[0]
-        self.assertTrue(second in numbers and first not in numbers, numbers)
+            claim_journal.close()
+        self.assertEqual(([100, 200, 300, 400], []), self.reopen())
+
+    def test_writer_thread_syncs_claims_and_retries_settlements(self) -> None:
+        disk = FailingDisk()
+        claim_journal = self.open_journal(disk)
+        writer = JournalWriter(claim_journal)
+        first_id, second_id = writer.append_claim(b"d" * 20, 0, 1), writer.append_claim(b"e" * 20, 0, 1)
+        self.assertTrue(self.wait_for_sync(writer, first_id) and self.wait_for_sync(writer, second_id))
+        writer.append_settled(first_id)
+        # The settlement may be part of the failed write, and is then written with the next one.
+        disk.failing_call = disk.call_count + 2
+        while writer.last_error == "":
+            self.wait_for_sync(writer, writer.append_claim(b"f" * 20, 0, 1))
+        self.assertTrue(self.wait_for_sync(writer, writer.append_claim(b"g" * 20, 0, 1)))
+        writer.stop()
+        self.assertTrue(writer.join(5))
+        entry_ids = self.reopen()[0]
+        self.assertTrue(second_id in entry_ids and first_id not in entry_ids, entry_ids)
 
     @staticmethod
-    def told_of(scribe: JournalWriter, number: int | None) -> bool:
-        while (outcome := scribe.take_sync_result(number)) is None:
+    def wait_for_sync(writer: JournalWriter, entry_id: int | None) -> bool:
+        while (is_synced := writer.take_sync_result(entry_id)) is None:
             os.sched_yield()
-        return outcome
+        return is_synced
+
 
+# Simulated gateways that share a model of the store, in virtual time.
 
-# Gateways on a model of the store, in virtual time.
 
+class Simulation:
+    """Simulated store, engines and gateways; `random_source` determines delays, faults and the requests.
 
-class World:
-    """`chance` decides all: delays, losses, what clients ask. Engines remember a key from its first run."""
+    Engines remember a key for a deduplication window from its first execution.
+    """
 
-    def __init__(self, seed: int = 0, gateways: int = 3, **faults: float) -> None:
-        self.chance, self.now, self.faults = random.Random(seed), START, faults
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.order = itertools.count()
-        self.data: dict[bytes, tuple[bytes, int]] = {}
-        self.log: list[tuple[int, bytes, tuple[bytes, int]]] = []
-        self.down, self.skew = False, 0  # ms
-        self.first: dict[str, int] = {}
-        self.runs: Counter[str] = Counter()
+    def __init__(self, seed: int = 0, gateway_count: int = 3, **faults: float) -> None:
+        self.random_source, self.now_us, self.faults = random.Random(seed), START_US, faults
+        self.event_heap: list[tuple[int, int, Callable[[], None]]] = []
+        self.sequence_numbers = itertools.count()
+        self.stored_values: dict[bytes, tuple[bytes, int]] = {}
+        self.write_log: list[tuple[int, bytes, tuple[bytes, int]]] = []
+        self.is_down, self.clock_skew_ms = False, 0
+        self.first_execution_us: dict[str, int] = {}
+        self.executions: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()
-        self.gates = [Gate(self, f"g{n}", 0) for n in range(gateways)]
+        self.gateways = [SimulatedGateway(self, f"g{number}", 0) for number in range(gateway_count)]
 
-    def at(self, delay: int, call: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (self.now + max(0, delay), next(self.order), call))
+    def schedule(self, delay_us: int, callback: Callable[[], None]) -> None:
+        heapq.heappush(
+            self.event_heap, (self.now_us + max(0, delay_us), next(self.sequence_numbers), callback)
+        )
 
-    def run(self, seconds: float) -> None:
-        end = self.now + int(seconds * SECOND)
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.heap)
-            call()
-        self.now = end
+    def run_for(self, seconds: float) -> None:
+        end_us = self.now_us + int(seconds * SECOND_US)
+        while self.event_heap and self.event_heap[0][0] <= end_us:
+            self.now_us, _, callback = heapq.heappop(self.event_heap)
+            callback()
+        self.now_us = end_us
 
-    def roll(self, fault: str) -> bool:
-        return self.chance.random() < self.faults.get(fault, 0.0)
+    def draw_fault(self, fault: str) -> bool:
+        return self.random_source.random() < self.faults.get(fault, 0.0)
 
     # The store.
 
-    def execute(self, command: codec.Command) -> Any:
-        words, ms = command.arguments, self.now // 1000 + self.skew
-        if words[0] == b"TIME":
-            return [b"%d" % (ms // 1000), b"%06d" % (ms % 1000 * 1000)]
-        key = words[1] if words[0] == b"GET" else words[3]
-        value, expires = self.data.get(key, (None, 0))
-        found = value if self.now < expires else None
-        if words[0] == b"GET":
-            return found
-        if words[0] != b"SET" and (found or b"") != words[4]:
-            return [0, found, ms]
-        self.data[key] = words[5], self.now + int(words[6]) * 1000
-        self.log.append((self.now, key, self.data[key]))
-        return [1, ms]
-
-    def fail_over(self, lag: int) -> None:
-        """To a copy that has not heard of the last `lag` microseconds."""
-        self.log = [line for line in self.log if line[0] <= self.now - lag]
-        self.data = {key: value for _, key, value in self.log}
-
-    # Engines, all with one memory.
-
-    def arrive(self, key: str) -> None:
-        if self.now - self.first.get(key, -MEMORY) >= MEMORY:
-            self.first[key] = self.now
-            self.runs[key] += 1
-
-    def second_runs(self) -> int:
-        return sum(runs - 1 for runs in self.runs.values())
-
-
-class Gate:
-    """A gateway's passage as far as marks see it; also its client to the store, its clock and its timers."""
-
-    def __init__(self, world: World, name: str, life: int) -> None:
-        self.world, self.name, self.life = world, name, life
-        self.dead, self.paused = False, 0
-        self.waiting: deque[Callable[[], None]] = deque()
-        service = {"Name": "load", "Effect": "deduplicated"}
-        settings = {"Limits": {"RetryAfter": True, "MaxRetryAfter": 1000}, "Services": [service]}
+    def execute_command(self, command: codec.Command) -> Any:
+        arguments, store_now_ms = command.arguments, self.now_us // 1000 + self.clock_skew_ms
+        if arguments[0] == b"TIME":
+            return [b"%d" % (store_now_ms // 1000), b"%06d" % (store_now_ms % 1000 * 1000)]
+        key = arguments[1] if arguments[0] == b"GET" else arguments[3]
+        value, expires_us = self.stored_values.get(key, (None, 0))
+        current_value = value if self.now_us < expires_us else None
+        if arguments[0] == b"GET":
+            return current_value
+        if arguments[0] != b"SET" and (current_value or b"") != arguments[4]:
+            return [0, current_value, store_now_ms]
+        self.stored_values[key] = arguments[5], self.now_us + int(arguments[6]) * 1000
+        self.write_log.append((self.now_us, key, self.stored_values[key]))
+        return [1, store_now_ms]
+
+    def fail_over(self, lag_us: int) -> None:
+        """Fails over to a replica that lacks the writes of the last `lag_us` microseconds."""
+        self.write_log = [write for write in self.write_log if write[0] <= self.now_us - lag_us]
+        self.stored_values = {key: value for _, key, value in self.write_log}
+
+    # Engines, which share one deduplication window.
+
+    def execute_request(self, key: str) -> None:
+        if self.now_us - self.first_execution_us.get(key, -DEDUP_WINDOW_US) >= DEDUP_WINDOW_US:
+            self.first_execution_us[key] = self.now_us
+            self.executions[key] += 1
+
+    def count_repeated_executions(self) -> int:
+        return sum(executions - 1 for executions in self.executions.values())
+
+
+class SimulatedGateway:
+    """A gateway's use of its coordinator; also serves as store client, clock and timers."""
+
+    def __init__(self, simulation: Simulation, name: str, start_number: int) -> None:
+        self.simulation, self.name, self.start_number = simulation, name, start_number
+        self.is_dead, self.paused_until_us = False, 0
+        self.delayed_calls: deque[Callable[[], None]] = deque()
+        service_settings = {"Name": "load", "Effect": "deduplicated"}
+        settings = {"Limits": {"RetryAfter": True, "MaxRetryAfter": 1000}, "Services": [service_settings]}
         self.counters = Counters()
         self.coordinator = IdempotencyCoordinator(
             self,
             IdempotencySettings(
-                request_classes=("load",), max_result_bytes=64, **world.faults.get("settings", {})
+                request_classes=("load",), max_result_bytes=64, **simulation.faults.get("settings", {})
             ),
             settings,
-            [tariff()],
+            [make_request_class()],
             name,
-            str(life),
-            random.Random(f"{name} {life}").random,
+            str(start_number),
+            random.Random(f"{name} {start_number}").random,
             self,
             self,
             self.counters,
         )
-        self.steps()
+        self.run_background_steps()
 
     def now(self) -> int:
-        return self.world.now
+        return self.simulation.now_us
 
-    def does(self, delay: int, call: Callable[[], None]) -> None:
-        def due() -> None:
-            if self.dead:
+    def call_later(self, delay_us: int, callback: Callable[[], None]) -> None:
+        def run_unless_paused() -> None:
+            if self.is_dead:
                 return
-            if self.world.now < self.paused:
-                self.waiting.append(call)
+            if self.simulation.now_us < self.paused_until_us:
+                self.delayed_calls.append(callback)
             else:
-                call()
+                callback()
 
-        self.world.at(delay, due)
+        self.simulation.schedule(delay_us, run_unless_paused)
 
-    def call_after(self, delay: int, call: Callable[[int], None]) -> None:
-        self.does(delay, lambda: call(self.now()))
+    def call_after(self, delay_us: int, callback: Callable[[int], None]) -> None:
+        self.call_later(delay_us, lambda: callback(self.now()))
 
     def pause(self, seconds: int) -> None:
-        """Stopped; what was to be sent goes out before any timer that is overdue, as it may."""
-        self.paused = self.now() + seconds * SECOND
-        self.world.at(seconds * SECOND, self.wake)
+        """Suspends the gateway; delayed sends then run before overdue timers, as is possible in reality."""
+        self.paused_until_us = self.now() + seconds * SECOND_US
+        self.simulation.schedule(seconds * SECOND_US, self.wake)
 
     def wake(self) -> None:
-        waiting, self.waiting = sorted(self.waiting, key=lambda call: not hasattr(call, "sends")), deque()
-        for call in waiting:
-            if not self.dead:
-                call()
-
-    def steps(self) -> None:
-        self.does(50_000 if self.coordinator.run_background_step(self.now()) else 250_000, self.steps)
-
-    def submit(self, commands: list[codec.Command], by: int, call: Callable[[Any], None]) -> None:
-        world, chance, heard = self.world, self.world.chance, []
-
-        def tell(replies: Any) -> None:
-            if not heard:
-                heard.append(replies)
-                call(replies)
-
-        def reach() -> None:
-            if not world.down:
-                replies = [world.execute(command) for command in commands]
-                if not world.roll("reply lost"):
-                    self.does(int(chance.expovariate(1) * 500), lambda: tell(replies))
-
-        late = int(chance.random() * 3 * SECOND) if world.roll("late") else 0
-        if not world.roll("lost"):
-            world.at(late + int(chance.expovariate(1) * 500), reach)
-        self.does(by - self.now(), lambda: tell(None))
-
-    def ask(
+        delayed_calls, self.delayed_calls = (
+            sorted(self.delayed_calls, key=lambda callback: not hasattr(callback, "sends_attempt")),
+            deque(),
+        )
+        for callback in delayed_calls:
+            if not self.is_dead:
+                callback()
+
+    def run_background_steps(self) -> None:
+        self.call_later(
+            50_000 if self.coordinator.run_background_step(self.now()) else 250_000, self.run_background_steps
+        )
+
+    def submit(
+        self, commands: list[codec.Command], deadline_us: int, callback: Callable[[Any], None]
+    ) -> None:
+        simulation, random_source, delivered = self.simulation, self.simulation.random_source, []
+
+        def deliver(replies: Any) -> None:
+            if not delivered:
+                delivered.append(replies)
+                callback(replies)
+
+        def reach_store() -> None:
+            if not simulation.is_down:
+                replies = [simulation.execute_command(command) for command in commands]
+                if not simulation.draw_fault("reply lost"):
+                    self.call_later(int(random_source.expovariate(1) * 500), lambda: deliver(replies))
+
+        extra_delay_us = int(random_source.random() * 3 * SECOND_US) if simulation.draw_fault("late") else 0
+        if not simulation.draw_fault("lost"):
+            simulation.schedule(extra_delay_us + int(random_source.expovariate(1) * 500), reach_store)
+        self.call_later(deadline_us - self.now(), lambda: deliver(None))
+
+    def submit_request(
         self,
         key: str,
-        hold: int = 0,
-        ending: Outcome = Outcome.SUCCEEDED,
-        work: int = 100_000,
+        hold_us: int = 0,
+        outcome: Outcome = Outcome.SUCCEEDED,
+        work_us: int = 100_000,
         tenant: int = 0,
     ) -> None:
-        now, world = self.now(), self.world
-        request = Request(tariff(), now, now + 3 * SECOND, tenant)
+        now_us, simulation = self.now(), self.simulation
+        request = Request(make_request_class(), now_us, now_us + 3 * SECOND_US, tenant)
 
-        def told(decision: Any) -> None:
-            world.counts[type(decision).__name__] += 1
-            world.counts["decisions"] += 1
-            world.counts["late"] += self.now() > now + SECOND and self.paused < now
+        def on_decision(decision: Any) -> None:
+            simulation.counts[type(decision).__name__] += 1
+            simulation.counts["decisions"] += 1
+            simulation.counts["late"] += self.now() > now_us + SECOND_US and self.paused_until_us < now_us
             if isinstance(decision, Proceed | ProceedUnguarded):
-                self.does(hold, send)
+                self.call_later(hold_us, send)
 
         def send() -> None:
             if not self.coordinator.may_dispatch(request, self.now()):
-                world.counts["held back"] += 1
+                simulation.counts["dispatches refused"] += 1
                 self.coordinator.on_request_finished(request, "denied", None, self.now())
                 return
             self.coordinator.on_attempt_sent(request, self.now())
-            if ending is not Outcome.OVERLOADED:
-                world.at(10_000, lambda: world.arrive(key))
-            self.does(work, back)
+            if outcome is not Outcome.OVERLOADED:
+                simulation.schedule(10_000, lambda: simulation.execute_request(key))
+            self.call_later(work_us, finish_attempt)
 
-        send.sends = True
+        send.sends_attempt = True
 
-        def back() -> None:
-            self.coordinator.on_attempt_finished(request, ending, self.now())
-            how = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}.get(ending, "failed")
+        def finish_attempt() -> None:
+            self.coordinator.on_attempt_finished(request, outcome, self.now())
+            final_state = {Outcome.SUCCEEDED: "succeeded", Outcome.OVERLOADED: "rejected"}.get(
+                outcome, "failed"
+            )
             self.coordinator.on_request_finished(
-                request, how, b"r" * self.world.faults.get("size", 50), self.now()
+                request, final_state, b"r" * self.simulation.faults.get("size", 50), self.now()
             )
 
         context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key=key))
-        world.counts["asked"] += 1
-        world.counts["without record"] += not self.coordinator.check(context, now, told)
-
-
-def restart(world: World, at: int) -> None:
-    old = world.gates[at]
-    old.dead = True
-    world.gates[at] = Gate(world, old.name, old.life + 1)
-
-
-ASKED_AGAIN = (0, 0, 5_000, 300_000, SECOND, 19 * SECOND, 21 * SECOND, 25 * SECOND, 40 * SECOND, 60 * SECOND)
+        simulation.counts["requests"] += 1
+        simulation.counts["without record"] += not self.coordinator.check(context, now_us, on_decision)
+
+
+def restart(simulation: Simulation, index: int) -> None:
+    old_gateway = simulation.gateways[index]
+    old_gateway.is_dead = True
+    simulation.gateways[index] = SimulatedGateway(simulation, old_gateway.name, old_gateway.start_number + 1)
+
+
+REPEAT_DELAYS_US = (
+    0,
+    0,
+    5_000,
+    300_000,
+    SECOND_US,
+    19 * SECOND_US,
+    21 * SECOND_US,
+    25 * SECOND_US,
+    40 * SECOND_US,
+    60 * SECOND_US,
+)
 
 
-def walk(seed: int, **faults: Any) -> World:
-    """Clients ask for each key again and again, whatever was answered; gateways are killed and stopped."""
-    world = World(seed, **faults)
-    chance = world.chance
-    world.run(1)
-    for n in range(8):
-        begin = int(chance.random() * 10 * SECOND)
-        for again in chance.sample(ASKED_AGAIN, 6):
-            ending = chance.choice(
+def run_random_walk(seed: int, **faults: Any) -> Simulation:
+    """Clients repeat requests with each key whatever the answers are; gateways are killed and suspended."""
+    simulation = Simulation(seed, **faults)
+    random_source = simulation.random_source
+    simulation.run_for(1)
+    for key_number in range(8):
+        begin_us = int(random_source.random() * 10 * SECOND_US)
+        for delay_us in random_source.sample(REPEAT_DELAYS_US, 6):
+            outcome = random_source.choice(
                 [Outcome.SUCCEEDED] * 2 + [Outcome.CONNECTION_LOST] * 2 + [Outcome.OVERLOADED]
             )
-            hold = chance.choice((0, 0, 50_000, SECOND, 2 * SECOND))
-            work = chance.choice((30_000, 300_000, 2 * SECOND))
-
-            def ask(n: int = n, more: tuple[Any, ...] = (hold, ending, work)) -> None:
-                gate = chance.choice([one for one in world.gates if one.paused <= world.now] or [None])
-                if gate is not None:
-                    gate.ask(f"m{n}", *more)
+            hold_us = random_source.choice((0, 0, 50_000, SECOND_US, 2 * SECOND_US))
+            work_us = random_source.choice((30_000, 300_000, 2 * SECOND_US))
+
+            def submit_request(
+                key_number: int = key_number, arguments: tuple[Any, ...] = (hold_us, outcome, work_us)
+            ) -> None:
+                gateway = random_source.choice(
+                    [
+                        gateway
+                        for gateway in simulation.gateways
+                        if gateway.paused_until_us <= simulation.now_us
+                    ]
+                    or [None]
+                )
+                if gateway is not None:
+                    gateway.submit_request(f"m{key_number}", *arguments)
 
-            world.at(begin + again, ask)
+            simulation.schedule(begin_us + delay_us, submit_request)
     for _ in range(4):
-        if world.roll("kill"):
-            world.at(int(chance.random() * 40 * SECOND), lambda: restart(world, int(chance.random() * 3)))
-        if world.roll("pause"):
-            world.at(int(chance.random() * 15 * SECOND), lambda: chance.choice(world.gates).pause(30))
+        if simulation.draw_fault("kill"):
+            simulation.schedule(
+                int(random_source.random() * 40 * SECOND_US),
+                lambda: restart(simulation, int(random_source.random() * 3)),
+            )
+        if simulation.draw_fault("pause"):
+            simulation.schedule(
+                int(random_source.random() * 15 * SECOND_US),
+                lambda: random_source.choice(simulation.gateways).pause(30),
+            )
     for _ in range(2):
-        begin = int(chance.random() * 50 * SECOND)
-        if world.roll("down"):
-            world.at(begin, lambda: setattr(world, "down", True))
-            world.at(begin + 4 * SECOND, lambda: setattr(world, "down", False))
-        if world.roll("fail over"):
-            world.at(begin, lambda: world.fail_over(10 * SECOND))
-        if world.roll("emptied"):
-            world.at(begin, lambda: world.fail_over(1000 * SECOND))
-        if world.roll("set back"):
-            world.at(begin, lambda: setattr(world, "skew", world.skew - 15_000))
-    world.run(120)
-    return world
-
-
-# Stores that keep what they acknowledged, whatever else they do.
-KEEPS = {
-    "well": {"kill": 0.0},
-    "killed and stopped": {"kill": 0.6, "pause": 0.4},
-    "losing": {"lost": 0.1, "reply lost": 0.1, "kill": 0.3, "pause": 0.3},
-    "late": {"late": 0.15, "reply lost": 0.05, "kill": 0.3, "pause": 0.3},
-    "away": {"down": 0.8, "kill": 0.3, "pause": 0.2},
+        begin_us = int(random_source.random() * 50 * SECOND_US)
+        if simulation.draw_fault("down"):
+            simulation.schedule(begin_us, lambda: setattr(simulation, "is_down", True))
+            simulation.schedule(begin_us + 4 * SECOND_US, lambda: setattr(simulation, "is_down", False))
+        if simulation.draw_fault("fail over"):
+            simulation.schedule(begin_us, lambda: simulation.fail_over(10 * SECOND_US))
+        if simulation.draw_fault("emptied"):
+            simulation.schedule(begin_us, lambda: simulation.fail_over(1000 * SECOND_US))
+        if simulation.draw_fault("set back"):
+            simulation.schedule(
+                begin_us, lambda: setattr(simulation, "clock_skew_ms", simulation.clock_skew_ms - 15_000)
+            )
+    simulation.run_for(120)
+    return simulation
+
+
+# Fault probabilities under which the store loses no acknowledged write.
+FAULTS_WITHOUT_DATA_LOSS = {
+    "no faults": {"kill": 0.0},
+    "killed and suspended": {"kill": 0.6, "pause": 0.4},
+    "lost commands and replies": {"lost": 0.1, "reply lost": 0.1, "kill": 0.3, "pause": 0.3},
+    "late commands": {"late": 0.15, "reply lost": 0.05, "kill": 0.3, "pause": 0.3},
+    "store unavailable": {"down": 0.8, "kill": 0.3, "pause": 0.2},
     "no outcomes": {"kill": 0.6, "pause": 0.4, "size": 1000, "reply lost": 0.05},
-    "all": {
+    "all faults": {
         "kill": 0.6,
         "pause": 0.4,
         "lost": 0.05,
@@ -815,282 +951,315 @@
 }
 
 
-def second_runs(faults: dict[str, Any], seeds: range) -> int:
-    return sum(walk(seed, **faults).second_runs() for seed in seeds)
+def count_repeated_executions(faults: dict[str, Any], seeds: range) -> int:
+    return sum(run_random_walk(seed, **faults).count_repeated_executions() for seed in seeds)
 
 
-def recorded_after(self: RecordLookup, guarded: GuardedRequest, now: int) -> None:
+def proceed_without_claim(self: RecordLookup, guarded: GuardedRequest, now_us: int) -> None:
     guarded.dispatch_until_us = guarded.timing.deadline_us
-    self._open_requests.deliver(guarded, ProceedUnguarded("later"), now)
+    self._open_requests.deliver(guarded, ProceedUnguarded("later"), now_us)
 
 
-def go_by_timer(
-    self: RecordLookup, guarded: GuardedRequest, decision: Proceed, at: int, began: int, now: int
+def check_claim_by_timer_alone(
+    self: RecordLookup,
+    guarded: GuardedRequest,
+    decision: Proceed,
+    store_now_ms: int,
+    started_us: int,
+    now_us: int,
 ) -> None:
-    proceed(self, guarded, decision, at, began, now)
-    ends, guarded.dispatch_until_us = guarded.dispatch_until_us, guarded.dispatch_until_us and 1 << 62
-    self._timers.call_after(ends - now, lambda _: setattr(guarded, "dispatch_until_us", 0))
+    original_proceed(self, guarded, decision, store_now_ms, started_us, now_us)
+    end_us, guarded.dispatch_until_us = guarded.dispatch_until_us, guarded.dispatch_until_us and 1 << 62
+    self._timers.call_after(end_us - now_us, lambda _: setattr(guarded, "dispatch_until_us", 0))
 
 
-def since_anew(record: IdempotencyRecord | None, event: RecordEvent, at: int) -> IdempotencyRecord | None:
-    made = apply_event(record, event, at)
+def apply_event_with_new_dispatch_time(
+    record: IdempotencyRecord | None, event: RecordEvent, store_now_ms: int
+) -> IdempotencyRecord | None:
+    updated = apply_event(record, event, store_now_ms)
     return (
-        made
+        updated
         and event.kind is EventKind.CLAIM
-        and msgspec.structs.replace(made, earliest_dispatch_ms=event.earliest_dispatch_ms)
-        or made
+        and msgspec.structs.replace(updated, earliest_dispatch_ms=event.earliest_dispatch_ms)
+        or updated
     )
 
 
-def set_only(key: bytes, expected: bytes, new: bytes, px: int) -> codec.Command:
-    return codec.Command((b"SET", b"", b"1", key, expected, new, b"%d" % px), lambda _: True)
+def set_unconditionally(key: bytes, expected: bytes, new: bytes, lifetime_ms: int) -> codec.Command:
+    return codec.Command((b"SET", b"", b"1", key, expected, new, b"%d" % lifetime_ms), lambda _: True)
 
 
-proceed, claim = RecordLookup._proceed, ExecutionGuard.make_claim
+original_proceed, original_make_claim = RecordLookup._proceed, ExecutionGuard.make_claim
 
 
-def claim_anew(self: ExecutionGuard, kind: GuardMode, record: IdempotencyRecord | None, *more: Any) -> Claim:
-    """Takes over as if nobody could have sent it yet."""
+def make_claim_with_new_dispatch_time(
+    self: ExecutionGuard, mode: GuardMode, record: IdempotencyRecord | None, *arguments: Any
+) -> Claim:
+    """Makes a takeover claim as if no attempt could have been sent before."""
     fence = 0 if record is None else record.fence + 1
-    return claim(self, kind, record and IdempotencyRecord(RecordState.ABSENT, "", "", fence), *more)
+    return original_make_claim(
+        self, mode, record and IdempotencyRecord(RecordState.ABSENT, "", "", fence), *arguments
+    )
 
 
 @contextmanager
-def forgotten() -> Iterator[None]:
+def takeovers_with_new_dispatch_time() -> Iterator[None]:
     with (
-        patch.object(records, "apply_event", since_anew),
-        patch.object(ExecutionGuard, "make_claim", claim_anew),
+        patch.object(records, "apply_event", apply_event_with_new_dispatch_time),
+        patch.object(ExecutionGuard, "make_claim", make_claim_with_new_dispatch_time),
     ):
         yield
 
 
-BROKEN = {
-    "the record written after the attempt": (
-        "well",
-        lambda: patch.object(RecordLookup, "start", recorded_after),
+BROKEN_VARIANTS = {
+    "an attempt sent before the record is written": (
+        "no faults",
+        lambda: patch.object(RecordLookup, "start", proceed_without_claim),
     ),
-    "the claim checked by a timer alone": (
-        "killed and stopped",
-        lambda: patch.object(RecordLookup, "_proceed", go_by_timer),
+    "claims that expire by a timer only": (
+        "killed and suspended",
+        lambda: patch.object(RecordLookup, "_proceed", check_claim_by_timer_alone),
     ),
-    "unknown counted as not executed": (
+    "unknown outcomes counted as not executed": (
         "no outcomes",
         lambda: patch.object(open_requests, "_NOT_EXECUTED", tuple(Outcome)[1:]),
     ),
-    "set in place of compare-and-set": (
-        "killed and stopped",
-        lambda: patch.object(codec, "compare_and_set", set_only),
+    "SET instead of compare-and-set": (
+        "killed and suspended",
+        lambda: patch.object(codec, "compare_and_set", set_unconditionally),
     ),
-    "a takeover that forgets the first time": ("no outcomes", forgotten),
+    "takeovers that forget the earliest dispatch time": ("no outcomes", takeovers_with_new_dispatch_time),
 }
 
 
-class Scribbling:
-    """A desk whose disk syncs after some time, or never."""
+class SlowJournal:
+    """A journal whose syncs take a given time."""
 
     last_error = ""
 
-    def __init__(self, world: World, takes: int) -> None:
-        self.world, self.takes, self.lines, self.due = world, takes, [], {}
+    def __init__(self, simulation: Simulation, sync_us: int) -> None:
+        self.simulation, self.sync_us, self.calls, self.sync_times_us = simulation, sync_us, [], {}
 
     def append_claim(self, digest: bytes, fence: int, tenant: int) -> int:
-        self.lines.append("intend")
-        self.due[len(self.due) + 1] = self.world.now + self.takes
-        return len(self.due)
+        self.calls.append("claim")
+        self.sync_times_us[len(self.sync_times_us) + 1] = self.simulation.now_us + self.sync_us
+        return len(self.sync_times_us)
 
-    def append_settled(self, number: int) -> None:
-        self.lines.append(f"settle {number}")
+    def append_settled(self, entry_id: int) -> None:
+        self.calls.append(f"settled {entry_id}")
 
-    def take_sync_result(self, number: int) -> bool | None:
-        return self.world.now >= self.due[number] or None
+    def take_sync_result(self, entry_id: int) -> bool | None:
+        return self.simulation.now_us >= self.sync_times_us[entry_id] or None
 
 
-class Cases(unittest.TestCase):
-    def world(self, **faults: Any) -> World:
-        world = World(1, **faults)
-        world.run(1)
-        return world
+class ScenarioTest(unittest.TestCase):
+    def make_simulation(self, **faults: Any) -> Simulation:
+        simulation = Simulation(1, **faults)
+        simulation.run_for(1)
+        return simulation
 
-    def test_round_trips(self) -> None:
-        world = self.world()
-        gate, trips = world.gates[0], world.gates[0].counters.counts
-        for key, ending, most in (
+    def test_lookup_takes_at_most_two_round_trips(self) -> None:
+        simulation = self.make_simulation()
+        gateway, counts = simulation.gateways[0], simulation.gateways[0].counters.counts
+        for key, outcome, max_round_trips in (
             ("m", Outcome.OVERLOADED, 1),
             ("m", Outcome.SUCCEEDED, 2),
             ("n", Outcome.SUCCEEDED, 1),
         ):
-            before = trips["idempotency: round trips"]
-            gate.ask(key, hold=200_000, ending=ending)
-            world.run(0.1)
-            self.assertEqual(most, trips["idempotency: round trips"] - before)
-            world.run(1)
-        before = trips["idempotency: round trips"]
-        for kind, foreign in ((tariff(idempotent=True), False), (tariff(), True)):
-            request = Request(kind, world.now, world.now + SECOND, is_forwarded_in=foreign)
+            before = counts["idempotency: round trips"]
+            gateway.submit_request(key, hold_us=200_000, outcome=outcome)
+            simulation.run_for(0.1)
+            self.assertEqual(max_round_trips, counts["idempotency: round trips"] - before)
+            simulation.run_for(1)
+        before = counts["idempotency: round trips"]
+        for request_class, is_forwarded in (
+            (make_request_class(is_idempotent=True), False),
+            (make_request_class(), True),
+        ):
+            request = Request(
+                request_class, simulation.now_us, simulation.now_us + SECOND_US, is_forwarded_in=is_forwarded
+            )
             context = SimpleNamespace(request=request, query=SimpleNamespace(idempotency_key="m"))
-            gate.coordinator.guard_modes = [
-                guard_mode_of(kind, "load", IdempotencySettings(request_classes=("load",)))
+            gateway.coordinator.guard_modes = [
+                guard_mode_of(request_class, "load", IdempotencySettings(request_classes=("load",)))
             ]
-            self.assertFalse(gate.coordinator.check(context, world.now, self.fail))
-            self.assertTrue(gate.coordinator.may_dispatch(request, world.now))
-        self.assertEqual(before, trips["idempotency: round trips"])
-
-    def test_one_mark_at_three_gateways_with_one_killed(self) -> None:
-        served, lost = ("Proceed", "ReplayResult"), ("Fail",)
-        for killed, again, decisions, runs in (
-            (0.5, 5, served, 1),
-            (0.5, 25, lost, 0),
-            (1.5, 5, served, 1),
-            (1.5, 25, lost, 1),
+            self.assertFalse(gateway.coordinator.check(context, simulation.now_us, self.fail))
+            self.assertTrue(gateway.coordinator.may_dispatch(request, simulation.now_us))
+        self.assertEqual(before, counts["idempotency: round trips"])
+
+    def test_one_key_at_three_gateways_with_one_killed(self) -> None:
+        accepted, failed = ("Proceed", "ReplayResult"), ("Fail",)
+        for killed_after_s, repeated_after_s, decisions, expected_executions in (
+            (0.5, 5, accepted, 1),
+            (0.5, 25, failed, 0),
+            (1.5, 5, accepted, 1),
+            (1.5, 25, failed, 1),
         ):
-            with self.subTest(killed=killed, again=again):
-                world = self.world()
-                world.gates[0].ask("m", hold=SECOND, work=2 * SECOND)  # sent after a second
-                world.run(killed)
-                restart(world, 0)
-                world.run(again)
-                world.counts.clear()
-                for gate in world.gates:
-                    gate.ask("m")
-                world.run(5)
-                self.assertEqual((3, runs), (sum(world.counts[one] for one in decisions), world.runs["m"]))
-
-    def test_a_gateway_that_was_stopped_sends_nothing(self) -> None:
-        world = self.world()
-        world.gates[0].ask("m", hold=100_000)
-        world.run(0.05)
-        world.gates[0].pause(30)
-        world.run(1)
-        world.gates[1].ask("m")
-        world.run(35)
-        self.assertEqual((1, 1), (world.runs["m"], world.counts["held back"]))
-
-    def late_release(self) -> int:
-        """One gateway's release is told twice; between, another one holds the key, sends, and is killed."""
-        world = self.world()
-        first, second, third = world.gates
-        first.ask("m", ending=Outcome.OVERLOADED, work=10_000)
-        world.run(0.009)
-        world.faults["reply lost"] = 1.0
-        world.run(0.2)
-        del world.faults["reply lost"]
-        second.ask("m", work=3 * SECOND)
-        world.run(2.9)
-        restart(world, 1)
-        world.run(25)
-        third.ask("m")
-        world.run(5)
-        return world.runs["m"]
-
-    def test_a_late_release_clears_nothing(self) -> None:
-        self.assertEqual(1, self.late_release())
+            with self.subTest(killed_after_s=killed_after_s, repeated_after_s=repeated_after_s):
+                simulation = self.make_simulation()
+                # The attempt is sent after one second.
+                simulation.gateways[0].submit_request("m", hold_us=SECOND_US, work_us=2 * SECOND_US)
+                simulation.run_for(killed_after_s)
+                restart(simulation, 0)
+                simulation.run_for(repeated_after_s)
+                simulation.counts.clear()
+                for gateway in simulation.gateways:
+                    gateway.submit_request("m")
+                simulation.run_for(5)
+                self.assertEqual(
+                    (3, expected_executions),
+                    (sum(simulation.counts[name] for name in decisions), simulation.executions["m"]),
+                )
+
+    def test_suspended_gateway_sends_nothing_after_its_claim_expired(self) -> None:
+        simulation = self.make_simulation()
+        simulation.gateways[0].submit_request("m", hold_us=100_000)
+        simulation.run_for(0.05)
+        simulation.gateways[0].pause(30)
+        simulation.run_for(1)
+        simulation.gateways[1].submit_request("m")
+        simulation.run_for(35)
+        self.assertEqual((1, 1), (simulation.executions["m"], simulation.counts["dispatches refused"]))
+
+    def run_late_release(self) -> int:
+        """Returns the executions of a key whose first holder reports its release twice.
+
+        Between the two reports, another gateway claims the key, sends an attempt, and is killed.
+        """
+        simulation = self.make_simulation()
+        first, second, third = simulation.gateways
+        first.submit_request("m", outcome=Outcome.OVERLOADED, work_us=10_000)
+        simulation.run_for(0.009)
+        simulation.faults["reply lost"] = 1.0
+        simulation.run_for(0.2)
+        del simulation.faults["reply lost"]
+        second.submit_request("m", work_us=3 * SECOND_US)
+        simulation.run_for(2.9)
+        restart(simulation, 1)
+        simulation.run_for(25)
+        third.submit_request("m")
+        simulation.run_for(5)
+        return simulation.executions["m"]
+
+    def test_late_release_does_not_clear_a_later_claim(self) -> None:
+        self.assertEqual(1, self.run_late_release())
         with patch.object(records, "_is_holder", lambda record, event: True):
-            self.assertEqual(2, self.late_release())
-
-    def test_without_the_store(self) -> None:
-        settings = {"unguarded_rates": {"load": 1}, "max_unguarded_us": 60 * SECOND}
-        for takes, decision in ((5_000, "ProceedUnguarded"), (60 * SECOND, "Reject")):
-            world = self.world(settings=settings)
-            gate, desk = world.gates[0], Scribbling(world, takes)
-            gate.coordinator.use_journal(desk)
-            world.down = True
-            for n in range(8):  # until the breaker is open
-                gate.ask(f"x{n}")
-                world.run(0.1)
-            world.run(2)
-            del desk.lines[:]
-            before = world.counts[decision]
-            gate.ask("m")
-            self.assertEqual((0, ["intend"]), (world.counts[decision] - before, desk.lines))
-            world.run(1)
-            self.assertEqual(1, world.counts[decision] - before)
-            gate.ask("m")  # this gateway knows what it did
-            world.down = False
-            world.run(10)
+            self.assertEqual(2, self.run_late_release())
+
+    def test_claim_is_synced_to_the_journal_without_the_store(self) -> None:
+        settings = {"unguarded_rates": {"load": 1}, "max_unguarded_us": 60 * SECOND_US}
+        for sync_us, decision in ((5_000, "ProceedUnguarded"), (60 * SECOND_US, "Reject")):
+            simulation = self.make_simulation(settings=settings)
+            gateway, claim_journal = simulation.gateways[0], SlowJournal(simulation, sync_us)
+            gateway.coordinator.use_journal(claim_journal)
+            simulation.is_down = True
+            for number in range(8):  # until the breaker is open
+                gateway.submit_request(f"x{number}")
+                simulation.run_for(0.1)
+            simulation.run_for(2)
+            del claim_journal.calls[:]
+            before = simulation.counts[decision]
+            gateway.submit_request("m")
+            self.assertEqual((0, ["claim"]), (simulation.counts[decision] - before, claim_journal.calls))
+            simulation.run_for(1)
+            self.assertEqual(1, simulation.counts[decision] - before)
+            gateway.submit_request("m")  # decided from the gateway's own queued reports
+            simulation.is_down = False
+            simulation.run_for(10)
             if decision == "ProceedUnguarded":
-                self.assertEqual((1, "settle"), (world.runs["m"], desk.lines[1].split()[0]))
+                self.assertEqual(
+                    (1, "settled"), (simulation.executions["m"], claim_journal.calls[1].split()[0])
+                )
             self.assertEqual(
-                ({}, 0), (gate.coordinator.open_requests.by_request, len(gate.coordinator.write_behind))
+                ({}, 0), (gateway.coordinator.open_requests.by_request, len(gateway.coordinator.write_behind))
             )
 
-    def test_who_starts_later_hears_of_a_clock_that_went_back(self) -> None:
-        world = self.world()
-        world.run(1)
-        world.skew, before = -15_000, world.now // 1000
-        world.run(5)
-        restart(world, 0)
-        world.run(1)
-        told = [gate.coordinator.store_clock.age_unknown_before_ms - before for gate in world.gates]
-        self.assertTrue(all(0 < one < 5_000 for one in told), told)
-        self.assertEqual(0, world.gates[0].coordinator.store_clock.regressions)
-
-    def test_a_flood_of_one_tenant(self) -> None:
-        world = self.world()
-        gate = world.gates[0]
-        for n in range(2_000):
-            gate.ask(f"f{n}")
-        self.assertEqual(1_750, world.counts["Reject"])
-        gate.ask("m", tenant=1)
-        world.run(30)
+    def test_gateway_started_later_learns_of_a_clock_regression(self) -> None:
+        simulation = self.make_simulation()
+        simulation.run_for(1)
+        simulation.clock_skew_ms, regression_ms = -15_000, simulation.now_us // 1000
+        simulation.run_for(5)
+        restart(simulation, 0)
+        simulation.run_for(1)
+        offsets_ms = [
+            gateway.coordinator.store_clock.age_unknown_before_ms - regression_ms
+            for gateway in simulation.gateways
+        ]
+        self.assertTrue(all(0 < offset_ms < 5_000 for offset_ms in offsets_ms), offsets_ms)
+        self.assertEqual(0, simulation.gateways[0].coordinator.store_clock.regressions)
+
+    def test_flood_of_one_tenant_leaves_lookups_for_others(self) -> None:
+        simulation = self.make_simulation()
+        gateway = simulation.gateways[0]
+        for number in range(2_000):
+            gateway.submit_request(f"f{number}")
+        self.assertEqual(1_750, simulation.counts["Reject"])
+        gateway.submit_request("m", tenant=1)
+        simulation.run_for(30)
         self.assertEqual(
             (1, {}, 0),
             (
-                world.runs["m"],
-                gate.coordinator.open_requests.by_request,
-                len(gate.coordinator.open_requests.lookups_by_tenant),
+                simulation.executions["m"],
+                gateway.coordinator.open_requests.by_request,
+                len(gateway.coordinator.open_requests.lookups_by_tenant),
             ),
         )
 
-    def test_what_a_crash_cut_off_is_unknown(self) -> None:
-        world = self.world()
-        gate, desk = world.gates[0], Scribbling(world, 0)
-        gate.coordinator.use_journal(desk)
+    def test_unsettled_claim_after_a_crash_fails_the_request(self) -> None:
+        simulation = self.make_simulation()
+        gateway, claim_journal = simulation.gateways[0], SlowJournal(simulation, 0)
+        gateway.coordinator.use_journal(claim_journal)
         digest = records.digest_key("cresstray", "", "load/all", "m")
-        gate.coordinator.recover([JournalEntry(EntryKind.CLAIMED, 7, digest, 0, 0)], world.now)
-        world.run(1)
-        self.assertEqual(["settle 7"], desk.lines)
-        world.gates[1].ask("m")
-        world.run(1)
-        self.assertEqual((1, 0), (world.counts["Fail"], world.runs["m"]))
+        gateway.coordinator.recover([JournalEntry(EntryKind.CLAIMED, 7, digest, 0, 0)], simulation.now_us)
+        simulation.run_for(1)
+        self.assertEqual(["settled 7"], claim_journal.calls)
+        simulation.gateways[1].submit_request("m")
+        simulation.run_for(1)
+        self.assertEqual((1, 0), (simulation.counts["Fail"], simulation.executions["m"]))
 
 
-class Walks(unittest.TestCase):
-    def test_no_second_run_while_the_store_keeps_what_it_acknowledged(self) -> None:
-        for name, faults in KEEPS.items():
+class RandomWalkTest(unittest.TestCase):
+    def test_no_repeated_execution_while_the_store_keeps_acknowledged_writes(self) -> None:
+        for name, faults in FAULTS_WITHOUT_DATA_LOSS.items():
             totals: Counter[str] = Counter()
             for seed in range(25):
                 with self.subTest(name, seed=seed):
-                    world = walk(seed, **faults)
-                    totals.update(world.counts)
-                    self.assertEqual(0, world.second_runs())
+                    simulation = run_random_walk(seed, **faults)
+                    totals.update(simulation.counts)
+                    self.assertEqual(0, simulation.count_repeated_executions())
                     if "kill" not in faults or not faults["kill"]:
-                        self.assertEqual(world.counts["asked"], world.counts["decisions"])
-                    self.assertEqual(0, world.counts["late"], "a decision beyond its slack")
-                    for gate in world.gates:
-                        kept = (
-                            gate.coordinator.open_requests.by_request,
-                            len(gate.coordinator.write_behind),
-                            gate.coordinator.writer.writes_in_flight,
+                        self.assertEqual(simulation.counts["requests"], simulation.counts["decisions"])
+                    self.assertEqual(0, simulation.counts["late"], "a decision after the slack was used up")
+                    for gateway in simulation.gateways:
+                        remaining = (
+                            gateway.coordinator.open_requests.by_request,
+                            len(gateway.coordinator.write_behind),
+                            gateway.coordinator.writer.writes_in_flight,
                         )
-                        self.assertEqual(({}, 0, 0), kept)
-            for what in ("Proceed", "Fail"):
-                self.assertGreater(totals[what], 0, f"{name}: never {what}")
+                        self.assertEqual(({}, 0, 0), remaining)
+            for decision_name in ("Proceed", "Fail"):
+                self.assertGreater(totals[decision_name], 0, f"{name}: never {decision_name}")
 
-    def test_a_store_that_loses_is_counted(self) -> None:
+    def test_store_that_loses_data_causes_repeated_executions(self) -> None:
         for faults in ({"emptied": 1.0}, {"fail over": 1.0}):
-            self.assertGreater(second_runs(faults, range(25)), 0, faults)
+            self.assertGreater(count_repeated_executions(faults, range(25)), 0, faults)
 
-    def test_a_clock_set_back_makes_no_mark_young(self) -> None:
+    def test_clock_regression_causes_no_repeated_execution(self) -> None:
         faults = {"set back": 1.0, "size": 1000}
-        self.assertEqual(0, second_runs(faults, range(25)))
-        unseen = property(lambda self: 0, lambda self, value: None)
-        with patch.object(StoreClock, "age_unknown_before_ms", unseen, create=True):
-            self.assertGreater(second_runs(faults, range(25)), 0)
-
-    def test_broken_variants_are_caught(self) -> None:
-        for name, (faults, change) in BROKEN.items():
-            with self.subTest(name), change():
-                self.assertTrue(any(walk(seed, **KEEPS[faults]).second_runs() for seed in range(60)))
+        self.assertEqual(0, count_repeated_executions(faults, range(25)))
+        always_zero = property(lambda self: 0, lambda self, value: None)
+        with patch.object(StoreClock, "age_unknown_before_ms", always_zero, create=True):
+            self.assertGreater(count_repeated_executions(faults, range(25)), 0)
+
+    def test_broken_variants_are_detected(self) -> None:
+        for name, (faults, apply_variant) in BROKEN_VARIANTS.items():
+            with self.subTest(name), apply_variant():
+                self.assertTrue(
+                    any(
+                        run_random_walk(seed, **FAULTS_WITHOUT_DATA_LOSS[faults]).count_repeated_executions()
+                        for seed in range(60)
+                    )
+                )
 
 
 if __name__ == "__main__":
