--- a/cresstray/fleet_config/state.py
+++ b/cresstray/fleet_config/state.py
@@ -40,7 +40,7 @@
 from cresstray.fleet_config.strictest import gateway_divisor, has_no_gateway_list, strictest
 from cresstray.fleet_config.validation import MAX_DOCUMENTS_BYTES, validation_errors
 
-# Each change needs two turns, so an operator waits about a second for each change before their own.
+# Each change needs two turns, so an operator waits about a second for each pending change.
 _MAX_PENDING_CHANGES = 64
 
 
@@ -296,9 +296,9 @@
     def _joint_documents(self) -> Documents:
         old = self._in_force
         new = self._pending[0]
-        both = strictest(old.documents, new.documents)
+        merged = strictest(old.documents, new.documents)
         counts = (old.effective().gateways.count, new.effective().gateways.count, new.min_divisor)
-        return _with_count(both, max(counts))
+        return _with_count(merged, max(counts))
 
     def named_gateways(self) -> frozenset[str]:
         """Returns the gateways that the old or the new list names; they may hold a lease."""
@@ -379,7 +379,7 @@
         try:
             snapshot = _decode_snapshot(data)
         except MALFORMED as error:
-            raise ValueError(f"not a state of the rules: {error}") from None
+            raise ValueError(f"malformed snapshot of the configuration state: {error}") from None
         unknown = sorted(set(snapshot.sections) - set(self.sections))
         if unknown:
             raise ValueError(f"the state has a section {unknown[0]!r} that this build doesn't know")
@@ -403,5 +403,5 @@
         documents = apply_delta(documents, delta)
         contents.append(ContentVersion(version, documents, frozenset(departed), min_divisor))
     if not contents or snapshot.is_joint and len(contents) < 2:
-        raise ValueError("not a state of the rules: no content")
+        raise ValueError("malformed snapshot of the configuration state: a version is missing")
     return contents
