--- a/tests/test_idempotency_formats.py
+++ b/tests/test_idempotency_formats.py
@@ -1,7 +1,7 @@
-"""Stored data of idempotency records keeps its form: journal file, record values, keys, scripts.
+"""Tests that stored idempotency data keeps its format: journal file, record values, keys, scripts.
 
-The fixtures were written before the package took the names of the field. WRITE_FIXTURES=1 writes them anew,
-which is right only where a form changes on purpose and both builds can read it.
+The fixtures were written by an earlier build, before the package was renamed. WRITE_FIXTURES=1 rewrites them;
+this is correct only if a format changes on purpose and both builds can read it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from cresstray.idempotency.journal_codec import EntryKind, JournalEntry
 from cresstray.idempotency.records import IdempotencyRecord, RecordState
 
-FIXTURES = Path(__file__).parent / "fixtures" / "idempotency"
+FIXTURE_FOLDER = Path(__file__).parent / "fixtures" / "idempotency"
 DIGESTS = [
     records.digest_key("cresstray", "tenant", "load/all", name) for name in ("first", "second", "third")
 ]
@@ -50,8 +50,8 @@
 SETTLED = JournalEntry(EntryKind.SETTLED, 2, b"", 0, 0)
 
 
-def stored() -> dict[str, object]:
-    """Every kind of data in the store, as hexadecimal digits."""
+def encode_stored_data() -> dict[str, object]:
+    """Returns every kind of data in the store, bytes as hexadecimal digits."""
     key = codec.record_key("cresstray", DIGESTS[0])
     command = codec.compare_and_set(key, b"", b"new", 60_000)
     return {
@@ -71,7 +71,7 @@
     }
 
 
-def written_journal(path: str) -> bytes:
+def write_journal(path: str) -> bytes:
     journal = Journal(path)
     journal.open()
     journal.append(CLAIMS)
@@ -80,7 +80,7 @@
     return Path(path).read_bytes()
 
 
-class StoredForms(unittest.TestCase):
+class StoredFormatTest(unittest.TestCase):
     maxDiff = None
 
     def setUp(self) -> None:
@@ -88,24 +88,24 @@
         self.addCleanup(folder.cleanup)
         self.path = f"{folder.name}/journal"
 
-    def test_journal_is_written_as_before_byte_for_byte(self) -> None:
-        self.assertEqual((FIXTURES / "journal.bin").read_bytes(), written_journal(self.path))
+    def test_journal_is_written_byte_for_byte_as_before(self) -> None:
+        self.assertEqual((FIXTURE_FOLDER / "journal.bin").read_bytes(), write_journal(self.path))
 
-    def test_journal_of_before_is_read_and_kept_as_it_is(self) -> None:
-        fixture = (FIXTURES / "journal.bin").read_bytes()
-        Path(self.path).write_bytes(fixture)
+    def test_earlier_journal_is_read_and_not_rewritten(self) -> None:
+        earlier_journal = (FIXTURE_FOLDER / "journal.bin").read_bytes()
+        Path(self.path).write_bytes(earlier_journal)
         journal = Journal(self.path)
         self.assertEqual([CLAIMS[0], CLAIMS[2]], journal.open())
         self.assertEqual([], journal.warnings)
         journal.close()
-        self.assertEqual(fixture, Path(self.path).read_bytes())
+        self.assertEqual(earlier_journal, Path(self.path).read_bytes())
 
-    def test_values_keys_and_commands_are_as_before_byte_for_byte(self) -> None:
-        self.assertEqual(json.loads((FIXTURES / "stored.json").read_text()), stored())
+    def test_values_keys_and_commands_are_byte_for_byte_as_before(self) -> None:
+        self.assertEqual(json.loads((FIXTURE_FOLDER / "stored.json").read_text()), encode_stored_data())
 
-    def test_values_of_before_are_read_and_written_as_they_were(self) -> None:
-        kept = json.loads((FIXTURES / "stored.json").read_text())["records"]
-        for name, value in kept.items():
+    def test_earlier_values_are_read_and_encoded_as_before(self) -> None:
+        earlier_values = json.loads((FIXTURE_FOLDER / "stored.json").read_text())["records"]
+        for name, value in earlier_values.items():
             with self.subTest(name):
                 record = records.decode_record(bytes.fromhex(value))
                 self.assertEqual(RECORDS[name], record)
@@ -113,10 +113,10 @@
 
 
 if os.environ.get("WRITE_FIXTURES"):
-    FIXTURES.mkdir(parents=True, exist_ok=True)
-    (FIXTURES / "stored.json").write_text(json.dumps(stored(), indent=1) + "\n")
-    with tempfile.TemporaryDirectory() as written_in:
-        (FIXTURES / "journal.bin").write_bytes(written_journal(f"{written_in}/journal"))
+    FIXTURE_FOLDER.mkdir(parents=True, exist_ok=True)
+    (FIXTURE_FOLDER / "stored.json").write_text(json.dumps(encode_stored_data(), indent=1) + "\n")
+    with tempfile.TemporaryDirectory() as folder:
+        (FIXTURE_FOLDER / "journal.bin").write_bytes(write_journal(f"{folder}/journal"))
 
 
 if __name__ == "__main__":
