--- a/cresstray/consensus/codec.py
+++ b/cresstray/consensus/codec.py
@@ -6,110 +6,129 @@
 
 import msgspec
 
-from cresstray.consensus.entries import MOST_DATA, MOST_SNAPSHOT, Entry, Members, Number
+from cresstray.consensus.entries import MAX_DATA_BYTES, MAX_SNAPSHOT_BYTES, Entry, Members, UnsignedInt
 from cresstray.transport.framing import Frame
 
-# Entries of one frame; small ones cost some ten bytes each beside their data.
-MOST_ENTRIES = 1_024
+# Entries in one frame. Each costs about ten bytes besides its data.
+MAX_FRAME_ENTRIES = 1_024
 
-_Size = Annotated[int, msgspec.Meta(ge=0, le=MOST_SNAPSHOT)]
+_SnapshotSize = Annotated[int, msgspec.Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
 
 
-class PreVote(Frame):
-    """Asks for a pre-vote in `term`. The sender's log ends at `index`, whose entry is of `log_term`."""
+class PreVoteRequest(Frame):
+    """Asks for a pre-vote in `term`, which the sender has not entered yet."""
 
     kind = 32
-    term: Number
-    index: Number
-    log_term: Number
+    term: UnsignedInt
+    last_log_index: UnsignedInt
+    last_log_term: UnsignedInt
 
 
-class PreVoted(Frame):
-    """Answers a PreVote. `term` is the one asked for where granted, else the answerer's own."""
+class PreVoteResponse(Frame):
+    """Answers a PreVoteRequest. `term` is the requested term if granted, else the responder's own term."""
 
     kind = 33
-    term: Number
+    term: UnsignedInt
     granted: bool
 
 
-class Vote(Frame):
-    """Asks for a vote. With `transfer` the leader itself wants it, so that no voter keeps to the leader."""
+class VoteRequest(Frame):
+    """Asks for a vote in `term`.
+
+    With `is_transfer` the leader itself started the election, so voters ignore that they heard it recently.
+    """
 
     kind = 34
-    term: Number
-    index: Number
-    log_term: Number
-    transfer: bool
+    term: UnsignedInt
+    last_log_index: UnsignedInt
+    last_log_term: UnsignedInt
+    is_transfer: bool
 
 
-class Voted(Frame):
-    """Answers a Vote."""
+class VoteResponse(Frame):
+    """Answers a VoteRequest."""
 
     kind = 35
-    term: Number
+    term: UnsignedInt
     granted: bool
 
 
-class Append(Frame):
-    """Entries after `index`, whose entry is of `log_term`; a heartbeat has none. The answer names `round`."""
+class AppendEntries(Frame):
+    """Entries that follow `prev_log_index`; a heartbeat has none. The response repeats `round`."""
 
     kind = 36
-    term: Number
-    round: Number
-    index: Number
-    log_term: Number
-    commit: Number
-    entries: Annotated[list[Entry], msgspec.Meta(max_length=MOST_ENTRIES)]
+    term: UnsignedInt
+    round: UnsignedInt
+    prev_log_index: UnsignedInt
+    prev_log_term: UnsignedInt
+    leader_commit: UnsignedInt
+    entries: Annotated[list[Entry], msgspec.Meta(max_length=MAX_FRAME_ENTRIES)]
 
 
-class Appended(Frame):
-    """Answers an Append.
+class AppendEntriesResponse(Frame):
+    """Answers an AppendEntries.
 
-    With `ok` the log equals the leader's up to `index`. Else it differs at `index`, which was asked for:
-    its entry there is of `hint_term` (0: the log is shorter), and before `hint_index` the logs may be
-    equal.
+    On success the log equals the leader's up to `index`. Otherwise it differs at `index`, the request's
+    `prev_log_index`: its entry there has the term `hint_term` (0 if the log is shorter), and the logs may
+    be equal before `hint_index`.
     """
 
     kind = 37
-    term: Number
-    round: Number
-    ok: bool
-    index: Number
-    hint_term: Number
-    hint_index: Number
+    term: UnsignedInt
+    round: UnsignedInt
+    is_success: bool
+    index: UnsignedInt
+    hint_term: UnsignedInt
+    hint_index: UnsignedInt
 
 
-class Install(Frame):
-    """Part of a snapshot from `offset` on; without data it asks what has arrived. `check`: CRC-32 of all."""
+class InstallSnapshot(Frame):
+    """A chunk of a snapshot, starting at `offset`; without data it asks how much has arrived.
+
+    `size` and `checksum` (CRC-32) are of the whole snapshot.
+    """
 
     kind = 38
-    term: Number
-    round: Number
-    index: Number
-    log_term: Number
+    term: UnsignedInt
+    round: UnsignedInt
+    last_included_index: UnsignedInt
+    last_included_term: UnsignedInt
     members: Members
-    size: _Size
-    check: Number
-    offset: _Size
-    data: Annotated[bytes, msgspec.Meta(max_length=MOST_DATA)]
+    size: _SnapshotSize
+    checksum: UnsignedInt
+    offset: _SnapshotSize
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_DATA_BYTES)]
 
 
-class Installed(Frame):
-    """Answers an Install: bytes up to `offset` have arrived; with all of them it is synced and in use."""
+class InstallSnapshotResponse(Frame):
+    """Answers an InstallSnapshot: the bytes before `offset` have arrived.
+
+    Once all have arrived, the snapshot is synced and in use.
+    """
 
     kind = 39
-    term: Number
-    round: Number
-    index: Number
-    check: Number
-    offset: _Size
+    term: UnsignedInt
+    round: UnsignedInt
+    last_included_index: UnsignedInt
+    checksum: UnsignedInt
+    offset: _SnapshotSize
 
 
-class Now(Frame):
-    """The leader of `term` asks this voter to stand for election at once (leadership transfer)."""
+class TimeoutNow(Frame):
+    """The leader of `term` asks this voter to start an election at once (leadership transfer)."""
 
     kind = 40
-    term: Number
-
-
-KINDS = (PreVote, PreVoted, Vote, Voted, Append, Appended, Install, Installed, Now)
+    term: UnsignedInt
+
+
+KINDS = (
+    PreVoteRequest,
+    PreVoteResponse,
+    VoteRequest,
+    VoteResponse,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    TimeoutNow,
+)
