--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -36,7 +36,7 @@
 from cresstray.policy.types import EndpointState, Outcome
 from cresstray.transport.streams import connect
 from tests.harness import START_US, ClientStandIn, settings
-from tests.test_links import FakeLink, FakePool
+from tests.test_links import FakeConnection, FakePool
 from tests.test_service import GatewayHarness, make_endpoint
 
 MILLISECOND_US = 1_000
@@ -135,18 +135,18 @@
         """The process is stopped: the time advances and no timer runs."""
         self.clock.at += milliseconds * MILLISECOND_US
 
-    def connection(self, engine: int = 0, number: int = -1) -> FakeLink:
-        return self.pools[engine].made[number]
+    def connection(self, engine: int = 0, number: int = -1) -> FakeConnection:
+        return self.pools[engine].created[number]
 
-    def connections(self) -> list[FakeLink]:
-        return [connection for pool in self.pools for connection in pool.made]
+    def connections(self) -> list[FakeConnection]:
+        return [connection for pool in self.pools for connection in pool.created]
 
     def sent_lines(self) -> list[str]:
         return [
             line
             for connection in self.connections()
             if connection.transport is not None
-            for line in connection.wire.heard()
+            for line in connection.fake_transport.received_commands()
         ]
 
     def outcomes(self) -> dict[str, int]:
@@ -260,8 +260,8 @@
             harness.set_engine_states(*states)
             first_connection.come_up()
             other = harness.connection(1 - gone)
-            self.assertEqual([], first_connection.wire.heard())
-            self.assertEqual(["ASK a"], other.come_up().heard())
+            self.assertEqual([], first_connection.fake_transport.received_commands())
+            self.assertEqual(["ASK a"], other.come_up().received_commands())
             other.answer("a", "served", "sheets=1", "a\tb\tc\n")
             self.assertEqual(["a succeeded"], harness.client.answers)
             self.assert_nothing_left(harness)
@@ -286,7 +286,7 @@
             },
         )
         harness.advance(1)
-        for connection in harness.pools[1 - drained].made:
+        for connection in harness.pools[1 - drained].created:
             connection.come_up()
         self.assertEqual(["ASK a", "ASK b", "ASK c", "ASK d"], sorted(harness.sent_lines()))
 
@@ -297,8 +297,8 @@
         event = EndpointEvent(2, False, [Endpoint(0, "f", 9, EndpointState.READY, 0, 0, 0, 0)])
         harness.controller.on_endpoints_updated(harness.router.apply_event(event), False, harness.clock.now())
         harness.advance(1)
-        self.assertEqual([], first_connection.come_up().heard())
-        self.assertEqual(["ASK a"], harness.connection().come_up().heard())
+        self.assertEqual([], first_connection.come_up().received_commands())
+        self.assertEqual(["ASK a"], harness.connection().come_up().received_commands())
         self.assertEqual({"expired before send": 1}, harness.outcomes())
 
     def test_retry_is_not_sent_after_the_deduplication_window(self) -> None:
@@ -443,7 +443,7 @@
                 self.assertEqual(2 if is_retried else 1, len(harness.connections()))
                 self.assertEqual([] if is_retried else ["a failed"], harness.client.answers)
 
-    def _receive_corrupt_answer(self, connection: FakeLink) -> None:
+    def _receive_corrupt_answer(self, connection: FakeConnection) -> None:
         with self.assertRaises(engine_connection.codec.EngineProtocolError):
             connection.answer("a", "served", "sheets=1", "\0")
         connection.is_corrupt = True
@@ -573,7 +573,7 @@
             connection for connection in harness.connections() if connection is not first_connection
         )
         harness.advance(200)
-        self.assertEqual(["ASK a"], retry_connection.come_up().heard())
+        self.assertEqual(["ASK a"], retry_connection.come_up().received_commands())
         retry_connection.answer("a", "served", "sheets=1", "a\tb\tc\n")
         harness.advance(830)
         harness.submit("b", timeout_ms=60_000)
