--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -181,10 +181,10 @@
             if connected_socket is None:
                 return 0
             with SocketStream(connected_socket, self._tasks, scope.cancel) as stream:
-                opened = await self._open_channel(index, connected_socket, stream)
-                if opened is None:
+                opened_channel = await self._open_channel(index, connected_socket, stream)
+                if opened_channel is None:
                     return 0
-                channel, reader, handshake = opened
+                channel, reader, handshake = opened_channel
                 if not self._tracker.on_handshake_finished(index, handshake.is_primary):
                     self._log_error(index, "a second primary" if handshake.is_primary else "a replica")
                     return 0
--- a/cresstray/idempotency/codec.py
+++ b/cresstray/idempotency/codec.py
@@ -357,10 +357,10 @@
             raise HandshakeError(reply.text)
     if not isinstance(role_reply, ErrorReply):
         return Handshake(protocol, is_primary(role_reply))
-    (info,) = yield [Command((b"INFO", b"replication"), lambda reply: type(reply) is bytes)]
-    if isinstance(info, ErrorReply):
-        raise HandshakeError(info.text)
-    has_primary_role = re.search(rb"^role:master\r?$", info, re.MULTILINE) is not None
+    (info_reply,) = yield [Command((b"INFO", b"replication"), lambda reply: type(reply) is bytes)]
+    if isinstance(info_reply, ErrorReply):
+        raise HandshakeError(info_reply.text)
+    has_primary_role = re.search(rb"^role:master\r?$", info_reply, re.MULTILINE) is not None
     return Handshake(protocol, has_primary_role)
 
 
@@ -369,16 +369,16 @@
     arguments: tuple[bytes, ...] = (b"HELLO", b"3")
     if password:
         arguments += (b"AUTH", user.encode(), password)
-    (hello,) = yield [Command(arguments, lambda reply: isinstance(reply, dict | list))]
-    if not isinstance(hello, ErrorReply):
+    (hello_reply,) = yield [Command(arguments, lambda reply: isinstance(reply, dict | list))]
+    if not isinstance(hello_reply, ErrorReply):
         return 3
-    if not hello.text.startswith(("ERR unknown command", "NOPROTO")):
-        raise HandshakeError(hello.text)
+    if not hello_reply.text.startswith(("ERR unknown command", "NOPROTO")):
+        raise HandshakeError(hello_reply.text)
     if password:
         # A store without HELLO has no named users (both came with Redis 6), so only a password is sent for
         # the default user.
         user_arguments = () if user == "default" else (user.encode(),)
-        (auth,) = yield [Command((b"AUTH", *user_arguments, password), lambda reply: reply == b"OK")]
-        if isinstance(auth, ErrorReply):
-            raise HandshakeError(auth.text)
+        (auth_reply,) = yield [Command((b"AUTH", *user_arguments, password), lambda reply: reply == b"OK")]
+        if isinstance(auth_reply, ErrorReply):
+            raise HandshakeError(auth_reply.text)
     return 2
--- a/cresstray/idempotency/connection_pool.py
+++ b/cresstray/idempotency/connection_pool.py
@@ -94,9 +94,9 @@
                 self._counters.add("store: connections silent")
                 connection.close("no replies to commands in flight")
             elif connection.has_capacity():
-                self._ask_role(connection, now_us)
+                self._check_role(connection, now_us)
 
-    def _ask_role(self, connection: StoreConnection, now_us: int) -> None:
+    def _check_role(self, connection: StoreConnection, now_us: int) -> None:
         batch = CommandBatch([codec.get_role()], now_us + _MAX_SILENCE_US, partial(self._on_role, connection))
         self.pending_bytes += batch.size_bytes
         connection.write(connection.pipeline.start(batch, now_us), [batch])
@@ -123,7 +123,7 @@
         started: dict[StoreConnection, list[CommandBatch]] = {}
         messages: dict[StoreConnection, bytearray] = {}
         while self._waiting:
-            connection = self._least_loaded()
+            connection = self._least_loaded_connection()
             if connection is None:
                 break
             batch = self._waiting.popleft()
@@ -134,7 +134,7 @@
         for connection, batches in started.items():
             connection.write(bytes(messages[connection]), batches)
 
-    def _least_loaded(self) -> StoreConnection | None:
+    def _least_loaded_connection(self) -> StoreConnection | None:
         available = filter(StoreConnection.has_capacity, self.connections)
         return min(available, key=lambda connection: len(connection.pipeline), default=None)
 
@@ -195,9 +195,9 @@
         """Closes all connections: the server reports that it is no longer a primary."""
         if connection.is_counted and self._tracker.on_demoted(connection.address_index):
             self._counters.add("store: primaries lost")
-            for other in self.connections:
-                other.is_counted = False
-                other.close(reason)
+            for open_connection in self.connections:
+                open_connection.is_counted = False
+                open_connection.close(reason)
 
     def remove(self, connection: StoreConnection) -> None:
         """Removes a connection that has ended.
--- a/cresstray/idempotency/execution_guard.py
+++ b/cresstray/idempotency/execution_guard.py
@@ -286,8 +286,10 @@
 
     def draw_retry_after_us(self, min_us: int) -> int:
         """Returns a random retry_after, so that clients rejected together do not retry together."""
-        least_us = max(self._max_retry_after_us // 2, min(min_us, 3 * self._max_retry_after_us // 4))
-        return least_us + int((self._max_retry_after_us - least_us) * self._next_random())
+        min_retry_after_us = max(
+            self._max_retry_after_us // 2, min(min_us, 3 * self._max_retry_after_us // 4)
+        )
+        return min_retry_after_us + int((self._max_retry_after_us - min_retry_after_us) * self._next_random())
 
 
 def half_time_us(timing: RequestTiming) -> int:
--- a/cresstray/idempotency/health.py
+++ b/cresstray/idempotency/health.py
@@ -70,11 +70,13 @@
         """Returns how much of a request's slack a lookup may take; 0 if the store must not be used."""
         if self.is_open or len(self._started_us) >= _MAX_ROUND_TRIPS:
             return 0
-        count = self._round_trip_count.lower_bound(now_us)
-        mean_us = self._round_trip_sum.lower_bound(now_us) / count if count else 0.0
-        usual_need_us = max(self._slow_us, int(_BUDGET_ROUND_TRIPS * mean_us))
-        budget_us = min(self._max_lookup_us, slack_us // _SLACK_DIVISOR, usual_need_us)
-        return budget_us if budget_us > mean_us else 0
+        round_trip_count = self._round_trip_count.lower_bound(now_us)
+        mean_round_trip_us = (
+            self._round_trip_sum.lower_bound(now_us) / round_trip_count if round_trip_count else 0.0
+        )
+        usual_duration_us = max(self._slow_us, int(_BUDGET_ROUND_TRIPS * mean_round_trip_us))
+        budget_us = min(self._max_lookup_us, slack_us // _SLACK_DIVISOR, usual_duration_us)
+        return budget_us if budget_us > mean_round_trip_us else 0
 
     def on_round_trip_started(self, now_us: int) -> int:
         """Returns the id to pass to `on_round_trip_finished`."""
--- a/cresstray/idempotency/record_writer.py
+++ b/cresstray/idempotency/record_writer.py
@@ -83,7 +83,7 @@
                 self._finish(write)
             return
         if not attempts_left:
-            self._put_back(write)
+            self._retry_later(write)
             return
         value = records.encode_record(updated)
         lifetime_ms = records.retention_ms(updated, self._retention_ms)
@@ -100,7 +100,7 @@
         now_us: int,
     ) -> None:
         if replies is None:
-            self._put_back(write)
+            self._retry_later(write)
             return
         value, time_reply = replies
         self._session.store_clock.on_reading(codec.parse_time_ms(time_reply), started_us, now_us)
@@ -120,7 +120,7 @@
         now_us: int,
     ) -> None:
         if replies is None:
-            self._put_back(write)
+            self._retry_later(write)
             return
         result = codec.parse_compare_and_set(replies[0])
         self._session.store_clock.on_reading(result.store_now_ms, started_us, now_us)
@@ -137,7 +137,7 @@
         current = records.decode_record(result.current_value)
         self._write(write, result.current_value or b"", current, attempts_left - 1, now_us)
 
-    def _put_back(self, write: PendingWrite) -> None:
+    def _retry_later(self, write: PendingWrite) -> None:
         # Whether the report was written is unknown, and the record may have changed; the write is retried in
         # the next step.
         self.writes_in_flight -= 1
--- a/cresstray/idempotency/store_fallback.py
+++ b/cresstray/idempotency/store_fallback.py
@@ -61,9 +61,9 @@
         if guarded.on_decision is None:
             self._open_requests.settle(guarded, now_us)
             return
-        own_decision = self._decide_from_own_reports(guarded, now_us)
-        if own_decision is not None:
-            self._open_requests.deliver(guarded, own_decision, now_us)
+        decision_from_reports = self._decide_from_own_reports(guarded, now_us)
+        if decision_from_reports is not None:
+            self._open_requests.deliver(guarded, decision_from_reports, now_us)
             return
         unavailable = StoreUnavailable(reason, self._health.unavailable_us_at(now_us))
         decision = self._guard.decide_without_store(unavailable, guarded.class_name, now_us)
--- a/cresstray/idempotency/write_behind.py
+++ b/cresstray/idempotency/write_behind.py
@@ -100,18 +100,18 @@
 
     def take_due(self, max_count: int, now_us: int) -> list[PendingWrite]:
         """Removes and returns the oldest updates that are due, in order; drops expired ones that it meets."""
-        due: list[PendingWrite] = []
-        expired: list[PendingWrite] = []
+        due_writes: list[PendingWrite] = []
+        expired_writes: list[PendingWrite] = []
         for write in self._writes.values():
             if write.expires_us <= now_us:
-                expired.append(write)
+                expired_writes.append(write)
             elif write.due_us <= now_us:
-                due.append(write)
-                if len(due) == max_count:
+                due_writes.append(write)
+                if len(due_writes) == max_count:
                     break
-        for write in (*due, *expired):
+        for write in (*due_writes, *expired_writes):
             self._remove(write)
-        return due
+        return due_writes
 
     def requeue(self, writes: Iterable[PendingWrite]) -> None:
         """Puts updates whose write failed or is uncertain back at the front of the queue, in order."""
