--- a/cresstray/cli/__init__.py
+++ b/cresstray/cli/__init__.py
@@ -72,9 +72,9 @@
         given = operator.read(file)
         for part in (given.halls, given.fleet):
             if part is not None and part.tls is not None:
-                from cresstray.sites.tls import Contexts
+                from cresstray.sites.tls import TlsContexts
 
-                Contexts(part.tls)
+                TlsContexts(part.tls)
         if given.store is not None:
             from cresstray.idempotency import client
 
@@ -112,10 +112,10 @@
     from cresstray.sites import status
 
     try:
-        told = status.ask(socket)
+        told = status.request_status(socket)
     except (OSError, ValueError) as trouble:
         raise click.ClickException(f"{socket}: {trouble}") from None
-    for line in [status.as_json(told)] if as_json else status.lines(told):
+    for line in [status.as_json(told)] if as_json else status.format_lines(told):
         click.echo(line)
 
 
--- a/cresstray/cli/fleet.py
+++ b/cresstray/cli/fleet.py
@@ -68,9 +68,9 @@
         self._given, self.who = given, own_name(given)
         contexts = None
         if given.tls is not None:
-            from cresstray.sites.tls import Contexts
+            from cresstray.sites.tls import TlsContexts
 
-            contexts = Contexts(given.tls)
+            contexts = TlsContexts(given.tls)
         self._ends = PeerLinkManager((Greeting, OperatorReply), contexts, random.random, _Quiet(), Counters())
         self._life, self._number = secrets.token_hex(8), 0
         self._until = time.monotonic() + seconds
--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -44,7 +44,7 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-    from cresstray.sites.tls import Contexts
+    from cresstray.sites.tls import TlsContexts
 
 # Interval of keep-alives on links to other nodes, and the silence after which a link ends: several election
 # timeouts, but much shorter than a lease.
@@ -382,12 +382,12 @@
     return FleetState(max_gateways=settings.most, max_barred_fraction=settings.barred)
 
 
-def _contexts(settings: Fleet) -> Contexts | None:
+def _contexts(settings: Fleet) -> TlsContexts | None:
     if settings.tls is None:
         return None
-    from cresstray.sites.tls import Contexts
+    from cresstray.sites.tls import TlsContexts
 
-    return Contexts(settings.tls)
+    return TlsContexts(settings.tls)
 
 
 def dump(settings: Fleet, name: str) -> dict:
--- a/cresstray/emulators/fleet/operators.py
+++ b/cresstray/emulators/fleet/operators.py
@@ -26,7 +26,7 @@
     encode_delta,
     parse_documents,
 )
-from cresstray.sites.tls import Contexts, Sealed
+from cresstray.sites.tls import TlsContexts, TlsStream
 from cresstray.transport.framing import Frame, FrameDecoder, FramingError, encode_frame
 from cresstray.transport.peers import make_greeting
 from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect
@@ -54,8 +54,8 @@
         """Of an operator's file."""
         return "tls\n" + "".join(f"    {word} {path}\n" for word, path in self._files(name).items())
 
-    def contexts(self, name: str) -> Contexts:
-        return Contexts(Tls(**self._files(name)))
+    def contexts(self, name: str) -> TlsContexts:
+        return TlsContexts(Tls(**self._files(name)))
 
 
 class Caller:
@@ -73,7 +73,7 @@
         )
         self._contexts = keys.contexts(name) if keys else None
         self._line: SocketStream | None = None
-        self._channel: SocketStream | Sealed | None = None
+        self._channel: SocketStream | TlsStream | None = None
         self._frames = FrameDecoder(_BACK)
 
     async def put(self, frames: Iterable[Frame]) -> None:
@@ -82,8 +82,8 @@
             self._channel = self._line = SocketStream(made, self._tasks, lambda: None)
             self._frames = FrameDecoder(_BACK)
             if self._contexts is not None:
-                self._channel = Sealed(self._line, self._contexts, False)
-                await self._channel.shake_hands()
+                self._channel = TlsStream(self._line, self._contexts, False)
+                await self._channel.handshake()
             self._channel.write(encode_frame(self._greeting))
         self._channel.write(b"".join(map(encode_frame, frames)))
 
--- a/cresstray/emulators/show.py
+++ b/cresstray/emulators/show.py
@@ -88,7 +88,7 @@
         links: list[dict] = []
         for gateway in self._world.halls["hall-a"].gateways:
             try:
-                links += (await anyio.to_thread.run_sync(status.ask, gateway.control))["to"]
+                links += (await anyio.to_thread.run_sync(status.request_status, gateway.control))["to"]
             except (OSError, ValueError):
                 continue
         return links
--- a/cresstray/emulators/store.py
+++ b/cresstray/emulators/store.py
@@ -129,7 +129,7 @@
         seed: int = 1,
         tls: Any = None,
     ) -> None:
-        """`is_old`: knows no HELLO. `is_closed`: refuses until `accept`. `tls`: sites.tls.Contexts."""
+        """`is_old`: knows no HELLO. `is_closed`: refuses until `accept`. `tls`: sites.tls.TlsContexts."""
         self._tls = tls
         self._listener = listen(port)
         self.port: int = self._listener.getsockname()[1]
@@ -183,10 +183,10 @@
         line = connection.peer.line
         if self._tls is None:
             return line
-        from cresstray.sites.tls import Sealed
+        from cresstray.sites.tls import TlsStream
 
-        channel = Sealed(line, self._tls, True)
-        await channel.shake_hands()
+        channel = TlsStream(line, self._tls, True)
+        await channel.handshake()
         connection.write = channel.write
         return channel
 
@@ -456,9 +456,9 @@
     contexts = None
     if options.tls:
         from cresstray.config.operator import Tls
-        from cresstray.sites.tls import Contexts
+        from cresstray.sites.tls import TlsContexts
 
-        contexts = Contexts(Tls(*options.tls))
+        contexts = TlsContexts(Tls(*options.tls))
     store = Store(options.port, options.password, options.old, options.closed, options.seed, contexts)
     print(json.dumps({"port": store.port, "control": store.control}), flush=True)
     async with anyio.create_task_group() as tasks:
--- a/cresstray/fleet_config/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -94,9 +94,9 @@
         self._said = EventLog(now, gateway=name)
         contexts = None
         if given.tls is not None:
-            from cresstray.sites.tls import Contexts
+            from cresstray.sites.tls import TlsContexts
 
-            contexts = Contexts(given.tls)
+            contexts = TlsContexts(given.tls)
         # A node that is silent holds up the way to the next one; a lease is to outlive two of them.
         self._ends = PeerLinkManager(_FRAMES, contexts, chance, self._said, self.counters, given.lease / 4e6)
         self._hello = make_greeting(
--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -58,7 +58,7 @@
             raise OSError(f"keys of the store, one of {files}: {error}") from None
 
     @property
-    def near(self) -> StoreTlsContext:
+    def client(self) -> StoreTlsContext:
         """This side's context, as sites.tls looks for it."""
         return self
 
@@ -207,11 +207,11 @@
         context = self._tls_contexts[index]
         if context is None:
             return stream
-        from cresstray.sites.tls import Sealed
+        from cresstray.sites.tls import TlsStream
 
-        # Sealed takes any object with these two members in place of its own contexts.
-        sealed = Sealed(stream, cast(Any, context), False)
-        await sealed.shake_hands()
+        # TlsStream takes any object with these two members in place of its own contexts.
+        sealed = TlsStream(stream, cast(Any, context), False)
+        await sealed.handshake()
         return sealed
 
     async def _perform_handshake(self, channel: Channel, reader: codec.ReplyReader) -> Handshake:
--- a/cresstray/sites/links.py
+++ b/cresstray/sites/links.py
@@ -28,7 +28,7 @@
 from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect, faults_contained
 
 if TYPE_CHECKING:
-    from cresstray.sites.tls import Contexts
+    from cresstray.sites.tls import TlsContexts
 
 # Room for both handshakes at the longest round trip that a link is of any use with.
 _HANDSHAKE = 3.0
@@ -139,7 +139,7 @@
         self._random = random.Random(seed).random
         self._worker = worker
         self.share = Share(given.share)
-        self._contexts: Contexts | None = None
+        self._contexts: TlsContexts | None = None
         self._near: dict[tuple[str, str], Inward] = {}  # by hall and name
         self._wires: dict[object, Wire] = {}
         self.leaving = False
@@ -151,9 +151,9 @@
     def load_keys(self, given: operator.Halls) -> None:
         """The keys of new connections; OSError (which ssl's errors are) where they can't be used."""
         if given.tls is not None:
-            from cresstray.sites.tls import Contexts
+            from cresstray.sites.tls import TlsContexts
 
-            self._contexts = Contexts(given.tls)
+            self._contexts = TlsContexts(given.tls)
 
     def reload(self, given: operator.Halls) -> None:
         """What may change while links live: keys, and the share that crosses. The rest takes a restart."""
@@ -281,10 +281,10 @@
         """What to speak on, and the halls that the other side may be; BrokenError where that is none."""
         if self._contexts is None:
             return line, halls
-        from cresstray.sites.tls import Sealed
+        from cresstray.sites.tls import TlsStream
 
-        sealed = Sealed(line, self._contexts, server)
-        named = await sealed.shake_hands()
+        sealed = TlsStream(line, self._contexts, server)
+        named = await sealed.handshake()
         if not named & halls:
             self._counters.add("links between halls refused")
             raise FramingError(f"a certificate for {', '.join(sorted(named)) or 'no hall'}")
--- a/cresstray/sites/status.py
+++ b/cresstray/sites/status.py
@@ -1,4 +1,4 @@
-"""Asks a running gateway for the state of its links, over its control socket."""
+"""Reads the state of a running gateway's links to other sites over its control socket."""
 
 from __future__ import annotations
 
@@ -6,40 +6,46 @@
 import socket
 
 
-def ask(path: str) -> dict:
-    """OSError or ValueError where nobody answers, or no state."""
-    with socket.socket(socket.AF_UNIX) as made:
-        made.settimeout(3)
-        made.connect(path)
-        told = b""
-        while data := made.recv(65536):
-            told += data
-    return json.loads(told)
+def request_status(path: str) -> dict:
+    """Returns the status that the gateway sends on its control socket.
 
+    Raises:
+        OSError: no gateway answers on this socket.
+        ValueError: the answer is not JSON.
+    """
+    with socket.socket(socket.AF_UNIX) as connection:
+        connection.settimeout(3)
+        connection.connect(path)
+        reply = b""
+        while data := connection.recv(65536):
+            reply += data
+    return json.loads(reply)
 
-def as_json(told: dict) -> str:
-    return json.dumps(told, sort_keys=True)
 
+def as_json(status: dict) -> str:
+    """Returns the status as one line of JSON."""
+    return json.dumps(status, sort_keys=True)
 
-def lines(told: dict) -> list[str]:
-    """For people: a line a link."""
-    made = [f"{told['gateway']} of {told['hall']}, incarnation {told['incarnation']}"]
-    for link in told["to"]:
-        trip = "-" if link["round trip ms"] is None else f"{link['round trip ms']} ms"
-        more = ["it is leaving"] if link["leaving"] else []
-        more += [f"closed for {link['closed ms']} ms"] if link["closed ms"] else []
-        made.append(
+
+def format_lines(status: dict) -> list[str]:
+    """Returns the status as text: one line for the gateway, and one for each link."""
+    lines = [f"{status['gateway']} of {status['hall']}, incarnation {status['incarnation']}"]
+    for link in status["to"]:
+        round_trip = "-" if link["round trip ms"] is None else f"{link['round trip ms']} ms"
+        notes = ["it is leaving"] if link["leaving"] else []
+        notes += [f"closed for {link['closed ms']} ms"] if link["closed ms"] else []
+        lines.append(
             f"  to {link['peer']} {link['gateway'] or '(unknown)'}: {link['state']}, "
-            f"round trip {trip}, room for {link['room threads']} threads, credit {link['credit']}, "
-            f"{_ledger(link['ledger'])}{''.join(', ' + text for text in more)}"
+            f"round trip {round_trip}, room for {link['room threads']} threads, credit {link['credit']}, "
+            f"{_format_ledger(link['ledger'])}{''.join(', ' + note for note in notes)}"
         )
-    for link in told["from"]:
-        made.append(
+    for link in status["from"]:
+        lines.append(
             f"  from {link['hall']} {link['gateway']}: "
-            f"{'connected' if link['connected'] else 'not connected'}, {_ledger(link['ledger'])}"
+            f"{'connected' if link['connected'] else 'not connected'}, {_format_ledger(link['ledger'])}"
         )
-    return made
+    return lines
 
 
-def _ledger(counted: dict[str, int]) -> str:
-    return ", ".join(f"{number} {state}" for state, number in sorted(counted.items())) or "nothing under way"
+def _format_ledger(counts: dict[str, int]) -> str:
+    return ", ".join(f"{count} {state}" for state, count in sorted(counts.items())) or "nothing under way"
--- a/cresstray/transport/peers.py
+++ b/cresstray/transport/peers.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from cresstray.observability.event_log import EventLog
-    from cresstray.sites.tls import Contexts
+    from cresstray.sites.tls import TlsContexts
 
 __all__ = [
     "SETTINGS_DIFFER",
@@ -92,7 +92,7 @@
     def __init__(
         self,
         kinds: Iterable[type[Frame]],
-        contexts: Contexts | None,
+        contexts: TlsContexts | None,
         random: Callable[[], float],
         event_log: EventLog,
         counters: Counters,
@@ -253,10 +253,10 @@
         try:
             with anyio.fail_after(self._handshake_timeout_s):
                 if self.contexts is not None:
-                    from cresstray.sites.tls import Sealed
+                    from cresstray.sites.tls import TlsStream
 
-                    channel = sealed = Sealed(stream, self.contexts, greeting.is_server)
-                    certificate_names = await sealed.shake_hands()
+                    channel = sealed = TlsStream(stream, self.contexts, greeting.is_server)
+                    certificate_names = await sealed.handshake()
                 if greeting.first is not None:
                     channel.write(encode_frame(greeting.first))
                 while not frames:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -362,7 +362,7 @@
                         hall: draw(KINDS, [(0.0, 110.0)], 7.0, seed) for seed, hall in enumerate(world.halls)
                     }
                     await world.play(loads, steps, 1.0)
-                    told = status.ask(world.halls["hall-a"].gateways[0].control)
+                    told = status.request_status(world.halls["hall-a"].gateways[0].control)
                     await anyio.sleep(3.5)
                     until = anyio.current_time()
                 self.assertEqual(
@@ -379,7 +379,7 @@
                 )
                 self.assertGreater(counters["crossings served"], 50)
                 self.assertEqual({"hall-b"}, {link["peer"].split()[0] for link in told["to"]})
-                self.assertGreater(len(status.lines(told)), 2)
+                self.assertGreater(len(status.format_lines(told)), 2)
 
         anyio.run(main)
 
