--- a/cresstray/gateway/composition.py
+++ b/cresstray/gateway/composition.py
@@ -40,7 +40,7 @@
     from cresstray.gateway.membership_jobs import MembershipJobs
     from cresstray.membership.recovery import Membership
     from cresstray.pipeline.idempotency_checks import IdempotencyChecks
-    from cresstray.sites.links import Hub
+    from cresstray.sites.links import SiteLinkManager
 
 # Under overload, more than 64 connections to engines raise CPU use by half; at normal load 64 are enough.
 _MAX_RESERVED_FOR_ENGINES = 64
@@ -107,9 +107,9 @@
         self.log = Log(name, self.clock)
         self.timers = Timers(self.clock, self._on_timer_fault)
         if sites:
-            from cresstray.sites.routing import AHEAD
+            from cresstray.sites.routing import RETRY_SEND_WINDOW_US
 
-            settings = {**settings, "CrossingAhead": AHEAD / 1000}
+            settings = {**settings, "CrossingAhead": RETRY_SEND_WINDOW_US / 1000}
         self._make_pipeline(settings)
         self._make_listener(settings, descriptors)
         has_optional_part = any(part is not None for part in (sites, fleet, folder, store))
@@ -198,16 +198,16 @@
             self.log,
         )
 
-    def _make_links(self, sites: Halls) -> Hub:
+    def _make_links(self, sites: Halls) -> SiteLinkManager:
         from cresstray.pipeline.forwarding import Forwarder
-        from cresstray.sites.links import Hub
+        from cresstray.sites.links import SiteLinkManager
 
         forwarder = self.router.forwarder = Forwarder(
             self.clock, self.timers, self.counters, self.responses, self.dispatcher
         )
         # The clock makes the incarnation differ between two starts that the operator gave the same seed.
         incarnation = f"{self._seed & 0xFFFFFFFF:08x}{self.clock.now():014x}"
-        links = Hub(
+        links = SiteLinkManager(
             sites,
             incarnation,
             self._seed,
@@ -220,7 +220,7 @@
             self.log,
             self._require_worker(),
         )
-        self.admission.forwarding_quota = links.share
+        self.admission.forwarding_quota = links.quota
         return links
 
     def _make_fleet_member(self, fleet: Fleet, settings: Mapping[str, Any]) -> FleetMember:
--- a/cresstray/gateway/service.py
+++ b/cresstray/gateway/service.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from cresstray.config.operator import Operator
-    from cresstray.sites.links import Hub
+    from cresstray.sites.links import SiteLinkManager
 
 # A starting gateway has the endpoint list of its configuration and waits this long for later events, which is
 # as long as one connection attempt may take. An unreachable coordinator must not keep it from serving.
@@ -104,7 +104,7 @@
         open_listener(listener, self.listen)
         parts.tasks.start_soon(parts.listener.run, listener)
 
-    async def _start_links(self, links: Hub) -> None:
+    async def _start_links(self, links: SiteLinkManager) -> None:
         from cresstray.sites.links import serve_status
 
         await links.run(self.parts.tasks)
--- a/cresstray/gateway/shutdown.py
+++ b/cresstray/gateway/shutdown.py
@@ -73,7 +73,7 @@
         remaining_us = min(_MAX_TIMEOUT_US, max(timeouts_us, default=0)) + _AFTER_TIMEOUT_US
         deadline_us = parts.ingress.shutdown_deadline_us = parts.clock.now() + remaining_us
         if parts.links is not None:
-            parts.links.goodbye()
+            parts.links.drain()
         parts.accounting.limit_deadlines(deadline_us)
         parts.timers.call_after(remaining_us, parts.dispatcher.abandon_all)
         return deadline_us
--- a/cresstray/model_checking/crossing.py
+++ b/cresstray/model_checking/crossing.py
@@ -40,12 +40,12 @@
 from cresstray.policy.types import EndpointState, Engine
 from cresstray.sites import codec, ledger
 from cresstray.sites.codec import FramingError
-from cresstray.sites.ends import Place
-from cresstray.sites.flow_control import Credit, Share
-from cresstray.sites.health import Health
-from cresstray.sites.inbound import Inward
-from cresstray.sites.outbound import Outward
-from cresstray.sites.routing import AHEAD, Way
+from cresstray.sites.ends import GatewayIdentity
+from cresstray.sites.flow_control import ForwardingQuota, LinkCredit
+from cresstray.sites.health import LinkHealth
+from cresstray.sites.inbound import InboundLink
+from cresstray.sites.outbound import OutboundLink
+from cresstray.sites.routing import RETRY_SEND_WINDOW_US, SiteRoute
 
 # Clocks of two halls are never compared: the far one is four minutes ahead.
 START, AHEAD_BY = 1_000_000_000_000, 240_000_000
@@ -100,7 +100,7 @@
         if part in parts
         else {
             "Balancers": 1,
-            "CrossingAhead": AHEAD / 1000,
+            "CrossingAhead": RETRY_SEND_WINDOW_US / 1000,
             "Services": made["Services"],
             **{one: _given(one) for one in parts},
         }
@@ -109,14 +109,14 @@
     return found
 
 
-def _frames(left: bytes) -> codec.Frames:
-    made = codec.Frames()
+def _frames(left: bytes) -> codec.FrameDecoder:
+    made = codec.FrameDecoder()
     made._buffer += left
     return made
 
 
 # What reads frames can't be written down, and all of it but what is left of a frame is the same everywhere.
-copyreg.pickle(codec.Frames, lambda frames: (_frames, (bytes(frames._buffer),)))
+copyreg.pickle(codec.FrameDecoder, lambda frames: (_frames, (bytes(frames._buffer),)))
 
 
 def _nothing(*_: object) -> None:
@@ -221,7 +221,7 @@
         self.gateway.random = fixed
         admit = Admission(self.book)
         self.back.controller = admit.controller = self.gateway
-        self.share = admit.forwarding_quota = Share(1.0)
+        self.share = admit.forwarding_quota = ForwardingQuota(1.0)
         self.take_in = Ingress(given, self.gateway.request_classes, clock, admit)
         self.engine, self.links = Engine(), Links(world, name)
         self.route._pools[self.engine] = self.links
@@ -254,11 +254,13 @@
         near, far = VirtualClock(START), VirtualClock(START + AHEAD_BY)
         self.near, self.far = Hall(self, "near", near, False), Hall(self, "far", far, True)
         self.asker, self.life, self.back_again = Asker(self), 1, False
-        way = Way("far", Health(_BEAT, _SLOW, _LEASE, _HEAL), Credit(16, 1 << 20), self.near.share)
-        self.outward = Outward(
-            Place("hall-a", "ga", "a1"),
+        route = SiteRoute(
+            "far", LinkHealth(_BEAT, _SLOW, _LEASE, _HEAL), LinkCredit(16, 1 << 20), self.near.share
+        )
+        self.outward = OutboundLink(
+            GatewayIdentity("hall-a", "ga", "a1"),
             "hall-b",
-            way,
+            route,
             self.near.across,
             self.near.counters,
             _nothing,
@@ -270,14 +272,14 @@
         self.link, self.greeted = "down", False  # "up", "silent"
         self.there: list[bytes] = []  # frames in the network
         self.back: list[bytes] = []
-        self.frames = codec.Frames()
+        self.frames = codec.FrameDecoder()
         # Up, and of late heard, before the first choice.
         self._connect()
         for _ in range(5):
             while self.there or self.back:
                 self._arrives("back" if self.back else "there")
             self._pass_time()
-        self.outward._send_beat(near.now())
+        self.outward._send_heartbeat(near.now())
         while self.there or self.back:
             self._arrives("back" if self.back else "there")
         self.faults = faults if bounds.faults is None else bounds.faults
@@ -285,12 +287,12 @@
         self.delays = 1  # times that the clock goes on over frames that are on their way
         self.began = near.at
 
-    def _inward(self) -> Inward:
+    def _inward(self) -> InboundLink:
         far = self.far
-        return Inward(
-            Place("hall-b", "gb", f"b{self.life}"),
-            Place("hall-a", "ga", "a1"),
-            Health(_BEAT, _SLOW, _LEASE, _HEAL),
+        return InboundLink(
+            GatewayIdentity("hall-b", "gb", f"b{self.life}"),
+            GatewayIdentity("hall-a", "ga", "a1"),
+            LinkHealth(_BEAT, _SLOW, _LEASE, _HEAL),
             16,
             1 << 20,
             far.take_in,
@@ -339,8 +341,8 @@
             account.out.remove(hall)
 
     def _put_there(self, data: bytes, at_once: bool) -> None:
-        for frame in codec.Frames().feed(data):
-            if isinstance(frame, codec.Offer):
+        for frame in codec.FrameDecoder().feed(data):
+            if isinstance(frame, codec.ForwardRequest):
                 account = self._account(frame.name[0])
                 account.crossed += 1
                 if account.crossed > 1:
@@ -451,16 +453,16 @@
                 self._cut()
 
     def _connect(self) -> None:
-        self.link, self.greeted, self.frames = "up", False, codec.Frames()
-        self.outward.connected(self._put_there)
+        self.link, self.greeted, self.frames = "up", False, codec.FrameDecoder()
+        self.outward.on_connected(self._put_there)
 
     def _cut(self) -> None:
         """What is on its way is lost; both ends see it."""
         self.link = "down"
         self.there.clear()
         self.back.clear()
-        self.outward.disconnected(self.near.clock.at)
-        self.inward.disconnected()
+        self.outward.on_disconnected(self.near.clock.at)
+        self.inward.on_disconnected()
 
     def _arrives(self, way: str) -> None:
         try:
@@ -472,7 +474,7 @@
                     self.inward.receive(frame)
                 else:
                     self.greeted = True
-                    self.inward.welcome(frame, self._put_back)
+                    self.inward.on_connected(frame, self._put_back)
         except FramingError as trouble:
             # Both ends are ours: neither may say what the other can't take.
             self.breaks("sound", f"the link is dropped: {trouble}")
@@ -536,7 +538,7 @@
                     intern, (query.class_name, query.tenant, query.idempotency_key)
                 )
         for entry in self.inward.ledger.open.values():
-            entry.how = intern(entry.how)
+            entry.reason = intern(entry.reason)
         for account in self.accounts:
             if account.over and not account.out:
                 account.stop = 1
@@ -552,18 +554,18 @@
         self._tidy()
 
     def _mind_always(self) -> None:
-        credit, near, far = self.outward.way.credit, self.outward.ledger, self.inward.ledger
+        credit, near, far = self.outward.route.credit, self.outward.ledger, self.inward.ledger
         sizes = [one.attempt.request.size_bytes for one in near.open.values()]
-        if (credit.held, credit.held_size) != (len(sizes), sum(sizes)):
+        if (credit.used_requests, credit.used_bytes) != (len(sizes), sum(sizes)):
             self.breaks(
                 "credit",
-                f"{credit.held} and {credit.held_size} bytes are held for {len(sizes)} "
+                f"{credit.used_requests} and {credit.used_bytes} bytes are held for {len(sizes)} "
                 f"crossings of {sum(sizes)} bytes",
             )
-        if credit.held < 0 or credit.held > credit.submissions:
-            self.breaks("credit", f"{credit.held} are held of {credit.submissions}")
-        if far.size != sum(entry.size for entry in far.open.values()):
-            self.breaks("credit", f"{far.size} bytes are counted in the far hall")
+        if credit.used_requests < 0 or credit.used_requests > credit.max_requests:
+            self.breaks("credit", f"{credit.used_requests} are held of {credit.max_requests}")
+        if far.size_bytes != sum(entry.size_bytes for entry in far.open.values()):
+            self.breaks("credit", f"{far.size_bytes} bytes are counted in the far hall")
 
     def quiet(self) -> bool:
         return (
@@ -576,7 +578,7 @@
         )
 
     def _mind_rest(self) -> None:
-        way, near, far = self.outward.way, self.near, self.far
+        route, near, far = self.outward.route, self.near, self.far
         kept: dict[str, Any] = {"owed": len(self.asker.open_requests)}
         for hall in (near, far):
             gateway = hall.gateway
@@ -589,13 +591,13 @@
                 + gateway.fleet.running_threads,
                 f"calls to come in the {hall.name} hall": len(hall.timers.line) - 1,
             }
-        if self.link == "up" and self.outward.greeted and not (self.there or self.back):
-            left = set(self.inward.ledger.open) - set(self.outward._forgets)
+        if self.link == "up" and self.outward.is_established and not (self.there or self.back):
+            left = set(self.inward.ledger.open) - set(self.outward._unsent_releases)
             kept |= {
                 "far entries that nobody forgets": len(left),
                 "far errands": len(self.inward.open_requests),
-                "under way": way.open,
-                "threads under way": way.used,
+                "under way": route.open_count,
+                "threads under way": route.used_threads,
                 "crossings": len(self.outward.ledger.open),
             }
         for name, count in kept.items():
@@ -623,27 +625,49 @@
         "unrepeatable",
         "halls",
         lines(
-            (Outward._greet, "frame.resumed and frame.incarnation == self._knew", "frame.resumed"),
-            (Inward.welcome, "hello.knew == self._me.incarnation", "True"),
+            (
+                OutboundLink._on_welcome,
+                "frame.resumed and frame.incarnation == self._known_incarnation",
+                "frame.resumed",
+            ),
+            (InboundLink.on_connected, "hello.known_incarnation == self._identity.incarnation", "True"),
         ),
     ),
     Mutant(
         "credit_given_back_twice",
         "credit",
         "halls",
-        lines((Credit.give, "self.held -= 1", "self.held = max(0, self.held - 2)")),
+        lines(
+            (
+                LinkCredit.release,
+                "self.used_requests -= 1",
+                "self.used_requests = max(0, self.used_requests - 2)",
+            )
+        ),
     ),
     Mutant(
         "relayed_before_the_lease_is_over",
         "one_outstanding",
         "resumed",
-        lines((Health.lease_end, "self.heard_at + self.lease + self.lease // 20 + 100_000", "self.heard_at")),
+        lines(
+            (
+                LinkHealth.remote_lease_end_us,
+                "self.received_us + self.lease_us + self.lease_us // 20 + 100_000",
+                "self.received_us",
+            )
+        ),
     ),
     Mutant(
         "lease_that_nobody_ends",
         "one_outstanding",
         "resumed",
-        lines((Inward.tick, "fenced = self._health.fenced(now)", "fenced = False")),
+        lines(
+            (
+                InboundLink.tick,
+                "has_lease_expired = self._health.has_lease_expired(now_us)",
+                "has_lease_expired = False",
+            )
+        ),
     ),
     Mutant(
         "lease_renewed_by_a_welcome",
@@ -651,9 +675,9 @@
         "leases",
         lines(
             (
-                Health.connected,
-                "self._echoed, self._zero_at = 0, now, 0, 0, now",
-                "self._echoed, self._zero_at, self.echoed_at = 0, now, 0, 0, now, now",
+                LinkHealth.on_connected,
+                "self._acknowledged, self._connected_us = 0, now_us",
+                "self._acknowledged, self._connected_us, self.acknowledged_sent_us = 0, now_us, now_us",
             )
         ),
     ),
@@ -673,13 +697,13 @@
         "an_error_is_told_as_not_run",
         "unrepeatable",
         "halls",
-        lines((Inward.on_attempt_finished, "ending not in NOT_EXECUTED", "False")),
+        lines((InboundLink.on_attempt_finished, "outcome not in NOT_EXECUTED", "False")),
     ),
     Mutant(
         "what_was_fenced_is_kept",
         "nothing_kept",
         "resumed",
-        lines((Outward._greet, "self._forget(crossing.number)", "pass")),
+        lines((OutboundLink._on_welcome, "self._release(forwarded.number)", "pass")),
     ),
     Mutant(
         "a_cut_that_was_not_marked",
@@ -687,11 +711,16 @@
         "halls",
         lines(
             (
-                ledger.Outgoing.settle,
-                "settled.append((crossing, ForwardingResult.UNKNOWN))",
-                "settled.append((crossing, ForwardingResult.UNRUN))",
+                ledger.OutboundLedger.reconcile,
+                "settled.append((forwarded, ForwardingResult.UNKNOWN))",
+                "settled.append((forwarded, ForwardingResult.NOT_EXECUTED))",
             )
         ),
     ),
-    Mutant("a_threads_share_is_kept", "nothing_kept", "halls", lines((Way.over, "self.open -= 1", "pass"))),
+    Mutant(
+        "a_threads_share_is_kept",
+        "nothing_kept",
+        "halls",
+        lines((SiteRoute.release, "self.open_count -= 1", "pass")),
+    ),
 )
--- a/cresstray/pipeline/admission.py
+++ b/cresstray/pipeline/admission.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from cresstray.membership.recovery import Membership
     from cresstray.pipeline.idempotency_checks import IdempotencyChecks
-    from cresstray.sites.flow_control import Share
+    from cresstray.sites.flow_control import ForwardingQuota
 
 
 class Admission:
@@ -27,7 +27,8 @@
 
     def __init__(self, accounting: RequestAccounting) -> None:
         self._accounting = accounting
-        self.forwarding_quota: Share | None = None  # set where requests may be forwarded to other sites
+        # Set where requests may be forwarded to other sites.
+        self.forwarding_quota: ForwardingQuota | None = None
         self.membership: Membership | None = None  # set where the endpoint list is persisted
         self.idempotency: IdempotencyChecks | None = None  # set where idempotency records are kept in a store
 
@@ -44,7 +45,7 @@
 
     def _accept(self, context: RequestContext, now_us: int) -> None:
         if self.forwarding_quota is not None and not context.request.is_forwarded_in:
-            self.forwarding_quota.taken(now_us)
+            self.forwarding_quota.record_received(now_us)
         self.controller.accept(context.request, now_us)
 
     def _rejects_unknown_endpoints(
--- a/cresstray/sites/__init__.py
+++ b/cresstray/sites/__init__.py
@@ -1,1 +1,1 @@
-"""Between halls: when to cross, what is known of each crossing, and the link that carries it."""
+"""Forwarding between sites: when to forward a request, the state of each forwarded request, and the links."""
--- a/cresstray/sites/codec.py
+++ b/cresstray/sites/codec.py
@@ -1,4 +1,7 @@
-"""The link's frames, as docs/halls.md writes them down. Knows no socket and decides nothing."""
+"""The frames of a link between two sites. Performs no I/O and makes no decisions.
+
+The gateway that connects forwards requests; the gateway that accepts the connection is the remote one.
+"""
 
 from __future__ import annotations
 
@@ -7,159 +10,207 @@
 import msgspec
 
 from cresstray.policy.types import Outcome
+from cresstray.transport import framing
 from cresstray.transport.framing import MAX_FRAME_BYTES, Frame, FramingError, encode_frame
-from cresstray.transport.framing import FrameDecoder as AnyFrames
 
 __all__ = ["MAX_FRAME_BYTES", "FramingError", "Frame", "encode_frame"]
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 MAGIC = "cresstray-halls"
-# What this build can do beyond the version; what only one side names is not used.
+# Optional features of this build; a feature that only one side announces is not used.
 FEATURES = ("pages", "resume")
-# A page of a result; some go into one write, and one lost with its link costs little to send again.
-PAGE = 8_000
+# Several pages fit into one write, and a page that is lost with its connection costs little to send again.
+PAGE_BYTES = 8_000
 
 _Text = Annotated[str, msgspec.Meta(max_length=128)]
 _Number = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
-_Time = Annotated[int, msgspec.Meta(ge=0, le=10**12)]  # microseconds, as a span and never as a clock's time
+# Microseconds. Always a duration, never a time of day: the clocks of two sites are not comparable.
+_DurationUs = Annotated[int, msgspec.Meta(ge=0, le=10**12)]
 _Figure = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
 
 class Hello(Frame):
-    """First from the near side. `open`: crossings it still waits for; `knew`: the incarnation it spoke to."""
+    """The first frame of the forwarding gateway.
+
+    Attributes:
+        known_incarnation: The incarnation of the remote gateway on the previous connection.
+        open_requests: The numbers of the forwarded requests that still wait for an outcome.
+    """
 
     kind = 1
     magic: _Text
     version: int
     features: list[_Text]
-    hall: _Text
-    name: _Text
+    site: _Text
+    gateway: _Text
     incarnation: _Text
-    knew: _Text
-    open: Annotated[list[_Number], msgspec.Meta(max_length=100_000)]
+    known_incarnation: _Text
+    open_requests: Annotated[list[_Number], msgspec.Meta(max_length=100_000)]
 
 
 class Welcome(Frame):
-    """First from the far side. `states`: a letter for each crossing that the hello named."""
+    """The first frame of the remote gateway.
+
+    Attributes:
+        states: For each request that the hello lists, its number and the value of its `ForwardingState`.
+        max_requests: The credit of the link, in open requests.
+        max_bytes: The credit of the link, in bytes of their statements.
+    """
 
     kind = 2
     version: int
     features: list[_Text]
-    hall: _Text
-    name: _Text
+    site: _Text
+    gateway: _Text
     incarnation: _Text
     resumed: bool
     states: Annotated[list[tuple[_Number, _Text]], msgspec.Meta(max_length=100_000)]
-    submissions: _Number  # credit: so many open at once, and so many bytes of them
-    bytes: _Number
-    lease: _Time
+    max_requests: _Number
+    max_bytes: _Number
+    lease_us: _DurationUs
 
 
-class Beat(Frame):
-    """Both ways. `heard`: the last beat of the other side, `held`: for how long; then the far hall's room."""
+class Heartbeat(Frame):
+    """Sent in both directions; the remote site adds its spare capacity.
+
+    Attributes:
+        acknowledged: The number of the last heartbeat received from the other side.
+        held_us: The time since that heartbeat was received.
+        threads: Spare threads that the forwarding gateway may use.
+        cores: The forwarding gateway's share of the cores.
+        slowdown: Latency over expected latency.
+        paused_us: No request is accepted for this long.
+    """
 
     kind = 3
     number: _Number
-    heard: _Number
-    held: _Time
+    acknowledged: _Number
+    held_us: _DurationUs
     threads: _Figure = 0.0
     cores: _Figure = 0.0
-    pace: _Figure = 1.0
-    closed: _Time = 0  # takes nothing for so long
+    slowdown: _Figure = 1.0
+    paused_us: _DurationUs = 0
+
 
+class ForwardRequest(Frame):
+    """Forwards one request.
 
-class Offer(Frame):
-    """One submission; `left` to its hard stop, queued up to `max_queue_us`, sent `within`, any time if 0."""
+    Attributes:
+        acknowledged: The number of the last heartbeat received from the remote gateway. It limits how old
+            this frame can be, independently of the clocks.
+        remaining_us: The time until the request's deadline.
+        max_queue_us: How long the remote gateway may queue the request.
+        max_send_delay_us: The request may be sent to an engine within this time only; 0: at any time.
+        table_group: The group of tables that the statement reads or writes.
+        previous_attempts: Attempts made before this one; the remote gateway may make one.
+        is_lease_bound: Whether the remote gateway cancels the request when the lease expires. The forwarding
+            gateway may then retry it elsewhere.
+    """
 
     kind = 4
     number: _Number
-    heard: _Number  # the last beat of the far side: bounds how old this frame can be, whatever the clocks say
+    acknowledged: _Number
     name: Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{16}$")]
     class_name: _Text
     tenant: _Text
     idempotency_key: Annotated[str, msgspec.Meta(pattern="^[0-9A-Za-z_.:-]{0,128}$")]
     estimated_work_ms: _Figure
     memory_mb: _Figure
-    left: _Time
-    max_queue_us: _Time
-    within: _Time
-    table_group: _Number  # of tables, that the statement reads or writes
-    used: _Number  # relays before this one; the far side may make one
-    fenced: bool  # given up when the lease is over: the near side may relay it elsewhere then
+    remaining_us: _DurationUs
+    max_queue_us: _DurationUs
+    max_send_delay_us: _DurationUs
+    table_group: _Number
+    previous_attempts: _Number
+    is_lease_bound: bool
     statement: Annotated[bytes, msgspec.Meta(min_length=1)]
 
     @property
     def timeout_ms(self) -> float:
-        """Milliseconds, as the passage has it."""
-        return self.left / 1000
+        """The remaining time in the unit that the pipeline expects of a query."""
+        return self.remaining_us / 1000
+
 
+class Accepted(Frame):
+    """The remote gateway has accepted the request."""
 
-class Taken(Frame):
     kind = 5
     number: _Number
 
 
-class Refused(Frame):
-    """Nothing of it ran. `come_back`: nothing should be offered for so long."""
+class Rejected(Frame):
+    """The remote gateway has rejected the request, and no part of it was executed.
+
+    Attributes:
+        retry_after_us: No further request should be forwarded for this long.
+    """
 
     kind = 6
     number: _Number
-    come_back: _Time
+    retry_after_us: _DurationUs
     reason: _Text
 
 
 class Sent(Frame):
-    """Its relay has left for an engine; from here on it may have run."""
+    """The request was sent to an engine; from now on it may have been executed."""
 
     kind = 7
     number: _Number
 
 
-class Page(Frame):
+class ResultPage(Frame):
+    """One page of a result."""
+
     kind = 8
     number: _Number
     page: _Number
-    pages: Annotated[int, msgspec.Meta(ge=1, le=100_000)]
+    page_count: Annotated[int, msgspec.Meta(ge=1, le=100_000)]
     body: bytes
 
 
-class Ended(Frame):
-    """It ended without a result; `ran`: whether it may have run; `how` is a word for the log."""
+class Failed(Frame):
+    """The request ended without a result.
+
+    Attributes:
+        may_have_executed: Whether an engine may have executed the request.
+        reason: A word for the log.
+    """
 
     kind = 9
     number: _Number
-    ran: bool
-    how: _Text
+    may_have_executed: bool
+    reason: _Text
 
 
-class More(Frame):
-    """The near side has this many pages; the far side sends some further ones."""
+class PagesReceived(Frame):
+    """The number of pages of a result that have arrived, which permits the remote gateway to send more."""
 
     kind = 10
     number: _Number
-    pages: _Number
+    page_count: _Number
+
 
+class Cancel(Frame):
+    """The forwarding gateway no longer wants the result."""
 
-class Withdraw(Frame):
     kind = 11
     number: _Number
 
 
-class Forget(Frame):
-    """The near side has the end of these; nothing of them need be kept."""
+class Release(Frame):
+    """The forwarding gateway has the outcome of these requests; the remote one can drop its state of them."""
 
     kind = 12
     numbers: Annotated[list[_Number], msgspec.Meta(max_length=100_000)]
 
 
-class Goodbye(Frame):
-    """Nothing new is taken, or offered; what is open goes on."""
+class GoAway(Frame):
+    """The sender accepts or forwards no new requests; open requests continue."""
 
     kind = 13
     reason: _Text
 
 
-# `Ended.how` as the link has always written it, by how the attempt ended here.
+# `Failed.reason` by the outcome of the remote gateway's attempt.
 OUTCOME_WORDS = {
     Outcome.SUCCEEDED: "fulfilled",
     Outcome.FAILED: "error",
@@ -172,9 +223,25 @@
     Outcome.EXPIRED_BEFORE_SEND: "moot",
 }
 
-_KINDS = (Hello, Welcome, Beat, Offer, Taken, Refused, Sent, Page, Ended, More, Withdraw, Forget, Goodbye)
-
+_KINDS = (
+    Hello,
+    Welcome,
+    Heartbeat,
+    ForwardRequest,
+    Accepted,
+    Rejected,
+    Sent,
+    ResultPage,
+    Failed,
+    PagesReceived,
+    Cancel,
+    Release,
+    GoAway,
+)
+
+
+class FrameDecoder(framing.FrameDecoder):
+    """Decodes the frames of a link between sites."""
 
-class Frames(AnyFrames):
     def __init__(self) -> None:
         super().__init__(_KINDS)
--- a/cresstray/sites/ends.py
+++ b/cresstray/sites/ends.py
@@ -1,4 +1,4 @@
-"""What both ends of a link have in common: who they are, how they write, who takes which frame. No I/O."""
+"""What both sides of a link share: the gateway's identity, sending frames, and dispatching received ones."""
 
 from __future__ import annotations
 
@@ -8,43 +8,46 @@
 
 from cresstray.sites import codec
 from cresstray.sites.codec import FramingError
-from cresstray.sites.health import Health
+from cresstray.sites.health import LinkHealth
 
-# The far side writes so many pages of a result ahead; half of them read, it is told so.
-WINDOW = 4
+# The remote gateway sends this many pages of a result ahead; the receipt of each half window is reported.
+PAGE_WINDOW = 4
 
 
 @dataclass(frozen=True)
-class Place:
-    """Who a gateway is: its hall, its name there, and this life of it."""
+class GatewayIdentity:
+    """Identifies one run of a gateway: its site, its name there, and its incarnation."""
 
-    hall: str
+    site: str
     name: str
     incarnation: str
 
 
-class End:
-    """One end, on whatever connection there is; `write` takes bytes, and whether they must go at once."""
+class LinkSession:
+    """One side of a link. It outlives its connections and performs no I/O.
 
-    _TAKES: ClassVar[dict[type, Callable]]
-    _OTHER: ClassVar[str]  # whom it hears
+    While connected, `_write` takes encoded frames and whether they must be sent immediately.
+    """
 
-    def __init__(self, me: Place, health: Health, now: Callable[[], int]) -> None:
-        self._me, self._health, self._now = me, health, now
+    _HANDLERS: ClassVar[dict[type, Callable]]
+    _PEER_SIDE: ClassVar[str]  # the other side, for error texts
+
+    def __init__(self, identity: GatewayIdentity, health: LinkHealth, now: Callable[[], int]) -> None:
+        self._identity, self._health, self._now = identity, health, now
         self._write: Callable[[bytes, bool], None] | None = None
 
-    def _put(self, frame: codec.Frame, at_once: bool = False) -> None:
+    def _send(self, frame: codec.Frame, immediately: bool = False) -> None:
         if self._write is not None:
-            self._write(codec.encode_frame(frame), at_once)
-
-    def _take(self, frame: codec.Frame, now: int) -> None:
-        """BrokenError for a frame that is not the other side's to send."""
-        self._health.word(now)
-        take = self._TAKES.get(type(frame))
-        if take is None:
-            raise FramingError(f"a {type(frame).__name__} from the {self._OTHER} side")
-        take(self, frame, now)
-
-    def dawdle(self) -> int:
-        """Microseconds that a word may wait for others."""
-        return self._health.dawdle(self._now())
+            self._write(codec.encode_frame(frame), immediately)
+
+    def _dispatch(self, frame: codec.Frame, now_us: int) -> None:
+        """Handles a frame; raises FramingError for one that the other side must not send."""
+        self._health.on_frame(now_us)
+        handler = self._HANDLERS.get(type(frame))
+        if handler is None:
+            raise FramingError(f"a {type(frame).__name__} from the {self._PEER_SIDE} side")
+        handler(self, frame, now_us)
+
+    def write_delay_us(self) -> int:
+        """Returns how long a frame may wait, so that several are sent in one write."""
+        return self._health.write_delay_us(self._now())
--- a/cresstray/sites/flow_control.py
+++ b/cresstray/sites/flow_control.py
@@ -1,63 +1,81 @@
-"""How much may cross: credit for each link, a share of the traffic, and a ramp after a cut. Pure state."""
+"""Limits on forwarding: credit per link, a fraction of the traffic, and a slow start after an outage."""
 
 from __future__ import annotations
 
 from cresstray.policy.sliding_window import SlidingWindow
 
 
-class Credit:
-    """What one link may hold at once, in submissions and in bytes of their statements."""
+class LinkCredit:
+    """How much one link may have open at once, in requests and in bytes of their statements."""
 
-    def __init__(self, requests: int, size: int) -> None:
-        self.submissions, self.size = requests, size
-        self.held, self.held_size = 0, 0
+    def __init__(self, max_requests: int, max_bytes: int) -> None:
+        self.max_requests, self.max_bytes = max_requests, max_bytes
+        self.used_requests, self.used_bytes = 0, 0
 
-    def has(self, size: int) -> bool:
-        return self.held < self.submissions and self.held_size + size <= self.size
+    def allows(self, size_bytes: int) -> bool:
+        """Returns whether a further request of this size may be forwarded."""
+        return self.used_requests < self.max_requests and self.used_bytes + size_bytes <= self.max_bytes
 
-    def take(self, size: int) -> None:
-        self.held += 1
-        self.held_size += size
+    def acquire(self, size_bytes: int) -> None:
+        """Takes the credit for a request."""
+        self.used_requests += 1
+        self.used_bytes += size_bytes
 
-    def give(self, size: int) -> None:
-        self.held -= 1
-        self.held_size -= size
-        assert self.held >= 0 and self.held_size >= 0, "credit is given back once"
+    def release(self, size_bytes: int) -> None:
+        """Returns the credit of a request that has an outcome."""
+        self.used_requests -= 1
+        self.used_bytes -= size_bytes
+        assert self.used_requests >= 0 and self.used_bytes >= 0, "credit is given back once"
 
 
-# The share is of what came in over the last five seconds; a few may always cross, or a quiet gateway none.
-_SPAN, _PARTS, _ALWAYS = 5_000_000, 20, 20
-# After a cut: so many a second at first, doubled each second, free after this many.
-_RAMP_START, _RAMP_SECONDS = 20, 5
+# The quota is a fraction of the requests of the last five seconds. A few requests are always allowed, as a
+# gateway with little traffic could otherwise forward none.
+_QUOTA_WINDOW_US, _QUOTA_BUCKETS, _ALWAYS_ALLOWED = 5_000_000, 20, 20
+# After an outage: this many requests in the first second, doubled each second, unlimited after five seconds.
+_SLOW_START_REQUESTS, _SLOW_START_SECONDS = 20, 5
 
 
-class Share:
-    """Bounds the part of a gateway's submissions that cross, over all its links."""
+class ForwardingQuota:
+    """Limits the fraction of a gateway's requests that it forwards, over all its links."""
 
-    def __init__(self, share: float) -> None:
-        self.share = share
-        self._taken, self._crossed = SlidingWindow(_SPAN, _PARTS), SlidingWindow(_SPAN, _PARTS)
+    def __init__(self, max_fraction: float) -> None:
+        self.max_fraction = max_fraction
+        self._received, self._forwarded = (
+            SlidingWindow(_QUOTA_WINDOW_US, _QUOTA_BUCKETS),
+            SlidingWindow(_QUOTA_WINDOW_US, _QUOTA_BUCKETS),
+        )
 
-    def taken(self, now: int) -> None:
-        self._taken.add(now)
+    def record_received(self, now_us: int) -> None:
+        """Counts a request of this site's own clients."""
+        self._received.add(now_us)
 
-    def crossed(self, now: int) -> None:
-        self._crossed.add(now)
+    def record_forwarded(self, now_us: int) -> None:
+        """Counts a request that was forwarded."""
+        self._forwarded.add(now_us)
 
-    def room(self, now: int) -> bool:
-        return self._crossed.upper_bound(now) + 1 <= _ALWAYS + self.share * self._taken.lower_bound(now)
+    def allows(self, now_us: int) -> bool:
+        """Returns whether a further request may be forwarded."""
+        return self._forwarded.upper_bound(
+            now_us
+        ) + 1 <= _ALWAYS_ALLOWED + self.max_fraction * self._received.lower_bound(now_us)
 
 
-class Ramp:
-    """What may cross on one link in each second since it healed."""
+class LinkSlowStart:
+    """Limits the requests per second on a link that has just recovered.
 
-    def __init__(self) -> None:
-        self._second, self._count = SlidingWindow(1_000_000, 10), 0
-
-    def crossed(self, now: int) -> None:
-        self._second.add(now)
+    Without it, all requests that waited during the outage would be forwarded at once and overload the site.
+    """
 
-    def room(self, healed: int, now: int) -> bool:
-        # Danger: all that waited through a cut would cross at once, and push over a hall that is just back.
-        seconds = (now - healed) // 1_000_000
-        return seconds >= _RAMP_SECONDS or self._second.upper_bound(now) + 1 <= _RAMP_START << max(0, seconds)
+    def __init__(self) -> None:
+        self._last_second, self._count = SlidingWindow(1_000_000, 10), 0
+
+    def record_forwarded(self, now_us: int) -> None:
+        """Counts a request that was forwarded."""
+        self._last_second.add(now_us)
+
+    def allows(self, recovered_us: int, now_us: int) -> bool:
+        """Returns whether a further request may be forwarded on a link that recovered at `recovered_us`."""
+        seconds = (now_us - recovered_us) // 1_000_000
+        return seconds >= _SLOW_START_SECONDS or self._last_second.upper_bound(
+            now_us
+        ) + 1 <= _SLOW_START_REQUESTS << max(0, seconds)
--- a/cresstray/sites/health.py
+++ b/cresstray/sites/health.py
@@ -1,9 +1,9 @@
-"""How a link is: up, slow, suspect, cut or healing, from beats and their echoes. Knows no clock of its own.
+"""The state of a link, from its heartbeats and their acknowledgements. Reads no clock.
 
-cut --connected--> healing --calm for a while--> up <--round trip--> slow
- ^                    |                          |                    |
- |                    +-------- beats late, or our own not heard -----+--> suspect
- +---------------------- connection ended, or silence for a lease --------------+
+disconnected --connected--> recovering --stable for some time--> up <--round trip--> slow
+ ^                              |                                |                    |
+ |                              +-- heartbeats late, or ours not acknowledged --------+--> suspected
+ +-------------------- connection ended, or silence for a lease ------------------------------+
 """
 
 from __future__ import annotations
@@ -14,174 +14,207 @@
 from cresstray.policy.sliding_window import SlidingWindow
 
 
-class State(Enum):
+class LinkState(Enum):
+    """The state of a link; the value is what the status and the log show."""
+
     UP = "up"
     SLOW = "slow"
-    SUSPECT = "suspect"
-    CUT = "cut"
-    HEALING = "healing"
-
-
-# Without anything under way, or asked for of late, beats come so many times slower: a wake-up costs a gateway
-# with little to do as much as a submission does.
-IDLE = 10
-# Beats of ours whose time of sending is kept: with five a second, more than any lease.
-_KEPT = 128
-# The round trip is the mean of the last second; a link that gets slower is seen sooner, by beats not yet
-# heard.
-_SPAN, _PARTS = 1_000_000, 5
-
-
-class Health:
-    """`beat`, `slow`, `lease`, `heal` in microseconds: between beats, the round trip that counts as slow, the
-    silence after which a link is given up, and the calm after which a healed one is trusted again."""
-
-    def __init__(self, beat: int, slow: int, lease: int, heal: int) -> None:
-        self._busy_beat = self.beat = beat
-        self.idle_beat, self._paced_at = IDLE * beat, 0
-        self._slow, self.lease, self._heal = slow, lease, heal
-        self.state = State.CUT
-        self._sum, self._count = SlidingWindow(_SPAN, _PARTS), SlidingWindow(_SPAN, _PARTS)
-        self._latest = 0  # round trip
-        self._told, self._told_at = 0, -1  # what was last said of it, and in which millisecond
-        self._number = 0  # of our last beat
-        self._sent: deque[tuple[int, int]] = deque(maxlen=_KEPT)  # our beats not yet heard
-        self._echoed, self._zero_at = 0, 0  # of ours, the last they heard; beat 0 is the connection itself
-        self.echoed_at = 0  # when that left: what they have of us is at least as new
-        self.heard, self.heard_at = 0, 0  # their last beat
-        self._word_at = 0  # when they last wrote anything
-        self.calm_since = 0
-        self.crossing_since = 0  # when it began to heal
-
-    def connected(self, now: int) -> None:
-        self.state = State.HEALING
-        self._sent.clear()
-        # Danger: the lease of what was open before is not renewed by a welcome that may never arrive; the
-        # first word that names beat 0 or a later one does it.
-        self.heard, self.heard_at, self._number, self._echoed, self._zero_at = 0, now, 0, 0, now
-        self._word_at = self.calm_since = self.crossing_since = now
-        self._sum, self._count, self._latest = SlidingWindow(_SPAN, _PARTS), SlidingWindow(_SPAN, _PARTS), 0
-        self._told_at = -1
-
-    def pace(self, busy: bool, now: int) -> None:
-        """How often beats come from now on; a link that is needed is looked after more closely."""
-        beat = self._busy_beat if busy else self.idle_beat
-        if beat != self.beat:
-            self.beat, self._paced_at = beat, now
-
-    def dawdle(self, now: int) -> int:
-        """How long a word may wait for others to go with: a tenth of the round trip, 5 ms at most.
-
-        At 1,000 crossings a second over 50 ms, five go in one piece, and both sides wake up that much less.
+    SUSPECTED = "suspect"
+    DISCONNECTED = "cut"
+    RECOVERING = "healing"
+
+
+# While no request is open or wanted, heartbeats are this many times rarer: for a gateway with little traffic,
+# a wake-up costs as much as a request does.
+IDLE_INTERVAL_FACTOR = 10
+# Unacknowledged heartbeats whose send time is remembered: at five a second, more than any lease.
+_MAX_UNACKNOWLEDGED = 128
+# The round trip is the mean of the last second. A link that becomes slower is detected earlier, from the
+# heartbeats that are not acknowledged yet.
+_ROUND_TRIP_WINDOW_US, _ROUND_TRIP_BUCKETS = 1_000_000, 5
+
+
+class LinkHealth:
+    """Tracks the heartbeats of one side of a link, its round trip time, its state and its leases."""
+
+    def __init__(self, heartbeat_us: int, slow_us: int, lease_us: int, recovery_us: int) -> None:
+        """Creates the health of a link that is not connected.
+
+        Args:
+            heartbeat_us: The interval between heartbeats while requests are open.
+            slow_us: A longer round trip makes the link slow.
+            lease_us: A connection that is silent for longer is closed.
+            recovery_us: A link that was reconnected is up after it was stable for this long.
         """
-        wait = min(5_000, self.round_trip(now) // 10)
-        return wait if wait >= 1_000 else 0
-
-    def stale(self, now: int) -> bool:
-        """Whether what the last beat told is too old to act on."""
-        return now - self.heard_at > 4 * self._busy_beat + self._latest
-
-    def lost(self) -> None:
-        self.state = State.CUT
-
-    def next_beat(self, now: int) -> tuple[int, int, int]:
-        """The number of our next beat, the last one heard, and for how long that has been held."""
-        self._number += 1
-        self._sent.append((self._number, now))
-        return self._number, self.heard, max(0, now - self.heard_at)
-
-    def word(self, now: int) -> None:
-        self._word_at = now
-
-    def hear(self, number: int, echo: int, held: int, now: int) -> None:
-        """A beat of theirs has come, which echoes one of ours."""
-        self.heard, self.heard_at, self._word_at = number, now, now
-        at = self.sent_at(echo)
-        if at is None:
+        self._busy_interval_us = self.heartbeat_us = heartbeat_us
+        self.idle_heartbeat_us, self._interval_changed_us = IDLE_INTERVAL_FACTOR * heartbeat_us, 0
+        self._slow_us, self.lease_us, self._recovery_us = slow_us, lease_us, recovery_us
+        self.state = LinkState.DISCONNECTED
+        self._round_trip_sum, self._round_trip_count = (
+            SlidingWindow(_ROUND_TRIP_WINDOW_US, _ROUND_TRIP_BUCKETS),
+            SlidingWindow(_ROUND_TRIP_WINDOW_US, _ROUND_TRIP_BUCKETS),
+        )
+        self._last_round_trip_us = 0
+        self._cached_round_trip_us, self._cached_ms = 0, -1  # and the millisecond that it was computed in
+        self._sent_number = 0  # of our last heartbeat
+        # The numbers and send times of our heartbeats that the other side has not acknowledged.
+        self._unacknowledged: deque[tuple[int, int]] = deque(maxlen=_MAX_UNACKNOWLEDGED)
+        # The last of our heartbeats that was acknowledged; number 0 is the connection itself.
+        self._acknowledged, self._connected_us = 0, 0
+        # When that heartbeat was sent. The other side's knowledge of this one is at least as recent.
+        self.acknowledged_sent_us = 0
+        self.received_number, self.received_us = 0, 0  # the other side's last heartbeat
+        self._last_frame_us = 0
+        self.stable_since_us = 0
+        self.recovering_since_us = 0
+
+    def on_connected(self, now_us: int) -> None:
+        """Starts a new connection, whose heartbeats are counted from 0."""
+        self.state = LinkState.RECOVERING
+        self._unacknowledged.clear()
+        # The lease of earlier requests is not renewed by sending a welcome, which may never arrive. The first
+        # frame that acknowledges heartbeat 0 or a later one renews it.
+        self.received_number, self.received_us, self._sent_number = 0, now_us, 0
+        self._acknowledged, self._connected_us = 0, now_us
+        self._last_frame_us = self.stable_since_us = self.recovering_since_us = now_us
+        self._round_trip_sum, self._round_trip_count, self._last_round_trip_us = (
+            SlidingWindow(_ROUND_TRIP_WINDOW_US, _ROUND_TRIP_BUCKETS),
+            SlidingWindow(_ROUND_TRIP_WINDOW_US, _ROUND_TRIP_BUCKETS),
+            0,
+        )
+        self._cached_ms = -1
+
+    def set_busy(self, is_busy: bool, now_us: int) -> None:
+        """Sets the heartbeat interval: a link with open requests is checked more often."""
+        heartbeat_us = self._busy_interval_us if is_busy else self.idle_heartbeat_us
+        if heartbeat_us != self.heartbeat_us:
+            self.heartbeat_us, self._interval_changed_us = heartbeat_us, now_us
+
+    def write_delay_us(self, now_us: int) -> int:
+        """Returns how long a frame may wait for others: a tenth of the round trip, at most 5 ms.
+
+        At 1,000 forwarded requests a second and a delay of 5 ms (a round trip of 50 ms), five frames share
+        one write, and both sides wake up that much less often.
+        """
+        delay_us = min(5_000, self.round_trip_us(now_us) // 10)
+        return delay_us if delay_us >= 1_000 else 0
+
+    def is_stale(self, now_us: int) -> bool:
+        """Returns whether the capacity in the last heartbeat is too old to rely on."""
+        return now_us - self.received_us > 4 * self._busy_interval_us + self._last_round_trip_us
+
+    def on_disconnected(self) -> None:
+        """Notes that the connection has ended."""
+        self.state = LinkState.DISCONNECTED
+
+    def next_heartbeat(self, now_us: int) -> tuple[int, int, int]:
+        """Returns our next number, the last number received, and how long ago that was received."""
+        self._sent_number += 1
+        self._unacknowledged.append((self._sent_number, now_us))
+        return self._sent_number, self.received_number, max(0, now_us - self.received_us)
+
+    def on_frame(self, now_us: int) -> None:
+        """Notes that a frame of any kind was received."""
+        self._last_frame_us = now_us
+
+    def on_heartbeat(self, number: int, acknowledged: int, held_us: int, now_us: int) -> None:
+        """Handles the other side's heartbeat, which acknowledges one of ours."""
+        self.received_number, self.received_us, self._last_frame_us = number, now_us, now_us
+        sent_us = self.heartbeat_sent_us(acknowledged)
+        if sent_us is None:
             return
-        if echo > self._echoed:
-            # Danger: a held time that lies must not make the link look faster than it can be.
-            self._latest = now - at - min(held, now - at)
-            self._sum.add(now, self._latest)
-            self._count.add(now)
-            self._told_at = -1
-        self.confirm(echo)
-
-    def confirm(self, echo: int) -> None:
-        """A word of theirs names the last beat of ours that they had heard by then."""
-        at = self.sent_at(echo)
-        if at is not None and echo >= self._echoed:
-            self._echoed, self.echoed_at = echo, at
-            while self._sent and self._sent[0][0] <= echo:
-                self._sent.popleft()
-
-    def round_trip(self, now: int) -> int:
-        """The present one: the most of the mean of late, the last, and the age of a beat not answered."""
-        # Asked some times for each submission; a millisecond more or less is no matter.
-        if now // 1000 != self._told_at:
-            self._told_at, self._told = now // 1000, self._round_trip(now)
-        return self._told
-
-    def usual_trip(self) -> int:
-        """The last one that was measured, whatever has become of the link since."""
-        return self._latest
-
-    def _round_trip(self, now: int) -> int:
-        count = self._count.lower_bound(now)
-        mean = int(self._sum.lower_bound(now) / count) if count else self._latest
-        return max(mean, self._latest, self._unheard(now) - self.beat)
-
-    def _unheard(self, now: int) -> int:
-        """For how long the other side has not been known to hear us."""
-        return now - self._sent[0][1] if self._sent else 0
-
-    def sent_at(self, number: int) -> int | None:
-        """When that beat of ours left; None where it never did, or is too old to be known."""
+        if acknowledged > self._acknowledged:
+            # A wrong `held_us` must not make the link appear faster than possible.
+            self._last_round_trip_us = now_us - sent_us - min(held_us, now_us - sent_us)
+            self._round_trip_sum.add(now_us, self._last_round_trip_us)
+            self._round_trip_count.add(now_us)
+            self._cached_ms = -1
+        self.acknowledge(acknowledged)
+
+    def acknowledge(self, number: int) -> None:
+        """Notes that a frame named this heartbeat of ours as the last one received before it was sent."""
+        sent_us = self.heartbeat_sent_us(number)
+        if sent_us is not None and number >= self._acknowledged:
+            self._acknowledged, self.acknowledged_sent_us = number, sent_us
+            while self._unacknowledged and self._unacknowledged[0][0] <= number:
+                self._unacknowledged.popleft()
+
+    def round_trip_us(self, now_us: int) -> int:
+        """Returns the maximum of the recent mean, the last one, and an unacknowledged heartbeat's delay."""
+        # Called several times per request, so it is computed once per millisecond.
+        if now_us // 1000 != self._cached_ms:
+            self._cached_ms, self._cached_round_trip_us = now_us // 1000, self._compute_round_trip_us(now_us)
+        return self._cached_round_trip_us
+
+    def last_round_trip_us(self) -> int:
+        """Returns the last one that was measured, in whatever state the link is now."""
+        return self._last_round_trip_us
+
+    def _compute_round_trip_us(self, now_us: int) -> int:
+        count = self._round_trip_count.lower_bound(now_us)
+        mean_us = int(self._round_trip_sum.lower_bound(now_us) / count) if count else self._last_round_trip_us
+        return max(mean_us, self._last_round_trip_us, self._unacknowledged_us(now_us) - self.heartbeat_us)
+
+    def _unacknowledged_us(self, now_us: int) -> int:
+        """Returns the age of our oldest heartbeat that is not acknowledged."""
+        return now_us - self._unacknowledged[0][1] if self._unacknowledged else 0
+
+    def heartbeat_sent_us(self, number: int) -> int | None:
+        """Returns when our heartbeat of this number was sent; None if it never was, or is too old."""
         if number == 0:
-            return self._zero_at
-        if number == self._echoed:
-            return self.echoed_at
-        return next((at for sent, at in self._sent if sent == number), None)
-
-    def look(self, now: int) -> State:
-        """The state by now. A link whose words are late, or which does not hear us, is suspect at once."""
-        if self.state is State.CUT:
+            return self._connected_us
+        if number == self._acknowledged:
+            return self.acknowledged_sent_us
+        return next((sent_us for sent, sent_us in self._unacknowledged if sent == number), None)
+
+    def update_state(self, now_us: int) -> LinkState:
+        """Updates and returns the state; a late heartbeat or acknowledgement makes the link suspected."""
+        if self.state is LinkState.DISCONNECTED:
             return self.state
-        trip = self.round_trip(now)
-        # Beats that were to come more seldom until just now are not late yet.
-        quiet = min(max(now - self.heard_at, self._unheard(now) - trip), now - self._paced_at)
-        # Three beats and the usual round trip: one beat lost or late says nothing.
-        if quiet > 3 * self.beat + min(trip, self._slow):
-            self.state, self.calm_since = State.SUSPECT, now
-        elif self.state is State.SUSPECT and trip <= self._slow:
-            self.state, self.calm_since, self.crossing_since = State.HEALING, now, now
-        elif trip > self._slow:
-            self.state, self.calm_since = State.SLOW, now
-        elif self.state is not State.UP:
-            # Danger: a route that flaps with each beat. A second of calm, or all of `heal` after a cut.
-            calm = self._heal if self.state is State.HEALING else 1_000_000
-            if now - self.calm_since >= calm:
-                self.state = State.UP
+        round_trip_us = self.round_trip_us(now_us)
+        # After the interval was shortened, heartbeats are not late until the new one has passed.
+        silence_us = min(
+            max(now_us - self.received_us, self._unacknowledged_us(now_us) - round_trip_us),
+            now_us - self._interval_changed_us,
+        )
+        # Three intervals and the usual round trip: a single lost or late heartbeat means nothing.
+        if silence_us > 3 * self.heartbeat_us + min(round_trip_us, self._slow_us):
+            self.state, self.stable_since_us = LinkState.SUSPECTED, now_us
+        elif self.state is LinkState.SUSPECTED and round_trip_us <= self._slow_us:
+            self.state, self.stable_since_us, self.recovering_since_us = LinkState.RECOVERING, now_us, now_us
+        elif round_trip_us > self._slow_us:
+            self.state, self.stable_since_us = LinkState.SLOW, now_us
+        elif self.state is not LinkState.UP:
+            # Without this delay the state would flap with every heartbeat: a slow link must be stable for a
+            # second, a reconnected one for the whole recovery time.
+            stable_us = self._recovery_us if self.state is LinkState.RECOVERING else 1_000_000
+            if now_us - self.stable_since_us >= stable_us:
+                self.state = LinkState.UP
         return self.state
 
-    def dead(self, now: int) -> bool:
-        """Silent, or deaf to us, for a lease: the connection is of no more use."""
-        most = self.lease + (2 * self.beat if self.beat == self.idle_beat else 0)
+    def is_dead(self, now_us: int) -> bool:
+        """Returns whether the connection should be closed: one direction was silent for a lease."""
+        max_silence_us = self.lease_us + (
+            2 * self.heartbeat_us if self.heartbeat_us == self.idle_heartbeat_us else 0
+        )
         return (
-            self.state is not State.CUT
-            and now - self._paced_at > most
-            and (now - self._word_at > most or self._unheard(now) > 2 * most)
+            self.state is not LinkState.DISCONNECTED
+            and now_us - self._interval_changed_us > max_silence_us
+            and (
+                now_us - self._last_frame_us > max_silence_us
+                or self._unacknowledged_us(now_us) > 2 * max_silence_us
+            )
         )
 
-    def fenced(self, now: int) -> bool:
-        """Whether what the other side had here is to be given up: it may think so by now."""
-        return now > self.echoed_at + self.lease
+    def has_lease_expired(self, now_us: int) -> bool:
+        """Returns whether the other side's requests must be cancelled, as it may regard them as cancelled."""
+        return now_us > self.acknowledged_sent_us + self.lease_us
 
-    def lease_end(self) -> int:
-        """When the far side has surely given up what it had from us, if nothing more reached it.
+    def remote_lease_end_us(self) -> int:
+        """Returns when the remote gateway has cancelled our requests, if no further frame reached it.
 
-        Its lease runs from when it sent the last beat that it knows we heard, which was before we heard it.
-        One part in twenty is for clocks that run at different speeds, a tenth of a second for a far loop that
-        looks after its leases late.
+        Its lease runs from when it sent the last of its heartbeats that it knows we received, which is
+        earlier than when we received it. A twentieth of the lease is added for clocks that run at different
+        speeds, and a tenth of a second for a remote event loop that checks its leases late.
         """
-        return self.heard_at + self.lease + self.lease // 20 + 100_000
+        return self.received_us + self.lease_us + self.lease_us // 20 + 100_000
--- a/cresstray/sites/inbound.py
+++ b/cresstray/sites/inbound.py
@@ -1,7 +1,8 @@
-"""The far end of the links from one near gateway: takes what is offered, and answers for it. Free of I/O.
+"""The remote side of a link: accepts the requests of one forwarding gateway and answers them.
 
-It outlives its connections, as long as the near gateway lives. To the passage it is one who asks, like a
-client's connection; its submissions are marked as foreign and get one relay.
+It performs no I/O, and outlives its connections for as long as the forwarding gateway's incarnation exists.
+To the pipeline it is a responder like a client's connection; its requests are marked as forwarded in and get
+one attempt.
 """
 
 from __future__ import annotations
@@ -13,305 +14,362 @@
 from cresstray.policy.types import NOT_EXECUTED, Outcome
 from cresstray.sites import codec
 from cresstray.sites.codec import FramingError
-from cresstray.sites.ends import WINDOW, End, Place
-from cresstray.sites.health import Health
-from cresstray.sites.ledger import Entry, Incoming, State
+from cresstray.sites.ends import PAGE_WINDOW, GatewayIdentity, LinkSession
+from cresstray.sites.health import LinkHealth
+from cresstray.sites.ledger import ForwardingState, InboundLedger, InboundRequest
 
-# After its end an entry is kept for the near side until that has it, or has surely given up.
-_KEPT = 30_000_000
-# What a refusal tells the near side to stay away for: two of the usual beats, which tell of room by then.
-_COME_BACK = 200_000
+# A request that has ended is kept until the forwarding gateway releases it, or has surely timed out.
+_RETENTION_US = 30_000_000
+# The retry_after of a rejection: two usual heartbeats, which report the present capacity by then.
+_RETRY_AFTER_US = 200_000
 
 
-class Front(Protocol):
-    """The first stage, as for clients; `offer` stands for the query."""
+class RequestIngress(Protocol):
+    """The first stage of the pipeline."""
 
-    def accept(self, responder: Inward, number: int, query: codec.Offer, crossing: codec.Offer) -> None: ...
-    def cancel(self, responder: Inward, number: int | None, name: str | None) -> None: ...
+    def accept(
+        self,
+        responder: InboundLink,
+        number: int,
+        query: codec.ForwardRequest,
+        offer: codec.ForwardRequest,
+    ) -> None:
+        """Accepts a forwarded request, whose frame is both the query and what forwarding adds to it."""
+
+    def cancel(self, responder: InboundLink, number: int | None, name: str | None) -> None:
+        """Cancels an open request."""
 
 
-class Inward(End):
-    """`room` tells threads to spare, cores and pace; `closed` for how many microseconds nothing is taken."""
+class InboundLink(LinkSession):
+    """The remote side of the link from one incarnation of a forwarding gateway."""
 
-    _OTHER = "near"
+    _PEER_SIDE = "near"
 
     def __init__(
         self,
-        me: Place,
-        near: Place,
-        health: Health,
-        requests: int,
-        size: int,
-        front: Front,
-        room: Callable[[], tuple[float, float, float]],
-        closed: Callable[[], int],
+        identity: GatewayIdentity,
+        origin: GatewayIdentity,
+        health: LinkHealth,
+        max_requests: int,
+        max_bytes: int,
+        ingress: RequestIngress,
+        spare_capacity: Callable[[], tuple[float, float, float]],
+        paused_us: Callable[[], int],
         now: Callable[[], int],
         wake: Callable[[], None],
-        later: Callable[[int, Callable[[int], None]], object],
+        call_after: Callable[[int, Callable[[int], None]], object],
         counters: Counters,
-        say: Callable[[str], None],
+        log: Callable[[str], None],
     ) -> None:
-        super().__init__(me, health, now)
-        self.near, self._submissions, self._size = near, requests, size
-        self._front, self._room, self._closed = front, room, closed
-        self._wake, self._later = wake, later
-        self._counters, self._say = counters, say
-        self.open_requests: dict[int, object] = {}  # errands, for the passage
-        self.ledger = Incoming()
-        self._beat_at, self.silent_since, self.asked_at = 0, 0, 0
+        """Creates the link.
+
+        Args:
+            identity: This gateway.
+            origin: The forwarding gateway.
+            health: The health of this side of the link.
+            max_requests: The credit of the link, in open requests.
+            max_bytes: The credit of the link, in bytes of their statements.
+            ingress: Gets the forwarded requests.
+            spare_capacity: Returns the spare threads, the cores and the slowdown to report.
+            paused_us: Returns for how long no request is accepted.
+            now: Returns the time in microseconds.
+            wake: Makes the owner call `tick` soon.
+            call_after: Calls a function after a delay in microseconds.
+            counters: Counts the requests.
+            log: Writes a line to the log.
+        """
+        super().__init__(identity, health, now)
+        self.origin, self._max_requests, self._max_bytes = origin, max_requests, max_bytes
+        self._ingress, self._spare_capacity, self._paused_us = ingress, spare_capacity, paused_us
+        self._wake, self._call_after = wake, call_after
+        self._counters, self._log = counters, log
+        self.open_requests: dict[int, object] = {}  # the RequestContexts that the pipeline adds
+        self.ledger = InboundLedger()
+        self._heartbeat_us, self.disconnected_us, self.last_request_us = 0, 0, 0
 
     # The connection.
 
-    def welcome(self, hello: codec.Hello, write: Callable[[bytes, bool], None]) -> None:
-        """A connection of the same near gateway and life; what an earlier one had is compared."""
+    def on_connected(self, hello: codec.Hello, write: Callable[[bytes, bool], None]) -> None:
+        """Welcomes a new connection of the same incarnation and reconciles the requests of earlier ones."""
         self._write = write
-        now = self._now()
-        resumed = hello.knew == self._me.incarnation
+        now_us = self._now()
+        resumed = hello.known_incarnation == self._identity.incarnation
         states: list[tuple[int, str]] = []
         if resumed:
-            states, gone = self.ledger.compare(hello.open)
-            for entry in gone:
-                self._drop(entry)
+            states, dropped = self.ledger.reconcile(hello.open_requests)
+            for inbound in dropped:
+                self._drop(inbound)
         else:
-            self.end()
-        self._health.connected(now)
-        me = self._me
-        self._put(
+            self.cancel_all()
+        self._health.on_connected(now_us)
+        identity = self._identity
+        self._send(
             codec.Welcome(
-                codec.VERSION,
+                codec.PROTOCOL_VERSION,
                 list(codec.FEATURES),
-                me.hall,
-                me.name,
-                me.incarnation,
+                identity.site,
+                identity.name,
+                identity.incarnation,
                 resumed,
                 states,
-                self._submissions,
-                self._size,
-                self._health.lease,
+                self._max_requests,
+                self._max_bytes,
+                self._health.lease_us,
             )
         )
-        for entry in self.ledger.open.values():
-            entry.next_page, entry.let = 0, WINDOW
-            if entry.state is State.ENDED:
-                self._answer(entry)
-        self._send_beat(now)
-
-    def disconnected(self) -> None:
+        for inbound in self.ledger.open.values():
+            inbound.next_page, inbound.page_limit = 0, PAGE_WINDOW
+            if inbound.state is ForwardingState.ENDED:
+                self._send_outcome(inbound)
+        self._send_heartbeat(now_us)
+
+    def on_disconnected(self) -> None:
+        """The connection has ended; open requests continue until their lease expires."""
         self._write = None
-        self._health.lost()
-        self.silent_since = self._now()
+        self._health.on_disconnected()
+        self.disconnected_us = self._now()
 
-    def end(self) -> None:
-        """The near gateway has a new life, or none: what it had is given up."""
-        for entry in list(self.ledger.open.values()):
-            self._drop(entry)
+    def cancel_all(self) -> None:
+        """Cancels and removes all requests: the forwarding gateway has a new incarnation, or is gone."""
+        for inbound in list(self.ledger.open.values()):
+            self._drop(inbound)
 
-    def goodbye(self, reason: str) -> None:
-        self._put(codec.Goodbye(reason))
+    def send_go_away(self, reason: str) -> None:
+        """Tells the forwarding gateway that no further request is accepted."""
+        self._send(codec.GoAway(reason))
 
     def receive(self, frame: codec.Frame) -> None:
-        self._take(frame, self._now())
-
-    # What the near side says.
-
-    def _offered(self, offer: codec.Offer, now: int) -> None:
-        sent = self._health.sent_at(offer.heard)
-        self._health.confirm(offer.heard)
-        self.asked_at = now
-        entry = self.ledger.take(offer.number, len(offer.statement))
-        if entry is None:
-            raise FramingError(f"crossing {offer.number} is offered again")
-        # What has ended here and is not yet forgotten holds none of the near side's credit.
-        most = self._submissions * 3 // 2 + 8
-        if len(self.ledger.open) > most or self.ledger.size > self._size * 3 // 2 + codec.MAX_FRAME_BYTES:
+        """Handles a frame.
+
+        Raises:
+            FramingError: the forwarding side violates the protocol; the connection must be closed.
+        """
+        self._dispatch(frame, self._now())
+
+    # Frames of the forwarding gateway.
+
+    def _on_forward_request(self, frame: codec.ForwardRequest, now_us: int) -> None:
+        sent_us = self._health.heartbeat_sent_us(frame.acknowledged)
+        self._health.acknowledge(frame.acknowledged)
+        self.last_request_us = now_us
+        inbound = self.ledger.add(frame.number, len(frame.statement))
+        if inbound is None:
+            raise FramingError(f"crossing {frame.number} is offered again")
+        # Requests that have ended here and are not released yet use none of the forwarding gateway's credit.
+        max_open = self._max_requests * 3 // 2 + 8
+        if (
+            len(self.ledger.open) > max_open
+            or self.ledger.size_bytes > self._max_bytes * 3 // 2 + codec.MAX_FRAME_BYTES
+        ):
             raise FramingError("more is offered than there is credit for")
-        # However long it was on its way, it can't have left before our beat that it names.
-        if offer.within and (sent is None or now - sent > offer.within):
-            self._refuse(entry, "it came too late to be sent", 0)
-        elif self._closed():
-            self._refuse(entry, "nothing is taken here now", _COME_BACK)
-        elif not offer.left:
-            self._refuse(entry, "its time is over", 0)
+        # Independently of the network's delay, the frame was sent after the heartbeat that it acknowledges.
+        if frame.max_send_delay_us and (sent_us is None or now_us - sent_us > frame.max_send_delay_us):
+            self._reject(inbound, "it came too late to be sent", 0)
+        elif self._paused_us():
+            self._reject(inbound, "nothing is taken here now", _RETRY_AFTER_US)
+        elif not frame.remaining_us:
+            self._reject(inbound, "its time is over", 0)
         else:
             self._counters.add("crossings taken")
-            entry.fenced = offer.fenced
-            self._wake()  # its lease is looked after from now on
-            self._front.accept(self, entry.number, offer, offer)
-            if entry.state is State.TAKEN:  # else what was said since says it too
-                self._put(codec.Taken(entry.number))
-
-    def _heard(self, beat: codec.Beat, now: int) -> None:
-        self._health.hear(beat.number, beat.heard, beat.held, now)
-        self._send_beat(now)
-
-    def _withdrawn(self, frame: codec.Withdraw, now: int) -> None:
-        entry = self.ledger.open.get(frame.number)
-        if entry is not None and entry.state in (State.TAKEN, State.SENT):
-            # Danger: once the near side hears of it, it may relay elsewhere. The word goes when the engine's
-            # has.
-            entry.withdrawn = True
-            self._give_up(entry)
-            if entry.state is State.TAKEN:
-                self._ended(entry, "withdrawn")
-
-    def _forgotten(self, frame: codec.Forget, now: int) -> None:
+            inbound.is_lease_bound = frame.is_lease_bound
+            self._wake()  # from now on its lease is checked
+            self._ingress.accept(self, inbound.number, frame, frame)
+            if inbound.state is ForwardingState.ACCEPTED:  # otherwise a later frame has implied it
+                self._send(codec.Accepted(inbound.number))
+
+    def _on_heartbeat(self, frame: codec.Heartbeat, now_us: int) -> None:
+        self._health.on_heartbeat(frame.number, frame.acknowledged, frame.held_us, now_us)
+        self._send_heartbeat(now_us)
+
+    def _on_cancel(self, frame: codec.Cancel, now_us: int) -> None:
+        inbound = self.ledger.open.get(frame.number)
+        if inbound is not None and inbound.state in (ForwardingState.ACCEPTED, ForwardingState.SENT):
+            # The forwarding gateway may retry the request elsewhere once it gets the outcome, which is
+            # therefore sent only after the engine has confirmed the end of the attempt.
+            inbound.is_cancelled = True
+            self._cancel(inbound)
+            if inbound.state is ForwardingState.ACCEPTED:
+                self._finish(inbound, "withdrawn")
+
+    def _on_release(self, frame: codec.Release, now_us: int) -> None:
         for number in frame.numbers:
-            entry = self.ledger.open.get(number)
-            if entry is not None:
-                self._drop(entry)
-
-    def _more(self, frame: codec.More, now: int) -> None:
-        entry = self.ledger.open.get(frame.number)
-        if entry is not None and entry.state is State.ENDED:
-            entry.let = max(entry.let, frame.pages + WINDOW)
-            self._write_pages(entry)
-
-    def _near_leaves(self, frame: codec.Goodbye, now: int) -> None:
-        self._say(f"{self.near.name} of {self.near.hall} offers nothing more: {frame.reason}")
-
-    _TAKES = {
-        codec.Offer: _offered,
-        codec.Beat: _heard,
-        codec.Withdraw: _withdrawn,
-        codec.Forget: _forgotten,
-        codec.More: _more,
-        codec.Goodbye: _near_leaves,
+            inbound = self.ledger.open.get(number)
+            if inbound is not None:
+                self._drop(inbound)
+
+    def _on_pages_received(self, frame: codec.PagesReceived, now_us: int) -> None:
+        inbound = self.ledger.open.get(frame.number)
+        if inbound is not None and inbound.state is ForwardingState.ENDED:
+            inbound.page_limit = max(inbound.page_limit, frame.page_count + PAGE_WINDOW)
+            self._send_pages(inbound)
+
+    def _on_go_away(self, frame: codec.GoAway, now_us: int) -> None:
+        self._log(f"{self.origin.name} of {self.origin.site} offers nothing more: {frame.reason}")
+
+    _HANDLERS = {
+        codec.ForwardRequest: _on_forward_request,
+        codec.Heartbeat: _on_heartbeat,
+        codec.Cancel: _on_cancel,
+        codec.Release: _on_release,
+        codec.PagesReceived: _on_pages_received,
+        codec.GoAway: _on_go_away,
     }
 
-    # What the passage says, as to any who asks.
+    # Calls of the pipeline, to this link as a responder.
 
     def on_attempt_sent(self, number: int) -> None:
-        """Its relay leaves for an engine."""
-        entry = self.ledger.open.get(number)
-        if entry is not None and entry.state is State.TAKEN:
-            entry.state, entry.ran = State.SENT, True
-            wait = self.dawdle()
-            if wait:
-                # It may end sooner than this word would leave, and the end says it too.
-                self._later(wait, lambda _: self._say_sent(entry))
+        """Reports that the request is sent to an engine."""
+        inbound = self.ledger.open.get(number)
+        if inbound is not None and inbound.state is ForwardingState.ACCEPTED:
+            inbound.state, inbound.may_have_executed = ForwardingState.SENT, True
+            delay_us = self.write_delay_us()
+            if delay_us:
+                # The request may end before this frame would be written, and its outcome implies it.
+                self._call_after(delay_us, lambda _: self._send_sent(inbound))
             else:
-                self._say_sent(entry)
-
-    def _say_sent(self, entry: Entry) -> None:
-        if entry.state is State.SENT:
-            self._put(codec.Sent(entry.number))
-
-    def on_attempt_finished(self, number: int, ending: Outcome) -> None:
-        entry = self.ledger.open.get(number)
-        if entry is not None:
-            entry.ran = ending not in NOT_EXECUTED
-            entry.how = codec.OUTCOME_WORDS[ending]
-            if entry.withdrawn and entry.state is State.SENT:
-                self._ended(entry, "withdrawn")
-
-    def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
-        """`at` is of this hall's copies, and a hinted read does not cross."""
+                self._send_sent(inbound)
+
+    def _send_sent(self, inbound: InboundRequest) -> None:
+        if inbound.state is ForwardingState.SENT:
+            self._send(codec.Sent(inbound.number))
+
+    def on_attempt_finished(self, number: int, outcome: Outcome) -> None:
+        """Notes the outcome of the request's attempt."""
+        inbound = self.ledger.open.get(number)
+        if inbound is not None:
+            inbound.may_have_executed = outcome not in NOT_EXECUTED
+            inbound.reason = codec.OUTCOME_WORDS[outcome]
+            if inbound.is_cancelled and inbound.state is ForwardingState.SENT:
+                self._finish(inbound, "withdrawn")
+
+    def succeed(self, number: int, result: bytes, replica_position: str | None = None) -> None:
+        """Sends the result.
+
+        `replica_position` refers to this site's replicas and is ignored: hinted reads are not forwarded.
+        """
         self.open_requests.pop(number)
-        entry = self.ledger.open.get(number)
-        if entry is not None:
-            entry.pages = [result[at : at + codec.PAGE] for at in range(0, len(result), codec.PAGE)] or [b""]
-            entry.let = WINDOW
-            self._ended(entry, "fulfilled")
-
-    def reject(self, number: int, come_back: int) -> None:
+        inbound = self.ledger.open.get(number)
+        if inbound is not None:
+            inbound.pages = [
+                result[start : start + codec.PAGE_BYTES] for start in range(0, len(result), codec.PAGE_BYTES)
+            ] or [b""]
+            inbound.page_limit = PAGE_WINDOW
+            self._finish(inbound, "fulfilled")
+
+    def reject(self, number: int, retry_after_us: int) -> None:
+        """Rejects the request, or reports its failure if it was sent to an engine."""
         self.open_requests.pop(number)
-        entry = self.ledger.open.get(number)
-        if entry is None:
+        inbound = self.ledger.open.get(number)
+        if inbound is None:
             return
-        if entry.state is State.TAKEN:
-            self._refuse(entry, "no room", max(come_back // 8, _COME_BACK))
+        if inbound.state is ForwardingState.ACCEPTED:
+            self._reject(inbound, "no room", max(retry_after_us // 8, _RETRY_AFTER_US))
         else:
-            self._ended(entry, entry.how or "denied")
+            self._finish(inbound, inbound.reason or "denied")
 
     def fail(self, number: int) -> None:
+        """Reports that the request failed and may have been executed."""
         self.reject(number, 0)
 
     def has_disconnected(self) -> bool:
-        """Not known from here: whoever asked may be back, and what it no longer wants it withdraws."""
+        """Returns False: the forwarding gateway may reconnect, and cancels what it no longer wants."""
         return False
 
     def reject_malformed(self, number: int | None, text: str) -> None:
-        entry = self.ledger.open.get(number)
-        if entry is not None:
-            # Halls that differ in tariffs or tenants: nothing of the kind should come for a while.
-            self._say(f"a crossing from {self.near.name} can't be used: {text}")
-            self._refuse(entry, text[:128], _COME_BACK)
+        """Rejects a request that this site's configuration does not allow."""
+        inbound = self.ledger.open.get(number)
+        if inbound is not None:
+            # The sites' request classes or tenants differ, so similar requests are kept away for a while.
+            self._log(f"a crossing from {self.origin.name} can't be used: {text}")
+            self._reject(inbound, text[:128], _RETRY_AFTER_US)
 
-    # Answers.
+    # Outcomes.
 
-    def _refuse(self, entry: Entry, reason: str, come_back: int) -> None:
-        entry.come_back = come_back
+    def _reject(self, inbound: InboundRequest, reason: str, retry_after_us: int) -> None:
+        inbound.retry_after_us = retry_after_us
         self._counters.add("crossings refused here")
-        self._ended(entry, reason)
-
-    def _ended(self, entry: Entry, how: str) -> None:
-        entry.state, entry.how, entry.ended_at = State.ENDED, how, self._now()
-        self._answer(entry)
-
-    def _answer(self, entry: Entry) -> None:
-        """Says the end of it, again after a cut."""
-        if entry.pages:
-            self._write_pages(entry)
-        elif entry.ran:
-            self._put(codec.Ended(entry.number, True, entry.how))
-        elif entry.come_back:
-            self._put(codec.Refused(entry.number, entry.come_back, entry.how))
+        self._finish(inbound, reason)
+
+    def _finish(self, inbound: InboundRequest, reason: str) -> None:
+        inbound.state, inbound.reason, inbound.ended_us = ForwardingState.ENDED, reason, self._now()
+        self._send_outcome(inbound)
+
+    def _send_outcome(self, inbound: InboundRequest) -> None:
+        """Sends the outcome of a request, and sends it again after a reconnect."""
+        if inbound.pages:
+            self._send_pages(inbound)
+        elif inbound.may_have_executed:
+            self._send(codec.Failed(inbound.number, True, inbound.reason))
+        elif inbound.retry_after_us:
+            self._send(codec.Rejected(inbound.number, inbound.retry_after_us, inbound.reason))
         else:
-            self._put(codec.Ended(entry.number, False, entry.how))
+            self._send(codec.Failed(inbound.number, False, inbound.reason))
 
-    def _write_pages(self, entry: Entry) -> None:
-        while entry.next_page < min(entry.let, len(entry.pages)):
-            body = entry.pages[entry.next_page]
-            self._put(codec.Page(entry.number, entry.next_page, len(entry.pages), body))
-            entry.next_page += 1
+    def _send_pages(self, inbound: InboundRequest) -> None:
+        while inbound.next_page < min(inbound.page_limit, len(inbound.pages)):
+            body = inbound.pages[inbound.next_page]
+            self._send(codec.ResultPage(inbound.number, inbound.next_page, len(inbound.pages), body))
+            inbound.next_page += 1
 
-    def _drop(self, entry: Entry) -> None:
-        """Nothing of it is wanted any more."""
-        self.ledger.forget(entry)
-        self._give_up(entry)
+    def _drop(self, inbound: InboundRequest) -> None:
+        """Removes a request whose outcome nobody needs, and cancels it if it is open."""
+        self.ledger.remove(inbound)
+        self._cancel(inbound)
 
-    def _give_up(self, entry: Entry) -> None:
-        if entry.number in self.open_requests:
-            self._front.cancel(self, entry.number, None)
+    def _cancel(self, inbound: InboundRequest) -> None:
+        if inbound.number in self.open_requests:
+            self._ingress.cancel(self, inbound.number, None)
 
     # Time.
 
-    def busy(self, now: int) -> bool:
+    def is_busy(self, now_us: int) -> bool:
+        """Returns whether requests are open."""
         return bool(self.open_requests)
 
-    def tick(self, now: int) -> bool:
-        """To be called some times for each beat; False where the connection is of no more use."""
-        self._health.pace(self.busy(now), now)
-        # Each of their beats is answered at once; on our own we only speak up where they are late.
-        if now - self._beat_at >= 2 * self._health.idle_beat:
-            self._send_beat(now)
-        self._health.look(now)
-        fenced = self._health.fenced(now)
-        for entry in list(self.ledger.open.values()):
-            if fenced and entry.fenced and entry.state in (State.TAKEN, State.SENT):
-                # Danger: the near side may relay it elsewhere once this lease is over.
+    def tick(self, now_us: int) -> bool:
+        """Checks timers; must be called several times per heartbeat interval.
+
+        Returns:
+            False if the connection should be closed.
+        """
+        self._health.set_busy(self.is_busy(now_us), now_us)
+        # Each received heartbeat is answered at once; others are sent only where the other side's are late.
+        if now_us - self._heartbeat_us >= 2 * self._health.idle_heartbeat_us:
+            self._send_heartbeat(now_us)
+        self._health.update_state(now_us)
+        has_lease_expired = self._health.has_lease_expired(now_us)
+        for inbound in list(self.ledger.open.values()):
+            if (
+                has_lease_expired
+                and inbound.is_lease_bound
+                and inbound.state in (ForwardingState.ACCEPTED, ForwardingState.SENT)
+            ):
+                # The forwarding gateway may retry the request elsewhere once this lease is over.
                 self._counters.add("crossings fenced")
-                self._give_up(entry)
-                entry.how, entry.state = "given up: no word from the near side for a lease", State.FENCED
-                entry.ended_at = now
-                self._put(codec.Ended(entry.number, entry.ran, entry.how))
-            elif entry.ended_at and now - entry.ended_at > _KEPT:
-                self.ledger.forget(entry)
-        return not self._health.dead(now)
-
-    def _send_beat(self, now: int) -> None:
-        self._beat_at = now
+                self._cancel(inbound)
+                inbound.reason, inbound.state = (
+                    "given up: no word from the near side for a lease",
+                    ForwardingState.LEASE_EXPIRED,
+                )
+                inbound.ended_us = now_us
+                self._send(codec.Failed(inbound.number, inbound.may_have_executed, inbound.reason))
+            elif inbound.ended_us and now_us - inbound.ended_us > _RETENTION_US:
+                self.ledger.remove(inbound)
+        return not self._health.is_dead(now_us)
+
+    def _send_heartbeat(self, now_us: int) -> None:
+        self._heartbeat_us = now_us
         if self._write is not None:
-            threads, cores, pace = self._room()
-            # What it has running here is its own to use again.
+            threads, cores, slowdown = self._spare_capacity()
+            # The threads of the forwarding gateway's own requests here are its to use again.
             running = sum(context.request.request_class.threads for context in self.open_requests.values())
-            self._put(
-                codec.Beat(
-                    *self._health.next_beat(now),
+            self._send(
+                codec.Heartbeat(
+                    *self._health.next_heartbeat(now_us),
                     max(0.0, threads) + running,
                     max(0.0, cores),
-                    max(0.0, pace),
-                    self._closed(),
+                    max(0.0, slowdown),
+                    self._paused_us(),
                 ),
-                at_once=True,
+                immediately=True,
             )
--- a/cresstray/sites/links.py
+++ b/cresstray/sites/links.py
@@ -1,4 +1,4 @@
-"""The links' sockets: dialled again and again, accepted, read, written. Decides nothing about submissions."""
+"""The connections of the links: connects and reconnects, accepts, reads and writes. Decides nothing else."""
 
 from __future__ import annotations
 
@@ -19,441 +19,513 @@
 from cresstray.observability.log import Log
 from cresstray.sites import codec
 from cresstray.sites.codec import FramingError
-from cresstray.sites.ends import Place
-from cresstray.sites.flow_control import Credit, Share
-from cresstray.sites.health import IDLE, Health, State
-from cresstray.sites.inbound import Front, Inward
-from cresstray.sites.outbound import Keeper, Outward
-from cresstray.sites.routing import Way
+from cresstray.sites.ends import GatewayIdentity
+from cresstray.sites.flow_control import ForwardingQuota, LinkCredit
+from cresstray.sites.health import IDLE_INTERVAL_FACTOR, LinkHealth, LinkState
+from cresstray.sites.inbound import InboundLink, RequestIngress
+from cresstray.sites.ledger import STATUS_WORDS
+from cresstray.sites.outbound import ForwardingListener, OutboundLink
+from cresstray.sites.routing import SiteRoute
 from cresstray.transport.streams import CONNECTION_ENDED, SocketStream, connect, faults_contained
 
 if TYPE_CHECKING:
     from cresstray.sites.tls import TlsContexts
 
-# Room for both handshakes at the longest round trip that a link is of any use with.
-_HANDSHAKE = 3.0
-# A connection that lived so long worked; one that did not is made again later and later.
-_WORKED = 5_000_000
-# Danger: a peer that reads nothing would have all that is written to it kept.
-_MOST_UNWRITTEN = 8 * 1024 * 1024
-# A near gateway that has not come back for so long: nothing it had is kept, and its place is free. Looked at
-# now and then only, as each look wakes up a gateway that has little to do.
-_ABSENT, _LOOK = 60_000_000, 10_000_000
-# Microseconds of the loop for one dialled: made and dropped with its hello 650; keys add a millisecond.
-_DIAL, _DIAL_SEALED = 650, 1_650
-# Room is shared among the near gateways that have offered anything for so long.
-_ASKS = 1_000_000
-# Gateways of other halls that may be connected at once, with some that are just leaving.
-_MOST_LINKS = 256
+# Time for the TLS handshake, and for the link's own, at the longest round trip at which a link is useful.
+_HANDSHAKE_TIMEOUT_S = 3.0
+# A connection that lasted this long is followed by a quick reconnect, a shorter one by an increasing delay.
+_STABLE_CONNECTION_US = 5_000_000
+# All that is written to a peer that reads nothing would otherwise be kept in memory.
+_MAX_UNSENT_BYTES = 8 * 1024 * 1024
+# The requests of a forwarding gateway that has not reconnected for this long are cancelled and removed. The
+# check is rare, as each one wakes up a gateway that may be idle.
+_ABSENCE_LIMIT_US, _ABSENCE_CHECK_US = 60_000_000, 10_000_000
+# The time on the event loop for one connection: 650 us to connect, and a millisecond more for TLS.
+_CONNECT_COST_US, _TLS_CONNECT_COST_US = 650, 1_650
+# Spare capacity is divided among the gateways that have forwarded a request within this time.
+_ACTIVE_GATEWAY_US = 1_000_000
+# Gateways of other sites that may be connected at once, including some that are shutting down.
+_MAX_CONNECTIONS = 256
 
 
 class Channel(Protocol):
-    """What a link is written to and read from: a line, or TLS on one."""
+    """A bidirectional byte stream: a socket, or TLS over one."""
 
-    def write(self, message: bytes) -> object: ...
-    async def receive(self) -> bytes: ...
+    def write(self, message: bytes) -> object:
+        """Writes without waiting."""
 
+    async def receive(self) -> bytes:
+        """Returns the next received bytes."""
 
-class Wire:
-    """One connection. What is written waits as long as its end allows, and goes out in one piece."""
+
+class LinkConnection:
+    """One connection of a link. Frames wait as long as their link allows, and share a write."""
 
     def __init__(
-        self, line: SocketStream, channel: Channel, scope: anyio.CancelScope, timers: Timers
+        self, stream: SocketStream, channel: Channel, scope: anyio.CancelScope, timers: Timers
     ) -> None:
-        self._line, self._channel, self.scope, self._timers = line, channel, scope, timers
-        self.dawdle: Callable[[], int] = lambda: 0
-        self._out = bytearray()
-        self._handles = self._waits = False
-
-    def write(self, data: bytes, at_once: bool) -> None:
-        self._out += data
-        if at_once:
+        self._stream, self._channel, self.scope, self._timers = stream, channel, scope, timers
+        self.write_delay_us: Callable[[], int] = lambda: 0
+        self._unwritten = bytearray()
+        self._is_receiving = self._is_flush_scheduled = False
+
+    def write(self, data: bytes, immediately: bool) -> None:
+        """Writes an encoded frame, possibly together with later ones."""
+        self._unwritten += data
+        if immediately:
             self._flush()
-        elif not self._handles:
-            self._mind()
+        elif not self._is_receiving:
+            self._schedule_flush()
 
-    def _mind(self) -> None:
-        wait = self.dawdle()
-        if not wait:
+    def _schedule_flush(self) -> None:
+        delay_us = self.write_delay_us()
+        if not delay_us:
             self._flush()
-        elif not self._waits:
-            self._waits = True
-            self._timers.call_after(wait, self._flush)
+        elif not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
+            self._timers.call_after(delay_us, self._flush)
 
-    def _flush(self, _now: int = 0) -> None:
-        self._waits = False
-        if not self._out or not self._line.is_open():
+    def _flush(self, _now_us: int = 0) -> None:
+        self._is_flush_scheduled = False
+        if not self._unwritten or not self._stream.is_open():
             return
-        self._channel.write(bytes(self._out))
-        self._out.clear()
-        if len(self._line.unsent) > _MOST_UNWRITTEN:
+        self._channel.write(bytes(self._unwritten))
+        self._unwritten.clear()
+        if len(self._stream.unsent) > _MAX_UNSENT_BYTES:
             self.scope.cancel()
 
     async def serve(self, receive: Callable[[bytes], object]) -> str:
-        """Until the connection ends, or its scope is cancelled; why it ended."""
+        """Receives until the connection ends or its scope is cancelled; returns why it ended."""
         try:
             while True:
                 data = await self._channel.receive()
-                self._handles = True
+                self._is_receiving = True
                 try:
                     receive(data)
                 finally:
-                    self._handles = False
-                    if self._out:
-                        self._mind()
-        except FramingError as trouble:
-            return f"dropped: {trouble}"
-        except CONNECTION_ENDED as trouble:
-            return repr(trouble)
+                    self._is_receiving = False
+                    if self._unwritten:
+                        self._schedule_flush()
+        except FramingError as error:
+            return f"dropped: {error}"
+        except CONNECTION_ENDED as error:
+            return repr(error)
 
 
-class _Dialled:
-    """A link that we make, and when it is made again."""
+class _Reconnect:
+    """An outbound link, with the job that connects it and the delay before the next time."""
 
-    def __init__(self, peer: operator.Peer, outward: Outward, pause: int) -> None:
-        self.peer, self.outward, self.pause = peer, outward, pause
+    def __init__(self, peer: operator.Peer, outbound: OutboundLink, delay_us: int) -> None:
+        self.peer, self.outbound, self.delay_us = peer, outbound, delay_us
         self.job: Job
 
 
-class Hub:
-    """All links of one gateway: those it makes to its peers, and those that others make to it."""
+class SiteLinkManager:
+    """All links of one gateway: outbound ones to its peers, and inbound ones from other gateways."""
 
     def __init__(
         self,
-        given: operator.Halls,
+        settings: operator.Halls,
         incarnation: str,
         seed: int,
-        front: Front,
-        keeper: Keeper,
-        room: Callable[[], tuple[float, float, float]],
+        ingress: RequestIngress,
+        listener: ForwardingListener,
+        spare_capacity: Callable[[], tuple[float, float, float]],
         clock: Clock,
         timers: Timers,
         counters: Counters,
         log: Log,
         worker: Worker,
     ) -> None:
-        """`worker`: the gateway's, already started or not."""
-        self._given, self._front, self._keeper, self._spare = given, front, keeper, room
+        """Creates the outbound links without connecting them.
+
+        Args:
+            settings: The operator's settings for this gateway, its links and its peers.
+            incarnation: Differs between any two runs of this gateway.
+            seed: Of the random part of reconnect delays.
+            ingress: Gets the requests that other sites forward.
+            listener: Gets the events of forwarded requests.
+            spare_capacity: Returns the spare threads, the cores and the slowdown of this site.
+            clock: The clock of this gateway.
+            timers: Timers on that clock.
+            counters: Counts links and requests.
+            log: The gateway's log.
+            worker: The gateway's background worker, which may be started later.
+
+        Raises:
+            OSError: a certificate file cannot be used.
+        """
+        self._settings, self._ingress, self._listener = settings, ingress, listener
+        self._local_capacity = spare_capacity
         self._clock, self._timers, self._counters, self._log = clock, timers, counters, log
-        self._me = Place(given.hall, given.gateway, incarnation)
+        self._identity = GatewayIdentity(settings.hall, settings.gateway, incarnation)
         self._random = random.Random(seed).random
         self._worker = worker
-        self.share = Share(given.share)
+        self.quota = ForwardingQuota(settings.share)
         self._contexts: TlsContexts | None = None
-        self._near: dict[tuple[str, str], Inward] = {}  # by hall and name
-        self._wires: dict[object, Wire] = {}
-        self.leaving = False
+        self._inbound: dict[tuple[str, str], InboundLink] = {}  # by site and gateway name
+        self._connections: dict[object, LinkConnection] = {}  # by link
+        self.is_draining = False
         self._tasks: TaskGroup
-        self._busy, self._due = False, TimerHandle(0, lambda _: None)  # the next tick
-        self._links = [(peer, self._outward(peer)) for peer in given.peers]
-        self.load_keys(given)
+        self._is_busy, self._next_tick = False, TimerHandle(0, lambda _: None)
+        self._outbound = [(peer, self._make_outbound(peer)) for peer in settings.peers]
+        self.load_certificates(settings)
+
+    def load_certificates(self, settings: operator.Halls) -> None:
+        """Loads the certificates for new connections.
 
-    def load_keys(self, given: operator.Halls) -> None:
-        """The keys of new connections; OSError (which ssl's errors are) where they can't be used."""
-        if given.tls is not None:
+        Raises:
+            OSError: a file cannot be used (the ssl module's errors are OSErrors).
+        """
+        if settings.tls is not None:
             from cresstray.sites.tls import TlsContexts
 
-            self._contexts = TlsContexts(given.tls)
+            self._contexts = TlsContexts(settings.tls)
 
-    def reload(self, given: operator.Halls) -> None:
-        """What may change while links live: keys, and the share that crosses. The rest takes a restart."""
-        self.load_keys(given)
-        self.share.share = given.share
-        rest = [
-            (one.hall, one.gateway, one.listen, one.control, one.link, one.peers)
-            for one in (given, self._given)
+    def reload(self, settings: operator.Halls) -> None:
+        """Applies new certificates and a new forwarding quota; all other settings need a restart.
+
+        Raises:
+            OSError: a certificate file cannot be used; the quota is unchanged then.
+        """
+        self.load_certificates(settings)
+        self.quota.max_fraction = settings.share
+        unchangeable = [
+            (some.hall, some.gateway, some.listen, some.control, some.link, some.peers)
+            for some in (settings, self._settings)
         ]
-        if rest[0] != rest[1]:
-            self._say("of the new operator's file only keys and the share are used until a restart")
+        if unchangeable[0] != unchangeable[1]:
+            self._write_log("of the new operator's file only keys and the share are used until a restart")
 
-    def _health(self) -> Health:
-        link = self._given.link
-        return Health(link.heartbeat, link.slow, link.lease, link.heal)
+    def _make_health(self) -> LinkHealth:
+        link = self._settings.link
+        return LinkHealth(link.heartbeat, link.slow, link.lease, link.heal)
 
-    def _outward(self, peer: operator.Peer) -> Outward:
-        link = self._given.link
-        way = Way(
+    def _make_outbound(self, peer: operator.Peer) -> OutboundLink:
+        link = self._settings.link
+        route = SiteRoute(
             f"{peer.hall} {peer.address[0]}:{peer.address[1]}",
-            self._health(),
-            Credit(link.submissions, link.bytes),
-            self.share,
+            self._make_health(),
+            LinkCredit(link.submissions, link.bytes),
+            self.quota,
         )
-        outward = Outward(
-            self._me, peer.hall, way, self._keeper, self._counters, self._say, self._clock.now, self._wake
+        outbound = OutboundLink(
+            self._identity,
+            peer.hall,
+            route,
+            self._listener,
+            self._counters,
+            self._write_log,
+            self._clock.now,
+            self._wake,
         )
-        self._keeper.add(outward)
-        return outward
+        self._listener.add(outbound)
+        return outbound
 
-    def _say(self, text: str) -> None:
+    def _write_log(self, text: str) -> None:
         self._log.log("hall", text)
 
     async def run(self, tasks: TaskGroup) -> None:
-        """Starts all links in these tasks; returns once it accepts."""
-        given, self._tasks = self._given, tasks
-        if given.listen is not None:
-            listener = socket.create_server(given.listen, backlog=64)
+        """Starts all links in these tasks; returns once connections are accepted."""
+        settings, self._tasks = self._settings, tasks
+        if settings.listen is not None:
+            listener = socket.create_server(settings.listen, backlog=64)
             listener.setblocking(False)
             self.address = listener.getsockname()
             tasks.start_soon(self._accept, listener)
-            self._say(f"{given.gateway} of {given.hall} takes links on {self.address[0]}:{self.address[1]}")
-        for peer, outward in self._links:
-            link = _Dialled(peer, outward, given.link.retry)
-            link.job = self._worker.does(
-                "links", Priority.SERVICE, 0, lambda now, link=link: self._dial(link), given.link.retry_most
+            self._write_log(
+                f"{settings.gateway} of {settings.hall} takes links on {self.address[0]}:{self.address[1]}"
+            )
+        for peer, outbound in self._outbound:
+            reconnect = _Reconnect(peer, outbound, settings.link.retry)
+            reconnect.job = self._worker.does(
+                "links",
+                Priority.SERVICE,
+                0,
+                lambda now_us, reconnect=reconnect: self._start_connecting(reconnect),
+                settings.link.retry_most,
             )
-            self._worker.wake(link.job)
-        self._worker.does("absent", Priority.TIDY, _LOOK, self._look_for_absent)
+            self._worker.wake(reconnect.job)
+        self._worker.does("absent", Priority.TIDY, _ABSENCE_CHECK_US, self._remove_absent)
         self._tick(self._clock.now())
 
-    def _tick(self, now: int) -> None:
-        ends: list[Outward | Inward] = [outward for _, outward in self._links]
-        ends += self._near.values()
-        for end in ends:
-            wire = self._wires.get(end)
-            if not end.tick(now) and wire is not None:
+    def _tick(self, now_us: int) -> None:
+        links: list[OutboundLink | InboundLink] = [outbound for _, outbound in self._outbound]
+        links += self._inbound.values()
+        for link in links:
+            connection = self._connections.get(link)
+            if not link.tick(now_us) and connection is not None:
                 self._counters.add("links between halls silent")
-                wire.scope.cancel()
-        # Half a beat: fine enough for beats, leases and what is hopeless. An idle beat where all is idle.
-        beat = self._given.link.heartbeat
-        self._busy = any(end.busy(now) for end in ends)
-        self._due = self._timers.call_after(beat // 2 if self._busy else IDLE * beat, self._tick)
-
-    def _look_for_absent(self, now: int) -> None:
-        for place, inward in list(self._near.items()):
-            if inward not in self._wires and now - inward.silent_since > _ABSENT:
-                inward.end()
-                del self._near[place]
+                connection.scope.cancel()
+        # Half a heartbeat interval is precise enough for heartbeats, leases and deadlines; an idle heartbeat
+        # interval is while all links are idle.
+        heartbeat_us = self._settings.link.heartbeat
+        self._is_busy = any(link.is_busy(now_us) for link in links)
+        self._next_tick = self._timers.call_after(
+            heartbeat_us // 2 if self._is_busy else IDLE_INTERVAL_FACTOR * heartbeat_us, self._tick
+        )
+
+    def _remove_absent(self, now_us: int) -> None:
+        for key, inbound in list(self._inbound.items()):
+            if inbound not in self._connections and now_us - inbound.disconnected_us > _ABSENCE_LIMIT_US:
+                inbound.cancel_all()
+                del self._inbound[key]
 
     def _wake(self) -> None:
-        """Something is under way, or wants to be: not to wait for the next idle tick."""
-        if not self._busy:
-            self._busy = True
-            self._due.cancel()
-            self._due = self._timers.call_after(0, self._tick)
-
-    # Links that we make.
-
-    def _dial(self, link: _Dialled) -> None:
-        self._tasks.start_soon(self._keep_up, link)
-        # Danger: where all gateways of a hall come back at once, so many handshakes would hold up live work.
-        self._worker.begun(_DIAL if self._contexts is None else _DIAL_SEALED)
-
-    async def _keep_up(self, link: _Dialled) -> None:
-        given, outward = self._given.link, link.outward
-        began = self._clock.now()
-        why = ""
+        """Ticks now instead of after an idle interval, because a request is open or wanted."""
+        if not self._is_busy:
+            self._is_busy = True
+            self._next_tick.cancel()
+            self._next_tick = self._timers.call_after(0, self._tick)
+
+    # Outbound links.
+
+    def _start_connecting(self, reconnect: _Reconnect) -> None:
+        self._tasks.start_soon(self._connect_once, reconnect)
+        # The worker spreads the connections: when all gateways of a site return at once, their handshakes
+        # would otherwise delay live requests.
+        self._worker.begun(_CONNECT_COST_US if self._contexts is None else _TLS_CONNECT_COST_US)
+
+    async def _connect_once(self, reconnect: _Reconnect) -> None:
+        settings, outbound = self._settings.link, reconnect.outbound
+        started_us = self._clock.now()
+        reason = ""
         with faults_contained("a link to another hall", self._counters, self._log):
-            why = await self._made(link.peer, outward)
-        now = self._clock.now()
-        outward.disconnected(now)
-        self._say(f"link to {outward.way.name} ended: {why}")
-        # Danger: on a link that flaps, or a hall that is gone, handshakes would cost both halls their time.
-        link.pause = given.retry if now - began > _WORKED else min(2 * link.pause, given.retry_most)
-        # Danger: all gateways of a hall find a cut at once, and would come back at once.
-        self._worker.later(link.job, int(link.pause * (0.75 + 0.5 * self._random())))
-
-    async def _made(self, peer: operator.Peer, outward: Outward) -> str:
+            reason = await self._run_outbound(reconnect.peer, outbound)
+        now_us = self._clock.now()
+        outbound.on_disconnected(now_us)
+        self._write_log(f"link to {outbound.route.name} ended: {reason}")
+        # With a constant delay, the handshakes of a link that flaps, or to a site that is gone, would cost
+        # both sites too much time.
+        reconnect.delay_us = (
+            settings.retry
+            if now_us - started_us > _STABLE_CONNECTION_US
+            else min(2 * reconnect.delay_us, settings.retry_most)
+        )
+        # The random part keeps the gateways of a site, which notice an outage at the same time, from
+        # reconnecting at the same time.
+        self._worker.later(reconnect.job, int(reconnect.delay_us * (0.75 + 0.5 * self._random())))
+
+    async def _run_outbound(self, peer: operator.Peer, outbound: OutboundLink) -> str:
+        """Connects and serves an outbound link; returns why its connection ended."""
         try:
-            with anyio.fail_after(_HANDSHAKE):
-                made = await connect(*peer.address)
-        except (OSError, TimeoutError) as trouble:
-            return f"not made: {trouble!r}"
-        with anyio.CancelScope() as scope, SocketStream(made, self._tasks, scope.cancel) as line:
+            with anyio.fail_after(_HANDSHAKE_TIMEOUT_S):
+                connected = await connect(*peer.address)
+        except (OSError, TimeoutError) as error:
+            return f"not made: {error!r}"
+        with anyio.CancelScope() as scope, SocketStream(connected, self._tasks, scope.cancel) as stream:
             try:
-                with anyio.fail_after(_HANDSHAKE):
-                    channel, _ = await self._secured(line, {peer.hall}, False)
-            except (*CONNECTION_ENDED, TimeoutError, FramingError) as trouble:
-                return f"refused: {trouble!r}"
-            wire = self._wires[outward] = Wire(line, channel, scope, self._timers)
-            wire.dawdle = outward.dawdle
-            outward.connected(wire.write)
-            greeted = self._timers.call_after(
-                int(_HANDSHAKE * 1e6), lambda _: outward.greeted or wire.scope.cancel()
+                with anyio.fail_after(_HANDSHAKE_TIMEOUT_S):
+                    channel, _ = await self._secure(stream, {peer.hall}, False)
+            except (*CONNECTION_ENDED, TimeoutError, FramingError) as error:
+                return f"refused: {error!r}"
+            connection = self._connections[outbound] = LinkConnection(stream, channel, scope, self._timers)
+            connection.write_delay_us = outbound.write_delay_us
+            outbound.on_connected(connection.write)
+            handshake_timeout = self._timers.call_after(
+                int(_HANDSHAKE_TIMEOUT_S * 1e6),
+                lambda _: outbound.is_established or connection.scope.cancel(),
             )
             try:
-                return await wire.serve(lambda data: outward.receive(data, self._clock.now()))
+                return await connection.serve(lambda data: outbound.receive(data, self._clock.now()))
             finally:
-                greeted.cancel()
-                del self._wires[outward]
+                handshake_timeout.cancel()
+                del self._connections[outbound]
         return "given up"
 
-    async def _secured(self, line: SocketStream, halls: set[str], server: bool) -> tuple[Channel, set[str]]:
-        """What to speak on, and the halls that the other side may be; BrokenError where that is none."""
+    async def _secure(
+        self, stream: SocketStream, sites: set[str], is_server: bool
+    ) -> tuple[Channel, set[str]]:
+        """Returns the channel to use, and which of these sites the peer is proven to belong to.
+
+        Raises:
+            FramingError: the peer's certificate names none of the sites.
+        """
         if self._contexts is None:
-            return line, halls
+            return stream, sites
         from cresstray.sites.tls import TlsStream
 
-        sealed = TlsStream(line, self._contexts, server)
-        named = await sealed.handshake()
-        if not named & halls:
+        tls_stream = TlsStream(stream, self._contexts, is_server)
+        certified = await tls_stream.handshake()
+        if not certified & sites:
             self._counters.add("links between halls refused")
-            raise FramingError(f"a certificate for {', '.join(sorted(named)) or 'no hall'}")
-        return sealed, named & halls
+            raise FramingError(f"a certificate for {', '.join(sorted(certified)) or 'no hall'}")
+        return tls_stream, certified & sites
 
-    # Links that others make.
+    # Inbound links.
 
     async def _accept(self, listener: socket.socket) -> None:
         with listener:
             while True:
                 await anyio.wait_readable(listener)
                 try:
-                    self._tasks.start_soon(self._accepted, listener.accept()[0])
+                    self._tasks.start_soon(self._serve_accepted, listener.accept()[0])
                 except BlockingIOError:
                     continue
-                except OSError as trouble:
-                    # Danger: out of descriptors for a moment must not end the service.
-                    self._say(f"can't accept: {trouble!r}")
+                except OSError as error:
+                    # A temporary lack of file descriptors must not end the service.
+                    self._write_log(f"can't accept: {error!r}")
                     await anyio.sleep(0.02)
 
-    async def _accepted(self, made: socket.socket) -> None:
-        why = "given up"
+    async def _serve_accepted(self, accepted: socket.socket) -> None:
+        reason = "given up"
         with faults_contained("a link from another hall", self._counters, self._log):
-            with anyio.CancelScope() as scope, SocketStream(made, self._tasks, scope.cancel) as line:
-                why = await self._taken_in(line, scope)
-        self._say(f"link from another hall ended: {why}")
-
-    async def _taken_in(self, line: SocketStream, scope: anyio.CancelScope) -> str:
-        halls = {peer.hall for peer in self._given.peers}
-        if len(self._wires) >= _MOST_LINKS:
+            with anyio.CancelScope() as scope, SocketStream(accepted, self._tasks, scope.cancel) as stream:
+                reason = await self._run_inbound(stream, scope)
+        self._write_log(f"link from another hall ended: {reason}")
+
+    async def _run_inbound(self, stream: SocketStream, scope: anyio.CancelScope) -> str:
+        """Performs the handshake and serves an inbound link; returns why its connection ended."""
+        sites = {peer.hall for peer in self._settings.peers}
+        if len(self._connections) >= _MAX_CONNECTIONS:
             return "refused, there are too many"
-        frames, found = codec.Frames(), []
+        decoder, received = codec.FrameDecoder(), []
         try:
-            with anyio.fail_after(_HANDSHAKE):
-                channel, named = await self._secured(line, halls, True)
-                while not found:
-                    found = frames.feed(await channel.receive())
-            hello = found[0]
+            with anyio.fail_after(_HANDSHAKE_TIMEOUT_S):
+                channel, certified = await self._secure(stream, sites, True)
+                while not received:
+                    received = decoder.feed(await channel.receive())
+            hello = received[0]
             if not isinstance(hello, codec.Hello) or hello.magic != codec.MAGIC:
                 raise FramingError("no hello")
-            if hello.version != codec.VERSION or hello.hall not in named:
-                raise FramingError(f"version {hello.version} of hall {hello.hall!r}")
-        except (*CONNECTION_ENDED, TimeoutError, FramingError) as trouble:
+            if hello.version != codec.PROTOCOL_VERSION or hello.site not in certified:
+                raise FramingError(f"version {hello.version} of hall {hello.site!r}")
+        except (*CONNECTION_ENDED, TimeoutError, FramingError) as error:
             self._counters.add("links between halls refused")
-            return f"refused: {trouble!r}"
-        wire = Wire(line, channel, scope, self._timers)
-        inward = self._of(hello, wire)
-        wire.dawdle = inward.dawdle
-        inward.welcome(hello, wire.write)
-        if self.leaving:
-            inward.goodbye("this gateway ends")
-
-        def take(came: list[codec.Frame]) -> None:
-            for frame in came:
-                # Danger: what was received just before a newer connection took over is of the old one.
-                if self._wires.get(inward) is not wire:
+            return f"refused: {error!r}"
+        connection = LinkConnection(stream, channel, scope, self._timers)
+        inbound = self._register_inbound(hello, connection)
+        connection.write_delay_us = inbound.write_delay_us
+        inbound.on_connected(hello, connection.write)
+        if self.is_draining:
+            inbound.send_go_away("this gateway ends")
+
+        def receive(frames: list[codec.Frame]) -> None:
+            for frame in frames:
+                # Frames of the old connection that are still unhandled when a newer one replaces it are
+                # invalid, as the new connection has reconciled the requests.
+                if self._connections.get(inbound) is not connection:
                     raise FramingError("a newer connection has taken its place")
-                inward.receive(frame)
+                inbound.receive(frame)
 
         try:
-            # Danger: what came in one piece with the hello may be as wrong as what comes later.
+            # Frames that arrived together with the hello may be as malformed as later ones.
             try:
-                take(found[1:])
-            except FramingError as trouble:
-                return f"dropped: {trouble}"
-            return await wire.serve(lambda data: take(frames.feed(data)))
+                receive(received[1:])
+            except FramingError as error:
+                return f"dropped: {error}"
+            return await connection.serve(lambda data: receive(decoder.feed(data)))
         finally:
-            if self._wires.get(inward) is wire:
-                del self._wires[inward]
-                inward.disconnected()
-
-    def _of(self, hello: codec.Hello, wire: Wire) -> Inward:
-        place = Place(hello.hall, hello.name, hello.incarnation)
-        inward = self._near.get((hello.hall, hello.name))
-        if inward is not None and inward in self._wires:
-            # Danger: what an earlier connection still holds unread must never be taken once this one is
-            # compared.
-            self._wires.pop(inward).scope.cancel()
-        if inward is None or inward.near != place:
-            if inward is not None:
-                inward.end()
-            link = self._given.link
-            inward = self._near[hello.hall, hello.name] = Inward(
-                self._me,
-                place,
-                self._health(),
+            if self._connections.get(inbound) is connection:
+                del self._connections[inbound]
+                inbound.on_disconnected()
+
+    def _register_inbound(self, hello: codec.Hello, connection: LinkConnection) -> InboundLink:
+        """Returns the inbound link of the gateway that sent the hello, which now uses this connection."""
+        origin = GatewayIdentity(hello.site, hello.gateway, hello.incarnation)
+        inbound = self._inbound.get((hello.site, hello.gateway))
+        if inbound is not None and inbound in self._connections:
+            # Unread frames of the earlier connection must not be handled after the new one has reconciled the
+            # requests.
+            self._connections.pop(inbound).scope.cancel()
+        if inbound is None or inbound.origin != origin:
+            if inbound is not None:
+                inbound.cancel_all()
+            link = self._settings.link
+            inbound = self._inbound[hello.site, hello.gateway] = InboundLink(
+                self._identity,
+                origin,
+                self._make_health(),
                 link.submissions,
                 link.bytes,
-                self._front,
-                self._room,
-                self._closed,
+                self._ingress,
+                self._spare_capacity,
+                self._paused_us,
                 self._clock.now,
                 self._wake,
                 self._timers.call_after,
                 self._counters,
-                self._say,
+                self._write_log,
             )
-        self._wires[inward] = wire
-        return inward
-
-    def _closed(self) -> int:
-        return 1_000_000 if self.leaving else 0
-
-    def _room(self) -> tuple[float, float, float]:
-        threads, cores, pace = self._spare()
-        # Danger: each near gateway would take all that is told to all of them.
-        now = self._clock.now()
-        near = max(1, sum(now - inward.asked_at < _ASKS for inward in self._near.values()))
-        return threads / near, cores / near, pace
+        self._connections[inbound] = connection
+        return inbound
+
+    def _paused_us(self) -> int:
+        return 1_000_000 if self.is_draining else 0
+
+    def _spare_capacity(self) -> tuple[float, float, float]:
+        threads, cores, slowdown = self._local_capacity()
+        # Divided, as each forwarding gateway would otherwise use all that is reported to all of them.
+        now_us = self._clock.now()
+        active = max(
+            1,
+            sum(now_us - inbound.last_request_us < _ACTIVE_GATEWAY_US for inbound in self._inbound.values()),
+        )
+        return threads / active, cores / active, slowdown
 
-    def goodbye(self) -> None:
-        """Nothing new is taken; what is open goes on until this gateway ends."""
-        self.leaving = True
-        for inward in self._near.values():
-            inward.goodbye("this gateway ends")
+    def drain(self) -> None:
+        """Accepts no new requests; open ones continue until this gateway ends."""
+        self.is_draining = True
+        for inbound in self._inbound.values():
+            inbound.send_go_away("this gateway ends")
 
     # For operators.
 
     def status(self) -> dict:
-        now = self._clock.now()
+        """Returns the state of all links, as the control socket reports it."""
+        now_us = self._clock.now()
         return {
-            "hall": self._me.hall,
-            "gateway": self._me.name,
-            "incarnation": self._me.incarnation,
-            "to": [self._told_of(outward, now) for _, outward in self._links],
+            "hall": self._identity.site,
+            "gateway": self._identity.name,
+            "incarnation": self._identity.incarnation,
+            "to": [self._outbound_status(outbound, now_us) for _, outbound in self._outbound],
             "from": [
                 {
-                    "hall": inward.near.hall,
-                    "gateway": inward.near.name,
-                    "incarnation": inward.near.incarnation,
-                    "connected": inward in self._wires,
-                    "ledger": _counted(entry.state.name.lower() for entry in inward.ledger.open.values()),
+                    "hall": inbound.origin.site,
+                    "gateway": inbound.origin.name,
+                    "incarnation": inbound.origin.incarnation,
+                    "connected": inbound in self._connections,
+                    "ledger": _count_words(
+                        STATUS_WORDS[request.state] for request in inbound.ledger.open.values()
+                    ),
                 }
-                for inward in self._near.values()
+                for inbound in self._inbound.values()
             ],
         }
 
-    def _told_of(self, outward: Outward, now: int) -> dict:
-        way, health = outward.way, outward.way.health
-        connected = health.state is not State.CUT
+    def _outbound_status(self, outbound: OutboundLink, now_us: int) -> dict:
+        route, health = outbound.route, outbound.route.health
+        is_connected = health.state is not LinkState.DISCONNECTED
         return {
-            "peer": way.name,
-            "gateway": outward.far,
+            "peer": route.name,
+            "gateway": outbound.remote_gateway,
             "state": health.state.value,
-            "round trip ms": round(health.round_trip(now) / 1000, 1) if connected else None,
-            "room threads": round(way.room(), 1),
-            "leaving": way.leaving,
-            "closed ms": max(0, way.closed_until - now) // 1000,
-            "credit": f"{way.credit.held}/{way.credit.submissions}",
-            "ledger": _counted(
-                "unknown" if one.cut else one.state.name.lower() for one in outward.ledger.open.values()
+            "round trip ms": round(health.round_trip_us(now_us) / 1000, 1) if is_connected else None,
+            "room threads": round(route.spare_threads(), 1),
+            "leaving": route.is_draining,
+            "closed ms": max(0, route.paused_until_us - now_us) // 1000,
+            "credit": f"{route.credit.used_requests}/{route.credit.max_requests}",
+            "ledger": _count_words(
+                "unknown" if forwarded.is_disconnected else STATUS_WORDS[forwarded.state]
+                for forwarded in outbound.ledger.open.values()
             ),
         }
 
 
-def _counted(words: Iterable[str]) -> dict[str, int]:
-    counted: dict[str, int] = {}
+def _count_words(words: Iterable[str]) -> dict[str, int]:
+    counts: dict[str, int] = {}
     for word in words:
-        counted[word] = counted.get(word, 0) + 1
-    return counted
+        counts[word] = counts.get(word, 0) + 1
+    return counts
 
 
 async def serve_status(path: str, status: Callable[[], dict]) -> None:
-    """Tells the state as one JSON line to whoever connects to this local socket; only the owner may."""
+    """Serves the status as one line of JSON on a local socket that only its owner can connect to."""
 
-    async def tell(stream: ByteStream) -> None:
+    async def send_status(stream: ByteStream) -> None:
         async with stream:
             with anyio.move_on_after(1):
                 await stream.send(msgspec.json.encode(status()) + b"\n")
 
     async with await anyio.create_unix_listener(path, mode=0o600) as listener:
-        await listener.serve(tell)
+        await listener.serve(send_status)
--- a/cresstray/sites/outbound.py
+++ b/cresstray/sites/outbound.py
@@ -1,7 +1,7 @@
-"""The near end of a link: offers submissions, and says what became of each. Free of I/O.
+"""The forwarding side of a link: forwards requests and reports their outcomes. Performs no I/O.
 
-Whoever connects hands in what was received and when, and writes what `write` is given. Calls out go to the
-keeper, which stands in the passage.
+The owner of the connection passes in received bytes with the current time, and sends what this side writes.
+Outcomes go to the listener, which belongs to the pipeline.
 """
 
 from __future__ import annotations
@@ -13,304 +13,365 @@
 from cresstray.policy.types import Attempt
 from cresstray.sites import codec
 from cresstray.sites.codec import FramingError
-from cresstray.sites.ends import WINDOW, End, Place
-from cresstray.sites.ledger import Crossing, ForwardingResult, Outgoing, State
-from cresstray.sites.routing import Way
+from cresstray.sites.ends import PAGE_WINDOW, GatewayIdentity, LinkSession
+from cresstray.sites.ledger import ForwardedRequest, ForwardingResult, ForwardingState, OutboundLedger
+from cresstray.sites.routing import SiteRoute
 
-# A result holds 48,000 bytes at most where clients speak JSON-RPC; what claims far more is no result.
-_MOST_PAGES = 512
+# Clients that speak JSON-RPC get results of at most 48,000 bytes; far more pages than that are an error.
+_MAX_PAGES = 512
 
 
-class Keeper(Protocol):
-    """Who is told of crossings; after `ended` nothing more comes of one."""
+class ForwardingListener(Protocol):
+    """Receives the events of forwarded requests and links; `on_finished` is the last event of a request."""
+
+    def add(self, link: OutboundLink) -> None:
+        """Registers a link before its first event."""
 
-    def add(self, link: Outward) -> None: ...
     def on_finished(
-        self, crossing: Crossing, outcome: ForwardingResult, sent: bool, result: bytes | None
-    ) -> None: ...
-    def on_deadline_unreachable(self, crossing: Crossing) -> None: ...
-    def on_state(self, link: Outward, ready: bool) -> None: ...
-    def on_capacity(self, link: Outward) -> None: ...
+        self,
+        forwarded: ForwardedRequest,
+        forwarding_result: ForwardingResult,
+        was_sent: bool,
+        result: bytes | None,
+    ) -> None:
+        """The request has an outcome; `result` is what the remote site served."""
+
+    def on_deadline_unreachable(self, forwarded: ForwardedRequest) -> None:
+        """The remote site cannot answer in time; the request has no outcome yet."""
+
+    def on_state(self, link: OutboundLink, is_ready: bool) -> None:
+        """The link has become ready or unready, or the remote site's cores have changed."""
+
+    def on_capacity(self, link: OutboundLink) -> None:
+        """The remote site has spare threads."""
+
 
+class OutboundLink(LinkSession):
+    """The forwarding side of the link to one remote gateway."""
 
-class Outward(End):
-    _OTHER = "far"
+    _PEER_SIDE = "far"
 
     def __init__(
         self,
-        me: Place,
-        far_hall: str,
-        way: Way,
-        keeper: Keeper,
+        identity: GatewayIdentity,
+        remote_site: str,
+        route: SiteRoute,
+        listener: ForwardingListener,
         counters: Counters,
-        say: Callable[[str], None],
+        log: Callable[[str], None],
         now: Callable[[], int],
         wake: Callable[[], None],
     ) -> None:
-        super().__init__(me, way.health, now)
-        self._far_hall, self.way, self._wake = far_hall, way, wake
-        self._keeper, self._counters, self._say = keeper, counters, say
-        way.ask = self._asked
-        self.ledger = Outgoing()
-        self._frames = codec.Frames()
-        self._forgets: list[int] = []  # to be said with the next words
-        self.greeted, self._told = False, 0.0  # the far cores that the keeper was told of
-        self._knew, self._beat_at = "", 0
-        self.far = ""  # name of the far gateway, once it has said it
+        super().__init__(identity, route.health, now)
+        self._remote_site, self.route, self._wake = remote_site, route, wake
+        self._listener, self._counters, self._log = listener, counters, log
+        route.request_heartbeat = self._on_heartbeat_requested
+        self.ledger = OutboundLedger()
+        self._decoder = codec.FrameDecoder()
+        self._unsent_releases: list[int] = []  # request numbers for the next Release frame
+        self.is_established, self._reported_cores = False, 0.0  # as last reported to the listener
+        self._known_incarnation, self._heartbeat_us = "", 0  # of the remote gateway; when ours was last sent
+        self.remote_gateway = ""  # its name, once the remote gateway has sent it
 
     # The connection.
 
-    def connected(self, write: Callable[[bytes, bool], None]) -> None:
-        self._write, self._frames, self.greeted = write, codec.Frames(), False
-        self._forgets.clear()
-        me = self._me
-        self._put(
+    def on_connected(self, write: Callable[[bytes, bool], None]) -> None:
+        """Starts the handshake on a new connection."""
+        self._write, self._decoder, self.is_established = write, codec.FrameDecoder(), False
+        self._unsent_releases.clear()
+        identity = self._identity
+        self._send(
             codec.Hello(
                 codec.MAGIC,
-                codec.VERSION,
+                codec.PROTOCOL_VERSION,
                 list(codec.FEATURES),
-                me.hall,
-                me.name,
-                me.incarnation,
-                self._knew,
+                identity.site,
+                identity.name,
+                identity.incarnation,
+                self._known_incarnation,
                 list(self.ledger.open),
             )
         )
 
-    def disconnected(self, now: int) -> None:
+    def on_disconnected(self, now_us: int) -> None:
+        """The connection has ended; open requests wait for the next one, or for the end of their lease."""
         self._write = None
-        if self.greeted:
+        if self.is_established:
             self._counters.add("links between halls lost")
-        self.greeted = False
-        self._health.lost()
-        self.ledger.cut()
-        self._tell_standing(now)
-
-    def receive(self, data: bytes, now: int) -> None:
-        """BrokenError where the far side does not keep to the protocol; the connection ends then."""
-        for frame in self._frames.feed(data):
-            if not self.greeted:
-                self._greet(frame, now)
+        self.is_established = False
+        self._health.on_disconnected()
+        self.ledger.mark_disconnected()
+        self._report_state(now_us)
+
+    def receive(self, data: bytes, now_us: int) -> None:
+        """Handles received bytes.
+
+        Raises:
+            FramingError: the remote side violates the protocol; the connection must be closed.
+        """
+        for frame in self._decoder.feed(data):
+            if not self.is_established:
+                self._on_welcome(frame, now_us)
             else:
-                self._take(frame, now)
+                self._dispatch(frame, now_us)
 
-    def _forget(self, number: int) -> None:
-        self._forgets.append(number)
-        # A far entry costs little for a while; half of a tenth of the credit goes in one frame.
-        if len(self._forgets) * 20 >= self.way.credit.submissions:
-            self._put_forgets()
+    def _release(self, number: int) -> None:
+        self._unsent_releases.append(number)
+        # A request that is kept remotely costs little for a while; a frame releases a twentieth of the link's
+        # credit.
+        if len(self._unsent_releases) * 20 >= self.route.credit.max_requests:
+            self._send_releases()
 
-    def _put_forgets(self) -> None:
-        if self._forgets:
-            self._put(codec.Forget(self._forgets))
-            self._forgets = []
+    def _send_releases(self) -> None:
+        if self._unsent_releases:
+            self._send(codec.Release(self._unsent_releases))
+            self._unsent_releases = []
 
-    def _greet(self, frame: codec.Frame, now: int) -> None:
+    def _on_welcome(self, frame: codec.Frame, now_us: int) -> None:
         if not isinstance(frame, codec.Welcome):
             raise FramingError(f"a {type(frame).__name__} in place of a welcome")
-        if frame.version != codec.VERSION or frame.hall != self._far_hall:
-            raise FramingError(f"version {frame.version} of hall {frame.hall!r}, not {self._far_hall!r}")
-        # Danger: an incarnation other than the one that was spoken to knows nothing of what that one had.
-        resumed = frame.resumed and frame.incarnation == self._knew
-        self._knew, self.far, self.greeted = frame.incarnation, frame.name, True
-        self._health.connected(now)
-        # Danger: a far lease longer than ours would outlive our own reckoning of it.
-        self._health.lease = max(self._health.lease, frame.lease)
-        way = self.way
-        way.credit.submissions = min(way.credit.submissions, max(1, frame.submissions))
-        way.credit.size = min(way.credit.size, max(codec.MAX_FRAME_BYTES, frame.bytes))
-        way.leaving, way.threads, way.cores = False, 0.0, 0.0
+        if frame.version != codec.PROTOCOL_VERSION or frame.site != self._remote_site:
+            raise FramingError(f"version {frame.version} of hall {frame.site!r}, not {self._remote_site!r}")
+        # A new incarnation of the remote gateway knows nothing of the previous one's requests.
+        resumed = frame.resumed and frame.incarnation == self._known_incarnation
+        self._known_incarnation, self.remote_gateway, self.is_established = (
+            frame.incarnation,
+            frame.gateway,
+            True,
+        )
+        self._health.on_connected(now_us)
+        # With a shorter lease than the remote gateway's, requests would be retried here while they still run
+        # there.
+        self._health.lease_us = max(self._health.lease_us, frame.lease_us)
+        route = self.route
+        route.credit.max_requests = min(route.credit.max_requests, max(1, frame.max_requests))
+        route.credit.max_bytes = min(route.credit.max_bytes, max(codec.MAX_FRAME_BYTES, frame.max_bytes))
+        route.is_draining, route.available_threads, route.available_cores = False, 0.0, 0.0
         known = set(self.ledger.open)
-        settled = self.ledger.settle(resumed, frame.states)
+        settled = self.ledger.reconcile(resumed, frame.states)
         for number, _ in frame.states:
             if number not in known:
-                # It ended here while the welcome was on its way. Before our first beat, which renews the
-                # lease.
-                self._put(codec.Withdraw(number))
-                self._put(codec.Forget([number]))
-        for crossing, outcome in settled:
-            self._end(crossing, outcome, outcome is not ForwardingResult.UNRUN)
+                # It ended here while the welcome was in transit. This must precede our first heartbeat, which
+                # renews the lease.
+                self._send(codec.Cancel(number))
+                self._send(codec.Release([number]))
+        for forwarded, forwarding_result in settled:
+            self._finish(forwarded, forwarding_result, forwarding_result is not ForwardingResult.NOT_EXECUTED)
             if resumed:
-                # Danger: what was given up there would count against our credit until it is too old.
-                self._forget(crossing.number)
-        for crossing in self.ledger.open.values():
-            if crossing.withdrawn:
-                self._put(codec.Withdraw(crossing.number))
+                # Requests that the remote gateway has cancelled count against the credit until they are
+                # released or expire there.
+                self._release(forwarded.number)
+        for forwarded in self.ledger.open.values():
+            if forwarded.is_cancelled:
+                self._send(codec.Cancel(forwarded.number))
         self._counters.add("links between halls made")
         if settled:
-            self._say(
-                f"link to {self.far} {'resumed' if resumed else 'new'}: {len(settled)} crossings "
+            self._log(
+                f"link to {self.remote_gateway} {'resumed' if resumed else 'new'}: {len(settled)} crossings "
                 f"settled, {len(self.ledger.open)} go on"
             )
-        self._send_beat(now)
-        self._tell_standing(now)
+        self._send_heartbeat(now_us)
+        self._report_state(now_us)
 
-    # Crossings.
+    # Forwarded requests.
 
-    def offer(self, attempt: Attempt, query: object, now: int) -> Crossing:
-        """`query` as passage.errand has it; the way has said that it takes it."""
+    def forward(self, attempt: Attempt, query: object, now_us: int) -> ForwardedRequest:
+        """Forwards an attempt whose request the route has accepted; `query` is what the client sent."""
         request = attempt.request
-        fenced = request.request_class.is_idempotent or request.request_class.is_deduplicated
-        crossing = self.ledger.add(attempt, self, query.name, self.way.offered(request, now), fenced)
-        within = self.way.within(request, now)
-        bounded = within < request.deadline_us - now
-        self._put(
-            codec.Offer(
-                crossing.number,
-                self._health.heard,
+        is_lease_bound = request.request_class.is_idempotent or request.request_class.is_deduplicated
+        forwarded = self.ledger.add(
+            attempt, self, query.name, self.route.reserve(request, now_us), is_lease_bound
+        )
+        send_window_us = self.route.send_window_us(request, now_us)
+        is_limited = send_window_us < request.deadline_us - now_us
+        self._send(
+            codec.ForwardRequest(
+                forwarded.number,
+                self._health.received_number,
                 query.name,
                 query.class_name,
                 query.tenant,
                 query.idempotency_key,
                 query.estimated_work_ms,
                 query.memory_mb,
-                max(0, request.deadline_us - now),
-                self.way.hold(request, now),
-                max(1, within) if bounded else 0,
+                max(0, request.deadline_us - now_us),
+                self.route.max_queue_us(request, now_us),
+                max(1, send_window_us) if is_limited else 0,
                 request.data_set,
                 len(request.attempts) - 1,
-                fenced,
+                is_lease_bound,
                 query.statement,
             )
         )
         self._counters.add("crossings offered")
-        return crossing
+        return forwarded
 
-    def abandon(self, crossing: Crossing) -> bool:
-        """False: the far side's word, or the end of its lease, is still to come. Until then it may run."""
-        if crossing.number in self.ledger.open and not crossing.withdrawn:
-            crossing.withdrawn = True
+    def abandon(self, forwarded: ForwardedRequest) -> bool:
+        """Asks the remote gateway to cancel the request; it may still run until that is confirmed.
+
+        Returns:
+            False: the outcome follows, from the remote gateway or when the lease has ended.
+        """
+        if forwarded.number in self.ledger.open and not forwarded.is_cancelled:
+            forwarded.is_cancelled = True
             self._counters.add("crossings withdrawn")
-            self._put(codec.Withdraw(crossing.number))
+            self._send(codec.Cancel(forwarded.number))
         return False
 
-    def _end(
-        self, crossing: Crossing, outcome: ForwardingResult, sent: bool, result: bytes | None = None
+    def _finish(
+        self,
+        forwarded: ForwardedRequest,
+        forwarding_result: ForwardingResult,
+        was_sent: bool,
+        result: bytes | None = None,
     ) -> None:
-        self.ledger.end(crossing)
-        self.way.over(crossing.attempt.request, crossing.weight)
-        self._counters.add(f"crossings {outcome.value}")
-        self._keeper.on_finished(crossing, outcome, sent, result)
-
-    def _given(self, number: int, last: bool = False) -> Crossing | None:
-        """An open crossing; None for one that has ended here, of which the last word need not be kept."""
-        crossing = self.ledger.open.get(number)
-        if crossing is None and not self.ledger.given(number):
-            # Danger: a peer that answers what it was not asked may answer anything with anything.
+        self.ledger.remove(forwarded)
+        self.route.release(forwarded.attempt.request, forwarded.weight_threads)
+        self._counters.add(f"crossings {forwarding_result.value}")
+        self._listener.on_finished(forwarded, forwarding_result, was_sent, result)
+
+    def _find(self, number: int, is_final: bool = False) -> ForwardedRequest | None:
+        """Returns the open request of this number.
+
+        Returns None for one that has ended here; its final frame lets the remote gateway remove it.
+        """
+        forwarded = self.ledger.open.get(number)
+        if forwarded is None and not self.ledger.was_assigned(number):
+            # A peer that answers what was not asked cannot be trusted to answer other requests correctly.
             raise FramingError(f"word of crossing {number}, which was never given")
-        if crossing is None and last:
-            self._forget(number)
-        return crossing
-
-    def _taken(self, frame: codec.Taken, now: int) -> None:
-        crossing = self._given(frame.number)
-        if crossing is not None and crossing.state is State.OFFERED:
-            crossing.state = State.TAKEN
-
-    def _sent(self, frame: codec.Sent, now: int) -> None:
-        crossing = self._given(frame.number)
-        if crossing is not None:
-            crossing.state = State.SENT
-
-    def _refused(self, frame: codec.Refused, now: int) -> None:
-        crossing = self._given(frame.number, last=True)
-        if frame.come_back:
-            self.way.close(frame.come_back, now)
-        if crossing is not None:
-            if crossing.state is State.SENT:
+        if forwarded is None and is_final:
+            self._release(number)
+        return forwarded
+
+    def _on_accepted(self, frame: codec.Accepted, now_us: int) -> None:
+        forwarded = self._find(frame.number)
+        if forwarded is not None and forwarded.state is ForwardingState.OFFERED:
+            forwarded.state = ForwardingState.ACCEPTED
+
+    def _on_sent(self, frame: codec.Sent, now_us: int) -> None:
+        forwarded = self._find(frame.number)
+        if forwarded is not None:
+            forwarded.state = ForwardingState.SENT
+
+    def _on_rejected(self, frame: codec.Rejected, now_us: int) -> None:
+        forwarded = self._find(frame.number, is_final=True)
+        if frame.retry_after_us:
+            self.route.pause(frame.retry_after_us, now_us)
+        if forwarded is not None:
+            if forwarded.state is ForwardingState.SENT:
                 raise FramingError(f"crossing {frame.number} is refused after it was sent")
             self._counters.add("crossings refused")
-            self._forget(frame.number)
-            self._end(crossing, ForwardingResult.UNRUN, False)
-
-    def _failed(self, frame: codec.Ended, now: int) -> None:
-        crossing = self._given(frame.number, last=True)
-        if crossing is not None:
-            self._forget(frame.number)
-            sent = crossing.state is State.SENT or frame.ran
-            self._end(crossing, ForwardingResult.RAN if frame.ran else ForwardingResult.UNRUN, sent)
-
-    def _page(self, frame: codec.Page, now: int) -> None:
-        crossing = self._given(frame.number, last=frame.page == 0)
-        if crossing is None:
+            self._release(frame.number)
+            self._finish(forwarded, ForwardingResult.NOT_EXECUTED, False)
+
+    def _on_failed(self, frame: codec.Failed, now_us: int) -> None:
+        forwarded = self._find(frame.number, is_final=True)
+        if forwarded is not None:
+            self._release(frame.number)
+            was_sent = forwarded.state is ForwardingState.SENT or frame.may_have_executed
+            self._finish(
+                forwarded,
+                ForwardingResult.POSSIBLY_EXECUTED
+                if frame.may_have_executed
+                else ForwardingResult.NOT_EXECUTED,
+                was_sent,
+            )
+
+    def _on_result_page(self, frame: codec.ResultPage, now_us: int) -> None:
+        forwarded = self._find(frame.number, is_final=frame.page == 0)
+        if forwarded is None:
             return
-        crossing.state = State.SENT
-        if crossing.pages is None:
-            if frame.pages > _MOST_PAGES:
-                raise FramingError(f"a result of {frame.pages} pages")
-            crossing.pages = []
-        if frame.page != len(crossing.pages):
-            raise FramingError(f"page {frame.page} of {frame.number} in place of {len(crossing.pages)}")
-        crossing.pages.append(frame.body)
-        have = len(crossing.pages)
-        if have == frame.pages:
-            self._forget(frame.number)
-            self._end(crossing, ForwardingResult.SERVED, True, b"".join(crossing.pages))
-        elif have - crossing.told >= WINDOW // 2:
-            crossing.told = have
-            self._put(codec.More(frame.number, have))
-
-    def _heard(self, frame: codec.Beat, now: int) -> None:
-        self._health.hear(frame.number, frame.heard, frame.held, now)
-        self.way.tell(frame.threads, frame.cores, frame.pace, frame.closed, now)
-        self._tell_standing(now)
-        if self._told and self.way.room() > 0:
-            self._keeper.on_capacity(self)
-
-    def _goodbye(self, frame: codec.Goodbye, now: int) -> None:
-        self._say(f"{self.far} takes nothing more: {frame.reason}")
-        self.way.leaving = True
-        self._tell_standing(now)
-
-    _TAKES = {
-        codec.Taken: _taken,
-        codec.Sent: _sent,
-        codec.Refused: _refused,
-        codec.Ended: _failed,
-        codec.Page: _page,
-        codec.Beat: _heard,
-        codec.Goodbye: _goodbye,
+        forwarded.state = ForwardingState.SENT
+        if forwarded.pages is None:
+            if frame.page_count > _MAX_PAGES:
+                raise FramingError(f"a result of {frame.page_count} pages")
+            forwarded.pages = []
+        if frame.page != len(forwarded.pages):
+            raise FramingError(f"page {frame.page} of {frame.number} in place of {len(forwarded.pages)}")
+        forwarded.pages.append(frame.body)
+        received = len(forwarded.pages)
+        if received == frame.page_count:
+            self._release(frame.number)
+            self._finish(forwarded, ForwardingResult.SERVED, True, b"".join(forwarded.pages))
+        elif received - forwarded.acknowledged_pages >= PAGE_WINDOW // 2:
+            forwarded.acknowledged_pages = received
+            self._send(codec.PagesReceived(frame.number, received))
+
+    def _on_heartbeat(self, frame: codec.Heartbeat, now_us: int) -> None:
+        self._health.on_heartbeat(frame.number, frame.acknowledged, frame.held_us, now_us)
+        self.route.update_capacity(frame.threads, frame.cores, frame.slowdown, frame.paused_us, now_us)
+        self._report_state(now_us)
+        if self._reported_cores and self.route.spare_threads() > 0:
+            self._listener.on_capacity(self)
+
+    def _on_go_away(self, frame: codec.GoAway, now_us: int) -> None:
+        self._log(f"{self.remote_gateway} takes nothing more: {frame.reason}")
+        self.route.is_draining = True
+        self._report_state(now_us)
+
+    _HANDLERS = {
+        codec.Accepted: _on_accepted,
+        codec.Sent: _on_sent,
+        codec.Rejected: _on_rejected,
+        codec.Failed: _on_failed,
+        codec.ResultPage: _on_result_page,
+        codec.Heartbeat: _on_heartbeat,
+        codec.GoAway: _on_go_away,
     }
 
     # Time.
 
-    def busy(self, now: int) -> bool:
-        """Whether the link is to be looked after closely."""
-        return bool(self.ledger.open) or now - self.way.asked_at < 1_000_000
+    def is_busy(self, now_us: int) -> bool:
+        """Returns whether requests are open, or were wanted in the last second."""
+        return bool(self.ledger.open) or now_us - self.route.last_wanted_us < 1_000_000
 
-    def _asked(self) -> None:
-        if self.greeted:
+    def _on_heartbeat_requested(self) -> None:
+        if self.is_established:
             self._wake()
 
-    def tick(self, now: int) -> bool:
-        """To be called some times for each beat; False where the connection is of no more use."""
-        self._health.pace(self.busy(now), now)
-        if self.greeted and now - self._beat_at >= self._health.beat:
-            self._send_beat(now)
-        before, state = self._health.state, self._health.look(now)
+    def tick(self, now_us: int) -> bool:
+        """Checks timers; must be called several times per heartbeat interval.
+
+        Returns:
+            False if the connection should be closed.
+        """
+        self._health.set_busy(self.is_busy(now_us), now_us)
+        if self.is_established and now_us - self._heartbeat_us >= self._health.heartbeat_us:
+            self._send_heartbeat(now_us)
+        before, state = self._health.state, self._health.update_state(now_us)
         if before is not state:
-            trip = self._health.round_trip(now) / 1000
-            self._say(f"link to {self.far} is {state.value}, round trip {trip:.1f} ms")
-        gone = now > self._health.lease_end()
-        for crossing in list(self.ledger.open.values()):
-            request = crossing.attempt.request
-            if crossing.cut and gone and (crossing.fenced or request.is_finished):
-                # The far side has given it up by now, whatever it did; or nobody waits for it any more.
-                self._end(crossing, ForwardingResult.UNKNOWN, True)
-            elif not crossing.withdrawn and self.way.hopeless(request, crossing.state is State.SENT, now):
+            round_trip_ms = self._health.round_trip_us(now_us) / 1000
+            self._log(f"link to {self.remote_gateway} is {state.value}, round trip {round_trip_ms:.1f} ms")
+        has_lease_ended = now_us > self._health.remote_lease_end_us()
+        for forwarded in list(self.ledger.open.values()):
+            request = forwarded.attempt.request
+            if (
+                forwarded.is_disconnected
+                and has_lease_ended
+                and (forwarded.is_lease_bound or request.is_finished)
+            ):
+                # The remote gateway has cancelled it by now, in whatever state it was; or no client waits for
+                # it any more.
+                self._finish(forwarded, ForwardingResult.UNKNOWN, True)
+            elif not forwarded.is_cancelled and self.route.is_deadline_unreachable(
+                request, forwarded.state is ForwardingState.SENT, now_us
+            ):
                 self._counters.add("crossings hopeless")
-                self._keeper.on_deadline_unreachable(crossing)
-        self._tell_standing(now)
-        return not self._health.dead(now)
-
-    def _send_beat(self, now: int) -> None:
-        self._beat_at = now
-        self._put_forgets()
-        self._put(codec.Beat(*self._health.next_beat(now)), at_once=True)
-
-    def _tell_standing(self, now: int) -> None:
-        # Known for what it is only once a beat has told of its cores; a change of a tenth is news.
-        cores = self.way.cores if self.greeted and not self.way.leaving else 0.0
-        if bool(cores) != bool(self._told) or abs(cores - self._told) > 0.1 * self._told:
-            self._told = cores
-            self._keeper.on_state(self, cores > 0)
+                self._listener.on_deadline_unreachable(forwarded)
+        self._report_state(now_us)
+        return not self._health.is_dead(now_us)
+
+    def _send_heartbeat(self, now_us: int) -> None:
+        self._heartbeat_us = now_us
+        self._send_releases()
+        self._send(codec.Heartbeat(*self._health.next_heartbeat(now_us)), immediately=True)
+
+    def _report_state(self, now_us: int) -> None:
+        # The link is ready once a heartbeat has reported cores; a change of a tenth is reported.
+        cores = self.route.available_cores if self.is_established and not self.route.is_draining else 0.0
+        if (
+            bool(cores) != bool(self._reported_cores)
+            or abs(cores - self._reported_cores) > 0.1 * self._reported_cores
+        ):
+            self._reported_cores = cores
+            self._listener.on_state(self, cores > 0)
--- a/tests/halls.py
+++ b/tests/halls.py
@@ -1,9 +1,9 @@
-"""Two gateways in two halls on a virtual clock: the real stages, modules and ends of the link, no sockets."""
+"""Two gateways at two sites on a virtual clock: the real pipeline, policy and link, without sockets."""
 
 from collections import deque
 
 from cresstray.clock import Timers
-from cresstray.engines import codec as resp
+from cresstray.engines import codec as engine_codec
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.accounting import RequestAccounting
 from cresstray.pipeline.admission import Admission
@@ -16,177 +16,189 @@
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.settings import parse_settings
 from cresstray.policy.types import EndpointState, Engine
-from cresstray.sites.ends import Place
-from cresstray.sites.flow_control import Credit, Share
-from cresstray.sites.health import Health
-from cresstray.sites.inbound import Inward
-from cresstray.sites.outbound import Outward
-from cresstray.sites.routing import AHEAD, Way
+from cresstray.sites.ends import GatewayIdentity
+from cresstray.sites.flow_control import ForwardingQuota, LinkCredit
+from cresstray.sites.health import LinkHealth
+from cresstray.sites.inbound import InboundLink
+from cresstray.sites.outbound import OutboundLink
+from cresstray.sites.routing import RETRY_SEND_WINDOW_US, SiteRoute
 
-BEAT, SLOW, LEASE, HEAL = 100_000, 250_000, 1_500_000, 1_000_000
-TARIFFS = {"lookup": "idempotent", "load": "deduplicated", "post": "at_most_once"}
+HEARTBEAT_US, SLOW_US, LEASE_US, RECOVERY_US = 100_000, 250_000, 1_500_000, 1_000_000
+# The effect of each request class.
+EFFECTS = {"lookup": "idempotent", "load": "deduplicated", "post": "at_most_once"}
 
 
 class VirtualClock:
-    """Unix time in microseconds, moved by hand; each hall's may be off by minutes."""
+    """Unix time in microseconds, advanced by the test; the clocks of two sites may differ by minutes."""
 
-    def __init__(self, ahead: int = 0) -> None:
-        self.at, self._ahead = 1_000_000_000_000, ahead
+    def __init__(self, offset_us: int = 0) -> None:
+        self.time_us, self._offset_us = 1_000_000_000_000, offset_us
 
     def now(self) -> int:
-        return self.at + self._ahead
+        return self.time_us + self._offset_us
 
 
-class FakeLink:
-    """All links to one engine: keeps what it is asked until the test has it answered."""
+class FakeEngine:
+    """One engine with its connections: keeps each request until the test answers it."""
 
-    def __init__(self, desk: "HallDesk", name: str) -> None:
-        self.desk, self.name, self.address = desk, name, ("", 0)
+    def __init__(self, gateway: "SiteGateway", name: str) -> None:
+        self.gateway, self.name, self.address = gateway, name, ("", 0)
         self.open: dict[str, object] = {}
 
-    def start(self, exchange: object) -> None:
-        exchange.connection, exchange.is_written = self, True
-        self.open[exchange.name.decode()] = exchange
-        self.desk.world.runs.append((exchange.name.decode(), self.name))
-        self.desk.world.say(f"{self.name} runs {self.desk.world.names[exchange.name.decode()]}")
+    def start(self, in_flight: object) -> None:
+        in_flight.connection, in_flight.is_written = self, True
+        self.open[in_flight.name.decode()] = in_flight
+        self.gateway.world.runs.append((in_flight.name.decode(), self.name))
+        self.gateway.world.say(f"{self.name} runs {self.gateway.world.names[in_flight.name.decode()]}")
 
-    def abandon(self, exchange: object) -> bool:
-        self.open.pop(exchange.name.decode(), None)
-        self.desk.world.say(f"{self.name} is told to quit {self.desk.world.names[exchange.name.decode()]}")
+    def abandon(self, in_flight: object) -> bool:
+        self.open.pop(in_flight.name.decode(), None)
+        self.gateway.world.say(
+            f"{self.name} is told to quit {self.gateway.world.names[in_flight.name.decode()]}"
+        )
         return True
 
-    def finish(self, exchange: object) -> None:
-        self.open.pop(exchange.name.decode(), None)
+    def finish(self, in_flight: object) -> None:
+        self.open.pop(in_flight.name.decode(), None)
 
     def send(self, message: bytes) -> None:
-        """Pages come by the test's hand."""
+        """Requests for further pages are ignored: the test answers with whole results."""
 
-    def answer(self, name: str, word: bytes = b"served", body: bytes = b"row\t1\t2\n") -> None:
-        exchange = self.open[name]
-        if word == b"overload":
-            self.desk.world.unrun[name] = self.desk.world.unrun.get(name, 0) + 1
-        exchange.listener.on_answer(exchange, resp.Answer(name.encode(), word, 1, 0, {}, body))
+    def answer(self, name: str, kind: bytes = b"served", body: bytes = b"row\t1\t2\n") -> None:
+        in_flight = self.open[name]
+        if kind == b"overload":
+            self.gateway.world.rejected_runs[name] = self.gateway.world.rejected_runs.get(name, 0) + 1
+        in_flight.listener.on_answer(in_flight, engine_codec.Answer(name.encode(), kind, 1, 0, {}, body))
 
     def reset(self) -> None:
-        for exchange in list(self.open.values()):
-            del self.open[exchange.name.decode()]
-            exchange.listener.on_connection_lost(exchange, False)
+        for in_flight in list(self.open.values()):
+            del self.open[in_flight.name.decode()]
+            in_flight.listener.on_connection_lost(in_flight, False)
 
 
 class Query:
-    def __init__(self, name: str, request_class: str, patience: float) -> None:
-        self.name, self.class_name, self.timeout_ms, self.tenant = name, request_class, patience, "acme"
-        self.idempotency_key = name if TARIFFS[request_class] == "deduplicated" else ""
+    """A request as a client's message has it."""
+
+    def __init__(self, name: str, request_class: str, timeout_ms: float) -> None:
+        self.name, self.class_name, self.timeout_ms, self.tenant = name, request_class, timeout_ms, "acme"
+        self.idempotency_key = name if EFFECTS[request_class] == "deduplicated" else ""
         self.estimated_work_ms, self.memory_mb, self.statement = 0.0, 0.0, b"select 1"
 
 
 class Client:
-    """One who asks at one hall, and the answers it gets."""
+    """A client of one site, which records its answers by the label of the request."""
 
-    def __init__(self, desk: "HallDesk") -> None:
-        self._desk, self.open_requests, self.answers = desk, {}, {}
+    def __init__(self, gateway: "SiteGateway") -> None:
+        self._gateway, self.open_requests, self.answers = gateway, {}, {}
 
-    def _told(self, number: int, how: str) -> None:
+    def _on_answer(self, number: int, answer: str) -> None:
         context = self.open_requests.pop(number)
-        name = self._desk.world.names[context.query.name]
-        self.answers.setdefault(name, []).append(how)
-        self._desk.world.say(f"{self._desk.hall} answers {name}: {how}")
+        name = self._gateway.world.names[context.query.name]
+        self.answers.setdefault(name, []).append(answer)
+        self._gateway.world.say(f"{self._gateway.site} answers {name}: {answer}")
 
-    def succeed(self, number: int, result: bytes, at: str | None = None) -> None:
-        self._told(number, f"fulfilled, {len(result)} bytes")
+    def succeed(self, number: int, result: bytes, replica_position: str | None = None) -> None:
+        self._on_answer(number, f"fulfilled, {len(result)} bytes")
 
-    def reject(self, number: int, come_back: int) -> None:
-        self._told(number, "denied")
+    def reject(self, number: int, retry_after_us: int) -> None:
+        self._on_answer(number, "denied")
 
     def fail(self, number: int) -> None:
-        self._told(number, "abandoned")
+        self._on_answer(number, "abandoned")
 
     def has_disconnected(self) -> bool:
         return False
 
     def reject_malformed(self, number: int | None, text: str) -> None:
-        self._desk.world.say(f"{self._desk.hall} rejects {text}")
+        self._gateway.world.say(f"{self._gateway.site} rejects {text}")
 
 
-class HallDesk:
-    """One gateway, its stages put together as service.py does, with engines that the test answers for."""
+class SiteGateway:
+    """One gateway, its stages composed as in service.py, with engines whose answers come from the test."""
 
-    def __init__(self, world: "TwoHalls", hall: str, engines: int, clock: VirtualClock, given: dict) -> None:
-        self.world, self.hall, self.clock = world, hall, clock
+    def __init__(
+        self, world: "TwoSites", site: str, engines: int, clock: VirtualClock, settings: dict
+    ) -> None:
+        self.world, self.site, self.clock = world, site, clock
         self.timers, self.counters = Timers(clock), Counters()
-        self.book = RequestAccounting(self.counters)
-        self.back = ResponseHandler(clock, self.counters, self.book)
-        self.send = Dispatcher(clock, self.timers, self.counters, self.back)
-        self.route = Router(None, self.send)
-        self.across = self.route.forwarder = Forwarder(
-            clock, self.timers, self.counters, self.back, self.send
+        self.accounting = RequestAccounting(self.counters)
+        self.responses = ResponseHandler(clock, self.counters, self.accounting)
+        self.dispatcher = Dispatcher(clock, self.timers, self.counters, self.responses)
+        self.router = Router(None, self.dispatcher)
+        self.forwarder = self.router.forwarder = Forwarder(
+            clock, self.timers, self.counters, self.responses, self.dispatcher
         )
         log = type("NoLog", (), {"log": lambda self, kind, text: None})()
-        port = PipelinePolicyPort(self.route, self.send, self.book, self.timers, self.counters, log)
-        self.gateway = PolicyController(port, parse_settings(given), 7, clock.now())
-        admit = Admission(self.book)
-        self.back.controller = admit.controller = self.gateway
-        self.share = admit.forwarding_quota = Share(1.0)
-        self.take_in = Ingress(given, self.gateway.request_classes, clock, admit)
-        self.engines, self.links = [Engine() for _ in range(engines)], []
+        port = PipelinePolicyPort(
+            self.router, self.dispatcher, self.accounting, self.timers, self.counters, log
+        )
+        self.controller = PolicyController(port, parse_settings(settings), 7, clock.now())
+        admission = Admission(self.accounting)
+        self.responses.controller = admission.controller = self.controller
+        self.quota = admission.forwarding_quota = ForwardingQuota(1.0)
+        self.ingress = Ingress(settings, self.controller.request_classes, clock, admission)
+        self.engines, self.fake_engines = [Engine() for _ in range(engines)], []
         for number, engine in enumerate(self.engines):
-            self.links.append(FakeLink(self, f"{hall} engine {number}"))
-            self.route._pools[engine] = self.links[-1]
-        self.list()
+            self.fake_engines.append(FakeEngine(self, f"{site} engine {number}"))
+            self.router._pools[engine] = self.fake_engines[-1]
+        self.update_endpoints()
         self.client, self._number = Client(self), 0
 
-    def list(self, *standings: EndpointState) -> None:
-        told = dict(zip(self.engines, standings))
-        self.gateway.on_endpoints_updated(
-            [(engine, (0, 0, 0, 0, told.get(engine, EndpointState.READY))) for engine in self.engines],
+    def update_endpoints(self, *states: EndpointState) -> None:
+        """Lists all engines, the first ones in these states and the others as ready."""
+        state_of = dict(zip(self.engines, states))
+        self.controller.on_endpoints_updated(
+            [(engine, (0, 0, 0, 0, state_of.get(engine, EndpointState.READY))) for engine in self.engines],
             True,
             self.clock.now(),
         )
 
-    def ask(self, label: str, request_class: str, patience: float = 8000) -> None:
+    def submit(self, label: str, request_class: str, timeout_ms: float = 8000) -> None:
+        """The client sends a request."""
         self._number += 1
         name = f"{len(self.world.names) + 1:016x}"
         self.world.names[name] = label
-        self.world.say(f"{self.hall} is asked {label}, a {request_class}")
-        self.take_in.accept(self.client, self._number, Query(name, request_class, patience))
+        self.world.say(f"{self.site} is asked {label}, a {request_class}")
+        self.ingress.accept(self.client, self._number, Query(name, request_class, timeout_ms))
 
-    def withdraw(self, label: str) -> None:
+    def cancel(self, label: str) -> None:
+        """The client cancels its request."""
         number = next(
             number
             for number, context in self.client.open_requests.items()
             if self.world.names[context.query.name] == label
         )
         self.world.say(f"the client withdraws {label}")
-        self.take_in.cancel(self.client, number, None)
+        self.ingress.cancel(self.client, number, None)
 
 
-class TwoHalls:
-    """hall-a has no engine unless told so, hall-b has; the link goes from a to b, with a delay each way."""
+class TwoSites:
+    """Site hall-a has no engine by default, site hall-b has one; the link goes from hall-a to hall-b."""
 
     def __init__(
         self,
-        near_engines: int = 0,
-        far_engines: int = 1,
+        local_engines: int = 0,
+        remote_engines: int = 1,
         cores: int = 4,
-        delay: int = 5_000,
+        delay_us: int = 5_000,
         trace: bool = True,
-        skew: int = 240_000_000,
+        clock_skew_us: int = 240_000_000,
         **limits: object,
     ) -> None:
         self.lines: list[str] = []
-        self.names: dict[str, str] = {}
-        self.runs: list[tuple[str, str]] = []
-        self.unrun: dict[str, int] = {}  # runs that an engine refused as full
-        self._trace, self.delay, self.up = trace, delay, False
-        self.swallow: set[str] = set()  # "there" and "back": what does not come through
-        self.there: deque[tuple[int, bytes]] = deque()
-        self.back: deque[tuple[int, bytes]] = deque()
-        given = {
+        self.names: dict[str, str] = {}  # the labels of requests, by name
+        self.runs: list[tuple[str, str]] = []  # the request's name and the engine's
+        self.rejected_runs: dict[str, int] = {}  # runs that an engine rejected as overloaded
+        self._trace, self.delay_us, self.is_connected = trace, delay_us, False
+        self.silenced: set[str] = set()  # directions that deliver nothing: "there", "back"
+        self.there: deque[tuple[int, bytes]] = deque()  # from hall-a to hall-b
+        self.back: deque[tuple[int, bytes]] = deque()  # from hall-b to hall-a
+        settings = {
             "Balancers": 1,
             "FamilyInfo": {"CpuOfKind": [cores]},
             "Tenants": [{"Name": "acme"}],
             "Limits": {"MaxAttempts": 3, "Cancel": True} | limits,
-            "CrossingAhead": AHEAD / 1000,
+            "CrossingAhead": RETRY_SEND_WINDOW_US / 1000,
             "Services": [
                 {
                     "Name": name,
@@ -198,48 +210,49 @@
                     "KeyTtl": 20000,
                     "LateValue": 0.5,
                 }
-                for name, effect in TARIFFS.items()
+                for name, effect in EFFECTS.items()
             ],
         }
-        clocks = VirtualClock(), VirtualClock(skew)
-        self.clocks, self._start = clocks, clocks[0].at
-        self.a = HallDesk(self, "hall-a", near_engines, clocks[0], given)
-        self.b = HallDesk(self, "hall-b", far_engines, clocks[1], given)
-        self._given, self._life, self.broken = given, 0, None
-        health = Health(BEAT, SLOW, LEASE, HEAL)
-        self.outward = Outward(
-            Place("hall-a", "ga", "a1"),
+        clocks = VirtualClock(), VirtualClock(clock_skew_us)
+        self.clocks, self._started_us = clocks, clocks[0].time_us
+        self.a = SiteGateway(self, "hall-a", local_engines, clocks[0], settings)
+        self.b = SiteGateway(self, "hall-b", remote_engines, clocks[1], settings)
+        self._settings, self._incarnation, self.link_error = settings, 0, None
+        health = LinkHealth(HEARTBEAT_US, SLOW_US, LEASE_US, RECOVERY_US)
+        self.outbound = OutboundLink(
+            GatewayIdentity("hall-a", "ga", "a1"),
             "hall-b",
-            Way("far", health, Credit(16, 1 << 20), self.a.share),
-            self.a.across,
+            SiteRoute("far", health, LinkCredit(16, 1 << 20), self.a.quota),
+            self.a.forwarder,
             self.a.counters,
             lambda text: self.say(f"hall-a says {text}"),
             clocks[0].now,
             lambda: None,
         )
-        self.a.across.add(self.outward)
-        self.restart_far(first=True)
+        self.a.forwarder.add(self.outbound)
+        self.restart_remote_gateway(is_first=True)
 
     def say(self, text: str) -> None:
+        """Adds a line to the trace."""
         if self._trace:
-            self.lines.append(f"{(self.clocks[0].at - self._start) / 1000:7.0f} ms  {text}")
-
-    def restart_far(self, first: bool = False) -> None:
-        """The far gateway is killed, if it is not the first, and a new life of it knows nothing."""
-        if not first:
-            for link in self.b.links:
-                for exchange in list(link.open.values()):
-                    link.abandon(exchange)
-            self.b = HallDesk(self, "hall-b", len(self.b.engines), self.clocks[1], self._given)
-        self._life += 1
-        self.inward = Inward(
-            Place("hall-b", "gb", f"b{self._life}"),
-            Place("hall-a", "ga", "a1"),
-            Health(BEAT, SLOW, LEASE, HEAL),
+            self.lines.append(f"{(self.clocks[0].time_us - self._started_us) / 1000:7.0f} ms  {text}")
+
+    def restart_remote_gateway(self, is_first: bool = False) -> None:
+        """Kills the gateway of hall-b, unless it is the first, and starts one that remembers nothing."""
+        if not is_first:
+            for fake_engine in self.b.fake_engines:
+                for in_flight in list(fake_engine.open.values()):
+                    fake_engine.abandon(in_flight)
+            self.b = SiteGateway(self, "hall-b", len(self.b.engines), self.clocks[1], self._settings)
+        self._incarnation += 1
+        self.inbound = InboundLink(
+            GatewayIdentity("hall-b", "gb", f"b{self._incarnation}"),
+            GatewayIdentity("hall-a", "ga", "a1"),
+            LinkHealth(HEARTBEAT_US, SLOW_US, LEASE_US, RECOVERY_US),
             16,
             1 << 20,
-            self.b.take_in,
-            lambda: self.b.gateway.spare_capacity(self.clocks[1].now()),
+            self.b.ingress,
+            lambda: self.b.controller.spare_capacity(self.clocks[1].now()),
             lambda: 0,
             self.clocks[1].now,
             lambda: None,
@@ -247,81 +260,96 @@
             self.b.counters,
             lambda text: self.say(f"hall-b says {text}"),
         )
-        self._frames = None
+        self._decoder = None
 
     # The link.
 
     def connect(self) -> None:
+        """Connects the link."""
         from cresstray.sites import codec
 
         self.there.clear()
         self.back.clear()
-        self._frames, self.up, self._greeted = codec.Frames(), True, False
-        self.outward.connected(lambda data, _: self._carry(self.there, data))
+        self._decoder, self.is_connected, self._is_welcomed = codec.FrameDecoder(), True, False
+        self.outbound.on_connected(lambda data, _: self._transmit(self.there, data))
 
-    def cut(self) -> None:
-        """What is on its way is lost with the connection."""
+    def disconnect(self) -> None:
+        """Ends the connection; data in transit is lost."""
         self.say("the link is cut")
-        self.up = False
+        self.is_connected = False
         self.there.clear()
         self.back.clear()
-        self.outward.disconnected(self.clocks[0].now())
-        self.inward.disconnected()
+        self.outbound.on_disconnected(self.clocks[0].now())
+        self.inbound.on_disconnected()
 
-    def _carry(self, queue: deque, data: bytes) -> None:
-        if self.up:
-            queue.append((self.clocks[0].at + self.delay, data))
+    def _transmit(self, queue: deque, data: bytes) -> None:
+        if self.is_connected:
+            queue.append((self.clocks[0].time_us + self.delay_us, data))
 
     def _deliver(self) -> None:
         from cresstray.sites.codec import FramingError
 
-        at = self.clocks[0].at
+        now_us = self.clocks[0].time_us
         try:
-            # What does not come through while the connection lives comes later, as TCP has it.
-            while self.up and self.there and self.there[0][0] <= at and "there" not in self.swallow:
-                for frame in self._frames.feed(self.there.popleft()[1]):
-                    if self._greeted:
-                        self.inward.receive(frame)
+            # Data of a silenced direction is delivered later if the connection survives, as with TCP.
+            while (
+                self.is_connected
+                and self.there
+                and self.there[0][0] <= now_us
+                and "there" not in self.silenced
+            ):
+                for frame in self._decoder.feed(self.there.popleft()[1]):
+                    if self._is_welcomed:
+                        self.inbound.receive(frame)
                     else:
-                        self._greeted = True
-                        self.inward.welcome(frame, lambda data, _: self._carry(self.back, data))
-            while self.up and self.back and self.back[0][0] <= at and "back" not in self.swallow:
-                self.outward.receive(self.back.popleft()[1], self.clocks[0].now())
-        except FramingError as trouble:
-            self.broken = str(trouble)
-            self.say(f"the link is dropped: {trouble}")
-            self.cut()
-
-    def run(self, milliseconds: float, step: int = 1000) -> None:
-        """Time passes in steps of a millisecond; both ends tick each ten."""
-        for _ in range(int(milliseconds * 1000) // step):
+                        self._is_welcomed = True
+                        self.inbound.on_connected(frame, lambda data, _: self._transmit(self.back, data))
+            while (
+                self.is_connected and self.back and self.back[0][0] <= now_us and "back" not in self.silenced
+            ):
+                self.outbound.receive(self.back.popleft()[1], self.clocks[0].now())
+        except FramingError as error:
+            self.link_error = str(error)
+            self.say(f"the link is dropped: {error}")
+            self.disconnect()
+
+    def run(self, milliseconds: float, step_us: int = 1000) -> None:
+        """Advances the clocks in steps of a millisecond; both sides of the link tick every ten."""
+        for _ in range(int(milliseconds * 1000) // step_us):
             for clock in self.clocks:
-                clock.at += step
-            for _ in range(3):  # what one does may be due for the other at once
+                clock.time_us += step_us
+            for _ in range(3):  # a timer of one site may make data due at the other at once
                 self._deliver()
                 self.a.timers.run_due()
                 self.b.timers.run_due()
-            if self.clocks[0].at // 1000 % 10 == 0:
-                if not self.outward.tick(self.clocks[0].now()) and self.up:
+            if self.clocks[0].time_us // 1000 % 10 == 0:
+                if not self.outbound.tick(self.clocks[0].now()) and self.is_connected:
                     self.say("hall-a finds the link dead")
-                    self.cut()
-                self.inward.tick(self.clocks[1].now())
+                    self.disconnect()
+                self.inbound.tick(self.clocks[1].now())
 
-    def ready(self) -> None:
-        """Connected, and long enough up for what crosses not to be bounded by the link's trial."""
+    def establish_link(self) -> None:
+        """Connects the link and waits until the slow start no longer limits it."""
         self.connect()
         self.run(1500)
 
-    def fresh(self) -> None:
-        """A beat and its answer, so that the far hall's room is known as of now."""
-        self.outward._send_beat(self.clocks[0].now())
-        self.run(2 * self.delay / 1000 + 2)
-
-    def crossing(self, label: str) -> object:
-        return next(one for one in self.outward.ledger.open.values() if self.names[one.name] == label)
+    def refresh_capacity(self) -> None:
+        """Exchanges heartbeats, so that hall-a knows the present capacity of hall-b."""
+        self.outbound._send_heartbeat(self.clocks[0].now())
+        self.run(2 * self.delay_us / 1000 + 2)
+
+    def forwarded(self, label: str) -> object:
+        """Returns the open forwarded request of this label."""
+        return next(
+            forwarded
+            for forwarded in self.outbound.ledger.open.values()
+            if self.names[forwarded.name] == label
+        )
 
     def name(self, label: str) -> str:
+        """Returns the name of the request of this label."""
         return next(name for name, known in self.names.items() if known == label)
 
     def answers(self) -> dict[str, list[str]]:
+        """Returns the answers of each request of hall-a's client, by label."""
         return self.a.client.answers
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -26,7 +26,7 @@
 from cresstray.observability.counters import Counters
 from cresstray.observability.log import Log
 from cresstray.sites import codec, status
-from cresstray.sites.links import Hub
+from cresstray.sites.links import SiteLinkManager
 from tests.harness import TraceCase
 
 _GOOD = """# two halls
@@ -111,7 +111,7 @@
 
 
 class Links(TraceCase):
-    def hub(self, text: str) -> tuple[Hub, Counters, Timers]:
+    def hub(self, text: str) -> tuple[SiteLinkManager, Counters, Timers]:
         counters, clock = Counters(), Clock()
         timers = Timers(clock)
         given = operator.parse("file.conf", text).halls
@@ -120,7 +120,7 @@
         behind = worker.Worker(turns, timers, clock, counters, log)
         behind.start()
         return (
-            Hub(
+            SiteLinkManager(
                 given,
                 "life",
                 7,
@@ -154,7 +154,7 @@
                     + tls(far, "keys")
                 )
                 tasks.start_soon(timers.run)
-                host._links = []  # it only listens
+                host._outbound = []  # it only listens
                 await host.run(tasks)
                 guest, near_counters, near_timers = self.hub(
                     f"hall hall-a\n    gateway ga\npeer hall-b 127.0.0.1:{host.address[1]}\n"
@@ -186,15 +186,19 @@
     def test_strangers_at_the_door(self) -> None:
         """Whatever is said there ends that connection with one line; a link that is up goes on."""
 
-        def hello(hall: str, name: str, magic: str = codec.MAGIC, version: int = codec.VERSION) -> bytes:
+        def hello(
+            hall: str, name: str, magic: str = codec.MAGIC, version: int = codec.PROTOCOL_VERSION
+        ) -> bytes:
             return codec.encode_frame(codec.Hello(magic, version, [], hall, name, f"life of {name}", "", []))
 
         def offer(number: int) -> bytes:
             return codec.encode_frame(
-                codec.Offer(number, 0, "0" * 16, "lookup", "", "", 0, 0, 10**6, 0, 0, 0, 0, True, b"x")
+                codec.ForwardRequest(
+                    number, 0, "0" * 16, "lookup", "", "", 0, 0, 10**6, 0, 0, 0, 0, True, b"x"
+                )
             )
 
-        async def strange(host: Hub, text: str, *words: bytes) -> None:
+        async def strange(host: SiteLinkManager, text: str, *words: bytes) -> None:
             said.truncate(0)
             stream = await anyio.connect_tcp(*host.address)
             with contextlib.suppress(anyio.BrokenResourceError):
@@ -217,7 +221,7 @@
                     "hall hall-b\n    gateway gb\n    listen 127.0.0.1:0\npeer hall-a 127.0.0.1:1\n"
                 )
                 tasks.start_soon(timers.run)
-                host._links, host._front = (
+                host._outbound, host._ingress = (
                     [],
                     type(
                         "Front",
@@ -244,7 +248,7 @@
                     await anyio.sleep(0.01)
                 await strange(host, "noise", b"GET / HTTP/1.1\r\n\r\n")
                 await strange(host, "a length that lies", b"\xff\xff\xff\xff\x01")
-                await strange(host, "no hello first", codec.encode_frame(codec.Beat(1, 0, 0)))
+                await strange(host, "no hello first", codec.encode_frame(codec.Heartbeat(1, 0, 0)))
                 await strange(host, "another protocol", hello("hall-a", "x", magic="other"))
                 await strange(host, "a later version", hello("hall-a", "x", version=9))
                 await strange(host, "a hall unheard of", hello("hall-z", "x"))
@@ -289,7 +293,7 @@
                     text("hall-b", "    listen 127.0.0.1:0\npeer hall-a 127.0.0.1:1\n")
                 )
                 tasks.start_soon(timers.run)
-                host._links = []
+                host._outbound = []
                 await host.run(tasks)
                 peer = f"peer hall-b 127.0.0.1:{host.address[1]}\n"
                 guest, counters, near_timers = self.hub(text("hall-a", peer))
@@ -310,7 +314,7 @@
                 with self.assertRaises(OSError):
                     guest.reload(given)
                 lines.append(f"unusable: the old ones stay {guest._contexts is second}")
-                list(guest._wires.values())[0].scope.cancel()
+                list(guest._connections.values())[0].scope.cancel()
                 while counters.counts["links between halls made"] < 2:
                     await anyio.sleep(0.01)
                 lines.append("a new connection comes up")
