--- a/cresstray/sites/inbound.py
+++ b/cresstray/sites/inbound.py
@@ -204,7 +204,7 @@
             self._send_pages(inbound)
 
     def _on_go_away(self, frame: codec.GoAway, now_us: int) -> None:
-        self._log(f"{self.origin.name} of {self.origin.site} offers nothing more: {frame.reason}")
+        self._log(f"{self.origin.name} of {self.origin.site} forwards no further requests: {frame.reason}")
 
     _HANDLERS = {
         codec.ForwardRequest: _on_forward_request,
@@ -280,7 +280,7 @@
         inbound = self.ledger.open.get(number)
         if inbound is not None:
             # The sites' request classes or tenants differ, so similar requests are kept away for a while.
-            self._log(f"a crossing from {self.origin.name} can't be used: {text}")
+            self._log(f"rejected a malformed request that {self.origin.name} forwarded: {text}")
             self._reject(inbound, text[:128], _RETRY_AFTER_US)
 
     # Outcomes.
--- a/cresstray/sites/links.py
+++ b/cresstray/sites/links.py
@@ -191,11 +191,13 @@
         self.load_certificates(settings)
         self.quota.max_fraction = settings.share
         unchangeable = [
-            (some.hall, some.gateway, some.listen, some.control, some.link, some.peers)
-            for some in (settings, self._settings)
+            (version.hall, version.gateway, version.listen, version.control, version.link, version.peers)
+            for version in (settings, self._settings)
         ]
         if unchangeable[0] != unchangeable[1]:
-            self._write_log("of the new operator's file only keys and the share are used until a restart")
+            self._write_log(
+                "only the certificates and the share of the new operator's file are used until a restart"
+            )
 
     def _make_health(self) -> LinkHealth:
         link = self._settings.link
@@ -405,7 +407,7 @@
                 # Frames of the old connection that are still unhandled when a newer one replaces it are
                 # invalid, as the new connection has reconciled the requests.
                 if self._connections.get(inbound) is not connection:
-                    raise FramingError("a newer connection has taken its place")
+                    raise FramingError("a newer connection has replaced this one")
                 inbound.receive(frame)
 
         try:
--- a/cresstray/sites/outbound.py
+++ b/cresstray/sites/outbound.py
@@ -129,9 +129,11 @@
 
     def _on_welcome(self, frame: codec.Frame, now_us: int) -> None:
         if not isinstance(frame, codec.Welcome):
-            raise FramingError(f"a {type(frame).__name__} in place of a welcome")
+            raise FramingError(f"the first frame is a {type(frame).__name__} instead of a Welcome")
         if frame.version != codec.PROTOCOL_VERSION or frame.site != self._remote_site:
-            raise FramingError(f"version {frame.version} of hall {frame.site!r}, not {self._remote_site!r}")
+            raise FramingError(
+                f"protocol version {frame.version} of site {frame.site!r}, not {self._remote_site!r}"
+            )
         # A new incarnation of the remote gateway knows nothing of the previous one's requests.
         resumed = frame.resumed and frame.incarnation == self._known_incarnation
         self._known_incarnation, self.remote_gateway, self.is_established = (
@@ -259,7 +261,7 @@
             self.route.pause(frame.retry_after_us, now_us)
         if forwarded is not None:
             if forwarded.state is ForwardingState.SENT:
-                raise FramingError(f"crossing {frame.number} is refused after it was sent")
+                raise FramingError(f"request {frame.number} was rejected after it was sent to an engine")
             self._counters.add("crossings refused")
             self._release(frame.number)
             self._finish(forwarded, ForwardingResult.NOT_EXECUTED, False)
@@ -284,10 +286,12 @@
         forwarded.state = ForwardingState.SENT
         if forwarded.pages is None:
             if frame.page_count > _MAX_PAGES:
-                raise FramingError(f"a result of {frame.page_count} pages")
+                raise FramingError(f"a result of {frame.page_count} pages is too long")
             forwarded.pages = []
         if frame.page != len(forwarded.pages):
-            raise FramingError(f"page {frame.page} of {frame.number} in place of {len(forwarded.pages)}")
+            raise FramingError(
+                f"page {frame.page} of request {frame.number} instead of page {len(forwarded.pages)}"
+            )
         forwarded.pages.append(frame.body)
         received = len(forwarded.pages)
         if received == frame.page_count:
