--- a/cresstray/sites/health.py
+++ b/cresstray/sites/health.py
@@ -61,7 +61,7 @@
         self._unacknowledged: deque[tuple[int, int]] = deque(maxlen=_MAX_UNACKNOWLEDGED)
         # The last of our heartbeats that was acknowledged; number 0 is the connection itself.
         self._acknowledged, self._connected_us = 0, 0
-        # When that heartbeat was sent. The other side's knowledge of this one is at least as recent.
+        # When that heartbeat was sent. The other side's knowledge of this side is at least as recent.
         self.acknowledged_sent_us = 0
         self.received_number, self.received_us = 0, 0  # the other side's last heartbeat
         self._last_frame_us = 0
