--- a/cresstray/fleet_config/follower.py
+++ b/cresstray/fleet_config/follower.py
@@ -103,9 +103,9 @@
         self._event_log = EventLog(clock, gateway=name)
         contexts = None
         if fleet.tls is not None:
-            from cresstray.sites.tls import Contexts
+            from cresstray.sites.tls import TlsContexts
 
-            contexts = Contexts(fleet.tls)
+            contexts = TlsContexts(fleet.tls)
         # Connecting to an unresponsive node delays the next attempt; a lease must outlast two such delays.
         self._link_manager = PeerLinkManager(
             _NODE_FRAMES, contexts, random, self._event_log, self.counters, fleet.lease / 4e6
--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -67,7 +67,7 @@
             raise OSError(f"cannot use the TLS files of the store, one of {files}: {error}") from None
 
     @property
-    def near(self) -> StoreTlsContext:
+    def client(self) -> StoreTlsContext:
         """The context for outgoing connections, under the name that sites.tls reads."""
         return self
 
@@ -228,11 +228,11 @@
         context = self._tls_contexts[index]
         if context is None:
             return stream
-        from cresstray.sites.tls import Sealed
+        from cresstray.sites.tls import TlsStream
 
-        # Sealed needs only `near` and `wrap_bio` of its contexts, which StoreTlsContext has.
-        sealed = Sealed(stream, cast(Any, context), False)
-        await sealed.shake_hands()
+        # TlsStream needs only `client` and `wrap_bio` of its contexts, which StoreTlsContext has.
+        sealed = TlsStream(stream, cast(Any, context), False)
+        await sealed.handshake()
         return sealed
 
     async def _perform_handshake(self, channel: Channel, reader: codec.ReplyReader) -> Handshake:
