--- a/cresstray/background/__init__.py
+++ b/cresstray/background/__init__.py
@@ -1,1 +1,4 @@
-"""Work that is not a submission's: in turns, within a budget, and ended in order. docs/background.md."""
+"""Background jobs of a gateway: run between requests, within a time budget, and ended in order.
+
+See docs/background.md.
+"""
--- a/cresstray/gateway/composition.py
+++ b/cresstray/gateway/composition.py
@@ -191,7 +191,7 @@
 
         random_fraction = random.Random(self._process_seed()).random
         return worker.Worker(
-            schedule.Schedule(random_fraction, worker.TICK, worker.BUDGET),
+            schedule.Schedule(random_fraction, worker.TICK_US, worker.BUDGET_US),
             self.timers,
             self.clock,
             self.counters,
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -227,8 +227,8 @@
         """Starts the connections to control-plane nodes."""
         # A gateway that no configuration document lists would send in addition to all listed ones. Reachable
         # nodes say so in a lease; if none is reachable, the gateway serves with the smallest quota there is.
-        fallback = self._worker.does(
+        fallback = self._worker.add_job(
             "fallback quota", Priority.SAFETY, 0, lambda now_us: self.active_config.stop_waiting_for_list()
         )
-        self._worker.later(fallback, self._config.lease)
+        self._worker.wake_after(fallback, self._config.lease)
         tasks.start_soon(self.follower.run, tasks)
--- a/cresstray/gateway/membership_jobs.py
+++ b/cresstray/gateway/membership_jobs.py
@@ -43,17 +43,17 @@
         """Registers the jobs in the order in which they run at the end; `tasks` runs the probes."""
         self._tasks = tasks
         self._remember_request_names()
-        self._worker.does(
+        self._worker.add_job(
             "endpoint updates", Priority.SAFETY, _INTERVAL_US, self._apply_changes, _MAX_RETRY_PAUSE_US
         )
-        self._worker.does(
+        self._worker.add_job(
             "probe selection", Priority.SAFETY, _INTERVAL_US, self._queue_due_probes, _MAX_RETRY_PAUSE_US
         )
-        self._probe_job = self._worker.does(
+        self._probe_job = self._worker.add_job(
             "connection probes", Priority.SAFETY, 0, self._start_probes, _MAX_RETRY_PAUSE_US
         )
-        self._worker.does(
-            "membership snapshot", Priority.STATE, _INTERVAL_US, self._write_snapshots, last=self._hand_over
+        self._worker.add_job(
+            "membership snapshot", Priority.STATE, _INTERVAL_US, self._write_snapshots, final=self._hand_over
         )
 
     def _apply_changes(self, now_us: int) -> JobResult:
@@ -68,7 +68,7 @@
 
     def _start_probes(self, now_us: int) -> JobResult:
         started_count = self._membership.start_probes(self._tasks, self._clock.now)
-        self._worker.begun(PROBE_COST_US * started_count)
+        self._worker.charge(PROBE_COST_US * started_count)
         return JobResult.MORE if started_count else JobResult.DONE
 
     def _write_snapshots(self, now_us: int) -> None:
--- a/cresstray/gateway/shutdown.py
+++ b/cresstray/gateway/shutdown.py
@@ -85,7 +85,7 @@
         """Runs background jobs a last time, as the hand-over, while the last answers are written."""
         worker.stop(self._parts.clock.now(), _HAND_OVER_US)
         with anyio.move_on_after(_HAND_OVER_US / 1e6):
-            while not worker.over:
+            while not worker.is_finished:
                 await anyio.sleep(_WORKER_POLL_SECONDS)
         if self._parts.membership is not None:
             self._parts.membership.close()
--- a/cresstray/pipeline/idempotency_checks.py
+++ b/cresstray/pipeline/idempotency_checks.py
@@ -104,14 +104,14 @@
         controller.admission_rules = _RecordValidityRules(self.records, controller, clock.now)
 
     def _add_jobs(self, worker: Worker) -> None:
-        worker.does(
+        worker.add_job(
             "store connections",
             Priority.SERVICE,
             StoreClient.CHECK_INTERVAL_US,
             self._client.check_connections,
         )
-        self._write_job = worker.does(
-            "idempotency records", Priority.STATE, 0, self._run_background_step, last=self._run_shutdown_step
+        self._write_job = worker.add_job(
+            "idempotency records", Priority.STATE, 0, self._run_background_step, final=self._run_shutdown_step
         )
         worker.wake(self._write_job)
 
@@ -148,7 +148,7 @@
 
     def _run_background_step(self, now_us: int) -> None:
         is_busy = self.records.run_background_step(now_us)
-        self._worker.later(self._write_job, _BUSY_INTERVAL_US if is_busy else _IDLE_INTERVAL_US)
+        self._worker.wake_after(self._write_job, _BUSY_INTERVAL_US if is_busy else _IDLE_INTERVAL_US)
 
     def _run_shutdown_step(self, now_us: int) -> JobResult:
         """Writes, before the process ends, as much as the store and the disk accept in the remaining time."""
@@ -222,7 +222,7 @@
         """The request was answered, or its client has left."""
         self.records.on_request_finished(request, final_state, result, self._clock.now())
         if len(self.records.write_behind):
-            self._worker.later(self._write_job, _BUSY_INTERVAL_US)
+            self._worker.wake_after(self._write_job, _BUSY_INTERVAL_US)
 
 
 def _incarnation(seed: int, now_us: int) -> str:
--- a/cresstray/sites/links.py
+++ b/cresstray/sites/links.py
@@ -198,11 +198,11 @@
             self._say(f"{given.gateway} of {given.hall} takes links on {self.address[0]}:{self.address[1]}")
         for peer, outward in self._links:
             link = _Dialled(peer, outward, given.link.retry)
-            link.job = self._worker.does(
+            link.job = self._worker.add_job(
                 "links", Priority.SERVICE, 0, lambda now, link=link: self._dial(link), given.link.retry_most
             )
             self._worker.wake(link.job)
-        self._worker.does("absent", Priority.TIDY, _LOOK, self._look_for_absent)
+        self._worker.add_job("absent", Priority.TIDY, _LOOK, self._look_for_absent)
         self._tick(self._clock.now())
 
     def _tick(self, now: int) -> None:
@@ -236,7 +236,7 @@
     def _dial(self, link: _Dialled) -> None:
         self._tasks.start_soon(self._keep_up, link)
         # Danger: where all gateways of a hall come back at once, so many handshakes would hold up live work.
-        self._worker.begun(_DIAL if self._contexts is None else _DIAL_SEALED)
+        self._worker.charge(_DIAL if self._contexts is None else _DIAL_SEALED)
 
     async def _keep_up(self, link: _Dialled) -> None:
         given, outward = self._given.link, link.outward
@@ -250,7 +250,7 @@
         # Danger: on a link that flaps, or a hall that is gone, handshakes would cost both halls their time.
         link.pause = given.retry if now - began > _WORKED else min(2 * link.pause, given.retry_most)
         # Danger: all gateways of a hall find a cut at once, and would come back at once.
-        self._worker.later(link.job, int(link.pause * (0.75 + 0.5 * self._random())))
+        self._worker.wake_after(link.job, int(link.pause * (0.75 + 0.5 * self._random())))
 
     async def _made(self, peer: operator.Peer, outward: Outward) -> str:
         try:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -116,7 +116,7 @@
         timers = Timers(clock)
         given = operator.parse("file.conf", text).halls
         log = Log(given.gateway, clock)
-        turns = schedule.Schedule(lambda: 0.5, worker.TICK, worker.BUDGET)
+        turns = schedule.Schedule(lambda: 0.5, worker.TICK_US, worker.BUDGET_US)
         behind = worker.Worker(turns, timers, clock, counters, log)
         behind.start()
         return (
