--- a/benchmarks/replicas.py
+++ b/benchmarks/replicas.py
@@ -19,11 +19,11 @@
 import msgspec
 
 from cresstray.fleet_config.documents import Shard
-from cresstray.replicas.hints import Hint
-from cresstray.replicas.positions import Board
-from cresstray.replicas.read import _PART, _TIGHT, _TOLD
-from cresstray.replicas.replica_selection import candidates
-from cresstray.replicas.spread import Exchange, Peer, Word
+from cresstray.replicas.hints import ReadHint
+from cresstray.replicas.positions import PositionTable
+from cresstray.replicas.read import _MAX_AGE_DIVISOR, _MAX_AGE_LIFETIME_US, _MIN_STALENESS_LIFETIME_US
+from cresstray.replicas.replica_selection import choose_replicas
+from cresstray.replicas.spread import PositionMessage, PositionPeer, PositionRelay
 
 _ENGINES, _KEEPERS, _ZONES = 80, 3, 2
 _WITHINS = (500_000, 2_000_000, 10_000_000)
@@ -67,7 +67,7 @@
         placed = {name: truth.placed for name, truth in self.truths.items()}
         self.boards, self.keepers = self._boards(given.gateways, False), self._boards(_KEEPERS, True)
         for board in self.boards + self.keepers:
-            board.place(placed, 0)
+            board.set_placement(placed, 0)
         self.names = list(self.truths)
         self.heat = [1 / (n + 1) ** 0.8 for n in range(given.shards)]
         # A gateway's clients ask for some of the shards, each gateway for others.
@@ -79,14 +79,15 @@
         # By `within`: hinted, by copies, possible.
         self.counts = {within: [0, 0, 0] for within in _WITHINS}
         self.by_engine = dict.fromkeys((f"s-{engine:08x}" for engine in range(_ENGINES)), 0)
-        self.exchanges = [Exchange(board) for board in self.keepers] if asks else []
+        self.exchanges = [PositionRelay(board) for board in self.keepers] if asks else []
         self.placed = placed
         self.after(0, self._work)
-        self.links: list[tuple[Peer, Peer, int]] | None = None
+        self.links: list[tuple[PositionPeer, PositionPeer, int]] | None = None
         if shares:
             self.network = random.Random(given.seed + 1)
             self.links = [
-                (Peer(board), Peer(self.keepers[n % _KEEPERS]), n) for n, board in enumerate(self.boards)
+                (PositionPeer(board), PositionPeer(self.keepers[n % _KEEPERS]), n)
+                for n, board in enumerate(self.boards)
             ]
             if given.poll:
                 for engine in range(_ENGINES):
@@ -94,14 +95,14 @@
             for link in self.links:
                 self.after(self.network.randrange(given.every * 1000), self._exchange, *link)
             # The first keeper leads. Of two, the first one talks.
-            self.far: dict[Peer, Peer] = {
+            self.far: dict[PositionPeer, PositionPeer] = {
                 peer: far for here, there, _ in self.links for peer, far in ((here, there), (there, here))
             }
             self.at = {peer: n % _KEEPERS for _, peer, n in self.links}  # where a keeper's side of a link is
             self.of = {peer: n for link in self.links for peer, n in zip(link, (link[2],) * 2)}
             for n in range(_KEEPERS):
                 for other in range(n):
-                    peer, far = Peer(self.keepers[n]), Peer(self.keepers[other])
+                    peer, far = PositionPeer(self.keepers[n]), PositionPeer(self.keepers[other])
                     self.far |= {peer: far, far: peer}
                     self.at |= {peer: n, far: other}
                     self.after(0, self._exchange, peer, far, None)
@@ -109,8 +110,8 @@
                 self.after(1000, self._ask)
 
     @staticmethod
-    def _boards(count: int, passes_on: bool) -> list[Board]:
-        return [Board(passes_on=passes_on) for _ in range(count)]
+    def _boards(count: int, passes_on: bool) -> list[PositionTable]:
+        return [PositionTable(forwards_peer_positions=passes_on) for _ in range(count)]
 
     def after(self, delay: float, act: Callable[..., None], *given: Any) -> None:
         self.number += 1
@@ -133,7 +134,7 @@
         there, back = chance.uniform(1000, 5000), chance.uniform(5000, 40_000)
         if hinted:
             tight, since = self.asked[number].pop(name, (within, 0, 0))[:2]
-            if within <= tight or self.now - since > _TIGHT:
+            if within <= tight or self.now - since > _MIN_STALENESS_LIFETIME_US:
                 tight, since = within, self.now
             self.asked[number][name] = [tight, since, self.now]
             self._read(number, name, within, draw, there, self.links is not None)
@@ -141,13 +142,16 @@
         applied = truth.applied(engine, self.now + there)
         head = applied if engine == truth.placed.primary else None
         self.after(
-            there + back, lambda at=self.now: board.heard(name, engine, 1, applied, head, at, self.now)
+            there + back,
+            lambda at=self.now: board.record_report(name, engine, 1, applied, head, at, self.now),
         )
 
     def _read(self, number: int, name: str, within: int, draw: float, there: float, asks: bool) -> None:
         """`asks`: where no copy is known to do, the keeper is asked at once, and it waits for that."""
         truth, board = self.truths[name], self.boards[number]
-        found = candidates(Hint(False, within), name, truth.placed, board, self.now, _EXPECTED).copies
+        found = choose_replicas(
+            ReadHint(False, within), name, truth.placed, board, self.now, _EXPECTED
+        ).replicas
         if not found and asks:
             asked = self.asked[number].pop(name)
             self.asked[number][name] = asked
@@ -162,16 +166,23 @@
             self._count(truth, found, engine, within, there)
         applied = truth.applied(engine, self.now + there)
         head = applied if engine == truth.placed.primary else None
-        self.after(2 * there, lambda at=self.now: board.heard(name, engine, 1, applied, head, at, self.now))
+        self.after(
+            2 * there, lambda at=self.now: board.record_report(name, engine, 1, applied, head, at, self.now)
+        )
 
     def _waited(self, number: int, waits: list, only_if_found: bool = False) -> None:
         since, name, within, draw, there = waits
         if (
             waits not in self.waiting[number]
             or only_if_found
-            and not candidates(
-                Hint(False, within), name, self.truths[name].placed, self.boards[number], self.now, _EXPECTED
-            ).copies
+            and not choose_replicas(
+                ReadHint(False, within),
+                name,
+                self.truths[name].placed,
+                self.boards[number],
+                self.now,
+                _EXPECTED,
+            ).replicas
         ):
             return
         self.waiting[number].remove(waits)
@@ -188,7 +199,7 @@
         if found:
             self.broken += truth.age(truth.applied(engine, self.now + there), end) > within
 
-    def _exchange(self, here: Peer, there: Peer, number: int | None) -> None:
+    def _exchange(self, here: PositionPeer, there: PositionPeer, number: int | None) -> None:
         """A word, the answer to it, and the answer to that."""
         self.after(self.given.every * 1000, self._exchange, here, there, number)
         self._pass(here, there, number, 2)
@@ -206,7 +217,7 @@
         def came() -> None:
             for name, position in told:
                 primary = engine == self.truths[name].placed.primary
-                keeper.heard(name, engine, 1, position, position if primary else None, at, self.now)
+                keeper.record_report(name, engine, 1, position, position if primary else None, at, self.now)
 
         self.after(3000, came)
 
@@ -214,37 +225,43 @@
         return tuple(reversed(self.asked[number]))[: self.given.wants]
 
     def _needs(self, number: int, waits: str) -> list[tuple[int, int]]:
-        """As Reads.needs."""
+        """As HintedReads.max_ages_ms."""
         asked = self.asked[number]
         return [
             (place, young)
             for place, name in enumerate(self._wants(number))
             for young in ((0,) if name == waits else ())
-            + ((asked[name][0] // (1000 * _PART),) if self.now - asked[name][2] < _TOLD else ())
+            + (
+                (asked[name][0] // (1000 * _MAX_AGE_DIVISOR),)
+                if self.now - asked[name][2] < _MAX_AGE_LIFETIME_US
+                else ()
+            )
         ]
 
-    def _pass(self, speaker: Peer, hearer: Peer, number: int | None, left: int, waits: str = "") -> None:
+    def _pass(
+        self, speaker: PositionPeer, hearer: PositionPeer, number: int | None, left: int, waits: str = ""
+    ) -> None:
         keepers = number is None
         wants, needs = None, ()
         if not keepers and speaker is self.links[number][0]:
             wants = self._wants(number)
             needs = self._needs(number, waits) if self.exchanges else ()
-        word = speaker.says(self.given.most * (20 if keepers else 1), wants, self.now, needs)
+        word = speaker.make_message(self.given.most * (20 if keepers else 1), wants, self.now, needs)
         self._send(word, hearer, left, number)
 
-    def _send(self, word: Word, hearer: Peer, left: int, number: int | None) -> None:
+    def _send(self, word: PositionMessage, hearer: PositionPeer, left: int, number: int | None) -> None:
         if number is not None and self.now >= self.given.warm * 1_000_000:
             self.bytes += len(msgspec.msgpack.encode(word)) + _FRAME
 
         def came() -> None:
-            hearer.hears(word, self.now)
+            hearer.handle_message(word, self.now)
             for waits in list(self.waiting[number]) if number is not None else ():
                 self._waited(number, waits, True)
             if left:
                 self._pass(hearer, self.far[hearer], number, left - 1)
             at = self.at.get(hearer)
             if self.exchanges and at is not None:
-                self.exchanges[at].wanted(hearer, at == 0, self.now)
+                self.exchanges[at].handle_requests(hearer, at == 0, self.now)
                 self._look(at)
 
         self.after(self.network.uniform(500, 5000), came)
@@ -253,12 +270,12 @@
         """What keeper.joined does in each round."""
         exchange = self.exchanges[at]
         if at == 0:
-            for engine in exchange.due(self.placed, self.now):
+            for engine in exchange.due_engines(self.placed, self.now):
                 self._question(engine)
-        elif needs := exchange.asking.carried(32, self.now):
+        elif needs := exchange.poll_schedule.requests_to_forward(32, self.now):
             leaders = next(peer for peer, n in self.at.items() if not n and self.at.get(self.far[peer]) == at)
-            self._send(self.far[leaders].asks(needs, self.now), leaders, 0, None)
-        for peer, word in exchange.tells(self.now):
+            self._send(self.far[leaders].make_request(needs, self.now), leaders, 0, None)
+        for peer, word in exchange.urgent_messages(self.now):
             self._send(word, self.far[peer], 0, self.of.get(peer))
 
     def _ask(self) -> None:
@@ -279,10 +296,10 @@
         ]
 
         def came() -> None:
-            self.exchanges[0].heard(engine, asked)
+            self.exchanges[0].record_reply(engine, asked)
             for name, position, is_primary in told:
                 head = position if is_primary else None
-                self.keepers[0].heard(name, engine, 1, position, head, asked, self.now)
+                self.keepers[0].record_report(name, engine, 1, position, head, asked, self.now)
             self._look(0)
 
         self.after(2 * there, came)
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -14,8 +14,14 @@
 from cresstray.placement.data_transfer import Hands
 from cresstray.placement.move_executor import Carrier, Disk, Entry
 from cresstray.placement.moves import Moves
-from cresstray.replicas.positions import Board
-from cresstray.replicas.spread import MOST_WANTED, Exchange, Peer, Talk, encoded
+from cresstray.replicas.positions import PositionTable
+from cresstray.replicas.spread import (
+    MAX_WANTED_SHARDS,
+    LinkPositionExchange,
+    PositionPeer,
+    PositionRelay,
+    encode_message,
+)
 
 # Shards in one message to another node. 5,000 shards take about twenty seconds; those that change go first.
 _MAX_SHARDS = 64
@@ -27,11 +33,11 @@
 _MOVE_CHECK_INTERVAL_US = 100_000
 
 
-class _NodeTalk(Talk):
+class _NodePositionExchange(LinkPositionExchange):
     """An exchange of positions that passes on what the peer wants."""
 
-    def __init__(self, positions: PositionDistributor, board: Board) -> None:
-        super().__init__(board, _MAX_SHARDS)
+    def __init__(self, positions: PositionDistributor, table: PositionTable) -> None:
+        super().__init__(table, _MAX_SHARDS)
         self._positions, self._full_sent_at_us = positions, -_MIN_FULL_INTERVAL_US
 
     def next_message(self, now_us: int) -> bytes:
@@ -41,7 +47,7 @@
             # Otherwise each message of a node that only asks would be answered with all new positions.
             max_shards = 0 if now_us - self._full_sent_at_us < _MIN_FULL_INTERVAL_US else _MAX_SHARDS
             self._full_sent_at_us = now_us if max_shards else self._full_sent_at_us
-        return encoded(self.peer.says(max_shards, None, now_us))
+        return encode_message(self.peer.make_message(max_shards, None, now_us))
 
     def on_message(self, body: bytes, now_us: int) -> None:
         """Handles the body of a message of the peer."""
@@ -57,55 +63,59 @@
     """
 
     def __init__(self, drift: float, log_event: Callable[..., None], counters: Counters) -> None:
-        self._board = Board(lambda text: log_event("replicas", text), drift, passes_on=True)
-        self._exchange, self._counters = Exchange(self._board), counters
+        self._table = PositionTable(
+            lambda text: log_event("replicas", text), drift, forwards_peer_positions=True
+        )
+        self._exchange, self._counters = PositionRelay(self._table), counters
         self._controller: NodeController
         self._poll_engines: Callable[[list[str]], None]
 
-    def new_exchange(self) -> Talk:
+    def new_exchange(self) -> LinkPositionExchange:
         """Returns the exchange for a new link."""
-        return _NodeTalk(self, self._board)
+        return _NodePositionExchange(self, self._table)
 
-    def handle_requests(self, peer: Peer, now_us: int) -> None:
+    def handle_requests(self, peer: PositionPeer, now_us: int) -> None:
         """Handles the requests for positions in a peer's last message."""
-        self._exchange.wanted(peer, self._controller.is_ready_leader(now_us), now_us)
+        self._exchange.handle_requests(peer, self._controller.is_ready_leader(now_us), now_us)
 
     def on_disk_report(self, disk: Disk, now_us: int) -> bool:
         """Records an engine's report of all its replicas; returns whether any peer waits for positions."""
         for shard, replica in disk.copies.items():
             head = replica.head if replica.primary else None
-            self._board.heard(shard, disk.engine, replica.epoch, replica.applied, head, disk.at, now_us)
-        return self._exchange.heard(disk.engine, disk.at)
+            self._table.record_report(
+                shard, disk.engine, replica.epoch, replica.applied, head, disk.at, now_us
+            )
+        return self._exchange.record_reply(disk.engine, disk.at)
 
     def attach(self, controller: NodeController, poll_engines: Callable[[list[str]], None]) -> None:
         """Connects to the controller; `poll_engines` polls the named engines at once."""
         self._controller, self._poll_engines = controller, poll_engines
         controller.turn_hooks.append(
-            lambda now_us: self._board.place(controller.state.effective.placement.items, now_us)
+            lambda now_us: self._table.set_placement(controller.state.effective.placement.items, now_us)
         )
         controller.round_hooks.append(self._on_round)
 
     def _on_round(self, now_us: int) -> int | None:
         controller, exchange = self._controller, self._exchange
         if controller.is_ready_leader(now_us):
-            engines = exchange.due(controller.state.effective.placement.items, now_us)
+            engines = exchange.due_engines(controller.state.effective.placement.items, now_us)
             if engines:
                 self._counters.add("positions asked for", len(engines))
                 self._poll_engines(engines)
-        elif needs := exchange.asking.carried(MOST_WANTED, now_us):
+        elif needs := exchange.poll_schedule.requests_to_forward(MAX_WANTED_SHARDS, now_us):
             # Requests aren't kept while there is no leader, as the next one would be asked for outdated ones.
             for peer, link in self._peer_links(controller.node.leader):
                 self._counters.add("positions asked of the leader", len(needs))
-                link.put(ReplicaPositions(encoded(peer.asks(needs, now_us))))
-        urgent = exchange.tells(now_us)
+                link.put(ReplicaPositions(encode_message(peer.make_request(needs, now_us))))
+        urgent = exchange.urgent_messages(now_us)
         if urgent:
             links = dict(self._peer_links())
             for peer, message in urgent:
                 if peer in links:
-                    links[peer].put(ReplicaPositions(encoded(message)))
-        return exchange.again()
+                    links[peer].put(ReplicaPositions(encode_message(message)))
+        return exchange.next_due_us()
 
-    def _peer_links(self, keeper: str | None = "") -> list[tuple[Peer, PeerLink]]:
+    def _peer_links(self, keeper: str | None = "") -> list[tuple[PositionPeer, PeerLink]]:
         """Returns peers and their links: all, or those to one node."""
         controller = self._controller
         outgoing = [
--- a/cresstray/emulators/fleet/shards.py
+++ b/cresstray/emulators/fleet/shards.py
@@ -32,8 +32,8 @@
 from cresstray.emulators.world import KINDS, _free_port
 from cresstray.fleet_config import documents
 from cresstray.placement import data_transfer as carry
-from cresstray.replicas.fallback import SHARE, WINDOW
-from cresstray.replicas.sessions import parsed
+from cresstray.replicas.fallback import FALLBACK_SHARE, FALLBACK_WINDOW_US
+from cresstray.replicas.sessions import parse_token
 
 _READ, _WRITE = KINDS[0], KINDS[3]  # an idempotent tariff and one that runs at most once
 # What two processes' looks at one clock, and a read's way to its client, may add to a stated age.
@@ -368,7 +368,7 @@
             verdict.lines.append(f"went back: {told} at {shown} behind {at_most[key]}")
         if told.at is not None:
             at_most[key] = max(at_most.get(key, 0), shown.position)
-            asked_for[key] = parsed(told.at).position if told.at.count(".") == 3 else 0
+            asked_for[key] = parse_token(told.at).position if told.at.count(".") == 3 else 0
         missed = max(
             (position for at, position in acknowledged[told.shard] if at < shown.at - told.within - _SLACK),
             default=0,
@@ -397,9 +397,9 @@
     What one takes is held against it before it goes out, as expected: wider by 15 in 100 and two reads.
     """
     level, before, over = 0.0, 0.0, 0
-    most = SHARE * cores * WINDOW / 1e6
+    most = FALLBACK_SHARE * cores * FALLBACK_WINDOW_US / 1e6
     for began, ended in reads:
-        level = max(0.0, level - SHARE * cores * (began - before)) + (ended - began)
+        level = max(0.0, level - FALLBACK_SHARE * cores * (began - before)) + (ended - began)
         before = began
         over += level > 1.15 * most + 2 * (ended - began)
     return over
--- a/cresstray/fleet_config/admission.py
+++ b/cresstray/fleet_config/admission.py
@@ -213,7 +213,7 @@
             return shard is None or name == shard.primary
         if shard is None or name not in (*shard.reads, shard.primary):
             return False
-        return bool(read.takes(name, now))
+        return bool(read.may_run_on(name, now))
 
     def _has_room(
         self, request: Request, engine: Engine, name: str, rule: EngineRule, config: EffectiveConfig
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -27,9 +27,9 @@
 from cresstray.pipeline.routing import Router
 from cresstray.policy.controller import PolicyController
 from cresstray.policy.types import Engine, Request
-from cresstray.replicas.positions import Board
-from cresstray.replicas.read import Reads
-from cresstray.replicas.spread import Talk
+from cresstray.replicas.positions import PositionTable
+from cresstray.replicas.read import HintedReads
+from cresstray.replicas.spread import LinkPositionExchange
 
 # Shards whose positions one message to a control-plane node sends or requests. Four messages a second then
 # take about a kilobyte, see docs/replicas.md.
@@ -49,7 +49,7 @@
     def __init__(
         self,
         admission: ConfigAdmissionRules,
-        reads: Reads,
+        reads: HintedReads,
         now_us: Callable[[], int],
         request_positions: Callable[[], None],
     ) -> None:
@@ -73,8 +73,8 @@
     def allows(self, request: Request, engine: Engine, now_us: int) -> bool:
         """Returns whether the request may be sent to the engine, at the time when the decision started."""
         is_allowed = self._admission.allows(request, engine, self._decision_start_us)
-        if self._reads.urgent:
-            self._reads.urgent = False
+        if self._reads.needs_urgent_request:
+            self._reads.needs_urgent_request = False
             self._request_positions()
         return is_allowed
 
@@ -83,22 +83,24 @@
         return self._admission.retry_budget_scale(request, self._now_us())
 
 
-class _PositionExchange(Talk):
+class _PositionExchange(LinkPositionExchange):
     """Exchanges replica positions on one link; calls back if reads were waiting for the received ones."""
 
-    def __init__(self, board: Board, reads: Reads, on_awaited_positions: Callable[[], None]) -> None:
+    def __init__(
+        self, table: PositionTable, reads: HintedReads, on_awaited_positions: Callable[[], None]
+    ) -> None:
         super().__init__(
-            board,
+            table,
             _MAX_SHARDS_PER_MESSAGE,
-            lambda now_us: reads.wanted(now_us)[:_MAX_SHARDS_PER_MESSAGE],
-            lambda now_us: reads.needs(now_us, _MAX_SHARDS_PER_MESSAGE),
+            lambda now_us: reads.wanted_shards(now_us)[:_MAX_SHARDS_PER_MESSAGE],
+            lambda now_us: reads.max_ages_ms(now_us, _MAX_SHARDS_PER_MESSAGE),
         )
         self._reads = reads
         self._on_awaited_positions = on_awaited_positions
 
     def on_message(self, body: bytes, now_us: int) -> None:
         super().on_message(body, now_us)
-        if self._reads.waits(now_us):
+        if self._reads.is_waiting(now_us):
             self._on_awaited_positions()
 
 
@@ -135,11 +137,11 @@
         random_fraction = random.Random(seed).random
         self.active_config = self._make_active_config(incarnation)
         self.directory = EngineDirectory(settings.get("Localities", []))
-        board = Board(lambda text: log.log("replicas", text), config.drift)
-        self._reads = self._make_reads(board, counters, random_fraction)
+        table = PositionTable(lambda text: log.log("replicas", text), config.drift)
+        self._reads = self._make_reads(table, counters, random_fraction)
         self._is_retry_scheduled = False  # of a request for positions
         admission = self._make_admission(settings, counters)
-        self.follower = self._make_follower(board, clock, counters, random_fraction)
+        self.follower = self._make_follower(table, clock, counters, random_fraction)
         rules = FleetAdmissionRules(admission, self._reads, clock.now, self._request_positions)
         controller.admission_rules = rules
         replica_reads = ReplicaReads(self._reads, self.directory)
@@ -148,7 +150,7 @@
         ingress.replica_reads = replica_reads
 
     def _make_follower(
-        self, board: Board, clock: Clock, counters: Counters, random_fraction: Callable[[], float]
+        self, table: PositionTable, clock: Clock, counters: Counters, random_fraction: Callable[[], float]
     ) -> ConfigFollower:
         return ConfigFollower(
             self._config,
@@ -157,14 +159,16 @@
             random_fraction,
             clock.now,
             counters,
-            lambda: _PositionExchange(board, self._reads, self._schedule_dispatch),
+            lambda: _PositionExchange(table, self._reads, self._schedule_dispatch),
             self._on_link_changed,
         )
 
-    def _make_reads(self, board: Board, counters: Counters, random_fraction: Callable[[], float]) -> Reads:
+    def _make_reads(
+        self, table: PositionTable, counters: Counters, random_fraction: Callable[[], float]
+    ) -> HintedReads:
         directory = self.directory
-        return Reads(
-            board,
+        return HintedReads(
+            table,
             self.active_config,
             counters,
             random_fraction,
@@ -196,7 +200,7 @@
         )
 
     def _on_link_changed(self, is_linked: bool) -> None:
-        self._reads.patience = _POSITIONS_TIMEOUT_US if is_linked else 0
+        self._reads.positions_timeout_us = _POSITIONS_TIMEOUT_US if is_linked else 0
 
     def _request_positions(self) -> None:
         """Requests positions from a control-plane node at once, for a read that waits for them only."""
@@ -207,13 +211,17 @@
     def _send_positions_request(self) -> None:
         self.follower.request_positions()
         # A request too soon after another is not sent. It is retried unless no node is connected.
-        if self._reads.untold() and self._reads.patience and not self._is_retry_scheduled:
+        if (
+            self._reads.has_unsent_requests()
+            and self._reads.positions_timeout_us
+            and not self._is_retry_scheduled
+        ):
             self._is_retry_scheduled = True
             self._timers.call_after(_POSITIONS_RETRY_US, self._retry_positions_request)
 
     def _retry_positions_request(self, now_us: int) -> None:
         self._is_retry_scheduled = False
-        if self._reads.untold():
+        if self._reads.has_unsent_requests():
             self._send_positions_request()
 
     def _schedule_dispatch(self) -> None:
--- a/cresstray/pipeline/accounting.py
+++ b/cresstray/pipeline/accounting.py
@@ -42,7 +42,7 @@
         context = self._answer(request, "succeeded")
         if context is not None:
             read = request.replica_read
-            position = read.at() if read is not None else None
+            position = read.token() if read is not None else None
             context.responder.succeed(context.number, result, position)
             self._notify_idempotency(request, "succeeded", result)
 
--- a/cresstray/pipeline/replica_reads.py
+++ b/cresstray/pipeline/replica_reads.py
@@ -7,7 +7,7 @@
 from cresstray.discovery.endpoint_list import EndpointEvent
 from cresstray.pipeline.request_context import Query
 from cresstray.policy.types import Attempt, Engine, Request, RequestClass
-from cresstray.replicas.read import Read, Reads
+from cresstray.replicas.read import HintedRead, HintedReads
 
 # Sticky reads may refer to engines that were removed. The zones of removed engines are bounded, because new
 # engine ids keep appearing for as long as the process runs.
@@ -67,37 +67,37 @@
 class ReplicaReads:
     """Tracks hinted reads through the pipeline: which replica they were sent to and what it reported."""
 
-    def __init__(self, reads: Reads, directory: EngineDirectory) -> None:
+    def __init__(self, reads: HintedReads, directory: EngineDirectory) -> None:
         self.reads = reads
         self.directory = directory
 
     def parse_hint(
         self, statement: str, query: Query, request_class: RequestClass, now_us: int
-    ) -> Read | None:
+    ) -> HintedRead | None:
         """Returns the read that the statement's hint asks for; None without a hint.
 
         Raises:
             HintError: the hint cannot be followed.
         """
-        return self.reads.hint(statement, request_class, now_us, query.class_name, query.tenant)
+        return self.reads.parse_hint(statement, request_class, now_us, query.class_name, query.tenant)
 
-    def attach(self, request: Request, read: Read) -> None:
+    def attach(self, request: Request, read: HintedRead) -> None:
         """Links a request and its hinted read."""
         request.replica_read = read
-        read.submission = request
+        read.request = request
 
     def on_attempt_sent(self, attempt: Attempt, chosen_us: int) -> None:
         """An attempt is handed to the dispatcher; `chosen_us` is when the policy chose its engine."""
         read = attempt.request.replica_read
         name = self.directory.ids.get(attempt.engine)
         if read is not None and name is not None:
-            read.sent(name, chosen_us)
+            read.on_sent(name, chosen_us)
 
     def on_attempt_finished(self, attempt: Attempt, report: Mapping[str, float] | None, now_us: int) -> None:
         """An attempt, hinted or not, has its outcome; called before its request is answered."""
         name = self.directory.ids.get(attempt.engine)
         read = attempt.request.replica_read
         if name is not None and report:
-            self.reads.heard(name, report, attempt.sent_us, now_us)
+            self.reads.record_report(name, report, attempt.sent_us, now_us)
         if read is not None:
-            read.came_back(report or {}, now_us - attempt.sent_us, now_us)
+            read.on_finished(report or {}, now_us - attempt.sent_us, now_us)
--- a/cresstray/policy/types.py
+++ b/cresstray/policy/types.py
@@ -13,7 +13,7 @@
     from cresstray.policy.engine_state import EngineState
     from cresstray.policy.latency_estimate import LatencyEstimate
     from cresstray.policy.ports import ForwardingRoute
-    from cresstray.replicas.read import Read
+    from cresstray.replicas.read import HintedRead
 
 
 class Outcome(Enum):
@@ -128,7 +128,7 @@
     is_forwarded_in: bool = False  # by another site: gets one attempt here, and is never forwarded again
     max_queue_us: int = 0  # the longest time in the queue of a request that was forwarded in
     was_forwarded: bool = False  # to another site; at most once
-    replica_read: Read | None = None  # set if the request may read a replica
+    replica_read: HintedRead | None = None  # set if the request may read a replica
 
 
 @dataclass(slots=True, eq=False)
--- a/cresstray/replicas/__init__.py
+++ b/cresstray/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""Reads pinned to copies with a bound on how old what they see may be."""
+"""Reads that replicas serve within a staleness bound that the client's hint sets."""
--- a/cresstray/replicas/fallback.py
+++ b/cresstray/replicas/fallback.py
@@ -1,51 +1,68 @@
-"""What falls back from copies to primaries, bounded over the fleet: no primary falls as all copies lag."""
+"""Limits the reads that fall back from replicas to primaries over the whole fleet.
+
+Without the limit, primaries would be overloaded when all replicas lag.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Of a primary's cores. Its own work was placed to fit without this; a tenth is what a well-filled engine
-# spares, and all gateways take it at once when copies lag for the same reason.
-SHARE = 0.1
-# What was not used is kept for so long: reads come in clumps.
-WINDOW = 1_000_000
-# Danger: primaries come and go for days. What is paid back is forgotten beyond so many.
-_MOST = 1024
+# The part of a primary's cores that fallback reads may use. Its own work was placed without regard to them; a
+# well-filled engine has a tenth to spare, and all gateways use it at once when replicas lag for one reason.
+FALLBACK_SHARE = 0.1
+# An unused quota is kept this long, as reads come in bursts.
+FALLBACK_WINDOW_US = 1_000_000
+# Entries are removed beyond this number, once their quota is available again: primaries keep changing for as
+# long as the process runs.
+_MAX_PRIMARIES = 1024
+
 
+class FallbackQuota:
+    """This gateway's part of the fleet's quota for fallback reads.
 
-class Share:
-    """This gateway's part. In any `t` us the fleet sends a primary at most SHARE * cores * (t + WINDOW)
-    microseconds of threads, and a read that is wider than a gateway's part of a window instead of WINDOW."""
+    In any `t` microseconds the fleet sends a primary fallback reads of at most
+    `FALLBACK_SHARE * cores * (t + FALLBACK_WINDOW_US)` microseconds of threads, where a single read that is
+    larger than a gateway's part of the window replaces FALLBACK_WINDOW_US.
+    """
 
-    def __init__(self, chance: Callable[[], float]) -> None:
-        self._chance = chance
-        self._paid: dict[str, float] = {}  # of each primary: until when its share is used up
-        self._draws: dict[str, tuple[int, float]] = {}
+    def __init__(self, random_fraction: Callable[[], float]) -> None:
+        self._random_fraction = random_fraction
+        self._used_until_us: dict[str, float] = {}  # by primary: until when its quota is used up
+        self._draws: dict[str, tuple[int, float]] = {}  # by primary: the window and the number drawn for it
 
-    def admits(self, primary: str, cost: int, cores: float, gateways: int, now: int) -> bool:
-        """Whether a read of `cost` microseconds of threads may fall back; `gateways`: those in force."""
-        if gateways <= 0 or cores <= 0:
+    def admits(
+        self, primary: str, thread_time_us: int, cores: float, gateway_count: int, now_us: int
+    ) -> bool:
+        """Returns whether a read may fall back; `gateway_count`: gateways in force."""
+        if gateway_count <= 0 or cores <= 0:
             return False
-        takes = cost * gateways / (SHARE * cores)  # for so long it uses up this gateway's part
-        owed = max(0.0, self._paid.get(primary, 0.0) - now)
-        if takes <= WINDOW:
-            return owed + takes <= WINDOW
-        # Danger: reads wider than a gateway's part come from all gateways at once when all copies lag. A draw
-        # a window for each lets as much work through as its part is, summed over the fleet.
-        return owed == 0 and self._draw(primary, now) * takes < WINDOW
-
-    def _draw(self, primary: str, now: int) -> float:
-        window = now // WINDOW
+        # For this long the read uses up this gateway's part.
+        duration_us = thread_time_us * gateway_count / (FALLBACK_SHARE * cores)
+        owed_us = max(0.0, self._used_until_us.get(primary, 0.0) - now_us)
+        if duration_us <= FALLBACK_WINDOW_US:
+            return owed_us + duration_us <= FALLBACK_WINDOW_US
+        # Reads larger than a gateway's part come from all gateways at once when all replicas lag. One random
+        # number per window and gateway admits as much work, summed over the fleet, as the parts allow.
+        return owed_us == 0 and self._draw(primary, now_us) * duration_us < FALLBACK_WINDOW_US
+
+    def _draw(self, primary: str, now_us: int) -> float:
+        window = now_us // FALLBACK_WINDOW_US
         if self._draws.get(primary, (-1,))[0] != window:
-            if len(self._draws) >= _MOST:
+            if len(self._draws) >= _MAX_PRIMARIES:
                 self._draws.clear()
-            self._draws[primary] = (window, self._chance())
+            self._draws[primary] = (window, self._random_fraction())
         return self._draws[primary][1]
 
-    def charge(self, primary: str, cost: int, cores: float, gateways: int, now: int) -> None:
-        """Sent; or it took so much more than was charged."""
-        if gateways <= 0 or cores <= 0:
+    def charge(
+        self, primary: str, thread_time_us: int, cores: float, gateway_count: int, now_us: int
+    ) -> None:
+        """Charges a read that was sent, or the time by which it exceeded what was charged."""
+        if gateway_count <= 0 or cores <= 0:
             return
-        if len(self._paid) >= _MOST and primary not in self._paid:
-            self._paid = {one: until for one, until in self._paid.items() if until > now}
-        self._paid[primary] = max(now, self._paid.get(primary, 0.0)) + cost * gateways / (SHARE * cores)
+        if len(self._used_until_us) >= _MAX_PRIMARIES and primary not in self._used_until_us:
+            self._used_until_us = {
+                name: until_us for name, until_us in self._used_until_us.items() if until_us > now_us
+            }
+        self._used_until_us[primary] = max(
+            now_us, self._used_until_us.get(primary, 0.0)
+        ) + thread_time_us * gateway_count / (FALLBACK_SHARE * cores)
--- a/cresstray/replicas/hints.py
+++ b/cresstray/replicas/hints.py
@@ -1,5 +1,7 @@
-"""What a client asks of a read, in the first comment of its statement:
-`/*+ cresstray read=replica within=2s session=ab12 after=16.3.1yea.j else=primary */`."""
+"""Parses read hints, which clients put in the first comment of a statement.
+
+Example: `/*+ cresstray read=replica within=2s session=ab12 after=16.3.1yea.j else=primary */`.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +10,15 @@
 
 import msgspec
 
-from cresstray.replicas.sessions import Token, parsed
+from cresstray.replicas.sessions import SessionToken, parse_token
 from cresstray.tables import first_comment
 
 _WORD = re.compile(r"[^\s=]+=\S*|\S+")
-_SPAN = re.compile(r"(\d{1,9})(ms|s|m)")
-_UNITS = {"ms": 1000, "s": 1_000_000, "m": 60_000_000}
-# Below 10 ms no round trip could show it; beyond ten minutes nothing is remembered of a head.
-_LEAST, _MOST = 10_000, 600_000_000
+_DURATION = re.compile(r"(\d{1,9})(ms|s|m)")
+_UNITS_US = {"ms": 1000, "s": 1_000_000, "m": 60_000_000}
+# A staleness below 10 ms is less than a round trip and can't be shown; head positions are remembered for ten
+# minutes at most.
+_MIN_STALENESS_US, _MAX_STALENESS_US = 10_000, 600_000_000
 _SESSION = re.compile(r"[0-9A-Za-z_.:-]{1,64}")
 _KEYS = ("read", "within", "session", "after", "else")
 
@@ -24,24 +27,38 @@
     """A hint that can't be followed; its text says why."""
 
 
-class Else(Enum):
-    """What becomes of a read that no copy may serve."""
+class Fallback(Enum):
+    """What happens to a read that no replica may serve."""
 
     PRIMARY = "primary"
     WAIT = "wait"
     DENY = "deny"
 
 
-class Hint(msgspec.Struct, frozen=True):
-    primary: bool  # read=primary: nothing else may serve it
-    within: int = 0  # microseconds
+class ReadHint(msgspec.Struct, frozen=True):
+    """A parsed read hint.
+
+    Attributes:
+        is_primary: Whether the read must go to the primary (`read=primary`).
+        max_staleness_us: How old the data that the read shows may be.
+        session: The session that keeps to one replica; None: no session.
+        after: The position that the read must include; None: any.
+        fallback: What happens if no replica may serve the read.
+    """
+
+    is_primary: bool = msgspec.field(name="primary")
+    max_staleness_us: int = msgspec.field(name="within", default=0)
     session: str | None = None
-    after: Token | None = None
-    otherwise: Else = Else.PRIMARY
+    after: SessionToken | None = None
+    fallback: Fallback = msgspec.field(name="otherwise", default=Fallback.PRIMARY)
+
 
+def parse_hint(statement: str) -> ReadHint | None:
+    """Returns the hint of a statement; None if its first comment is not a hint for cresstray.
 
-def read_hint(statement: str) -> Hint | None:
-    """None where its first comment is no hint of ours; HintError where it is one that can't be followed."""
+    Raises:
+        HintError: the hint can't be followed.
+    """
     if "cresstray" not in statement:
         return None
     comment = first_comment(statement)
@@ -52,55 +69,55 @@
         return None
     if len(comment) < 5 or not comment.endswith("*/"):
         raise HintError("the hint has no end")
-    given: dict[str, str] = {}
+    options: dict[str, str] = {}
     for word in words[1:]:
         key, equals, value = word.partition("=")
         if key not in _KEYS:
             raise HintError(f"{key[:40]!r} is none of {', '.join(_KEYS)}")
         if not equals or not value:
             raise HintError(f"{key} without a value")
-        if key in given:
+        if key in options:
             raise HintError(f"{key} stands twice")
-        given[key] = value
-    return _checked(given)
+        options[key] = value
+    return _validated_hint(options)
 
 
-def _checked(given: dict[str, str]) -> Hint:
-    read = given.get("read")
+def _validated_hint(options: dict[str, str]) -> ReadHint:
+    read = options.get("read")
     if read is None:
         raise HintError("read=replica or read=primary is missing")
     if read not in ("replica", "primary"):
         raise HintError(f"read={read[:40]} is neither replica nor primary")
-    after = _after(given["after"]) if "after" in given else None
+    after = _parse_after(options["after"]) if "after" in options else None
     if read == "primary":
         for key in ("within", "session", "else"):
-            if key in given:
+            if key in options:
                 raise HintError(f"{key} contradicts read=primary")
-        return Hint(True, after=after)
-    if "within" not in given:
+        return ReadHint(True, after=after)
+    if "within" not in options:
         raise HintError("read=replica without within")
-    session = given.get("session")
+    session = options.get("session")
     if session is not None and not _SESSION.fullmatch(session):
         raise HintError("session takes 1 to 64 letters, digits, and _ . : -")
     try:
-        otherwise = Else(given.get("else", "primary"))
+        fallback = Fallback(options.get("else", "primary"))
     except ValueError:
-        raise HintError(f"else={given['else'][:40]} is none of primary, wait, deny") from None
-    return Hint(False, _within(given["within"]), session, after, otherwise)
+        raise HintError(f"else={options['else'][:40]} is none of primary, wait, deny") from None
+    return ReadHint(False, _parse_staleness(options["within"]), session, after, fallback)
 
 
-def _within(text: str) -> int:
-    found = _SPAN.fullmatch(text)
-    if not found:
+def _parse_staleness(text: str) -> int:
+    match = _DURATION.fullmatch(text)
+    if not match:
         raise HintError(f"within={text[:40]} is no time such as 500ms or 2s")
-    span = int(found[1]) * _UNITS[found[2]]
-    if not _LEAST <= span <= _MOST:
+    staleness_us = int(match[1]) * _UNITS_US[match[2]]
+    if not _MIN_STALENESS_US <= staleness_us <= _MAX_STALENESS_US:
         raise HintError(f"within={text} is out of range, 10ms to 10m")
-    return span
+    return staleness_us
 
 
-def _after(text: str) -> Token:
+def _parse_after(text: str) -> SessionToken:
     try:
-        return parsed(text)
-    except ValueError as trouble:
-        raise HintError(f"after={text[:40]} {trouble}") from None
+        return parse_token(text)
+    except ValueError as error:
+        raise HintError(f"after={text[:40]} {error}") from None
--- a/cresstray/replicas/position_polling.py
+++ b/cresstray/replicas/position_polling.py
@@ -1,9 +1,9 @@
-"""Which engines a keeper asks for positions now, out of what its gateways want.
+"""Decides which engines a control-plane node polls for positions, given what its gateways request.
 
-A shard is wanted with how young its positions are to be. Its primary is asked again and again by that, as a
-head that nobody saw then can't be asked for later. Its copies are asked when a read waits for them, and the
-primary before them where its head is not young either: a head tells how old all copies are, a position only
-its own copy's.
+A shard is requested with the maximum age of its positions. Its primary is polled repeatedly by that age, as a
+past head can't be queried later. Its replicas are polled when a read waits for them, and the primary before
+them if its head is outdated as well: a head bounds the staleness of all replicas, an applied position only
+that of its own replica.
 """
 
 from __future__ import annotations
@@ -11,169 +11,229 @@
 import heapq
 from collections.abc import Iterable, Mapping
 
-from cresstray.replicas.positions import Shard
-
-# Questions to one engine are so far apart, in microseconds: 40 a second at the most, beside those that the
-# hands put each half second. A read waits for 30 ms, and finds the answer to the question before.
-_APART = 25_000
-# Over all engines a second, and at once. An answer with 8 copies takes a keeper 40 us, with 50 copies 220 us:
-# 2 or 11 in 100 of a core, whatever is wanted. 80 engines get six a second each of it (docs/replicas.md).
-_IN_ALL, _AT_ONCE = 500, 50
-# A shard that no word has named for so long is not asked for: gateways name theirs four times in that.
-_HELD = 1_000_000
-# How young positions are to be where nobody said, and the youngest that may be asked for again and again: for
-# a bound of 0.3 s and above that is as much as copies that follow each 50 ms need.
-_YOUNG, _YOUNGEST = 500_000, 60_000
-# An engine that has not answered within this is asked half as often each time, at last each 8 s. Its line is
-# given up after three seconds.
-_SILENT, _LONGEST = 250_000, 8_000_000
-# Once the bound over all is reached, engines are looked at each so often.
-_STEP = 5_000
-# Shards that came since engines were last looked at. Danger: 1,024 gateways may want anything.
-_MOST = 4096
-# What has been passed on to the leader is not passed on again for so long; for a read that waits, and else.
-_AGAIN_WAITS, _AGAIN = 20_000, 250_000
-
-
-class _Engine:
-    __slots__ = ("asked", "out", "silent", "period", "until", "waits", "head", "queued")
+from cresstray.replicas.positions import ShardPlacement
+
+# Minimum interval between polls of one engine: at most 40 a second, in addition to the polls each half second
+# for data transfers. A read waits 30 ms, which is long enough to receive the reply to the preceding poll.
+_MIN_INTERVAL_US = 25_000
+# Polls of all engines per second, and at once. A reply with 8 replicas takes a control-plane node 40 us, with
+# 50 replicas 220 us: 2% or 11% of a core, whatever is requested. Each of 80 engines gets six a second
+# (docs/replicas.md).
+_MAX_POLLS_PER_S, _MAX_BURST = 500, 50
+# A shard that no message has requested for this long is not polled; gateways repeat requests four times in
+# this time.
+_REQUEST_LIFETIME_US = 1_000_000
+# Maximum age of positions if none was requested, and the smallest one for repeated polls: sufficient for a
+# staleness of 0.3 s and above with replicas that apply writes each 50 ms.
+_DEFAULT_MAX_AGE_US, _MIN_MAX_AGE_US = 500_000, 60_000
+# An engine that has not replied within this time is polled half as often after each poll, finally each 8 s.
+# Its connection is closed after three seconds.
+_REPLY_TIMEOUT_US, _MAX_INTERVAL_US = 250_000, 8_000_000
+# Interval of checks of engines while the limit over all engines is reached.
+_CHECK_INTERVAL_US = 5_000
+# Limits the shards requested since engines were last checked: 1,024 gateways may request any number.
+_MAX_REQUESTED_SHARDS = 4096
+# Minimum intervals of forwarding the same request to the leader, for a waiting read and otherwise.
+_URGENT_FORWARD_INTERVAL_US, _FORWARD_INTERVAL_US = 20_000, 250_000
+
+
+class _EngineState:
+    """The polls of one engine.
+
+    Attributes:
+        polled_us: When the last poll was sent.
+        is_unanswered: Whether that poll is unanswered.
+        unanswered_count: Unanswered polls in a row.
+        interval_us: The interval of polls.
+        requested_until_us: When these polls end.
+        has_waiting_read: Whether a read waits for its positions.
+        has_head_request: Whether a read waits for its head.
+        queued_us: When it is checked next; None: not queued.
+    """
+
+    __slots__ = (
+        "polled_us",
+        "is_unanswered",
+        "unanswered_count",
+        "interval_us",
+        "requested_until_us",
+        "has_waiting_read",
+        "has_head_request",
+        "queued_us",
+    )
 
     def __init__(self) -> None:
-        self.asked, self.out = -_LONGEST, False  # when the last question went out, and whether it is still
-        self.silent = 0  # questions in a row without an answer
-        self.period, self.until = _LONGEST, 0  # asked so often, until then
-        self.waits = self.head = False  # a read waits for it; for a head
-        self.queued: int | None = None  # when it is looked at next
-
-    def due(self, now: int) -> int | None:
-        """When it is to be asked; None: not at all."""
-        if not self.waits and now >= self.until:
+        self.polled_us, self.is_unanswered = -_MAX_INTERVAL_US, False
+        self.unanswered_count = 0
+        self.interval_us, self.requested_until_us = _MAX_INTERVAL_US, 0
+        self.has_waiting_read = self.has_head_request = False
+        self.queued_us: int | None = None
+
+    def due_us(self, now_us: int) -> int | None:
+        """Returns when the engine is to be polled; None if no polls are requested."""
+        if not self.has_waiting_read and now_us >= self.requested_until_us:
             return None
-        at = self.asked + (_APART if self.waits else max(_APART, self.period))
-        if self.out:
-            # Danger: one that hangs would be asked without end, and others would wait for their part of all.
-            at = max(at, self.asked + min(_LONGEST, _SILENT << self.silent))
-        return at
+        due_us = self.polled_us + (
+            _MIN_INTERVAL_US if self.has_waiting_read else max(_MIN_INTERVAL_US, self.interval_us)
+        )
+        if self.is_unanswered:
+            # An engine that hangs must not use up the polls that other engines wait for.
+            due_us = max(
+                due_us, self.polled_us + min(_MAX_INTERVAL_US, _REPLY_TIMEOUT_US << self.unanswered_count)
+            )
+        return due_us
+
 
+class PollSchedule:
+    """Schedules polls of engines within the limits per engine and over all engines.
 
-class Asking:
-    """`next`: when `due` is to be asked again, None: once more is wanted; `asked`: questions so far."""
+    Attributes:
+        next_due_us: When to call `due_engines` again; None: once more is requested.
+        poll_count: The number of polls so far.
+    """
 
     def __init__(self) -> None:
-        self._came: dict[str, tuple[int, bool]] = {}  # since the last look: how young, whether a read waits
-        self._engines: dict[str, _Engine] = {}
-        self._queue: list[tuple[int, str]] = []  # when to look at each; others of the same engine are stale
-        self._passed: dict[tuple[str, bool], tuple[int, int]] = {}  # to the leader: how young, when
-        self._left, self._left_at = float(_AT_ONCE), 0
-        self.next: int | None = None
-        self.asked = 0
-
-    def wanted(self, shards: Iterable[str], now: int, young: int = _YOUNG) -> None:
-        """Positions not older than `young` microseconds; 0: a read waits for them now."""
+        # Requests since the last check: by shard the maximum age, and whether a read waits.
+        self._new_requests: dict[str, tuple[int, bool]] = {}
+        self._engines: dict[str, _EngineState] = {}
+        # When to check each engine; entries that differ from the engine's `queued_us` are outdated.
+        self._queue: list[tuple[int, str]] = []
+        # Requests forwarded to the leader: by shard and whether a read waits, the maximum age, and when.
+        self._forwarded: dict[tuple[str, bool], tuple[int, int]] = {}
+        self._tokens, self._refilled_us = float(_MAX_BURST), 0
+        self.next_due_us: int | None = None
+        self.poll_count = 0
+
+    def request(self, shards: Iterable[str], now_us: int, max_age_us: int = _DEFAULT_MAX_AGE_US) -> None:
+        """Requests positions no older than `max_age_us`; 0: a read waits for them now."""
         for shard in shards:
-            before = self._came.get(shard)
-            if before is None and len(self._came) >= _MOST:
+            earlier = self._new_requests.get(shard)
+            if earlier is None and len(self._new_requests) >= _MAX_REQUESTED_SHARDS:
                 continue
-            period, waits = before or (_LONGEST, False)
-            self._came[shard] = (min(period, young or _LONGEST), waits or not young)
-            self.next = now
-
-    def heard(self, engine: str, at: int) -> None:
-        """It has answered what went out at `at`, whoever asked it: with one out at a time none is out now."""
-        one = self._engines.get(engine)
-        if one is not None:
-            one.asked, one.out, one.silent = at, False, 0
-            self._look_at(engine, one, at)
-            self.next = self._queue[0][0] if self.next is None else min(self._queue[0][0], self.next)
-
-    def due(self, placed: Mapping[str, Shard], now: int) -> list[str]:
-        """Engines to be asked now, the most pressing first. Shards that are not placed are forgotten."""
-        for shard, (young, waits) in self._came.items():
-            if shard in placed:
-                self._want(placed[shard], max(young, _YOUNGEST), waits, now)
-        self._came.clear()
-        self._left = min(_AT_ONCE, self._left + max(0, now - self._left_at) * _IN_ALL / 1e6)
-        self._left_at = now
-        found = []
-        # Danger: looked at for each question that may go, a flood would cost a look at all engines for each.
-        enough = self._left >= _IN_ALL * _STEP / 1e6
-        while enough and self._queue and self._queue[0][0] <= now:
-            queued, name = heapq.heappop(self._queue)
-            one = self._engines.get(name)
-            if one is None or one.queued != queued:
+            interval_us, has_waiting_read = earlier or (_MAX_INTERVAL_US, False)
+            self._new_requests[shard] = (
+                min(interval_us, max_age_us or _MAX_INTERVAL_US),
+                has_waiting_read or not max_age_us,
+            )
+            self.next_due_us = now_us
+
+    def record_reply(self, engine: str, sent_us: int) -> None:
+        """Records a reply to a poll sent at `sent_us` by any component; only one poll is open at a time."""
+        state = self._engines.get(engine)
+        if state is not None:
+            state.polled_us, state.is_unanswered, state.unanswered_count = sent_us, False, 0
+            self._schedule_check(engine, state, sent_us)
+            self.next_due_us = (
+                self._queue[0][0] if self.next_due_us is None else min(self._queue[0][0], self.next_due_us)
+            )
+
+    def due_engines(self, placement: Mapping[str, ShardPlacement], now_us: int) -> list[str]:
+        """Returns the engines to poll now, the most urgent first; requests for other shards are dropped."""
+        for shard, (max_age_us, has_waiting_read) in self._new_requests.items():
+            if shard in placement:
+                self._request_engines(
+                    placement[shard], max(max_age_us, _MIN_MAX_AGE_US), has_waiting_read, now_us
+                )
+        self._new_requests.clear()
+        self._tokens = min(
+            _MAX_BURST, self._tokens + max(0, now_us - self._refilled_us) * _MAX_POLLS_PER_S / 1e6
+        )
+        self._refilled_us = now_us
+        candidates = []
+        # Engines are checked only once several polls are allowed. Otherwise, with many requests, each single
+        # poll would cost a check of all engines.
+        has_tokens = self._tokens >= _MAX_POLLS_PER_S * _CHECK_INTERVAL_US / 1e6
+        while has_tokens and self._queue and self._queue[0][0] <= now_us:
+            queued_us, name = heapq.heappop(self._queue)
+            state = self._engines.get(name)
+            if state is None or state.queued_us != queued_us:
                 continue
-            one.queued, at = None, one.due(now)
-            if at is not None and at <= now:
-                found.append((not one.waits, not one.head, at, name))
-            elif at is None and now >= one.asked + _LONGEST:
-                del self._engines[name]  # nobody wants it, or it is gone
+            state.queued_us, due_us = None, state.due_us(now_us)
+            if due_us is not None and due_us <= now_us:
+                candidates.append((not state.has_waiting_read, not state.has_head_request, due_us, name))
+            elif due_us is None and now_us >= state.polled_us + _MAX_INTERVAL_US:
+                del self._engines[name]  # no longer requested, or no longer in the placement
             else:
-                self._look_at(name, one, now)
-        found.sort()
-        asked = [name for *_, name in found[: int(self._left)]]
-        for name in asked:
-            one = self._engines[name]
-            if one.out:
-                one.silent = min(one.silent + 1, 5)
-            one.asked, one.out, one.waits, one.head = now, True, False, False
-            self._look_at(name, one, now)
-        for *_, name in found[len(asked) :]:
-            self._look_at(name, self._engines[name], now, now + _STEP)
-        self._left -= len(asked)
-        self.asked += len(asked)
-        self.next = (
-            max(self._queue[0][0], now + (0 if enough and self._left >= 1 else _STEP))
+                self._schedule_check(name, state, now_us)
+        candidates.sort()
+        polled = [name for *_, name in candidates[: int(self._tokens)]]
+        for name in polled:
+            state = self._engines[name]
+            if state.is_unanswered:
+                state.unanswered_count = min(state.unanswered_count + 1, 5)
+            state.polled_us, state.is_unanswered, state.has_waiting_read, state.has_head_request = (
+                now_us,
+                True,
+                False,
+                False,
+            )
+            self._schedule_check(name, state, now_us)
+        for *_, name in candidates[len(polled) :]:
+            self._schedule_check(name, self._engines[name], now_us, now_us + _CHECK_INTERVAL_US)
+        self._tokens -= len(polled)
+        self.poll_count += len(polled)
+        self.next_due_us = (
+            max(self._queue[0][0], now_us + (0 if has_tokens and self._tokens >= 1 else _CHECK_INTERVAL_US))
             if self._queue
             else None
         )
-        return asked
-
-    def _look_at(self, name: str, one: _Engine, now: int, least: int = 0) -> None:
-        """When it is due; one that nobody wants is looked at to be forgotten."""
-        due = one.due(now)
-        at = max(least, one.asked + _LONGEST if due is None else due)
-        if one.queued is None or at < one.queued:
-            one.queued = at
-            heapq.heappush(self._queue, (at, name))
-
-    def _want(self, shard: Shard, young: int, waits: bool, now: int) -> None:
+        return polled
+
+    def _schedule_check(self, name: str, state: _EngineState, now_us: int, earliest_us: int = 0) -> None:
+        """Queues an engine for when it is due; one that is not requested is queued for its removal."""
+        due_us = state.due_us(now_us)
+        check_us = max(earliest_us, state.polled_us + _MAX_INTERVAL_US if due_us is None else due_us)
+        if state.queued_us is None or check_us < state.queued_us:
+            state.queued_us = check_us
+            heapq.heappush(self._queue, (check_us, name))
+
+    def _request_engines(
+        self, shard: ShardPlacement, max_age_us: int, has_waiting_read: bool, now_us: int
+    ) -> None:
         if shard.primary:
-            one = self._engine(shard.primary)
-            if young < _LONGEST and (young <= one.period or now >= one.until):
-                one.period, one.until = young, now + _HELD
-            if waits and now - one.asked > 2 * _YOUNGEST:
-                one.waits = one.head = True
-            self._look_at(shard.primary, one, now)
-        for copy in shard.reads if waits else ():
-            if copy != shard.primary:
-                one = self._engine(copy)
-                one.waits = True
-                self._look_at(copy, one, now)
-
-    def _engine(self, name: str) -> _Engine:
-        one = self._engines.get(name)
-        if one is None:
-            one = self._engines[name] = _Engine()
-        return one
-
-    def carried(self, most: int, now: int) -> list[tuple[str, int]]:
-        """What a keeper that does not lead tells the leader: at most so many times a shard and how young it
-        is to be; 0: a read waits."""
-        found: list[tuple[str, int]] = []
-        for shard, (young, waits) in list(self._came.items()):
-            if len(found) >= most - 1:  # one shard may take two
+            state = self._engine(shard.primary)
+            if max_age_us < _MAX_INTERVAL_US and (
+                max_age_us <= state.interval_us or now_us >= state.requested_until_us
+            ):
+                state.interval_us, state.requested_until_us = max_age_us, now_us + _REQUEST_LIFETIME_US
+            if has_waiting_read and now_us - state.polled_us > 2 * _MIN_MAX_AGE_US:
+                state.has_waiting_read = state.has_head_request = True
+            self._schedule_check(shard.primary, state, now_us)
+        for engine in shard.reads if has_waiting_read else ():
+            if engine != shard.primary:
+                state = self._engine(engine)
+                state.has_waiting_read = True
+                self._schedule_check(engine, state, now_us)
+
+    def _engine(self, name: str) -> _EngineState:
+        state = self._engines.get(name)
+        if state is None:
+            state = self._engines[name] = _EngineState()
+        return state
+
+    def requests_to_forward(self, max_requests: int, now_us: int) -> list[tuple[str, int]]:
+        """Returns the requests that a node which is not the leader forwards to the leader.
+
+        Each is a shard and the maximum age of its positions in microseconds; 0: a read waits.
+        """
+        requests: list[tuple[str, int]] = []
+        for shard, (max_age_us, has_waiting_read) in list(self._new_requests.items()):
+            if len(requests) >= max_requests - 1:  # one shard may take two
                 break
-            del self._came[shard]
-            for wanted, again in ((0, _AGAIN_WAITS), (young, _AGAIN)):
-                if wanted == _LONGEST or wanted == 0 and not waits:
+            del self._new_requests[shard]
+            for requested_us, min_interval_us in (
+                (0, _URGENT_FORWARD_INTERVAL_US),
+                (max_age_us, _FORWARD_INTERVAL_US),
+            ):
+                if requested_us == _MAX_INTERVAL_US or requested_us == 0 and not has_waiting_read:
                     continue
-                key = shard, wanted == 0
-                before = self._passed.get(key)
-                if before is None or wanted < before[0] or now - before[1] >= again:
-                    self._passed.pop(key, None)
-                    self._passed[key] = (wanted, now)
-                    found.append((shard, wanted))
-        while len(self._passed) > _MOST:
-            del self._passed[next(iter(self._passed))]
-        self.next = now if self._came else None
-        return found
+                key = shard, requested_us == 0
+                earlier = self._forwarded.get(key)
+                if earlier is None or requested_us < earlier[0] or now_us - earlier[1] >= min_interval_us:
+                    self._forwarded.pop(key, None)
+                    self._forwarded[key] = (requested_us, now_us)
+                    requests.append((shard, requested_us))
+        while len(self._forwarded) > _MAX_REQUESTED_SHARDS:
+            del self._forwarded[next(iter(self._forwarded))]
+        self.next_due_us = now_us if self._new_requests else None
+        return requests
--- a/cresstray/replicas/read.py
+++ b/cresstray/replicas/read.py
@@ -1,4 +1,4 @@
-"""Hinted reads of one gateway: what each asks for, which engines may take it now, what its answer shows."""
+"""Hinted reads of a gateway: what each requests, which engines may serve it, and what its response shows."""
 
 from __future__ import annotations
 
@@ -8,67 +8,104 @@
 from cresstray.fleet_config.active_config import EffectiveConfig, Mode
 from cresstray.observability.counters import Counters
 from cresstray.policy.types import Request, RequestClass
-from cresstray.replicas.fallback import Share
-from cresstray.replicas.hints import Else, Hint, HintError, read_hint
-from cresstray.replicas.pins import matching, narrowed
-from cresstray.replicas.positions import MOST_POSITION, Board, Shard
-from cresstray.replicas.replica_selection import Choice, candidates, primary_has
-from cresstray.replicas.sessions import Token, token
-from cresstray.replicas.spread import MOST_WANTED
+from cresstray.replicas.fallback import FallbackQuota
+from cresstray.replicas.hints import Fallback, HintError, ReadHint, parse_hint
+from cresstray.replicas.pins import apply_pins, matching_pins
+from cresstray.replicas.positions import MAX_POSITION, PositionTable, ShardPlacement
+from cresstray.replicas.replica_selection import ReplicaChoice, choose_replicas, primary_covers_token
+from cresstray.replicas.sessions import SessionToken, format_token
+from cresstray.replicas.spread import MAX_WANTED_SHARDS
 from cresstray.tables import find_table_group
 
 if TYPE_CHECKING:
     from cresstray.fleet_config.active_config import ActiveConfig
 
-# Positions of a shard are asked of keepers for so long after its last hinted read here.
-_OF_LATE = 60_000_000
-# They are to be as young as this part of the tightest `within` of late: the rest is for how far a copy is
-# behind, for the read's own time and for words on their way. Told in the words of the next second, not later.
-_PART, _TOLD, _TIGHT = 5, 1_000_000, 5_000_000
-# A read that goes on waiting asks again each so often: a copy that lagged has come on since.
-_AGAIN = 150_000
+# Positions of a shard are requested from control-plane nodes for this long after its last hinted read here.
+_WANTED_US = 60_000_000
+# Requested positions may be as old as this part of the smallest recent staleness bound. The rest is for the
+# replica's lag, the read's duration and the delay of messages.
+_MAX_AGE_DIVISOR = 5
+# Maximum ages are sent in the messages of this time after a read, and not later.
+_MAX_AGE_LIFETIME_US = 1_000_000
+# How long the smallest staleness bound counts as recent.
+_MIN_STALENESS_LIFETIME_US = 5_000_000
+# A read that still waits requests positions again at this interval, as a lagging replica has caught up since.
+_REQUEST_INTERVAL_US = 150_000
 
 
-class _Asked:
-    """Of a shard that hinted reads ask for."""
+class _ShardDemand:
+    """The hinted reads of one shard.
 
-    __slots__ = ("at", "within", "within_at", "lacks")
-
-    def __init__(self) -> None:
-        self.at = self.within_at = 0  # of the last one; of the tightest of late
-        self.within = 2**62
-        self.lacks = False  # a read waits for it
+    Attributes:
+        read_us: The time of the last read.
+        min_staleness_us: The smallest recent staleness bound.
+        min_staleness_read_us: The time of the read that had it.
+        has_unsent_request: Whether a read waits for positions that no message has requested since.
+    """
 
+    __slots__ = ("read_us", "min_staleness_us", "min_staleness_read_us", "has_unsent_request")
 
-class Reads:
-    """`cores`, `zone_of`, and `full` (whether the limits let no such work onto it now) by engine id; `wall`:
-    Unix seconds, for the ends of pins only."""
+    def __init__(self) -> None:
+        self.read_us = self.min_staleness_read_us = 0
+        self.min_staleness_us = 2**62
+        self.has_unsent_request = False
+
+
+class HintedReads:
+    """The hinted reads of a gateway, and the positions they are served by.
+
+    Args:
+        table: The replica positions known to this gateway.
+        active_config: The fleet configuration in force.
+        counters: Receive the numbers of reads.
+        random_fraction: Returns random numbers in [0, 1).
+        cores: Returns an engine's number of cores.
+        zone_of: Returns an engine's zone.
+        is_full: Returns whether an engine's limit has no permit for a request at a time.
+        unix_time_s: Returns the wall-clock time; only for the expiry of pins.
+
+    Attributes:
+        positions_timeout_us: How long a read waits for positions from control-plane nodes before it falls
+            back; 0 if no node is connected.
+        needs_urgent_request: Whether a read waits, so that positions are to be requested at once rather than
+            with the next regular message.
+    """
 
     def __init__(
         self,
-        board: Board,
-        use: ActiveConfig,
+        table: PositionTable,
+        active_config: ActiveConfig,
         counters: Counters,
-        chance: Callable[[], float],
+        random_fraction: Callable[[], float],
         cores: Callable[[str], float],
         zone_of: Callable[[str], str | None],
-        full: Callable[[str, Request, int], bool],
-        wall: Callable[[], float],
+        is_full: Callable[[str, Request, int], bool],
+        unix_time_s: Callable[[], float],
     ) -> None:
-        self.board, self.use, self.counters = board, use, counters
-        self.cores, self.zone_of, self.full, self.wall = cores, zone_of, full, wall
-        self.share = Share(chance)
-        self._asked: dict[str, _Asked] = {}  # by shard, the last one at the end
-        # For so long a read waits for what keepers know before it falls back; 0 where no keeper is linked.
-        self.patience = 0
-        self.urgent = False  # a read waits so: the keeper is to be asked at once, not at the next turn
-        self._wait_until = 0  # the last of those that wait
-
-    def hint(
-        self, statement: str, request_class: RequestClass, now: int, named: str = "", tenant: str = ""
-    ) -> Read | None:
-        """None where there is no hint; HintError where it can't be followed. The names are for pins."""
-        hint = read_hint(statement)
+        self.table, self.active_config, self.counters = table, active_config, counters
+        self.cores, self.zone_of, self.is_full, self.unix_time_s = cores, zone_of, is_full, unix_time_s
+        self.fallback_quota = FallbackQuota(random_fraction)
+        self._demands: dict[str, _ShardDemand] = {}  # by shard, the most recently read last
+        self.positions_timeout_us = 0
+        self.needs_urgent_request = False
+        self._wait_until_us = 0  # the latest timeout of the reads that wait
+
+    def parse_hint(
+        self,
+        statement: str,
+        request_class: RequestClass,
+        now_us: int,
+        class_name: str = "",
+        tenant: str = "",
+    ) -> HintedRead | None:
+        """Returns the read that a statement's hint asks for; None without a hint.
+
+        `class_name` and `tenant` select the pins that apply to the read.
+
+        Raises:
+            HintError: the hint can't be followed.
+        """
+        hint = parse_hint(statement)
         if hint is None:
             return None
         group = find_table_group(statement)
@@ -80,208 +117,239 @@
             raise HintError(f"after is of shard {hint.after.shard}, the statement of {group}")
         self.counters.add("reads hinted")
         shard = str(group)
-        if not hint.primary:
-            asked = self._asked.pop(shard, None) or _Asked()
-            asked.at = now
-            if hint.within <= asked.within or now - asked.within_at > _TIGHT:
-                asked.within, asked.within_at = hint.within, now
-            self._asked[shard] = asked
-            if len(self._asked) > MOST_WANTED:
-                del self._asked[next(iter(self._asked))]
-        return Read(self, hint, shard, named, tenant)
-
-    def wanted(self, now: int) -> tuple[str, ...]:
-        """The shards of hinted reads of late, to be asked for with the next word: those that a read waits
-        for, then the last one first."""
-        self.urgent = False
-        late = [shard for shard, asked in reversed(self._asked.items()) if now - asked.at < _OF_LATE]
-        return tuple(sorted(late, key=lambda shard: not self._asked[shard].lacks))
-
-    def needs(self, now: int, most: int) -> list[tuple[int, int]]:
-        """Of the first `most` wanted, by place, how old positions may be in milliseconds; 0: a read waits."""
-        found = []
-        for place, shard in enumerate(self.wanted(now)[:most]):
-            asked = self._asked[shard]
-            if asked.lacks:
-                found.append((place, 0))
-            if now - asked.at < _TOLD:
-                found.append((place, asked.within // (1000 * _PART)))
-            asked.lacks = False
-        return found
-
-    def lacks(self, shard: str, until: int) -> None:
-        """A read waits for what keepers know of this shard, until then."""
-        if self.patience and shard in self._asked:
-            asked = self._asked.pop(shard)
-            asked.lacks = self.urgent = True
-            self._asked[shard] = asked
-            self._wait_until = max(until, self._wait_until)
-
-    def untold(self) -> bool:
-        """Whether a read waits for a shard that no word has named since."""
-        return any(asked.lacks for asked in self._asked.values())
-
-    def waits(self, now: int) -> bool:
-        """Whether a read may wait for what keepers know."""
-        return now < self._wait_until
-
-    def heard(self, engine: str, report: Mapping[str, float], sent_at: int, now: int) -> None:
-        """From each answer; `sent_at`: when what it answers was sent, or before."""
-        told = told_in(report)
-        if told is not None:
-            shard, epoch, applied, head = told
-            self.placed(now)
-            self.board.heard(str(shard), engine, epoch, applied, head, sent_at, now)
-
-    def placed(self, now: int) -> EffectiveConfig:
-        """What may be used now; the board has heard of it."""
-        in_use = self.use.effective_at(now)
-        self.board.place(in_use.documents.placement.items, now)
-        return in_use
-
-
-def told_in(report: Mapping[str, float]) -> tuple[int, int, int, int | None] | None:
-    """Shard, epoch, applied, head of an answer's report; None where it tells none, or none that can be."""
+        if not hint.is_primary:
+            demand = self._demands.pop(shard, None) or _ShardDemand()
+            demand.read_us = now_us
+            if (
+                hint.max_staleness_us <= demand.min_staleness_us
+                or now_us - demand.min_staleness_read_us > _MIN_STALENESS_LIFETIME_US
+            ):
+                demand.min_staleness_us, demand.min_staleness_read_us = hint.max_staleness_us, now_us
+            self._demands[shard] = demand
+            if len(self._demands) > MAX_WANTED_SHARDS:
+                del self._demands[next(iter(self._demands))]
+        return HintedRead(self, hint, shard, class_name, tenant)
+
+    def wanted_shards(self, now_us: int) -> tuple[str, ...]:
+        """Returns the shards to request in the next message: those of recent hinted reads.
+
+        Shards that a read waits for come first, then the most recently read.
+        """
+        self.needs_urgent_request = False
+        recent = [
+            shard for shard, demand in reversed(self._demands.items()) if now_us - demand.read_us < _WANTED_US
+        ]
+        return tuple(sorted(recent, key=lambda shard: not self._demands[shard].has_unsent_request))
+
+    def max_ages_ms(self, now_us: int, max_shards: int) -> list[tuple[int, int]]:
+        """Returns the maximum ages of positions to request for the first wanted shards.
+
+        Each is an index in `wanted_shards` and an age in milliseconds; 0: a read waits.
+        """
+        max_ages = []
+        for index, shard in enumerate(self.wanted_shards(now_us)[:max_shards]):
+            demand = self._demands[shard]
+            if demand.has_unsent_request:
+                max_ages.append((index, 0))
+            if now_us - demand.read_us < _MAX_AGE_LIFETIME_US:
+                max_ages.append((index, demand.min_staleness_us // (1000 * _MAX_AGE_DIVISOR)))
+            demand.has_unsent_request = False
+        return max_ages
+
+    def request_positions(self, shard: str, until_us: int) -> None:
+        """Requests positions of a shard that a read waits for until a time."""
+        if self.positions_timeout_us and shard in self._demands:
+            demand = self._demands.pop(shard)
+            demand.has_unsent_request = self.needs_urgent_request = True
+            self._demands[shard] = demand
+            self._wait_until_us = max(until_us, self._wait_until_us)
+
+    def has_unsent_requests(self) -> bool:
+        """Returns whether a read waits for a shard that no message has requested since."""
+        return any(demand.has_unsent_request for demand in self._demands.values())
+
+    def is_waiting(self, now_us: int) -> bool:
+        """Returns whether a read may wait for positions from control-plane nodes."""
+        return now_us < self._wait_until_us
+
+    def record_report(self, engine: str, report: Mapping[str, float], sent_us: int, now_us: int) -> None:
+        """Records the positions in a response; `sent_us`: when its request was sent, or earlier."""
+        positions = parse_report(report)
+        if positions is not None:
+            shard, epoch, applied, head = positions
+            self.update_placement(now_us)
+            self.table.record_report(str(shard), engine, epoch, applied, head, sent_us, now_us)
+
+    def update_placement(self, now_us: int) -> EffectiveConfig:
+        """Returns the configuration that may be used now, after passing its placement to the table."""
+        config = self.active_config.effective_at(now_us)
+        self.table.set_placement(config.documents.placement.items, now_us)
+        return config
+
+
+def parse_report(report: Mapping[str, float]) -> tuple[int, int, int, int | None] | None:
+    """Returns shard, epoch, applied position and head of a report; None if they are missing or invalid."""
     if "shard" not in report or "epoch" not in report or not ("applied" in report or "head" in report):
         return None
     head = report.get("head")
-    found = [report["shard"], report["epoch"], report.get("applied", head), head]
-    if any(one is not None and not (0 <= one <= MOST_POSITION and one == int(one)) for one in found):
+    values = [report["shard"], report["epoch"], report.get("applied", head), head]
+    if any(
+        value is not None and not (0 <= value <= MAX_POSITION and value == int(value)) for value in values
+    ):
         return None
-    return int(found[0]), int(found[1]), int(found[2]), None if head is None else int(head)
+    return int(values[0]), int(values[1]), int(values[2]), None if head is None else int(head)
 
 
-class Read:
-    """One hinted read. All is asked of the rules when acting, nothing is kept."""
+class HintedRead:
+    """One hinted read. The rules are evaluated at each decision, as they may change while the read waits.
 
-    def __init__(self, reads: Reads, hint: Hint, shard: str, request_class: str, tenant: str) -> None:
+    Attributes:
+        hint: Its hint.
+        shard: The name of its shard.
+        request: Its request; set after creation.
+    """
+
+    def __init__(
+        self, reads: HintedReads, hint: ReadHint, shard: str, request_class: str, tenant: str
+    ) -> None:
         self._reads, self.hint, self.shard = reads, hint, shard
-        self._tariff, self._tenant = request_class, tenant
-        self.submission: Request | None = None  # once it is made
-        self._fell: tuple[str, int, float, int] | None = None  # primary, charged, its cores, gateways
-        self._fresh_until = 0
-        self._wait_until: int | None = None  # for keepers' word, once no copy was known to do
-        self._ask_at = 0  # keepers are asked then, while none is known to do
-        self._seen: Token | None = None
-        self._moment: tuple | None = None  # of the last question, and what its answer was
-        self._allowed: tuple[str, ...] = ()
-
-    def takes(self, engine: str, now: int) -> bool:
-        """Whether it may be read there now."""
-        in_use = self._reads.use.effective_at(now)
-        # The module asks for each engine in turn, at one moment.
-        key = (now, in_use.turn, in_use.mode)
-        if key != self._moment:
-            self._moment, self._allowed = key, self._may_serve(now)
-        return engine in self._allowed
-
-    def _may_serve(self, now: int) -> tuple[str, ...]:
-        in_use = self._reads.placed(now)
-        shard = self._shard(in_use)
+        self._request_class, self._tenant = request_class, tenant
+        self.request: Request | None = None
+        # Of a read that fell back: the primary, the thread time charged, its cores, the number of gateways.
+        self._fallback_charge: tuple[str, int, float, int] | None = None
+        self._fresh_until_us = 0
+        # Until when it waits for positions, once no replica was known to be fresh enough.
+        self._wait_until_us: int | None = None
+        self._next_request_us = 0  # when positions are requested while no replica is fresh enough
+        self._seen_token: SessionToken | None = None
+        self._cache_key: tuple | None = None  # of the last decision
+        self._allowed_engines: tuple[str, ...] = ()  # the last decision
+
+    def may_run_on(self, engine: str, now_us: int) -> bool:
+        """Returns whether the engine may serve the read now."""
+        config = self._reads.active_config.effective_at(now_us)
+        # Cached, as the policy checks one engine after the other at the same time.
+        key = (now_us, config.turn, config.mode)
+        if key != self._cache_key:
+            self._cache_key, self._allowed_engines = key, self._find_allowed_engines(now_us)
+        return engine in self._allowed_engines
+
+    def _find_allowed_engines(self, now_us: int) -> tuple[str, ...]:
+        config = self._reads.update_placement(now_us)
+        shard = self._placement(config)
         if shard is None:
             return ()
-        primary = (shard.primary,) if shard.primary and primary_has(self.hint.after, shard) else ()
-        if self.hint.primary:
+        primary = (shard.primary,) if shard.primary and primary_covers_token(self.hint.after, shard) else ()
+        if self.hint.is_primary:
             return primary
-        choice = self._chosen(in_use, shard, now)
-        if choice.copies:
-            return choice.copies
-        if self._wait_until is None:
-            self._wait_until = now + self._reads.patience
-        if now >= self._ask_at:
-            self._ask_at = now + max(self._reads.patience, _AGAIN)
-            self._reads.lacks(self.shard, now + self._reads.patience)
-        if choice.otherwise is not Else.PRIMARY or now < self._wait_until:
+        choice = self._choose_replicas(config, shard, now_us)
+        if choice.replicas:
+            return choice.replicas
+        if self._wait_until_us is None:
+            self._wait_until_us = now_us + self._reads.positions_timeout_us
+        if now_us >= self._next_request_us:
+            self._next_request_us = now_us + max(self._reads.positions_timeout_us, _REQUEST_INTERVAL_US)
+            self._reads.request_positions(self.shard, now_us + self._reads.positions_timeout_us)
+        if choice.fallback is not Fallback.PRIMARY or now_us < self._wait_until_us:
             return ()
         return tuple(
-            one
-            for one in primary
-            if self._reads.share.admits(one, self._cost(), self._reads.cores(one), in_use.gateway_count, now)
+            engine
+            for engine in primary
+            if self._reads.fallback_quota.admits(
+                engine, self._thread_time_us(), self._reads.cores(engine), config.gateway_count, now_us
+            )
         )
 
-    def admits(self, now: int) -> bool:
-        """False: it is denied at once."""
-        in_use = self._reads.placed(now)
-        shard = self._shard(in_use)
-        if self.hint.primary:
+    def admits(self, now_us: int) -> bool:
+        """Returns whether the read may be queued; otherwise it is rejected at once."""
+        config = self._reads.update_placement(now_us)
+        shard = self._placement(config)
+        if self.hint.is_primary:
             return True
-        copies = self._chosen(in_use, shard, now).copies if shard is not None else ()
-        if not copies:
-            return self.hint.otherwise is not Else.DENY
-        pins = self._pins(in_use)
-        # A strict pin takes from others what its copies could give them: at their limits it goes first.
-        if any(pin.is_strict for pin in pins) and all(self._full(copy, now) for copy in copies):
+        replicas = self._choose_replicas(config, shard, now_us).replicas if shard is not None else ()
+        if not replicas:
+            return self.hint.fallback is not Fallback.DENY
+        pins = self._matching_pins(config)
+        # Reads of a strict pin take capacity of its replicas from other reads. They are shed first when these
+        # replicas reach their limits.
+        if any(pin.is_strict for pin in pins) and all(self._is_full(name, now_us) for name in replicas):
             self._reads.counters.add("reads of pins shed")
             return False
         return True
 
-    def sent(self, engine: str, now: int) -> None:
-        """It goes out to this engine, which it `takes` at this moment."""
-        reads, in_use = self._reads, self._reads.placed(now)
-        shard = self._shard(in_use)
-        self._fell, self._fresh_until, self._moment = None, 0, None
-        if self.hint.primary or shard is None:
+    def on_sent(self, engine: str, now_us: int) -> None:
+        """The read is sent to this engine, on which it may run at this time."""
+        reads, config = self._reads, self._reads.update_placement(now_us)
+        shard = self._placement(config)
+        self._fallback_charge, self._fresh_until_us, self._cache_key = None, 0, None
+        if self.hint.is_primary or shard is None:
             return
         if engine == shard.primary:
-            cost, cores = self._cost(), reads.cores(engine)
-            self._fell = (engine, cost, cores, in_use.gateway_count)
-            reads.share.charge(*self._fell, now)
+            thread_time_us, cores = self._thread_time_us(), reads.cores(engine)
+            self._fallback_charge = (engine, thread_time_us, cores, config.gateway_count)
+            reads.fallback_quota.charge(*self._fallback_charge, now_us)
             reads.counters.add("reads fallen back")
         else:
-            bound = reads.board.bound(self.shard, engine, now)
-            self._fresh_until = now + self.hint.within - bound if bound is not None else now
+            bound_us = reads.table.staleness_bound_us(self.shard, engine, now_us)
+            self._fresh_until_us = (
+                now_us + self.hint.max_staleness_us - bound_us if bound_us is not None else now_us
+            )
             reads.counters.add("reads by copies")
 
-    def came_back(self, report: Mapping[str, float], took: int, now: int) -> None:
-        """Its relay has ended; `took`: microseconds that it was out."""
-        if self._fell is not None:
-            primary, charged, cores, gateways = self._fell
-            more = took * self.submission.request_class.threads - charged
-            if more > 0:
-                self._reads.share.charge(primary, more, cores, gateways, now)
-            self._fell = None
-        elif self._fresh_until and now > self._fresh_until:
+    def on_finished(self, report: Mapping[str, float], duration_us: int, now_us: int) -> None:
+        """The attempt has ended, `duration_us` after it was sent."""
+        if self._fallback_charge is not None:
+            primary, charged_us, cores, gateway_count = self._fallback_charge
+            excess_us = duration_us * self.request.request_class.threads - charged_us
+            if excess_us > 0:
+                self._reads.fallback_quota.charge(primary, excess_us, cores, gateway_count, now_us)
+            self._fallback_charge = None
+        elif self._fresh_until_us and now_us > self._fresh_until_us:
             self._reads.counters.add("reads longer than their bound")
-        told = told_in(report)
-        self._seen = None
-        if told is not None and str(told[0]) == self.shard:
-            # Danger: what was read may be as far as what the copy had when it answered. A token of less would
-            # let the session go back to between the two; without a position there is no token at all.
-            self._seen = Token(told[0], told[1], max(told[2], told[3] or 0))
-
-    def at(self) -> str | None:
-        """What the client may hand back as `after`; None where the answer did not tell how far it saw."""
-        return None if self._seen is None else token(self._seen)
-
-    def _shard(self, in_use: EffectiveConfig) -> Shard | None:
-        # Danger: without a lease another may be the primary, and copies may be gone or set back.
-        return in_use.documents.placement.items.get(self.shard) if in_use.mode is Mode.LEASE else None
-
-    def _chosen(self, in_use: EffectiveConfig, shard: Shard, now: int) -> Choice:
-        pins = self._pins(in_use)
-        return candidates(
+        positions = parse_report(report)
+        self._seen_token = None
+        if positions is not None and str(positions[0]) == self.shard:
+            # The read may have seen anything up to the replica's position when it responded. With a token of
+            # an earlier position the session could go back; without a position there is no token.
+            self._seen_token = SessionToken(positions[0], positions[1], max(positions[2], positions[3] or 0))
+
+    def token(self) -> str | None:
+        """Returns the token that the client may send as `after`; None if the response had no position."""
+        return None if self._seen_token is None else format_token(self._seen_token)
+
+    def _placement(self, config: EffectiveConfig) -> ShardPlacement | None:
+        # Without a lease another engine may be the primary, and replicas may have been dropped or set back.
+        return config.documents.placement.items.get(self.shard) if config.mode is Mode.LEASE else None
+
+    def _choose_replicas(self, config: EffectiveConfig, shard: ShardPlacement, now_us: int) -> ReplicaChoice:
+        pins = self._matching_pins(config)
+        return choose_replicas(
             self.hint,
             self.shard,
             shard,
-            self._reads.board,
-            now,
-            self.submission.expected_latency_us,
-            lambda fresh: narrowed(
+            self._reads.table,
+            now_us,
+            self.request.expected_latency_us,
+            lambda fresh: apply_pins(
                 pins,
                 fresh,
                 shard.reads,
                 self._reads.zone_of,
-                lambda copy: self._full(copy, now),
-                in_use.turn % 2 == 1,
+                lambda name: self._is_full(name, now_us),
+                config.turn % 2 == 1,
             ),
         )
 
-    def _pins(self, in_use: EffectiveConfig) -> list:
-        items = in_use.documents.replicas.items
-        return matching(items, self._tariff, self._tenant, self._reads.wall()) if items else []
+    def _matching_pins(self, config: EffectiveConfig) -> list:
+        items = config.documents.replicas.items
+        return (
+            matching_pins(items, self._request_class, self._tenant, self._reads.unix_time_s())
+            if items
+            else []
+        )
 
-    def _full(self, copy: str, now: int) -> bool:
-        return self._reads.full(copy, self.submission, now)
+    def _is_full(self, name: str, now_us: int) -> bool:
+        return self._reads.is_full(name, self.request, now_us)
 
-    def _cost(self) -> int:
-        return self.submission.expected_latency_us * self.submission.request_class.threads
+    def _thread_time_us(self) -> int:
+        return self.request.expected_latency_us * self.request.request_class.threads
--- a/cresstray/replicas/sessions.py
+++ b/cresstray/replicas/sessions.py
@@ -1,4 +1,4 @@
-"""What lets a session go on through any gateway, with nothing kept here: tokens, and the copy it keeps to."""
+"""Session tokens and sticky replicas, by which a session continues through any gateway without its state."""
 
 from __future__ import annotations
 
@@ -9,35 +9,39 @@
 
 _DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz_"  # the last one as a check digit only
 _TOKEN = re.compile(r"([0-9a-z]{1,7})\.([0-9a-z]{1,7})\.([0-9a-z]{1,11})\.([0-9a-z_])")
-_MOST_NUMBER, _MOST_POSITION = 2**32 - 1, 2**53 - 1
+_MAX_NUMBER, _MAX_POSITION = 2**32 - 1, 2**53 - 1
 
 
-class Token(NamedTuple):
-    """As far as a client has seen one shard."""
+class SessionToken(NamedTuple):
+    """The latest position of a shard that a client has seen."""
 
     shard: int
     epoch: int
     position: int
 
 
-def token(at: Token) -> str:
-    """Three numbers in base 36 and a check digit, 28 letters at the most."""
-    body = ".".join(_base36(number) for number in at)
-    return f"{body}.{_check(body)}"
+def format_token(token: SessionToken) -> str:
+    """Returns three numbers in base 36 and a check digit, 28 characters at most."""
+    body = ".".join(_base36(number) for number in token)
+    return f"{body}.{_check_digit(body)}"
 
 
-def parsed(after: str) -> Token:
-    """ValueError says what is wrong with it."""
-    found = _TOKEN.fullmatch(after)
-    if not found:
+def parse_token(text: str) -> SessionToken:
+    """Parses a token as `format_token` wrote it.
+
+    Raises:
+        ValueError: it is malformed; the text says how.
+    """
+    match = _TOKEN.fullmatch(text)
+    if not match:
         raise ValueError("is no token that an answer carried")
-    body, _, check = after.rpartition(".")
-    if _check(body) != check:
+    body, _, check_digit = text.rpartition(".")
+    if _check_digit(body) != check_digit:
         raise ValueError("has a wrong check digit")
-    made = Token(*(int(found[n], 36) for n in (1, 2, 3)))
-    if made.shard > _MOST_NUMBER or made.epoch > _MOST_NUMBER or made.position > _MOST_POSITION:
+    token = SessionToken(*(int(match[group], 36) for group in (1, 2, 3)))
+    if token.shard > _MAX_NUMBER or token.epoch > _MAX_NUMBER or token.position > _MAX_POSITION:
         raise ValueError("is out of range")
-    return made
+    return token
 
 
 def _base36(number: int) -> str:
@@ -48,19 +52,22 @@
     return _DIGITS[number] + text
 
 
-def _check(body: str) -> str:
-    """Powers of 2 are all different modulo 37 up to the 36th: one letter changed, or two swapped, shows."""
+def _check_digit(body: str) -> str:
+    """Returns a digit that detects one changed or two swapped characters.
+
+    The weights are powers of 2, which all differ modulo 37 up to the 36th.
+    """
     total, weight = 0, 1
-    for letter in body:
+    for character in body:
         weight = weight * 2 % 37
-        total += weight * (36 if letter == "." else _DIGITS.index(letter))
+        total += weight * (36 if character == "." else _DIGITS.index(character))
     return _DIGITS[total % 37]
 
 
-def rendezvous(session: str, copies: Iterable[str]) -> list[str]:
-    """The copies in the order in which this session turns to them: the same in all processes."""
+def rendezvous_order(session: str, replicas: Iterable[str]) -> list[str]:
+    """Returns the replicas in the order in which this session prefers them, the same in all processes."""
 
-    def weight(copy: str) -> tuple[bytes, str]:
-        return hashlib.blake2b(f"{session}\0{copy}".encode(), digest_size=8).digest(), copy
+    def weight(replica: str) -> tuple[bytes, str]:
+        return hashlib.blake2b(f"{session}\0{replica}".encode(), digest_size=8).digest(), replica
 
-    return sorted(copies, key=weight)
+    return sorted(replicas, key=weight)
--- a/cresstray/simulation/joined.py
+++ b/cresstray/simulation/joined.py
@@ -28,9 +28,9 @@
 from cresstray.placement.moves import Moves
 from cresstray.policy.types import EndpointState, Engine, Request, RequestClass
 from cresstray.replicas import fallback, pins
-from cresstray.replicas.positions import Board
-from cresstray.replicas.read import Reads
-from cresstray.replicas.spread import Exchange, Peer, Word
+from cresstray.replicas.positions import PositionTable
+from cresstray.replicas.read import HintedReads
+from cresstray.replicas.spread import PositionMessage, PositionPeer, PositionRelay
 
 MS, SECOND = 1_000, 1_000_000
 LEASE, FLOOR, DRIFT = 2 * SECOND, 6 * SECOND, 0.01
@@ -167,8 +167,8 @@
         self.frozen = 0
         self.use = ActiveConfig(name, LEASE, FLOOR, DRIFT, 8, waits=True, incarnation=f"{name} {world.now}")
         self.counters, self.said = Counters(), []
-        board = Board(self.said.append, DRIFT)
-        self.reads = Reads(
+        board = PositionTable(self.said.append, DRIFT)
+        self.reads = HintedReads(
             board,
             self.use,
             self.counters,
@@ -189,8 +189,8 @@
         self.admission = ConfigAdmissionRules(
             self.use, ["n"], ["writes", "reads"], lambda engine: ENGINES[engine.instance_type], self.counters
         )
-        self.reads.patience = 30 * MS
-        self.links = [(Peer(board), Peer(keeper)) for keeper in world.boards]
+        self.reads.positions_timeout_us = 30 * MS
+        self.links = [(PositionPeer(board), PositionPeer(keeper)) for keeper in world.boards]
         for number, (here, there) in enumerate(self.links):
             world.sides[there] = number, here, self
 
@@ -224,9 +224,9 @@
     def gossip(self) -> None:
         number = self.world.chance.randrange(len(self.links))
         here, there = self.links[number]
-        self.reads.placed(self.clock.now())
+        self.reads.update_placement(self.clock.now())
         now = self.clock.now()
-        wants, needs = self.reads.wanted(now), self.reads.needs(now, 8)
+        wants, needs = self.reads.wanted_shards(now), self.reads.max_ages_ms(now, 8)
         self.world.passed(here, there, self.clock, self.world.clocks[number], wants, 2, needs)
 
     # Work.
@@ -236,7 +236,7 @@
         if self.admission.gateway_count(now) <= 0 or not self.admission.admits(one, now):
             return []
         names = [name for name, engine in self.engines.items() if self.admission.allows(one, engine, now)]
-        if self.reads.urgent:
+        if self.reads.needs_urgent_request:
             self.gossip()
         return names
 
@@ -252,13 +252,13 @@
         world, now = self.world, self.clock.now()
         if one is None:
             one = Request(READS, now, now + SECOND, data_set=int(session.shard), expected_latency_us=EXPECTED)
-            one.replica_read = self.reads.hint(session.statement(), READS, now, session.tariff, "n")
-            one.replica_read.submission = one
+            one.replica_read = self.reads.parse_hint(session.statement(), READS, now, session.tariff, "n")
+            one.replica_read.request = one
         names = self.may_go(one)
         # What may hold it up between its offer and its going is asked about once more, as it goes.
         if names and tries:
             name = world.chance.choice(names)
-            one.replica_read.sent(name, now)
+            one.replica_read.on_sent(name, now)
             world.asked(self, name, session.shard, one, session)
         elif tries < 12:
             world.after(world.chance.uniform(10, 60) * MS, self.when, self.read, session, tries + 1, one)
@@ -318,12 +318,14 @@
         self._found()
         self.clocks = [Clock(self) for _ in range(2)]
         self.said: list[str] = []
-        self.boards = [Board(self.said.append, DRIFT, passes_on=True) for _ in self.clocks]
+        self.boards = [
+            PositionTable(self.said.append, DRIFT, forwards_peer_positions=True) for _ in self.clocks
+        ]
         self._place()
-        self.exchanges = [Exchange(board) for board in self.boards]
+        self.exchanges = [PositionRelay(board) for board in self.boards]
         # Of each keeper's side of a link: which keeper's it is, the other side, and whose that is.
-        self.sides: dict[Peer, tuple[int, Peer, Gateway | None]] = {}
-        first, second = self.between = Peer(self.boards[0]), Peer(self.boards[1])
+        self.sides: dict[PositionPeer, tuple[int, PositionPeer, Gateway | None]] = {}
+        first, second = self.between = PositionPeer(self.boards[0]), PositionPeer(self.boards[1])
         self.sides |= {first: (0, second, None), second: (1, first, None)}
         self.leader: Leader | None = Leader(self)
         self.gateways = [Gateway(self, f"g{number}") for number in range(self.GATEWAYS)]
@@ -387,9 +389,16 @@
             self.after(self.delay(), act, *given)
 
     def passed(
-        self, speaker: Peer, hearer: Peer, clock: Clock, other: Clock, wants, left: int, needs=()
+        self,
+        speaker: PositionPeer,
+        hearer: PositionPeer,
+        clock: Clock,
+        other: Clock,
+        wants,
+        left: int,
+        needs=(),
     ) -> None:
-        word = speaker.says(8, wants, clock.now(), needs)
+        word = speaker.make_message(8, wants, clock.now(), needs)
 
         def hear() -> None:
             self.hear(hearer, word, other)
@@ -398,11 +407,11 @@
 
         self.send(hear)
 
-    def hear(self, hearer: Peer, word: Word, clock: Clock) -> None:
-        hearer.hears(word, clock.now())
+    def hear(self, hearer: PositionPeer, word: PositionMessage, clock: Clock) -> None:
+        hearer.handle_message(word, clock.now())
         if hearer in self.sides:
             number = self.sides[hearer][0]
-            self.exchanges[number].wanted(hearer, self.leads(number), clock.now())
+            self.exchanges[number].handle_requests(hearer, self.leads(number), clock.now())
             self.look(number)
 
     def leads(self, number: int) -> bool:
@@ -412,12 +421,12 @@
         """As replica_positions.PositionDistributor does each round."""
         exchange, now = self.exchanges[number], self.clocks[number].now()
         if self.leads(number):
-            for engine in exchange.due(self.state.effective.placement.items, now):
+            for engine in exchange.due_engines(self.state.effective.placement.items, now):
                 self.count("asked for positions")
                 self.send(self.answers, engine, self.now)
-        elif (needs := exchange.asking.carried(32, now)) and number:
-            self.send(self.hear, self.between[0], self.between[1].asks(needs, now), self.clocks[0])
-        for peer, word in exchange.tells(now):
+        elif (needs := exchange.poll_schedule.requests_to_forward(32, now)) and number:
+            self.send(self.hear, self.between[0], self.between[1].make_request(needs, now), self.clocks[0])
+        for peer, word in exchange.urgent_messages(now):
             _, far, gateway = self.sides[peer]
             clock = gateway.clock if gateway is not None else self.clocks[1 - number]
             self.send(self.hear, far, word, clock)
@@ -453,7 +462,7 @@
 
     def _place(self) -> None:
         for board, clock in zip(self.boards, self.clocks, strict=True):
-            board.place(self.state.effective.placement.items, clock.now())
+            board.set_placement(self.state.effective.placement.items, clock.now())
 
     def plan(self) -> None:
         plan = self.moves.plan
@@ -575,8 +584,10 @@
         now = self.clocks[0].now()
         asked = now - int((self.now - at) * 1.01) - 1
         for shard, report in reports.items():
-            self.boards[0].heard(shard, name, report["epoch"], report["applied"], report["head"], asked, now)
-        self.exchanges[0].heard(name, asked)
+            self.boards[0].record_report(
+                shard, name, report["epoch"], report["applied"], report["head"], asked, now
+            )
+        self.exchanges[0].record_reply(name, asked)
         self.look(0)
 
     def work(self) -> None:
@@ -653,12 +664,12 @@
         def back(report: dict[str, float] | None, state: int) -> None:
             now = gateway.clock.now()
             if report is not None:
-                gateway.reads.heard(name, report, sent, now)
+                gateway.reads.record_report(name, report, sent, now)
             if one.replica_read is not None:
-                one.replica_read.came_back(report or {}, now - sent, now)
+                one.replica_read.on_finished(report or {}, now - sent, now)
             if session is not None:
                 if report is not None:
-                    self._judge_read(name, session, primary, state, true_sent, one.replica_read.at())
+                    self._judge_read(name, session, primary, state, true_sent, one.replica_read.token())
                 session.busy = False
             elif report is not None:
                 self.acked[shard] = max(self.acked[shard], state)
@@ -688,7 +699,9 @@
             # What is in force holds at each moment, also while the next version is joint.
             force = self.state.content(self.state.turn // 2)
             reads = force.placement.items[session.shard].reads
-            may = pins.pinned(force.replicas.items[f"p{session.shard}"], reads, reads, lambda one: one[0])
+            may = pins.pinned_replicas(
+                force.replicas.items[f"p{session.shard}"], reads, reads, lambda one: one[0]
+            )
             self.count("pinned")
             if name not in may:
                 self.wrong(
@@ -755,7 +768,11 @@
             times = [at for at, name in self.spent if name == engine]
             for first in range(len(times)):
                 for last in range(first, len(times)):
-                    most = fallback.SHARE * CORES * (times[last] - times[first] + fallback.WINDOW)
+                    most = (
+                        fallback.FALLBACK_SHARE
+                        * CORES
+                        * (times[last] - times[first] + fallback.FALLBACK_WINDOW_US)
+                    )
                     if (last - first + 1) * EXPECTED > most * (1 + DRIFT):
                         self.wrong("over the share", f"{engine}: {last - first + 1} reads")
                         return
--- a/tests/test_fleet_joined.py
+++ b/tests/test_fleet_joined.py
@@ -18,8 +18,8 @@
 from cresstray.placement.move_executor import Carrier
 from cresstray.placement.moves import At, Event
 from cresstray.replicas import fallback, read
-from cresstray.replicas.positions import Board
-from cresstray.replicas.read import Read
+from cresstray.replicas.positions import PositionTable
+from cresstray.replicas.read import HintedRead
 from cresstray.simulation.joined import CORES, EXPECTED, MS, SECOND, Disked, StoppedError, World
 
 PIN = "a strict pin is broken"
@@ -72,7 +72,7 @@
                 for gateway in world.gateways:
                     now = gateway.clock.now()
                     report = world.shelves["a1"].report("1") | {"epoch": 1}
-                    gateway.reads.heard("a1", report, now - MS, now)
+                    gateway.reads.record_report("a1", report, now - MS, now)
                     heard.append(world.now)
 
         world.every(100, tells)
@@ -94,7 +94,9 @@
         self.assertEqual(world.broken, {})
         lagging = sum(5 * SECOND < at < 20 * SECOND for at, _ in world.spent)
         # Two shards, each with its primary.
-        most = 2 * fallback.SHARE * CORES * (15 * SECOND + 3 * fallback.WINDOW) / EXPECTED
+        most = (
+            2 * fallback.FALLBACK_SHARE * CORES * (15 * SECOND + 3 * fallback.FALLBACK_WINDOW_US) / EXPECTED
+        )
         self.assertLess(0.4 * most, lagging)
         self.assertLess(lagging, most)
 
@@ -195,14 +197,14 @@
         self.caught("two histories of a shard", mock.patch.dict(Carrier._NEXT, {At.FENCED: moved}))
 
     def test_position_taken_across_epochs(self) -> None:
-        place = Board.place
+        place = PositionTable.set_placement
 
-        def kept(self: Board, shards: dict[str, documents.Shard], now: int) -> None:
+        def kept(self: PositionTable, shards: dict[str, documents.Shard], now: int) -> None:
             before = dict(self._shards)
             place(self, shards, now)
             for name, known in before.items():
                 if name in self._shards:
-                    self._shards[name], known.placed = known, shards[name]
+                    self._shards[name], known.placement = known, shards[name]
 
         def worse(world: World) -> None:
             """A copy stands in the old epoch, and is fresh enough for those that read it."""
@@ -210,15 +212,15 @@
             for session in world.sessions:
                 session.shard, session.within, session.tariff = "1", 8 * SECOND, "reads"
 
-        self.caught("a session went back", mock.patch.object(Board, "place", kept), worse)
+        self.caught("a session went back", mock.patch.object(PositionTable, "set_placement", kept), worse)
 
     def test_read_not_asked_again_when_acting(self) -> None:
-        takes = Read.takes
+        takes = HintedRead.may_run_on
 
-        def kept(self: Read, engine: str, now: int) -> bool:
-            if self._moment is None or not self._allowed:
+        def kept(self: HintedRead, engine: str, now: int) -> bool:
+            if self._cache_key is None or not self._allowed_engines:
                 return takes(self, engine, now)
-            return engine in self._allowed
+            return engine in self._allowed_engines
 
         def worse(world: World) -> None:
             """Two gateways are frozen between a read's offer and its going, while copies stand."""
@@ -232,10 +234,10 @@
                 session.within = 600 * MS
             world.every(8, world.some_read)
 
-        self.caught("older than within", mock.patch.object(Read, "takes", kept), worse)
+        self.caught("older than within", mock.patch.object(HintedRead, "may_run_on", kept), worse)
 
     def test_token_of_less_than_was_read(self) -> None:
-        token = read.Token
+        token = read.SessionToken
 
         def worse(world: World) -> None:
             """One of two copies is behind the other, and fresh enough for those that read both."""
@@ -246,7 +248,7 @@
         self.caught(
             "a session went back",
             mock.patch.object(
-                read, "Token", lambda shard, epoch, position: token(shard, epoch, max(0, position - 8))
+                read, "SessionToken", lambda shard, epoch, position: token(shard, epoch, max(0, position - 8))
             ),
             worse,
         )
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -695,7 +695,7 @@
             def admits(self, now: int) -> bool:
                 return True
 
-            def takes(self, engine: str, now: int) -> bool:
+            def may_run_on(self, engine: str, now: int) -> bool:
                 return engine != "s-0"
 
         self.hear(
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -13,7 +13,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from cresstray.control_plane import replica_positions as joined
+from cresstray.control_plane import replica_positions
 from cresstray.discovery.endpoint_list import Endpoint, EndpointEvent
 from cresstray.fleet_config.active_config import EffectiveConfig, Mode
 from cresstray.fleet_config.documents import Documents, Pin, Placement, Replicas, Shard
@@ -22,16 +22,14 @@
 from cresstray.placement.data_transfer import Hands
 from cresstray.placement.move_executor import Copy, Disk
 from cresstray.policy.types import EndpointState, Engine, Request, RequestClass
-from cresstray.replicas import fallback, read
-from cresstray.replicas import position_polling as asking
-from cresstray.replicas import replica_selection as choose
-from cresstray.replicas.hints import HintError, read_hint
-from cresstray.replicas.pins import matching, narrowed, overload
-from cresstray.replicas.position_polling import Asking
-from cresstray.replicas.positions import Board, Cursor
-from cresstray.replicas.read import Reads
-from cresstray.replicas.sessions import Token, parsed, rendezvous, token
-from cresstray.replicas.spread import Peer, Talk, Word
+from cresstray.replicas import fallback, position_polling, read, replica_selection
+from cresstray.replicas.hints import HintError, parse_hint
+from cresstray.replicas.pins import apply_pins, explain_overload, matching_pins
+from cresstray.replicas.position_polling import PollSchedule
+from cresstray.replicas.positions import PositionTable, SyncCursor
+from cresstray.replicas.read import HintedReads
+from cresstray.replicas.sessions import SessionToken, format_token, parse_token, rendezvous_order
+from cresstray.replicas.spread import LinkPositionExchange, PositionMessage, PositionPeer
 
 MS = 1000
 TABLE = tomllib.loads((Path(__file__).parent / "conformance" / "replicas.toml").read_text())
@@ -54,16 +52,23 @@
         return EffectiveConfig(self.mode, self.turn, self.gateways, self.documents)
 
 
-def gateway(use: Use, chance=lambda: 0.5, full=lambda *_: False, said=None) -> Reads:
+def gateway(use: Use, chance=lambda: 0.5, full=lambda *_: False, said=None) -> HintedReads:
     said = [] if said is None else said
-    return Reads(
-        Board(said.append), use, Counters(), chance, lambda _: CORES, lambda name: name[0], full, lambda: 1000
+    return HintedReads(
+        PositionTable(said.append),
+        use,
+        Counters(),
+        chance,
+        lambda _: CORES,
+        lambda name: name[0],
+        full,
+        lambda: 1000,
     )
 
 
-def ask(reads: Reads, hint: str, now: int = 0, expected: int = EXPECTED):
-    one = reads.hint(f"/*+ cresstray {hint} */ select 1 from t_7.x", TARIFF, now, "t", "n")
-    one.submission = Request(TARIFF, now, now + 1_000_000, expected_latency_us=expected)
+def ask(reads: HintedReads, hint: str, now: int = 0, expected: int = EXPECTED):
+    one = reads.parse_hint(f"/*+ cresstray {hint} */ select 1 from t_7.x", TARIFF, now, "t", "n")
+    one.request = Request(TARIFF, now, now + 1_000_000, expected_latency_us=expected)
     return one
 
 
@@ -73,48 +78,48 @@
             with self.subTest(row["place"], text=row["text"]):
                 if "error" in row:
                     with self.assertRaisesRegex(HintError, row["error"]):
-                        read_hint(row["text"])
+                        parse_hint(row["text"])
                     continue
-                hint = read_hint(row["text"])
+                hint = parse_hint(row["text"])
                 self.assertEqual(hint is None, row.get("none", False))
                 if hint is not None:
                     self.assertEqual(
-                        (hint.primary, hint.within, hint.session),
+                        (hint.is_primary, hint.max_staleness_us, hint.session),
                         (row["primary"], row.get("within", 0) * MS, row.get("session")),
                     )
-                    self.assertEqual(hint.otherwise.value, row.get("otherwise", "primary"))
+                    self.assertEqual(hint.fallback.value, row.get("otherwise", "primary"))
 
     def test_board(self) -> None:
         for row in TABLE["board"]:
             with self.subTest(row["place"], steps=row["steps"]):
-                board = Board(drift=0)
-                board.place({"7": Shard(("c1", "c2", "p"), "p", 1, ("c1", "c2"))}, 0)
+                table = PositionTable(clock_drift=0)
+                table.set_placement({"7": Shard(("c1", "c2", "p"), "p", 1, ("c1", "c2"))}, 0)
                 for who, epoch, *more in row["steps"]:
                     if who == "place":
                         primary, *copies = more
-                        board.place({"7": Shard((*(copies or ("c1", "c2")), "p"), primary, epoch)}, 0)
+                        table.set_placement({"7": Shard((*(copies or ("c1", "c2")), "p"), primary, epoch)}, 0)
                         continue
                     position, at, now = more
-                    board.heard(
+                    table.record_report(
                         "7", who, epoch, position, position if who in ("p", "c2") else None, at * MS, now * MS
                     )
-                bound = board.bound("7", "c1", row["now"] * MS)
+                bound = table.staleness_bound_us("7", "c1", row["now"] * MS)
                 known = row["known"] * MS if row["known"] >= 0 else None
                 self.assertEqual(bound, known)
-                self.assertEqual(board.lies, row.get("lies", 0))
+                self.assertEqual(table.exclusion_count, row.get("lies", 0))
 
     def test_asking(self) -> None:
         placed = {"1": Shard(("a", "b", "p"), "p", 1, ("a", "b")), "2": Shard(("a", "p"), "a", 1, ("p",))}
         for row in TABLE["asking"]:
-            asks = Asking()
+            schedule = PollSchedule()
             for what, now, *more in row["steps"]:
                 with self.subTest(row["place"], what=what, now=now):
                     if what == "want":
-                        asks.wanted((more[0],), now * MS, more[1] * MS)
+                        schedule.request((more[0],), now * MS, more[1] * MS)
                     elif what == "heard":
-                        asks.heard(more[0], now * MS)
+                        schedule.record_reply(more[0], now * MS)
                     else:
-                        self.assertEqual(asks.due(placed, now * MS), more[0])
+                        self.assertEqual(schedule.due_engines(placed, now * MS), more[0])
 
     def test_pins(self) -> None:
         for row in TABLE["pin"]:
@@ -127,8 +132,8 @@
                     row.get("strict", True),
                     row.get("until", 9999),
                 )
-                left = narrowed(
-                    matching({"p": pin}, "t", "n", 1000),
+                left = apply_pins(
+                    matching_pins({"p": pin}, "t", "n", 1000),
                     row["fresh"],
                     ("a1", "b1", "b2"),
                     lambda name: name[0],
@@ -145,21 +150,21 @@
     )
     @settings(derandomize=True, database=None, phases=[Phase.generate], max_examples=300)
     def test_tokens(self, numbers, place, letter) -> None:
-        text = token(Token(*numbers))
-        self.assertEqual(parsed(text), numbers)
+        text = format_token(SessionToken(*numbers))
+        self.assertEqual(parse_token(text), numbers)
         place %= len(text)
         swapped = text[:place] + text[place + 1 : place + 2] + text[place] + text[place + 2 :]
         for wrong in {text[:place] + letter + text[place + 1 :], swapped} - {text}:
             with self.assertRaises(ValueError, msg=wrong):
-                parsed(wrong)
+                parse_token(wrong)
 
     def test_sessions_keep_to_a_copy(self) -> None:
         copies = [f"s-{n:08x}" for n in range(5)]
-        first = {f"u{n}": rendezvous(f"u{n}", copies)[0] for n in range(500)}
-        self.assertEqual(first, {one: rendezvous(one, reversed(copies))[0] for one in first})
+        first = {f"u{n}": rendezvous_order(f"u{n}", copies)[0] for n in range(500)}
+        self.assertEqual(first, {one: rendezvous_order(one, reversed(copies))[0] for one in first})
         self.assertTrue(all(60 < list(first.values()).count(copy) < 140 for copy in copies))
         for one, copy in first.items():  # without another copy nothing moves
-            self.assertTrue(copy == copies[0] or rendezvous(one, copies[1:])[0] == copy)
+            self.assertTrue(copy == copies[0] or rendezvous_order(one, copies[1:])[0] == copy)
 
     def test_refused_and_denied(self) -> None:
         use = Use(
@@ -171,57 +176,59 @@
         for request_class, table, hint, wrong in (
             (writing, "t_7.x", "", "writes"),
             (TARIFF, "x", "", "no shard"),
-            (TARIFF, "t_7.x", " after=" + token(Token(8, 1, 1)), "shard 8"),
+            (TARIFF, "t_7.x", " after=" + format_token(SessionToken(8, 1, 1)), "shard 8"),
         ):
             with self.assertRaisesRegex(HintError, wrong):
-                reads.hint(
+                reads.parse_hint(
                     f"/*+ cresstray read=replica within=1s{hint} */ select 1 from {table}", request_class, 0
                 )
-        self.assertIsNone(reads.hint("select 1 from t_7.x", writing, 0))
+        self.assertIsNone(reads.parse_hint("select 1 from t_7.x", writing, 0))
         self.assertFalse(ask(reads, "read=replica within=1s else=deny").admits(0))
         one = ask(reads, "read=replica within=1s else=wait")
         self.assertTrue(one.admits(0))
-        self.assertFalse(one.takes("a1", 0) or one.takes("p", 0))
-        reads.heard("p", {"shard": 7, "epoch": 1, "head": 5}, 0, 10 * MS)
-        reads.heard("a1", {"shard": 7, "epoch": 1, "applied": 5}, 0, 10 * MS)
-        self.assertTrue(one.takes("a1", 20 * MS) and one.admits(20 * MS))
+        self.assertFalse(one.may_run_on("a1", 0) or one.may_run_on("p", 0))
+        reads.record_report("p", {"shard": 7, "epoch": 1, "head": 5}, 0, 10 * MS)
+        reads.record_report("a1", {"shard": 7, "epoch": 1, "applied": 5}, 0, 10 * MS)
+        self.assertTrue(one.may_run_on("a1", 20 * MS) and one.admits(20 * MS))
         edge = int((1000 * MS - 0) / 1.01) - EXPECTED
-        self.assertEqual([one.takes("a1", edge + more) for more in (-1, 0, 2)], [True, True, False])
+        self.assertEqual([one.may_run_on("a1", edge + more) for more in (-1, 0, 2)], [True, True, False])
         limits.add("a1")  # a strict pin at its copies' limits goes first
         self.assertFalse(ask(reads, "read=replica within=1s").admits(30 * MS))
         use.mode = Mode.FLOOR
-        self.assertFalse(one.takes("a1", 20 * MS + 1))
+        self.assertFalse(one.may_run_on("a1", 20 * MS + 1))
 
     def test_waits_for_keepers_before_it_falls_back(self) -> None:
         reads = gateway(Use(Shard(("a1", "p"), "p", 2, ("a1",))))
-        reads.patience = 30 * MS
+        reads.positions_timeout_us = 30 * MS
         one = ask(reads, "read=replica within=1s")
-        self.assertFalse(one.takes("p", 0) or one.takes("p", 30 * MS - 1))
-        self.assertTrue(reads.urgent)
-        self.assertEqual((reads.wanted(0), reads.urgent), (("7",), False))
-        self.assertTrue(one.takes("p", 30 * MS))
-        one.sent("p", 30 * MS)
-        self.assertTrue(one.takes("p", 31 * MS) and reads.counters.counts["reads fallen back"] == 1)
-        one.came_back({"shard": 7, "epoch": 2, "head": 9}, 10_000 * MS, 32 * MS)
-        self.assertEqual(parsed(one.at()), (7, 2, 9))
-        self.assertFalse(one.takes("p", 33 * MS))  # it took far longer than was charged
-        one.came_back({"shard": 8, "epoch": 2, "head": 9}, 0, 32 * MS)
-        self.assertIsNone(one.at())
+        self.assertFalse(one.may_run_on("p", 0) or one.may_run_on("p", 30 * MS - 1))
+        self.assertTrue(reads.needs_urgent_request)
+        self.assertEqual((reads.wanted_shards(0), reads.needs_urgent_request), (("7",), False))
+        self.assertTrue(one.may_run_on("p", 30 * MS))
+        one.on_sent("p", 30 * MS)
+        self.assertTrue(one.may_run_on("p", 31 * MS) and reads.counters.counts["reads fallen back"] == 1)
+        one.on_finished({"shard": 7, "epoch": 2, "head": 9}, 10_000 * MS, 32 * MS)
+        self.assertEqual(parse_token(one.token()), (7, 2, 9))
+        self.assertFalse(one.may_run_on("p", 33 * MS))  # it took far longer than was charged
+        one.on_finished({"shard": 8, "epoch": 2, "head": 9}, 0, 32 * MS)
+        self.assertIsNone(one.token())
 
     def test_what_reads_wait_for_is_named_first(self) -> None:
         reads = gateway(Use(Shard(("a1", "p"), "p", 2, ("a1",))))
-        reads.patience = 30 * MS
+        reads.positions_timeout_us = 30 * MS
         for shard, within in ((7, 500), (8, 2000), (9, 1000), (7, 600)):
             hint = f"/*+ cresstray read=replica within={within}ms */"
-            reads.hint(f"{hint} select 1 from t_{shard}.x", TARIFF, 0)
-        reads.lacks("8", 30 * MS)
-        self.assertEqual(reads.wanted(MS), ("8", "7", "9"))
-        self.assertTrue(reads.untold() and reads.waits(30 * MS - 1))
-        self.assertFalse(reads.waits(30 * MS))
+            reads.parse_hint(f"{hint} select 1 from t_{shard}.x", TARIFF, 0)
+        reads.request_positions("8", 30 * MS)
+        self.assertEqual(reads.wanted_shards(MS), ("8", "7", "9"))
+        self.assertTrue(reads.has_unsent_requests() and reads.is_waiting(30 * MS - 1))
+        self.assertFalse(reads.is_waiting(30 * MS))
         # By the tightest of late; told to wait once.
-        self.assertEqual(reads.needs(MS, 2), [(0, 0), (0, 400), (1, 100)])
-        self.assertEqual((reads.untold(), reads.needs(MS, 2)), (False, [(0, 400), (1, 100)]))
-        self.assertEqual(reads.needs(1_000 * MS, 9), [])
+        self.assertEqual(reads.max_ages_ms(MS, 2), [(0, 0), (0, 400), (1, 100)])
+        self.assertEqual(
+            (reads.has_unsent_requests(), reads.max_ages_ms(MS, 2)), (False, [(0, 400), (1, 100)])
+        )
+        self.assertEqual(reads.max_ages_ms(1_000 * MS, 9), [])
 
     def test_directory(self) -> None:
         directory, engines = EngineDirectory(("north", "south")), {}
@@ -246,34 +253,34 @@
         reads = gateway(use)
         for name, position in (("p", 5), ("a1", 5)):
             told = {"shard": 7, "epoch": 2, "applied": position, "head": 5}
-            reads.heard(name, told, 0, 10)
+            reads.record_report(name, told, 0, 10)
         for epoch, position, copy, primary in (
             (2, 5, True, False),
             (2, 6, False, True),
             (1, 99, True, False),
             (3, 0, False, False),
         ):
-            one = ask(reads, f"read=replica within=1s after={token(Token(7, epoch, position))}")
+            one = ask(reads, f"read=replica within=1s after={format_token(SessionToken(7, epoch, position))}")
             with self.subTest(epoch=epoch, position=position):
-                self.assertEqual((one.takes("a1", 20), one.takes("p", 20)), (copy, primary))
+                self.assertEqual((one.may_run_on("a1", 20), one.may_run_on("p", 20)), (copy, primary))
 
     def test_a_peer_that_left_a_copy_out(self) -> None:
-        shard, boards, said = Shard(("c1", "p"), "p", 1, ("c1",)), [], []
+        shard, tables, said = Shard(("c1", "p"), "p", 1, ("c1",)), [], []
         for _ in range(3):
-            boards.append(Board(said.append))
-            boards[-1].place({"7": shard}, 0)
-            boards[-1].heard("7", "p", 1, 10, 10, 0, 1)
-            boards[-1].heard("7", "c1", 1, 10, None, 0, 1)
-        boards[0].heard("7", "c1", 1, 4, None, 100, 200)
+            tables.append(PositionTable(said.append))
+            tables[-1].set_placement({"7": shard}, 0)
+            tables[-1].record_report("7", "p", 1, 10, 10, 0, 1)
+            tables[-1].record_report("7", "c1", 1, 10, None, 0, 1)
+        tables[0].record_report("7", "c1", 1, 4, None, 100, 200)
         for _ in range(3):  # told around in a ring: each leaves it out once
             for n in range(3):
-                items = boards[n].told(1000, 9, Cursor())
-                boards[(n + 1) % 3].take(items, 900, 1100)
-        self.assertEqual([board.bound("7", "c1", 2000) for board in boards], [None] * 3)
-        self.assertEqual((len(said), [board.lies for board in boards]), (3, [1] * 3))
+                items = tables[n].next_changes(1000, 9, SyncCursor())
+                tables[(n + 1) % 3].merge(items, 900, 1100)
+        self.assertEqual([table.staleness_bound_us("7", "c1", 2000) for table in tables], [None] * 3)
+        self.assertEqual((len(said), [table.exclusion_count for table in tables]), (3, [1] * 3))
 
     def test_words_are_checked(self) -> None:
-        decode = msgspec.msgpack.Decoder(Word).decode
+        decode = msgspec.msgpack.Decoder(PositionMessage).decode
         good = [1, 0, [["7", 1, 5, 9, [[42, 9, -1], ["x", 3, 7]]]], ["7"], [[0, 0], ["x", 90]]]
         self.assertEqual(
             msgspec.msgpack.encode(decode(msgspec.msgpack.encode(good))), msgspec.msgpack.encode(good)
@@ -293,27 +300,29 @@
                 decode(msgspec.msgpack.encode(wrong))
 
     def test_bounded(self) -> None:
-        board = Board()
+        table = PositionTable()
         shards = {str(n): Shard((f"s-{n}", f"s-{n + 1}", "p"), "p", 1) for n in range(5000)}
-        board.place(shards, 0)
+        table.set_placement(shards, 0)
         for n in range(5000):
             for copy, head in (("p", 9), (f"s-{n}", None), (f"s-{n + 1}", None)):
-                board.heard(str(n), copy, 1, 5, head, n, n + 1)
-        cursor, told = Cursor(), []
-        while items := board.told(10**6, 64, cursor):
+                table.record_report(str(n), copy, 1, 5, head, n, n + 1)
+        cursor, told = SyncCursor(), []
+        while items := table.next_changes(10**6, 64, cursor):
             told += [item.shard for item in items]
             self.assertLess(len(told), 10_001)
         self.assertEqual(told, sorted(shards))
-        board.heard("77", "p", 1, 5, 11, 10**6, 10**6)
-        self.assertEqual([item.shard for item in board.told(10**6, 64, cursor)], ["77"])
+        table.record_report("77", "p", 1, 5, 11, 10**6, 10**6)
+        self.assertEqual([item.shard for item in table.next_changes(10**6, 64, cursor)], ["77"])
         for n in range(3000):
-            board.heard("77", "p", 1, 5, 12 + n, 10**6 + n * MS, 10**6 + n * MS)
-        self.assertLessEqual(len(board._shards["77"].heads), 24)
+            table.record_report("77", "p", 1, 5, 12 + n, 10**6 + n * MS, 10**6 + n * MS)
+        self.assertLessEqual(len(table._shards["77"].heads), 24)
 
     def test_overload(self) -> None:
         pin = Pin("t", "", ("a", "b"), "", True, 1)
-        self.assertIsNone(overload(pin, {"a": 1.0, "c": 9.0}, {"a": 4.0, "b": 4.0, "c": 4.0}, 5.0))
-        self.assertIn("a, b would have 6.1 busy of 8", overload(pin, {"a": 1.0}, {"a": 4.0, "b": 4.0}, 5.1))
+        self.assertIsNone(explain_overload(pin, {"a": 1.0, "c": 9.0}, {"a": 4.0, "b": 4.0, "c": 4.0}, 5.0))
+        self.assertIn(
+            "a, b would have 6.1 busy of 8", explain_overload(pin, {"a": 1.0}, {"a": 4.0, "b": 4.0}, 5.1)
+        )
 
 
 class Fallback(unittest.TestCase):
@@ -321,7 +330,7 @@
     @settings(derandomize=True, database=None, max_examples=15, deadline=None, phases=[Phase.generate])
     def test_share_of_all_gateways(self, count, seed, widest) -> None:
         chance = random.Random(seed)
-        shares, spent, widest_part = [fallback.Share(chance.random) for _ in range(count)], [], 0
+        shares, spent, widest_part = [fallback.FallbackQuota(chance.random) for _ in range(count)], [], 0
         for now in range(0, 8_000_000, 4000):
             cost = chance.randint(1, widest) * MS
             share = shares[chance.randrange(count)]
@@ -329,11 +338,13 @@
                 share.charge("p", cost, CORES, count, now)
                 spent.append((now, cost))
                 widest_part = max(widest_part, cost * count)
-        rate = fallback.SHARE * CORES
+        rate = fallback.FALLBACK_SHARE * CORES
         sums = [0, *accumulate(cost for _, cost in spent)]
         for first in range(0, len(spent), 7):
             for last in range(first, len(spent)):
-                most = rate * (spent[last][0] - spent[first][0]) + max(rate * fallback.WINDOW, widest_part)
+                most = rate * (spent[last][0] - spent[first][0]) + max(
+                    rate * fallback.FALLBACK_WINDOW_US, widest_part
+                )
                 self.assertLessEqual(sums[last + 1] - sums[first], most + 1)
         # In use: half of the share at the least, where that is asked for.
         self.assertGreater(
@@ -349,17 +360,21 @@
 
     def play(self, placed, hung=(), seconds=4, wants=lambda now: ()) -> list[tuple[int, str]]:
         """Wants each 5 ms, answers after 3 ms; when each engine was asked."""
-        asks, found, out = Asking(), [], []
+        schedule, found, out = PollSchedule(), [], []
         for now in range(0, seconds * 1_000_000, 5 * MS):
             for shard, young in wants(now):
-                asks.wanted((shard,), now, young)
+                schedule.request((shard,), now, young)
             for name, at in out:
-                asks.heard(name, at)
-            due = asks.due(placed, now) if asks.next is not None and now >= asks.next else []
+                schedule.record_reply(name, at)
+            due = (
+                schedule.due_engines(placed, now)
+                if schedule.next_due_us is not None and now >= schedule.next_due_us
+                else []
+            )
             self.assertEqual(len(set(due)), len(due))
             out = [(name, now) for name in due if name not in hung]
             found += [(now, name) for name in due]
-        self.assertEqual(asks.asked, len(found))
+        self.assertEqual(schedule.poll_count, len(found))
         return found
 
     def test_flood(self) -> None:
@@ -374,20 +389,22 @@
         }
         flood = self.play(placed, wants=lambda now: [(str(n), n % 3 * 10) for n in range(1200)])
         few = self.play({"1": placed["1"]}, wants=lambda now: [("1", 0), ("x", 0)])
-        self.assertLessEqual(len(flood), 4 * asking._IN_ALL + asking._AT_ONCE)
-        self.assertGreater(len(flood), 0.9 * 4 * asking._IN_ALL)
+        self.assertLessEqual(len(flood), 4 * position_polling._MAX_POLLS_PER_S + position_polling._MAX_BURST)
+        self.assertGreater(len(flood), 0.9 * 4 * position_polling._MAX_POLLS_PER_S)
         for name in placed["1"].copies:
             times = [at for at, one in few if one == name]
-            self.assertGreaterEqual(min(b - a for a, b in zip(times, times[1:])), asking._APART)
+            self.assertGreaterEqual(
+                min(b - a for a, b in zip(times, times[1:])), position_polling._MIN_INTERVAL_US
+            )
             # All wait, each has its part.
             self.assertGreater(sum(one == name for _, one in flood), 0.9 * len(flood) / 20)
         self.assertEqual({one for _, one in few}, set(placed["1"].copies))
-        asks = Asking()
-        asks.wanted(map(str, range(99_999)), 0)
-        self.assertLessEqual(len(asks._came), asking._MOST)
-        asks.due(placed, 0)
-        asks.due({}, 20_000_000)
-        self.assertEqual((asks._came, asks._engines, asks.next), ({}, {}, None))
+        schedule = PollSchedule()
+        schedule.request(map(str, range(99_999)), 0)
+        self.assertLessEqual(len(schedule._new_requests), position_polling._MAX_REQUESTED_SHARDS)
+        schedule.due_engines(placed, 0)
+        schedule.due_engines({}, 20_000_000)
+        self.assertEqual((schedule._new_requests, schedule._engines, schedule.next_due_us), ({}, {}, None))
 
     def test_an_engine_that_hangs(self) -> None:
         placed = {"1": Shard(("a", "b", "p"), "p", 1, ("a", "b"))}
@@ -395,24 +412,31 @@
         times = [at for at, one in found if one == "a"]
         self.assertTrue(all(c - b >= 2 * (b - a) for a, b, c in zip(times, times[1:], times[2:4])), times)
         self.assertLess(len(times), 9)
-        self.assertEqual(sum(one == "b" for _, one in found), 20_000_000 // asking._APART)
+        self.assertEqual(sum(one == "b" for _, one in found), 20_000_000 // position_polling._MIN_INTERVAL_US)
 
     def test_a_head_goes_first(self) -> None:
-        placed = {str(n): Shard((f"a{n}", f"p{n}"), f"p{n}", 1, (f"a{n}",)) for n in range(asking._AT_ONCE)}
-        asks = Asking()
-        asks.wanted(placed, 0, 0)
-        self.assertEqual(asks.due(placed, 0), sorted(f"p{n}" for n in range(asking._AT_ONCE)))
-        for n in range(asking._AT_ONCE):
-            asks.heard(f"p{n}", 0)
+        placed = {
+            str(n): Shard((f"a{n}", f"p{n}"), f"p{n}", 1, (f"a{n}",))
+            for n in range(position_polling._MAX_BURST)
+        }
+        schedule = PollSchedule()
+        schedule.request(placed, 0, 0)
+        self.assertEqual(
+            schedule.due_engines(placed, 0), sorted(f"p{n}" for n in range(position_polling._MAX_BURST))
+        )
+        for n in range(position_polling._MAX_BURST):
+            schedule.record_reply(f"p{n}", 0)
         # Heads that are young are not asked for again, the copies are.
-        self.assertEqual(set(asks.due(placed, 100 * MS)), {f"a{n}" for n in range(asking._AT_ONCE)})
+        self.assertEqual(
+            set(schedule.due_engines(placed, 100 * MS)), {f"a{n}" for n in range(position_polling._MAX_BURST)}
+        )
 
     def test_what_is_carried_to_the_leader(self) -> None:
-        asks = Asking()
-        asks.wanted("abc", 0, 0)
-        asks.wanted("c", 0, 90 * MS)
-        self.assertEqual(asks.carried(3, 0), [("a", 0), ("b", 0)])
-        self.assertEqual(asks.carried(9, 0), [("c", 0), ("c", 90 * MS)])
+        schedule = PollSchedule()
+        schedule.request("abc", 0, 0)
+        schedule.request("c", 0, 90 * MS)
+        self.assertEqual(schedule.requests_to_forward(3, 0), [("a", 0), ("b", 0)])
+        self.assertEqual(schedule.requests_to_forward(9, 0), [("c", 0), ("c", 90 * MS)])
         for now, young, told in (
             (5, 0, []),
             (21, 0, [("a", 0)]),
@@ -421,8 +445,8 @@
             (24, 80, [("a", 80 * MS)]),
             (300, 80, [("a", 80 * MS)]),
         ):
-            asks.wanted("a", now * MS, young * MS)
-            self.assertEqual((now, asks.carried(9, now * MS)), (now, told))
+            schedule.request("a", now * MS, young * MS)
+            self.assertEqual((now, schedule.requests_to_forward(9, now * MS)), (now, told))
 
     def test_a_read_is_answered_by_a_copy(self) -> None:
         for names in (("k1/1", "k2/1"), ("k2/1", "k1/1")):
@@ -430,7 +454,7 @@
                 fleet = TwoKeepers(*names)
                 reads = [fleet.read(number, 1_000 * MS) for number in range(2)]
                 fleet.run(1_030 * MS)
-                self.assertEqual([one.takes("a1", fleet.now) for one in reads], [True, True])
+                self.assertEqual([one.may_run_on("a1", fleet.now) for one in reads], [True, True])
                 # Two links of 1 ms there and back for the second one, the engine's 2 ms, and what makes two
                 # answers one word.
                 self.assertLessEqual(max(fleet.served[one] for one in reads), 10 * MS)
@@ -439,15 +463,15 @@
 
     def test_not_answered_without_it(self) -> None:
         for patch in (
-            mock.patch.object(Reads, "needs", lambda *_: ()),
-            mock.patch.object(joined.Exchange, "tells", lambda *_: []),
-            mock.patch.object(Asking, "carried", lambda *_: []),
+            mock.patch.object(HintedReads, "max_ages_ms", lambda *_: ()),
+            mock.patch.object(replica_positions.PositionRelay, "urgent_messages", lambda *_: []),
+            mock.patch.object(PollSchedule, "requests_to_forward", lambda *_: []),
         ):
             with patch:
                 fleet = TwoKeepers("k1/1", "k2/1")
                 one = fleet.read(1, 1_000 * MS)
                 fleet.run(1_030 * MS)
-                self.assertFalse(one.takes("a1", fleet.now) or one.takes("b1", fleet.now))
+                self.assertFalse(one.may_run_on("a1", fleet.now) or one.may_run_on("b1", fleet.now))
 
     def test_hands_ask_while_they_lead(self) -> None:
         leads, asked = [True], []
@@ -462,7 +486,7 @@
         fleet = TwoKeepers("k1/1", "k2/1", hung=("a1",))
         one = fleet.read(1, 1_000 * MS)
         fleet.run(1_030 * MS)
-        self.assertEqual((one.takes("a1", fleet.now), one.takes("b1", fleet.now)), (False, True))
+        self.assertEqual((one.may_run_on("a1", fleet.now), one.may_run_on("b1", fleet.now)), (False, True))
 
     def test_a_position_that_lies(self) -> None:
         fleet = TwoKeepers("k1/1", "k2/1", lie={"a1": 5000})
@@ -471,7 +495,7 @@
         fleet.run(1_300 * MS)
         one = fleet.read(1, fleet.now + 1)
         fleet.run(fleet.now + 30 * MS)
-        self.assertEqual((one.takes("a1", fleet.now), one.takes("b1", fleet.now)), (False, True))
+        self.assertEqual((one.may_run_on("a1", fleet.now), one.may_run_on("b1", fleet.now)), (False, True))
         self.assertIn("it is left out", " ".join(fleet.said))
 
 
@@ -489,7 +513,9 @@
         placed = {"7": self.SHARD}
         self.keepers, self.cores = [], []
         for name in (leader, follower):
-            one = joined.PositionDistributor(0.01, lambda kind, text: self.said.append(text), Counters())
+            one = replica_positions.PositionDistributor(
+                0.01, lambda kind, text: self.said.append(text), Counters()
+            )
             core = SimpleNamespace(
                 node=SimpleNamespace(leader=leader, name=name),
                 incoming_links={},
@@ -513,14 +539,14 @@
         self.talks, self.reads = [], []
         for number, (keeper, core) in enumerate(zip(self.keepers, self.cores)):
             reads = gateway(Use(self.SHARD, 2))
-            reads.patience = 30 * MS
-            reads.placed(0)
+            reads.positions_timeout_us = 30 * MS
+            reads.update_placement(0)
             here, there = (
-                Talk(
-                    reads.board,
+                LinkPositionExchange(
+                    reads.table,
                     4,
-                    lambda now, reads=reads: reads.wanted(now)[:4],
-                    lambda now, reads=reads: reads.needs(now, 4),
+                    lambda now, reads=reads: reads.wanted_shards(now)[:4],
+                    lambda now, reads=reads: reads.max_ages_ms(now, 4),
                 ),
                 keeper.new_exchange(),
             )
@@ -541,18 +567,18 @@
             act(*given)
         self.now = until
 
-    def far(self, talk: Talk, core) -> SimpleNamespace:
+    def far(self, talk: LinkPositionExchange, core) -> SimpleNamespace:
         """The end from which frames go to this side."""
         return SimpleNamespace(
             unsent_bytes=0, put=lambda frame: self.after(MS, self.hear, talk, core, frame.body)
         )
 
-    def hear(self, talk: Talk, core, body: bytes) -> None:
+    def hear(self, talk: LinkPositionExchange, core, body: bytes) -> None:
         talk.on_message(body, self.now)
         if core is not None:
             self.round(core)
         for one, began in self.began.items():
-            if one.takes("a1", self.now):
+            if one.may_run_on("a1", self.now):
                 self.served.setdefault(one, self.now - began)
 
     def round(self, core) -> None:
@@ -571,13 +597,13 @@
             )
 
     def read(self, number: int, at: int):
-        """Its first question at that moment; the gateway asks its keeper then."""
+        """Its first question at that moment; the gateway asks its control-plane node then."""
         self.run(at)
         one = ask(self.reads[number], "read=replica within=500ms", self.now)
-        one.takes("a1", self.now)
+        one.may_run_on("a1", self.now)
         self.began[one] = self.now
         here, there = self.talks[number]
-        if self.reads[number].urgent:
+        if self.reads[number].needs_urgent_request:
             self.after(MS, self.hear, there, self.cores[number], here.next_message(self.now))
         return one
 
@@ -609,9 +635,9 @@
         self.has = dict.fromkeys(self.shard.copies, 0)
         self.uses = [Use(self.shard, self.GATEWAYS) for _ in range(self.GATEWAYS)]
         self.reads = [gateway(use, self.random.random) for use in self.uses]
-        self.keeper = Board(passes_on=True)
-        self.keeper.place(self.uses[0].documents.placement.items, 0)
-        self.links = [(Peer(reads.board), Peer(self.keeper)) for reads in self.reads]
+        self.keeper = PositionTable(forwards_peer_positions=True)
+        self.keeper.set_placement(self.uses[0].documents.placement.items, 0)
+        self.links = [(PositionPeer(reads.table), PositionPeer(self.keeper)) for reads in self.reads]
         self.sessions = [[None, (0, 0)] for _ in range(6)]  # token, and the furthest state seen
         self.stalled = self.frozen = False
         self.answered, self.possible, self.by_copies = 0, [0, 0], [0, 0]  # without and with `after`
@@ -669,7 +695,7 @@
         reads, name = self.random.choice(self.reads), self.random.choice(sorted(self.has))
         self._send(reads, name, lambda *_: None)
 
-    def _send(self, reads: Reads, name: str, back) -> None:
+    def _send(self, reads: HintedReads, name: str, back) -> None:
         sent = self.now
 
         def run() -> None:
@@ -682,7 +708,7 @@
                 self.after(self._delay(), come, report, end)
 
         def come(report: dict[str, float], state: int) -> None:
-            reads.heard(name, report, sent, self.now)
+            reads.record_report(name, report, sent, self.now)
             back(state, report, sent)
 
         self.after(self._delay(), run)
@@ -694,7 +720,7 @@
         after = f" after={session[0]}" if session[0] else ""
         within = self.random.choice((120, 500, 2000))
         one, now = ask(reads, f"read=replica within={within}ms{after}", self.now), self.now
-        seen, shard = session[1], reads.use.documents.placement.items["7"]
+        seen, shard = session[1], reads.active_config.documents.placement.items["7"]
         could = any(
             self.staleness(self.has[copy], now + EXPECTED) <= within * MS
             and self.log[self.has[copy]] >= seen
@@ -703,39 +729,42 @@
             if copy != shard.primary
         )
         self.possible[not alone] += could
-        names = [name for name in sorted(self.has) if one.takes(name, now)]
+        names = [name for name in sorted(self.has) if one.may_run_on(name, now)]
         if not names:
             return
         name = self.random.choice(names)
-        one.sent(name, now)
+        one.on_sent(name, now)
         self.by_copies[not alone] += could and name != shard.primary
 
         def back(state: int, report: dict[str, float], sent: int) -> None:
             self.answered += 1
-            one.came_back(report, self.now - sent, self.now)
+            one.on_finished(report, self.now - sent, self.now)
             if name != shard.primary:
                 age = self.staleness(state, min(self.now, now + EXPECTED))
                 assert age <= within * MS, f"{age} us old, within {within} ms"
             assert self.log[state] >= seen, f"went back from {seen} to {self.log[state]}"
             if self.log[state] >= session[1]:
-                session[:] = [one.at(), max(session[1], self.log[state])]
+                session[:] = [one.token(), max(session[1], self.log[state])]
 
         self._send(reads, name, back)
 
     def _gossip(self) -> None:
         number = self.random.randrange(self.GATEWAYS)
         here, there = self.links[number]
-        self.reads[number].placed(self.now)
+        self.reads[number].update_placement(self.now)
         if self.random.random() < 0.02:  # a new link
-            self.links[number] = here, there = Peer(self.reads[number].board), Peer(self.keeper)
+            self.links[number] = here, there = (
+                PositionPeer(self.reads[number].table),
+                PositionPeer(self.keeper),
+            )
 
-        def passed(speaker: Peer, hearer: Peer, left: int) -> None:
-            word = speaker.says(8, ("7",) if speaker is here else None, self.now)
+        def passed(speaker: PositionPeer, hearer: PositionPeer, left: int) -> None:
+            word = speaker.make_message(8, ("7",) if speaker is here else None, self.now)
             if self.random.random() >= self.loss:
                 self.after(self._delay(), hear, speaker, hearer, word, left)
 
-        def hear(speaker: Peer, hearer: Peer, word, left: int) -> None:
-            hearer.hears(word, self.now)
+        def hear(speaker: PositionPeer, hearer: PositionPeer, word, left: int) -> None:
+            hearer.handle_message(word, self.now)
             if left:
                 passed(hearer, speaker, left - 1)
 
@@ -758,7 +787,7 @@
         self.after(60 * MS, commit)
 
     def _keeper_set(self, shard: Shard) -> None:
-        self.keeper.place({"7": shard}, self.now)
+        self.keeper.set_placement({"7": shard}, self.now)
 
     def _move(self) -> None:
         self.has["a2"] = self.has["a1"]
@@ -794,36 +823,40 @@
         # What a session has seen through one gateway, another hears of copies only later.
         self.assertGreater(world.by_copies[0] / world.possible[0], 0.55)
         self.assertGreater(world.by_copies[1] / world.possible[1], 0.3)
-        self.assertEqual([reads.board.lies for reads in world.reads], [0] * world.GATEWAYS)
+        self.assertEqual([reads.table.exclusion_count for reads in world.reads], [0] * world.GATEWAYS)
 
     def test_broken_ones_are_caught(self) -> None:
-        heard = Board.heard
+        heard = PositionTable.record_report
         broken = {
             "counted from the answer": (
                 "old, within",
                 mock.patch.object(
-                    Board, "heard", lambda board, *told: heard(board, *told[:-2], told[-1], told[-1])
+                    PositionTable,
+                    "record_report",
+                    lambda table, *told: heard(table, *told[:-2], told[-1], told[-1]),
                 ),
             ),
             "ages from their arrival": (
                 "old, within",
                 mock.patch.object(
-                    Peer,
-                    "hears",
-                    lambda peer, word, now: setattr(peer, "_heard", word.number)
-                    or setattr(peer, "_wants", word.wants)
-                    or peer._board.take(word.items, now, now),
+                    PositionPeer,
+                    "handle_message",
+                    lambda peer, word, now: setattr(peer, "_last_received", word.number)
+                    or setattr(peer, "_wanted_shards", word.wanted_shards)
+                    or peer._table.merge(word.positions, now, now),
                 ),
             ),
             "a token of less than was seen": (
                 "went back",
                 mock.patch.object(
-                    read, "Token", lambda shard, epoch, position: Token(shard, epoch, max(0, position - 3))
+                    read,
+                    "SessionToken",
+                    lambda shard, epoch, position: SessionToken(shard, epoch, max(0, position - 3)),
                 ),
             ),
             "a token counts for nothing": (
                 "went back",
-                mock.patch.object(choose, "has_seen", lambda after, applied: True),
+                mock.patch.object(replica_selection, "covers_token", lambda after, applied: True),
             ),
         }
         for name, (wrong, patch) in broken.items():
