--- a/cresstray/replicas/positions.py
+++ b/cresstray/replicas/positions.py
@@ -175,8 +175,11 @@
         clock_drift: float = 0.01,
         forwards_peer_positions: bool = False,
     ) -> None:
-        self._log, self._clock_drift = log, clock_drift
-        self._forwards_peer_positions = forwards_peer_positions
+        self._log, self._clock_drift, self._forwards_peer_positions = (
+            log,
+            clock_drift,
+            forwards_peer_positions,
+        )
         self._is_merging = False
         self._shards: dict[str, _ShardState] = {}
         self._order: list[str] = []
--- a/cresstray/replicas/read.py
+++ b/cresstray/replicas/read.py
@@ -22,13 +22,10 @@
 
 # Positions of a shard are requested from control-plane nodes for this long after its last hinted read here.
 _WANTED_US = 60_000_000
-# Requested positions may be as old as this part of the smallest recent staleness bound. The rest is for the
-# replica's lag, the read's duration and the delay of messages.
-_MAX_AGE_DIVISOR = 5
-# Maximum ages are sent in the messages of this time after a read, and not later.
-_MAX_AGE_LIFETIME_US = 1_000_000
-# How long the smallest staleness bound counts as recent.
-_MIN_STALENESS_LIFETIME_US = 5_000_000
+# Requested positions may be as old as this part of the smallest recent staleness bound; the rest is for
+# the replica's lag, the read's duration and the delay of messages. They are requested in the messages of this
+# time after a read. The smallest bound counts as recent for the last of these times.
+_MAX_AGE_DIVISOR, _MAX_AGE_LIFETIME_US, _MIN_STALENESS_LIFETIME_US = 5, 1_000_000, 5_000_000
 # A read that still waits requests positions again at this interval, as a lagging replica has caught up since.
 _REQUEST_INTERVAL_US = 150_000
 
--- a/cresstray/replicas/spread.py
+++ b/cresstray/replicas/spread.py
@@ -258,8 +258,12 @@
         wanted_shards: Callable[[int], tuple[str, ...]] | None = None,
         max_ages: Callable[[int], Iterable[tuple[int, int]]] | None = None,
     ) -> None:
-        self.peer, self._max_shards = PositionPeer(table), max_shards
-        self._wanted_shards, self._max_ages = wanted_shards, max_ages
+        self.peer, self._max_shards, self._wanted_shards, self._max_ages = (
+            PositionPeer(table),
+            max_shards,
+            wanted_shards,
+            max_ages,
+        )
 
     def next_message(self, now_us: int) -> bytes:
         """Returns the body of the next message to the peer."""
