--- a/cresstray/control_plane/request_handlers.py
+++ b/cresstray/control_plane/request_handlers.py
@@ -136,7 +136,7 @@
         # A delta that only this node's settings refuse is logged with base versions that can't match: a retry
         # of the request stays refused, and a request that was accepted before gets its earlier outcome.
         base_versions = dict.fromkeys(documents.NAMES, -1) if refused else command.base_versions
-        # The entry holds the fleet state, as a log replayed under newer settings would give another state.
+        # The entry holds the inventory, as a log replayed under newer settings would give another state.
         self._propose_command(
             commands.encode_proposal(
                 command.request_id,
@@ -144,7 +144,7 @@
                 command.delta,
                 command.reason,
                 command.name,
-                self._controller.state.fleet_state,
+                self._controller.state.fleet_inventory,
             ),
             reply,
             refused,
@@ -159,11 +159,11 @@
             new = documents.apply_delta(state.latest, delta)
         except ValueError:
             return []  # the log entry's outcome says so
-        known_refusals = validation.refusals(state.latest, new, state.fleet_state)
-        fleet_state = msgspec.structs.replace(state.fleet_state, engines=self.zones)
+        known_refusals = validation.validation_errors(state.latest, new, state.fleet_inventory)
+        fleet_inventory = msgspec.structs.replace(state.fleet_inventory, engines=self.zones)
         return [
             refusal
-            for refusal in validation.refusals(state.latest, new, fleet_state)
+            for refusal in validation.validation_errors(state.latest, new, fleet_inventory)
             if refusal not in known_refusals
         ]
 
@@ -208,8 +208,8 @@
         ]
         dropped = state.latest.gateways.items.keys() - new.gateways.items.keys()
         departed = (state.departed_gateways | dropped) - new.gateways.items.keys()
-        refused += validation.refusals(
-            state.latest, new, state.fleet_state, len(departed)
+        refused += validation.validation_errors(
+            state.latest, new, state.fleet_inventory, len(departed)
         ) + self._refusals_by_zone(delta)
         reply(
             self._version_status()
--- a/cresstray/gateway/fleet_member.py
+++ b/cresstray/gateway/fleet_member.py
@@ -186,7 +186,7 @@
             config.floor_lease,
             config.drift,
             config.most,
-            waits=True,
+            requires_list=True,
             incarnation=incarnation,
         )
 
--- a/cresstray/idempotency/write_behind.py
+++ b/cresstray/idempotency/write_behind.py
@@ -1,6 +1,6 @@
-"""Queue of record updates that wait to be written, bounded in all and by tenant. Pure.
+"""Queue of record updates that wait to be written, with limits in total and per tenant. Pure.
 
-Beyond its bounds the least important update of a tenant is dropped first.
+Beyond a limit, the least important update of a tenant is dropped.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 from cresstray.idempotency.records import EventKind, RecordEvent
 
-# Some 300 bytes each: 5 MB in all, and what ten minutes without the store bring at ten updates a second.
+# Some 300 bytes each, 5 MB in total; enough for ten minutes without the store at ten updates a second.
 MAX_PENDING = 10_000
 MAX_PENDING_PER_TENANT = 2_500
-# Most attempts finish sooner; the report of the dispatch and that of its outcome are then one write.
+# Most attempts finish sooner, so that the reports of dispatch and outcome are merged into one write.
 _DISPATCH_DELAY_US = 250_000
-# Importance of an update, least first.
-_REPEATS_THE_CLAIM = 0
-_RELEASES_THE_CLAIM = 1
-_ADDS_TO_THE_CLAIM = 2
-_HAS_NO_CLAIM = 3
+# Importance of updates; lower ones are dropped first.
+_IMPORTANCE_OF_DISPATCH = 0
+_IMPORTANCE_OF_RELEASE = 1
+_IMPORTANCE_OF_OUTCOME = 2
+_IMPORTANCE_WITHOUT_CLAIM = 3
 _IMPORTANCE_LEVELS = 4
 
 
@@ -31,14 +31,14 @@
     """One update of a record.
 
     Attributes:
-        digest: Of the idempotency key.
-        event: What is to be applied to the record.
+        digest: Digest of the idempotency key.
+        event: The event to apply to the record.
         tenant: Index of the tenant.
-        expires_us: From then on the update is of no use.
-        due_us: Not to be written before.
+        expires_us: The update is dropped from this time on.
+        due_us: The update is not written before this time.
         sequence: Position in the order of arrival.
-        expected_value: What the store is believed to hold.
-        journal_ids: Entries of the journal that are settled once this is written.
+        expected_value: The value that the store is expected to hold.
+        journal_ids: Ids of journal entries to settle once the update is written.
     """
 
     digest: bytes
@@ -52,12 +52,12 @@
 
     @property
     def importance(self) -> int:
-        """Higher for updates whose loss would say more."""
+        """The importance level; higher if more information would be lost with the update."""
         if self.event.kind is EventKind.DISPATCHED:
-            return _REPEATS_THE_CLAIM
+            return _IMPORTANCE_OF_DISPATCH
         if self.event.kind is EventKind.NOT_EXECUTED:
-            return _RELEASES_THE_CLAIM
-        return _ADDS_TO_THE_CLAIM if self.event.fence else _HAS_NO_CLAIM
+            return _IMPORTANCE_OF_RELEASE
+        return _IMPORTANCE_OF_OUTCOME if self.event.fence else _IMPORTANCE_WITHOUT_CLAIM
 
 
 class WriteBehindQueue:
@@ -72,7 +72,7 @@
         # By tenant and importance, the oldest first.
         self._by_tenant: dict[int, tuple[OrderedDict[PendingWrite, None], ...]] = {}
         self._tenant_counts: dict[int, int] = {}
-        self._by_digest: dict[bytes, dict[int, PendingWrite]] = {}  # then by fence
+        self._by_digest: dict[bytes, dict[int, PendingWrite]] = {}  # by digest, then by fence
         self._last_sequence = 0
         self.dropped_count = 0
 
@@ -89,7 +89,7 @@
         expected_value: bytes = b"",
         journal_ids: tuple[int, ...] = (),
     ) -> bool:
-        """Merges the update with one of the same claim; returns whether it is kept."""
+        """Adds an update, or merges it with one of the same claim; returns whether it is kept."""
         self._last_sequence += 1
         due_us = now_us + _DISPATCH_DELAY_US if event.kind is EventKind.DISPATCHED else now_us
         return self._put(
@@ -99,41 +99,43 @@
         )
 
     def take_due(self, max_count: int, now_us: int) -> list[PendingWrite]:
-        """Removes and returns the oldest updates that are due, in order; drops expired ones on the way."""
-        due: list[PendingWrite] = []
-        expired: list[PendingWrite] = []
+        """Removes and returns the oldest updates that are due, in order; drops expired ones that it meets."""
+        due_writes: list[PendingWrite] = []
+        expired_writes: list[PendingWrite] = []
         for write in self._writes.values():
             if write.expires_us <= now_us:
-                expired.append(write)
+                expired_writes.append(write)
             elif write.due_us <= now_us:
-                due.append(write)
-                if len(due) == max_count:
+                due_writes.append(write)
+                if len(due_writes) == max_count:
                     break
-        for write in (*due, *expired):
+        for write in (*due_writes, *expired_writes):
             self._remove(write)
-        return due
+        return due_writes
 
-    def put_back(self, writes: Iterable[PendingWrite]) -> None:
-        """Returns updates that were not written, or may not be, to before those that came since."""
+    def requeue(self, writes: Iterable[PendingWrite]) -> None:
+        """Puts updates whose write failed or is uncertain back at the front of the queue, in order."""
         for write in sorted(writes, key=lambda write: -write.sequence):
             key = write.digest, write.event.fence
             if self._put(write):
-                kept = self._writes[key]
+                queued_write = self._writes[key]
                 self._writes.move_to_end(key, last=False)
-                self._by_tenant[kept.tenant][kept.importance].move_to_end(kept, last=False)
+                self._by_tenant[queued_write.tenant][queued_write.importance].move_to_end(
+                    queued_write, last=False
+                )
 
     def pending_for(self, digest: bytes) -> list[PendingWrite]:
-        """Returns the updates of one record."""
+        """Returns the queued updates of one record."""
         return list(self._by_digest.get(digest, {}).values())
 
     def _put(self, write: PendingWrite) -> bool:
         key = write.digest, write.event.fence
-        present = self._writes.get(key)
-        if present is not None:
-            self._replace(present, _merge(present, write))
+        queued = self._writes.get(key)
+        if queued is not None:
+            self._replace(queued, _merge(queued, write))
             return True
         self._insert(write)
-        # One tenant's flood must push out neither the updates of others nor the gateway's memory.
+        # A flood of one tenant must neither displace the updates of others nor exhaust the gateway's memory.
         if self._tenant_counts[write.tenant] > self._max_pending_per_tenant:
             self._drop_from(write.tenant)
         elif len(self._writes) > self._max_pending:
@@ -150,10 +152,10 @@
         self._tenant_counts[write.tenant] += 1
         self._by_digest.setdefault(write.digest, {})[write.event.fence] = write
 
-    def _replace(self, present: PendingWrite, merged: PendingWrite) -> None:
-        """The merged update takes the place of the present one in the order."""
-        del self._by_tenant[present.tenant][present.importance][present]
-        self._by_tenant[present.tenant][merged.importance][merged] = None
+    def _replace(self, queued: PendingWrite, merged: PendingWrite) -> None:
+        """Puts the merged update in the queued one's position."""
+        del self._by_tenant[queued.tenant][queued.importance][queued]
+        self._by_tenant[queued.tenant][merged.importance][merged] = None
         self._writes[merged.digest, merged.event.fence] = merged
         self._by_digest[merged.digest][merged.event.fence] = merged
 
@@ -169,15 +171,15 @@
         if not self._tenant_counts[write.tenant]:
             del self._tenant_counts[write.tenant]
             del self._by_tenant[write.tenant]
-        of_digest = self._by_digest[write.digest]
-        del of_digest[write.event.fence]
-        if not of_digest:
+        writes_by_fence = self._by_digest[write.digest]
+        del writes_by_fence[write.event.fence]
+        if not writes_by_fence:
             del self._by_digest[write.digest]
 
 
-# How much a report says about its claim. NOT_EXECUTED never follows UNKNOWN: what may have run is not taken
-# back.
-_STRENGTH = {
+# When reports are merged, the stronger kind wins. NOT_EXECUTED never replaces UNKNOWN: an execution that may
+# have happened is not retracted.
+_REPORT_STRENGTH = {
     EventKind.DISPATCHED: 0,
     EventKind.NOT_EXECUTED: 1,
     EventKind.UNKNOWN: 2,
@@ -187,7 +189,7 @@
 
 def _merge(first: PendingWrite, second: PendingWrite) -> PendingWrite:
     older, newer = sorted((first, second), key=lambda write: write.sequence)
-    strongest = max((older, newer), key=lambda write: (_STRENGTH[write.event.kind], write.sequence))
+    strongest = max((older, newer), key=lambda write: (_REPORT_STRENGTH[write.event.kind], write.sequence))
     event = strongest.event
     if event.kind is not EventKind.NOT_EXECUTED:
         event = msgspec.structs.replace(
@@ -198,7 +200,7 @@
     due_us = strongest.due_us
     if event.kind is EventKind.DISPATCHED:
         due_us = min(older.due_us, strongest.due_us)
-    added_ids = tuple(entry_id for entry_id in newer.journal_ids if entry_id not in older.journal_ids)
+    new_journal_ids = tuple(entry_id for entry_id in newer.journal_ids if entry_id not in older.journal_ids)
     return PendingWrite(
         older.digest,
         event,
@@ -207,5 +209,5 @@
         due_us,
         older.sequence,
         newer.expected_value or older.expected_value,
-        older.journal_ids + added_ids,
+        older.journal_ids + new_journal_ids,
     )
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -213,7 +213,7 @@
         )
         full_engines.add("a1")  # reads of a strict pin are shed first when its replicas are full
         self.assertFalse(make_read(reads, "read=replica within=1s").admits(30 * MS))
-        active_config.mode = Mode.FLOOR
+        active_config.mode = Mode.FALLBACK
         self.assertFalse(hinted_read.may_run_on("a1", 20 * MS + 1))
 
     def test_read_waits_for_positions_before_it_falls_back(self) -> None:
