--- a/cresstray/fleet_config/admission.py
+++ b/cresstray/fleet_config/admission.py
@@ -225,7 +225,7 @@
             return shard is None or engine_id == shard.primary
         if shard is None or engine_id not in (*shard.reads, shard.primary):
             return False
-        return bool(replica_read.takes(engine_id, now_us))
+        return bool(replica_read.may_run_on(engine_id, now_us))
 
     def _has_capacity(
         self, request: Request, engine: Engine, engine_id: str, rule: EngineRule, config: EffectiveConfig
--- a/cresstray/sites/links.py
+++ b/cresstray/sites/links.py
@@ -240,7 +240,7 @@
             )
         for peer, outbound in self._outbound:
             reconnect = _Reconnect(peer, outbound, settings.link.retry)
-            reconnect.job = self._worker.does(
+            reconnect.job = self._worker.add_job(
                 "links",
                 Priority.SERVICE,
                 0,
@@ -248,7 +248,7 @@
                 settings.link.retry_most,
             )
             self._worker.wake(reconnect.job)
-        self._worker.does("absent", Priority.TIDY, _ABSENCE_CHECK_US, self._remove_absent)
+        self._worker.add_job("absent", Priority.TIDY, _ABSENCE_CHECK_US, self._remove_absent)
         self._tick(self._clock.now())
 
     def _tick(self, now_us: int) -> None:
@@ -286,7 +286,7 @@
         self._tasks.start_soon(self._connect_once, reconnect)
         # The worker spreads the connections: when all gateways of a site return at once, their handshakes
         # would otherwise delay live requests.
-        self._worker.begun(_CONNECT_COST_US if self._contexts is None else _TLS_CONNECT_COST_US)
+        self._worker.charge(_CONNECT_COST_US if self._contexts is None else _TLS_CONNECT_COST_US)
 
     async def _connect_once(self, reconnect: _Reconnect) -> None:
         settings, outbound = self._settings.link, reconnect.outbound
@@ -306,7 +306,7 @@
         )
         # The random part keeps the gateways of a site, which notice an outage at the same time, from
         # reconnecting at the same time.
-        self._worker.later(reconnect.job, int(reconnect.delay_us * (0.75 + 0.5 * self._random())))
+        self._worker.wake_after(reconnect.job, int(reconnect.delay_us * (0.75 + 0.5 * self._random())))
 
     async def _run_outbound(self, peer: operator.Peer, outbound: OutboundLink) -> str:
         """Connects and serves an outbound link; returns why its connection ended."""
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -733,7 +733,7 @@
             def admits(self, now_us: int) -> bool:
                 return True
 
-            def takes(self, engine: str, now_us: int) -> bool:
+            def may_run_on(self, engine: str, now_us: int) -> bool:
                 return engine != "s-0"
 
         self.receive(
