--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -14,10 +14,10 @@
 import click
 
 from cresstray.placement.check import check
-from cresstray.placement.fleetmap import fits
-from cresstray.placement.greedy import fullest, hashed
-from cresstray.placement.model import DeadEndError, Fleet, Limits, Place, PlacementError, Plan, Shard
-from cresstray.placement.order import ordered
+from cresstray.placement.fleetmap import describe_plan
+from cresstray.placement.greedy import greedy_moves, rendezvous_moves
+from cresstray.placement.model import DeadEndError, EngineCapacity, Fleet, Limits, PlacementError, Plan, Shard
+from cresstray.placement.order import order_moves
 from cresstray.placement.worker import plan_in_worker
 
 _GB = 10**9
@@ -37,7 +37,7 @@
     disks = [int(each * chance.choice((0.8, 1.0, 1.0, 1.2))) for _ in range(engines)]
     names = [f"e{at:03}" for at in range(engines)]
     places = tuple(
-        Place(name, f"z{at % 3}", disk, disk // 10, 200_000_000, at >= engines - leaving)
+        EngineCapacity(name, f"z{at % 3}", disk, disk // 10, 200_000_000, at >= engines - leaving)
         for at, (name, disk) in enumerate(zip(names, disks))
     )
     # Some engines were filled faster than others: up to a third more or less than the mean.
@@ -78,7 +78,7 @@
     if even is not None:
         told["within_tolerance"] = even
     try:
-        order = ordered(fleet, moves)
+        order = order_moves(fleet, moves)
         told["bytes"] = sum(move.bytes for move in order.moves)
         told["ordered"] = True
     except DeadEndError:
@@ -114,8 +114,8 @@
         "late": len(plan.late),
         "headroom_broken": sum("headroom" in line for line in breaches),
         "breaches": breaches[:5],
-        "greedy": _compared(fleet, *fullest(fleet)),
-        "hashed": _compared(fleet, hashed(fleet), None),
+        "greedy": _compared(fleet, *greedy_moves(fleet)),
+        "hashed": _compared(fleet, rendezvous_moves(fleet), None),
     }
     return told, fleet, plan
 
@@ -141,7 +141,7 @@
     if plan is None:
         click.echo(f"  no plan: {told['error']}")
         return
-    click.echo(f"  {fits(fleet, plan)[0]}")
+    click.echo(f"  {describe_plan(fleet, plan)[0]}")
     click.echo(
         f"  found in {told['seconds']} s, the first plan after {told['first_s']} s;"
         f" aim {told['aim']:.0%}; {len(told['breaches'])} breaches"
--- a/cresstray/cli/placement.py
+++ b/cresstray/cli/placement.py
@@ -15,7 +15,7 @@
 from cresstray.fleet_config import documents
 from cresstray.placement import fleetmap, model, moves
 from cresstray.placement.model import Limits, Plan
-from cresstray.placement.move_executor import Disk
+from cresstray.placement.move_executor import DiskReport
 
 # How often an operator is told; a plan takes minutes to hours.
 _TELL = 1.0
@@ -130,7 +130,7 @@
         line = fleet.Line(fleet.read(file), answer_in)
         limits = Limits(tolerance, at_once, share, border_moves, border_pace)
         given = documents.parse_documents(fleet.ask(line, "show")["documents"])
-        told = msgspec.convert(fleet.ask(line, "disks")["disks"], dict[str, Disk])
+        told = msgspec.convert(fleet.ask(line, "disks")["disks"], dict[str, DiskReport])
         world = _world(given, told, empty, keep_free, keep_free_bytes, limits)
         found = plan_in_worker(world, seconds)
         # Danger: a plan that was wrongly ordered would be half carried out before it shows.
@@ -157,15 +157,15 @@
 
 def _world(
     given: documents.Documents,
-    told: dict[str, Disk],
+    told: dict[str, DiskReport],
     empty: tuple[str, ...],
     keep_free: float,
     keep_free_bytes: int,
     limits: Limits,
 ) -> model.Fleet:
     # The leader asks all of them beside each other: one that lags behind the others does not answer.
-    newest = max((disk.at for disk in told.values()), default=0)
-    fresh = [disk for disk in told.values() if newest - disk.at <= _FRESH]
+    newest = max((disk.asked_at_us for disk in told.values()), default=0)
+    fresh = [disk for disk in told.values() if newest - disk.asked_at_us <= _FRESH]
     if not fresh:
         raise ValueError("no disk has told anything to the leader yet")
     known = {disk.engine for disk in fresh} | {
@@ -181,7 +181,7 @@
         name for name, rule in given.engines.items.items() if rule.is_barred and name in known
     }
     disks = [
-        fleetmap.Disk(
+        fleetmap.DiskCapacity(
             disk.engine,
             disk.zone,
             disk.free,
@@ -191,12 +191,12 @@
         for disk in fresh
     ]
     grown = {
-        name: fleetmap.Grown(copy.growth)
+        name: fleetmap.ShardLoad(copy.growth)
         for disk in fresh
         for name, copy in disk.copies.items()
         if copy.primary
     }
-    return fleetmap.mapped(
+    return fleetmap.build_fleet(
         given.placement.items, disks, grown, sorted(out), keep_free, keep_free_bytes, limits
     )
 
@@ -204,7 +204,7 @@
 def _lines(world: model.Fleet, made: Made) -> list[str]:
     lines = [
         f"plan {made.id}, from version {made.made_of} of the placement",
-        *fleetmap.fits(world, made.plan),
+        *fleetmap.describe_plan(world, made.plan),
     ]
     for number, stage in enumerate(made.plan.stages, 1):
         lines.append(f"stage {number}:")
@@ -246,16 +246,18 @@
 
 def begin(line: fleet.Line, made: Made) -> str:
     """Puts the plan into the log; why it was refused, or nothing. Asked again: begun once."""
-    for part, entry in enumerate(moves.begin(made.id, line.who, made.plan, made.limits, made.headroom)):
+    for part, entry in enumerate(
+        moves.begin_entries(made.id, line.who, made.plan, made.limits, made.headroom)
+    ):
         # Its name is drawn anew each time: what was refused once may be taken now, and is begun once anyway.
         told = fleet.ask(
             line,
             "section",
-            name=moves.NAME,
+            name=moves.SECTION_NAME,
             delta=entry,
             request_id=f"{made.id}/{part}/{secrets.token_hex(4)}",
         )
-        if told["outcome"] not in (moves.DONE, moves.BEFORE):
+        if told["outcome"] not in (moves.APPLIED, moves.ALREADY_APPLIED):
             return told["outcome"].decode()
     return ""
 
@@ -312,11 +314,11 @@
         told = fleet.ask(
             line,
             "section",
-            name=moves.NAME,
+            name=moves.SECTION_NAME,
             request_id=f"cancel/{now['plan']}",
-            delta=moves.encode(moves.Cancel(now["plan"], line.who)),
+            delta=moves.encode(moves.CancelPlan(now["plan"], line.who)),
         )
-        if told["outcome"] not in (moves.DONE, moves.BEFORE):
+        if told["outcome"] not in (moves.APPLIED, moves.ALREADY_APPLIED):
             raise ValueError(told["outcome"].decode())
         return min(0, _follow(line, now["plan"], as_json, answer_in))
 
--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -35,8 +35,8 @@
 from cresstray.fleet_config.state import ConfigState
 from cresstray.observability.counters import Counters
 from cresstray.observability.event_log import EventLog
-from cresstray.placement.move_executor import Disk
-from cresstray.placement.moves import Moves
+from cresstray.placement.move_executor import DiskReport
+from cresstray.placement.moves import MoveSection
 from cresstray.transport import peers
 from cresstray.transport.framing import Frame, FramingError
 from cresstray.transport.peers import Link, PeerLinkManager
@@ -114,7 +114,7 @@
             )
         random = Random(os.urandom(16)).random
         started_at_us = now_us()
-        moves = Moves()
+        moves = MoveSection()
         state = ConfigState(initial_fleet_inventory(settings), {"moves": moves})
         node = Node(
             persistent_state, Timing(settings.beat, settings.election, settings.drift), random, started_at_us
@@ -133,7 +133,7 @@
             started_at_us,
             self._positions.new_exchange,
         )
-        self._positions.attach(self._controller, self._move_coordinator.hands.ask)
+        self._positions.attach(self._controller, self._move_coordinator.hands.poll)
         self._move_coordinator.hands.seen = self._on_disk_report
         self._move_coordinator.attach(self._controller)
         self._update_engines(settings)
@@ -157,7 +157,7 @@
         self._move_coordinator.addresses = {engine.id: engine.address for engine in settings.engines}
         self._controller.request_handlers.zones = {engine.id: engine.zone for engine in settings.engines}
 
-    def _on_disk_report(self, disk: Disk, received_at_us: int) -> None:
+    def _on_disk_report(self, disk: DiskReport, received_at_us: int) -> None:
         if self._positions.on_disk_report(disk, received_at_us):
             self._schedule_round()  # peers that wait get the positions now, not with the next due round
 
@@ -404,7 +404,7 @@
         persistent_state = storage.load()
     finally:
         storage.close()
-    state = ConfigState(initial_fleet_inventory(settings), {"moves": Moves()})
+    state = ConfigState(initial_fleet_inventory(settings), {"moves": MoveSection()})
     if persistent_state.snapshot.data:
         state.restore(persistent_state.snapshot.data)
     for index, entry in enumerate(persistent_state.entries, persistent_state.snapshot.index + 1):
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -11,9 +11,9 @@
 from cresstray.control_plane.node_controller import NodeController, PeerLink
 from cresstray.fleet_config.codec import ReplicaPositions
 from cresstray.observability.counters import Counters
-from cresstray.placement.data_transfer import Hands
-from cresstray.placement.move_executor import Carrier, Disk, Entry
-from cresstray.placement.moves import Moves
+from cresstray.placement.data_transfer import TransferClient
+from cresstray.placement.move_executor import DiskReport, MoveExecutor, Proposal
+from cresstray.placement.moves import MoveSection
 from cresstray.replicas.positions import Board
 from cresstray.replicas.spread import MOST_WANTED, Exchange, Peer, Talk, encoded
 
@@ -70,12 +70,14 @@
         """Handles the requests for positions in a peer's last message."""
         self._exchange.wanted(peer, self._controller.is_ready_leader(now_us), now_us)
 
-    def on_disk_report(self, disk: Disk, now_us: int) -> bool:
+    def on_disk_report(self, disk: DiskReport, now_us: int) -> bool:
         """Records an engine's report of all its replicas; returns whether any peer waits for positions."""
         for shard, replica in disk.copies.items():
             head = replica.head if replica.primary else None
-            self._board.heard(shard, disk.engine, replica.epoch, replica.applied, head, disk.at, now_us)
-        return self._exchange.heard(disk.engine, disk.at)
+            self._board.heard(
+                shard, disk.engine, replica.epoch, replica.applied, head, disk.asked_at_us, now_us
+            )
+        return self._exchange.heard(disk.engine, disk.asked_at_us)
 
     def attach(self, controller: NodeController, poll_engines: Callable[[list[str]], None]) -> None:
         """Connects to the controller; `poll_engines` polls the named engines at once."""
@@ -131,14 +133,14 @@
     """
 
     def __init__(
-        self, moves: Moves, clock: Callable[[], int], counters: Counters, log_event: Callable[..., None]
+        self, moves: MoveSection, clock: Callable[[], int], counters: Counters, log_event: Callable[..., None]
     ) -> None:
         self._moves, self._clock = moves, clock
         self.addresses: dict[str, tuple[str, int]] = {}
-        self.hands = Hands(
+        self.hands = TransferClient(
             lambda: self.addresses, self._propose, self._is_ready_leader, clock, counters, log_event
         )
-        self._carrier: Carrier | None = None
+        self._carrier: MoveExecutor | None = None
         self._term = self._next_run_us = 0
         self._controller: NodeController
 
@@ -148,7 +150,7 @@
         controller.round_hooks.append(self._on_round)
         controller.request_handlers.register_status(
             "moves",
-            lambda: self._moves.told()
+            lambda: self._moves.status()
             | {
                 "waits": {str(move): why for move, why in self._carrier.waits.items()}
                 if self._carrier
@@ -165,7 +167,7 @@
     def _is_ready_leader(self) -> bool:
         return self._controller.is_ready_leader(self._clock())
 
-    def _propose(self, entry: Entry) -> None:
+    def _propose(self, entry: Proposal) -> None:
         try:
             self._controller.propose(entry.data, lambda _: None, self._clock())
         except ValueError as error:
@@ -183,12 +185,14 @@
             )
         # An executor of an earlier term has an outdated view of the moves.
         if self._carrier is None or self._term != controller.node.term:
-            self._carrier, self._term = Carrier(), controller.node.term
+            self._carrier, self._term = MoveExecutor(), controller.node.term
         if now_us >= self._next_run_us:
             self._next_run_us = now_us + _MOVE_CHECK_INTERVAL_US
             # A bug in moves must not end the node. A new executor starts after a while.
             try:
-                self.hands.do(self._carrier.next(controller.state, self._moves, self.hands.told, now_us))
+                self.hands.execute(
+                    self._carrier.next_actions(controller.state, self._moves, self.hands.told, now_us)
+                )
             except Exception:
                 controller.counters.add("faults")
                 controller.log_event("fault", traceback.format_exc(), of="moves")
--- a/cresstray/emulators/fleet/shards.py
+++ b/cresstray/emulators/fleet/shards.py
@@ -257,7 +257,7 @@
         """One command to an engine, and what it answers."""
         with socket.create_connection(("127.0.0.1", self.ports[engine]), 5) as made:
             made.sendall(hiredis.pack_command(words))
-            answers = carry.Answers()
+            answers = carry.AnswerParser()
             while not (found := answers.feed(made.recv(65536))):
                 pass
         return json.loads(found[0])
--- a/cresstray/placement/check.py
+++ b/cresstray/placement/check.py
@@ -4,25 +4,25 @@
 
 from fractions import Fraction
 
-from cresstray.placement.model import Fleet, Place, Plan
+from cresstray.placement.model import EngineCapacity, Fleet, Plan
 
 # More lines tell an operator nothing new.
-_MOST = 50
+_MAX_BREACHES = 50
 
 
 def check(fleet: Fleet, plan: Plan) -> list[str]:
     """Every breach, as lines; none: the plan keeps headroom at each moment and all other rules to its end."""
-    return _Play(fleet, plan).breaches()[:_MOST]
+    return _PlanReplay(fleet, plan).breaches()[:_MAX_BREACHES]
 
 
-class _Play:
+class _PlanReplay:
     def __init__(self, fleet: Fleet, plan: Plan) -> None:
         self.fleet, self.plan = fleet, plan
-        self.places: dict[str, Place] = {place.engine: place for place in fleet.places}
+        self.places: dict[str, EngineCapacity] = {place.engine: place for place in fleet.places}
         self.shards = {shard.name: shard for shard in fleet.shards}
         self.where: dict[str, list[str]] = {shard.name: list(shard.copies) for shard in fleet.shards}
         self.leads = {shard.name: shard.primary for shard in fleet.shards}
-        self.zones = len({place.zone for place in fleet.places if not place.out})
+        self.zones = len({place.zone for place in fleet.places if not place.is_draining})
         self.told: list[str] = []
         self.late: set[str] = set()  # engines that were over from the start, and are yet
         self.came: set[str] = set()
@@ -49,7 +49,7 @@
 
     def _free(self, second: int, coming: list[tuple[str, str]]) -> dict[str, int]:
         """Of each engine the bytes between what it holds and its headroom, summed anew from all copies."""
-        free = {place.engine: max(0, place.disk - place.headroom) for place in self.fleet.places}
+        free = {place.engine: max(0, place.disk_bytes - place.headroom) for place in self.fleet.places}
         for name, engines in self.where.items():
             shard = self.shards[name]
             for engine in engines:
@@ -71,13 +71,13 @@
                 return None
             if move.target in engines:
                 told.append(f"stage {number}: {move.target} has {name} already")
-            if self.places[move.target].out:
+            if self.places[move.target].is_draining:
                 told.append(f"stage {number}: {move.target} is out and takes {name}")
             if move.bytes != self.shards[name].size:
                 told.append(f"stage {number}: {name} has not {move.bytes} bytes")
             if move.primary != (self.leads[name] == move.source):
                 told.append(f"stage {number}: {name} and its primary part")
-            alive = [one for one in [move.source, *sorted(engines)] if self.places[one].pace > 0]
+            alive = [one for one in [move.source, *sorted(engines)] if self.places[one].bytes_per_s > 0]
             if not alive:
                 told.append(f"stage {number}: no engine can send {name}")
                 return None
@@ -104,7 +104,7 @@
         for move, reader in zip(moves, reads):
             shard = self.shards[move.shard]
             paces = [
-                int(self.places[engine].pace * limits.share) // loads[engine]
+                int(self.places[engine].bytes_per_s * limits.share) // loads[engine]
                 for engine in (reader, move.target)
             ]
             pair = tuple(sorted({self.places[reader].zone, self.places[move.target].zone}))
@@ -131,7 +131,7 @@
             if self.leads[move.shard] == move.source:
                 self.leads[move.shard] = move.target
         self.late -= {engine for engine, left in self._free(second + lasts, []).items() if left >= 0}
-        return None if len(told) > before + _MOST else lasts
+        return None if len(told) > before + _MAX_BREACHES else lasts
 
     def _held(self, when: str, free: dict[str, int], targets: set[str]) -> None:
         for engine, left in free.items():
@@ -149,7 +149,7 @@
             told += [
                 f"at the end: {name} is on {engine}, which is out"
                 for engine in engines
-                if self.places[engine].out
+                if self.places[engine].is_draining
             ]
             if self.zones > 1 and len(engines) > 1 == len({self.places[engine].zone for engine in engines}):
                 told.append(f"at the end: {name} is in one zone")
@@ -158,17 +158,17 @@
         told += [
             f"at the end: {engine} lacks {-left} bytes of its headroom"
             for engine, left in free.items()
-            if left < 0 and not self.places[engine].out
+            if left < 0 and not self.places[engine].is_draining
         ]
-        stays = [place for place in self.fleet.places if not place.out]
-        usable = sum(max(0, place.disk - place.headroom) for place in stays)
+        stays = [place for place in self.fleet.places if not place.is_draining]
+        usable = sum(max(0, place.disk_bytes - place.headroom) for place in stays)
         if not usable or self.plan.tolerance >= 1:
             return
         mean = Fraction(sum(held[place.engine] for place in stays), usable)
         # The tolerance to a millionth, as it is planned with.
         near = Fraction(round(self.plan.tolerance * 1_000_000), 1_000_000)
         for place in stays:
-            room = max(0, place.disk - place.headroom)
+            room = max(0, place.disk_bytes - place.headroom)
             if abs(held[place.engine] - mean * room) > near * room:
                 told.append(
                     f"at the end: {place.engine} is further than {self.plan.tolerance:g} from the mean fill"
--- a/cresstray/placement/data_transfer.py
+++ b/cresstray/placement/data_transfer.py
@@ -15,27 +15,27 @@
 from anyio.abc import TaskGroup
 
 from cresstray.observability.counters import Counters
-from cresstray.placement.move_executor import Command, Copy, Disk, Entry
+from cresstray.placement.move_executor import Command, CopyReport, DiskReport, Proposal
 from cresstray.transport import streams
 from cresstray.transport.framing import FramingError
 
 # Disks are asked so often, in microseconds: a switch waits for what they say. An engine at rest costs a few
 # hundred bytes for each.
-_ASK = 500_000
+_POLL_INTERVAL_US = 500_000
 # Growth is measured over so long, in microseconds: shorter, and a single large write would look like a trend.
-_GROWN = 30_000_000
+_GROWTH_INTERVAL_US = 30_000_000
 # An engine that does not answer for so long has its connection ended, in seconds.
-_PATIENCE = 3.0
+_ANSWER_TIMEOUT_S = 3.0
 # Before a connection is tried again, in seconds; twice as long each time.
-_PAUSE, _LONGEST_PAUSE = 0.2, 5.0
+_RECONNECT_PAUSE_S, _MAX_RECONNECT_PAUSE_S = 0.2, 5.0
 # An answer's bytes: 5,000 shards of 200 bytes, with room.
-_LONGEST = 4 * 1024 * 1024
-_LENGTH = re.compile(rb"\$(\d{1,7})\r\n")
+_MAX_ANSWER_BYTES = 4 * 1024 * 1024
+_LENGTH_LINE = re.compile(rb"\$(\d{1,7})\r\n")
 # Commands that wait for an answer on one connection; an engine that takes more is not answering.
-_MOST_ASKED = 256
+_MAX_UNANSWERED = 256
 
 
-class _Told(msgspec.Struct):
+class _DiskAnswer(msgspec.Struct):
     """An engine's answer to SHARDS."""
 
     zone: str
@@ -43,7 +43,7 @@
     free: int
     headroom: int
     pace: int
-    copies: dict[str, Copy]
+    copies: dict[str, CopyReport]
     numbers: dict[str, int] = {}
     cores: float = 0.0
     util: float = 0.0
@@ -51,16 +51,16 @@
     depth: float = 0.0
 
 
-class _Answer(msgspec.Struct):
+class _CommandAnswer(msgspec.Struct):
     """To any other command."""
 
     refused: str = ""
 
 
-_told, _answer = msgspec.json.Decoder(_Told), msgspec.json.Decoder(_Answer)
+_told, _answer = msgspec.json.Decoder(_DiskAnswer), msgspec.json.Decoder(_CommandAnswer)
 
 
-class Answers:
+class AnswerParser:
     """Strings out of what is received, however it is cut. Danger: a length that lies would be waited for."""
 
     def __init__(self) -> None:
@@ -70,13 +70,13 @@
         self._buffer += data
         found, at = [], 0
         while at < len(self._buffer):
-            length = _LENGTH.match(self._buffer, at)
+            length = _LENGTH_LINE.match(self._buffer, at)
             if length is None:
                 if len(self._buffer) - at < 10 and b"\n" not in self._buffer[at:]:
                     break
                 raise FramingError(f"not the length of a string: {bytes(self._buffer[at : at + 20])!r}")
             start, size = length.end(), int(length[1])
-            if size > _LONGEST:
+            if size > _MAX_ANSWER_BYTES:
                 raise FramingError(f"a string of {size} bytes")
             if len(self._buffer) < start + size + 2:
                 break
@@ -88,7 +88,7 @@
         return found
 
 
-def words(command: Command, address: str) -> tuple[str, ...]:
+def command_words(command: Command, address: str) -> tuple[str, ...]:
     """As an engine takes it; `address` is the peer's, host:port."""
     given = [command.verb, command.shard, "MOVE", str(command.fence)]
     if command.verb == "COPY":
@@ -109,13 +109,13 @@
     return tuple(given)
 
 
-class Hands:
+class TransferClient:
     """`addresses`: engine to (host, port), as it is now. `told`: what each disk last said."""
 
     def __init__(
         self,
         addresses: Callable[[], Mapping[str, tuple[str, int]]],
-        propose: Callable[[Entry], None],
+        propose: Callable[[Proposal], None],
         leads: Callable[[], bool],
         clock: Callable[[], int],
         counters: Counters,
@@ -123,9 +123,9 @@
     ) -> None:
         self._addresses, self._propose, self._leads, self._clock = addresses, propose, leads, clock
         self._counters, self._say = counters, say
-        self.told: dict[str, Disk] = {}
-        self.seen: Callable[[Disk, int], None] = lambda disk, now: None  # hears each word as it comes
-        self._lines: dict[str, _Line] = {}
+        self.told: dict[str, DiskReport] = {}
+        self.seen: Callable[[DiskReport, int], None] = lambda disk, now: None  # hears each word as it comes
+        self._lines: dict[str, _EngineConnection] = {}
         self._tasks: TaskGroup | None = None
         self._sizes: dict[str, tuple[int, int, int]] = {}  # of shards: bytes, when, and bytes a second
 
@@ -135,7 +135,7 @@
             async with anyio.create_task_group() as self._tasks:
                 while True:
                     self._look()
-                    await anyio.sleep(_ASK / 1e6)
+                    await anyio.sleep(_POLL_INTERVAL_US / 1e6)
         finally:
             self._tasks = None
             self._lines.clear()
@@ -150,14 +150,14 @@
                 line.end()
         for engine, address in sorted(known.items()):
             if engine not in self._lines:
-                line = self._lines[engine] = _Line(
+                line = self._lines[engine] = _EngineConnection(
                     engine, address, self._heard, self._clock, self._counters, self._say
                 )
                 self._tasks.start_soon(line.run)
             else:
                 self._lines[engine].ask()
 
-    def ask(self, engines: Iterable[str]) -> None:
+    def poll(self, engines: Iterable[str]) -> None:
         """SHARDS at once, where none is out to an engine already; nothing once this keeper does not lead."""
         if self._leads():
             for engine in engines:
@@ -165,18 +165,18 @@
                 if line is not None:
                     line.ask()
 
-    def _heard(self, engine: str, told: _Told, at: int) -> None:
+    def _heard(self, engine: str, told: _DiskAnswer, at: int) -> None:
         for name, copy in told.copies.items():
             if copy.primary:
                 before = self._sizes.get(name)
                 if before is None:
                     self._sizes[name] = copy.bytes, at, 0
-                elif at - before[1] >= _GROWN:
+                elif at - before[1] >= _GROWTH_INTERVAL_US:
                     rate = max(0, (copy.bytes - before[0]) * 1_000_000 // (at - before[1]))
                     # The mean of what was and what is: a busy minute counts, and does not decide.
                     self._sizes[name] = copy.bytes, at, (before[2] + rate) // 2 if before[2] else rate
                 copy.growth = self._sizes[name][2]
-        disk = self.told[engine] = Disk(
+        disk = self.told[engine] = DiskReport(
             engine,
             told.zone,
             told.disk,
@@ -193,13 +193,13 @@
         )
         self.seen(disk, self._clock())
 
-    def do(self, steps: Iterable[Command | Entry]) -> None:
+    def execute(self, steps: Iterable[Command | Proposal]) -> None:
         """Carries out what the carrier decided; nothing of it once this keeper does not lead."""
         addresses = self._addresses()
         for step in steps:
             if not self._leads():
                 return
-            if isinstance(step, Entry):
+            if isinstance(step, Proposal):
                 self._propose(step)
                 continue
             line = self._lines.get(step.engine)
@@ -211,14 +211,14 @@
             line.give(step, f"{host}:{port}" if host else "")
 
 
-class _Line:
+class _EngineConnection:
     """To one engine: connected, asked, and connected again."""
 
     def __init__(
         self,
         engine: str,
         address: tuple[str, int],
-        heard: Callable[[str, _Told, int], None],
+        heard: Callable[[str, _DiskAnswer, int], None],
         clock: Callable[[], int],
         counters: Counters,
         say: Callable[..., None],
@@ -237,9 +237,9 @@
             self._put(None, hiredis.pack_command(("SHARDS",)))
 
     def give(self, command: Command, address: str) -> None:
-        if self._line is not None and len(self._asked) < _MOST_ASKED:
+        if self._line is not None and len(self._asked) < _MAX_UNANSWERED:
             self._counters.add(f"commands {command.verb.lower()}")
-            self._put(command, hiredis.pack_command(words(command, address)))
+            self._put(command, hiredis.pack_command(command_words(command, address)))
 
     def _put(self, command: Command | None, message: bytes) -> None:
         self._asked.append((command, self._clock()))
@@ -247,7 +247,7 @@
 
     async def run(self) -> None:
         """Until its scope is cancelled."""
-        pause = _PAUSE
+        pause = _RECONNECT_PAUSE_S
         with self._scope:
             while True:
                 began = self._clock()
@@ -263,19 +263,23 @@
                     self._say("fault", "on the link to a disk", engine=self._engine, why=repr(trouble))
                 self._asked.clear()
                 # One that lived for a while is tried at once again.
-                pause = _PAUSE if self._clock() - began > 5_000_000 else min(_LONGEST_PAUSE, 2 * pause)
+                pause = (
+                    _RECONNECT_PAUSE_S
+                    if self._clock() - began > 5_000_000
+                    else min(_MAX_RECONNECT_PAUSE_S, 2 * pause)
+                )
                 await anyio.sleep(pause)
 
     async def _connected(self) -> None:
-        with anyio.fail_after(_PATIENCE):
+        with anyio.fail_after(_ANSWER_TIMEOUT_S):
             made = await streams.connect(*self.address)
         try:
             async with anyio.create_task_group() as tasks:
                 with streams.SocketStream(made, tasks, tasks.cancel_scope.cancel) as self._line:
-                    answers = Answers()
+                    answers = AnswerParser()
                     self.ask()
                     while True:
-                        for body in answers.feed(await self._line.receive(_PATIENCE)):
+                        for body in answers.feed(await self._line.receive(_ANSWER_TIMEOUT_S)):
                             self._take(body)
         except BaseExceptionGroup as group:
             # One cause at a time: the first says why it ended.
--- a/cresstray/placement/fleetmap.py
+++ b/cresstray/placement/fleetmap.py
@@ -10,20 +10,20 @@
 
 import msgspec
 
-from cresstray.placement.model import Fleet, Limits, Place, Plan, Shard
+from cresstray.placement.model import EngineCapacity, Fleet, Limits, Plan, Shard
 
 # Nothing grows on a dead engine, and nothing is put there: its disk is never the one that is full.
-_DEAD = 1 << 60
+_UNREPORTED_DISK_BYTES = 1 << 60
 
 
-class Placed(Protocol):
+class PlacedShard(Protocol):
     """rules.documents.Shard, as far as it is needed here."""
 
     copies: tuple[str, ...]
     primary: str
 
 
-class Disk(msgspec.Struct, frozen=True):
+class DiskCapacity(msgspec.Struct, frozen=True):
     """What an engine told of itself: bytes that are free, those of each shard there, bytes a second."""
 
     engine: str
@@ -33,21 +33,21 @@
     sizes: dict[str, int]
 
 
-class Grown(msgspec.Struct, frozen=True):
+class ShardLoad(msgspec.Struct, frozen=True):
     """Of one shard, measured over time: bytes a second, and reads and writes a second."""
 
     growth: int = 0
     heat: float = 0.0
 
 
-class UnknownError(ValueError):
+class UnknownSizeError(ValueError):
     """A size or an engine that nobody told: a plan made on a guess could fill a disk."""
 
 
-def mapped(
-    placement: Mapping[str, Placed],
-    disks: Iterable[Disk],
-    grown: Mapping[str, Grown],
+def build_fleet(
+    placement: Mapping[str, PlacedShard],
+    disks: Iterable[DiskCapacity],
+    grown: Mapping[str, ShardLoad],
     out: Iterable[str],
     share: float,
     least: int,
@@ -66,8 +66,8 @@
             sizes[name] = max(size, sizes.get(name, 0))
     unknown = sorted(name for name in placement if name not in sizes)
     if unknown:
-        raise UnknownError(f"no engine told the size of {len(unknown)} shards: {', '.join(unknown[:5])}")
-    none = Grown()
+        raise UnknownSizeError(f"no engine told the size of {len(unknown)} shards: {', '.join(unknown[:5])}")
+    none = ShardLoad()
     shards = tuple(
         Shard(
             name,
@@ -83,7 +83,7 @@
     for engine in sorted(told.keys() | {copy for shard in shards for copy in shard.copies}):
         disk = told.get(engine)
         if disk is None:
-            places.append(Place(engine, "", _DEAD, 0, 0, True))
+            places.append(EngineCapacity(engine, "", _UNREPORTED_DISK_BYTES, 0, 0, True))
             continue
         placed = sum(
             size
@@ -94,11 +94,11 @@
         space = disk.free + placed
         whole = disk.free + sum(disk.sizes.values())
         headroom = max(int(whole * share), least)
-        places.append(Place(engine, disk.zone, space, headroom, disk.pace, engine in out))
+        places.append(EngineCapacity(engine, disk.zone, space, headroom, disk.pace, engine in out))
     return Fleet(tuple(places), shards, limits)
 
 
-def after(fleet: Fleet, plan: Plan) -> Fleet:
+def fleet_after(fleet: Fleet, plan: Plan) -> Fleet:
     """The fleet as it is when the plan has been carried out, sizes as of now."""
     spots = {shard.name: list(shard.copies) for shard in fleet.shards}
     leads = {shard.name: shard.primary for shard in fleet.shards}
@@ -115,10 +115,10 @@
     return Fleet(fleet.places, shards, fleet.limits)
 
 
-def fits(fleet: Fleet, plan: Plan) -> list[str]:
+def describe_plan(fleet: Fleet, plan: Plan) -> list[str]:
     """Lines for an operator: the whole, then each engine that gets fuller or emptier, most bytes first."""
-    then = after(fleet, plan)
-    before, later = _held(fleet), _held(then)
+    then = fleet_after(fleet, plan)
+    before, later = _held_bytes(fleet), _held_bytes(then)
     came: dict[str, int] = dict.fromkeys(before, 0)
     went = dict(came)
     for move in plan.moves:
@@ -126,11 +126,13 @@
         went[move.source] += 1
     hops = [move for move in plan.moves if move.hop]
     lines = [
-        f"{len(plan.moves)} moves in {len(plan.stages)} stages, {_told(plan.bytes)},"
-        f" some {plan.seconds} s; no plan sends less than {_told(plan.bound)} ({plan.gap:.1%} beyond)"
+        f"{len(plan.moves)} moves in {len(plan.stages)} stages, {_format_bytes(plan.bytes)},"
+        f" some {plan.seconds} s; no plan sends less than {_format_bytes(plan.bound)} ({plan.gap:.1%} beyond)"
     ]
     if hops:
-        lines.append(f"{len(hops)} of them are hops to make room, {_told(sum(move.bytes for move in hops))}")
+        lines.append(
+            f"{len(hops)} of them are hops to make room, {_format_bytes(sum(move.bytes for move in hops))}"
+        )
     if plan.tolerance > fleet.limits.tolerance:
         lines.append(
             f"fills are within {plan.tolerance:.0%} of the mean: within {fleet.limits.tolerance:.0%}"
@@ -146,16 +148,16 @@
         changed, key=lambda place: (-abs(later[place.engine] - before[place.engine]), place.engine)
     ):
         old, new = before[place.engine], later[place.engine]
-        word = "is emptied" if place.out else "gets fuller" if new > old else "gets emptier"
+        word = "is emptied" if place.is_draining else "gets fuller" if new > old else "gets emptier"
         lines.append(
-            f"{place.engine} ({place.zone or 'no zone'}) {word}: {_fill(old, place)} >"
-            f" {_fill(new, place)}, {_told(abs(new - old))}, {came[place.engine]} come,"
+            f"{place.engine} ({place.zone or 'no zone'}) {word}: {_format_fill(old, place)} >"
+            f" {_format_fill(new, place)}, {_format_bytes(abs(new - old))}, {came[place.engine]} come,"
             f" {went[place.engine]} go"
         )
     return lines
 
 
-def _held(fleet: Fleet) -> dict[str, int]:
+def _held_bytes(fleet: Fleet) -> dict[str, int]:
     held = {place.engine: 0 for place in fleet.places}
     for shard in fleet.shards:
         for copy in shard.copies:
@@ -163,11 +165,11 @@
     return held
 
 
-def _fill(held: int, place: Place) -> str:
+def _format_fill(held: int, place: EngineCapacity) -> str:
     return f"{held / place.usable:.1%}" if place.usable else "no room"
 
 
-def _told(count: float) -> str:
+def _format_bytes(count: float) -> str:
     for unit in ("B", "kB", "MB", "GB"):
         if abs(count) < 1000:
             return f"{count:.0f} {unit}" if unit == "B" else f"{count:.1f} {unit}"
--- a/cresstray/placement/greedy.py
+++ b/cresstray/placement/greedy.py
@@ -6,17 +6,17 @@
 import math
 
 from cresstray.placement.model import Fleet, Move
-from cresstray.placement.order import paired
-from cresstray.placement.plan_builder import Draft, Task
+from cresstray.placement.order import pair_moves
+from cresstray.placement.plan_builder import DraftPlacement, PlacementProblem
 
 
-def fullest(fleet: Fleet) -> tuple[list[Move], bool]:
+def greedy_moves(fleet: Fleet) -> tuple[list[Move], bool]:
     """Off engines that are out, then from the fullest to the emptiest engine, the largest copy that fits.
 
     Ends when all are within the tolerance, or when nothing more can go; False if they are not within it.
     """
-    task = Task(fleet, fleet.limits.tolerance)
-    draft = Draft(task, task.spots)
+    task = PlacementProblem(fleet, fleet.limits.tolerance)
+    draft = DraftPlacement(task, task.spots)
     room = [max(1, place.usable) for place in task.places]
 
     def put(number: int, source: int | None, targets: list[int]) -> bool:
@@ -41,12 +41,12 @@
         order = by_fill()
         if not any(draft.excess(at) or draft.lack(at) for at in order):
             break
-        if not any(_off(draft, source, order) for source in reversed(order)):
+        if not any(_move_from(draft, source, order) for source in reversed(order)):
             break
     return task.moves(draft.spots), draft.sound()
 
 
-def _off(draft: Draft, source: int, order: list[int]) -> bool:
+def _move_from(draft: DraftPlacement, source: int, order: list[int]) -> bool:
     task = draft.task
     for target in order:
         spare = task.places[source].usable or 1
@@ -64,9 +64,9 @@
     return False
 
 
-def hashed(fleet: Fleet) -> list[Move]:
+def rendezvous_moves(fleet: Fleet) -> list[Move]:
     """Rendezvous hashing of every shard over the engines that stay, by usable bytes, in two zones."""
-    places = [place for place in fleet.places if not place.out and place.pace and place.usable]
+    places = [place for place in fleet.places if not place.is_draining and place.bytes_per_s and place.usable]
     zones = len({place.zone for place in places})
     moves: list[Move] = []
     for shard in fleet.shards:
@@ -75,7 +75,7 @@
         chosen = ranked[: len(shard.copies)]
         if zones > 1 and len(chosen) > 1 and len({place.zone for place in chosen}) < 2:
             chosen[-1] = next(place for place in ranked if place.zone != chosen[0].zone)
-        moves += paired(fleet, shard, [place.engine for place in chosen])
+        moves += pair_moves(fleet, shard, [place.engine for place in chosen])
     return moves
 
 
--- a/cresstray/placement/model.py
+++ b/cresstray/placement/model.py
@@ -11,19 +11,25 @@
 Struct = msgspec.Struct
 
 
-class Place(Struct, frozen=True):
-    """An engine. `out`: to be emptied; it takes nothing. `pace`: what it reads or writes in a second."""
+class EngineCapacity(Struct, frozen=True):
+    """The disk capacity of one engine.
+
+    Attributes:
+        bytes_per_s: What the engine reads or writes; 0 for a dead engine.
+        is_draining: Whether all copies are to leave; the engine takes none.
+    """
 
     engine: str
     zone: str
-    disk: int
+    disk_bytes: int = msgspec.field(name="disk")
     headroom: int
-    pace: int
-    out: bool = False
+    bytes_per_s: int = msgspec.field(name="pace")
+    is_draining: bool = msgspec.field(default=False, name="out")
 
     @property
     def usable(self) -> int:
-        return max(0, self.disk - self.headroom)
+        """Bytes that copies may fill."""
+        return max(0, self.disk_bytes - self.headroom)
 
 
 class Shard(Struct, frozen=True):
@@ -48,7 +54,7 @@
 
 
 class Fleet(Struct, frozen=True):
-    places: tuple[Place, ...]
+    places: tuple[EngineCapacity, ...]
     shards: tuple[Shard, ...]
     limits: Limits = Limits()
 
@@ -107,7 +113,7 @@
         self.proven = proven  # every way was tried; else none was found
 
 
-def checked(fleet: Fleet) -> None:
+def validate_fleet(fleet: Fleet) -> None:
     """ValueError with each fault of what was given; such a fleet is not planned for."""
     faults: list[str] = []
     known: set[str] = set()
@@ -115,7 +121,7 @@
         if place.engine in known:
             faults.append(f"engine {place.engine} is named twice")
         known.add(place.engine)
-        if min(place.disk, place.headroom, place.pace) < 0:
+        if min(place.disk_bytes, place.headroom, place.bytes_per_s) < 0:
             faults.append(f"engine {place.engine}: disk, headroom and pace are not below 0")
     named: set[str] = set()
     for shard in fleet.shards:
@@ -140,15 +146,15 @@
         raise ValueError("; ".join(faults))
 
 
-def zones_in(fleet: Fleet) -> list[str]:
+def active_zones(fleet: Fleet) -> list[str]:
     """Zones that have an engine which is not out, in order."""
-    return sorted({place.zone for place in fleet.places if not place.out})
+    return sorted({place.zone for place in fleet.places if not place.is_draining})
 
 
-def bands(fleet: Fleet, tolerance: float) -> dict[str, tuple[int, int]]:
+def fill_bounds(fleet: Fleet, tolerance: float) -> dict[str, tuple[int, int]]:
     """Least and most bytes of each engine that is not out, for a fill near the mean, sizes as of now."""
     total = sum(shard.size * len(shard.copies) for shard in fleet.shards)
-    places = [place for place in fleet.places if not place.out]
+    places = [place for place in fleet.places if not place.is_draining]
     room = sum(place.usable for place in places)
     if tolerance >= 1 or not room:
         return {place.engine: (0, place.usable) for place in places}
@@ -163,7 +169,7 @@
     }
 
 
-def ladder(tolerance: float) -> list[float]:
+def tolerance_steps(tolerance: float) -> list[float]:
     """Tolerances to be tried in turn where shards are too coarse; at 1 balance asks for nothing."""
     steps = [tolerance]
     while steps[-1] < 0.5:
--- a/cresstray/placement/move_executor.py
+++ b/cresstray/placement/move_executor.py
@@ -15,41 +15,41 @@
 from cresstray.fleet_config.state import ConfigState
 from cresstray.placement import moves as log
 from cresstray.placement.model import Limits
-from cresstray.placement.moves import At, Event, Moves, Moving, Under
-from cresstray.placement.pacing import Flow, Pace, between
+from cresstray.placement.moves import ActivePlan, Event, MoveProgress, MoveSection, MoveState
+from cresstray.placement.pacing import RateController, Transfer, zone_pair
 
 # A shard's reservation is a sixteenth more than it has, where there is room: what it grows by meanwhile.
-_SPARE = 16
+_SPARE_DIVISOR = 16
 # It is told again how fast to copy when the rate has changed by a fifth; finer steps only cost commands.
-_NEWS = 0.2
+_RATE_CHANGE = 0.2
 # Checkpoints in the log for each move: sixteen keep what a restart may not know small, and the log short.
-_CHECKPOINTS = 16
+_CHECKPOINTS_PER_MOVE = 16
 
 
-class Times(NamedTuple):
+class ExecutorTimes(NamedTuple):
     """Microseconds."""
 
-    fresh: int = 3_000_000  # what a disk told is used for so long
-    resend: int = 1_000_000  # what shows no effect is said again
-    quiet: int = 5_000_000  # a source silent for so long: another copy is copied from
-    gone: int = 60_000_000  # an engine silent for so long counts as dead
-    stuck: int = 20_000_000  # a copy without a further byte
-    pause: int = 1_000_000  # before the next attempt; twice as long each time
-    longest_pause: int = 30_000_000
-    fenced: int = 15_000_000  # a shard stands without a primary for so long, then goes back
-    near: int = 5_000_000  # a copy has caught up when it has the head of so long ago at the most
-    catch: int = 600_000_000  # a copy that follows and does not reach the head
-    room: int = 60_000_000  # a move waits for room so long while nothing else moves
+    report_validity_us: int = 3_000_000  # what a disk told is used for so long
+    resend_interval_us: int = 1_000_000  # what shows no effect is said again
+    source_silence_us: int = 5_000_000  # a source silent for so long: another copy is copied from
+    engine_dead_us: int = 60_000_000  # an engine silent for so long counts as dead
+    copy_stall_us: int = 20_000_000  # a copy without a further byte
+    retry_pause_us: int = 1_000_000  # before the next attempt; twice as long each time
+    max_retry_pause_us: int = 30_000_000
+    max_fenced_us: int = 15_000_000  # a shard stands without a primary for so long, then goes back
+    max_head_age_us: int = 5_000_000  # a copy has caught up when it has the head of so long ago at the most
+    max_catch_up_us: int = 600_000_000  # a copy that follows and does not reach the head
+    max_room_wait_us: int = 60_000_000  # a move waits for room so long while nothing else moves
 
 
-_TIMES = Times()
+_TIMES = ExecutorTimes()
 # Copies of a shard in a version.
 _MOST_COPIES = 3
 # Attempts before it goes back: with the pauses above about two minutes of failures in a row.
-_TRIES = 8
+_MAX_ATTEMPTS = 8
 
 
-class Copy(msgspec.Struct):
+class CopyReport(msgspec.Struct):
     """What an engine holds of a shard; `fence`: the last number it was given for it."""
 
     bytes: int
@@ -65,8 +65,13 @@
     trouble: str = ""  # why it copies no further: "source", "full" or another word
 
 
-class Disk(msgspec.Struct):
-    """What an engine last told; `at`: when it was asked. Sizes in bytes, pace in bytes a second."""
+class DiskReport(msgspec.Struct):
+    """An engine's last report of its disk, in bytes and bytes per second.
+
+    Attributes:
+        asked_at_us: When the report was requested.
+        numbers: The last fence that the engine was given for each shard, including dropped ones.
+    """
 
     engine: str
     zone: str
@@ -74,9 +79,9 @@
     free: int
     headroom: int
     pace: int
-    at: int
-    copies: dict[str, Copy]
-    numbers: dict[str, int] = {}  # the last number it was given of each shard, also of what it dropped
+    asked_at_us: int = msgspec.field(name="at")
+    copies: dict[str, CopyReport]
+    numbers: dict[str, int] = {}
     cores: float = 0.0
     util: float = 0.0
     inflight: float = 0.0
@@ -97,14 +102,14 @@
     epoch: int = 0
 
 
-class Entry(NamedTuple):
+class Proposal(NamedTuple):
     """For the log, as `Node.propose` takes it; `request` names a proposal, and is empty for a step."""
 
     request: str
     data: bytes
 
 
-class _Watch:
+class _MoveObservation:
     """What this leader has seen of a move in its present state."""
 
     def __init__(self, key: tuple, now: int) -> None:
@@ -117,33 +122,33 @@
         self.final = -1  # head of the old primary once nothing is written
 
 
-class Carrier:
-    def __init__(self, times: Times = _TIMES) -> None:
-        self._times, self.pace = times, Pace()
+class MoveExecutor:
+    def __init__(self, times: ExecutorTimes = _TIMES) -> None:
+        self._times, self.pace = times, RateController()
         self._began: int | None = None
         self._plan = ""
-        self._watches: dict[int, _Watch] = {}
+        self._watches: dict[int, _MoveObservation] = {}
         self._sent: dict[tuple, int] = {}
         # Danger: a version proposed for a move behind the entry that sends it back would be committed, and
         # read where its copy is dropped. Nothing more is proposed for these; what stands before them in the
         # log is looked at as they are applied.
-        self._withdrawn: dict[tuple[int, At, int], tuple[Event, dict]] = {}
+        self._withdrawn: dict[tuple[int, MoveState, int], tuple[Event, dict]] = {}
         self._offer: tuple[int, int, int] | None = None  # base version, how often, when
         self.waits: dict[int, str] = {}  # by move: what it waits for, for operators
 
-    def next(
-        self, state: ConfigState, moves: Moves, told: Mapping[str, Disk], now: int
-    ) -> list[Command | Entry]:
+    def next_actions(
+        self, state: ConfigState, moves: MoveSection, told: Mapping[str, DiskReport], now: int
+    ) -> list[Command | Proposal]:
         """All that is due now; what was asked for and shows no effect comes again after a while."""
         if self._began is None:
             self._began = now
         self._state, self._moves, self._told, self._now = state, moves, told, now
-        self._steps: list[Command | Entry] = []
+        self._steps: list[Command | Proposal] = []
         self._changes: dict[str, tuple[documents.Shard, str]] = {}
         self.pace.heed(told, now)
         self._pay()
         plan = moves.plan
-        if plan is not None and plan.had == plan.parts:
+        if plan is not None and plan.received_parts == plan.parts:
             if plan.id != self._plan:
                 self._plan, self._offer = plan.id, None
                 self._watches.clear()
@@ -151,48 +156,56 @@
                 self._withdrawn.clear()
             self.waits = {}
             for index, move in self._reckon(plan):
-                self._NEXT[move.at](self, index, move)
+                self._NEXT[move.state](self, index, move)
             self._propose()
         return self._steps
 
     # What is known.
 
-    def _reckon(self, plan: Under) -> list[tuple[int, Moving]]:
+    def _reckon(self, plan: ActivePlan) -> list[tuple[int, MoveProgress]]:
         """What is under way, and what may begin; for all of it: who is busy, what is promised, how fast."""
-        planned, done, cancelled = At.PLANNED, At.DONE, At.CANCELLED  # looked up once, of thousands of moves
+        planned, done, cancelled = (
+            MoveState.PLANNED,
+            MoveState.DONE,
+            MoveState.CANCELLED,
+        )  # looked up once, of thousands of moves
         left = [
             (index, move)
             for index, move in enumerate(plan.moves)
-            if move.at is not done and move.at is not cancelled
+            if move.state is not done and move.state is not cancelled
         ]
-        live = [(index, move) for index, move in left if move.at is not planned]
+        live = [(index, move) for index, move in left if move.state is not planned]
         stage = min((move.stage for _, move in left), default=0)
         self._busy: dict[str, int] = {}
         self._borders: dict[tuple[str, str], int] = {}
         self._promised: dict[str, int] = {}
         for _, move in live:
             self._count(move)
-        flows = [Flow(index, move.feed, move.target) for index, move in live if move.at is At.COPYING]
+        flows = [
+            Transfer(index, move.copy_source, move.target)
+            for index, move in live
+            if move.state is MoveState.COPYING
+        ]
         self._rates = self.pace.rates(flows, plan.limits, self._told)
         self._short = self._too_full(live)
         if plan.halted or plan.cancelled:
             return live
-        return live + [(index, move) for index, move in left if move.stage == stage and move.at is planned]
+        return live + [(index, move) for index, move in left if move.stage == stage and move.state is planned]
 
-    def _count(self, move: Moving) -> None:
+    def _count(self, move: MoveProgress) -> None:
         for engine in (move.source, move.target):
             self._busy[engine] = self._busy.get(engine, 0) + 1
-        border = between(move.source, move.target, self._told)
+        border = zone_pair(move.source, move.target, self._told)
         self._borders[border] = self._borders.get(border, 0) + 1
         self._promised[move.target] = self._promised.get(move.target, 0) + self._to_come(move)
 
-    def _to_come(self, move: Moving) -> int:
+    def _to_come(self, move: MoveProgress) -> int:
         """Bytes of its reservation that the target has not taken yet, by its own word."""
-        if move.at is At.BACK:
+        if move.state is MoveState.ROLLING_BACK:
             return 0  # nothing more comes
         disk = self._told.get(move.target)
         copy = disk.copies.get(move.shard) if disk is not None else None
-        return max(0, move.held - (copy.bytes if copy is not None else 0))
+        return max(0, move.reserved_bytes - (copy.bytes if copy is not None else 0))
 
     def _room(self, engine: str) -> int:
         """Bytes that may still be promised at an engine; below 0: too many are."""
@@ -202,7 +215,7 @@
     def _headroom(self, engine: str) -> int:
         return max(self._told[engine].headroom, self._moves.plan.headroom.get(engine, 0))
 
-    def _too_full(self, live: list[tuple[int, Moving]]) -> set[int]:
+    def _too_full(self, live: list[tuple[int, MoveProgress]]) -> set[int]:
         """Moves to go back, since their target fills: the latest that still copy, until the rest fits."""
         lacking = {
             engine: -self._room(engine)
@@ -210,41 +223,47 @@
             if engine in self._told and self._room(engine) < 0
         }
         for _, move in live:
-            if move.at is At.BACK and move.target in lacking:  # it makes room soon
+            if move.state is MoveState.ROLLING_BACK and move.target in lacking:  # it makes room soon
                 copy = self._told[move.target].copies.get(move.shard)
                 lacking[move.target] -= copy.bytes if copy is not None else 0
         gone: set[int] = set()
         for index, move in reversed(live):
-            if lacking.get(move.target, 0) > 0 and (move.at is At.RESERVED or move.at is At.COPYING):
+            if lacking.get(move.target, 0) > 0 and (
+                move.state is MoveState.RESERVED or move.state is MoveState.COPYING
+            ):
                 gone.add(index)
                 # Its promise and, soon, what it has taken.
-                lacking[move.target] -= move.held
+                lacking[move.target] -= move.reserved_bytes
         return gone
 
-    def _fresh(self, engine: str) -> Disk | None:
+    def _fresh(self, engine: str) -> DiskReport | None:
         disk = self._told.get(engine)
-        return disk if disk is not None and self._now - disk.at <= self._times.fresh else None
+        return (
+            disk
+            if disk is not None and self._now - disk.asked_at_us <= self._times.report_validity_us
+            else None
+        )
 
     def _silent(self, engine: str) -> int:
         disk = self._told.get(engine)
-        return self._now - max(self._began, disk.at if disk is not None else 0)
+        return self._now - max(self._began, disk.asked_at_us if disk is not None else 0)
 
     def _gone(self, engine: str) -> bool:
-        return self._silent(engine) > self._times.gone
+        return self._silent(engine) > self._times.engine_dead_us
 
     def _barred(self, engine: str) -> bool:
         """Danger: a primary on an engine that no gateway may send to takes no writes."""
         rule = self._state.latest.engines.items.get(engine)
         return rule is not None and (rule.is_barred or not rule.work_fraction)
 
-    def _watch(self, index: int, move: Moving) -> _Watch:
-        key = (move.at, move.fence, move.tries)
+    def _watch(self, index: int, move: MoveProgress) -> _MoveObservation:
+        key = (move.state, move.fence, move.attempts)
         watch = self._watches.get(index)
         if watch is None or watch.key != key:
-            watch = self._watches[index] = _Watch(key, self._now)
+            watch = self._watches[index] = _MoveObservation(key, self._now)
         return watch
 
-    def _placed(self, move: Moving) -> documents.Shard | None:
+    def _placed(self, move: MoveProgress) -> documents.Shard | None:
         return self._state.latest.placement.items.get(move.shard)
 
     # What goes out.
@@ -252,7 +271,7 @@
     def _due(self, key: tuple, every: int | None = None) -> bool:
         """Whether it is to be said now: first, or again since it showed no effect."""
         at = self._sent.get(key)
-        if at is not None and self._now - at < (every or self._times.resend):
+        if at is not None and self._now - at < (every or self._times.resend_interval_us):
             return False
         self._sent[key] = self._now
         return True
@@ -261,25 +280,27 @@
         if self._due((index, command.engine, command.verb, command.fence, command.rate, command.epoch)):
             self._steps.append(command)
 
-    def _enter(self, index: int, move: Moving, event: Event, **facts: object) -> None:
-        if event in (Event.BACK, Event.RETRY, Event.UNFENCE):
-            event, facts = self._withdrawn.setdefault((index, move.at, move.fence), (event, facts))
-        if self._due((index, move.at, event, move.fence, *facts.values())):
-            self._log(log.Step(self._plan, index, move.at, event, move.fence, **facts))
+    def _enter(self, index: int, move: MoveProgress, event: Event, **facts: object) -> None:
+        if event in (Event.ROLL_BACK, Event.RETRY, Event.UNFENCE):
+            event, facts = self._withdrawn.setdefault((index, move.state, move.fence), (event, facts))
+        if self._due((index, move.state, event, move.fence, *facts.values())):
+            self._log(log.MoveStep(self._plan, index, move.state, event, move.fence, **facts))
 
-    def _log(self, entry: log.Step | log.Paid) -> None:
+    def _log(self, entry: log.MoveStep | log.DropConfirmed) -> None:
         # It is compared and set, so it counts once without a name; names are kept for operators.
-        self._steps.append(Entry("", rules.encode_section_command(log.NAME, "", log.encode(entry))))
+        self._steps.append(
+            Proposal("", rules.encode_section_command(log.SECTION_NAME, "", log.encode(entry)))
+        )
 
-    def _goes_back(self, index: int, move: Moving) -> bool:
+    def _goes_back(self, index: int, move: MoveProgress) -> bool:
         """Whether it was asked to; said again until the log has it."""
-        asked = self._withdrawn.get((index, move.at, move.fence))
+        asked = self._withdrawn.get((index, move.state, move.fence))
         if asked is not None:
             self._enter(index, move, asked[0], **asked[1])
         return asked is not None
 
-    def _want(self, index: int, move: Moving, shard: documents.Shard, why: str) -> None:
-        if (index, move.at, move.fence) not in self._withdrawn:
+    def _want(self, index: int, move: MoveProgress, shard: documents.Shard, why: str) -> None:
+        if (index, move.state, move.fence) not in self._withdrawn:
             self._changes[move.shard] = (shard, why)
 
     def _propose(self) -> None:
@@ -291,7 +312,7 @@
             return
         times = 0
         if self._offer is not None and self._offer[0] == base:
-            if now - self._offer[2] < self._times.resend:
+            if now - self._offer[2] < self._times.resend_interval_us:
                 return
             times = self._offer[1] + 1
         self._offer = base, times, now
@@ -308,7 +329,7 @@
         request = f"moves/{self._plan}/placement/{base}/{times}"
         why = f"plan {self._plan}: " + ", ".join(why for _, why in changes.values())
         self._steps.append(
-            Entry(
+            Proposal(
                 request,
                 rules.encode_proposal(
                     request,
@@ -322,51 +343,51 @@
 
     # States.
 
-    def _planned(self, index: int, move: Moving) -> None:
+    def _planned(self, index: int, move: MoveProgress) -> None:
         plan, times = self._moves.plan, self._times
         watch = self._watch(index, move)
         shard = self._placed(move)
         if shard is None or move.source not in shard.copies or move.target in shard.copies:
-            self._enter(index, move, Event.BACK, why="the placement was changed by another")
+            self._enter(index, move, Event.ROLL_BACK, why="the placement was changed by another")
             return
         if self._barred(move.target):
-            self._enter(index, move, Event.BACK, why=f"{move.target} is barred")
+            self._enter(index, move, Event.ROLL_BACK, why=f"{move.target} is barred")
             return
         feed = self._feed(move, shard)
         if feed is None or self._fresh(move.target) is None:
             silent = move.source if feed is None else move.target
             self.waits[index] = f"{silent} does not answer, or does not hold it"
-            if self._gone(silent) or self._now - watch.since > times.gone:
-                self._enter(index, move, Event.BACK, why=self.waits[index])
+            if self._gone(silent) or self._now - watch.since > times.engine_dead_us:
+                self._enter(index, move, Event.ROLL_BACK, why=self.waits[index])
             return
         copy = self._told[feed].copies[move.shard]
         if not self._allowed(plan.limits, move):
             return
         size = max(move.bytes, copy.bytes)
         room = self._room(move.target)
-        held = min(size + size // _SPARE + 1, room)
+        held = min(size + size // _SPARE_DIVISOR + 1, room)
         if held < size:
             self.waits[index] = f"{move.target} lacks {size - room} bytes"
             # Others that end may make room. If none are left, the order was proven on other figures.
-            if not self._busy and self._now - watch.since > times.room:
-                self._enter(index, move, Event.BACK, why=self.waits[index])
+            if not self._busy and self._now - watch.since > times.max_room_wait_us:
+                self._enter(index, move, Event.ROLL_BACK, why=self.waits[index])
             return
-        self._count(msgspec.structs.replace(move, held=held))
+        self._count(msgspec.structs.replace(move, reserved_bytes=held))
         self._enter(index, move, Event.RESERVE, held=held, feed=feed)
 
-    def _allowed(self, limits: Limits, move: Moving) -> bool:
-        border = between(move.source, move.target, self._told)
+    def _allowed(self, limits: Limits, move: MoveProgress) -> bool:
+        border = zone_pair(move.source, move.target, self._told)
         return max(self._busy.get(move.source, 0), self._busy.get(move.target, 0)) < limits.moves and (
             border[0] == border[1] or self._borders.get(border, 0) < limits.border_moves
         )
 
-    def _reserved(self, index: int, move: Moving) -> None:
+    def _reserved(self, index: int, move: MoveProgress) -> None:
         if index in self._short:
-            self._enter(index, move, Event.BACK, why=f"{move.target} has filled")
+            self._enter(index, move, Event.ROLL_BACK, why=f"{move.target} has filled")
         else:
             self._enter(index, move, Event.COPY)
 
-    def _copying(self, index: int, move: Moving) -> None:
+    def _copying(self, index: int, move: MoveProgress) -> None:
         times, watch = self._times, self._watch(index, move)
         if self._goes_back(index, move) or self._must_go_back(index, move):
             return
@@ -376,15 +397,15 @@
             return
         copy = target.copies.get(move.shard)
         have = copy.bytes if copy is not None else 0
-        if self._silent(move.feed) > times.quiet:
+        if self._silent(move.copy_source) > times.source_silence_us:
             self._other_feed(index, move, have)
             return
         if not self._keeps_up(index, move):
             return
-        stuck = times.stuck + self._pause(move)
+        stuck = times.copy_stall_us + self._pause(move)
         if copy is not None and copy.fence == move.fence:
             if copy.trouble == "full":
-                self._enter(index, move, Event.BACK, why=f"{move.target} is full")
+                self._enter(index, move, Event.ROLL_BACK, why=f"{move.target} is full")
                 return
             if copy.whole:
                 self._enter(index, move, Event.COPIED, copied=have)
@@ -394,7 +415,7 @@
             if copy.trouble or self._now - watch.grew > stuck:
                 self._again(index, move, have, copy.trouble or "no further byte")
                 return
-            if have - move.copied >= max(1, move.bytes // _CHECKPOINTS):
+            if have - move.copied_bytes >= max(1, move.bytes // _CHECKPOINTS_PER_MOVE):
                 self._enter(index, move, Event.CHECKPOINT, copied=have)
         elif self._now - watch.since > stuck:
             self._again(index, move, have, "it is not begun")
@@ -402,8 +423,8 @@
         if self._now - watch.since < self._pause(move):
             return
         rate = self._rates[index]
-        if copy is None or copy.fence != move.fence or abs(rate - watch.rate) > _NEWS * watch.rate:
-            if not watch.rate or abs(rate - watch.rate) > _NEWS * watch.rate:
+        if copy is None or copy.fence != move.fence or abs(rate - watch.rate) > _RATE_CHANGE * watch.rate:
+            if not watch.rate or abs(rate - watch.rate) > _RATE_CHANGE * watch.rate:
                 watch.rate = rate
             self._command(
                 index,
@@ -412,19 +433,19 @@
                     "COPY",
                     move.shard,
                     move.fence,
-                    move.feed,
-                    move.copied,
+                    move.copy_source,
+                    move.copied_bytes,
                     watch.rate,
                     self._headroom(move.target),
                 ),
             )
 
-    def _pause(self, move: Moving) -> int:
-        if not move.tries:
+    def _pause(self, move: MoveProgress) -> int:
+        if not move.attempts:
             return 0
-        return min(self._times.longest_pause, self._times.pause << min(move.tries - 1, 16))
+        return min(self._times.max_retry_pause_us, self._times.retry_pause_us << min(move.attempts - 1, 16))
 
-    def _must_go_back(self, index: int, move: Moving) -> bool:
+    def _must_go_back(self, index: int, move: MoveProgress) -> bool:
         """Of what copies or catches up."""
         why = ""
         shard = self._placed(move)
@@ -441,22 +462,24 @@
         elif move.primary and self._gone(move.source):
             # Which of its last writes are to be given up is an operator's to say.
             why = f"{move.source}, its primary, is gone"
-        elif move.tries >= _TRIES:
-            why = f"{move.tries} attempts failed"
+        elif move.attempts >= _MAX_ATTEMPTS:
+            why = f"{move.attempts} attempts failed"
         if why:
-            self._enter(index, move, Event.BACK, why=why)
+            self._enter(index, move, Event.ROLL_BACK, why=why)
         return bool(why)
 
-    def _other_feed(self, index: int, move: Moving, have: int) -> None:
+    def _other_feed(self, index: int, move: MoveProgress, have: int) -> None:
         """The copy that is copied from is silent: another goes on where it stopped."""
-        self.waits[index] = f"{move.feed} does not answer"
-        other = self._feed(move, self._placed(move), move.feed)
+        self.waits[index] = f"{move.copy_source} does not answer"
+        other = self._feed(move, self._placed(move), move.copy_source)
         if other is not None:
             self._enter(index, move, Event.RETRY, copied=have, feed=other)
-        elif self._gone(move.feed):
-            self._enter(index, move, Event.BACK, why=f"{move.feed} is gone, and no other copy is there")
+        elif self._gone(move.copy_source):
+            self._enter(
+                index, move, Event.ROLL_BACK, why=f"{move.copy_source} is gone, and no other copy is there"
+            )
 
-    def _feed(self, move: Moving, shard: documents.Shard, but: str = "") -> str | None:
+    def _feed(self, move: MoveProgress, shard: documents.Shard, but: str = "") -> str | None:
         """A copy that answers and is whole: the one that moves, else any other; not `but`."""
         for engine in (move.source, *shard.copies):
             if engine == but:
@@ -467,31 +490,31 @@
                 return engine
         return None
 
-    def _again(self, index: int, move: Moving, have: int, why: str) -> None:
+    def _again(self, index: int, move: MoveProgress, have: int, why: str) -> None:
         self.waits[index] = why
         if why == "source":
             self._other_feed(index, move, have)
-            if self._silent(move.feed) > self._times.fresh:
+            if self._silent(move.copy_source) > self._times.report_validity_us:
                 return
         self._enter(index, move, Event.RETRY, copied=have)
 
-    def _keeps_up(self, index: int, move: Moving) -> bool:
+    def _keeps_up(self, index: int, move: MoveProgress) -> bool:
         """What the shard has grown by is held too; False: it goes back, for there is no room."""
-        disk = self._fresh(move.feed)
+        disk = self._fresh(move.copy_source)
         copy = disk.copies.get(move.shard) if disk is not None else None
-        if copy is None or move.held - copy.bytes >= copy.bytes // (2 * _SPARE):
+        if copy is None or move.reserved_bytes - copy.bytes >= copy.bytes // (2 * _SPARE_DIVISOR):
             return True
-        wanted = copy.bytes + copy.bytes // _SPARE + 1
-        held = min(wanted, move.held + max(0, self._room(move.target)))
-        if held > move.held and held >= copy.bytes:
-            self._promised[move.target] += held - move.held
-            self._enter(index, move, Event.GROW, held=held)
-        elif copy.bytes > move.held:
-            self._enter(index, move, Event.BACK, why=f"it outgrew its room on {move.target}")
+        wanted = copy.bytes + copy.bytes // _SPARE_DIVISOR + 1
+        held = min(wanted, move.reserved_bytes + max(0, self._room(move.target)))
+        if held > move.reserved_bytes and held >= copy.bytes:
+            self._promised[move.target] += held - move.reserved_bytes
+            self._enter(index, move, Event.EXTEND_RESERVATION, held=held)
+        elif copy.bytes > move.reserved_bytes:
+            self._enter(index, move, Event.ROLL_BACK, why=f"it outgrew its room on {move.target}")
             return False
         return True
 
-    def _catching(self, index: int, move: Moving) -> None:
+    def _catching(self, index: int, move: MoveProgress) -> None:
         shard = self._placed(move)
         if log.has_moved(move, shard):
             self._enter(index, move, Event.SWITCH)
@@ -519,8 +542,8 @@
             return
         if not self._near(index, move, target, primary):
             self.waits.setdefault(index, f"it is at {copy.applied} and catches up")
-            if self._now - self._watch(index, move).since > self._times.catch:
-                self._enter(index, move, Event.BACK, why=f"no end in sight: {self.waits[index]}")
+            if self._now - self._watch(index, move).since > self._times.max_catch_up_us:
+                self._enter(index, move, Event.ROLL_BACK, why=f"no end in sight: {self.waits[index]}")
         elif move.primary:
             if move.source == primary:
                 self._enter(index, move, Event.FENCE)
@@ -529,26 +552,26 @@
                 index,
                 move,
                 msgspec.structs.replace(
-                    shard, copies=_replaced(shard.copies, move), reads=_replaced(shard.reads, move)
+                    shard, copies=_with_target(shard.copies, move), reads=_with_target(shard.reads, move)
                 ),
-                _what(move),
+                _describe(move),
             )
 
-    def _near(self, index: int, move: Moving, target: Disk, primary: str) -> bool:
+    def _near(self, index: int, move: MoveProgress, target: DiskReport, primary: str) -> bool:
         """Whether the target has the head of a moment ago: told by the primary first, then reached."""
         watch, disk = self._watch(index, move), self._fresh(primary)
         copy = disk.copies.get(move.shard) if disk is not None else None
         applied = target.copies[move.shard].applied
         if not move.primary and self._gone(primary):
             # Nobody knows the head: the new copy is as good as the one that it replaces.
-            source = self._fresh(move.feed)
+            source = self._fresh(move.copy_source)
             old = source.copies.get(move.shard) if source is not None else None
             return old is not None and applied >= old.applied
         if copy is None or not copy.primary:
             return False
         if watch.claim_at is None or applied <= copy.head:
-            watch.claim, watch.claim_at = applied, target.at
-        if watch.claim > copy.head and disk.at < watch.claim_at:
+            watch.claim, watch.claim_at = applied, target.asked_at_us
+        if watch.claim > copy.head and disk.asked_at_us < watch.claim_at:
             return False  # the primary's next word says whether that can be
         claim, watch.claim_at = watch.claim, None
         if claim > copy.head:
@@ -556,14 +579,14 @@
             self.waits[index] = f"{move.target} claims {claim}, beyond the head {copy.head}"
             return False
         applied = claim
-        late = self._now - watch.head_at > self._times.near
+        late = self._now - watch.head_at > self._times.max_head_age_us
         if late or watch.head <= applied:
             if not late and watch.head >= 0:
                 return True
-            watch.head, watch.head_at = copy.head, disk.at
+            watch.head, watch.head_at = copy.head, disk.asked_at_us
         return watch.head <= applied
 
-    def _fenced(self, index: int, move: Moving) -> None:
+    def _fenced(self, index: int, move: MoveProgress) -> None:
         """Nobody writes; the target gets the last of it; then it is the primary."""
         shard, watch = self._placed(move), self._watch(index, move)
         if log.has_moved(move, shard):
@@ -577,7 +600,7 @@
         if self._barred(move.target):
             self._enter(index, move, Event.UNFENCE, why=f"{move.target} is barred")
             return
-        if self._now - watch.since > self._times.fenced:
+        if self._now - watch.since > self._times.max_fenced_us:
             self._enter(index, move, Event.UNFENCE, why="its primary could not be switched in time")
             return
         if shard.primary:
@@ -590,7 +613,7 @@
                 index,
                 move,
                 msgspec.structs.replace(shard, primary="", epoch=shard.epoch + 1, copies=copies, reads=reads),
-                f"{_what(move)}: fenced",
+                f"{_describe(move)}: fenced",
             )
             return
         if not log.in_force(self._state, move.shard):
@@ -600,7 +623,7 @@
         new = target.copies.get(move.shard) if target is not None else None
         if old is not None and old.primary:
             self._command(index, Command(move.source, "SWITCH", move.shard, move.fence, epoch=shard.epoch))
-        elif old is not None and old.fence == move.fence and source.at >= watch.since:
+        elif old is not None and old.fence == move.fence and source.asked_at_us >= watch.since:
             # Its own word that it takes no writes, given since: this is the last head there will be.
             watch.final = max(watch.final, old.head)
         if watch.final < 0 or new is None or not new.whole:
@@ -620,17 +643,17 @@
                     copies=_with(_without(shard.copies, move.source), move.target),
                     reads=reads,
                 ),
-                f"{_what(move)}: primary",
+                f"{_describe(move)}: primary",
             )
         else:
             self.waits[index] = f"{move.target} is at {new.applied}, the last write is {watch.final}"
 
-    def _unfencing(self, index: int, move: Moving) -> None:
+    def _unfencing(self, index: int, move: MoveProgress) -> None:
         shard = self._placed(move)
         if log.has_moved(move, shard):
             self._enter(index, move, Event.SWITCH)
         elif shard is None:
-            self._enter(index, move, Event.BACK, why=move.why)
+            self._enter(index, move, Event.ROLL_BACK, why=move.failure_reason)
         elif not shard.primary:
             self._want(
                 index,
@@ -642,14 +665,14 @@
                     copies=_with(_without(shard.copies, move.target), move.source),
                     reads=_without(shard.reads, move.target),
                 ),
-                f"{_what(move)}: primary back",
+                f"{_describe(move)}: primary back",
             )
         else:
             self._tell_primary(index, move, shard)
             if log.in_force(self._state, move.shard):
-                self._enter(index, move, Event.BACK, why=move.why)
+                self._enter(index, move, Event.ROLL_BACK, why=move.failure_reason)
 
-    def _tell_primary(self, index: int, move: Moving, shard: documents.Shard) -> bool:
+    def _tell_primary(self, index: int, move: MoveProgress, shard: documents.Shard) -> bool:
         """All copies are told who is primary; whether that one knows."""
         for engine in (shard.primary, *shard.copies, move.source):
             disk = self._fresh(engine)
@@ -664,7 +687,7 @@
         copy = disk.copies.get(move.shard) if disk is not None else None
         return copy is not None and copy.primary and copy.epoch >= shard.epoch
 
-    def _switched(self, index: int, move: Moving) -> None:
+    def _switched(self, index: int, move: MoveProgress) -> None:
         shard = self._placed(move)
         if not log.has_moved(move, shard):
             kept = shard is not None and move.source in shard.copies and move.target not in shard.copies
@@ -691,9 +714,9 @@
                     index,
                     move,
                     msgspec.structs.replace(
-                        shard, copies=_back(shard.copies, move), reads=_back(shard.reads, move)
+                        shard, copies=_with_source(shard.copies, move), reads=_with_source(shard.reads, move)
                     ),
-                    f"{_what(move)}: back, {move.target} is gone",
+                    f"{_describe(move)}: back, {move.target} is gone",
                 )
             return
         if source is None and not self._gone(move.source):
@@ -704,11 +727,11 @@
             return
         self._enter(index, move, Event.DROP)
 
-    def _dropped(self, index: int, move: Moving) -> None:
+    def _dropped(self, index: int, move: MoveProgress) -> None:
         shard, source = self._placed(move), self._fresh(move.source)
         if shard is not None and move.source in shard.copies:
             self._enter(index, move, Event.DONE)  # placed there again by another: it is that one's now
-        elif source is not None and _clear(source, move.shard, move.fence):
+        elif source is not None and _holds_nothing(source, move.shard, move.fence):
             self._enter(index, move, Event.DONE)
         elif self._gone(move.source):
             self._enter(index, move, Event.DONE, owed=True)
@@ -722,15 +745,15 @@
             self.waits[index] = f"{move.source} drops it"
             self._command(index, Command(move.source, "DROP", move.shard, move.fence))
 
-    def _back(self, index: int, move: Moving) -> None:
+    def _back(self, index: int, move: MoveProgress) -> None:
         shard, target = self._placed(move), self._fresh(move.target)
         copy = target.copies.get(move.shard) if target is not None else None
         if shard is not None and move.target in shard.copies:
-            self._enter(index, move, Event.FREED)  # placed there by another: not ours to drop
-        elif target is not None and _clear(target, move.shard, move.fence):
-            self._enter(index, move, Event.FREED)
+            self._enter(index, move, Event.TARGET_FREED)  # placed there by another: not ours to drop
+        elif target is not None and _holds_nothing(target, move.shard, move.fence):
+            self._enter(index, move, Event.TARGET_FREED)
         elif self._gone(move.target):
-            self._enter(index, move, Event.FREED, owed=True)
+            self._enter(index, move, Event.TARGET_FREED, owed=True)
         elif copy is not None and copy.whole and not self._elsewhere(move.shard, move.target):
             self.waits[index] = f"no other copy of {move.shard} is seen: the new one is kept"
         else:
@@ -753,37 +776,37 @@
             disk, placed = self._fresh(engine), self._state.latest.placement.items.get(shard)
             if disk is None:
                 continue
-            if _clear(disk, shard, fence) or placed is not None and engine in placed.copies:
+            if _holds_nothing(disk, shard, fence) or placed is not None and engine in placed.copies:
                 if self._due(("paid", engine, shard, fence)):
-                    self._log(log.Paid(engine, shard, fence))
+                    self._log(log.DropConfirmed(engine, shard, fence))
             elif shard in disk.copies and not self._elsewhere(shard, engine):
                 continue
             elif self._due(("owed", engine, shard, fence)):
                 self._steps.append(Command(engine, "DROP", shard, fence))
 
     _NEXT = {
-        At.PLANNED: _planned,
-        At.RESERVED: _reserved,
-        At.COPYING: _copying,
-        At.CATCHING: _catching,
-        At.FENCED: _fenced,
-        At.UNFENCING: _unfencing,
-        At.SWITCHED: _switched,
-        At.DROPPED: _dropped,
-        At.BACK: _back,
+        MoveState.PLANNED: _planned,
+        MoveState.RESERVED: _reserved,
+        MoveState.COPYING: _copying,
+        MoveState.CATCHING_UP: _catching,
+        MoveState.FENCED: _fenced,
+        MoveState.UNFENCING: _unfencing,
+        MoveState.SWITCHED: _switched,
+        MoveState.DROPPED: _dropped,
+        MoveState.ROLLING_BACK: _back,
     }
 
 
-def _clear(disk: Disk, shard: str, fence: int) -> bool:
+def _holds_nothing(disk: DiskReport, shard: str, fence: int) -> bool:
     """Whether nothing is there, nor can come. Danger: a late COPY; it is refused under this number."""
     return shard not in disk.copies and disk.numbers.get(shard, 0) >= fence
 
 
-def _replaced(names: tuple[str, ...], move: Moving) -> tuple[str, ...]:
+def _with_target(names: tuple[str, ...], move: MoveProgress) -> tuple[str, ...]:
     return tuple(move.target if name == move.source else name for name in names)
 
 
-def _back(names: tuple[str, ...], move: Moving) -> tuple[str, ...]:
+def _with_source(names: tuple[str, ...], move: MoveProgress) -> tuple[str, ...]:
     return tuple(move.source if name == move.target else name for name in names)
 
 
@@ -795,5 +818,5 @@
     return tuple(one for one in names if one != name)
 
 
-def _what(move: Moving) -> str:
+def _describe(move: MoveProgress) -> str:
     return f"{move.shard} {move.source} > {move.target}"
--- a/cresstray/placement/moves.py
+++ b/cresstray/placement/moves.py
@@ -21,31 +21,33 @@
     from cresstray.fleet_config import documents
     from cresstray.fleet_config.state import ConfigState
 
-NAME = "moves"  # of the section in the log
+SECTION_NAME = "moves"  # of the section in the log
 # Moves in one entry of the log: about 80 bytes each, well below the longest frame.
-_PART = 1000
+_MOVES_PER_ENTRY = 1000
 # More than a fleet of a thousand engines moves in a plan; a plan is kept whole in each keeper's memory.
-_MOST = 50_000
+_MAX_MOVES = 50_000
 
 
-class At(Enum):
+class MoveState(Enum):
     """Where a move is. Each is true once it is committed, and nothing is done before that."""
 
     PLANNED = "planned"  # nothing is held
     RESERVED = "reserved"  # `held` bytes at the target are its own; the source's are until it is dropped
     COPYING = "copying"  # the target may hold a part
-    CATCHING = "catching up"  # the target holds all, and follows
+    CATCHING_UP = "catching up"  # the target holds all, and follows
     FENCED = "fenced"  # a version without a primary may be committed, then one with the new primary
     SWITCHED = "switched"  # the version with the new copy is committed
     DROPPED = "dropped"  # no lease under the old placement is left: the old copy may be dropped
     DONE = "done"  # the old copy is gone
     UNFENCING = "unfencing"  # the old primary is to have its place again
-    BACK = "back"  # what the target holds is to be dropped
+    ROLLING_BACK = "back"  # what the target holds is to be dropped
     CANCELLED = "cancelled"  # nothing is held, the old copy stays
 
 
-SETTLED = frozenset((At.DONE, At.CANCELLED))
-IDLE = frozenset((At.PLANNED, At.DONE, At.CANCELLED))  # they hold nothing anywhere
+FINISHED_STATES = frozenset((MoveState.DONE, MoveState.CANCELLED))
+UNRESERVED_STATES = frozenset(
+    (MoveState.PLANNED, MoveState.DONE, MoveState.CANCELLED)
+)  # they hold nothing anywhere
 
 
 class Event(Enum):
@@ -53,48 +55,57 @@
     COPY = "copy"
     CHECKPOINT = "checkpoint"
     RETRY = "retry"
-    GROW = "grow"
+    EXTEND_RESERVATION = "grow"
     COPIED = "copied"
     FENCE = "fence"
     UNFENCE = "unfence"
     SWITCH = "switch"
     DROP = "drop"
     DONE = "done"
-    BACK = "back"
-    FREED = "freed"
+    ROLL_BACK = "back"
+    TARGET_FREED = "freed"
 
 
 # State and event > next state; what is not here changes nothing.
-_NEXT: dict[tuple[At, Event], At] = {
-    (At.PLANNED, Event.RESERVE): At.RESERVED,
-    (At.PLANNED, Event.BACK): At.CANCELLED,
-    (At.RESERVED, Event.COPY): At.COPYING,
-    (At.RESERVED, Event.BACK): At.CANCELLED,
-    (At.COPYING, Event.CHECKPOINT): At.COPYING,
-    (At.COPYING, Event.RETRY): At.COPYING,
-    (At.COPYING, Event.GROW): At.COPYING,
-    (At.COPYING, Event.COPIED): At.CATCHING,
-    (At.COPYING, Event.BACK): At.BACK,
-    (At.CATCHING, Event.RETRY): At.COPYING,
-    (At.CATCHING, Event.GROW): At.CATCHING,
-    (At.CATCHING, Event.FENCE): At.FENCED,
-    (At.CATCHING, Event.SWITCH): At.SWITCHED,
-    (At.CATCHING, Event.BACK): At.BACK,
-    (At.FENCED, Event.SWITCH): At.SWITCHED,
-    (At.FENCED, Event.UNFENCE): At.UNFENCING,
-    (At.UNFENCING, Event.SWITCH): At.SWITCHED,
-    (At.UNFENCING, Event.BACK): At.BACK,
-    (At.SWITCHED, Event.DROP): At.DROPPED,
-    (At.SWITCHED, Event.DONE): At.DONE,  # only where the placement was changed by another
-    (At.DROPPED, Event.DONE): At.DONE,
-    (At.BACK, Event.FREED): At.CANCELLED,
+_NEXT: dict[tuple[MoveState, Event], MoveState] = {
+    (MoveState.PLANNED, Event.RESERVE): MoveState.RESERVED,
+    (MoveState.PLANNED, Event.ROLL_BACK): MoveState.CANCELLED,
+    (MoveState.RESERVED, Event.COPY): MoveState.COPYING,
+    (MoveState.RESERVED, Event.ROLL_BACK): MoveState.CANCELLED,
+    (MoveState.COPYING, Event.CHECKPOINT): MoveState.COPYING,
+    (MoveState.COPYING, Event.RETRY): MoveState.COPYING,
+    (MoveState.COPYING, Event.EXTEND_RESERVATION): MoveState.COPYING,
+    (MoveState.COPYING, Event.COPIED): MoveState.CATCHING_UP,
+    (MoveState.COPYING, Event.ROLL_BACK): MoveState.ROLLING_BACK,
+    (MoveState.CATCHING_UP, Event.RETRY): MoveState.COPYING,
+    (MoveState.CATCHING_UP, Event.EXTEND_RESERVATION): MoveState.CATCHING_UP,
+    (MoveState.CATCHING_UP, Event.FENCE): MoveState.FENCED,
+    (MoveState.CATCHING_UP, Event.SWITCH): MoveState.SWITCHED,
+    (MoveState.CATCHING_UP, Event.ROLL_BACK): MoveState.ROLLING_BACK,
+    (MoveState.FENCED, Event.SWITCH): MoveState.SWITCHED,
+    (MoveState.FENCED, Event.UNFENCE): MoveState.UNFENCING,
+    (MoveState.UNFENCING, Event.SWITCH): MoveState.SWITCHED,
+    (MoveState.UNFENCING, Event.ROLL_BACK): MoveState.ROLLING_BACK,
+    (MoveState.SWITCHED, Event.DROP): MoveState.DROPPED,
+    (MoveState.SWITCHED, Event.DONE): MoveState.DONE,  # only where the placement was changed by another
+    (MoveState.DROPPED, Event.DONE): MoveState.DONE,
+    (MoveState.ROLLING_BACK, Event.TARGET_FREED): MoveState.CANCELLED,
 }
 # Engines are given a new number with these, and refuse what comes under an older one.
-_FENCING = frozenset((Event.COPY, Event.RETRY, Event.BACK, Event.DROP))
+_FENCING = frozenset((Event.COPY, Event.RETRY, Event.ROLL_BACK, Event.DROP))
 
 
-class Moving(msgspec.Struct):
-    """One move. `feed`: the copy that is copied from, the source unless that died."""
+class MoveProgress(msgspec.Struct):
+    """The state of one move.
+
+    Attributes:
+        copy_source: Engine whose copy is read: the source, or another engine if the source died.
+        fence: Number that the move's commands carry; engines refuse a lower one for the same shard.
+        attempts: Retries of the copy so far.
+        copied_bytes: Bytes at the target as of the last checkpoint.
+        reserved_bytes: Bytes reserved at the target for this move.
+        failure_reason: Why the move was rolled back, if it was.
+    """
 
     shard: str
     source: str
@@ -103,33 +114,41 @@
     primary: bool
     hop: bool
     stage: int
-    at: At = At.PLANNED
-    feed: str = ""
-    fence: int = 0  # number that its commands carry; engines refuse a lower one of the same shard
-    tries: int = 0
-    copied: int = 0  # bytes at the target, by the last checkpoint
-    held: int = 0  # bytes kept at the target for it
-    why: str = ""  # it went back
-
-
-class Under(msgspec.Struct):
-    """A plan under way, or the last one."""
+    state: MoveState = msgspec.field(default=MoveState.PLANNED, name="at")
+    copy_source: str = msgspec.field(default="", name="feed")
+    fence: int = 0
+    attempts: int = msgspec.field(default=0, name="tries")
+    copied_bytes: int = msgspec.field(default=0, name="copied")
+    reserved_bytes: int = msgspec.field(default=0, name="held")
+    failure_reason: str = msgspec.field(default="", name="why")
+
+
+class ActivePlan(msgspec.Struct):
+    """The plan that is being carried out, or the last one.
+
+    Attributes:
+        headroom: Minimum free bytes of each engine, in addition to the engine's own headroom.
+        parts: Log entries that make up the plan.
+        received_parts: How many of them have been applied.
+        halted: Why no further move starts, if so; a new plan has to be made.
+    """
 
     id: str
-    who: str
+    started_by: str = msgspec.field(name="who")
     limits: model.Limits
-    headroom: dict[str, int]  # bytes to be kept free at each engine, beside what it says itself
+    headroom: dict[str, int]
     parts: int
-    moves: list[Moving] = []
-    had: int = 0  # parts that have come
+    moves: list[MoveProgress] = []
+    received_parts: int = msgspec.field(default=0, name="had")
     cancelled: bool = False
-    halted: str = ""  # why nothing more is begun: it is to be planned anew
+    halted: str = ""
 
-    def over(self) -> bool:
-        return self.had == self.parts and all(move.at in SETTLED for move in self.moves)
+    def is_finished(self) -> bool:
+        """Returns whether the plan is complete and each of its moves is done or cancelled."""
+        return self.received_parts == self.parts and all(move.state in FINISHED_STATES for move in self.moves)
 
 
-class Begin(msgspec.Struct, array_like=True, tag="b"):
+class BeginPlan(msgspec.Struct, array_like=True, tag="b"):
     id: str
     who: str
     limits: model.Limits
@@ -139,12 +158,12 @@
     moves: list[tuple[str, str, str, int, bool, bool, int]]  # as the first fields of Moving
 
 
-class Step(msgspec.Struct, array_like=True, tag="s"):
+class MoveStep(msgspec.Struct, array_like=True, tag="s"):
     """Compare and set: it counts only while the move is `was`, under `fence`."""
 
     plan: str
     move: int
-    was: At
+    expected_state: MoveState
     event: Event
     fence: int
     copied: int = 0
@@ -154,12 +173,12 @@
     owed: bool = False  # of DONE and FREED: the engine is gone; what it holds is dropped once it is back
 
 
-class Cancel(msgspec.Struct, array_like=True, tag="c"):
+class CancelPlan(msgspec.Struct, array_like=True, tag="c"):
     id: str
     who: str
 
 
-class Paid(msgspec.Struct, array_like=True, tag="p"):
+class DropConfirmed(msgspec.Struct, array_like=True, tag="p"):
     """An engine that was gone holds nothing any more of what it was to drop, or holds it rightly."""
 
     engine: str
@@ -167,19 +186,19 @@
     fence: int
 
 
-class _Kept(msgspec.Struct, array_like=True):
-    plan: Under | None
+class _MovesSnapshot(msgspec.Struct, array_like=True):
+    plan: ActivePlan | None
     serial: int
     owed: list[tuple[str, str, int]]
 
 
-_decode = msgspec.msgpack.Decoder(Begin | Step | Cancel | Paid)
+_decode = msgspec.msgpack.Decoder(BeginPlan | MoveStep | CancelPlan | DropConfirmed)
 _encode = msgspec.msgpack.Encoder()
 _NONE: Mapping[str, int] = {}
-DONE, BEFORE = b"done", b"before"  # outcomes; else b"refused: ..."
+APPLIED, ALREADY_APPLIED = b"done", b"before"  # outcomes; else b"refused: ..."
 
 
-def begin(
+def begin_entries(
     id: str, who: str, plan: model.Plan, limits: model.Limits, headroom: Mapping[str, int] = _NONE
 ) -> list[bytes]:
     """The entries that begin a plan, in order; each to be committed before the next is proposed."""
@@ -190,24 +209,26 @@
         (move.shard, move.source, move.target, move.bytes, move.primary, move.hop, stage_of[index])
         for index, move in enumerate(plan.moves)
     ]
-    parts = [rows[first : first + _PART] for first in range(0, len(rows), _PART)] or [[]]
+    parts = [rows[first : first + _MOVES_PER_ENTRY] for first in range(0, len(rows), _MOVES_PER_ENTRY)] or [
+        []
+    ]
     named = {name for move in plan.moves for name in (move.source, move.target)}
     kept = {name: headroom[name] for name in sorted(named) if name in headroom}
     return [
-        _encode.encode(Begin(id, who, limits, {} if part else kept, part, len(parts), moves))
+        _encode.encode(BeginPlan(id, who, limits, {} if part else kept, part, len(parts), moves))
         for part, moves in enumerate(parts)
     ]
 
 
-def encode(entry: Step | Cancel | Paid) -> bytes:
+def encode(entry: MoveStep | CancelPlan | DropConfirmed) -> bytes:
     return _encode.encode(entry)
 
 
-class Moves:
+class MoveSection:
     """The section; every keeper applies the same entries and has the same state."""
 
     def __init__(self) -> None:
-        self.plan: Under | None = None
+        self.plan: ActivePlan | None = None
         self.serial = 0  # the last number given to engines, over all plans
         self.owed: dict[tuple[str, str], int] = {}  # engine and shard that it is to drop, once it is back
 
@@ -220,88 +241,94 @@
 
     def snapshot(self) -> bytes:
         owed = [(engine, shard, fence) for (engine, shard), fence in sorted(self.owed.items())]
-        return _encode.encode(_Kept(self.plan, self.serial, owed))
+        return _encode.encode(_MovesSnapshot(self.plan, self.serial, owed))
 
     def restore(self, data: bytes) -> None:
         """ValueError where it is no dump."""
         try:
-            kept = msgspec.msgpack.decode(data, type=_Kept) if data else _Kept(None, 0, [])
+            kept = msgspec.msgpack.decode(data, type=_MovesSnapshot) if data else _MovesSnapshot(None, 0, [])
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
             raise ValueError(f"not a state of moves: {trouble}") from None
         self.plan, self.serial = kept.plan, kept.serial
         self.owed = {(engine, shard): fence for engine, shard, fence in kept.owed}
 
-    def told(self) -> dict:
+    def status(self) -> dict:
         """For operators: how far it is, in plain values."""
         if self.plan is None:
             return {"plan": None}
-        plan, states = self.plan, dict.fromkeys((at.value for at in At), 0)
+        plan, states = self.plan, dict.fromkeys((at.value for at in MoveState), 0)
         for move in plan.moves:
-            states[move.at.value] += 1
+            states[move.state.value] += 1
         return {
             "plan": plan.id,
-            "who": plan.who,
-            "over": plan.over(),
+            "who": plan.started_by,
+            "over": plan.is_finished(),
             "cancelled": plan.cancelled,
             "halted": plan.halted,
             "moves": len(plan.moves),
             "states": {name: count for name, count in states.items() if count},
             "bytes": sum(move.bytes for move in plan.moves),
-            "copied": sum(move.copied for move in plan.moves),
+            "copied": sum(move.copied_bytes for move in plan.moves),
             "back": [
-                f"{move.shard} {move.source} > {move.target}: {move.why}" for move in plan.moves if move.why
+                f"{move.shard} {move.source} > {move.target}: {move.failure_reason}"
+                for move in plan.moves
+                if move.failure_reason
             ][:100],
             "owed": len(self.owed),
         }
 
-    def holding(self, engine: str) -> Iterator[Moving]:
+    def holding(self, engine: str) -> Iterator[MoveProgress]:
         """Moves that keep room at an engine as their target."""
         if self.plan is not None:
-            yield from (move for move in self.plan.moves if move.target == engine and move.at not in IDLE)
+            yield from (
+                move
+                for move in self.plan.moves
+                if move.target == engine and move.state not in UNRESERVED_STATES
+            )
 
     # Entries.
 
-    def _begun(self, state: ConfigState, entry: Begin) -> bytes:
+    def _begun(self, state: ConfigState, entry: BeginPlan) -> bytes:
         plan = self.plan
         if plan is not None and plan.id == entry.id:
-            if entry.part < plan.had:
-                return BEFORE
-            if entry.part > plan.had or entry.parts != plan.parts:
+            if entry.part < plan.received_parts:
+                return ALREADY_APPLIED
+            if entry.part > plan.received_parts or entry.parts != plan.parts:
                 return b"refused: a part of the plan is missing"
-        elif plan is not None and plan.had == plan.parts and not plan.over():
-            return f"refused: plan {plan.id} of {plan.who} is under way".encode()
+        elif plan is not None and plan.received_parts == plan.parts and not plan.is_finished():
+            return f"refused: plan {plan.id} of {plan.started_by} is under way".encode()
         elif entry.part:
             return b"refused: the first part of the plan is missing"
         else:
-            plan = Under(entry.id, entry.who, entry.limits, entry.headroom, entry.parts, [])
-        rows = [Moving(*row, feed=row[1]) for row in entry.moves]
-        if len(plan.moves) + len(rows) > _MOST:
-            return f"refused: more than {_MOST} moves".encode()
+            plan = ActivePlan(entry.id, entry.who, entry.limits, entry.headroom, entry.parts, [])
+        rows = [MoveProgress(*row, copy_source=row[1]) for row in entry.moves]
+        if len(plan.moves) + len(rows) > _MAX_MOVES:
+            return f"refused: more than {_MAX_MOVES} moves".encode()
         moves = plan.moves + rows
         if entry.part + 1 == plan.parts and (fault := _fault(moves, state.latest.placement.items)):
             if self.plan is plan:
                 self.plan = None
             return f"refused: {fault}".encode()
-        plan.moves, plan.had = moves, entry.part + 1
+        plan.moves, plan.received_parts = moves, entry.part + 1
         self.plan = plan
-        return DONE
+        return APPLIED
 
-    def _stepped(self, state: ConfigState, entry: Step) -> bytes:
+    def _stepped(self, state: ConfigState, entry: MoveStep) -> bytes:
         plan = self.plan
-        if plan is None or plan.id != entry.plan or plan.had != plan.parts:
+        if plan is None or plan.id != entry.plan or plan.received_parts != plan.parts:
             return b"refused: no such plan is under way"
         if not 0 <= entry.move < len(plan.moves):
             return b"refused: no such move"
         move = plan.moves[entry.move]
-        if move.at is not entry.was or move.fence != entry.fence:
-            return BEFORE
-        to = _NEXT.get((move.at, entry.event))
+        if move.state is not entry.expected_state or move.fence != entry.fence:
+            return ALREADY_APPLIED
+        to = _NEXT.get((move.state, entry.event))
         if to is None or (entry.event in (Event.FENCE, Event.UNFENCE)) > move.primary:
-            return f"refused: no {entry.event.value} while {move.at.value}".encode()
+            return f"refused: no {entry.event.value} while {move.state.value}".encode()
         why = self._hinders(state, move, entry)
         if why:
             return f"refused: {why}".encode()
-        if move.at is At.SWITCHED and to is At.DONE:
+        if move.state is MoveState.SWITCHED and to is MoveState.DONE:
             # Whoever changed the placement has decided; what it names at neither end is dropped in time.
             shard = state.latest.placement.items.get(move.shard)
             for engine in (move.source, move.target):
@@ -309,9 +336,9 @@
                     self.serial += 1
                     self.owed[engine, move.shard] = self.serial
         self._set(plan, move, entry, to)
-        return DONE
+        return APPLIED
 
-    def _hinders(self, state: ConfigState, move: Moving, entry: Step) -> str:
+    def _hinders(self, state: ConfigState, move: MoveProgress, entry: MoveStep) -> str:
         """Why an event may not be yet, by the documents; carrier.py has looked before, and may be late."""
         shard = state.latest.placement.items.get(move.shard)
         event = entry.event
@@ -321,20 +348,20 @@
             return "less is held than the shard has"
         if event is Event.SWITCH and not has_moved(move, shard):
             return "no version with the new copy is committed"
-        if event is Event.SWITCH and move.primary and move.at is At.CATCHING:
+        if event is Event.SWITCH and move.primary and move.state is MoveState.CATCHING_UP:
             return "a primary is fenced first"
         # Danger: a version that is committed behind a move's way back has readers where it is dropped.
-        if event in (Event.BACK, Event.RETRY) and has_moved(move, shard):
+        if event in (Event.ROLL_BACK, Event.RETRY) and has_moved(move, shard):
             return "the version with the new copy is committed"
         if (
-            event is Event.BACK
-            and move.at is At.UNFENCING
+            event is Event.ROLL_BACK
+            and move.state is MoveState.UNFENCING
             and not (shard is None or shard.primary and in_force(state, move.shard))
         ):
             return "the old primary has not its place again"
         if (
             event is Event.DONE
-            and move.at is At.SWITCHED
+            and move.state is MoveState.SWITCHED
             and (has_moved(move, shard) or not in_force(state, move.shard))
         ):
             return "its old copy is not dropped yet"
@@ -342,66 +369,70 @@
             return "a lease under the old placement may be left"
         return ""
 
-    def _set(self, plan: Under, move: Moving, entry: Step, to: At) -> None:
+    def _set(self, plan: ActivePlan, move: MoveProgress, entry: MoveStep, to: MoveState) -> None:
         event = entry.event
-        if event in _FENCING and to is not At.CANCELLED:
+        if event in _FENCING and to is not MoveState.CANCELLED:
             self.serial += 1
             move.fence = self.serial
-        if event is Event.RESERVE or event is Event.GROW:
-            move.held = max(move.held, entry.held)
-            move.feed = entry.feed or move.feed
+        if event is Event.RESERVE or event is Event.EXTEND_RESERVATION:
+            move.reserved_bytes = max(move.reserved_bytes, entry.held)
+            move.copy_source = entry.feed or move.copy_source
         elif event is Event.COPY:
             self.owed.pop((move.target, move.shard), None)  # its copy counts for the new number now
         elif event is Event.CHECKPOINT or event is Event.COPIED:
-            move.copied = max(move.copied, entry.copied)
+            move.copied_bytes = max(move.copied_bytes, entry.copied)
         elif event is Event.RETRY:
             # What the target has by its own word: less than the checkpoint where it lost its disk.
-            move.tries, move.copied = move.tries + 1, entry.copied
-            move.feed = entry.feed or move.feed
-        elif event in (Event.BACK, Event.UNFENCE) or event is Event.DONE and entry.why:
-            move.why = move.why or entry.why
+            move.attempts, move.copied_bytes = move.attempts + 1, entry.copied
+            move.copy_source = entry.feed or move.copy_source
+        elif event in (Event.ROLL_BACK, Event.UNFENCE) or event is Event.DONE and entry.why:
+            move.failure_reason = move.failure_reason or entry.why
             if not plan.cancelled and not plan.halted:
                 self._halt(plan, f"{move.shard} {move.source} > {move.target}: {entry.why}")
-        if entry.owed and event in (Event.DONE, Event.FREED):
+        if entry.owed and event in (Event.DONE, Event.TARGET_FREED):
             self.owed[move.source if event is Event.DONE else move.target, move.shard] = move.fence
-        move.at = to
-        if to in SETTLED:
-            move.held = 0
+        move.state = to
+        if to in FINISHED_STATES:
+            move.reserved_bytes = 0
 
-    def _halt(self, plan: Under, why: str) -> None:
+    def _halt(self, plan: ActivePlan, why: str) -> None:
         """What is begun goes on, for its room is held; the order behind it is proven no longer."""
         plan.halted = why
         for move in plan.moves:
-            if move.at is At.PLANNED:
-                move.at = At.CANCELLED
+            if move.state is MoveState.PLANNED:
+                move.state = MoveState.CANCELLED
 
-    def _cancelled(self, state: ConfigState, entry: Cancel) -> bytes:
+    def _cancelled(self, state: ConfigState, entry: CancelPlan) -> bytes:
         plan = self.plan
         if plan is None or plan.id != entry.id:
             return b"refused: no such plan is under way"
-        if plan.had != plan.parts:
+        if plan.received_parts != plan.parts:
             self.plan = None
-            return DONE
-        if plan.cancelled or plan.over():
-            return BEFORE
+            return APPLIED
+        if plan.cancelled or plan.is_finished():
+            return ALREADY_APPLIED
         plan.cancelled = True
         for move in plan.moves:
             # Danger: a version proposed for one that catches up may stand behind this entry in the log. The
             # rest is sent back by the leader, which then proposes nothing more for it.
-            if move.at in (At.PLANNED, At.RESERVED):
-                move.at, move.held, move.why = At.CANCELLED, 0, f"cancelled by {entry.who}"
-        return DONE
-
-    def _paid(self, state: ConfigState, entry: Paid) -> bytes:
+            if move.state in (MoveState.PLANNED, MoveState.RESERVED):
+                move.state, move.reserved_bytes, move.failure_reason = (
+                    MoveState.CANCELLED,
+                    0,
+                    f"cancelled by {entry.who}",
+                )
+        return APPLIED
+
+    def _paid(self, state: ConfigState, entry: DropConfirmed) -> bytes:
         if self.owed.get((entry.engine, entry.shard)) != entry.fence:
-            return BEFORE
+            return ALREADY_APPLIED
         del self.owed[entry.engine, entry.shard]
-        return DONE
+        return APPLIED
 
-    _TAKES = {Begin: _begun, Step: _stepped, Cancel: _cancelled, Paid: _paid}
+    _TAKES = {BeginPlan: _begun, MoveStep: _stepped, CancelPlan: _cancelled, DropConfirmed: _paid}
 
 
-def _fault(moves: Iterable[Moving], shards: dict[str, documents.Shard]) -> str:
+def _fault(moves: Iterable[MoveProgress], shards: dict[str, documents.Shard]) -> str:
     """Why a plan can't be carried out from this placement, followed to its end; none: it can."""
     copies: dict[str, list[str]] = {}
     primary: dict[str, str] = {}
@@ -426,7 +457,7 @@
     return ""
 
 
-def has_moved(move: Moving, shard: documents.Shard | None) -> bool:
+def has_moved(move: MoveProgress, shard: documents.Shard | None) -> bool:
     """Whether the move's version, or a later one with the same outcome, is this one."""
     return (
         shard is not None
--- a/cresstray/placement/order.py
+++ b/cresstray/placement/order.py
@@ -11,14 +11,14 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from cresstray.placement.model import DeadEndError, Fleet, Move, Place, Shard, zones_in
+from cresstray.placement.model import DeadEndError, EngineCapacity, Fleet, Move, Shard, active_zones
 
 # States looked at before a search is given up: some seconds, and all there are in what a test tries.
-_STATES = 100_000
+_MAX_STATES = 100_000
 # Placements of one shard beyond this many in all are too many to search them whole.
-_SEARCHED = 400
+_MAX_SEARCHED_PAIRS = 400
 
-Spot = tuple[str, ...]
+CopyEngines = tuple[str, ...]
 
 
 class Order(NamedTuple):
@@ -30,17 +30,17 @@
     late: tuple[str, ...] = ()
 
 
-class Ground:
+class PlacementState:
     """Where copies are at one moment of a plan, and what engines hold then."""
 
     def __init__(self, fleet: Fleet, lenient: bool = False) -> None:
         self.fleet, self.lenient = fleet, lenient
         self.limits = fleet.limits
-        self.places: dict[str, Place] = {place.engine: place for place in fleet.places}
+        self.places: dict[str, EngineCapacity] = {place.engine: place for place in fleet.places}
         self.shards: dict[str, Shard] = {shard.name: shard for shard in fleet.shards}
         self.spots: dict[str, set[str]] = {shard.name: set(shard.copies) for shard in fleet.shards}
         self.primary: dict[str, str] = {shard.name: shard.primary for shard in fleet.shards}
-        self.zoned = len(zones_in(fleet)) > 1
+        self.zoned = len(active_zones(fleet)) > 1
         self.base: Counter[str] = Counter({place.engine: 0 for place in fleet.places})
         self.grows: Counter[str] = Counter({place.engine: 0 for place in fleet.places})
         self.at = 0
@@ -64,13 +64,18 @@
         return {
             engine: -self.room(engine, self.at)
             for engine, place in self.places.items()
-            if not place.out and self.room(engine, self.at) < 0
+            if not place.is_draining and self.room(engine, self.at) < 0
         }
 
     def fair(self, shard: str, source: str, target: str) -> bool:
         """Whether a shard may move so: to an engine that takes copies, and not out of its second zone."""
         spots, places = self.spots[shard], self.places
-        if source not in spots or target in spots or places[target].out or not places[target].pace:
+        if (
+            source not in spots
+            or target in spots
+            or places[target].is_draining
+            or not places[target].bytes_per_s
+        ):
             return False
         if not self.zoned or len(spots) < 2 or len({places[spot].zone for spot in spots}) < 2:
             return True
@@ -78,9 +83,9 @@
 
     def reader(self, move: Move) -> str | None:
         """Which engine sends: the source, or another copy's where the source is dead. None: nobody can."""
-        if self.places[move.source].pace:
+        if self.places[move.source].bytes_per_s:
             return move.source
-        others = [spot for spot in sorted(self.spots[move.shard]) if self.places[spot].pace]
+        others = [spot for spot in sorted(self.spots[move.shard]) if self.places[spot].bytes_per_s]
         return others[0] if others else None
 
     def border(self, reader: str, target: str) -> tuple[str, str] | None:
@@ -91,8 +96,8 @@
         """Seconds, with so many moves beside it at both ends and on its border. None: it never catches up."""
         limits, shard = self.limits, self.shards[move.shard]
         pace = min(
-            int(self.places[reader].pace * limits.share) // reads,
-            int(self.places[move.target].pace * limits.share) // writes,
+            int(self.places[reader].bytes_per_s * limits.share) // reads,
+            int(self.places[move.target].bytes_per_s * limits.share) // writes,
         )
         if crosses and limits.border_pace:
             pace = min(pace, limits.border_pace // crosses)
@@ -202,7 +207,7 @@
         return None
 
 
-def paired(fleet: Fleet, shard: Shard, after: Spot | list[str]) -> list[Move]:
+def pair_moves(fleet: Fleet, shard: Shard, after: CopyEngines | list[str]) -> list[Move]:
     """The moves that bring a shard's copies to `after`; within a zone where that goes, to spare borders."""
     zones = {place.engine: place.zone for place in fleet.places}
     sources = sorted(set(shard.copies) - set(after))
@@ -218,50 +223,52 @@
     return [Move(shard.name, source, target, shard.size, source == shard.primary) for source, target in pairs]
 
 
-def ordered(fleet: Fleet, moves: list[Move] | tuple[Move, ...]) -> Order:
+def order_moves(fleet: Fleet, moves: list[Move] | tuple[Move, ...]) -> Order:
     """Stages for these moves, with hops where it needs them.
 
     An engine that outgrows its headroom before anything can leave it is told as late, and takes nothing till
     then. DeadEndError names the engines and the bytes that they lack.
     """
     rest = list(moves)
-    stages, stuck = _staged(Ground(fleet), rest)
+    stages, stuck = _build_stages(PlacementState(fleet), rest)
     if not stuck:
-        return _told(fleet, stages)
+        return _number_stages(fleet, stages)
     after = {shard.name: set(shard.copies) for shard in fleet.shards}
     for move in moves:
         after[move.shard] -= {move.source}
         after[move.shard] |= {move.target}
     aim = [tuple(sorted(after[shard.name])) for shard in fleet.shards]
-    path, whole = searched(
+    path, whole = search_moves(
         fleet,
         lambda spots: all(map(tuple.__eq__, spots, aim)),
         lambda number, spot: len(set(spot) - set(aim[number])),
     )
     if path is not None:
         try:
-            return lined(fleet, path)
+            return stages_in_order(fleet, path)
         except DeadEndError as error:
             missing = error.missing
             why = str(error)
     elif whole:
-        missing = _lacks(Ground(fleet), rest)
-        raise DeadEndError(_dead("no order of these moves exists", missing), missing, True)
+        missing = _missing_room(PlacementState(fleet), rest)
+        raise DeadEndError(_dead_end_message("no order of these moves exists", missing), missing, True)
     else:
         missing, why = {}, ""
     for lenient in (False, True):
-        stages, stuck = _staged(Ground(fleet, lenient), rest, hops=True)
+        stages, stuck = _build_stages(PlacementState(fleet, lenient), rest, hops=True)
         if not stuck:
-            return _told(fleet, stages, lenient)
-    missing = missing or _lacks(Ground(fleet), stuck)
+            return _number_stages(fleet, stages, lenient)
+    missing = missing or _missing_room(PlacementState(fleet), stuck)
     raise DeadEndError(
-        why or _dead(f"no order was found for {len(stuck)} of {len(rest)} moves", missing), missing, False
+        why or _dead_end_message(f"no order was found for {len(stuck)} of {len(rest)} moves", missing),
+        missing,
+        False,
     )
 
 
-def lined(fleet: Fleet, path: list[Move]) -> Order:
+def stages_in_order(fleet: Fleet, path: list[Move]) -> Order:
     """Stages for moves that have to begin in this order."""
-    ground, rest, stages = Ground(fleet), list(path), []
+    ground, rest, stages = PlacementState(fleet), list(path), []
     while rest:
         lasts = max((ground.worst(move) or 0 for move in rest[:1]), default=0)
         stage = ground.pick(rest, ground.at + lasts, whole=False) or rest[:1]
@@ -270,25 +277,29 @@
         stage = kept if kept == stage[: len(kept)] and kept else stage[:1]
         broken = ground.play(stage)
         if broken:
-            missing = _lacks(ground, stage)
-            why = _dead(f"no order keeps headroom while shards grow: {broken}", missing)
+            missing = _missing_room(ground, stage)
+            why = _dead_end_message(f"no order keeps headroom while shards grow: {broken}", missing)
             raise DeadEndError(why, missing, False)
         stages.append(stage)
         rest = rest[len(stage) :]
     if missing := ground.lacking():
-        raise DeadEndError(_dead("no order keeps headroom while shards grow", missing), missing, False)
-    return _told(fleet, stages)
+        raise DeadEndError(
+            _dead_end_message("no order keeps headroom while shards grow", missing), missing, False
+        )
+    return _number_stages(fleet, stages)
 
 
-def _staged(ground: Ground, moves: list[Move], hops: bool = False) -> tuple[list[list[Move]], list[Move]]:
+def _build_stages(
+    ground: PlacementState, moves: list[Move], hops: bool = False
+) -> tuple[list[list[Move]], list[Move]]:
     """Stages as full as they may be, and the moves for which there is no stage."""
     pending, stages = list(moves), []
     hopped: Counter[str] = Counter()
     while pending:
-        stage = _next(ground, pending)
+        stage = _next_stage(ground, pending)
         going = [move for move in pending if move not in stage]
         if not stage:
-            hop = _hop(ground, pending, hopped) if hops else None
+            hop = _cheapest_hops(ground, pending, hopped) if hops else None
             if hop is None:
                 return stages, pending
             stage, going = hop
@@ -299,7 +310,7 @@
     return stages, list(moves) if ground.lacking() else []
 
 
-def _next(ground: Ground, pending: list[Move]) -> list[Move]:
+def _next_stage(ground: PlacementState, pending: list[Move]) -> list[Move]:
     lasts = {id(move): ground.worst(move) for move in pending}
     able = [move for move in pending if lasts[id(move)] is not None]
     # The longest first: what runs beside each other then takes much the same time. Engines that are over, or
@@ -328,7 +339,9 @@
     return []
 
 
-def _hop(ground: Ground, pending: list[Move], hopped: Counter[str]) -> tuple[list[Move], list[Move]] | None:
+def _cheapest_hops(
+    ground: PlacementState, pending: list[Move], hopped: Counter[str]
+) -> tuple[list[Move], list[Move]] | None:
     """The cheapest way to make room for a move that waits: copies leave its target for a third engine.
 
     These moves, and what is pending then: a copy that was to leave goes on from there, another comes back.
@@ -338,11 +351,11 @@
     for move in sorted(pending, key=lambda move: (move.bytes, move.shard, move.source)):
         shard, target = ground.shards[move.shard], move.target
         lasts = ground.worst(move)
-        if lasts is None or ground.places[target].out:
+        if lasts is None or ground.places[target].is_draining:
             continue
         until = ground.at + 3 * lasts
         lack = shard.size + shard.growth * until - ground.room(target, until)
-        found = _leave(ground, target, move.shard, lack, until, leaving, hopped) if lack > 0 else None
+        found = _hops_to_free(ground, target, move.shard, lack, until, leaving, hopped) if lack > 0 else None
         if found:
             cost = sum(hop.bytes * (1 if (hop.shard, hop.source) in leaving else 2) for hop in found)
             if best is None or cost < best[0]:
@@ -351,7 +364,11 @@
                     for one in pending
                     if (one.shard, one.source) not in {(hop.shard, hop.source) for hop in found}
                 ]
-                going += [_after(hop, leaving) for hop in found if _after(hop, leaving).target != hop.target]
+                going += [
+                    _onward_move(hop, leaving)
+                    for hop in found
+                    if _onward_move(hop, leaving).target != hop.target
+                ]
                 best = cost, found, going
     if best is None:
         return None
@@ -359,13 +376,13 @@
     return best[1], best[2]
 
 
-def _after(hop: Move, leaving: dict[tuple[str, str], Move]) -> Move:
+def _onward_move(hop: Move, leaving: dict[tuple[str, str], Move]) -> Move:
     was = leaving.get((hop.shard, hop.source))
     return Move(hop.shard, hop.target, was.target if was else hop.source, hop.bytes, hop.primary)
 
 
-def _leave(
-    ground: Ground,
+def _hops_to_free(
+    ground: PlacementState,
     engine: str,
     but: str,
     lack: int,
@@ -416,24 +433,27 @@
     return found if lack <= 0 and ground.pick(found, ground.at) == found else None
 
 
-def searched(
-    fleet: Fleet, goal: Callable[[list[Spot]], bool], away: Callable[[int, Spot], int], most: int = _STATES
+def search_moves(
+    fleet: Fleet,
+    goal: Callable[[list[CopyEngines]], bool],
+    away: Callable[[int, CopyEngines], int],
+    most: int = _MAX_STATES,
 ) -> tuple[list[Move] | None, bool]:
     """The moves of fewest bytes, one after the other and hops among them, to a placement that is a goal.
 
     `away`: copies of a shard (by its number) that have to move yet. None, with True if every way was tried.
     """
-    places = [place for place in fleet.places if not place.out and place.pace]
-    if len(fleet.shards) * len(places) > _SEARCHED:
+    places = [place for place in fleet.places if not place.is_draining and place.bytes_per_s]
+    if len(fleet.shards) * len(places) > _MAX_SEARCHED_PAIRS:
         return None, False
     zone = {place.engine: place.zone for place in fleet.places}
     usable = {place.engine: place.usable for place in places}
-    zoned, sizes = len(zones_in(fleet)) > 1, [shard.size for shard in fleet.shards]
-    readable = {place.engine for place in fleet.places if place.pace}
+    zoned, sizes = len(active_zones(fleet)) > 1, [shard.size for shard in fleet.shards]
+    readable = {place.engine for place in fleet.places if place.bytes_per_s}
     start = tuple(tuple(sorted(shard.copies)) for shard in fleet.shards)
     costs, came = {start: 0}, {}
     heap = [(sum(sizes[number] * away(number, spot) for number, spot in enumerate(start)), 0, start)]
-    done: set[tuple[Spot, ...]] = set()
+    done: set[tuple[CopyEngines, ...]] = set()
     while heap:
         guess, cost, state = heapq.heappop(heap)
         if state in done:
@@ -469,7 +489,7 @@
     return None, True
 
 
-def _path(fleet: Fleet, came: dict, state: tuple[Spot, ...]) -> list[Move]:
+def _path(fleet: Fleet, came: dict, state: tuple[CopyEngines, ...]) -> list[Move]:
     path: list[Move] = []
     while state in came:
         state, number, source, target = came[state]
@@ -478,9 +498,9 @@
     return path[::-1]
 
 
-def _told(fleet: Fleet, stages: list[list[Move]], lenient: bool = False) -> Order:
+def _number_stages(fleet: Fleet, stages: list[list[Move]], lenient: bool = False) -> Order:
     """Numbered, hops and primaries marked, and once more played from the beginning."""
-    ground, told, numbers = Ground(fleet, lenient), [], []
+    ground, told, numbers = PlacementState(fleet, lenient), [], []
     later = [(move.shard, move.source) for stage in stages for move in stage]
     for stage in stages:
         numbers.append(tuple(range(len(told), len(told) + len(stage))))
@@ -504,7 +524,7 @@
     return Order(tuple(told), tuple(numbers), ground.at, tuple(sorted(ground.late)))
 
 
-def _lacks(ground: Ground, moves: list[Move]) -> dict[str, int]:
+def _missing_room(ground: PlacementState, moves: list[Move]) -> dict[str, int]:
     """Of each target that has no room for the smallest move that waits for it: the bytes missing."""
     missing: dict[str, int] = {}
     for move in moves:
@@ -515,7 +535,7 @@
     return dict(sorted(missing.items()))
 
 
-def _dead(what: str, missing: dict[str, int]) -> str:
+def _dead_end_message(what: str, missing: dict[str, int]) -> str:
     # More names would not make the line clearer; all are in the error's `missing`.
     lacks = [f"engine {engine} lacks {count} bytes" for engine, count in list(missing.items())[:8]]
     more = f" and {len(missing) - 8} further engines" if len(missing) > 8 else ""
--- a/cresstray/placement/pacing.py
+++ b/cresstray/placement/pacing.py
@@ -8,18 +8,18 @@
 from cresstray.placement.model import Limits
 
 if TYPE_CHECKING:
-    from cresstray.placement.move_executor import Disk
+    from cresstray.placement.move_executor import DiskReport
 
 # The signs by which the module holds work back from an engine: cores three quarters busy, two threads a core.
-_BUSY, _CROWD = 0.75, 2.0
+_BUSY_UTILIZATION, _MAX_THREADS_PER_CORE = 0.75, 2.0
 # Halved at each report under pressure, an eighth of all back at each calm one. Never below a sixteenth, so
 # that a plan ends on a fleet that is always busy.
-_BACK_OFF, _RECOVER, _LEAST = 0.5, 0.125, 1 / 16
+_BACK_OFF_FACTOR, _RECOVERY_STEP, _MIN_PART = 0.5, 0.125, 1 / 16
 # Without a word for so long an engine is taken to be under pressure, in microseconds.
-_QUIET = 2_000_000
+_MAX_SILENCE_US = 2_000_000
 
 
-class Flow(NamedTuple):
+class Transfer(NamedTuple):
     """A copy under way; `key` is the caller's."""
 
     key: int
@@ -27,7 +27,7 @@
     target: str
 
 
-class Pace:
+class RateController:
     """Rates in bytes a second. Keeps for each engine how far it has backed off."""
 
     def __init__(self) -> None:
@@ -38,23 +38,27 @@
         """How much of its share an engine is given now."""
         return self._part.get(engine, 1.0)
 
-    def heed(self, told: Mapping[str, Disk], now: int) -> None:
+    def heed(self, told: Mapping[str, DiskReport], now: int) -> None:
         """Takes each new report once; told is by engine, its `at` when it came."""
         for engine in [engine for engine in self._at if engine not in told]:
             del self._at[engine]
             self._part.pop(engine, None)
         for engine, disk in told.items():
             seen = self._at.get(engine, -1)
-            silent = now - max(disk.at, seen) > _QUIET
-            if disk.at <= seen and not silent:
+            silent = now - max(disk.asked_at_us, seen) > _MAX_SILENCE_US
+            if disk.asked_at_us <= seen and not silent:
                 continue
-            self._at[engine] = now if silent else disk.at
+            self._at[engine] = now if silent else disk.asked_at_us
             part = self.part(engine)
             self._part[engine] = (
-                max(_LEAST, part * _BACK_OFF) if silent or pressed(disk) else min(1.0, part + _RECOVER)
+                max(_MIN_PART, part * _BACK_OFF_FACTOR)
+                if silent or is_pressed(disk)
+                else min(1.0, part + _RECOVERY_STEP)
             )
 
-    def rates(self, flows: Iterable[Flow], limits: Limits, told: Mapping[str, Disk]) -> dict[int, int]:
+    def rates(
+        self, flows: Iterable[Transfer], limits: Limits, told: Mapping[str, DiskReport]
+    ) -> dict[int, int]:
         """Of each flow: no engine's and no border's flows have more than its share together."""
         flows = list(flows)
         ends: dict[str, int] = {}
@@ -62,7 +66,7 @@
         for flow in flows:
             for engine in (flow.source, flow.target):
                 ends[engine] = ends.get(engine, 0) + 1
-            border = between(flow.source, flow.target, told)
+            border = zone_pair(flow.source, flow.target, told)
             borders[border] = borders.get(border, 0) + 1
         made = {}
         for flow in flows:
@@ -71,24 +75,24 @@
                 for engine in (flow.source, flow.target)
                 if engine in told
             ]
-            border = between(flow.source, flow.target, told)
+            border = zone_pair(flow.source, flow.target, told)
             if limits.border_pace and border[0] != border[1]:
                 rates.append(limits.border_pace / borders[border])
             made[flow.key] = max(1, int(min(rates))) if rates else 1
         return made
 
 
-def pressed(disk: Disk) -> bool:
+def is_pressed(disk: DiskReport) -> bool:
     """Whether an engine's own report tells of pressure; `depth`: what it keeps waiting."""
     return (
-        disk.util >= _BUSY
+        disk.util >= _BUSY_UTILIZATION
         or disk.depth > max(1.0, disk.cores)
         or disk.cores > 0
-        and disk.inflight >= _CROWD * disk.cores
+        and disk.inflight >= _MAX_THREADS_PER_CORE * disk.cores
     )
 
 
-def between(one: str, other: str, told: Mapping[str, Disk]) -> tuple[str, str]:
+def zone_pair(one: str, other: str, told: Mapping[str, DiskReport]) -> tuple[str, str]:
     """The border that lies between two engines, either way the same; one zone twice: none."""
     zones = [told[engine].zone if engine in told else "" for engine in (one, other)]
     return min(zones), max(zones)
--- a/cresstray/placement/plan_builder.py
+++ b/cresstray/placement/plan_builder.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-from cresstray.placement.model import Fleet, Move, Place, bands, zones_in
-from cresstray.placement.order import paired
+from cresstray.placement.model import EngineCapacity, Fleet, Move, active_zones, fill_bounds
+from cresstray.placement.order import pair_moves
 
 
-class Task:
+class PlacementProblem:
     """A fleet by numbers: engines that stay, what each may hold, and what grows until `horizon` seconds."""
 
     def __init__(self, fleet: Fleet, tolerance: float, horizon: int = 0) -> None:
         self.fleet, self.tolerance, self.horizon = fleet, tolerance, horizon
-        self.places: list[Place] = [place for place in fleet.places if not place.out]
+        self.places: list[EngineCapacity] = [place for place in fleet.places if not place.is_draining]
         number = {place.engine: at for at, place in enumerate(self.places)}
-        band = bands(fleet, tolerance)
+        band = fill_bounds(fleet, tolerance)
         self.least = [band[place.engine][0] for place in self.places]
         self.most = [band[place.engine][1] for place in self.places]
-        zones = zones_in(fleet)
+        zones = active_zones(fleet)
         self.zones = len(zones)
         self.zone = [zones.index(place.zone) for place in self.places]
         self.sizes = [shard.size for shard in fleet.shards]
@@ -26,20 +26,20 @@
         self.spots = [{number[copy] for copy in shard.copies if copy in number} for shard in fleet.shards]
         self.wide = [self.zones > 1 and count > 1 for count in self.counts]
         # A dead engine keeps what it has, and takes nothing.
-        self.takes = [place.pace > 0 for place in self.places]
+        self.takes = [place.bytes_per_s > 0 for place in self.places]
 
     def moves(self, spots: list[set[int]]) -> list[Move]:
         told: list[Move] = []
         for shard, old, new in zip(self.fleet.shards, self.spots, spots):
             if old != new or len(old) < len(shard.copies):
-                told += paired(self.fleet, shard, sorted(self.places[at].engine for at in new))
+                told += pair_moves(self.fleet, shard, sorted(self.places[at].engine for at in new))
         return told
 
 
-class Draft:
+class DraftPlacement:
     """`spots` of each shard; `held` and `grown` bytes of each engine, now and at the horizon."""
 
-    def __init__(self, task: Task, spots: list[set[int]]) -> None:
+    def __init__(self, task: PlacementProblem, spots: list[set[int]]) -> None:
         self.task = task
         self.spots = [set(spot) for spot in spots]
         self.held = [0] * len(task.places)
--- a/cresstray/placement/planner.py
+++ b/cresstray/placement/planner.py
@@ -21,24 +21,24 @@
     Fleet,
     ImpossibleError,
     Plan,
-    bands,
-    checked,
-    ladder,
-    zones_in,
+    active_zones,
+    fill_bounds,
+    tolerance_steps,
+    validate_fleet,
 )
-from cresstray.placement.order import Order, Spot, lined, ordered, searched
-from cresstray.placement.plan_builder import Draft, Task
+from cresstray.placement.order import CopyEngines, Order, order_moves, search_moves, stages_in_order
+from cresstray.placement.plan_builder import DraftPlacement, PlacementProblem
 
 # Shards times engines up to which the whole problem is one milp: it proves its best within a second or so.
-_WHOLE = 600
+_MAX_EXACT_PAIRS = 600
 # HiGHS takes a row for kept that is broken by so much of its scale; what it says is checked in whole bytes.
-_SLACK = 1e-6
+_SOLVER_TOLERANCE = 1e-6
 # Beyond the bound: so near, a milp over what leaves finds little; so far, one over where copies go is worth
 # its time. With more shards or columns than these, neither finds anything in a minute.
-_NEAR, _FAR, _SHARDS, _COLUMNS = 0.005, 0.02, 1_500, 30_000
+_NEAR_GAP, _FAR_GAP, _MAX_INTEGRAL_SHARDS, _MAX_COLUMNS = 0.005, 0.02, 1_500, 30_000
 
 
-class _Rows:
+class _ConstraintRows:
     """A sparse matrix in the making: rows with their least and most."""
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         )
 
 
-class Answer(NamedTuple):
+class MilpResult(NamedTuple):
     """Of one milp. `spots`: None if it found none. `bound` in bytes. `dead`: proven that there is none."""
 
     spots: list[set[int]] | None
@@ -84,11 +84,11 @@
 
     ValueError: no fleet. ImpossibleError: no placement keeps the rules. DeadEndError: no order leads there.
     """
-    checked(fleet)
-    _possible(fleet)
+    validate_fleet(fleet)
+    _check_feasible(fleet)
     ends = clock() + seconds
     last: DeadEndError | None = None
-    for tolerance in ladder(fleet.limits.tolerance):
+    for tolerance in tolerance_steps(fleet.limits.tolerance):
         try:
             plan = _Search(fleet, tolerance, ends, found, clock).run()
         except DeadEndError as error:
@@ -113,7 +113,7 @@
         clock: Callable[[], float],
     ) -> None:
         self.fleet, self.tolerance, self.ends, self.found, self.clock = fleet, tolerance, ends, found, clock
-        self.task = Task(fleet, tolerance)
+        self.task = PlacementProblem(fleet, tolerance)
         self.best: Plan | None = None
         self.bound = 0
         self.error: DeadEndError | None = None
@@ -126,7 +126,7 @@
 
     def run(self) -> Plan | None:
         """None: there is no placement at this tolerance, or none was found. DeadEndError: no order to any."""
-        whole = len(self.task.sizes) * len(self.task.places) <= _WHOLE
+        whole = len(self.task.sizes) * len(self.task.places) <= _MAX_EXACT_PAIRS
         if whole:
             self._whole()
         else:
@@ -138,7 +138,7 @@
         return self.best and self._told(self.best)
 
     def _whole(self) -> None:
-        answer = exact(self.task, None, max(1.0, self.left * 0.5))
+        answer = solve_exact(self.task, None, max(1.0, self.left * 0.5))
         if answer.dead:
             return
         self.bound = answer.bound
@@ -146,12 +146,14 @@
             self._offer(answer.spots)
         if self.best is None or self.best.bytes > self.bound:
             # Hops cost bytes that no milp counts: all ways are tried, if there are few.
-            band = bands(self.fleet, self.tolerance)
-            path, tried = searched(self.fleet, _goal(self.fleet, band), _away(self.fleet))
+            band = fill_bounds(self.fleet, self.tolerance)
+            path, tried = search_moves(
+                self.fleet, _goal_test(self.fleet, band), _misplaced_copies(self.fleet)
+            )
             if path is not None:
                 self.bound = max(self.bound, sum(move.bytes for move in path))
                 try:
-                    self._take(lined(self.fleet, path))
+                    self._take(stages_in_order(self.fleet, path))
                 except DeadEndError as error:
                     self.error = self.error or error
             elif tried and (self.error is None or not self.error.proven):
@@ -162,32 +164,32 @@
 
     def _large(self) -> None:
         self._mend(self.task.spots)
-        hint = relaxed(self.task, max(0.5, self.left * 0.5))
+        hint = solve_relaxation(self.task, max(0.5, self.left * 0.5))
         if hint.dead:
             return
         self.bound = max(self.bound, hint.bound)
         self._told_better()
         if hint.spots is not None:
             self._mend(hint.spots)
-        if not self._near(_NEAR) and self.left > 1 and len(self.task.sizes) <= _SHARDS:
-            hint = relaxed(self.task, self.left * 0.5, whole=True)
+        if not self._near(_NEAR_GAP) and self.left > 1 and len(self.task.sizes) <= _MAX_INTEGRAL_SHARDS:
+            hint = solve_relaxation(self.task, self.left * 0.5, whole=True)
             self.bound = max(self.bound, hint.bound)
             if hint.spots is not None:
                 self._mend(hint.spots)
-        if not self._near(_FAR) and self.left > 1:
+        if not self._near(_FAR_GAP) and self.left > 1:
             self._columns(hint)
 
     def _near(self, gap: float) -> bool:
         return self.best is not None and self.best.bytes <= self.bound * (1 + gap)
 
-    def _columns(self, hint: Answer) -> None:
+    def _columns(self, hint: MilpResult) -> None:
         """A milp over the copies that move in any plan so far, and the engines that they may go to."""
         task = self.task
         drafts = [spots for spots in (hint.spots, self.spots) if spots is not None]
         moving = {
             number for spots in drafts for number, spot in enumerate(spots) if spot != task.spots[number]
         }
-        every = len(task.sizes) * len(task.places) <= _COLUMNS
+        every = len(task.sizes) * len(task.places) <= _MAX_COLUMNS
         columns: list[tuple[int, int]] = []
         for number in range(len(task.sizes)):
             own = task.spots[number].union(*(spots[number] for spots in drafts))
@@ -196,9 +198,9 @@
                 for at in range(len(task.places))
                 if at in own or ((every or number in moving) and task.takes[at])
             ]
-        if len(columns) > _COLUMNS:
+        if len(columns) > _MAX_COLUMNS:
             return
-        answer = exact(task, columns, self.left * 0.8, self.best.bytes if self.best else None)
+        answer = solve_exact(task, columns, self.left * 0.8, self.best.bytes if self.best else None)
         if answer.spots is not None:
             self._offer(answer.spots)
 
@@ -207,7 +209,7 @@
         if not any(shard.growth for shard in self.fleet.shards):
             return
         share, task = self.fleet.limits.share, self.task
-        slow = min((place.pace * share for place in task.places if place.pace), default=1.0)
+        slow = min((place.bytes_per_s * share for place in task.places if place.bytes_per_s), default=1.0)
         moves = task.moves(self.tried) if self.tried else []
         ends: Counter[str] = Counter()
         for move in moves:
@@ -215,9 +217,9 @@
         horizon = int(max(ends.values(), default=0) / max(1.0, slow)) + len(moves) // 100 + 1
         # As long as the busiest engine takes, and longer where stages wait for each other.
         for factor in (1, 2, 4):
-            self.task = Task(self.fleet, self.tolerance, horizon * factor)
+            self.task = PlacementProblem(self.fleet, self.tolerance, horizon * factor)
             if whole:
-                answer = exact(self.task, None, max(1.0, self.left * 0.3))
+                answer = solve_exact(self.task, None, max(1.0, self.left * 0.3))
                 if answer.spots is not None:
                     self._offer(answer.spots)
             else:
@@ -226,7 +228,7 @@
                 return
 
     def _mend(self, spots: list[set[int]]) -> None:
-        draft = Draft(self.task, spots)
+        draft = DraftPlacement(self.task, spots)
         if draft.settle():
             draft.save()
             if draft.sound():
@@ -238,7 +240,7 @@
         if self.best is not None and sum(move.bytes for move in moves) >= self.best.bytes:
             return
         try:
-            order = ordered(self.fleet, moves)
+            order = order_moves(self.fleet, moves)
         except DeadEndError as error:
             self.error = self.error or error
             return
@@ -269,7 +271,7 @@
         )
 
 
-def relaxed(task: Task, seconds: float, whole: bool = False) -> Answer:
+def solve_relaxation(task: PlacementProblem, seconds: float, whole: bool = False) -> MilpResult:
     """What every placement sends at least: which copies leave, and how much comes to each engine and zone.
 
     `whole`: copies leave whole or not at all. Else it is linear, done in seconds for the largest fleets, and
@@ -278,7 +280,7 @@
     Which engine of a zone a copy goes to is left open: whatever any placement does, this may do. In its spots
     copies that leave are on no engine yet.
     """
-    rows = _Rows()
+    rows = _ConstraintRows()
     scale = max(1, sum(task.sizes) // max(1, len(task.sizes)))
     stay: list[tuple[int, int]] = [
         (number, at) for number, spot in enumerate(task.spots) for at in sorted(spot)
@@ -326,7 +328,7 @@
         options={"time_limit": seconds, "mip_rel_gap": 0.01},
     )
     if found.status == 2:
-        return Answer(None, 0, True)
+        return MilpResult(None, 0, True)
     spots: list[set[int]] | None = None
     if found.x is not None:
         spots = [set() for _ in task.sizes]
@@ -335,12 +337,12 @@
                 spots[number].add(where)
     # A linear problem proves nothing until it is done.
     bound = found.mip_dual_bound if whole else found.fun if found.status == 0 else None
-    return Answer(spots, _bytes(bound, scale), False)
+    return MilpResult(spots, _bytes(bound, scale), False)
 
 
-def exact(
-    task: Task, columns: list[tuple[int, int]] | None, seconds: float, under: int | None = None
-) -> Answer:
+def solve_exact(
+    task: PlacementProblem, columns: list[tuple[int, int]] | None, seconds: float, under: int | None = None
+) -> MilpResult:
     """The fewest bytes over these pairs of shard and engine, or all; `under`: only what sends fewer."""
     if columns is None:
         columns = [
@@ -349,7 +351,7 @@
             for at in range(len(task.places))
             if task.takes[at] or at in task.spots[number]
         ]
-    rows = _Rows()
+    rows = _ConstraintRows()
     scale = max(1, sum(task.sizes) // max(1, len(task.sizes)))
     of_shard: list[list[tuple[int, int]]] = [[] for _ in task.sizes]
     inside: list[list[tuple[int, float]]] = [[] for _ in task.places]
@@ -376,7 +378,7 @@
         rows.add([(at, value) for at, value in enumerate(cost) if value], 0, (under - 1) / scale)
     width = len(columns)
     if not width:
-        return Answer(None, 0, True) if any(task.counts) else Answer([], 0, False)
+        return MilpResult(None, 0, True) if any(task.counts) else MilpResult([], 0, False)
     found = milp(
         cost,
         constraints=rows.matrix(width),
@@ -385,30 +387,30 @@
         options={"time_limit": seconds, "mip_rel_gap": 0.0},
     )
     if found.status == 2:
-        return Answer(None, 0, True)
+        return MilpResult(None, 0, True)
     spots: list[set[int]] | None = None
     if found.x is not None:
         spots = [set() for _ in task.sizes]
         for at, (number, where) in enumerate(columns):
             if found.x[at] > 0.5:
                 spots[number].add(where)
-        if not Draft(task, spots).sound():
+        if not DraftPlacement(task, spots).sound():
             spots = None  # broken by a few bytes, inside HiGHS's tolerance
-    return Answer(spots, _bytes(found.mip_dual_bound, scale), False)
+    return MilpResult(spots, _bytes(found.mip_dual_bound, scale), False)
 
 
 def _bytes(bound: float | None, scale: int) -> int:
     """A bound of HiGHS in whole bytes, on the safe side of its tolerance."""
     if bound is None or not math.isfinite(bound) or bound <= 0:
         return 0
-    return max(0, math.ceil((bound - _SLACK * max(1.0, bound)) * scale))
+    return max(0, math.ceil((bound - _SOLVER_TOLERANCE * max(1.0, bound)) * scale))
 
 
-def _goal(fleet: Fleet, band: dict[str, tuple[int, int]]) -> Callable[[list[Spot]], bool]:
+def _goal_test(fleet: Fleet, band: dict[str, tuple[int, int]]) -> Callable[[list[CopyEngines]], bool]:
     zone = {place.engine: place.zone for place in fleet.places}
-    zoned = len(zones_in(fleet)) > 1
+    zoned = len(active_zones(fleet)) > 1
 
-    def reached(spots: list[Spot]) -> bool:
+    def reached(spots: list[CopyEngines]) -> bool:
         held = dict.fromkeys(band, 0)
         for shard, spot in zip(fleet.shards, spots):
             if zoned and len(spot) > 1 and len({zone[engine] for engine in spot}) < 2:
@@ -422,18 +424,18 @@
     return reached
 
 
-def _away(fleet: Fleet) -> Callable[[int, Spot], int]:
-    out = {place.engine for place in fleet.places if place.out}
+def _misplaced_copies(fleet: Fleet) -> Callable[[int, CopyEngines], int]:
+    out = {place.engine for place in fleet.places if place.is_draining}
     return lambda number, spot: len(out.intersection(spot))
 
 
-def _possible(fleet: Fleet) -> None:
+def _check_feasible(fleet: Fleet) -> None:
     """ImpossibleError for what can be said without a search."""
-    places = [place for place in fleet.places if not place.out]
+    places = [place for place in fleet.places if not place.is_draining]
     most = max((len(shard.copies) for shard in fleet.shards), default=0)
     if most > len(places):
         raise ImpossibleError(f"{most} copies on {len(places)} engines that are not out")
-    lives = {place.engine for place in fleet.places if place.pace}
+    lives = {place.engine for place in fleet.places if place.bytes_per_s}
     stays = {place.engine for place in places}
     lost = [
         shard.name for shard in fleet.shards if not lives & set(shard.copies) and set(shard.copies) - stays
@@ -451,6 +453,6 @@
 def _missing(fleet: Fleet) -> dict[str, int]:
     """Bytes that the engines that stay lack as a whole."""
     lack = sum(shard.size * len(shard.copies) for shard in fleet.shards) - sum(
-        place.usable for place in fleet.places if not place.out
+        place.usable for place in fleet.places if not place.is_draining
     )
     return {"all engines": lack} if lack > 0 else {}
--- a/cresstray/placement/worker.py
+++ b/cresstray/placement/worker.py
@@ -17,17 +17,17 @@
 from cresstray.placement.model import DeadEndError, Fleet, ImpossibleError, PlacementError, Plan
 
 # Beyond the limit: to load scipy, to read the fleet, and to prove the order of what was found last.
-_MARGIN = 10.0
+_KILL_MARGIN_S = 10.0
 # 5,000 shards are some 0.5 MB, their plan less. Danger: a length that is no length would take all memory.
-_LONGEST = 256_000_000
+_MAX_FRAME_BYTES = 256_000_000
 
 
-class Asked(msgspec.Struct, array_like=True):
+class SolverRequest(msgspec.Struct, array_like=True):
     seconds: float
     fleet: Fleet
 
 
-class Told(msgspec.Struct, array_like=True):
+class SolverReply(msgspec.Struct, array_like=True):
     """One answer. `kind`: better, final, impossible, dead end or fault."""
 
     kind: str
@@ -42,7 +42,7 @@
 
 
 def plan_in_worker(
-    fleet: Fleet, seconds: float, margin: float = _MARGIN, heard: Callable[[Plan], None] | None = None
+    fleet: Fleet, seconds: float, margin: float = _KILL_MARGIN_S, heard: Callable[[Plan], None] | None = None
 ) -> Plan:
     """The best plan within `seconds`; the process is killed `margin` later, and what it had found counts.
 
@@ -56,9 +56,9 @@
         )
     except OSError as error:
         raise WorkerError(f"the solver's process could not be started: {error.strerror}") from error
-    told: list[Told] = []
+    told: list[SolverReply] = []
     errors: list[bytes] = []
-    reads = threading.Thread(target=_hear, args=(process, told, heard), daemon=True)
+    reads = threading.Thread(target=_receive_replies, args=(process, told, heard), daemon=True)
     # Read beside it, or a long traceback would fill the pipe and hold the process up.
     complains = threading.Thread(target=lambda: errors.append(process.stderr.read()[-2000:]), daemon=True)
     reads.start()
@@ -67,7 +67,7 @@
     killed.start()
     try:
         try:
-            _write(process.stdin, msgspec.msgpack.encode(Asked(seconds, fleet)))
+            _write_frame(process.stdin, msgspec.msgpack.encode(SolverRequest(seconds, fleet)))
             process.stdin.close()
         except BrokenPipeError:
             pass  # it has died: its errors say why
@@ -80,20 +80,22 @@
         process.wait()
         process.stdout.close()
         process.stderr.close()
-    return _answer(told, process.returncode, b"".join(errors), seconds + margin)
+    return _plan_from_replies(told, process.returncode, b"".join(errors), seconds + margin)
 
 
-def _hear(process: subprocess.Popen, told: list[Told], heard: Callable[[Plan], None] | None) -> None:
-    while (body := _read(process.stdout)) is not None:
+def _receive_replies(
+    process: subprocess.Popen, told: list[SolverReply], heard: Callable[[Plan], None] | None
+) -> None:
+    while (body := _read_frame(process.stdout)) is not None:
         try:
-            told.append(msgspec.msgpack.decode(body, type=Told))
+            told.append(msgspec.msgpack.decode(body, type=SolverReply))
         except msgspec.DecodeError:
             return
         if heard and told[-1].kind == "better" and told[-1].plan is not None:
             heard(told[-1].plan)
 
 
-def _answer(told: list[Told], code: int, errors: bytes, limit: float) -> Plan:
+def _plan_from_replies(told: list[SolverReply], code: int, errors: bytes, limit: float) -> Plan:
     last = told[-1] if told else None
     if last is not None and last.plan is not None:
         return last.plan
@@ -109,17 +111,17 @@
     raise ValueError(last.why)
 
 
-def _read(source: BinaryIO) -> bytes | None:
+def _read_frame(source: BinaryIO) -> bytes | None:
     """None at the end, in a torn frame, and at a length that cannot be."""
     head = source.read(4)
     length = int.from_bytes(head)
-    if len(head) < 4 or length > _LONGEST:
+    if len(head) < 4 or length > _MAX_FRAME_BYTES:
         return None
     body = source.read(length)
     return body if len(body) == length else None
 
 
-def _write(sink: BinaryIO, body: bytes) -> None:
+def _write_frame(sink: BinaryIO, body: bytes) -> None:
     sink.write(len(body).to_bytes(4) + body)
     sink.flush()
 
@@ -130,19 +132,23 @@
     sink = sys.stdout.buffer
     sys.stdout = sys.stderr  # what a library prints must not fall between the frames
 
-    def say(told: Told) -> None:
-        _write(sink, msgspec.msgpack.encode(told))
+    def say(told: SolverReply) -> None:
+        _write_frame(sink, msgspec.msgpack.encode(told))
 
-    body = _read(sys.stdin.buffer)
+    body = _read_frame(sys.stdin.buffer)
     try:
-        asked = msgspec.msgpack.decode(body or b"", type=Asked)
-        say(Told("final", solve(asked.fleet, asked.seconds, lambda plan: say(Told("better", plan)))))
+        asked = msgspec.msgpack.decode(body or b"", type=SolverRequest)
+        say(
+            SolverReply(
+                "final", solve(asked.fleet, asked.seconds, lambda plan: say(SolverReply("better", plan)))
+            )
+        )
     except ImpossibleError as error:
-        say(Told("impossible", None, str(error), error.missing))
+        say(SolverReply("impossible", None, str(error), error.missing))
     except DeadEndError as error:
-        say(Told("dead end", None, str(error), error.missing, error.proven))
+        say(SolverReply("dead end", None, str(error), error.missing, error.proven))
     except (ValueError, msgspec.DecodeError) as error:
-        say(Told("fault", None, str(error)))
+        say(SolverReply("fault", None, str(error)))
 
 
 if __name__ == "__main__":
--- a/cresstray/simulation/joined.py
+++ b/cresstray/simulation/joined.py
@@ -24,8 +24,8 @@
 from cresstray.observability.counters import Counters
 from cresstray.placement import model, moves
 from cresstray.placement import move_executor as carrier
-from cresstray.placement.move_executor import Carrier, Command, Copy, Disk, Entry
-from cresstray.placement.moves import Moves
+from cresstray.placement.move_executor import Command, CopyReport, DiskReport, MoveExecutor, Proposal
+from cresstray.placement.moves import MoveSection
 from cresstray.policy.types import EndpointState, Engine, Request, RequestClass
 from cresstray.replicas import fallback, pins
 from cresstray.replicas.positions import Board
@@ -35,7 +35,12 @@
 MS, SECOND = 1_000, 1_000_000
 LEASE, FLOOR, DRIFT = 2 * SECOND, 6 * SECOND, 0.01
 CORES, EXPECTED = 8, 60 * MS
-TIMES = carrier.Times(gone=15 * SECOND, stuck=6 * SECOND, room=10 * SECOND, fenced=8 * SECOND)
+TIMES = carrier.ExecutorTimes(
+    engine_dead_us=15 * SECOND,
+    copy_stall_us=6 * SECOND,
+    max_room_wait_us=10 * SECOND,
+    max_fenced_us=8 * SECOND,
+)
 WRITES = RequestClass(0, 1, SECOND, 0, 1, 0, False, False, "all", 0, False, None, None)
 READS = RequestClass(1, 1, SECOND, 0, 1, 0, True, False, "all", 0, False, None, None)
 ENGINES = ("a1", "a2", "a3", "b1", "b2", "c1", "c2")
@@ -117,9 +122,9 @@
 
     def __init__(self, world: World) -> None:
         self.world, self.clock = world, Clock(world)
-        self.leases, self.carrier = LeaseTable(LEASE, FLOOR, DRIFT), Carrier(TIMES)
+        self.leases, self.carrier = LeaseTable(LEASE, FLOOR, DRIFT), MoveExecutor(TIMES)
         self.leases.on_elected(world.state.counting_gateways(), self.clock.now())
-        self.told: dict[str, Disk] = {}
+        self.told: dict[str, DiskReport] = {}
         self.log: list[bytes] = []
         self.turned = -1
 
@@ -130,8 +135,8 @@
         if turn is not None and turn != self.turned and self.leases.can_advance(state, now):
             self.turned = turn
             self.append(rules.encode_advance(turn))
-        for step in self.carrier.next(state, world.moves, self.told, now):
-            if isinstance(step, Entry):
+        for step in self.carrier.next_actions(state, world.moves, self.told, now):
+            if isinstance(step, Proposal):
                 self.append(step.data)
             else:
                 world.send(world.give, step)
@@ -316,7 +321,7 @@
                     feed="" if first else copies[0],
                     growth=1_000,
                 )
-        self.moves, self.state, self.applied = Moves(), None, 0
+        self.moves, self.state, self.applied = MoveSection(), None, 0
         self._found()
         self.clocks = [Clock(self) for _ in range(2)]
         self.said: list[str] = []
@@ -348,7 +353,7 @@
         self.after(self.chance.uniform(4, 20) * SECOND, self.pins)
 
     def _found(self) -> None:
-        self.state = ConfigState(documents.FleetInventory(max_gateways=8), {moves.NAME: self.moves})
+        self.state = ConfigState(documents.FleetInventory(max_gateways=8), {moves.SECTION_NAME: self.moves})
         items = {name: documents.Shard(copies, copies[0], 1, copies) for name, copies in PLACED.items()}
         names = {f"g{number}": documents.Gateway() for number in range(self.GATEWAYS)}
         pins = {
@@ -462,11 +467,11 @@
         begun = int(plan.id) if plan is not None else 0
         if (
             self.leader is not None
-            and (plan is None or plan.over() and not plan.halted)
+            and (plan is None or plan.is_finished() and not plan.halted)
             and begun < len(PLANS)
         ):
-            for entry in moves.begin(f"{begun + 1}", "me", PLANS[begun], model.Limits(share=1.0)):
-                self.leader.append(rules.encode_section_command(moves.NAME, "", entry))
+            for entry in moves.begin_entries(f"{begun + 1}", "me", PLANS[begun], model.Limits(share=1.0)):
+                self.leader.append(rules.encode_section_command(moves.SECTION_NAME, "", entry))
         self.after(2 * SECOND, self.plan)
 
     def pins(self) -> None:
@@ -494,8 +499,8 @@
 
     def elect(self, left: list[bytes]) -> None:
         dumped = self.state.snapshot()
-        self.moves = Moves()
-        self.state = ConfigState(documents.FleetInventory(max_gateways=8), {moves.NAME: self.moves})
+        self.moves = MoveSection()
+        self.state = ConfigState(documents.FleetInventory(max_gateways=8), {moves.SECTION_NAME: self.moves})
         self.state.restore(dumped)
         for data in left:
             self.apply(data)
@@ -562,7 +567,7 @@
         if self.up(name):
             shelf.advance(self.now)
             told = shelf.told({})
-            copies = {shard: Copy(**copy) for shard, copy in told.pop("copies").items()}
+            copies = {shard: CopyReport(**copy) for shard, copy in told.pop("copies").items()}
             told["numbers"] = dict(told["numbers"])
             self.send(
                 self.positions,
@@ -570,7 +575,9 @@
                 {shard: shelf.report(shard) for shard, copy in copies.items() if copy.whole},
                 asked,
             )
-            self.send(leader.told.__setitem__, name, Disk(engine=name, at=at, copies=copies, **told))
+            self.send(
+                leader.told.__setitem__, name, DiskReport(engine=name, asked_at_us=at, copies=copies, **told)
+            )
 
     def positions(self, name: str, reports: dict[str, dict[str, float]], at: int) -> None:
         """What a disk tells a keeper goes on its board; nobody else would ever ask a copy first."""
@@ -730,7 +737,7 @@
 
     def over(self) -> bool:
         plan = self.moves.plan
-        return plan is not None and plan.over() and (plan.id == str(len(PLANS)) or bool(plan.halted))
+        return plan is not None and plan.is_finished() and (plan.id == str(len(PLANS)) or bool(plan.halted))
 
     def until(self, end: int) -> None:
         while self.now < end:
@@ -742,7 +749,7 @@
         held = {(shard, engine) for engine, shelf in self.shelves.items() for shard in shelf.shards}
         placed = {(name, engine) for name, shard in items.items() for engine in shard.copies}
         if not self.over():
-            self.wrong("not over", f"{self.moves.told()} {self.leader and self.leader.carrier.waits}")
+            self.wrong("not over", f"{self.moves.status()} {self.leader and self.leader.carrier.waits}")
         elif held != placed:
             self.wrong("other copies than placed", f"{sorted(held ^ placed)}")
         for name, shard in items.items():
--- a/tests/test_fleet_attack.py
+++ b/tests/test_fleet_attack.py
@@ -15,7 +15,7 @@
 from cresstray.emulators.fleet.processes import NAME
 from cresstray.fleet_config.documents import Gateway, GatewayList
 from cresstray.placement import moves
-from cresstray.placement.move_executor import Carrier
+from cresstray.placement.move_executor import MoveExecutor
 from cresstray.placement.moves import Event
 from tests import test_placement_moves
 from tests.test_conformance import patch_source
@@ -212,17 +212,17 @@
 
 def _reservations_in_memory() -> Any:
     """Only the leader that reserved a room knows of it; its successor counts the room as free."""
-    enter, to_come = Carrier._enter, Carrier._to_come
+    enter, to_come = MoveExecutor._enter, MoveExecutor._to_come
 
-    def entered(self: Carrier, index: int, move: moves.Moving, event: Event, **more: Any) -> None:
+    def entered(self: MoveExecutor, index: int, move: moves.MoveProgress, event: Event, **more: Any) -> None:
         if event is Event.RESERVE:
             vars(self).setdefault("own", set()).add((move.shard, move.target))
         enter(self, index, move, event, **more)
 
-    def remembered(self: Carrier, move: moves.Moving) -> int:
+    def remembered(self: MoveExecutor, move: moves.MoveProgress) -> int:
         return to_come(self, move) if (move.shard, move.target) in vars(self).get("own", ()) else 0
 
-    return patch.multiple(Carrier, _enter=entered, _to_come=remembered)
+    return patch.multiple(MoveExecutor, _enter=entered, _to_come=remembered)
 
 
 class Broken(unittest.TestCase):
@@ -235,7 +235,7 @@
         ),
         "a position beyond the head believed": (
             "test_position_beyond_the_head_is_not_believed",
-            lambda: patch_source(Carrier, "_near", "if claim > copy.head:", "if False:"),
+            lambda: patch_source(MoveExecutor, "_near", "if claim > copy.head:", "if False:"),
         ),
     }
 
--- a/tests/test_fleet_joined.py
+++ b/tests/test_fleet_joined.py
@@ -15,8 +15,8 @@
 from cresstray.fleet_config.state import ConfigState
 from cresstray.placement import move_executor as carrier
 from cresstray.placement import moves
-from cresstray.placement.move_executor import Carrier
-from cresstray.placement.moves import At, Event
+from cresstray.placement.move_executor import MoveExecutor
+from cresstray.placement.moves import Event, MoveState
 from cresstray.replicas import fallback, read
 from cresstray.replicas.positions import Board
 from cresstray.replicas.read import Read
@@ -107,7 +107,7 @@
         while world.now < 18 * SECOND:
             world.until(world.now + SECOND // 4)
             waits.add(world.leader.carrier.waits.get(0, ""))
-        self.assertIs(world.moves.plan.moves[0].at, At.CATCHING)
+        self.assertIs(world.moves.plan.moves[0].state, MoveState.CATCHING_UP)
         self.assertIn("a2 claims", " ".join(waits))
         self.assertIn("c1", " ".join(world.said))
         for engine in ("a2", "c1"):
@@ -174,7 +174,7 @@
         self.caught("a dropped copy was reached", mock.patch.object(moves, "in_force", at_once))
 
     def test_primary_moved_without_fencing(self) -> None:
-        def moved(self: Carrier, index: int, move: moves.Moving) -> None:
+        def moved(self: MoveExecutor, index: int, move: moves.MoveProgress) -> None:
             shard = self._placed(move)
             if moves.has_moved(move, shard):
                 self._enter(index, move, Event.SWITCH)
@@ -186,13 +186,15 @@
                         shard,
                         primary=move.target,
                         epoch=shard.epoch + 1,
-                        copies=carrier._replaced(shard.copies, move),
-                        reads=carrier._replaced(shard.reads, move),
+                        copies=carrier._with_target(shard.copies, move),
+                        reads=carrier._with_target(shard.reads, move),
                     ),
                     "",
                 )
 
-        self.caught("two histories of a shard", mock.patch.dict(Carrier._NEXT, {At.FENCED: moved}))
+        self.caught(
+            "two histories of a shard", mock.patch.dict(MoveExecutor._NEXT, {MoveState.FENCED: moved})
+        )
 
     def test_position_taken_across_epochs(self) -> None:
         place = Board.place
--- a/tests/test_placement_moves.py
+++ b/tests/test_placement_moves.py
@@ -29,11 +29,16 @@
 from cresstray.placement import model, moves
 from cresstray.placement import move_executor as carrier
 from cresstray.placement import pacing as pace
-from cresstray.placement.move_executor import Carrier, Command, Copy, Disk, Entry
-from cresstray.placement.moves import At, Event, Moves
+from cresstray.placement.move_executor import Command, CopyReport, DiskReport, MoveExecutor, Proposal
+from cresstray.placement.moves import Event, MoveSection, MoveState
 
 SECOND = 1_000_000
-TIMES = carrier.Times(gone=12 * SECOND, stuck=6 * SECOND, room=10 * SECOND, fenced=8 * SECOND)
+TIMES = carrier.ExecutorTimes(
+    engine_dead_us=12 * SECOND,
+    copy_stall_us=6 * SECOND,
+    max_room_wait_us=10 * SECOND,
+    max_fenced_us=8 * SECOND,
+)
 PLACED = {"1": ("a1",), "2": ("a1", "b1"), "3": ("b1",)}
 MOVES = (
     model.Move("1", "a1", "a2", 3_000_000, primary=True),
@@ -43,8 +48,8 @@
 PLAN = model.Plan(MOVES, 7_000_000, 7_000_000, ((0, 1), (2,)))
 
 
-def founded(section: Moves, placed: dict[str, tuple[str, ...]]) -> ConfigState:
-    state = ConfigState(documents.FleetInventory(max_gateways=9), {moves.NAME: section})
+def founded(section: MoveSection, placed: dict[str, tuple[str, ...]]) -> ConfigState:
+    state = ConfigState(documents.FleetInventory(max_gateways=9), {moves.SECTION_NAME: section})
     items = {name: documents.Shard(copies, copies[0], 1, copies) for name, copies in placed.items()}
     new = documents.Documents(
         gateways=documents.GatewayList({"g": documents.Gateway()}), placement=documents.Placement(items)
@@ -61,7 +66,11 @@
     """Disks, a log whose leader may crash, gateways one turn behind, and what must never be."""
 
     def __init__(
-        self, seed: int, make: type[Carrier] = Carrier, section: type[Moves] = Moves, disk: int = 10_000_000
+        self,
+        seed: int,
+        make: type[MoveExecutor] = MoveExecutor,
+        section: type[MoveSection] = MoveSection,
+        disk: int = 10_000_000,
     ) -> None:
         self.chance, self.now, self.make = random.Random(seed), 10 * SECOND, make
         self.moves = section()
@@ -86,21 +95,21 @@
         self.applied = 0
         self.written = dict.fromkeys(PLACED, 0)
         self.turned, self.before = self.now, self.state.effective
-        self.told: dict[str, Disk] = {}
+        self.told: dict[str, DiskReport] = {}
         self.lost: list[str] = []
-        self.seen: list[tuple[int, At]] = []
+        self.seen: list[tuple[int, MoveState]] = []
         self.on_applied = lambda fleet: None
         self.crashes = False
-        for entry in moves.begin("p1", "me", PLAN, model.Limits(share=1.0)):
-            self.apply(rules.encode_section_command(moves.NAME, "", entry))
+        for entry in moves.begin_entries("p1", "me", PLAN, model.Limits(share=1.0)):
+            self.apply(rules.encode_section_command(moves.SECTION_NAME, "", entry))
 
     def apply(self, data: bytes) -> None:
         acting, turn = self.state.effective, self.state.turn
-        before = [move.at for move in self.moves.plan.moves] if self.moves.plan else []
+        before = [move.state for move in self.moves.plan.moves] if self.moves.plan else []
         self.state.apply(self.applied, data)
         if self.state.turn != turn:
             self.before, self.turned = acting, self.now
-        if before and before != [move.at for move in self.moves.plan.moves]:
+        if before and before != [move.state for move in self.moves.plan.moves]:
             self.applied += 1
             self.on_applied(self)
 
@@ -112,7 +121,7 @@
         self.log.clear()
         dumped = self.state.snapshot()
         self.moves = type(self.moves)()
-        self.state = ConfigState(documents.FleetInventory(max_gateways=9), {moves.NAME: self.moves})
+        self.state = ConfigState(documents.FleetInventory(max_gateways=9), {moves.SECTION_NAME: self.moves})
         self.state.restore(dumped)
         assert self.state.snapshot() == dumped
         self.carrier, self.told = self.make(TIMES), {}
@@ -185,8 +194,8 @@
         # Entries are committed in order, each when it will be.
         while self.log and self.chance.random() < 0.7:
             self.apply(self.log.pop(0))
-        for step in self.carrier.next(self.state, self.moves, self.told, self.now):
-            if isinstance(step, Entry):
+        for step in self.carrier.next_actions(self.state, self.moves, self.told, self.now):
+            if isinstance(step, Proposal):
                 self.log.append(step.data)
             else:
                 self.give(step)
@@ -199,14 +208,14 @@
     def work(self, shelf: Shelf) -> None:
         passed_on(shelf, self.shelves, self.up, self.now)
 
-    def disk(self, shelf: Shelf) -> Disk:
+    def disk(self, shelf: Shelf) -> DiskReport:
         told = shelf.told({})
-        copies = {name: Copy(**copy) for name, copy in told.pop("copies").items()}
-        return Disk(engine=shelf.engine, at=self.now, copies=copies, **told)
+        copies = {name: CopyReport(**copy) for name, copy in told.pop("copies").items()}
+        return DiskReport(engine=shelf.engine, asked_at_us=self.now, copies=copies, **told)
 
     def run(self, seconds: int = 120) -> None:
         until = self.now + seconds * SECOND
-        while self.now < until and not self.moves.plan.over():
+        while self.now < until and not self.moves.plan.is_finished():
             self.tick()
         until = max([self.now, *self.down.values()]) + 10 * SECOND
         while self.now < until:  # what is late comes, what is owed is paid
@@ -214,7 +223,7 @@
 
     def judge(self, test: unittest.TestCase, over: int = 0) -> None:
         plan = self.moves.plan
-        test.assertTrue(plan.over(), (self.moves.told(), self.carrier.waits))
+        test.assertTrue(plan.is_finished(), (self.moves.status(), self.carrier.waits))
         test.assertEqual(self.lost, [])
         test.assertEqual([shelf.counted.headroom_broken for shelf in self.shelves.values()], [0] * 4)
         copied = sum(shelf.counted.copied_in for shelf in self.shelves.values())
@@ -225,7 +234,7 @@
             for name, shard in self.state.latest.placement.items.items()
             for engine in shard.copies
         }
-        test.assertEqual(held, placed, self.moves.told())
+        test.assertEqual(held, placed, self.moves.status())
         for name, shard in self.state.latest.placement.items.items():
             test.assertEqual(self.shelves[shard.primary].shards[name].head, self.written[name])
 
@@ -235,7 +244,7 @@
         fleet = Fleet(1)
         fleet.run()
         fleet.judge(self)
-        self.assertEqual([move.at for move in fleet.moves.plan.moves], [At.DONE] * 3)
+        self.assertEqual([move.state for move in fleet.moves.plan.moves], [MoveState.DONE] * 3)
 
     def faulty(self, fault: object, over: int = 0, seeds: int = 2, done: bool = True) -> None:
         """The fault strikes behind each entry in turn, in a fleet of its own."""
@@ -249,7 +258,9 @@
                 with self.subTest(seed=seed, at=at):
                     fleet.judge(self, over)
                     if done:
-                        self.assertEqual([move.at for move in fleet.moves.plan.moves], [At.DONE] * 3)
+                        self.assertEqual(
+                            [move.state for move in fleet.moves.plan.moves], [MoveState.DONE] * 3
+                        )
 
     def test_leader_crashes_at_each_step(self) -> None:
         self.faulty(lambda fleet: setattr(fleet, "crashes", True))
@@ -273,7 +284,9 @@
     def test_cancelled_at_each_step(self) -> None:
         def cancel(fleet: Fleet) -> None:
             fleet.log.append(
-                rules.encode_section_command(moves.NAME, "", moves.encode(moves.Cancel("p1", "me")))
+                rules.encode_section_command(
+                    moves.SECTION_NAME, "", moves.encode(moves.CancelPlan("p1", "me"))
+                )
             )
 
         self.faulty(cancel, done=False)
@@ -291,20 +304,20 @@
         fleet = Fleet(5)
 
         def fault(fleet: Fleet) -> None:
-            if fleet.moves.plan.moves[0].at is At.CATCHING:
+            if fleet.moves.plan.moves[0].state is MoveState.CATCHING_UP:
                 fleet.down.setdefault("a1", 10**15)
 
         fleet.on_applied = fault
         for _ in range(600):
             fleet.tick()
-        self.assertIs(fleet.moves.plan.moves[0].at, At.BACK)
+        self.assertIs(fleet.moves.plan.moves[0].state, MoveState.ROLLING_BACK)
         self.assertIn("kept", fleet.carrier.waits[0])
         self.assertTrue(fleet.shelves["a2"].shards["1"].whole)
         # An operator gives up the dead primary's last writes, and places the shard where it is.
         self.assertTrue(fleet.place("1", ("a2",)).is_accepted)
         for _ in range(100):
             fleet.tick()
-        self.assertTrue(fleet.moves.plan.over())
+        self.assertTrue(fleet.moves.plan.is_finished())
         self.assertTrue(fleet.shelves["a2"].shards["1"].whole)
 
     def test_late_copy_does_not_come_back(self) -> None:
@@ -313,12 +326,14 @@
 
         def fault(fleet: Fleet) -> None:
             move = fleet.moves.plan.moves[0]
-            if move.at is At.COPYING and "a2" not in fleet.down:
+            if move.state is MoveState.COPYING and "a2" not in fleet.down:
                 fleet.down["a2"] = fleet.now + 2 * SECOND
                 late = Command("a2", "COPY", "1", move.fence, "a1", 0, 1_000_000)
                 fleet.late.append((fleet.now + 20 * SECOND, late))
                 fleet.log.append(
-                    rules.encode_section_command(moves.NAME, "", moves.encode(moves.Cancel("p1", "me")))
+                    rules.encode_section_command(
+                        moves.SECTION_NAME, "", moves.encode(moves.CancelPlan("p1", "me"))
+                    )
                 )
 
         fleet.on_applied = fault
@@ -332,14 +347,14 @@
         fleet = Fleet(6)
 
         def fault(fleet: Fleet) -> None:
-            if fleet.moves.plan.moves[1].at is At.SWITCHED:
+            if fleet.moves.plan.moves[1].state is MoveState.SWITCHED:
                 fleet.down.setdefault("b2", fleet.now + 30 * SECOND)
                 fleet.turned = fleet.now + 5 * SECOND  # a lease is waited for
 
         fleet.on_applied = fault
         while fleet.down.get("b2") is None or fleet.now < fleet.down["b2"] - 19 * SECOND:
             fleet.tick()
-        self.assertIs(fleet.moves.plan.moves[1].at, At.SWITCHED)
+        self.assertIs(fleet.moves.plan.moves[1].state, MoveState.SWITCHED)
         self.assertTrue(fleet.shelves["b1"].shards["2"].whole)
         self.assertTrue(fleet.place("2", ("a1", "b1")).is_accepted)
         fleet.run()
@@ -351,7 +366,10 @@
             fleet, kept = Fleet(11), MOVES[number]
 
             def fault(fleet: Fleet, kept: model.Move = kept, number: int = number) -> None:
-                if fleet.moves.plan.moves[number].at is At.SWITCHED and kept.target not in fleet.down:
+                if (
+                    fleet.moves.plan.moves[number].state is MoveState.SWITCHED
+                    and kept.target not in fleet.down
+                ):
                     fleet.down[kept.target] = fleet.now + 60 * SECOND
                     fleet.turned = fleet.now + 5 * SECOND  # a lease is waited for: its word gets old
 
@@ -369,10 +387,12 @@
             with self.subTest(number=number, crash=crash):
                 move = fleet.moves.plan.moves[number]
                 if kept.primary:
-                    self.assertIs(move.at, At.SWITCHED)
+                    self.assertIs(move.state, MoveState.SWITCHED)
                     self.assertTrue(fleet.shelves[kept.source].shards[kept.shard].whole)
                     continue
-                self.assertEqual((move.at, move.why), (At.DONE, "the old copy has its place again"))
+                self.assertEqual(
+                    (move.state, move.failure_reason), (MoveState.DONE, "the old copy has its place again")
+                )
                 self.assertEqual(fleet.state.latest.placement.items[kept.shard].copies, ("a1", "b1"))
                 self.assertIn((kept.target, kept.shard), fleet.moves.owed)
                 fleet.run(90)  # the engine is back, with what it has
@@ -384,7 +404,7 @@
         fleet.shelves["a2"].lie = 1000
         for _ in range(200):
             fleet.tick()
-        self.assertIs(fleet.moves.plan.moves[0].at, At.CATCHING)
+        self.assertIs(fleet.moves.plan.moves[0].state, MoveState.CATCHING_UP)
         self.assertIn("beyond the head", fleet.carrier.waits[0])
         fleet.shelves["a2"].lie = 0
         fleet.run()
@@ -397,27 +417,29 @@
         plan = model.Plan(
             (MOVES[0], model.Move("3", "b1", "a2", 2_000_000, primary=True)), 5_000_000, 5_000_000, ((0, 1),)
         )
-        self.assertEqual(fleet.moves.apply(fleet.state, moves.encode(moves.Cancel("p1", "me"))), moves.DONE)
-        (entry,) = moves.begin("p2", "me", plan, model.Limits(share=0.1))
-        self.assertEqual(fleet.moves.apply(fleet.state, entry), moves.DONE)
+        self.assertEqual(
+            fleet.moves.apply(fleet.state, moves.encode(moves.CancelPlan("p1", "me"))), moves.APPLIED
+        )
+        (entry,) = moves.begin_entries("p2", "me", plan, model.Limits(share=0.1))
+        self.assertEqual(fleet.moves.apply(fleet.state, entry), moves.APPLIED)
         for at in range(60):
             fleet.tick()
             fleet.crashes = at == 20
         self.assertIn("a2 lacks", fleet.carrier.waits[1])
-        self.assertIs(fleet.moves.plan.moves[1].at, At.PLANNED)
+        self.assertIs(fleet.moves.plan.moves[1].state, MoveState.PLANNED)
         fleet.shelves["a2"].other = 1_000_000
         fleet.run()
         fleet.judge(self)
 
     def test_shard_outgrows_its_room(self) -> None:
-        for growth, ends in ((60_000, At.DONE), (3_000_000, At.CANCELLED)):
+        for growth, ends in ((60_000, MoveState.DONE), (3_000_000, MoveState.CANCELLED)):
             fleet = Fleet(8)
             fleet.shelves["a1"].shards["1"].growth = growth
             fleet.shelves["a2"].other = 4_000_000
             fleet.moves.plan.limits = model.Limits(share=0.25)
             for _ in range(300):
                 fleet.tick()
-            self.assertIs(fleet.moves.plan.moves[0].at, ends, fleet.carrier.waits)
+            self.assertIs(fleet.moves.plan.moves[0].state, ends, fleet.carrier.waits)
             self.assertEqual(fleet.shelves["a2"].counted.headroom_broken, 0)
             self.assertGreater(fleet.shelves["a1"].shards.get("1", Held(0)).bytes or 3_200_001, 3_200_000)
 
@@ -429,9 +451,9 @@
             engines=documents.EngineRules({"a1": documents.EngineRule(is_barred=True)}),
             placement=documents.Placement({"1": shard}),
         )
-        copies = {"1": Copy(40, primary=True, growth=3)}
+        copies = {"1": CopyReport(40, primary=True, growth=3)}
         told = {
-            name: Disk(name, "a", 100, free, 0, 10, at, copies)
+            name: DiskReport(name, "a", 100, free, 0, 10, at, copies)
             for name, free, at, copies in (
                 ("a1", 60, 20_000_000, copies),
                 ("a2", 100, 20_000_000, {}),
@@ -441,7 +463,7 @@
         made = typed._world(given, told, ("a2",), 0.1, 0, model.Limits())
         # Barred ones are emptied, and what does not answer is no place for a copy.
         self.assertEqual(
-            [(place.engine, place.out, place.headroom) for place in made.places],
+            [(place.engine, place.is_draining, place.headroom) for place in made.places],
             [("a1", True, 10), ("a2", True, 10)],
         )
         self.assertEqual((made.shards[0].size, made.shards[0].growth), (40, 3))
@@ -457,25 +479,25 @@
 
     def test_progress(self) -> None:
         fleet = Fleet(3)
-        self.assertEqual(typed.progress(fleet.moves.told()), "plan p1: 3 planned; 0% of the bytes")
+        self.assertEqual(typed.progress(fleet.moves.status()), "plan p1: 3 planned; 0% of the bytes")
         fleet.run()
-        self.assertEqual(typed.progress(fleet.moves.told()), "plan p1: 3 done; 100% of the bytes")
+        self.assertEqual(typed.progress(fleet.moves.status()), "plan p1: 3 done; 100% of the bytes")
 
 
 class Paced(unittest.TestCase):
     @staticmethod
-    def disk(at: int, zone: str = "a", util: float = 0.1) -> Disk:
-        return Disk("", zone, 100, 100, 0, 1000, at, {}, cores=4, util=util)
+    def disk(at: int, zone: str = "a", util: float = 0.1) -> DiskReport:
+        return DiskReport("", zone, 100, 100, 0, 1000, at, {}, cores=4, util=util)
 
     def test_shares_of_ends_and_borders(self) -> None:
         told = {"a1": self.disk(0), "a2": self.disk(0), "b1": self.disk(0, "b")}
-        flows = [pace.Flow(0, "a1", "a2"), pace.Flow(1, "a1", "b1")]
-        made = pace.Pace().rates(flows, model.Limits(share=0.5, border_pace=100), told)
+        flows = [pace.Transfer(0, "a1", "a2"), pace.Transfer(1, "a1", "b1")]
+        made = pace.RateController().rates(flows, model.Limits(share=0.5, border_pace=100), told)
         self.assertEqual(made, {0: 250, 1: 100})
-        self.assertEqual(pace.Pace().rates(flows[:1], model.Limits(share=0.5), told), {0: 500})
+        self.assertEqual(pace.RateController().rates(flows[:1], model.Limits(share=0.5), told), {0: 500})
 
     def test_backs_off_under_pressure_and_comes_back(self) -> None:
-        paced, parts = pace.Pace(), []
+        paced, parts = pace.RateController(), []
         for at, util in enumerate([0.1] + [0.9] * 6 + [0.1] * 9):
             paced.heed({"a1": self.disk(at * 100_000, util=util)}, at * 100_000)
             paced.heed({"a1": self.disk(at * 100_000, util=util)}, at * 100_000 + 1)  # heard once
@@ -486,16 +508,16 @@
         self.assertEqual(paced.part("a1"), 0.5)
 
 
-def placed(kind: str, how: str) -> tuple[ConfigState, Moves]:
+def placed(kind: str, how: str) -> tuple[ConfigState, MoveSection]:
     """One move under way, a1 > a2, its documents so far on their way."""
-    section = Moves()
+    section = MoveSection()
     primary = kind == "primary"
     copies = ("a1", "b1") if primary else ("b1", "a1")
     state = founded(section, {"1": copies})
     plan = model.Plan((model.Move("1", "a1", "a2", 100, primary),), 100, 100, ((0,),))
-    (entry,) = moves.begin("p", "me", plan, model.Limits())
+    (entry,) = moves.begin_entries("p", "me", plan, model.Limits())
     told = section.apply(state, entry)
-    assert told == moves.DONE, told
+    assert told == moves.APPLIED, told
     shard = state.latest.placement.items["1"]
     last = ("a2" if primary else "b1", ("b1", "a2"))
     steps = {"before": [], "fenced": [("", ("a1", "b1", "a2"))], "moved": [last]}
@@ -529,29 +551,29 @@
     def entered(self, kind: str, at: str, event: str, how: str) -> tuple[str, bytes, int]:
         state, section = placed(kind, how)
         move = section.plan.moves[0]
-        move.at, move.fence, section.serial = At(at), 7, 9
+        move.state, move.fence, section.serial = MoveState(at), 7, 9
         before = section.snapshot()
-        step = moves.Step("p", 0, At(at), Event(event), 7, held=100, copied=50)
+        step = moves.MoveStep("p", 0, MoveState(at), Event(event), 7, held=100, copied=50)
         outcome = section.apply(state, moves.encode(step))
-        if outcome != moves.DONE:
+        if outcome != moves.APPLIED:
             self.assertEqual(section.snapshot(), before)
         self.assertEqual(move.fence, section.serial if move.fence != 7 else 7)
         # Asked again, and asked by one that is behind: once.
         after = section.snapshot()
-        if section.plan.moves[0].at.value != at:
-            self.assertEqual(section.apply(state, moves.encode(step)), moves.BEFORE)
-        stale = msgspec.structs.replace(step, fence=6, was=move.at)
-        self.assertEqual(section.apply(state, moves.encode(stale)), moves.BEFORE)
+        if section.plan.moves[0].state.value != at:
+            self.assertEqual(section.apply(state, moves.encode(step)), moves.ALREADY_APPLIED)
+        stale = msgspec.structs.replace(step, fence=6, expected_state=move.state)
+        self.assertEqual(section.apply(state, moves.encode(stale)), moves.ALREADY_APPLIED)
         self.assertEqual(section.snapshot(), after)
-        restored = Moves()
+        restored = MoveSection()
         restored.restore(after)
         self.assertEqual(restored.snapshot(), after)
-        return move.at.value, outcome, move.fence
+        return move.state.value, outcome, move.fence
 
     def test_each_state_with_each_event(self) -> None:
         events = self.table["events"]
         self.assertEqual(sorted(events), sorted(event.value for event in Event))
-        self.assertEqual(sorted(self.table["primary"]), sorted(at.value for at in At))
+        self.assertEqual(sorted(self.table["primary"]), sorted(at.value for at in MoveState))
         numbered = {"copy", "retry", "back", "drop"}
         for kind in ("primary", "copy"):
             for at, row in self.table[kind].items():
@@ -561,7 +583,7 @@
                     with self.subTest(kind=kind, at=at, event=event):
                         now, outcome, fence = self.entered(kind, at, event, how)
                         self.assertEqual(now, at if to == "-" else to)
-                        self.assertEqual(outcome == moves.DONE, to != "-")
+                        self.assertEqual(outcome == moves.APPLIED, to != "-")
                         self.assertEqual(fence > 7, to not in ("-", "cancelled") and event in numbered)
 
     def test_hindered_by_documents(self) -> None:
@@ -573,22 +595,22 @@
     def test_cancel(self) -> None:
         for at, to in self.table["cancel"].items():
             state, section = placed("primary", "before")
-            section.plan.moves[0].at = At(at)
-            over = section.plan.over()
-            outcome = section.apply(state, moves.encode(moves.Cancel("p", "me")))
-            self.assertEqual(section.plan.moves[0].at.value, to)
-            self.assertEqual(outcome, moves.BEFORE if over else moves.DONE)
+            section.plan.moves[0].state = MoveState(at)
+            over = section.plan.is_finished()
+            outcome = section.apply(state, moves.encode(moves.CancelPlan("p", "me")))
+            self.assertEqual(section.plan.moves[0].state.value, to)
+            self.assertEqual(outcome, moves.ALREADY_APPLIED if over else moves.APPLIED)
 
     def test_plans_refused(self) -> None:
         def told(*given: model.Move, stages: tuple[tuple[int, ...], ...] = ((0,),)) -> bytes:
-            section = Moves()
+            section = MoveSection()
             state = founded(section, PLACED)
-            (entry,) = moves.begin("p", "me", model.Plan(given, 1, 1, stages), model.Limits())
+            (entry,) = moves.begin_entries("p", "me", model.Plan(given, 1, 1, stages), model.Limits())
             return section.apply(state, entry)
 
         first, second = model.Move("1", "a1", "a2", 1, True), model.Move("1", "a2", "b2", 1, True)
-        self.assertEqual(told(first), moves.DONE)
-        self.assertEqual(told(first, second, stages=((0,), (1,))), moves.DONE)
+        self.assertEqual(told(first), moves.APPLIED)
+        self.assertEqual(told(first, second, stages=((0,), (1,))), moves.APPLIED)
         self.assertIn(b"two moves of one shard", told(first, second, stages=((0, 1),)))
         self.assertIn(b"it is on a1", told(second))
         self.assertIn(b"primary is a1", told(model.Move("1", "a1", "a2", 1)))
@@ -596,19 +618,19 @@
         self.assertIn(b"it is on a1, b1", told(model.Move("2", "b1", "a1", 1)))
 
     def test_long_plans_come_in_parts(self) -> None:
-        section = Moves()
+        section = MoveSection()
         placed = {str(number): ("a1",) for number in range(2500)}
         state = founded(section, placed)
         given = tuple(model.Move(name, "a1", "a2", 1, True) for name in placed)
-        parts = moves.begin("p", "me", model.Plan(given, 1, 1, (tuple(range(2500)),)), model.Limits())
+        parts = moves.begin_entries("p", "me", model.Plan(given, 1, 1, (tuple(range(2500)),)), model.Limits())
         self.assertEqual(len(parts), 3)
         self.assertLess(max(map(len, parts)), 128 * 1024)
         self.assertIn(b"refused", section.apply(state, parts[1]))
         for part in parts:
-            self.assertEqual(section.apply(state, part), moves.DONE)
-            self.assertEqual(section.apply(state, part), moves.BEFORE)
+            self.assertEqual(section.apply(state, part), moves.APPLIED)
+            self.assertEqual(section.apply(state, part), moves.ALREADY_APPLIED)
         self.assertEqual(len(section.plan.moves), 2500)
-        (other,) = moves.begin("q", "me", model.Plan(given[:1], 1, 1, ((0,),)), model.Limits())
+        (other,) = moves.begin_entries("q", "me", model.Plan(given[:1], 1, 1, ((0,),)), model.Limits())
         self.assertIn(b"plan p of me is under way", section.apply(state, other))
         self.assertIn(b"refused", section.apply(state, b"\xff"))
 
@@ -644,7 +666,7 @@
 def asked(port: int, *words: str) -> dict:
     with socket.create_connection(("127.0.0.1", port), 5) as made:
         made.sendall(hiredis.pack_command(words))
-        answers = carry.Answers()
+        answers = carry.AnswerParser()
         while not (found := answers.feed(made.recv(65536))):
             pass
     return json.loads(found[0])
@@ -703,7 +725,7 @@
         self.assertEqual(asked(self.ports["a1"], "DROP", "1", "MOVE", "6"), {"dropped": 0})
 
     def test_target_is_killed_while_it_copies(self) -> None:
-        section = Moves()
+        section = MoveSection()
         state = founded(section, {"1": ("a1",), "3": ("b1",)})
         plan = model.Plan(
             (
@@ -714,10 +736,12 @@
             5_000_000,
             ((0,), (1,)),
         )
-        for entry in moves.begin("p", "me", plan, model.Limits(share=1.0)):
-            self.assertEqual(state.apply(1, rules.encode_section_command(moves.NAME, "", entry)), moves.DONE)
+        for entry in moves.begin_entries("p", "me", plan, model.Limits(share=1.0)):
+            self.assertEqual(
+                state.apply(1, rules.encode_section_command(moves.SECTION_NAME, "", entry)), moves.APPLIED
+            )
         told = anyio.run(self.carried, state, section)
-        self.assertEqual([move.at for move in section.plan.moves], [At.DONE] * 2)
+        self.assertEqual([move.state for move in section.plan.moves], [MoveState.DONE] * 2)
         accounts = {engine: asked(port, "ACCOUNT") for engine, port in self.ports.items()}
         self.assertEqual(
             {engine: sorted(one["shards"]) for engine, one in accounts.items()},
@@ -730,10 +754,10 @@
         self.assertLess(accounts["a1"]["copied_out"], 4_000_000 * 1.05 + 400_000)
         self.assertEqual(accounts["a2"]["again"], 0)
 
-    async def carried(self, state: ConfigState, section: Moves) -> dict:
+    async def carried(self, state: ConfigState, section: MoveSection) -> dict:
         """The keeper's part; the target is killed at a third of its copy, and comes back a second later."""
-        told, log, carrying = {}, [], Carrier()
-        hands = carry.Hands(
+        told, log, carrying = {}, [], MoveExecutor()
+        hands = carry.TransferClient(
             lambda: {engine: ("127.0.0.1", port) for engine, port in self.ports.items()},
             lambda entry: log.append(entry.data),
             lambda: True,
@@ -743,16 +767,18 @@
         with anyio.fail_after(30):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(hands.run)
-                while not section.plan.over():
+                while not section.plan.is_finished():
                     await anyio.sleep(0.02)
-                    hands.do(carrying.next(state, section, hands.told, time.monotonic_ns() // 1000))
+                    hands.execute(
+                        carrying.next_actions(state, section, hands.told, time.monotonic_ns() // 1000)
+                    )
                     for data in log:
                         state.apply(1, data)
                     log.clear()
                     if state.pending_turn() is not None:
                         state.apply(1, rules.encode_advance(state.pending_turn()))
-                    if "before" not in told and section.plan.moves[0].copied > 1_000_000:
-                        told["before"] = section.plan.moves[0].copied
+                    if "before" not in told and section.plan.moves[0].copied_bytes > 1_000_000:
+                        told["before"] = section.plan.moves[0].copied_bytes
                         self.engines["a2"].send_signal(signal.SIGKILL)
                         self.engines["a2"].wait()
                         self.engines["a2"].stdout.close()
