--- a/tests/test_placement_plan.py
+++ b/tests/test_placement_plan.py
@@ -15,11 +15,27 @@
 
 from benchmarks.placement import drawn
 from cresstray.placement.check import check
-from cresstray.placement.fleetmap import Disk, Grown, UnknownError, after, fits, mapped
-from cresstray.placement.model import DeadEndError, Fleet, ImpossibleError, Limits, Move, Place, Shard, ladder
-from cresstray.placement.order import ordered
+from cresstray.placement.fleetmap import (
+    DiskCapacity,
+    ShardLoad,
+    UnknownSizeError,
+    build_fleet,
+    describe_plan,
+    fleet_after,
+)
+from cresstray.placement.model import (
+    DeadEndError,
+    EngineCapacity,
+    Fleet,
+    ImpossibleError,
+    Limits,
+    Move,
+    Shard,
+    tolerance_steps,
+)
+from cresstray.placement.order import order_moves
 from cresstray.placement.planner import solve
-from cresstray.placement.worker import Told, WorkerError, _answer, plan_in_worker
+from cresstray.placement.worker import SolverReply, WorkerError, _plan_from_replies, plan_in_worker
 
 _QUIET = dict(
     derandomize=True,
@@ -52,7 +68,7 @@
         headroom = draw(st.integers(0, 3))
         slack = draw(st.sampled_from([0, 0, 1, 3, 6]) if tight else st.integers(-3, 17))
         places.append(
-            Place(
+            EngineCapacity(
                 engine,
                 f"z{at // 2}" if tight else draw(st.sampled_from(["z0", "z1"])),
                 max(0, held[engine] + headroom + slack),
@@ -68,8 +84,8 @@
 def brute(fleet: Fleet) -> int | None:
     """Fewest bytes of single moves to a placement within the first tolerance that can be reached at all."""
     zone = {place.engine: place.zone for place in fleet.places}
-    room = {place.engine: max(0, place.disk - place.headroom) for place in fleet.places}
-    stays = {place.engine for place in fleet.places if not place.out}
+    room = {place.engine: max(0, place.disk_bytes - place.headroom) for place in fleet.places}
+    stays = {place.engine for place in fleet.places if not place.is_draining}
     two = len({zone[engine] for engine in stays}) > 1
     start = tuple(frozenset(shard.copies) for shard in fleet.shards)
     costs, heap, ties = {start: 0}, [(0, 0, start)], itertools.count(1)
@@ -104,7 +120,7 @@
                 return False
         return True
 
-    for tolerance in ladder(fleet.limits.tolerance):
+    for tolerance in tolerance_steps(fleet.limits.tolerance):
         near = Fraction(round(tolerance * 10**6), 10**6)
         if reached := [cost for state, cost in costs.items() if good(state, near)]:
             return min(reached)
@@ -144,7 +160,7 @@
 
     def test_what_outgrows_its_headroom_at_once_is_told_and_takes_nothing(self) -> None:
         fleet = Fleet(
-            (Place("a", "z", 100, 0, 20), Place("b", "z", 100, 0, 20)),
+            (EngineCapacity("a", "z", 100, 0, 20), EngineCapacity("b", "z", 100, 0, 20)),
             tuple(Shard(f"s{at}", 33, 1, 1.0, ("a",), "a") for at in range(3)),
             Limits(0.2, share=1.0),
         )
@@ -152,17 +168,17 @@
         self.assertEqual((plan.late, plan.bytes), (("a",), 33))
         self.assertEqual(check(fleet, plan), [])
         self.assertIn("a lacks", check(fleet, msgspec.structs.replace(plan, late=()))[0])
-        self.assertIn("1 engines outgrow", fits(fleet, plan)[1])
+        self.assertIn("1 engines outgrow", describe_plan(fleet, plan)[1])
 
 
 def _swap(third: int) -> Fleet:
     """Each of two full engines has what the zones ask of the other; `third` bytes are usable on another."""
     places = (
-        Place("a1", "a", 10, 0, 10),
-        Place("a2", "a", 10, 0, 10),
-        Place("b1", "b", 10, 0, 10),
-        Place("b2", "b", 10, 0, 10),
-        Place("c", "b", third, 0, 10),
+        EngineCapacity("a1", "a", 10, 0, 10),
+        EngineCapacity("a2", "a", 10, 0, 10),
+        EngineCapacity("b1", "b", 10, 0, 10),
+        EngineCapacity("b2", "b", 10, 0, 10),
+        EngineCapacity("c", "b", third, 0, 10),
     )
     shards = (Shard("p", 10, 0, 1.0, ("a1", "a2"), "a1"), Shard("q", 10, 0, 1.0, ("b1", "b2"), "b1"))
     return Fleet(places, shards, Limits(tolerance=1.0, share=1.0))
@@ -174,7 +190,7 @@
         self.assertEqual(check(_swap(10), plan), [])
         # One of four copies has to cross; the cheapest way has no engine but the third with room.
         self.assertEqual(plan.bytes, brute(_swap(10)))
-        order = ordered(_swap(10), [Move("p", "a2", "b2", 10), Move("q", "b2", "a2", 10)])
+        order = order_moves(_swap(10), [Move("p", "a2", "b2", 10), Move("q", "b2", "a2", 10)])
         self.assertEqual(sum(move.bytes for move in order.moves), 30)
         self.assertEqual([move.hop for move in order.moves], [True, False, False])
         self.assertEqual(order.moves[0].target, "c")
@@ -189,7 +205,11 @@
             self.assertIn(f"engine {engine} lacks {count} bytes", str(raised.exception))
 
     def test_a_plan_pays_for_the_hop_that_it_needs(self) -> None:
-        places = (Place("a", "y", 14, 0, 9), Place("b", "z", 9, 0, 9), Place("c", "z", 0, 0, 9))
+        places = (
+            EngineCapacity("a", "y", 14, 0, 9),
+            EngineCapacity("b", "z", 9, 0, 9),
+            EngineCapacity("c", "z", 0, 0, 9),
+        )
         shards = tuple(
             Shard(name, size, 0, 1.0, (engine,), engine)
             for name, size, engine in (("p", 4, "b"), ("q", 4, "b"), ("r", 1, "a"), ("s", 6, "a"))
@@ -202,21 +222,21 @@
 
     def test_hops_without_a_search(self) -> None:
         # Too many engines to try all ways: pairs of full engines that have to swap, one spare for all.
-        places, shards, moves = [Place("spare", "z", 10, 0, 10)], [], []
+        places, shards, moves = [EngineCapacity("spare", "z", 10, 0, 10)], [], []
         for at in range(30):
-            places += [Place(f"x{at}", "z", 10, 0, 10), Place(f"y{at}", "z", 10, 0, 10)]
+            places += [EngineCapacity(f"x{at}", "z", 10, 0, 10), EngineCapacity(f"y{at}", "z", 10, 0, 10)]
             shards += [
                 Shard(f"p{at}", 10, 0, 1.0, (f"x{at}",), f"x{at}"),
                 Shard(f"q{at}", 9, 0, 1.0, (f"y{at}",), f"y{at}"),
             ]
             moves += [Move(f"p{at}", f"x{at}", f"y{at}", 10), Move(f"q{at}", f"y{at}", f"x{at}", 9)]
-        order = ordered(Fleet(tuple(places), tuple(shards), Limits(share=1.0)), moves)
+        order = order_moves(Fleet(tuple(places), tuple(shards), Limits(share=1.0)), moves)
         self.assertEqual(sum(move.bytes for move in order.moves), 30 * (10 + 9 + 9))
         self.assertEqual(sum(move.hop for move in order.moves), 30)
 
     def test_a_shard_that_is_lost_is_named(self) -> None:
         fleet = Fleet(
-            (Place("a", "z", 10, 0, 10), Place("b", "z", 20, 0, 0, True)),
+            (EngineCapacity("a", "z", 10, 0, 10), EngineCapacity("b", "z", 20, 0, 0, True)),
             (Shard("s", 2, 0, 1.0, ("b",), "b"), Shard("t", 2, 0, 1.0, ("a",), "a")),
         )
         with self.assertRaisesRegex(ImpossibleError, "of 1 shards: s$"):
@@ -224,7 +244,11 @@
 
     def test_a_dead_engine_is_emptied_from_other_copies(self) -> None:
         fleet = Fleet(
-            (Place("a", "y", 10, 0, 10), Place("b", "z", 20, 0, 0, True), Place("c", "z", 9, 0, 9)),
+            (
+                EngineCapacity("a", "y", 10, 0, 10),
+                EngineCapacity("b", "z", 20, 0, 0, True),
+                EngineCapacity("c", "z", 9, 0, 9),
+            ),
             (Shard("s", 2, 0, 1.0, ("b", "a"), "b"),),
             Limits(1.0),
         )
@@ -236,7 +260,7 @@
 
     def test_impossible_names_the_bytes(self) -> None:
         fleet = Fleet(
-            (Place("a", "z", 10, 5, 10), Place("b", "z", 20, 0, 10, True)),
+            (EngineCapacity("a", "z", 10, 5, 10), EngineCapacity("b", "z", 20, 0, 10, True)),
             (Shard("s", 12, 0, 1.0, ("b",), "b"),),
         )
         with self.assertRaises(ImpossibleError) as raised:
@@ -262,7 +286,7 @@
         self.assertIn("than the bound", self._told(bound=plan.bytes + 1))
         self.assertIn("moves at once on", self._told(stages=(tuple(range(len(plan.moves))),)))
         self.assertIn("and says", self._told(seconds=plan.seconds + 1))
-        out = next(place.engine for place in self.fleet.places if place.out)
+        out = next(place.engine for place in self.fleet.places if place.is_draining)
         bad = (*plan.moves[:-1], msgspec.structs.replace(plan.moves[-1], target=out))
         self.assertIn("out and takes", self._told(moves=bad))
         fewer = msgspec.structs.replace(plan.moves[0], primary=not plan.moves[0].primary)
@@ -272,7 +296,9 @@
     def test_headroom_is_recomputed(self) -> None:
         target = self.plan.moves[-1].target
         places = tuple(
-            msgspec.structs.replace(place, headroom=place.disk if place.engine == target else place.headroom)
+            msgspec.structs.replace(
+                place, headroom=place.disk_bytes if place.engine == target else place.headroom
+            )
             for place in self.fleet.places
         )
         fleet = msgspec.structs.replace(self.fleet, places=places)
@@ -289,9 +315,9 @@
         self.assertEqual(told[-1], plan.bytes)
         self.assertEqual(told, sorted(told, reverse=True))
         self.assertEqual(solve(fleet, 200), plan)
-        then = solve(after(fleet, plan), 20)
+        then = solve(fleet_after(fleet, plan), 20)
         self.assertEqual((then.bytes, then.moves), (0, ()))
-        lines = fits(fleet, plan)
+        lines = describe_plan(fleet, plan)
         changed = {move.source for move in plan.moves} | {move.target for move in plan.moves}
         self.assertEqual({line.split()[0] for line in lines[1:]}, changed)
 
@@ -303,13 +329,15 @@
         with self.assertRaisesRegex(WorkerError, "no plan was found in 0.01 s"):
             plan_in_worker(fleet, 0.01, margin=0.0)
         with self.assertRaisesRegex(ValueError, "engine b is not known"):
-            plan_in_worker(Fleet((Place("a", "z", 9, 0, 9),), (Shard("s", 1, 0, 1.0, ("b",), "b"),)), 5)
+            plan_in_worker(
+                Fleet((EngineCapacity("a", "z", 9, 0, 9),), (Shard("s", 1, 0, 1.0, ("b",), "b"),)), 5
+            )
 
     def test_killed_what_was_told_counts(self) -> None:
         plan = solve(_swap(10), 20)
-        self.assertEqual(_answer([Told("better", plan)], -9, b"", 1.0), plan)
+        self.assertEqual(_plan_from_replies([SolverReply("better", plan)], -9, b"", 1.0), plan)
         with self.assertRaisesRegex(WorkerError, "died with 1: MemoryError"):
-            _answer([], 1, b"Traceback\nMemoryError\n", 1.0)
+            _plan_from_replies([], 1, b"Traceback\nMemoryError\n", 1.0)
 
     def test_worker_says_what_it_was_given(self) -> None:
         done = subprocess.run(
@@ -336,19 +364,21 @@
             "1": Shard("", 0, 0, 0.0, ("b", "dead"), "b"),
         }
         disks = [
-            Disk("a", "z1", 50, 9, {"2": 10, "old": 5}),
-            Disk("b", "z2", 40, 9, {"2": 12, "1": 7}),
-            Disk("c", "z1", 99, 9, {}),
+            DiskCapacity("a", "z1", 50, 9, {"2": 10, "old": 5}),
+            DiskCapacity("b", "z2", 40, 9, {"2": 12, "1": 7}),
+            DiskCapacity("c", "z1", 99, 9, {}),
         ]
-        fleet = mapped(placement, disks, {"1": Grown(3, 2.0)}, ["b"], 0.1, 6, Limits())
+        fleet = build_fleet(placement, disks, {"1": ShardLoad(3, 2.0)}, ["b"], 0.1, 6, Limits())
         self.assertEqual([shard.name for shard in fleet.shards], ["1", "2"])
         self.assertEqual([(shard.size, shard.growth) for shard in fleet.shards], [(7, 3), (12, 0)])
         self.assertEqual(
-            [(place.engine, place.disk, place.headroom, place.out) for place in fleet.places],
+            [(place.engine, place.disk_bytes, place.headroom, place.is_draining) for place in fleet.places],
             [("a", 60, 6, False), ("b", 59, 6, True), ("c", 99, 9, False), ("dead", 1 << 60, 0, True)],
         )
-        with self.assertRaisesRegex(UnknownError, "of 1 shards: 3"):
-            mapped({**placement, "3": Shard("", 0, 0, 0.0, ("a",), "a")}, disks, {}, [], 0.1, 6, Limits())
+        with self.assertRaisesRegex(UnknownSizeError, "of 1 shards: 3"):
+            build_fleet(
+                {**placement, "3": Shard("", 0, 0, 0.0, ("a",), "a")}, disks, {}, [], 0.1, 6, Limits()
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -19,8 +19,8 @@
 from cresstray.fleet_config.documents import Documents, Pin, Placement, Replicas, Shard
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.replica_reads import EngineDirectory
-from cresstray.placement.data_transfer import Hands
-from cresstray.placement.move_executor import Copy, Disk
+from cresstray.placement.data_transfer import TransferClient
+from cresstray.placement.move_executor import CopyReport, DiskReport
 from cresstray.policy.types import EndpointState, Engine, Request, RequestClass
 from cresstray.replicas import fallback, read
 from cresstray.replicas import position_polling as asking
@@ -451,11 +451,11 @@
 
     def test_hands_ask_while_they_lead(self) -> None:
         leads, asked = [True], []
-        hands = Hands(dict, lambda entry: None, lambda: leads[0], lambda: 0, Counters())
+        hands = TransferClient(dict, lambda entry: None, lambda: leads[0], lambda: 0, Counters())
         hands._lines["a"] = SimpleNamespace(ask=lambda: asked.append("a"))
-        hands.ask(["a", "gone"])
+        hands.poll(["a", "gone"])
         leads[0] = False
-        hands.ask(["a"])
+        hands.poll(["a"])
         self.assertEqual(asked, ["a"])
 
     def test_a_hung_copy_does_not_hold_up_the_other(self) -> None:
@@ -586,11 +586,13 @@
             self.asked.append((self.now, name))
             if name not in self.hung:
                 head = self.now // (100 * MS)
-                copy = Copy(1, primary=name == "p", epoch=1, applied=head + self.lie.get(name, 0), head=head)
-                disk = Disk(name, name[0], 1, 1, 0, 1, self.now, {"7": copy})
+                copy = CopyReport(
+                    1, primary=name == "p", epoch=1, applied=head + self.lie.get(name, 0), head=head
+                )
+                disk = DiskReport(name, name[0], 1, 1, 0, 1, self.now, {"7": copy})
                 self.after(2 * MS, self.answered, disk)
 
-    def answered(self, disk: Disk) -> None:
+    def answered(self, disk: DiskReport) -> None:
         if self.keepers[0].on_disk_report(disk, self.now):
             self.round(self.cores[0])
 
