--- a/cresstray/control_plane/node.py
+++ b/cresstray/control_plane/node.py
@@ -134,7 +134,7 @@
             self._positions.new_exchange,
         )
         self._positions.attach(self._controller, self._move_coordinator.hands.poll)
-        self._move_coordinator.hands.seen = self._on_disk_report
+        self._move_coordinator.hands.on_report = self._on_disk_report
         self._move_coordinator.attach(self._controller)
         self._update_engines(settings)
         self._address = settings.keeper(name).address
--- a/cresstray/control_plane/replica_positions.py
+++ b/cresstray/control_plane/replica_positions.py
@@ -160,7 +160,9 @@
         controller.request_handlers.register_status(
             "disks",
             lambda: {
-                "disks": {name: msgspec.to_builtins(disk) for name, disk in sorted(self.hands.told.items())}
+                "disks": {
+                    name: msgspec.to_builtins(disk) for name, disk in sorted(self.hands.reports.items())
+                }
             },
         )
 
@@ -191,7 +193,7 @@
             # A bug in moves must not end the node. A new executor starts after a while.
             try:
                 self.hands.execute(
-                    self._carrier.next_actions(controller.state, self._moves, self.hands.told, now_us)
+                    self._carrier.next_actions(controller.state, self._moves, self.hands.reports, now_us)
                 )
             except Exception:
                 controller.counters.add("faults")
--- a/cresstray/placement/check.py
+++ b/cresstray/placement/check.py
@@ -20,37 +20,37 @@
         self.fleet, self.plan = fleet, plan
         self.places: dict[str, EngineCapacity] = {place.engine: place for place in fleet.places}
         self.shards = {shard.name: shard for shard in fleet.shards}
-        self.where: dict[str, list[str]] = {shard.name: list(shard.copies) for shard in fleet.shards}
-        self.leads = {shard.name: shard.primary for shard in fleet.shards}
+        self.engines_of: dict[str, list[str]] = {shard.name: list(shard.copies) for shard in fleet.shards}
+        self.primary_of = {shard.name: shard.primary for shard in fleet.shards}
         self.zones = len({place.zone for place in fleet.places if not place.is_draining})
-        self.told: list[str] = []
-        self.late: set[str] = set()  # engines that were over from the start, and are yet
-        self.came: set[str] = set()
+        self.breaches_found: list[str] = []
+        self.overfull: set[str] = set()  # engines that were over from the start, and are yet
+        self.used_targets: set[str] = set()
 
     def breaches(self) -> list[str]:
         plan = self.plan
         if sorted(at for stage in plan.stages for at in stage) != list(range(len(plan.moves))):
             return ["the stages do not hold each move once"]
         if plan.bytes != sum(move.bytes for move in plan.moves):
-            self.told.append(f"the moves do not add up to {plan.bytes} bytes")
+            self.breaches_found.append(f"the moves do not add up to {plan.bytes} bytes")
         if plan.bound > plan.bytes:
-            self.told.append(f"fewer bytes than the bound of {plan.bound}")
-        self.late = {engine for engine, free in self._free(0, []).items() if free < 0}
+            self.breaches_found.append(f"fewer bytes than the bound of {plan.bound}")
+        self.overfull = {engine for engine, free in self._free_bytes(0, []).items() if free < 0}
         second = 0
         for number, stage in enumerate(plan.stages):
-            lasts = self._stage(number, stage, second)
+            lasts = self._replay_stage(number, stage, second)
             if lasts is None:
-                return self.told
+                return self.breaches_found
             second += lasts
         if second != plan.seconds:
-            self.told.append(f"takes {second} s and says {plan.seconds}")
-        self._after(second)
-        return self.told
+            self.breaches_found.append(f"takes {second} s and says {plan.seconds}")
+        self._check_end(second)
+        return self.breaches_found
 
-    def _free(self, second: int, coming: list[tuple[str, str]]) -> dict[str, int]:
+    def _free_bytes(self, second: int, coming: list[tuple[str, str]]) -> dict[str, int]:
         """Of each engine the bytes between what it holds and its headroom, summed anew from all copies."""
         free = {place.engine: max(0, place.disk_bytes - place.headroom) for place in self.fleet.places}
-        for name, engines in self.where.items():
+        for name, engines in self.engines_of.items():
             shard = self.shards[name]
             for engine in engines:
                 free[engine] -= shard.size + shard.growth * second
@@ -58,14 +58,14 @@
             free[engine] -= self.shards[name].size + self.shards[name].growth * second
         return free
 
-    def _stage(self, number: int, stage: tuple[int, ...], second: int) -> int | None:
-        told, moves = self.told, [self.plan.moves[at] for at in stage]
+    def _replay_stage(self, number: int, stage: tuple[int, ...], second: int) -> int | None:
+        told, moves = self.breaches_found, [self.plan.moves[at] for at in stage]
         before = len(told)
         loads: dict[str, int] = {}
         borders: dict[tuple[str, ...], int] = {}
         reads: list[str] = []
         for move in moves:
-            name, engines = move.shard, self.where.get(move.shard)
+            name, engines = move.shard, self.engines_of.get(move.shard)
             if engines is None or move.source not in engines or move.target not in self.places:
                 told.append(f"stage {number}: {move.shard} is not on {move.source}")
                 return None
@@ -75,7 +75,7 @@
                 told.append(f"stage {number}: {move.target} is out and takes {name}")
             if move.bytes != self.shards[name].size:
                 told.append(f"stage {number}: {name} has not {move.bytes} bytes")
-            if move.primary != (self.leads[name] == move.source):
+            if move.primary != (self.primary_of[name] == move.source):
                 told.append(f"stage {number}: {name} and its primary part")
             alive = [one for one in [move.source, *sorted(engines)] if self.places[one].bytes_per_s > 0]
             if not alive:
@@ -117,35 +117,37 @@
             size = shard.size + shard.growth * second
             lasts = max(lasts, 1, (size + gain - 1) // gain)
         targets = {move.target for move in moves}
-        self.came |= targets
+        self.used_targets |= targets
         # All copies are there and no old one is dropped: what is held grows until then, and falls after it.
-        free = self._free(second + lasts, [(move.shard, move.target) for move in moves])
-        self._held(f"stage {number}", free, targets)
+        free = self._free_bytes(second + lasts, [(move.shard, move.target) for move in moves])
+        self._check_headroom(f"stage {number}", free, targets)
         for move in moves:
-            engines = self.where[move.shard]
+            engines = self.engines_of[move.shard]
             zones = {self.places[engine].zone for engine in engines}
             engines.remove(move.source)
             engines.append(move.target)
             if self.zones > 1 and len(zones) > 1 == len({self.places[engine].zone for engine in engines}):
                 told.append(f"stage {number}: {move.shard} is left in one zone")
-            if self.leads[move.shard] == move.source:
-                self.leads[move.shard] = move.target
-        self.late -= {engine for engine, left in self._free(second + lasts, []).items() if left >= 0}
+            if self.primary_of[move.shard] == move.source:
+                self.primary_of[move.shard] = move.target
+        self.overfull -= {
+            engine for engine, left in self._free_bytes(second + lasts, []).items() if left >= 0
+        }
         return None if len(told) > before + _MAX_BREACHES else lasts
 
-    def _held(self, when: str, free: dict[str, int], targets: set[str]) -> None:
+    def _check_headroom(self, when: str, free: dict[str, int], targets: set[str]) -> None:
         for engine, left in free.items():
-            if left < 0 and engine in self.plan.late and engine not in self.came:
-                self.late.add(engine)  # told as such: it outgrows its headroom by itself
-            elif left < 0 and (engine in targets or engine not in self.late):
-                self.told.append(f"{when}: {engine} lacks {-left} bytes of its headroom")
+            if left < 0 and engine in self.plan.late and engine not in self.used_targets:
+                self.overfull.add(engine)  # told as such: it outgrows its headroom by itself
+            elif left < 0 and (engine in targets or engine not in self.overfull):
+                self.breaches_found.append(f"{when}: {engine} lacks {-left} bytes of its headroom")
             elif left >= 0:
-                self.late.discard(engine)
+                self.overfull.discard(engine)
 
-    def _after(self, second: int) -> None:
-        told, free = self.told, self._free(second, [])
+    def _check_end(self, second: int) -> None:
+        told, free = self.breaches_found, self._free_bytes(second, [])
         held = {place.engine: 0 for place in self.fleet.places}
-        for name, engines in self.where.items():
+        for name, engines in self.engines_of.items():
             told += [
                 f"at the end: {name} is on {engine}, which is out"
                 for engine in engines
--- a/cresstray/placement/data_transfer.py
+++ b/cresstray/placement/data_transfer.py
@@ -121,62 +121,64 @@
         counters: Counters,
         say: Callable[..., None] = lambda *_, **__: None,
     ) -> None:
-        self._addresses, self._propose, self._leads, self._clock = addresses, propose, leads, clock
-        self._counters, self._say = counters, say
-        self.told: dict[str, DiskReport] = {}
-        self.seen: Callable[[DiskReport, int], None] = lambda disk, now: None  # hears each word as it comes
-        self._lines: dict[str, _EngineConnection] = {}
+        self._addresses, self._propose, self._is_leader, self._clock = addresses, propose, leads, clock
+        self._counters, self._log_event = counters, say
+        self.reports: dict[str, DiskReport] = {}
+        self.on_report: Callable[[DiskReport, int], None] = (
+            lambda disk, now: None
+        )  # hears each word as it comes
+        self._connections: dict[str, _EngineConnection] = {}
         self._tasks: TaskGroup | None = None
-        self._sizes: dict[str, tuple[int, int, int]] = {}  # of shards: bytes, when, and bytes a second
+        self._shard_sizes: dict[str, tuple[int, int, int]] = {}  # of shards: bytes, when, and bytes a second
 
     async def run(self) -> None:
         """Keeps a connection to each engine while this keeper leads; ends with its task."""
         try:
             async with anyio.create_task_group() as self._tasks:
                 while True:
-                    self._look()
+                    self._update_connections()
                     await anyio.sleep(_POLL_INTERVAL_US / 1e6)
         finally:
             self._tasks = None
-            self._lines.clear()
+            self._connections.clear()
 
-    def _look(self) -> None:
-        known = dict(self._addresses()) if self._leads() else {}
-        for engine, line in list(self._lines.items()):
+    def _update_connections(self) -> None:
+        known = dict(self._addresses()) if self._is_leader() else {}
+        for engine, line in list(self._connections.items()):
             if known.get(engine) != line.address:
                 # Danger: what an earlier leader says must not go on; the next one has the same numbers.
-                del self._lines[engine]
-                self.told.pop(engine, None)
-                line.end()
+                del self._connections[engine]
+                self.reports.pop(engine, None)
+                line.close()
         for engine, address in sorted(known.items()):
-            if engine not in self._lines:
-                line = self._lines[engine] = _EngineConnection(
-                    engine, address, self._heard, self._clock, self._counters, self._say
+            if engine not in self._connections:
+                line = self._connections[engine] = _EngineConnection(
+                    engine, address, self._on_answer, self._clock, self._counters, self._log_event
                 )
                 self._tasks.start_soon(line.run)
             else:
-                self._lines[engine].ask()
+                self._connections[engine].poll()
 
     def poll(self, engines: Iterable[str]) -> None:
         """SHARDS at once, where none is out to an engine already; nothing once this keeper does not lead."""
-        if self._leads():
+        if self._is_leader():
             for engine in engines:
-                line = self._lines.get(engine)
+                line = self._connections.get(engine)
                 if line is not None:
-                    line.ask()
+                    line.poll()
 
-    def _heard(self, engine: str, told: _DiskAnswer, at: int) -> None:
+    def _on_answer(self, engine: str, told: _DiskAnswer, at: int) -> None:
         for name, copy in told.copies.items():
             if copy.primary:
-                before = self._sizes.get(name)
+                before = self._shard_sizes.get(name)
                 if before is None:
-                    self._sizes[name] = copy.bytes, at, 0
+                    self._shard_sizes[name] = copy.bytes, at, 0
                 elif at - before[1] >= _GROWTH_INTERVAL_US:
                     rate = max(0, (copy.bytes - before[0]) * 1_000_000 // (at - before[1]))
                     # The mean of what was and what is: a busy minute counts, and does not decide.
-                    self._sizes[name] = copy.bytes, at, (before[2] + rate) // 2 if before[2] else rate
-                copy.growth = self._sizes[name][2]
-        disk = self.told[engine] = DiskReport(
+                    self._shard_sizes[name] = copy.bytes, at, (before[2] + rate) // 2 if before[2] else rate
+                copy.growth = self._shard_sizes[name][2]
+        disk = self.reports[engine] = DiskReport(
             engine,
             told.zone,
             told.disk,
@@ -191,24 +193,24 @@
             told.inflight,
             told.depth,
         )
-        self.seen(disk, self._clock())
+        self.on_report(disk, self._clock())
 
     def execute(self, steps: Iterable[Command | Proposal]) -> None:
         """Carries out what the carrier decided; nothing of it once this keeper does not lead."""
         addresses = self._addresses()
         for step in steps:
-            if not self._leads():
+            if not self._is_leader():
                 return
             if isinstance(step, Proposal):
                 self._propose(step)
                 continue
-            line = self._lines.get(step.engine)
+            line = self._connections.get(step.engine)
             if line is None:
                 continue
             host, port = addresses.get(step.peer, ("", 0))
             if step.verb in ("COPY", "FOLLOW") and not host:
                 continue  # it comes again once its address is known
-            line.give(step, f"{host}:{port}" if host else "")
+            line.send(step, f"{host}:{port}" if host else "")
 
 
 class _EngineConnection:
@@ -223,27 +225,27 @@
         counters: Counters,
         say: Callable[..., None],
     ) -> None:
-        self._engine, self.address, self._heard, self._clock = engine, address, heard, clock
-        self._counters, self._say = counters, say
+        self._engine, self.address, self._on_report, self._clock = engine, address, heard, clock
+        self._counters, self._log_event = counters, say
         self._scope = anyio.CancelScope()
-        self._line: streams.SocketStream | None = None
-        self._asked: deque[tuple[Command | None, int]] = deque()  # None: SHARDS; when
+        self._stream: streams.SocketStream | None = None
+        self._unanswered: deque[tuple[Command | None, int]] = deque()  # None: SHARDS; when
 
-    def end(self) -> None:
+    def close(self) -> None:
         self._scope.cancel()
 
-    def ask(self) -> None:
-        if self._line is not None and not any(command is None for command, _ in self._asked):
-            self._put(None, hiredis.pack_command(("SHARDS",)))
+    def poll(self) -> None:
+        if self._stream is not None and not any(command is None for command, _ in self._unanswered):
+            self._send(None, hiredis.pack_command(("SHARDS",)))
 
-    def give(self, command: Command, address: str) -> None:
-        if self._line is not None and len(self._asked) < _MAX_UNANSWERED:
+    def send(self, command: Command, address: str) -> None:
+        if self._stream is not None and len(self._unanswered) < _MAX_UNANSWERED:
             self._counters.add(f"commands {command.verb.lower()}")
-            self._put(command, hiredis.pack_command(command_words(command, address)))
+            self._send(command, hiredis.pack_command(command_words(command, address)))
 
-    def _put(self, command: Command | None, message: bytes) -> None:
-        self._asked.append((command, self._clock()))
-        self._line.write(message)
+    def _send(self, command: Command | None, message: bytes) -> None:
+        self._unanswered.append((command, self._clock()))
+        self._stream.write(message)
 
     async def run(self) -> None:
         """Until its scope is cancelled."""
@@ -256,12 +258,14 @@
                 except (*streams.CONNECTION_ENDED, TimeoutError):
                     self._counters.add("links to disks lost")
                 except FramingError as trouble:
-                    self._say("disk", "what it answers can't be used", engine=self._engine, why=str(trouble))
+                    self._log_event(
+                        "disk", "what it answers can't be used", engine=self._engine, why=str(trouble)
+                    )
                 except Exception as trouble:
                     # Danger: a fault of ours on one connection must end that one only.
                     self._counters.add("faults")
-                    self._say("fault", "on the link to a disk", engine=self._engine, why=repr(trouble))
-                self._asked.clear()
+                    self._log_event("fault", "on the link to a disk", engine=self._engine, why=repr(trouble))
+                self._unanswered.clear()
                 # One that lived for a while is tried at once again.
                 pause = (
                     _RECONNECT_PAUSE_S
@@ -275,32 +279,32 @@
             made = await streams.connect(*self.address)
         try:
             async with anyio.create_task_group() as tasks:
-                with streams.SocketStream(made, tasks, tasks.cancel_scope.cancel) as self._line:
+                with streams.SocketStream(made, tasks, tasks.cancel_scope.cancel) as self._stream:
                     answers = AnswerParser()
-                    self.ask()
+                    self.poll()
                     while True:
-                        for body in answers.feed(await self._line.receive(_ANSWER_TIMEOUT_S)):
-                            self._take(body)
+                        for body in answers.feed(await self._stream.receive(_ANSWER_TIMEOUT_S)):
+                            self._handle_answer(body)
         except BaseExceptionGroup as group:
             # One cause at a time: the first says why it ended.
             raise group.exceptions[0] from None
         finally:
-            self._line = None
+            self._stream = None
 
-    def _take(self, body: bytes) -> None:
-        if not self._asked:
+    def _handle_answer(self, body: bytes) -> None:
+        if not self._unanswered:
             raise FramingError("an answer to nothing")
-        command, asked = self._asked.popleft()
+        command, asked = self._unanswered.popleft()
         try:
             if command is None:
                 # As old as the question: what changed behind it may be missing.
-                self._heard(self._engine, _told.decode(body), asked)
+                self._on_report(self._engine, _told.decode(body), asked)
                 return
             refused = _answer.decode(body).refused
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
             raise FramingError(f"an answer: {trouble}") from None
         if refused:
             self._counters.add("commands refused")
-            self._say(
+            self._log_event(
                 "disk", "refused", engine=self._engine, command=command.verb, shard=command.shard, why=refused
             )
--- a/cresstray/placement/greedy.py
+++ b/cresstray/placement/greedy.py
@@ -16,50 +16,50 @@
     Ends when all are within the tolerance, or when nothing more can go; False if they are not within it.
     """
     task = PlacementProblem(fleet, fleet.limits.tolerance)
-    draft = DraftPlacement(task, task.spots)
+    draft = DraftPlacement(task, task.engines_of)
     room = [max(1, place.usable) for place in task.places]
 
     def put(number: int, source: int | None, targets: list[int]) -> bool:
         for at in targets:
-            if draft.held[at] + task.sizes[number] <= room[at] and draft.fair(number, source, at):
-                draft.put(number, source, at)
+            if draft.held_bytes[at] + task.sizes[number] <= room[at] and draft.is_allowed(number, source, at):
+                draft.move_copy(number, source, at)
                 return True
         return False
 
     def by_fill() -> list[int]:
-        return sorted(range(len(room)), key=lambda at: (draft.held[at] / room[at], at))
+        return sorted(range(len(room)), key=lambda at: (draft.held_bytes[at] / room[at], at))
 
-    for number, (spot, count) in enumerate(zip(task.spots, task.counts)):
+    for number, (spot, count) in enumerate(zip(task.engines_of, task.copy_counts)):
         for _ in range(count - len(spot)):
             if not put(number, None, by_fill()):
                 return [], False
-    for number in range(len(task.spots)):
-        if task.wide[number] and len({task.zone[at] for at in draft.spots[number]}) < 2:
-            put(number, min(draft.spots[number]), by_fill())
+    for number in range(len(task.engines_of)):
+        if task.needs_two_zones[number] and len({task.zone_of[at] for at in draft.engines_of[number]}) < 2:
+            put(number, min(draft.engines_of[number]), by_fill())
     # Every step takes the fullest down, else the next fullest; as many steps as copies are enough.
-    for _ in range(sum(task.counts)):
+    for _ in range(sum(task.copy_counts)):
         order = by_fill()
         if not any(draft.excess(at) or draft.lack(at) for at in order):
             break
         if not any(_move_from(draft, source, order) for source in reversed(order)):
             break
-    return task.moves(draft.spots), draft.sound()
+    return task.moves(draft.engines_of), draft.is_valid()
 
 
 def _move_from(draft: DraftPlacement, source: int, order: list[int]) -> bool:
     task = draft.task
     for target in order:
         spare = task.places[source].usable or 1
-        for number in sorted(draft.here[source], key=lambda number: (-task.sizes[number], number)):
+        for number in sorted(draft.shards_at[source], key=lambda number: (-task.sizes[number], number)):
             size = task.sizes[number]
             usable = task.places[target].usable or 1
             # It has to make the two more even, or the two would change places without end.
             if (
-                (draft.held[target] + size) / usable < draft.held[source] / spare
-                and draft.fair(number, source, target)
-                and draft.held[target] + size <= usable
+                (draft.held_bytes[target] + size) / usable < draft.held_bytes[source] / spare
+                and draft.is_allowed(number, source, target)
+                and draft.held_bytes[target] + size <= usable
             ):
-                draft.put(number, source, target)
+                draft.move_copy(number, source, target)
                 return True
     return False
 
--- a/cresstray/placement/move_executor.py
+++ b/cresstray/placement/move_executor.py
@@ -124,45 +124,45 @@
 
 class MoveExecutor:
     def __init__(self, times: ExecutorTimes = _TIMES) -> None:
-        self._times, self.pace = times, RateController()
-        self._began: int | None = None
+        self._times, self.rate_controller = times, RateController()
+        self._began_us: int | None = None
         self._plan = ""
         self._watches: dict[int, _MoveObservation] = {}
-        self._sent: dict[tuple, int] = {}
+        self._sent_at_us: dict[tuple, int] = {}
         # Danger: a version proposed for a move behind the entry that sends it back would be committed, and
         # read where its copy is dropped. Nothing more is proposed for these; what stands before them in the
         # log is looked at as they are applied.
         self._withdrawn: dict[tuple[int, MoveState, int], tuple[Event, dict]] = {}
-        self._offer: tuple[int, int, int] | None = None  # base version, how often, when
+        self._last_proposal: tuple[int, int, int] | None = None  # base version, how often, when
         self.waits: dict[int, str] = {}  # by move: what it waits for, for operators
 
     def next_actions(
         self, state: ConfigState, moves: MoveSection, told: Mapping[str, DiskReport], now: int
     ) -> list[Command | Proposal]:
         """All that is due now; what was asked for and shows no effect comes again after a while."""
-        if self._began is None:
-            self._began = now
+        if self._began_us is None:
+            self._began_us = now
         self._state, self._moves, self._told, self._now = state, moves, told, now
         self._steps: list[Command | Proposal] = []
         self._changes: dict[str, tuple[documents.Shard, str]] = {}
-        self.pace.heed(told, now)
-        self._pay()
+        self.rate_controller.on_reports(told, now)
+        self._finish_pending_drops()
         plan = moves.plan
         if plan is not None and plan.received_parts == plan.parts:
             if plan.id != self._plan:
-                self._plan, self._offer = plan.id, None
+                self._plan, self._last_proposal = plan.id, None
                 self._watches.clear()
-                self._sent.clear()
+                self._sent_at_us.clear()
                 self._withdrawn.clear()
             self.waits = {}
-            for index, move in self._reckon(plan):
+            for index, move in self._collect_moves(plan):
                 self._NEXT[move.state](self, index, move)
-            self._propose()
+            self._propose_placement()
         return self._steps
 
     # What is known.
 
-    def _reckon(self, plan: ActivePlan) -> list[tuple[int, MoveProgress]]:
+    def _collect_moves(self, plan: ActivePlan) -> list[tuple[int, MoveProgress]]:
         """What is under way, and what may begin; for all of it: who is busy, what is promised, how fast."""
         planned, done, cancelled = (
             MoveState.PLANNED,
@@ -180,19 +180,19 @@
         self._borders: dict[tuple[str, str], int] = {}
         self._promised: dict[str, int] = {}
         for _, move in live:
-            self._count(move)
+            self._count_move(move)
         flows = [
             Transfer(index, move.copy_source, move.target)
             for index, move in live
             if move.state is MoveState.COPYING
         ]
-        self._rates = self.pace.rates(flows, plan.limits, self._told)
-        self._short = self._too_full(live)
+        self._rates = self.rate_controller.transfer_rates(flows, plan.limits, self._told)
+        self._short = self._moves_to_roll_back(live)
         if plan.halted or plan.cancelled:
             return live
         return live + [(index, move) for index, move in left if move.stage == stage and move.state is planned]
 
-    def _count(self, move: MoveProgress) -> None:
+    def _count_move(self, move: MoveProgress) -> None:
         for engine in (move.source, move.target):
             self._busy[engine] = self._busy.get(engine, 0) + 1
         border = zone_pair(move.source, move.target, self._told)
@@ -207,7 +207,7 @@
         copy = disk.copies.get(move.shard) if disk is not None else None
         return max(0, move.reserved_bytes - (copy.bytes if copy is not None else 0))
 
-    def _room(self, engine: str) -> int:
+    def _free_bytes(self, engine: str) -> int:
         """Bytes that may still be promised at an engine; below 0: too many are."""
         disk = self._told[engine]
         return disk.free - self._headroom(engine) - self._promised.get(engine, 0)
@@ -215,12 +215,12 @@
     def _headroom(self, engine: str) -> int:
         return max(self._told[engine].headroom, self._moves.plan.headroom.get(engine, 0))
 
-    def _too_full(self, live: list[tuple[int, MoveProgress]]) -> set[int]:
+    def _moves_to_roll_back(self, live: list[tuple[int, MoveProgress]]) -> set[int]:
         """Moves to go back, since their target fills: the latest that still copy, until the rest fits."""
         lacking = {
-            engine: -self._room(engine)
+            engine: -self._free_bytes(engine)
             for engine in sorted(self._promised)
-            if engine in self._told and self._room(engine) < 0
+            if engine in self._told and self._free_bytes(engine) < 0
         }
         for _, move in live:
             if move.state is MoveState.ROLLING_BACK and move.target in lacking:  # it makes room soon
@@ -236,7 +236,7 @@
                 lacking[move.target] -= move.reserved_bytes
         return gone
 
-    def _fresh(self, engine: str) -> DiskReport | None:
+    def _recent_report(self, engine: str) -> DiskReport | None:
         disk = self._told.get(engine)
         return (
             disk
@@ -244,19 +244,19 @@
             else None
         )
 
-    def _silent(self, engine: str) -> int:
+    def _silence_us(self, engine: str) -> int:
         disk = self._told.get(engine)
-        return self._now - max(self._began, disk.asked_at_us if disk is not None else 0)
+        return self._now - max(self._began_us, disk.asked_at_us if disk is not None else 0)
 
-    def _gone(self, engine: str) -> bool:
-        return self._silent(engine) > self._times.engine_dead_us
+    def _is_dead(self, engine: str) -> bool:
+        return self._silence_us(engine) > self._times.engine_dead_us
 
-    def _barred(self, engine: str) -> bool:
+    def _is_barred(self, engine: str) -> bool:
         """Danger: a primary on an engine that no gateway may send to takes no writes."""
         rule = self._state.latest.engines.items.get(engine)
         return rule is not None and (rule.is_barred or not rule.work_fraction)
 
-    def _watch(self, index: int, move: MoveProgress) -> _MoveObservation:
+    def _observation(self, index: int, move: MoveProgress) -> _MoveObservation:
         key = (move.state, move.fence, move.attempts)
         watch = self._watches.get(index)
         if watch is None or watch.key != key:
@@ -268,31 +268,31 @@
 
     # What goes out.
 
-    def _due(self, key: tuple, every: int | None = None) -> bool:
+    def _is_due(self, key: tuple, every: int | None = None) -> bool:
         """Whether it is to be said now: first, or again since it showed no effect."""
-        at = self._sent.get(key)
+        at = self._sent_at_us.get(key)
         if at is not None and self._now - at < (every or self._times.resend_interval_us):
             return False
-        self._sent[key] = self._now
+        self._sent_at_us[key] = self._now
         return True
 
-    def _command(self, index: int, command: Command) -> None:
-        if self._due((index, command.engine, command.verb, command.fence, command.rate, command.epoch)):
+    def _send_command(self, index: int, command: Command) -> None:
+        if self._is_due((index, command.engine, command.verb, command.fence, command.rate, command.epoch)):
             self._steps.append(command)
 
     def _enter(self, index: int, move: MoveProgress, event: Event, **facts: object) -> None:
         if event in (Event.ROLL_BACK, Event.RETRY, Event.UNFENCE):
             event, facts = self._withdrawn.setdefault((index, move.state, move.fence), (event, facts))
-        if self._due((index, move.state, event, move.fence, *facts.values())):
-            self._log(log.MoveStep(self._plan, index, move.state, event, move.fence, **facts))
+        if self._is_due((index, move.state, event, move.fence, *facts.values())):
+            self._propose_entry(log.MoveStep(self._plan, index, move.state, event, move.fence, **facts))
 
-    def _log(self, entry: log.MoveStep | log.DropConfirmed) -> None:
+    def _propose_entry(self, entry: log.MoveStep | log.DropConfirmed) -> None:
         # It is compared and set, so it counts once without a name; names are kept for operators.
         self._steps.append(
             Proposal("", rules.encode_section_command(log.SECTION_NAME, "", log.encode(entry)))
         )
 
-    def _goes_back(self, index: int, move: MoveProgress) -> bool:
+    def _is_withdrawn(self, index: int, move: MoveProgress) -> bool:
         """Whether it was asked to; said again until the log has it."""
         asked = self._withdrawn.get((index, move.state, move.fence))
         if asked is not None:
@@ -303,7 +303,7 @@
         if (index, move.state, move.fence) not in self._withdrawn:
             self._changes[move.shard] = (shard, why)
 
-    def _propose(self) -> None:
+    def _propose_placement(self) -> None:
         """One version for all that is ready: each costs the fleet a turn."""
         state, now = self._state, self._now
         base = state.latest.version("placement")
@@ -311,11 +311,11 @@
         if not self._changes or base > state.turn // 2:
             return
         times = 0
-        if self._offer is not None and self._offer[0] == base:
-            if now - self._offer[2] < self._times.resend_interval_us:
+        if self._last_proposal is not None and self._last_proposal[0] == base:
+            if now - self._last_proposal[2] < self._times.resend_interval_us:
                 return
-            times = self._offer[1] + 1
-        self._offer = base, times, now
+            times = self._last_proposal[1] + 1
+        self._last_proposal = base, times, now
         changes = self._changes
         if times:
             # Danger: one that the checks refuse would hold up all others. They go one by one, in turn.
@@ -343,28 +343,28 @@
 
     # States.
 
-    def _planned(self, index: int, move: MoveProgress) -> None:
+    def _handle_planned(self, index: int, move: MoveProgress) -> None:
         plan, times = self._moves.plan, self._times
-        watch = self._watch(index, move)
+        watch = self._observation(index, move)
         shard = self._placed(move)
         if shard is None or move.source not in shard.copies or move.target in shard.copies:
             self._enter(index, move, Event.ROLL_BACK, why="the placement was changed by another")
             return
-        if self._barred(move.target):
+        if self._is_barred(move.target):
             self._enter(index, move, Event.ROLL_BACK, why=f"{move.target} is barred")
             return
-        feed = self._feed(move, shard)
-        if feed is None or self._fresh(move.target) is None:
+        feed = self._find_copy_source(move, shard)
+        if feed is None or self._recent_report(move.target) is None:
             silent = move.source if feed is None else move.target
             self.waits[index] = f"{silent} does not answer, or does not hold it"
-            if self._gone(silent) or self._now - watch.since > times.engine_dead_us:
+            if self._is_dead(silent) or self._now - watch.since > times.engine_dead_us:
                 self._enter(index, move, Event.ROLL_BACK, why=self.waits[index])
             return
         copy = self._told[feed].copies[move.shard]
-        if not self._allowed(plan.limits, move):
+        if not self._within_limits(plan.limits, move):
             return
         size = max(move.bytes, copy.bytes)
-        room = self._room(move.target)
+        room = self._free_bytes(move.target)
         held = min(size + size // _SPARE_DIVISOR + 1, room)
         if held < size:
             self.waits[index] = f"{move.target} lacks {size - room} bytes"
@@ -372,37 +372,37 @@
             if not self._busy and self._now - watch.since > times.max_room_wait_us:
                 self._enter(index, move, Event.ROLL_BACK, why=self.waits[index])
             return
-        self._count(msgspec.structs.replace(move, reserved_bytes=held))
+        self._count_move(msgspec.structs.replace(move, reserved_bytes=held))
         self._enter(index, move, Event.RESERVE, held=held, feed=feed)
 
-    def _allowed(self, limits: Limits, move: MoveProgress) -> bool:
+    def _within_limits(self, limits: Limits, move: MoveProgress) -> bool:
         border = zone_pair(move.source, move.target, self._told)
         return max(self._busy.get(move.source, 0), self._busy.get(move.target, 0)) < limits.moves and (
             border[0] == border[1] or self._borders.get(border, 0) < limits.border_moves
         )
 
-    def _reserved(self, index: int, move: MoveProgress) -> None:
+    def _handle_reserved(self, index: int, move: MoveProgress) -> None:
         if index in self._short:
             self._enter(index, move, Event.ROLL_BACK, why=f"{move.target} has filled")
         else:
             self._enter(index, move, Event.COPY)
 
-    def _copying(self, index: int, move: MoveProgress) -> None:
-        times, watch = self._times, self._watch(index, move)
-        if self._goes_back(index, move) or self._must_go_back(index, move):
+    def _handle_copying(self, index: int, move: MoveProgress) -> None:
+        times, watch = self._times, self._observation(index, move)
+        if self._is_withdrawn(index, move) or self._roll_back_if_needed(index, move):
             return
-        target = self._fresh(move.target)
+        target = self._recent_report(move.target)
         if target is None:
             self.waits[index] = f"{move.target} does not answer"
             return
         copy = target.copies.get(move.shard)
         have = copy.bytes if copy is not None else 0
-        if self._silent(move.copy_source) > times.source_silence_us:
-            self._other_feed(index, move, have)
+        if self._silence_us(move.copy_source) > times.source_silence_us:
+            self._switch_copy_source(index, move, have)
             return
-        if not self._keeps_up(index, move):
+        if not self._extend_reservation(index, move):
             return
-        stuck = times.copy_stall_us + self._pause(move)
+        stuck = times.copy_stall_us + self._retry_pause_us(move)
         if copy is not None and copy.fence == move.fence:
             if copy.trouble == "full":
                 self._enter(index, move, Event.ROLL_BACK, why=f"{move.target} is full")
@@ -413,20 +413,20 @@
             if have > watch.bytes:
                 watch.bytes, watch.grew = have, self._now
             if copy.trouble or self._now - watch.grew > stuck:
-                self._again(index, move, have, copy.trouble or "no further byte")
+                self._retry_copy(index, move, have, copy.trouble or "no further byte")
                 return
             if have - move.copied_bytes >= max(1, move.bytes // _CHECKPOINTS_PER_MOVE):
                 self._enter(index, move, Event.CHECKPOINT, copied=have)
         elif self._now - watch.since > stuck:
-            self._again(index, move, have, "it is not begun")
+            self._retry_copy(index, move, have, "it is not begun")
             return
-        if self._now - watch.since < self._pause(move):
+        if self._now - watch.since < self._retry_pause_us(move):
             return
         rate = self._rates[index]
         if copy is None or copy.fence != move.fence or abs(rate - watch.rate) > _RATE_CHANGE * watch.rate:
             if not watch.rate or abs(rate - watch.rate) > _RATE_CHANGE * watch.rate:
                 watch.rate = rate
-            self._command(
+            self._send_command(
                 index,
                 Command(
                     move.target,
@@ -440,12 +440,12 @@
                 ),
             )
 
-    def _pause(self, move: MoveProgress) -> int:
+    def _retry_pause_us(self, move: MoveProgress) -> int:
         if not move.attempts:
             return 0
         return min(self._times.max_retry_pause_us, self._times.retry_pause_us << min(move.attempts - 1, 16))
 
-    def _must_go_back(self, index: int, move: MoveProgress) -> bool:
+    def _roll_back_if_needed(self, index: int, move: MoveProgress) -> bool:
         """Of what copies or catches up."""
         why = ""
         shard = self._placed(move)
@@ -455,11 +455,11 @@
             why = f"{move.target} has filled"
         elif shard is None or move.source not in shard.copies or move.target in shard.copies:
             why = "the placement was changed by another"
-        elif self._gone(move.target):
+        elif self._is_dead(move.target):
             why = f"{move.target} is gone"
-        elif self._barred(move.target):
+        elif self._is_barred(move.target):
             why = f"{move.target} is barred"
-        elif move.primary and self._gone(move.source):
+        elif move.primary and self._is_dead(move.source):
             # Which of its last writes are to be given up is an operator's to say.
             why = f"{move.source}, its primary, is gone"
         elif move.attempts >= _MAX_ATTEMPTS:
@@ -468,44 +468,44 @@
             self._enter(index, move, Event.ROLL_BACK, why=why)
         return bool(why)
 
-    def _other_feed(self, index: int, move: MoveProgress, have: int) -> None:
+    def _switch_copy_source(self, index: int, move: MoveProgress, have: int) -> None:
         """The copy that is copied from is silent: another goes on where it stopped."""
         self.waits[index] = f"{move.copy_source} does not answer"
-        other = self._feed(move, self._placed(move), move.copy_source)
+        other = self._find_copy_source(move, self._placed(move), move.copy_source)
         if other is not None:
             self._enter(index, move, Event.RETRY, copied=have, feed=other)
-        elif self._gone(move.copy_source):
+        elif self._is_dead(move.copy_source):
             self._enter(
                 index, move, Event.ROLL_BACK, why=f"{move.copy_source} is gone, and no other copy is there"
             )
 
-    def _feed(self, move: MoveProgress, shard: documents.Shard, but: str = "") -> str | None:
+    def _find_copy_source(self, move: MoveProgress, shard: documents.Shard, but: str = "") -> str | None:
         """A copy that answers and is whole: the one that moves, else any other; not `but`."""
         for engine in (move.source, *shard.copies):
             if engine == but:
                 continue
-            disk = self._fresh(engine)
+            disk = self._recent_report(engine)
             copy = disk.copies.get(move.shard) if disk is not None else None
             if copy is not None and copy.whole:
                 return engine
         return None
 
-    def _again(self, index: int, move: MoveProgress, have: int, why: str) -> None:
+    def _retry_copy(self, index: int, move: MoveProgress, have: int, why: str) -> None:
         self.waits[index] = why
         if why == "source":
-            self._other_feed(index, move, have)
-            if self._silent(move.copy_source) > self._times.report_validity_us:
+            self._switch_copy_source(index, move, have)
+            if self._silence_us(move.copy_source) > self._times.report_validity_us:
                 return
         self._enter(index, move, Event.RETRY, copied=have)
 
-    def _keeps_up(self, index: int, move: MoveProgress) -> bool:
+    def _extend_reservation(self, index: int, move: MoveProgress) -> bool:
         """What the shard has grown by is held too; False: it goes back, for there is no room."""
-        disk = self._fresh(move.copy_source)
+        disk = self._recent_report(move.copy_source)
         copy = disk.copies.get(move.shard) if disk is not None else None
         if copy is None or move.reserved_bytes - copy.bytes >= copy.bytes // (2 * _SPARE_DIVISOR):
             return True
         wanted = copy.bytes + copy.bytes // _SPARE_DIVISOR + 1
-        held = min(wanted, move.reserved_bytes + max(0, self._room(move.target)))
+        held = min(wanted, move.reserved_bytes + max(0, self._free_bytes(move.target)))
         if held > move.reserved_bytes and held >= copy.bytes:
             self._promised[move.target] += held - move.reserved_bytes
             self._enter(index, move, Event.EXTEND_RESERVATION, held=held)
@@ -514,18 +514,18 @@
             return False
         return True
 
-    def _catching(self, index: int, move: MoveProgress) -> None:
+    def _handle_catching_up(self, index: int, move: MoveProgress) -> None:
         shard = self._placed(move)
         if log.has_moved(move, shard):
             self._enter(index, move, Event.SWITCH)
             return
         if (
-            self._goes_back(index, move)
-            or self._must_go_back(index, move)
-            or (not self._keeps_up(index, move))
+            self._is_withdrawn(index, move)
+            or self._roll_back_if_needed(index, move)
+            or (not self._extend_reservation(index, move))
         ):
             return
-        target = self._fresh(move.target)
+        target = self._recent_report(move.target)
         copy = target.copies.get(move.shard) if target is not None else None
         if target is None:
             self.waits[index] = f"{move.target} does not answer"
@@ -536,13 +536,13 @@
             return
         primary = shard.primary or move.source
         if not copy.follows or copy.epoch < shard.epoch:
-            self._command(
+            self._send_command(
                 index, Command(move.target, "FOLLOW", move.shard, move.fence, primary, epoch=shard.epoch)
             )
             return
         if not self._near(index, move, target, primary):
             self.waits.setdefault(index, f"it is at {copy.applied} and catches up")
-            if self._now - self._watch(index, move).since > self._times.max_catch_up_us:
+            if self._now - self._observation(index, move).since > self._times.max_catch_up_us:
                 self._enter(index, move, Event.ROLL_BACK, why=f"no end in sight: {self.waits[index]}")
         elif move.primary:
             if move.source == primary:
@@ -559,12 +559,12 @@
 
     def _near(self, index: int, move: MoveProgress, target: DiskReport, primary: str) -> bool:
         """Whether the target has the head of a moment ago: told by the primary first, then reached."""
-        watch, disk = self._watch(index, move), self._fresh(primary)
+        watch, disk = self._observation(index, move), self._recent_report(primary)
         copy = disk.copies.get(move.shard) if disk is not None else None
         applied = target.copies[move.shard].applied
-        if not move.primary and self._gone(primary):
+        if not move.primary and self._is_dead(primary):
             # Nobody knows the head: the new copy is as good as the one that it replaces.
-            source = self._fresh(move.copy_source)
+            source = self._recent_report(move.copy_source)
             old = source.copies.get(move.shard) if source is not None else None
             return old is not None and applied >= old.applied
         if copy is None or not copy.primary:
@@ -586,18 +586,18 @@
             watch.head, watch.head_at = copy.head, disk.asked_at_us
         return watch.head <= applied
 
-    def _fenced(self, index: int, move: MoveProgress) -> None:
+    def _handle_fenced(self, index: int, move: MoveProgress) -> None:
         """Nobody writes; the target gets the last of it; then it is the primary."""
-        shard, watch = self._placed(move), self._watch(index, move)
+        shard, watch = self._placed(move), self._observation(index, move)
         if log.has_moved(move, shard):
             self._enter(index, move, Event.SWITCH)
             return
-        if self._goes_back(index, move):
+        if self._is_withdrawn(index, move):
             return
         if shard is None or shard.primary not in ("", move.source):
             self._enter(index, move, Event.UNFENCE, why="the placement was changed by another")
             return
-        if self._barred(move.target):
+        if self._is_barred(move.target):
             self._enter(index, move, Event.UNFENCE, why=f"{move.target} is barred")
             return
         if self._now - watch.since > self._times.max_fenced_us:
@@ -618,11 +618,13 @@
             return
         if not log.in_force(self._state, move.shard):
             return
-        source, target = self._fresh(move.source), self._fresh(move.target)
+        source, target = self._recent_report(move.source), self._recent_report(move.target)
         old = source.copies.get(move.shard) if source is not None else None
         new = target.copies.get(move.shard) if target is not None else None
         if old is not None and old.primary:
-            self._command(index, Command(move.source, "SWITCH", move.shard, move.fence, epoch=shard.epoch))
+            self._send_command(
+                index, Command(move.source, "SWITCH", move.shard, move.fence, epoch=shard.epoch)
+            )
         elif old is not None and old.fence == move.fence and source.asked_at_us >= watch.since:
             # Its own word that it takes no writes, given since: this is the last head there will be.
             watch.final = max(watch.final, old.head)
@@ -648,7 +650,7 @@
         else:
             self.waits[index] = f"{move.target} is at {new.applied}, the last write is {watch.final}"
 
-    def _unfencing(self, index: int, move: MoveProgress) -> None:
+    def _handle_unfencing(self, index: int, move: MoveProgress) -> None:
         shard = self._placed(move)
         if log.has_moved(move, shard):
             self._enter(index, move, Event.SWITCH)
@@ -668,26 +670,26 @@
                 f"{_describe(move)}: primary back",
             )
         else:
-            self._tell_primary(index, move, shard)
+            self._announce_primary(index, move, shard)
             if log.in_force(self._state, move.shard):
                 self._enter(index, move, Event.ROLL_BACK, why=move.failure_reason)
 
-    def _tell_primary(self, index: int, move: MoveProgress, shard: documents.Shard) -> bool:
+    def _announce_primary(self, index: int, move: MoveProgress, shard: documents.Shard) -> bool:
         """All copies are told who is primary; whether that one knows."""
         for engine in (shard.primary, *shard.copies, move.source):
-            disk = self._fresh(engine)
+            disk = self._recent_report(engine)
             copy = disk.copies.get(move.shard) if disk is not None else None
             if copy is not None and (
                 copy.epoch < shard.epoch or copy.primary is not (engine == shard.primary)
             ):
-                self._command(
+                self._send_command(
                     index, Command(engine, "SWITCH", move.shard, move.fence, shard.primary, epoch=shard.epoch)
                 )
-        disk = self._fresh(shard.primary)
+        disk = self._recent_report(shard.primary)
         copy = disk.copies.get(move.shard) if disk is not None else None
         return copy is not None and copy.primary and copy.epoch >= shard.epoch
 
-    def _switched(self, index: int, move: MoveProgress) -> None:
+    def _handle_switched(self, index: int, move: MoveProgress) -> None:
         shard = self._placed(move)
         if not log.has_moved(move, shard):
             kept = shard is not None and move.source in shard.copies and move.target not in shard.copies
@@ -697,17 +699,17 @@
             if log.in_force(self._state, move.shard):
                 self._enter(index, move, Event.DONE, why=self.waits[index])
             return
-        knows = not move.primary or self._tell_primary(index, move, shard)
+        knows = not move.primary or self._announce_primary(index, move, shard)
         if not log.in_force(self._state, move.shard):
             self.waits[index] = "leases under the old placement"
             return
-        target, source = self._fresh(move.target), self._fresh(move.source)
+        target, source = self._recent_report(move.target), self._recent_report(move.source)
         copy = target.copies.get(move.shard) if target is not None else None
         old = source.copies.get(move.shard) if source is not None else None
         if copy is None or not copy.whole or not knows:
             # Danger: the old copy may be the last that is whole. It stays until the new one is seen.
             self.waits[index] = f"{move.target} does not show its copy; the old one is kept"
-            if not move.primary and old is not None and old.whole and self._gone(move.target):
+            if not move.primary and old is not None and old.whole and self._is_dead(move.target):
                 # No write was ever taken by what has moved here, and the old copy went on following. Danger:
                 # a dead primary has taken writes; whether to give them up is an operator's to say.
                 self._want(
@@ -719,7 +721,7 @@
                     f"{_describe(move)}: back, {move.target} is gone",
                 )
             return
-        if source is None and not self._gone(move.source):
+        if source is None and not self._is_dead(move.source):
             self.waits[index] = f"{move.source} does not answer"
             return
         if old is not None and old.reads:
@@ -727,73 +729,73 @@
             return
         self._enter(index, move, Event.DROP)
 
-    def _dropped(self, index: int, move: MoveProgress) -> None:
-        shard, source = self._placed(move), self._fresh(move.source)
+    def _handle_dropped(self, index: int, move: MoveProgress) -> None:
+        shard, source = self._placed(move), self._recent_report(move.source)
         if shard is not None and move.source in shard.copies:
             self._enter(index, move, Event.DONE)  # placed there again by another: it is that one's now
         elif source is not None and _holds_nothing(source, move.shard, move.fence):
             self._enter(index, move, Event.DONE)
-        elif self._gone(move.source):
+        elif self._is_dead(move.source):
             self._enter(index, move, Event.DONE, owed=True)
         elif (
             source is not None
             and move.shard in source.copies
-            and not self._elsewhere(move.shard, move.source)
+            and not self._is_complete_elsewhere(move.shard, move.source)
         ):
             self.waits[index] = f"no other copy of {move.shard} is seen: the old one is kept"
         else:
             self.waits[index] = f"{move.source} drops it"
-            self._command(index, Command(move.source, "DROP", move.shard, move.fence))
+            self._send_command(index, Command(move.source, "DROP", move.shard, move.fence))
 
-    def _back(self, index: int, move: MoveProgress) -> None:
-        shard, target = self._placed(move), self._fresh(move.target)
+    def _handle_rolling_back(self, index: int, move: MoveProgress) -> None:
+        shard, target = self._placed(move), self._recent_report(move.target)
         copy = target.copies.get(move.shard) if target is not None else None
         if shard is not None and move.target in shard.copies:
             self._enter(index, move, Event.TARGET_FREED)  # placed there by another: not ours to drop
         elif target is not None and _holds_nothing(target, move.shard, move.fence):
             self._enter(index, move, Event.TARGET_FREED)
-        elif self._gone(move.target):
+        elif self._is_dead(move.target):
             self._enter(index, move, Event.TARGET_FREED, owed=True)
-        elif copy is not None and copy.whole and not self._elsewhere(move.shard, move.target):
+        elif copy is not None and copy.whole and not self._is_complete_elsewhere(move.shard, move.target):
             self.waits[index] = f"no other copy of {move.shard} is seen: the new one is kept"
         else:
             self.waits[index] = f"{move.target} drops what it has"
-            self._command(index, Command(move.target, "CANCEL", move.shard, move.fence))
+            self._send_command(index, Command(move.target, "CANCEL", move.shard, move.fence))
 
-    def _elsewhere(self, name: str, engine: str) -> bool:
+    def _is_complete_elsewhere(self, name: str, engine: str) -> bool:
         """Whether a whole copy is seen where it is placed. Danger: else the last one would be dropped."""
         shard = self._state.latest.placement.items.get(name)
         for other in shard.copies if shard is not None else ():
-            disk = self._fresh(other)
+            disk = self._recent_report(other)
             copy = disk.copies.get(name) if disk is not None else None
             if other != engine and copy is not None and copy.whole:
                 return True
         return False
 
-    def _pay(self) -> None:
+    def _finish_pending_drops(self) -> None:
         """What engines that were gone still hold is dropped once they are back."""
         for (engine, shard), fence in sorted(self._moves.owed.items()):
-            disk, placed = self._fresh(engine), self._state.latest.placement.items.get(shard)
+            disk, placed = self._recent_report(engine), self._state.latest.placement.items.get(shard)
             if disk is None:
                 continue
             if _holds_nothing(disk, shard, fence) or placed is not None and engine in placed.copies:
-                if self._due(("paid", engine, shard, fence)):
-                    self._log(log.DropConfirmed(engine, shard, fence))
-            elif shard in disk.copies and not self._elsewhere(shard, engine):
+                if self._is_due(("paid", engine, shard, fence)):
+                    self._propose_entry(log.DropConfirmed(engine, shard, fence))
+            elif shard in disk.copies and not self._is_complete_elsewhere(shard, engine):
                 continue
-            elif self._due(("owed", engine, shard, fence)):
+            elif self._is_due(("owed", engine, shard, fence)):
                 self._steps.append(Command(engine, "DROP", shard, fence))
 
     _NEXT = {
-        MoveState.PLANNED: _planned,
-        MoveState.RESERVED: _reserved,
-        MoveState.COPYING: _copying,
-        MoveState.CATCHING_UP: _catching,
-        MoveState.FENCED: _fenced,
-        MoveState.UNFENCING: _unfencing,
-        MoveState.SWITCHED: _switched,
-        MoveState.DROPPED: _dropped,
-        MoveState.ROLLING_BACK: _back,
+        MoveState.PLANNED: _handle_planned,
+        MoveState.RESERVED: _handle_reserved,
+        MoveState.COPYING: _handle_copying,
+        MoveState.CATCHING_UP: _handle_catching_up,
+        MoveState.FENCED: _handle_fenced,
+        MoveState.UNFENCING: _handle_unfencing,
+        MoveState.SWITCHED: _handle_switched,
+        MoveState.DROPPED: _handle_dropped,
+        MoveState.ROLLING_BACK: _handle_rolling_back,
     }
 
 
--- a/cresstray/placement/moves.py
+++ b/cresstray/placement/moves.py
@@ -277,7 +277,7 @@
             "owed": len(self.owed),
         }
 
-    def holding(self, engine: str) -> Iterator[MoveProgress]:
+    def reserving_moves(self, engine: str) -> Iterator[MoveProgress]:
         """Moves that keep room at an engine as their target."""
         if self.plan is not None:
             yield from (
@@ -288,7 +288,7 @@
 
     # Entries.
 
-    def _begun(self, state: ConfigState, entry: BeginPlan) -> bytes:
+    def _apply_begin(self, state: ConfigState, entry: BeginPlan) -> bytes:
         plan = self.plan
         if plan is not None and plan.id == entry.id:
             if entry.part < plan.received_parts:
@@ -305,7 +305,7 @@
         if len(plan.moves) + len(rows) > _MAX_MOVES:
             return f"refused: more than {_MAX_MOVES} moves".encode()
         moves = plan.moves + rows
-        if entry.part + 1 == plan.parts and (fault := _fault(moves, state.latest.placement.items)):
+        if entry.part + 1 == plan.parts and (fault := _validation_error(moves, state.latest.placement.items)):
             if self.plan is plan:
                 self.plan = None
             return f"refused: {fault}".encode()
@@ -313,7 +313,7 @@
         self.plan = plan
         return APPLIED
 
-    def _stepped(self, state: ConfigState, entry: MoveStep) -> bytes:
+    def _apply_step(self, state: ConfigState, entry: MoveStep) -> bytes:
         plan = self.plan
         if plan is None or plan.id != entry.plan or plan.received_parts != plan.parts:
             return b"refused: no such plan is under way"
@@ -325,7 +325,7 @@
         to = _NEXT.get((move.state, entry.event))
         if to is None or (entry.event in (Event.FENCE, Event.UNFENCE)) > move.primary:
             return f"refused: no {entry.event.value} while {move.state.value}".encode()
-        why = self._hinders(state, move, entry)
+        why = self._rejection_reason(state, move, entry)
         if why:
             return f"refused: {why}".encode()
         if move.state is MoveState.SWITCHED and to is MoveState.DONE:
@@ -335,10 +335,10 @@
                 if shard is not None and engine not in shard.copies:
                     self.serial += 1
                     self.owed[engine, move.shard] = self.serial
-        self._set(plan, move, entry, to)
+        self._transition(plan, move, entry, to)
         return APPLIED
 
-    def _hinders(self, state: ConfigState, move: MoveProgress, entry: MoveStep) -> str:
+    def _rejection_reason(self, state: ConfigState, move: MoveProgress, entry: MoveStep) -> str:
         """Why an event may not be yet, by the documents; carrier.py has looked before, and may be late."""
         shard = state.latest.placement.items.get(move.shard)
         event = entry.event
@@ -369,7 +369,7 @@
             return "a lease under the old placement may be left"
         return ""
 
-    def _set(self, plan: ActivePlan, move: MoveProgress, entry: MoveStep, to: MoveState) -> None:
+    def _transition(self, plan: ActivePlan, move: MoveProgress, entry: MoveStep, to: MoveState) -> None:
         event = entry.event
         if event in _FENCING and to is not MoveState.CANCELLED:
             self.serial += 1
@@ -402,7 +402,7 @@
             if move.state is MoveState.PLANNED:
                 move.state = MoveState.CANCELLED
 
-    def _cancelled(self, state: ConfigState, entry: CancelPlan) -> bytes:
+    def _apply_cancel(self, state: ConfigState, entry: CancelPlan) -> bytes:
         plan = self.plan
         if plan is None or plan.id != entry.id:
             return b"refused: no such plan is under way"
@@ -423,16 +423,21 @@
                 )
         return APPLIED
 
-    def _paid(self, state: ConfigState, entry: DropConfirmed) -> bytes:
+    def _apply_drop_confirmed(self, state: ConfigState, entry: DropConfirmed) -> bytes:
         if self.owed.get((entry.engine, entry.shard)) != entry.fence:
             return ALREADY_APPLIED
         del self.owed[entry.engine, entry.shard]
         return APPLIED
 
-    _TAKES = {BeginPlan: _begun, MoveStep: _stepped, CancelPlan: _cancelled, DropConfirmed: _paid}
+    _TAKES = {
+        BeginPlan: _apply_begin,
+        MoveStep: _apply_step,
+        CancelPlan: _apply_cancel,
+        DropConfirmed: _apply_drop_confirmed,
+    }
 
 
-def _fault(moves: Iterable[MoveProgress], shards: dict[str, documents.Shard]) -> str:
+def _validation_error(moves: Iterable[MoveProgress], shards: dict[str, documents.Shard]) -> str:
     """Why a plan can't be carried out from this placement, followed to its end; none: it can."""
     copies: dict[str, list[str]] = {}
     primary: dict[str, str] = {}
--- a/cresstray/placement/order.py
+++ b/cresstray/placement/order.py
@@ -38,38 +38,40 @@
         self.limits = fleet.limits
         self.places: dict[str, EngineCapacity] = {place.engine: place for place in fleet.places}
         self.shards: dict[str, Shard] = {shard.name: shard for shard in fleet.shards}
-        self.spots: dict[str, set[str]] = {shard.name: set(shard.copies) for shard in fleet.shards}
+        self.engines_of: dict[str, set[str]] = {shard.name: set(shard.copies) for shard in fleet.shards}
         self.primary: dict[str, str] = {shard.name: shard.primary for shard in fleet.shards}
         self.zoned = len(active_zones(fleet)) > 1
-        self.base: Counter[str] = Counter({place.engine: 0 for place in fleet.places})
-        self.grows: Counter[str] = Counter({place.engine: 0 for place in fleet.places})
-        self.at = 0
+        self.base_bytes: Counter[str] = Counter({place.engine: 0 for place in fleet.places})
+        self.growth_per_s: Counter[str] = Counter({place.engine: 0 for place in fleet.places})
+        self.now_s = 0
         for shard in fleet.shards:
             for copy in shard.copies:
-                self.base[copy] += shard.size
-                self.grows[copy] += shard.growth
+                self.base_bytes[copy] += shard.size
+                self.growth_per_s[copy] += shard.growth
         # Over from the start: such an engine takes nothing until it is under, and is no fault of the plan.
-        self.came: set[str] = set()
-        self.late: set[str] = set()
-        self.over = {place.engine for place in fleet.places if self.held(place.engine, 0) > place.usable}
+        self.used_targets: set[str] = set()
+        self.outgrown: set[str] = set()
+        self.over_full = {
+            place.engine for place in fleet.places if self.held_bytes(place.engine, 0) > place.usable
+        }
 
-    def held(self, engine: str, at: int) -> int:
-        return self.base[engine] + self.grows[engine] * at
+    def held_bytes(self, engine: str, at: int) -> int:
+        return self.base_bytes[engine] + self.growth_per_s[engine] * at
 
-    def room(self, engine: str, at: int) -> int:
-        return self.places[engine].usable - self.held(engine, at)
+    def free_bytes(self, engine: str, at: int) -> int:
+        return self.places[engine].usable - self.held_bytes(engine, at)
 
-    def lacking(self) -> dict[str, int]:
+    def missing_bytes(self) -> dict[str, int]:
         """Engines that stay and are over at this moment, with the bytes missing."""
         return {
-            engine: -self.room(engine, self.at)
+            engine: -self.free_bytes(engine, self.now_s)
             for engine, place in self.places.items()
-            if not place.is_draining and self.room(engine, self.at) < 0
+            if not place.is_draining and self.free_bytes(engine, self.now_s) < 0
         }
 
-    def fair(self, shard: str, source: str, target: str) -> bool:
+    def may_move(self, shard: str, source: str, target: str) -> bool:
         """Whether a shard may move so: to an engine that takes copies, and not out of its second zone."""
-        spots, places = self.spots[shard], self.places
+        spots, places = self.engines_of[shard], self.places
         if (
             source not in spots
             or target in spots
@@ -85,14 +87,16 @@
         """Which engine sends: the source, or another copy's where the source is dead. None: nobody can."""
         if self.places[move.source].bytes_per_s:
             return move.source
-        others = [spot for spot in sorted(self.spots[move.shard]) if self.places[spot].bytes_per_s]
+        others = [spot for spot in sorted(self.engines_of[move.shard]) if self.places[spot].bytes_per_s]
         return others[0] if others else None
 
-    def border(self, reader: str, target: str) -> tuple[str, str] | None:
+    def zone_border(self, reader: str, target: str) -> tuple[str, str] | None:
         one, other = self.places[reader].zone, self.places[target].zone
         return None if one == other else (min(one, other), max(one, other))
 
-    def lasts(self, move: Move, reader: str, reads: int, writes: int, crosses: int, at: int) -> int | None:
+    def copy_seconds(
+        self, move: Move, reader: str, reads: int, writes: int, crosses: int, at: int
+    ) -> int | None:
         """Seconds, with so many moves beside it at both ends and on its border. None: it never catches up."""
         limits, shard = self.limits, self.shards[move.shard]
         pace = min(
@@ -105,37 +109,37 @@
             return None
         return max(1, -(-(shard.size + shard.growth * at) // (pace - shard.growth)))
 
-    def worst(self, move: Move) -> int | None:
+    def worst_case_seconds(self, move: Move) -> int | None:
         """Seconds with as many beside it as the limits allow."""
         reader = self.reader(move)
         if reader is None:
             return None
-        crosses = self.limits.border_moves if self.border(reader, move.target) else 0
-        return self.lasts(move, reader, self.limits.moves, self.limits.moves, crosses, self.at)
+        crosses = self.limits.border_moves if self.zone_border(reader, move.target) else 0
+        return self.copy_seconds(move, reader, self.limits.moves, self.limits.moves, crosses, self.now_s)
 
-    def seconds(self, stage: list[Move]) -> int | None:
+    def stage_seconds(self, stage: list[Move]) -> int | None:
         """How long these last beside each other. None: one of them never ends."""
         readers = [self.reader(move) for move in stage]
         ends: Counter[str] = Counter(move.target for move in stage)
         ends.update(reader for reader in readers if reader)
         crosses: Counter[tuple[str, str]] = Counter()
         for move, reader in zip(stage, readers):
-            if reader and (border := self.border(reader, move.target)):
+            if reader and (border := self.zone_border(reader, move.target)):
                 crosses[border] += 1
         longest = 0
         for move, reader in zip(stage, readers):
             if reader is None:
                 return None
-            border = self.border(reader, move.target)
-            lasts = self.lasts(
-                move, reader, ends[reader], ends[move.target], crosses[border] if border else 0, self.at
+            border = self.zone_border(reader, move.target)
+            lasts = self.copy_seconds(
+                move, reader, ends[reader], ends[move.target], crosses[border] if border else 0, self.now_s
             )
             if lasts is None:
                 return None
             longest = max(longest, lasts)
         return longest
 
-    def pick(self, wanted: list[Move], until: int, whole: bool = True) -> list[Move]:
+    def pick_stage(self, wanted: list[Move], until: int, whole: bool = True) -> list[Move]:
         """As many of these, the first first, as limits and room allow up to that second.
 
         `whole` False: stops at the first that has to wait.
@@ -147,19 +151,19 @@
         room: dict[str, int] = {}
         for move in wanted:
             reader = self.reader(move)
-            border = self.border(reader, move.target) if reader else None
+            border = self.zone_border(reader, move.target) if reader else None
             shard = self.shards[move.shard]
             size = shard.size + shard.growth * until
             free = room.get(move.target)
             if free is None:
-                free = room[move.target] = self.room(move.target, until)
+                free = room[move.target] = self.free_bytes(move.target, until)
             if (
                 reader is None
                 or move.shard in shards
                 or size > free
                 or max(ends[reader], ends[move.target]) >= self.limits.moves
                 or (border and crosses[border] >= self.limits.border_moves)
-                or not self.fair(move.shard, move.source, move.target)
+                or not self.may_move(move.shard, move.source, move.target)
             ):
                 if not whole:
                     break
@@ -172,38 +176,38 @@
             room[move.target] -= size
         return picked
 
-    def play(self, stage: list[Move]) -> str | None:
+    def apply_stage(self, stage: list[Move]) -> str | None:
         """One stage to its end. What it breaks, if anything; the ground is of no use then."""
-        lasts = self.seconds(stage)
+        lasts = self.stage_seconds(stage)
         if lasts is None:
             return "a shard grows faster than it is copied"
-        self.at += lasts
+        self.now_s += lasts
         for move in stage:
             shard = self.shards[move.shard]
-            if not self.fair(move.shard, move.source, move.target):
+            if not self.may_move(move.shard, move.source, move.target):
                 return f"shard {move.shard} may not be on {move.target}"
-            self.spots[move.shard].add(move.target)
-            self.base[move.target] += shard.size
-            self.grows[move.target] += shard.growth
+            self.engines_of[move.shard].add(move.target)
+            self.base_bytes[move.target] += shard.size
+            self.growth_per_s[move.target] += shard.growth
         targets = {move.target for move in stage}
-        self.came |= targets
+        self.used_targets |= targets
         for engine in self.places:
-            if self.room(engine, self.at) >= 0:
-                self.over.discard(engine)
-            elif self.lenient and engine not in self.came:
-                self.over.add(engine)
-                self.late.add(engine)
-            elif engine in targets or engine not in self.over:
-                return f"engine {engine} lacks {-self.room(engine, self.at)} bytes"
+            if self.free_bytes(engine, self.now_s) >= 0:
+                self.over_full.discard(engine)
+            elif self.lenient and engine not in self.used_targets:
+                self.over_full.add(engine)
+                self.outgrown.add(engine)
+            elif engine in targets or engine not in self.over_full:
+                return f"engine {engine} lacks {-self.free_bytes(engine, self.now_s)} bytes"
         for move in stage:
             shard = self.shards[move.shard]
-            self.spots[move.shard].discard(move.source)
-            self.base[move.source] -= shard.size
-            self.grows[move.source] -= shard.growth
+            self.engines_of[move.shard].discard(move.source)
+            self.base_bytes[move.source] -= shard.size
+            self.growth_per_s[move.source] -= shard.growth
             if self.primary[move.shard] == move.source:
                 self.primary[move.shard] = move.target
-            if self.room(move.source, self.at) >= 0:
-                self.over.discard(move.source)
+            if self.free_bytes(move.source, self.now_s) >= 0:
+                self.over_full.discard(move.source)
         return None
 
 
@@ -270,19 +274,23 @@
     """Stages for moves that have to begin in this order."""
     ground, rest, stages = PlacementState(fleet), list(path), []
     while rest:
-        lasts = max((ground.worst(move) or 0 for move in rest[:1]), default=0)
-        stage = ground.pick(rest, ground.at + lasts, whole=False) or rest[:1]
+        lasts = max((ground.worst_case_seconds(move) or 0 for move in rest[:1]), default=0)
+        stage = ground.pick_stage(rest, ground.now_s + lasts, whole=False) or rest[:1]
         # A longer one beside it may let the first grow over its room: then the first goes alone.
-        kept = [move for move in stage if (ground.worst(move) or 0) <= lasts] if stage[1:] else stage
+        kept = (
+            [move for move in stage if (ground.worst_case_seconds(move) or 0) <= lasts]
+            if stage[1:]
+            else stage
+        )
         stage = kept if kept == stage[: len(kept)] and kept else stage[:1]
-        broken = ground.play(stage)
+        broken = ground.apply_stage(stage)
         if broken:
             missing = _missing_room(ground, stage)
             why = _dead_end_message(f"no order keeps headroom while shards grow: {broken}", missing)
             raise DeadEndError(why, missing, False)
         stages.append(stage)
         rest = rest[len(stage) :]
-    if missing := ground.lacking():
+    if missing := ground.missing_bytes():
         raise DeadEndError(
             _dead_end_message("no order keeps headroom while shards grow", missing), missing, False
         )
@@ -303,26 +311,26 @@
             if hop is None:
                 return stages, pending
             stage, going = hop
-        if ground.play(stage):
+        if ground.apply_stage(stage):
             return stages, pending
         pending = going
         stages.append(stage)
-    return stages, list(moves) if ground.lacking() else []
+    return stages, list(moves) if ground.missing_bytes() else []
 
 
 def _next_stage(ground: PlacementState, pending: list[Move]) -> list[Move]:
-    lasts = {id(move): ground.worst(move) for move in pending}
+    lasts = {id(move): ground.worst_case_seconds(move) for move in pending}
     able = [move for move in pending if lasts[id(move)] is not None]
     # The longest first: what runs beside each other then takes much the same time. Engines that are over, or
     # will be when the longest ends, go before all others.
     span = max((lasts[id(move)] or 0 for move in able), default=0)
-    hurried = {engine for engine in ground.places if ground.room(engine, ground.at + 2 * span) < 0}
+    hurried = {engine for engine in ground.places if ground.free_bytes(engine, ground.now_s + 2 * span) < 0}
     # What is near its headroom cannot wait for a long stage, if there is something short to be moved off it.
     until = min(
         (
-            ground.room(engine, ground.at) // ground.grows[engine]
+            ground.free_bytes(engine, ground.now_s) // ground.growth_per_s[engine]
             for engine in hurried
-            if engine not in ground.over and ground.grows[engine]
+            if engine not in ground.over_full and ground.growth_per_s[engine]
         ),
         default=span,
     )
@@ -332,7 +340,7 @@
     able.sort(key=lambda move: (move.source not in hurried, -(lasts[id(move)] or 0), move.shard, move.source))
     while able:
         longest = max(lasts[id(move)] or 0 for move in able)
-        stage = ground.pick(able, ground.at + longest)
+        stage = ground.pick_stage(able, ground.now_s + longest)
         if stage:
             return stage
         able = [move for move in able if (lasts[id(move)] or 0) < longest]
@@ -350,11 +358,11 @@
     leaving = {(move.shard, move.source): move for move in pending}
     for move in sorted(pending, key=lambda move: (move.bytes, move.shard, move.source)):
         shard, target = ground.shards[move.shard], move.target
-        lasts = ground.worst(move)
+        lasts = ground.worst_case_seconds(move)
         if lasts is None or ground.places[target].is_draining:
             continue
-        until = ground.at + 3 * lasts
-        lack = shard.size + shard.growth * until - ground.room(target, until)
+        until = ground.now_s + 3 * lasts
+        lack = shard.size + shard.growth * until - ground.free_bytes(target, until)
         found = _hops_to_free(ground, target, move.shard, lack, until, leaving, hopped) if lack > 0 else None
         if found:
             cost = sum(hop.bytes * (1 if (hop.shard, hop.source) in leaving else 2) for hop in found)
@@ -394,8 +402,8 @@
     # A copy that hops without end would keep the order from ending: twice is enough for any seen.
     here = [
         ground.shards[name]
-        for name in ground.spots
-        if name != but and engine in ground.spots[name] and hopped[name] < 2
+        for name in ground.engines_of
+        if name != but and engine in ground.engines_of[name] and hopped[name] < 2
     ]
     # Those that have to leave anyway first; then the smallest that is enough, else the largest.
     here.sort(
@@ -413,15 +421,19 @@
         fits = [
             place.engine
             for place in ground.fleet.places
-            if ground.fair(shard.name, engine, place.engine)
-            and ground.room(place.engine, until) - taken[place.engine] >= size
+            if ground.may_move(shard.name, engine, place.engine)
+            and ground.free_bytes(place.engine, until) - taken[place.engine] >= size
         ]
         if not fits:
             continue
         zone = ground.places[engine].zone
         third = min(
             fits,
-            key=lambda name: (ground.places[name].zone != zone, taken[name] - ground.room(name, until), name),
+            key=lambda name: (
+                ground.places[name].zone != zone,
+                taken[name] - ground.free_bytes(name, until),
+                name,
+            ),
         )
         taken[third] += size
         found.append(Move(shard.name, engine, third, shard.size, ground.primary[shard.name] == engine))
@@ -430,7 +442,7 @@
             break
         if len(found) >= ground.limits.moves:
             return None
-    return found if lack <= 0 and ground.pick(found, ground.at) == found else None
+    return found if lack <= 0 and ground.pick_stage(found, ground.now_s) == found else None
 
 
 def search_moves(
@@ -518,10 +530,10 @@
             for move in stage
         ]
         told += marked
-        broken = ground.play(marked)
+        broken = ground.apply_stage(marked)
         if broken:
             raise AssertionError(f"an order that was played before breaks: {broken}")
-    return Order(tuple(told), tuple(numbers), ground.at, tuple(sorted(ground.late)))
+    return Order(tuple(told), tuple(numbers), ground.now_s, tuple(sorted(ground.outgrown)))
 
 
 def _missing_room(ground: PlacementState, moves: list[Move]) -> dict[str, int]:
@@ -529,7 +541,7 @@
     missing: dict[str, int] = {}
     for move in moves:
         shard = ground.shards[move.shard]
-        lack = shard.size + shard.growth * ground.at - ground.room(move.target, ground.at)
+        lack = shard.size + shard.growth * ground.now_s - ground.free_bytes(move.target, ground.now_s)
         if lack > 0:
             missing[move.target] = min(lack, missing.get(move.target, lack))
     return dict(sorted(missing.items()))
--- a/cresstray/placement/pacing.py
+++ b/cresstray/placement/pacing.py
@@ -31,32 +31,32 @@
     """Rates in bytes a second. Keeps for each engine how far it has backed off."""
 
     def __init__(self) -> None:
-        self._part: dict[str, float] = {}
-        self._at: dict[str, int] = {}
+        self._parts: dict[str, float] = {}
+        self._reported_at_us: dict[str, int] = {}
 
     def part(self, engine: str) -> float:
         """How much of its share an engine is given now."""
-        return self._part.get(engine, 1.0)
+        return self._parts.get(engine, 1.0)
 
-    def heed(self, told: Mapping[str, DiskReport], now: int) -> None:
+    def on_reports(self, told: Mapping[str, DiskReport], now: int) -> None:
         """Takes each new report once; told is by engine, its `at` when it came."""
-        for engine in [engine for engine in self._at if engine not in told]:
-            del self._at[engine]
-            self._part.pop(engine, None)
+        for engine in [engine for engine in self._reported_at_us if engine not in told]:
+            del self._reported_at_us[engine]
+            self._parts.pop(engine, None)
         for engine, disk in told.items():
-            seen = self._at.get(engine, -1)
+            seen = self._reported_at_us.get(engine, -1)
             silent = now - max(disk.asked_at_us, seen) > _MAX_SILENCE_US
             if disk.asked_at_us <= seen and not silent:
                 continue
-            self._at[engine] = now if silent else disk.asked_at_us
+            self._reported_at_us[engine] = now if silent else disk.asked_at_us
             part = self.part(engine)
-            self._part[engine] = (
+            self._parts[engine] = (
                 max(_MIN_PART, part * _BACK_OFF_FACTOR)
                 if silent or is_pressed(disk)
                 else min(1.0, part + _RECOVERY_STEP)
             )
 
-    def rates(
+    def transfer_rates(
         self, flows: Iterable[Transfer], limits: Limits, told: Mapping[str, DiskReport]
     ) -> dict[int, int]:
         """Of each flow: no engine's and no border's flows have more than its share together."""
--- a/cresstray/placement/plan_builder.py
+++ b/cresstray/placement/plan_builder.py
@@ -14,23 +14,25 @@
         self.places: list[EngineCapacity] = [place for place in fleet.places if not place.is_draining]
         number = {place.engine: at for at, place in enumerate(self.places)}
         band = fill_bounds(fleet, tolerance)
-        self.least = [band[place.engine][0] for place in self.places]
-        self.most = [band[place.engine][1] for place in self.places]
+        self.min_bytes = [band[place.engine][0] for place in self.places]
+        self.max_bytes = [band[place.engine][1] for place in self.places]
         zones = active_zones(fleet)
-        self.zones = len(zones)
-        self.zone = [zones.index(place.zone) for place in self.places]
+        self.zone_count = len(zones)
+        self.zone_of = [zones.index(place.zone) for place in self.places]
         self.sizes = [shard.size for shard in fleet.shards]
-        self.grown = [shard.size + shard.growth * horizon for shard in fleet.shards]
-        self.counts = [len(shard.copies) for shard in fleet.shards]
+        self.grown_sizes = [shard.size + shard.growth * horizon for shard in fleet.shards]
+        self.copy_counts = [len(shard.copies) for shard in fleet.shards]
         # Copies on engines that stay; the others leave whatever is decided.
-        self.spots = [{number[copy] for copy in shard.copies if copy in number} for shard in fleet.shards]
-        self.wide = [self.zones > 1 and count > 1 for count in self.counts]
+        self.engines_of = [
+            {number[copy] for copy in shard.copies if copy in number} for shard in fleet.shards
+        ]
+        self.needs_two_zones = [self.zone_count > 1 and count > 1 for count in self.copy_counts]
         # A dead engine keeps what it has, and takes nothing.
-        self.takes = [place.bytes_per_s > 0 for place in self.places]
+        self.accepts_copies = [place.bytes_per_s > 0 for place in self.places]
 
     def moves(self, spots: list[set[int]]) -> list[Move]:
         told: list[Move] = []
-        for shard, old, new in zip(self.fleet.shards, self.spots, spots):
+        for shard, old, new in zip(self.fleet.shards, self.engines_of, spots):
             if old != new or len(old) < len(shard.copies):
                 told += pair_moves(self.fleet, shard, sorted(self.places[at].engine for at in new))
         return told
@@ -41,182 +43,201 @@
 
     def __init__(self, task: PlacementProblem, spots: list[set[int]]) -> None:
         self.task = task
-        self.spots = [set(spot) for spot in spots]
-        self.held = [0] * len(task.places)
-        self.grown = [0] * len(task.places)
-        self.here: list[set[int]] = [set() for _ in task.places]
-        for number, spot in enumerate(self.spots):
+        self.engines_of = [set(spot) for spot in spots]
+        self.held_bytes = [0] * len(task.places)
+        self.grown_bytes = [0] * len(task.places)
+        self.shards_at: list[set[int]] = [set() for _ in task.places]
+        for number, spot in enumerate(self.engines_of):
             for at in spot:
                 self._count(number, at, 1)
 
     def _count(self, number: int, at: int, sign: int) -> None:
-        self.held[at] += sign * self.task.sizes[number]
-        self.grown[at] += sign * self.task.grown[number]
-        (self.here[at].add if sign > 0 else self.here[at].discard)(number)
+        self.held_bytes[at] += sign * self.task.sizes[number]
+        self.grown_bytes[at] += sign * self.task.grown_sizes[number]
+        (self.shards_at[at].add if sign > 0 else self.shards_at[at].discard)(number)
 
-    def put(self, number: int, source: int | None, target: int | None) -> None:
+    def move_copy(self, number: int, source: int | None, target: int | None) -> None:
         """One copy leaves one engine, or none, for another, or for none."""
         if source is not None:
-            self.spots[number].discard(source)
+            self.engines_of[number].discard(source)
             self._count(number, source, -1)
         if target is not None:
-            self.spots[number].add(target)
+            self.engines_of[number].add(target)
             self._count(number, target, 1)
 
     @property
     def bytes(self) -> int:
         task = self.task
-        return sum(size * len(new - old) for size, old, new in zip(task.sizes, task.spots, self.spots))
+        return sum(
+            size * len(new - old) for size, old, new in zip(task.sizes, task.engines_of, self.engines_of)
+        )
 
     def excess(self, at: int) -> int:
         """Bytes that have to leave an engine, for balance or for headroom at the horizon."""
-        return max(self.held[at] - self.task.most[at], self.grown[at] - self.task.places[at].usable, 0)
+        return max(
+            self.held_bytes[at] - self.task.max_bytes[at],
+            self.grown_bytes[at] - self.task.places[at].usable,
+            0,
+        )
 
     def lack(self, at: int) -> int:
-        return max(0, self.task.least[at] - self.held[at])
+        return max(0, self.task.min_bytes[at] - self.held_bytes[at])
 
-    def sound(self) -> bool:
+    def is_valid(self) -> bool:
         task = self.task
         return (
             not any(self.excess(at) or self.lack(at) for at in range(len(task.places)))
-            and all(len(spot) == count for spot, count in zip(self.spots, task.counts))
+            and all(len(spot) == count for spot, count in zip(self.engines_of, task.copy_counts))
             and all(
-                not wide or len({task.zone[at] for at in spot}) > 1
-                for wide, spot in zip(task.wide, self.spots)
+                not wide or len({task.zone_of[at] for at in spot}) > 1
+                for wide, spot in zip(task.needs_two_zones, self.engines_of)
             )
         )
 
-    def fair(self, number: int, source: int | None, target: int) -> bool:
+    def is_allowed(self, number: int, source: int | None, target: int) -> bool:
         """Whether a shard's rules allow this copy there; a zone counts once all of its copies are placed."""
-        task, spot = self.task, self.spots[number]
-        if target in spot or not (task.takes[target] or target in task.spots[number]):
+        task, spot = self.task, self.engines_of[number]
+        if target in spot or not (task.accepts_copies[target] or target in task.engines_of[number]):
             return False
-        if not task.wide[number]:
+        if not task.needs_two_zones[number]:
             return True
-        rest = [task.zone[at] for at in spot if at != source]
-        return len(rest) + 1 < task.counts[number] or any(zone != task.zone[target] for zone in rest)
+        rest = [task.zone_of[at] for at in spot if at != source]
+        return len(rest) + 1 < task.copy_counts[number] or any(zone != task.zone_of[target] for zone in rest)
 
     def fits(self, number: int, target: int) -> bool:
         task = self.task
         return (
-            self.held[target] + task.sizes[number] <= task.most[target]
-            and self.grown[target] + task.grown[number] <= task.places[target].usable
+            self.held_bytes[target] + task.sizes[number] <= task.max_bytes[target]
+            and self.grown_bytes[target] + task.grown_sizes[number] <= task.places[target].usable
         )
 
-    def place(self, number: int, source: int | None) -> bool:
+    def place_copy(self, number: int, source: int | None) -> bool:
         """A copy goes where most is lacking, else where most room is; False where nothing fits."""
         task = self.task
         best, rank = None, (0.0, 0.0)
         for at in range(len(task.places)):
-            if self.fits(number, at) and self.fair(number, source, at):
+            if self.fits(number, at) and self.is_allowed(number, source, at):
                 usable = max(1, task.places[at].usable)
-                new = (self.lack(at) / usable, (task.most[at] - self.held[at]) / usable)
+                new = (self.lack(at) / usable, (task.max_bytes[at] - self.held_bytes[at]) / usable)
                 if best is None or new > rank:
                     best, rank = at, new
         if best is None:
             return False
-        self.put(number, source, best)
+        self.move_copy(number, source, best)
         return True
 
-    def settle(self) -> bool:
+    def complete(self) -> bool:
         """Copies without an engine are placed, the largest first; then what is over or short is repaired."""
         task = self.task
         loose = [
             number
-            for number, (spot, count) in enumerate(zip(self.spots, task.counts))
+            for number, (spot, count) in enumerate(zip(self.engines_of, task.copy_counts))
             for _ in range(count - len(spot))
         ]
         for number in sorted(loose, key=lambda number: (-task.sizes[number], number)):
-            if not self.place(number, None) and not self._back(number) and not self._squeeze(number):
+            if (
+                not self.place_copy(number, None)
+                and not self._restore_copy(number)
+                and not self._make_room(number)
+            ):
                 return False
-        return self._zoned() and self._repair()
+        return self._spread_over_zones() and self._repair()
 
-    def _back(self, number: int) -> bool:
-        for at in sorted(self.task.spots[number] - self.spots[number]):
-            if self.fits(number, at) and self.fair(number, None, at):
-                self.put(number, None, at)
+    def _restore_copy(self, number: int) -> bool:
+        for at in sorted(self.task.engines_of[number] - self.engines_of[number]):
+            if self.fits(number, at) and self.is_allowed(number, None, at):
+                self.move_copy(number, None, at)
                 return True
         return False
 
-    def _squeeze(self, number: int) -> bool:
+    def _make_room(self, number: int) -> bool:
         """Room for one copy where another can leave for elsewhere; the smallest that is enough."""
         task = self.task
-        for at in sorted(range(len(task.places)), key=lambda at: (self.held[at] - task.most[at], at)):
-            if not self.fair(number, None, at):
+        for at in sorted(
+            range(len(task.places)), key=lambda at: (self.held_bytes[at] - task.max_bytes[at], at)
+        ):
+            if not self.is_allowed(number, None, at):
                 continue
-            for other in sorted(self.here[at], key=lambda other: (task.sizes[other], other)):
+            for other in sorted(self.shards_at[at], key=lambda other: (task.sizes[other], other)):
                 if (
-                    self.held[at] + task.sizes[number] - task.sizes[other] > task.most[at]
-                    or self.grown[at] + task.grown[number] - task.grown[other] > task.places[at].usable
+                    self.held_bytes[at] + task.sizes[number] - task.sizes[other] > task.max_bytes[at]
+                    or self.grown_bytes[at] + task.grown_sizes[number] - task.grown_sizes[other]
+                    > task.places[at].usable
                 ):
                     continue
-                self.put(number, None, at)
-                if self.place(other, at):
+                self.move_copy(number, None, at)
+                if self.place_copy(other, at):
                     return True
-                self.put(number, at, None)
+                self.move_copy(number, at, None)
         return False
 
-    def _zoned(self) -> bool:
+    def _spread_over_zones(self) -> bool:
         """Shards with all copies in one zone get one elsewhere."""
         task = self.task
-        for number, spot in enumerate(self.spots):
-            if task.wide[number] and len({task.zone[at] for at in spot}) < 2:
-                if not any(self.place(number, at) for at in sorted(spot, key=lambda at: (self.lack(at), at))):
+        for number, spot in enumerate(self.engines_of):
+            if task.needs_two_zones[number] and len({task.zone_of[at] for at in spot}) < 2:
+                if not any(
+                    self.place_copy(number, at) for at in sorted(spot, key=lambda at: (self.lack(at), at))
+                ):
                     return False
         return True
 
     def _repair(self) -> bool:
         # Each step helps an engine that is over or short; more steps than copies mean that it goes round.
-        for _ in range(2 * sum(self.task.counts) + 10):
-            over = max(range(len(self.held)), key=lambda at: (self.excess(at), -at), default=None)
+        for _ in range(2 * sum(self.task.copy_counts) + 10):
+            over = max(range(len(self.held_bytes)), key=lambda at: (self.excess(at), -at), default=None)
             if over is None:
                 return True
             if self.excess(over):
-                if not self._unload(over):
+                if not self._relieve(over):
                     return False
                 continue
-            short = max(range(len(self.held)), key=lambda at: (self.lack(at), -at))
+            short = max(range(len(self.held_bytes)), key=lambda at: (self.lack(at), -at))
             if not self.lack(short):
                 return True
             if not self._fill(short):
                 return False
         return False
 
-    def _unload(self, at: int) -> bool:
+    def _relieve(self, at: int) -> bool:
         task, excess = self.task, self.excess(at)
         ranked = sorted(
-            self.here[at],
+            self.shards_at[at],
             key=lambda number: (
-                at in task.spots[number],  # what came by this plan leaves for nothing more
+                at in task.engines_of[number],  # what came by this plan leaves for nothing more
                 task.sizes[number] < excess,
                 task.sizes[number] if task.sizes[number] >= excess else -task.sizes[number],
                 number,
             ),
         )
-        return any(task.sizes[number] and self.place(number, at) for number in ranked)
+        return any(task.sizes[number] and self.place_copy(number, at) for number in ranked)
 
     def _fill(self, at: int) -> bool:
         """The copy that brings an engine nearest to what it lacks, from one that can spare it."""
         task, lack = self.task, self.lack(at)
         best, rank = None, None
         for source in range(len(task.places)):
-            spare = self.held[source] - task.least[source]
+            spare = self.held_bytes[source] - task.min_bytes[source]
             if source == at or spare <= 0:
                 continue
-            for number in self.here[source]:
+            for number in self.shards_at[source]:
                 size = task.sizes[number]
-                if not 0 < size <= spare or not self.fits(number, at) or not self.fair(number, source, at):
+                if (
+                    not 0 < size <= spare
+                    or not self.fits(number, at)
+                    or not self.is_allowed(number, source, at)
+                ):
                     continue
-                moved = source in task.spots[number] and at not in task.spots[number]
+                moved = source in task.engines_of[number] and at not in task.engines_of[number]
                 new = (size < lack, (size if size >= lack else -size) if moved else -size, number, source)
                 if rank is None or new < rank:
                     best, rank = (number, source), new
         if best is None:
             return False
-        self.put(best[0], best[1], at)
+        self.move_copy(best[0], best[1], at)
         return True
 
-    def save(self) -> None:
+    def reduce_moves(self) -> None:
         """Moves that nothing asks for are undone, and larger ones become smaller, until nothing gives."""
         # Each round sends fewer bytes; what is still found after some rounds is a few bytes.
         for _ in range(8):
@@ -230,10 +251,10 @@
         task = self.task
         moved = [
             (number, old, new)
-            for number, spot in enumerate(self.spots)
-            if spot != task.spots[number]
-            for old in sorted(task.spots[number] - spot)
-            for new in sorted(spot - task.spots[number])
+            for number, spot in enumerate(self.engines_of)
+            if spot != task.engines_of[number]
+            for old in sorted(task.engines_of[number] - spot)
+            for new in sorted(spot - task.engines_of[number])
         ]
         return sorted(moved, key=lambda one: (-task.sizes[one[0]], one))
 
@@ -241,42 +262,42 @@
         for number, old, new in self._moved():
             size = self.task.sizes[number]
             if (
-                new in self.spots[number]
-                and old not in self.spots[number]
-                and self.held[new] - size >= self.task.least[new]
+                new in self.engines_of[number]
+                and old not in self.engines_of[number]
+                and self.held_bytes[new] - size >= self.task.min_bytes[new]
                 and self.fits(number, old)
-                and self.fair(number, new, old)
+                and self.is_allowed(number, new, old)
             ):
-                self.put(number, new, old)
+                self.move_copy(number, new, old)
 
     def _exchange(self) -> None:
         task = self.task
         for number, old, new in self._moved():
-            if new not in self.spots[number] or old in self.spots[number]:
+            if new not in self.engines_of[number] or old in self.engines_of[number]:
                 continue
             size = task.sizes[number]
-            self.put(number, new, None)
+            self.move_copy(number, new, None)
             # At least so much has to come to the one, and to leave the other.
             need = max(
                 self.lack(new),
-                self.held[old] + size - task.most[old],
-                self.grown[old] + task.grown[number] - task.places[old].usable,
+                self.held_bytes[old] + size - task.max_bytes[old],
+                self.grown_bytes[old] + task.grown_sizes[number] - task.places[old].usable,
                 1,
             )
             fit = [
                 (task.sizes[other], other)
-                for other in self.here[old]
-                if need <= task.sizes[other] < size and old in task.spots[other]
+                for other in self.shards_at[old]
+                if need <= task.sizes[other] < size and old in task.engines_of[other]
             ]
             done = False
             for _, other in sorted(fit):
-                if not self.fits(other, new) or not self.fair(other, old, new):
+                if not self.fits(other, new) or not self.is_allowed(other, old, new):
                     continue
-                self.put(other, old, new)
-                if self.fits(number, old) and self.fair(number, None, old):
-                    self.put(number, None, old)
+                self.move_copy(other, old, new)
+                if self.fits(number, old) and self.is_allowed(number, None, old):
+                    self.move_copy(number, None, old)
                     done = True
                     break
-                self.put(other, new, old)
+                self.move_copy(other, new, old)
             if not done:
-                self.put(number, None, new)
+                self.move_copy(number, None, new)
--- a/cresstray/placement/planner.py
+++ b/cresstray/placement/planner.py
@@ -45,33 +45,39 @@
         self.rows: list[int] = []
         self.columns: list[int] = []
         self.values: list[float] = []
-        self.least: list[float] = []
-        self.most: list[float] = []
+        self.lower: list[float] = []
+        self.upper: list[float] = []
 
     def add(self, items: list[tuple[int, float]], least: float, most: float) -> None:
-        at = len(self.least)
+        at = len(self.lower)
         for column, value in items:
             self.rows.append(at)
             self.columns.append(column)
             self.values.append(value)
-        self.least.append(least)
-        self.most.append(most)
+        self.lower.append(least)
+        self.upper.append(most)
 
     def matrix(self, width: int) -> LinearConstraint:
-        shape = (len(self.least), width)
+        shape = (len(self.lower), width)
         return LinearConstraint(
             csr_array((self.values, (self.rows, self.columns)), shape=shape),
-            numpy.array(self.least),
-            numpy.array(self.most),
+            numpy.array(self.lower),
+            numpy.array(self.upper),
         )
 
 
 class MilpResult(NamedTuple):
-    """Of one milp. `spots`: None if it found none. `bound` in bytes. `dead`: proven that there is none."""
+    """The result of one integer program.
 
-    spots: list[set[int]] | None
+    Attributes:
+        engines_of: Engines of each shard; None if no placement was found.
+        bound: Lower bound of the bytes that any placement sends.
+        is_infeasible: Whether it is proven that no placement exists.
+    """
+
+    engines_of: list[set[int]] | None
     bound: int
-    dead: bool
+    is_infeasible: bool
 
 
 def solve(
@@ -112,38 +118,44 @@
         found: Callable[[Plan], None] | None,
         clock: Callable[[], float],
     ) -> None:
-        self.fleet, self.tolerance, self.ends, self.found, self.clock = fleet, tolerance, ends, found, clock
+        self.fleet, self.tolerance, self.deadline, self.on_plan, self.clock = (
+            fleet,
+            tolerance,
+            ends,
+            found,
+            clock,
+        )
         self.task = PlacementProblem(fleet, tolerance)
         self.best: Plan | None = None
         self.bound = 0
         self.error: DeadEndError | None = None
-        self.spots: list[set[int]] | None = None  # of the best
-        self.tried: list[set[int]] | None = None  # the last placement for which an order was looked for
+        self.best_engines: list[set[int]] | None = None  # of the best
+        self.last_tried: list[set[int]] | None = None  # the last placement for which an order was looked for
 
     @property
-    def left(self) -> float:
-        return self.ends - self.clock()
+    def seconds_left(self) -> float:
+        return self.deadline - self.clock()
 
     def run(self) -> Plan | None:
         """None: there is no placement at this tolerance, or none was found. DeadEndError: no order to any."""
         whole = len(self.task.sizes) * len(self.task.places) <= _MAX_EXACT_PAIRS
         if whole:
-            self._whole()
+            self._solve_exactly()
         else:
-            self._large()
+            self._solve_approximately()
         if self.best is None and self.error and not self.error.proven:
-            self._ahead(whole)
+            self._allow_for_growth(whole)
         if self.best is None and self.error:
             raise self.error
-        return self.best and self._told(self.best)
+        return self.best and self._with_bound(self.best)
 
-    def _whole(self) -> None:
-        answer = solve_exact(self.task, None, max(1.0, self.left * 0.5))
-        if answer.dead:
+    def _solve_exactly(self) -> None:
+        answer = solve_exact(self.task, None, max(1.0, self.seconds_left * 0.5))
+        if answer.is_infeasible:
             return
         self.bound = answer.bound
-        if answer.spots is not None:
-            self._offer(answer.spots)
+        if answer.engines_of is not None:
+            self._offer(answer.engines_of)
         if self.best is None or self.best.bytes > self.bound:
             # Hops cost bytes that no milp counts: all ways are tried, if there are few.
             band = fill_bounds(self.fleet, self.tolerance)
@@ -153,64 +165,68 @@
             if path is not None:
                 self.bound = max(self.bound, sum(move.bytes for move in path))
                 try:
-                    self._take(stages_in_order(self.fleet, path))
+                    self._accept(stages_in_order(self.fleet, path))
                 except DeadEndError as error:
                     self.error = self.error or error
             elif tried and (self.error is None or not self.error.proven):
                 missing = self.error.missing if self.error else {}
                 self.error = DeadEndError("no order leads to any placement", missing, True)
-        if self.best is None and answer.spots is None:
-            self._large()
+        if self.best is None and answer.engines_of is None:
+            self._solve_approximately()
 
-    def _large(self) -> None:
-        self._mend(self.task.spots)
-        hint = solve_relaxation(self.task, max(0.5, self.left * 0.5))
-        if hint.dead:
+    def _solve_approximately(self) -> None:
+        self._repair_and_offer(self.task.engines_of)
+        hint = solve_relaxation(self.task, max(0.5, self.seconds_left * 0.5))
+        if hint.is_infeasible:
             return
         self.bound = max(self.bound, hint.bound)
-        self._told_better()
-        if hint.spots is not None:
-            self._mend(hint.spots)
-        if not self._near(_NEAR_GAP) and self.left > 1 and len(self.task.sizes) <= _MAX_INTEGRAL_SHARDS:
-            hint = solve_relaxation(self.task, self.left * 0.5, whole=True)
+        self._report_best()
+        if hint.engines_of is not None:
+            self._repair_and_offer(hint.engines_of)
+        if (
+            not self._is_within(_NEAR_GAP)
+            and self.seconds_left > 1
+            and len(self.task.sizes) <= _MAX_INTEGRAL_SHARDS
+        ):
+            hint = solve_relaxation(self.task, self.seconds_left * 0.5, whole=True)
             self.bound = max(self.bound, hint.bound)
-            if hint.spots is not None:
-                self._mend(hint.spots)
-        if not self._near(_FAR_GAP) and self.left > 1:
-            self._columns(hint)
+            if hint.engines_of is not None:
+                self._repair_and_offer(hint.engines_of)
+        if not self._is_within(_FAR_GAP) and self.seconds_left > 1:
+            self._solve_reduced(hint)
 
-    def _near(self, gap: float) -> bool:
+    def _is_within(self, gap: float) -> bool:
         return self.best is not None and self.best.bytes <= self.bound * (1 + gap)
 
-    def _columns(self, hint: MilpResult) -> None:
+    def _solve_reduced(self, hint: MilpResult) -> None:
         """A milp over the copies that move in any plan so far, and the engines that they may go to."""
         task = self.task
-        drafts = [spots for spots in (hint.spots, self.spots) if spots is not None]
+        drafts = [spots for spots in (hint.engines_of, self.best_engines) if spots is not None]
         moving = {
-            number for spots in drafts for number, spot in enumerate(spots) if spot != task.spots[number]
+            number for spots in drafts for number, spot in enumerate(spots) if spot != task.engines_of[number]
         }
         every = len(task.sizes) * len(task.places) <= _MAX_COLUMNS
         columns: list[tuple[int, int]] = []
         for number in range(len(task.sizes)):
-            own = task.spots[number].union(*(spots[number] for spots in drafts))
+            own = task.engines_of[number].union(*(spots[number] for spots in drafts))
             columns += [
                 (number, at)
                 for at in range(len(task.places))
-                if at in own or ((every or number in moving) and task.takes[at])
+                if at in own or ((every or number in moving) and task.accepts_copies[at])
             ]
         if len(columns) > _MAX_COLUMNS:
             return
-        answer = solve_exact(task, columns, self.left * 0.8, self.best.bytes if self.best else None)
-        if answer.spots is not None:
-            self._offer(answer.spots)
+        answer = solve_exact(task, columns, self.seconds_left * 0.8, self.best.bytes if self.best else None)
+        if answer.engines_of is not None:
+            self._offer(answer.engines_of)
 
-    def _ahead(self, whole: bool) -> None:
+    def _allow_for_growth(self, whole: bool) -> None:
         """What grows meanwhile breaks every order: room is left for it, for as long as the moves may take."""
         if not any(shard.growth for shard in self.fleet.shards):
             return
         share, task = self.fleet.limits.share, self.task
         slow = min((place.bytes_per_s * share for place in task.places if place.bytes_per_s), default=1.0)
-        moves = task.moves(self.tried) if self.tried else []
+        moves = task.moves(self.last_tried) if self.last_tried else []
         ends: Counter[str] = Counter()
         for move in moves:
             ends.update({move.source: move.bytes, move.target: move.bytes})
@@ -219,24 +235,24 @@
         for factor in (1, 2, 4):
             self.task = PlacementProblem(self.fleet, self.tolerance, horizon * factor)
             if whole:
-                answer = solve_exact(self.task, None, max(1.0, self.left * 0.3))
-                if answer.spots is not None:
-                    self._offer(answer.spots)
+                answer = solve_exact(self.task, None, max(1.0, self.seconds_left * 0.3))
+                if answer.engines_of is not None:
+                    self._offer(answer.engines_of)
             else:
-                self._mend(self.tried or self.task.spots)
-            if self.best is not None or self.left <= 0:
+                self._repair_and_offer(self.last_tried or self.task.engines_of)
+            if self.best is not None or self.seconds_left <= 0:
                 return
 
-    def _mend(self, spots: list[set[int]]) -> None:
+    def _repair_and_offer(self, spots: list[set[int]]) -> None:
         draft = DraftPlacement(self.task, spots)
-        if draft.settle():
-            draft.save()
-            if draft.sound():
-                self._offer(draft.spots)
+        if draft.complete():
+            draft.reduce_moves()
+            if draft.is_valid():
+                self._offer(draft.engines_of)
 
     def _offer(self, spots: list[set[int]]) -> None:
         moves = self.task.moves(spots)
-        self.tried = spots
+        self.last_tried = spots
         if self.best is not None and sum(move.bytes for move in moves) >= self.best.bytes:
             return
         try:
@@ -244,22 +260,22 @@
         except DeadEndError as error:
             self.error = self.error or error
             return
-        self.spots = spots
-        self._take(order)
+        self.best_engines = spots
+        self._accept(order)
 
-    def _take(self, order: Order) -> None:
+    def _accept(self, order: Order) -> None:
         total = sum(move.bytes for move in order.moves)
         if self.best is None or total < self.best.bytes:
             self.best = Plan(
                 order.moves, total, self.bound, order.stages, order.seconds, self.tolerance, order.late
             )
-            self._told_better()
+            self._report_best()
 
-    def _told_better(self) -> None:
-        if self.best is not None and self.found is not None:
-            self.found(self._told(self.best))
+    def _report_best(self) -> None:
+        if self.best is not None and self.on_plan is not None:
+            self.on_plan(self._with_bound(self.best))
 
-    def _told(self, plan: Plan) -> Plan:
+    def _with_bound(self, plan: Plan) -> Plan:
         return Plan(
             plan.moves,
             plan.bytes,
@@ -283,40 +299,42 @@
     rows = _ConstraintRows()
     scale = max(1, sum(task.sizes) // max(1, len(task.sizes)))
     stay: list[tuple[int, int]] = [
-        (number, at) for number, spot in enumerate(task.spots) for at in sorted(spot)
+        (number, at) for number, spot in enumerate(task.engines_of) for at in sorted(spot)
     ]
     column = {pair: at for at, pair in enumerate(stay)}
     comes = len(stay)  # of each shard and zone
-    fills = comes + len(task.sizes) * task.zones  # of each engine
+    fills = comes + len(task.sizes) * task.zone_count  # of each engine
     width = fills + len(task.places)
     inside: list[list[tuple[int, float]]] = [[] for _ in task.places]
     for number, at in stay:
         inside[at].append((column[number, at], task.sizes[number] / scale))
-    in_zone = [task.zone.count(zone) for zone in range(task.zones)]
+    in_zone = [task.zone_of.count(zone) for zone in range(task.zone_count)]
     upper = numpy.full(width, numpy.inf)
     upper[:comes] = 1
-    for number, spot in enumerate(task.spots):
+    for number, spot in enumerate(task.engines_of):
         own = [(column[number, at], 1.0) for at in sorted(spot)]
-        new = [(comes + number * task.zones + zone, 1.0) for zone in range(task.zones)]
-        rows.add(own + new, task.counts[number], task.counts[number])
-        for zone in range(task.zones):
-            near = [(column[number, at], 1.0) for at in sorted(spot) if task.zone[at] == zone]
+        new = [(comes + number * task.zone_count + zone, 1.0) for zone in range(task.zone_count)]
+        rows.add(own + new, task.copy_counts[number], task.copy_counts[number])
+        for zone in range(task.zone_count):
+            near = [(column[number, at], 1.0) for at in sorted(spot) if task.zone_of[at] == zone]
             # An engine that already has the shard takes no other copy of it.
-            upper[new[zone][0]] = min(task.counts[number], in_zone[zone] - len(near))
-            if task.wide[number]:
-                rows.add([*near, new[zone]], 0, task.counts[number] - 1)
+            upper[new[zone][0]] = min(task.copy_counts[number], in_zone[zone] - len(near))
+            if task.needs_two_zones[number]:
+                rows.add([*near, new[zone]], 0, task.copy_counts[number] - 1)
     for at in range(len(task.places)):
-        rows.add([*inside[at], (fills + at, 1.0)], task.least[at] / scale, task.most[at] / scale)
-        if not task.takes[at]:
+        rows.add([*inside[at], (fills + at, 1.0)], task.min_bytes[at] / scale, task.max_bytes[at] / scale)
+        if not task.accepts_copies[at]:
             upper[fills + at] = 0
-    for zone in range(task.zones):
+    for zone in range(task.zone_count):
         coming = [
-            (comes + number * task.zones + zone, size / scale) for number, size in enumerate(task.sizes)
+            (comes + number * task.zone_count + zone, size / scale) for number, size in enumerate(task.sizes)
         ]
-        rows.add(coming + [(fills + at, -1.0) for at, where in enumerate(task.zone) if where == zone], 0, 0)
+        rows.add(
+            coming + [(fills + at, -1.0) for at, where in enumerate(task.zone_of) if where == zone], 0, 0
+        )
     cost = numpy.zeros(width)
     for number, size in enumerate(task.sizes):
-        cost[comes + number * task.zones : comes + (number + 1) * task.zones] = size / scale
+        cost[comes + number * task.zone_count : comes + (number + 1) * task.zone_count] = size / scale
     integral = numpy.zeros(width)
     integral[:comes] = int(whole)
     # Nearer than a hundredth it takes minutes, and repairs and savings come much nearer in no time.
@@ -349,7 +367,7 @@
             (number, at)
             for number in range(len(task.sizes))
             for at in range(len(task.places))
-            if task.takes[at] or at in task.spots[number]
+            if task.accepts_copies[at] or at in task.engines_of[number]
         ]
     rows = _ConstraintRows()
     scale = max(1, sum(task.sizes) // max(1, len(task.sizes)))
@@ -360,25 +378,25 @@
     for at, (number, where) in enumerate(columns):
         of_shard[number].append((at, where))
         inside[where].append((at, task.sizes[number] / scale))
-        later[where].append((at, task.grown[number] / scale))
-        if where not in task.spots[number]:
+        later[where].append((at, task.grown_sizes[number] / scale))
+        if where not in task.engines_of[number]:
             cost[at] = task.sizes[number] / scale
     for number, pairs in enumerate(of_shard):
-        rows.add([(at, 1.0) for at, _ in pairs], task.counts[number], task.counts[number])
-        if task.wide[number]:
-            for zone in range(task.zones):
-                near = [(at, 1.0) for at, where in pairs if task.zone[where] == zone]
-                if len(near) >= task.counts[number]:
-                    rows.add(near, 0, task.counts[number] - 1)
+        rows.add([(at, 1.0) for at, _ in pairs], task.copy_counts[number], task.copy_counts[number])
+        if task.needs_two_zones[number]:
+            for zone in range(task.zone_count):
+                near = [(at, 1.0) for at, where in pairs if task.zone_of[where] == zone]
+                if len(near) >= task.copy_counts[number]:
+                    rows.add(near, 0, task.copy_counts[number] - 1)
     for at, place in enumerate(task.places):
-        rows.add(inside[at], task.least[at] / scale, task.most[at] / scale)
+        rows.add(inside[at], task.min_bytes[at] / scale, task.max_bytes[at] / scale)
         if task.horizon:
             rows.add(later[at], 0, place.usable / scale)
     if under is not None:
         rows.add([(at, value) for at, value in enumerate(cost) if value], 0, (under - 1) / scale)
     width = len(columns)
     if not width:
-        return MilpResult(None, 0, True) if any(task.counts) else MilpResult([], 0, False)
+        return MilpResult(None, 0, True) if any(task.copy_counts) else MilpResult([], 0, False)
     found = milp(
         cost,
         constraints=rows.matrix(width),
@@ -394,7 +412,7 @@
         for at, (number, where) in enumerate(columns):
             if found.x[at] > 0.5:
                 spots[number].add(where)
-        if not DraftPlacement(task, spots).sound():
+        if not DraftPlacement(task, spots).is_valid():
             spots = None  # broken by a few bytes, inside HiGHS's tolerance
     return MilpResult(spots, _bytes(found.mip_dual_bound, scale), False)
 
--- a/tests/test_placement_moves.py
+++ b/tests/test_placement_moves.py
@@ -492,19 +492,21 @@
     def test_shares_of_ends_and_borders(self) -> None:
         told = {"a1": self.disk(0), "a2": self.disk(0), "b1": self.disk(0, "b")}
         flows = [pace.Transfer(0, "a1", "a2"), pace.Transfer(1, "a1", "b1")]
-        made = pace.RateController().rates(flows, model.Limits(share=0.5, border_pace=100), told)
+        made = pace.RateController().transfer_rates(flows, model.Limits(share=0.5, border_pace=100), told)
         self.assertEqual(made, {0: 250, 1: 100})
-        self.assertEqual(pace.RateController().rates(flows[:1], model.Limits(share=0.5), told), {0: 500})
+        self.assertEqual(
+            pace.RateController().transfer_rates(flows[:1], model.Limits(share=0.5), told), {0: 500}
+        )
 
     def test_backs_off_under_pressure_and_comes_back(self) -> None:
         paced, parts = pace.RateController(), []
         for at, util in enumerate([0.1] + [0.9] * 6 + [0.1] * 9):
-            paced.heed({"a1": self.disk(at * 100_000, util=util)}, at * 100_000)
-            paced.heed({"a1": self.disk(at * 100_000, util=util)}, at * 100_000 + 1)  # heard once
+            paced.on_reports({"a1": self.disk(at * 100_000, util=util)}, at * 100_000)
+            paced.on_reports({"a1": self.disk(at * 100_000, util=util)}, at * 100_000 + 1)  # heard once
             parts.append(paced.part("a1"))
         self.assertEqual(parts[:6], [1.0, 0.5, 0.25, 0.125, 0.0625, 0.0625])
         self.assertEqual(parts[7:9] + parts[-1:], [0.1875, 0.3125, 1.0])
-        paced.heed({"a1": self.disk(1_500_000)}, 4_000_000)  # silent
+        paced.on_reports({"a1": self.disk(1_500_000)}, 4_000_000)  # silent
         self.assertEqual(paced.part("a1"), 0.5)
 
 
@@ -770,7 +772,7 @@
                 while not section.plan.is_finished():
                     await anyio.sleep(0.02)
                     hands.execute(
-                        carrying.next_actions(state, section, hands.told, time.monotonic_ns() // 1000)
+                        carrying.next_actions(state, section, hands.reports, time.monotonic_ns() // 1000)
                     )
                     for data in log:
                         state.apply(1, data)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -452,7 +452,7 @@
     def test_hands_ask_while_they_lead(self) -> None:
         leads, asked = [True], []
         hands = TransferClient(dict, lambda entry: None, lambda: leads[0], lambda: 0, Counters())
-        hands._lines["a"] = SimpleNamespace(ask=lambda: asked.append("a"))
+        hands._connections["a"] = SimpleNamespace(poll=lambda: asked.append("a"))
         hands.poll(["a", "gone"])
         leads[0] = False
         hands.poll(["a"])
