--- a/cresstray/placement/check.py
+++ b/cresstray/placement/check.py
@@ -1,4 +1,4 @@
-"""Plays a plan and tells what it breaks, apart from the code that made it: asked before it begins. Pure."""
+"""Checks a plan before it starts by replaying it, independently of the planner's code."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from cresstray.placement.model import EngineCapacity, Fleet, Plan
 
-# More lines tell an operator nothing new.
+# More lines don't help an operator.
 _MAX_BREACHES = 50
 
 
 def check(fleet: Fleet, plan: Plan) -> list[str]:
-    """Every breach, as lines; none: the plan keeps headroom at each moment and all other rules to its end."""
+    """Returns the violations, if any, of headroom at each moment and of all other constraints."""
     return _PlanReplay(fleet, plan).breaches()[:_MAX_BREACHES]
 
 
@@ -24,7 +24,7 @@
         self.primary_of = {shard.name: shard.primary for shard in fleet.shards}
         self.zones = len({place.zone for place in fleet.places if not place.is_draining})
         self.breaches_found: list[str] = []
-        self.overfull: set[str] = set()  # engines that were over from the start, and are yet
+        self.overfull: set[str] = set()  # engines that have been too full since the start
         self.used_targets: set[str] = set()
 
     def breaches(self) -> list[str]:
@@ -48,7 +48,7 @@
         return self.breaches_found
 
     def _free_bytes(self, second: int, coming: list[tuple[str, str]]) -> dict[str, int]:
-        """Of each engine the bytes between what it holds and its headroom, summed anew from all copies."""
+        """Returns the free bytes of each engine above its headroom, summed from all copies."""
         free = {place.engine: max(0, place.disk_bytes - place.headroom) for place in self.fleet.places}
         for name, engines in self.engines_of.items():
             shard = self.shards[name]
@@ -118,7 +118,7 @@
             lasts = max(lasts, 1, (size + gain - 1) // gain)
         targets = {move.target for move in moves}
         self.used_targets |= targets
-        # All copies are there and no old one is dropped: what is held grows until then, and falls after it.
+        # Usage peaks when all new copies are complete and no old one is dropped yet.
         free = self._free_bytes(second + lasts, [(move.shard, move.target) for move in moves])
         self._check_headroom(f"stage {number}", free, targets)
         for move in moves:
@@ -138,7 +138,7 @@
     def _check_headroom(self, when: str, free: dict[str, int], targets: set[str]) -> None:
         for engine, left in free.items():
             if left < 0 and engine in self.plan.late and engine not in self.used_targets:
-                self.overfull.add(engine)  # told as such: it outgrows its headroom by itself
+                self.overfull.add(engine)  # reported in `late`: it outgrows its headroom by itself
             elif left < 0 and (engine in targets or engine not in self.overfull):
                 self.breaches_found.append(f"{when}: {engine} lacks {-left} bytes of its headroom")
             elif left >= 0:
@@ -167,7 +167,7 @@
         if not usable or self.plan.tolerance >= 1:
             return
         mean = Fraction(sum(held[place.engine] for place in stays), usable)
-        # The tolerance to a millionth, as it is planned with.
+        # The planner rounds the tolerance to a millionth.
         near = Fraction(round(self.plan.tolerance * 1_000_000), 1_000_000)
         for place in stays:
             room = max(0, place.disk_bytes - place.headroom)
--- a/cresstray/placement/data_transfer.py
+++ b/cresstray/placement/data_transfer.py
@@ -1,6 +1,6 @@
-"""The carrier's hands: asks engines what their disks hold, gives them commands, puts entries into the log.
+"""Connects the leader to engines: polls disk reports, sends commands, and proposes log entries.
 
-RESP over TCP: a command is an array of strings, an answer one string of JSON. For the leader alone.
+RESP over TCP: a command is an array of strings, an answer is one string of JSON.
 """
 
 from __future__ import annotations
@@ -19,24 +19,23 @@
 from cresstray.transport import streams
 from cresstray.transport.framing import FramingError
 
-# Disks are asked so often, in microseconds: a switch waits for what they say. An engine at rest costs a few
-# hundred bytes for each.
+# A switch waits for a report. A report of an idle engine takes a few hundred bytes.
 _POLL_INTERVAL_US = 500_000
-# Growth is measured over so long, in microseconds: shorter, and a single large write would look like a trend.
+# With a shorter interval, a single large write would look like growth.
 _GROWTH_INTERVAL_US = 30_000_000
-# An engine that does not answer for so long has its connection ended, in seconds.
+# The connection is closed if the engine doesn't answer for so long.
 _ANSWER_TIMEOUT_S = 3.0
-# Before a connection is tried again, in seconds; twice as long each time.
+# The pause doubles with each attempt.
 _RECONNECT_PAUSE_S, _MAX_RECONNECT_PAUSE_S = 0.2, 5.0
-# An answer's bytes: 5,000 shards of 200 bytes, with room.
+# 5,000 shards take about 200 bytes each.
 _MAX_ANSWER_BYTES = 4 * 1024 * 1024
 _LENGTH_LINE = re.compile(rb"\$(\d{1,7})\r\n")
-# Commands that wait for an answer on one connection; an engine that takes more is not answering.
+# With more unanswered commands, the engine is not answering.
 _MAX_UNANSWERED = 256
 
 
 class _DiskAnswer(msgspec.Struct):
-    """An engine's answer to SHARDS."""
+    """The answer to SHARDS."""
 
     zone: str
     disk: int
@@ -52,7 +51,7 @@
 
 
 class _CommandAnswer(msgspec.Struct):
-    """To any other command."""
+    """The answer to any other command."""
 
     refused: str = ""
 
@@ -61,12 +60,13 @@
 
 
 class AnswerParser:
-    """Strings out of what is received, however it is cut. Danger: a length that lies would be waited for."""
+    """Parses RESP strings from received data; a wrong length must not be waited for."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
+        """Returns the strings completed by `data`; raises FramingError for malformed input."""
         self._buffer += data
         found, at = [], 0
         while at < len(self._buffer):
@@ -89,7 +89,7 @@
 
 
 def command_words(command: Command, address: str) -> tuple[str, ...]:
-    """As an engine takes it; `address` is the peer's, host:port."""
+    """Returns the words of a command; `address` is host:port of the peer."""
     given = [command.verb, command.shard, "MOVE", str(command.fence)]
     if command.verb == "COPY":
         given += [
@@ -110,7 +110,7 @@
 
 
 class TransferClient:
-    """`addresses`: engine to (host, port), as it is now. `told`: what each disk last said."""
+    """Polls engines and sends commands; `reports` has the last report of each disk."""
 
     def __init__(
         self,
@@ -124,15 +124,13 @@
         self._addresses, self._propose, self._is_leader, self._clock = addresses, propose, leads, clock
         self._counters, self._log_event = counters, say
         self.reports: dict[str, DiskReport] = {}
-        self.on_report: Callable[[DiskReport, int], None] = (
-            lambda disk, now: None
-        )  # hears each word as it comes
+        self.on_report: Callable[[DiskReport, int], None] = lambda disk, now: None
         self._connections: dict[str, _EngineConnection] = {}
         self._tasks: TaskGroup | None = None
-        self._shard_sizes: dict[str, tuple[int, int, int]] = {}  # of shards: bytes, when, and bytes a second
+        self._shard_sizes: dict[str, tuple[int, int, int]] = {}  # by shard: bytes, time, bytes per second
 
     async def run(self) -> None:
-        """Keeps a connection to each engine while this keeper leads; ends with its task."""
+        """Keeps a connection to each engine while this node is the leader."""
         try:
             async with anyio.create_task_group() as self._tasks:
                 while True:
@@ -146,7 +144,7 @@
         known = dict(self._addresses()) if self._is_leader() else {}
         for engine, line in list(self._connections.items()):
             if known.get(engine) != line.address:
-                # Danger: what an earlier leader says must not go on; the next one has the same numbers.
+                # Commands of an earlier leader must not continue, as the next one uses the same fences.
                 del self._connections[engine]
                 self.reports.pop(engine, None)
                 line.close()
@@ -160,7 +158,7 @@
                 self._connections[engine].poll()
 
     def poll(self, engines: Iterable[str]) -> None:
-        """SHARDS at once, where none is out to an engine already; nothing once this keeper does not lead."""
+        """Polls the engines at once unless a poll is unanswered; does nothing unless leader."""
         if self._is_leader():
             for engine in engines:
                 line = self._connections.get(engine)
@@ -175,7 +173,7 @@
                     self._shard_sizes[name] = copy.bytes, at, 0
                 elif at - before[1] >= _GROWTH_INTERVAL_US:
                     rate = max(0, (copy.bytes - before[0]) * 1_000_000 // (at - before[1]))
-                    # The mean of what was and what is: a busy minute counts, and does not decide.
+                    # Averaged with the previous rate to smooth short peaks.
                     self._shard_sizes[name] = copy.bytes, at, (before[2] + rate) // 2 if before[2] else rate
                 copy.growth = self._shard_sizes[name][2]
         disk = self.reports[engine] = DiskReport(
@@ -196,7 +194,7 @@
         self.on_report(disk, self._clock())
 
     def execute(self, steps: Iterable[Command | Proposal]) -> None:
-        """Carries out what the carrier decided; nothing of it once this keeper does not lead."""
+        """Carries out the executor's decisions while this node is the leader."""
         addresses = self._addresses()
         for step in steps:
             if not self._is_leader():
@@ -209,12 +207,12 @@
                 continue
             host, port = addresses.get(step.peer, ("", 0))
             if step.verb in ("COPY", "FOLLOW") and not host:
-                continue  # it comes again once its address is known
+                continue  # repeated once the address is known
             line.send(step, f"{host}:{port}" if host else "")
 
 
 class _EngineConnection:
-    """To one engine: connected, asked, and connected again."""
+    """The connection to one engine, with reconnects."""
 
     def __init__(
         self,
@@ -229,7 +227,7 @@
         self._counters, self._log_event = counters, say
         self._scope = anyio.CancelScope()
         self._stream: streams.SocketStream | None = None
-        self._unanswered: deque[tuple[Command | None, int]] = deque()  # None: SHARDS; when
+        self._unanswered: deque[tuple[Command | None, int]] = deque()  # command (None for SHARDS) and time
 
     def close(self) -> None:
         self._scope.cancel()
@@ -248,7 +246,7 @@
         self._stream.write(message)
 
     async def run(self) -> None:
-        """Until its scope is cancelled."""
+        """Reconnects until closed."""
         pause = _RECONNECT_PAUSE_S
         with self._scope:
             while True:
@@ -262,11 +260,11 @@
                         "disk", "what it answers can't be used", engine=self._engine, why=str(trouble)
                     )
                 except Exception as trouble:
-                    # Danger: a fault of ours on one connection must end that one only.
+                    # A bug must end only the connection that it occurs on.
                     self._counters.add("faults")
                     self._log_event("fault", "on the link to a disk", engine=self._engine, why=repr(trouble))
                 self._unanswered.clear()
-                # One that lived for a while is tried at once again.
+                # The pause is reset after a connection that lasted for a while.
                 pause = (
                     _RECONNECT_PAUSE_S
                     if self._clock() - began > 5_000_000
@@ -286,7 +284,7 @@
                         for body in answers.feed(await self._stream.receive(_ANSWER_TIMEOUT_S)):
                             self._handle_answer(body)
         except BaseExceptionGroup as group:
-            # One cause at a time: the first says why it ended.
+            # The first cause is the reason for the end.
             raise group.exceptions[0] from None
         finally:
             self._stream = None
@@ -297,7 +295,7 @@
         command, asked = self._unanswered.popleft()
         try:
             if command is None:
-                # As old as the question: what changed behind it may be missing.
+                # The report dates from the request, as later changes may be missing.
                 self._on_report(self._engine, _told.decode(body), asked)
                 return
             refused = _answer.decode(body).refused
--- a/cresstray/placement/fleetmap.py
+++ b/cresstray/placement/fleetmap.py
@@ -1,6 +1,6 @@
-"""Builds the fleet that is planned for, out of the placement in force and what disks have told. Pure.
+"""Builds the fleet for the planner from the active placement and the disk reports.
 
-Also what a plan does to each engine, as lines for an operator.
+Also describes the effect of a plan on each engine for an operator.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 from cresstray.placement.model import EngineCapacity, Fleet, Limits, Plan, Shard
 
-# Nothing grows on a dead engine, and nothing is put there: its disk is never the one that is full.
+# A dead engine has no growth and receives no copies, so that its disk must not count as full.
 _UNREPORTED_DISK_BYTES = 1 << 60
 
 
 class PlacedShard(Protocol):
-    """rules.documents.Shard, as far as it is needed here."""
+    """The used part of fleet_config.documents.Shard."""
 
     copies: tuple[str, ...]
     primary: str
 
 
 class DiskCapacity(msgspec.Struct, frozen=True):
-    """What an engine told of itself: bytes that are free, those of each shard there, bytes a second."""
+    """An engine's report: free bytes, bytes of each shard, and throughput in bytes per second."""
 
     engine: str
     zone: str
@@ -34,14 +34,14 @@
 
 
 class ShardLoad(msgspec.Struct, frozen=True):
-    """Of one shard, measured over time: bytes a second, and reads and writes a second."""
+    """Measured load of a shard: growth in bytes per second, and reads and writes per second."""
 
     growth: int = 0
     heat: float = 0.0
 
 
 class UnknownSizeError(ValueError):
-    """A size or an engine that nobody told: a plan made on a guess could fill a disk."""
+    """The size of a shard is unknown; a plan with a guessed size could fill a disk."""
 
 
 def build_fleet(
@@ -53,10 +53,13 @@
     least: int,
     limits: Limits,
 ) -> Fleet:
-    """The fleet as of now. Headroom is a share of the disk, at least `least` bytes; `out` is to be emptied.
+    """Returns the current fleet, with a share of each disk as headroom, at least `least` bytes.
 
-    A shard is as large as the largest of its copies. An engine that told nothing (dead) is taken for one with
-    no pace, and is emptied from the other copies. UnknownError: nobody told the size of a shard.
+    Engines in `out` are to be emptied. A shard is as large as its largest copy. An engine without a report is
+    treated as dead: it has no throughput, and is emptied by means of the other copies.
+
+    Raises:
+        UnknownSizeError: No engine reported the size of a shard.
     """
     told = {disk.engine: disk for disk in disks}
     out = frozenset(out)
@@ -90,7 +93,7 @@
             for name, size in disk.sizes.items()
             if name in placement and engine in placement[name].copies
         )
-        # What else lies there, such as a copy that is half dropped, is not ours: it takes from the disk.
+        # Other data, such as a partly dropped copy, reduces the usable disk.
         space = disk.free + placed
         whole = disk.free + sum(disk.sizes.values())
         headroom = max(int(whole * share), least)
@@ -99,7 +102,7 @@
 
 
 def fleet_after(fleet: Fleet, plan: Plan) -> Fleet:
-    """The fleet as it is when the plan has been carried out, sizes as of now."""
+    """Returns the fleet after the plan, with current sizes."""
     spots = {shard.name: list(shard.copies) for shard in fleet.shards}
     leads = {shard.name: shard.primary for shard in fleet.shards}
     for stage in plan.stages:
@@ -116,7 +119,7 @@
 
 
 def describe_plan(fleet: Fleet, plan: Plan) -> list[str]:
-    """Lines for an operator: the whole, then each engine that gets fuller or emptier, most bytes first."""
+    """Returns lines for an operator: a summary, then each changed engine by decreasing bytes."""
     then = fleet_after(fleet, plan)
     before, later = _held_bytes(fleet), _held_bytes(then)
     came: dict[str, int] = dict.fromkeys(before, 0)
--- a/cresstray/placement/greedy.py
+++ b/cresstray/placement/greedy.py
@@ -1,4 +1,4 @@
-"""Plans to compare with: off the fullest engine until all are even, and one that hashes anew. Pure."""
+"""Baseline plans for comparison: greedy balancing, and rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def greedy_moves(fleet: Fleet) -> tuple[list[Move], bool]:
-    """Off engines that are out, then from the fullest to the emptiest engine, the largest copy that fits.
+    """Empties draining engines, then moves the largest fitting copy from the fullest to the emptiest engine.
 
-    Ends when all are within the tolerance, or when nothing more can go; False if they are not within it.
+    Returns the moves, and whether all engines are within the tolerance.
     """
     task = PlacementProblem(fleet, fleet.limits.tolerance)
     draft = DraftPlacement(task, task.engines_of)
@@ -36,7 +36,7 @@
     for number in range(len(task.engines_of)):
         if task.needs_two_zones[number] and len({task.zone_of[at] for at in draft.engines_of[number]}) < 2:
             put(number, min(draft.engines_of[number]), by_fill())
-    # Every step takes the fullest down, else the next fullest; as many steps as copies are enough.
+    # Each step relieves the fullest engine that can be; one step per copy is enough.
     for _ in range(sum(task.copy_counts)):
         order = by_fill()
         if not any(draft.excess(at) or draft.lack(at) for at in order):
@@ -53,7 +53,7 @@
         for number in sorted(draft.shards_at[source], key=lambda number: (-task.sizes[number], number)):
             size = task.sizes[number]
             usable = task.places[target].usable or 1
-            # It has to make the two more even, or the two would change places without end.
+            # A move that doesn't even out the two engines could be reversed endlessly.
             if (
                 (draft.held_bytes[target] + size) / usable < draft.held_bytes[source] / spare
                 and draft.is_allowed(number, source, target)
@@ -65,7 +65,7 @@
 
 
 def rendezvous_moves(fleet: Fleet) -> list[Move]:
-    """Rendezvous hashing of every shard over the engines that stay, by usable bytes, in two zones."""
+    """Places every shard by rendezvous hashing over the remaining engines, weighted by usable bytes."""
     places = [place for place in fleet.places if not place.is_draining and place.bytes_per_s and place.usable]
     zones = len({place.zone for place in places})
     moves: list[Move] = []
--- a/cresstray/placement/model.py
+++ b/cresstray/placement/model.py
@@ -1,7 +1,7 @@
-"""What a plan is made of: engines with disks, shards with copies, moves. Knows no log, socket or clock.
+"""The data model of a placement plan: engines with disks, shards with copies, and moves.
 
-Sizes are whole bytes, growth and pace whole bytes a second. A disk is what shards may use: what else lies on
-it is taken off before.
+Sizes are whole bytes; growth and transfer rates are whole bytes per second. The size of a disk excludes what
+is stored on it besides shards.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Shard(Struct, frozen=True):
-    """`copies` are on different engines, `primary` is one of them. `heat` decides nothing here."""
+    """A shard with copies on different engines, one of them the primary. `heat` doesn't affect the plan."""
 
     name: str
     size: int
@@ -44,23 +44,33 @@
 
 
 class Limits(Struct, frozen=True):
-    """What a plan keeps to. `tolerance`: so near is each engine's fill (of its usable bytes) to the mean."""
+    """Limits that a plan observes.
+
+    Attributes:
+        tolerance: Maximum difference between an engine's fill (of its usable bytes) and the mean.
+        moves: Concurrent moves of one engine, as source or target.
+        share: Share of an engine's bytes per second for all copies that it sends or receives.
+        border_moves: Concurrent moves between two zones.
+        border_pace: Bytes per second between two zones; 0 for no limit but the engines'.
+    """
 
     tolerance: float = 0.05
-    moves: int = 2  # at once on an engine, those that come and those that go
-    share: float = 0.3  # of an engine's pace, for all copies that it sends or takes
-    border_moves: int = 8  # at once between two zones
-    border_pace: int = 0  # bytes a second between two zones; 0: as the engines allow
+    moves: int = 2
+    share: float = 0.3
+    border_moves: int = 8
+    border_pace: int = 0
 
 
 class Fleet(Struct, frozen=True):
+    """The engines and shards that are planned for, and the limits."""
+
     places: tuple[EngineCapacity, ...]
     shards: tuple[Shard, ...]
     limits: Limits = Limits()
 
 
 class Move(Struct, frozen=True):
-    """A copy leaves `source` for `target`. `hop`: it goes on from there later, to make room meanwhile."""
+    """A copy moves from `source` to `target`; a `hop` is temporary: the copy moves on later."""
 
     shard: str
     source: str
@@ -71,11 +81,15 @@
 
 
 class Plan(Struct, frozen=True):
-    """`stages` are positions in `moves`: those of one run together, the next begins when all are dropped.
+    """Moves and their order.
 
-    `bytes`: what travels, hops with it; `bound`: no plan sends less; `seconds`: how long, as estimated.
-    `tolerance`: what was kept, wider than the limit's where shards are too coarse for that.
-    `late`: engines that outgrow their headroom before a copy can leave them; nothing comes to them till then.
+    Attributes:
+        bytes: Bytes sent in total, including hops.
+        bound: Proven lower bound of the bytes that any plan sends.
+        stages: Indexes into `moves`. A stage starts when all old copies of the previous one are dropped.
+        seconds: Estimated duration.
+        tolerance: The tolerance kept, wider than the limit if the shards are too large for that.
+        late: Engines that outgrow their headroom before a copy can leave; they receive none until then.
     """
 
     moves: tuple[Move, ...]
@@ -88,16 +102,16 @@
 
     @property
     def gap(self) -> float:
-        """The share of the bound that the plan sends beyond it."""
+        """Bytes sent in excess of the bound, as a share of it."""
         return (self.bytes - self.bound) / self.bound if self.bound else float(self.bytes > 0)
 
 
 class PlacementError(Exception):
-    """A plan cannot be; the message is one line for an operator."""
+    """No plan can be made; the message is one line for an operator."""
 
 
 class ImpossibleError(PlacementError):
-    """No placement keeps the rules. `missing`: bytes that engines or zones lack."""
+    """No placement satisfies the constraints. `missing`: bytes that engines or zones lack."""
 
     def __init__(self, why: str, missing: dict[str, int] | None = None) -> None:
         super().__init__(why)
@@ -105,16 +119,16 @@
 
 
 class DeadEndError(PlacementError):
-    """A placement is possible and no order leads there. `missing`: bytes that engines lack on the way."""
+    """A placement exists, but no order of moves reaches it. `missing`: bytes that engines lack meanwhile."""
 
     def __init__(self, why: str, missing: dict[str, int], proven: bool) -> None:
         super().__init__(why)
         self.missing = missing
-        self.proven = proven  # every way was tried; else none was found
+        self.proven = proven  # all orders were tried
 
 
 def validate_fleet(fleet: Fleet) -> None:
-    """ValueError with each fault of what was given; such a fleet is not planned for."""
+    """Raises ValueError with all errors of an invalid fleet."""
     faults: list[str] = []
     known: set[str] = set()
     for place in fleet.places:
@@ -147,12 +161,12 @@
 
 
 def active_zones(fleet: Fleet) -> list[str]:
-    """Zones that have an engine which is not out, in order."""
+    """Returns the sorted zones that have an engine which isn't draining."""
     return sorted({place.zone for place in fleet.places if not place.is_draining})
 
 
 def fill_bounds(fleet: Fleet, tolerance: float) -> dict[str, tuple[int, int]]:
-    """Least and most bytes of each engine that is not out, for a fill near the mean, sizes as of now."""
+    """Returns minimum and maximum bytes of each engine that isn't draining, by current sizes."""
     total = sum(shard.size * len(shard.copies) for shard in fleet.shards)
     places = [place for place in fleet.places if not place.is_draining]
     room = sum(place.usable for place in places)
@@ -170,7 +184,7 @@
 
 
 def tolerance_steps(tolerance: float) -> list[float]:
-    """Tolerances to be tried in turn where shards are too coarse; at 1 balance asks for nothing."""
+    """Returns tolerances to try in turn if shards are too large for the first; 1 requires no balance."""
     steps = [tolerance]
     while steps[-1] < 0.5:
         steps.append(2 * steps[-1] or 0.01)
--- a/cresstray/placement/move_executor.py
+++ b/cresstray/placement/move_executor.py
@@ -1,6 +1,7 @@
-"""What a plan's moves need next: commands for engines, entries for the log. Pure; resumed by any leader.
+"""Decides the next commands for engines and entries for the log that carry out a plan of moves.
 
-A Carrier is made when a keeper begins to lead, and asked only once an entry of its own term has been applied.
+A leader creates a MoveExecutor, and runs it once an entry of its own term is applied. Any leader can resume a
+plan, as its state is in the log.
 """
 
 from __future__ import annotations
@@ -18,51 +19,51 @@
 from cresstray.placement.moves import ActivePlan, Event, MoveProgress, MoveSection, MoveState
 from cresstray.placement.pacing import RateController, Transfer, zone_pair
 
-# A shard's reservation is a sixteenth more than it has, where there is room: what it grows by meanwhile.
+# A reservation adds a sixteenth of the shard's size for growth, if there is space.
 _SPARE_DIVISOR = 16
-# It is told again how fast to copy when the rate has changed by a fifth; finer steps only cost commands.
+# A new rate is sent after a change by a fifth; finer steps only cost commands.
 _RATE_CHANGE = 0.2
-# Checkpoints in the log for each move: sixteen keep what a restart may not know small, and the log short.
+# Sixteen checkpoints per move bound what a restart has to copy again, and keep the log short.
 _CHECKPOINTS_PER_MOVE = 16
 
 
 class ExecutorTimes(NamedTuple):
-    """Microseconds."""
-
-    report_validity_us: int = 3_000_000  # what a disk told is used for so long
-    resend_interval_us: int = 1_000_000  # what shows no effect is said again
-    source_silence_us: int = 5_000_000  # a source silent for so long: another copy is copied from
-    engine_dead_us: int = 60_000_000  # an engine silent for so long counts as dead
-    copy_stall_us: int = 20_000_000  # a copy without a further byte
-    retry_pause_us: int = 1_000_000  # before the next attempt; twice as long each time
+    """Intervals and timeouts of the executor, in microseconds."""
+
+    report_validity_us: int = 3_000_000  # older reports are ignored
+    resend_interval_us: int = 1_000_000  # commands without effect are repeated
+    source_silence_us: int = 5_000_000  # then another copy becomes the source
+    engine_dead_us: int = 60_000_000  # an engine silent for longer counts as dead
+    copy_stall_us: int = 20_000_000  # without a further byte, the copy is retried
+    retry_pause_us: int = 1_000_000  # doubles with each attempt
     max_retry_pause_us: int = 30_000_000
-    max_fenced_us: int = 15_000_000  # a shard stands without a primary for so long, then goes back
-    max_head_age_us: int = 5_000_000  # a copy has caught up when it has the head of so long ago at the most
-    max_catch_up_us: int = 600_000_000  # a copy that follows and does not reach the head
-    max_room_wait_us: int = 60_000_000  # a move waits for room so long while nothing else moves
+    max_fenced_us: int = 15_000_000  # without a primary for longer, the move is rolled back
+    max_head_age_us: int = 5_000_000  # a copy has caught up if it has a head of this age
+    max_catch_up_us: int = 600_000_000  # then a copy that doesn't reach the head is rolled back
+    max_room_wait_us: int = 60_000_000  # wait for space while nothing else moves
 
 
 _TIMES = ExecutorTimes()
-# Copies of a shard in a version.
+# Maximum number of copies of a shard in a placement.
 _MOST_COPIES = 3
-# Attempts before it goes back: with the pauses above about two minutes of failures in a row.
+# A move is rolled back after so many attempts: about two minutes of failures with the pauses above.
 _MAX_ATTEMPTS = 8
 
 
 class CopyReport(msgspec.Struct):
-    """What an engine holds of a shard; `fence`: the last number it was given for it."""
+    """An engine's report of its copy of a shard; `fence` is the last one that it was given for the shard."""
 
     bytes: int
     whole: bool = True
     follows: bool = False
-    primary: bool = False  # it takes writes
+    primary: bool = False  # accepts writes
     epoch: int = 0
     applied: int = 0
-    head: int = 0  # as far as it knows
+    head: int = 0  # the latest one known to the engine
     fence: int = 0
-    reads: int = 0  # open on it now
-    growth: int = 0  # bytes a second, of a primary, as it was measured
-    trouble: str = ""  # why it copies no further: "source", "full" or another word
+    reads: int = 0  # open reads
+    growth: int = 0  # measured bytes per second of a primary
+    trouble: str = ""  # why copying stopped, such as "source" or "full"
 
 
 class DiskReport(msgspec.Struct):
@@ -89,57 +90,58 @@
 
 
 class Command(NamedTuple):
-    """For an engine: each may be given twice, or late."""
+    """A command for an engine, which may arrive late or twice."""
 
     engine: str
     verb: str  # COPY, FOLLOW, SWITCH, DROP, CANCEL
     shard: str
     fence: int
-    peer: str = ""  # COPY, FOLLOW: from whom; SWITCH: the primary's engine, none: fenced
+    peer: str = ""  # COPY, FOLLOW: source engine; SWITCH: the primary, empty while fenced
     offset: int = 0
     rate: int = 0
-    keep: int = 0  # COPY: bytes to be left free
+    keep: int = 0  # COPY: minimum free bytes
     epoch: int = 0
 
 
 class Proposal(NamedTuple):
-    """For the log, as `Node.propose` takes it; `request` names a proposal, and is empty for a step."""
+    """An entry to propose; `request` identifies a placement proposal and is empty for a move step."""
 
     request: str
     data: bytes
 
 
 class _MoveObservation:
-    """What this leader has seen of a move in its present state."""
+    """What this leader has observed of a move in its current state."""
 
     def __init__(self, key: tuple, now: int) -> None:
         self.key, self.since = key, now
         self.bytes, self.grew = -1, now
         self.head, self.head_at = -1, 0
         self.claim = -1
-        self.claim_at: int | None = None  # of the target: a position, and when it was asked
+        self.claim_at: int | None = None  # when the target's position was requested
         self.rate = 0
-        self.final = -1  # head of the old primary once nothing is written
+        self.final = -1  # head of the old primary after its last write
 
 
 class MoveExecutor:
+    """Drives the moves of the active plan; `waits` tells operators what each move waits for."""
+
     def __init__(self, times: ExecutorTimes = _TIMES) -> None:
         self._times, self.rate_controller = times, RateController()
         self._began_us: int | None = None
         self._plan = ""
         self._watches: dict[int, _MoveObservation] = {}
         self._sent_at_us: dict[tuple, int] = {}
-        # Danger: a version proposed for a move behind the entry that sends it back would be committed, and
-        # read where its copy is dropped. Nothing more is proposed for these; what stands before them in the
-        # log is looked at as they are applied.
+        # Moves whose rollback was proposed. A placement proposed afterwards could be committed, and its
+        # readers would use a dropped copy. Placements before the rollback are checked when it is applied.
         self._withdrawn: dict[tuple[int, MoveState, int], tuple[Event, dict]] = {}
-        self._last_proposal: tuple[int, int, int] | None = None  # base version, how often, when
-        self.waits: dict[int, str] = {}  # by move: what it waits for, for operators
+        self._last_proposal: tuple[int, int, int] | None = None  # base version, attempts, time
+        self.waits: dict[int, str] = {}
 
     def next_actions(
         self, state: ConfigState, moves: MoveSection, told: Mapping[str, DiskReport], now: int
     ) -> list[Command | Proposal]:
-        """All that is due now; what was asked for and shows no effect comes again after a while."""
+        """Returns the commands and entries that are due; those without effect are repeated later."""
         if self._began_us is None:
             self._began_us = now
         self._state, self._moves, self._told, self._now = state, moves, told, now
@@ -163,12 +165,12 @@
     # What is known.
 
     def _collect_moves(self, plan: ActivePlan) -> list[tuple[int, MoveProgress]]:
-        """What is under way, and what may begin; for all of it: who is busy, what is promised, how fast."""
+        """Returns moves in progress and moves that may start; updates loads, reservations and rates."""
         planned, done, cancelled = (
             MoveState.PLANNED,
             MoveState.DONE,
             MoveState.CANCELLED,
-        )  # looked up once, of thousands of moves
+        )  # faster than a lookup for each of thousands of moves
         left = [
             (index, move)
             for index, move in enumerate(plan.moves)
@@ -200,15 +202,15 @@
         self._promised[move.target] = self._promised.get(move.target, 0) + self._to_come(move)
 
     def _to_come(self, move: MoveProgress) -> int:
-        """Bytes of its reservation that the target has not taken yet, by its own word."""
+        """Returns the bytes of the reservation that the target hasn't used yet by its report."""
         if move.state is MoveState.ROLLING_BACK:
-            return 0  # nothing more comes
+            return 0  # no more bytes are sent
         disk = self._told.get(move.target)
         copy = disk.copies.get(move.shard) if disk is not None else None
         return max(0, move.reserved_bytes - (copy.bytes if copy is not None else 0))
 
     def _free_bytes(self, engine: str) -> int:
-        """Bytes that may still be promised at an engine; below 0: too many are."""
+        """Returns the bytes that can still be reserved at an engine; negative if too many are."""
         disk = self._told[engine]
         return disk.free - self._headroom(engine) - self._promised.get(engine, 0)
 
@@ -216,14 +218,14 @@
         return max(self._told[engine].headroom, self._moves.plan.headroom.get(engine, 0))
 
     def _moves_to_roll_back(self, live: list[tuple[int, MoveProgress]]) -> set[int]:
-        """Moves to go back, since their target fills: the latest that still copy, until the rest fits."""
+        """Returns the latest copying moves to roll back because their target fills up."""
         lacking = {
             engine: -self._free_bytes(engine)
             for engine in sorted(self._promised)
             if engine in self._told and self._free_bytes(engine) < 0
         }
         for _, move in live:
-            if move.state is MoveState.ROLLING_BACK and move.target in lacking:  # it makes room soon
+            if move.state is MoveState.ROLLING_BACK and move.target in lacking:  # will free space
                 copy = self._told[move.target].copies.get(move.shard)
                 lacking[move.target] -= copy.bytes if copy is not None else 0
         gone: set[int] = set()
@@ -232,7 +234,7 @@
                 move.state is MoveState.RESERVED or move.state is MoveState.COPYING
             ):
                 gone.add(index)
-                # Its promise and, soon, what it has taken.
+                # The rollback frees the reservation.
                 lacking[move.target] -= move.reserved_bytes
         return gone
 
@@ -252,7 +254,7 @@
         return self._silence_us(engine) > self._times.engine_dead_us
 
     def _is_barred(self, engine: str) -> bool:
-        """Danger: a primary on an engine that no gateway may send to takes no writes."""
+        """Returns whether gateways may not send to the engine: a primary there would get no writes."""
         rule = self._state.latest.engines.items.get(engine)
         return rule is not None and (rule.is_barred or not rule.work_fraction)
 
@@ -269,7 +271,7 @@
     # What goes out.
 
     def _is_due(self, key: tuple, every: int | None = None) -> bool:
-        """Whether it is to be said now: first, or again since it showed no effect."""
+        """Returns whether to send now: for the first time, or again without an effect."""
         at = self._sent_at_us.get(key)
         if at is not None and self._now - at < (every or self._times.resend_interval_us):
             return False
@@ -287,13 +289,13 @@
             self._propose_entry(log.MoveStep(self._plan, index, move.state, event, move.fence, **facts))
 
     def _propose_entry(self, entry: log.MoveStep | log.DropConfirmed) -> None:
-        # It is compared and set, so it counts once without a name; names are kept for operators.
+        # Compare-and-set makes the entry idempotent without a request name.
         self._steps.append(
             Proposal("", rules.encode_section_command(log.SECTION_NAME, "", log.encode(entry)))
         )
 
     def _is_withdrawn(self, index: int, move: MoveProgress) -> bool:
-        """Whether it was asked to; said again until the log has it."""
+        """Returns whether a rollback or retry was proposed; repeats it until it is applied."""
         asked = self._withdrawn.get((index, move.state, move.fence))
         if asked is not None:
             self._enter(index, move, asked[0], **asked[1])
@@ -304,10 +306,10 @@
             self._changes[move.shard] = (shard, why)
 
     def _propose_placement(self) -> None:
-        """One version for all that is ready: each costs the fleet a turn."""
+        """Proposes one placement for all ready moves, as each version costs the fleet a turn."""
         state, now = self._state, self._now
         base = state.latest.version("placement")
-        # One after the other: what comes to be ready while one waits for its turn goes together.
+        # One version at a time: moves that become ready meanwhile go into the next one together.
         if not self._changes or base > state.turn // 2:
             return
         times = 0
@@ -318,14 +320,14 @@
         self._last_proposal = base, times, now
         changes = self._changes
         if times:
-            # Danger: one that the checks refuse would hold up all others. They go one by one, in turn.
+            # A refused change would block all others, so that changes are retried one by one.
             names = sorted(changes)
             changes = {name: changes[name] for name in [names[times % len(names)]]}
         items = dict(state.latest.placement.items)
         items.update((name, shard) for name, (shard, _) in sorted(changes.items()))
         placement = documents.Placement(dict(sorted(items.items())))
         after = msgspec.structs.replace(state.latest, placement=placement)
-        # Whatever is committed for this base is so only once; a leader behind asks under the same name.
+        # Only one proposal per base is committed; the next leader reuses the same name.
         request = f"moves/{self._plan}/placement/{base}/{times}"
         why = f"plan {self._plan}: " + ", ".join(why for _, why in changes.values())
         self._steps.append(
@@ -368,7 +370,7 @@
         held = min(size + size // _SPARE_DIVISOR + 1, room)
         if held < size:
             self.waits[index] = f"{move.target} lacks {size - room} bytes"
-            # Others that end may make room. If none are left, the order was proven on other figures.
+            # Other moves may free space. Without any, the plan's figures are outdated.
             if not self._busy and self._now - watch.since > times.max_room_wait_us:
                 self._enter(index, move, Event.ROLL_BACK, why=self.waits[index])
             return
@@ -446,7 +448,7 @@
         return min(self._times.max_retry_pause_us, self._times.retry_pause_us << min(move.attempts - 1, 16))
 
     def _roll_back_if_needed(self, index: int, move: MoveProgress) -> bool:
-        """Of what copies or catches up."""
+        """Rolls back a move that copies or catches up if it can't complete; returns whether it did."""
         why = ""
         shard = self._placed(move)
         if self._moves.plan.cancelled:
@@ -460,7 +462,7 @@
         elif self._is_barred(move.target):
             why = f"{move.target} is barred"
         elif move.primary and self._is_dead(move.source):
-            # Which of its last writes are to be given up is an operator's to say.
+            # An operator has to decide about its last writes.
             why = f"{move.source}, its primary, is gone"
         elif move.attempts >= _MAX_ATTEMPTS:
             why = f"{move.attempts} attempts failed"
@@ -469,7 +471,7 @@
         return bool(why)
 
     def _switch_copy_source(self, index: int, move: MoveProgress, have: int) -> None:
-        """The copy that is copied from is silent: another goes on where it stopped."""
+        """Resumes from another copy, as the current source is silent."""
         self.waits[index] = f"{move.copy_source} does not answer"
         other = self._find_copy_source(move, self._placed(move), move.copy_source)
         if other is not None:
@@ -480,7 +482,7 @@
             )
 
     def _find_copy_source(self, move: MoveProgress, shard: documents.Shard, but: str = "") -> str | None:
-        """A copy that answers and is whole: the one that moves, else any other; not `but`."""
+        """Returns an engine with a complete copy that answers: the source if possible, never `but`."""
         for engine in (move.source, *shard.copies):
             if engine == but:
                 continue
@@ -499,7 +501,7 @@
         self._enter(index, move, Event.RETRY, copied=have)
 
     def _extend_reservation(self, index: int, move: MoveProgress) -> bool:
-        """What the shard has grown by is held too; False: it goes back, for there is no room."""
+        """Extends the reservation by growth; rolls back and returns False without space."""
         disk = self._recent_report(move.copy_source)
         copy = disk.copies.get(move.shard) if disk is not None else None
         if copy is None or move.reserved_bytes - copy.bytes >= copy.bytes // (2 * _SPARE_DIVISOR):
@@ -531,7 +533,7 @@
             self.waits[index] = f"{move.target} does not answer"
             return
         if copy is None or not copy.whole or copy.fence != move.fence:
-            # It lost its disk, or part of it.
+            # The target lost its disk, or part of it.
             self._enter(index, move, Event.RETRY, copied=copy.bytes if copy is not None else 0)
             return
         primary = shard.primary or move.source
@@ -558,12 +560,12 @@
             )
 
     def _near(self, index: int, move: MoveProgress, target: DiskReport, primary: str) -> bool:
-        """Whether the target has the head of a moment ago: told by the primary first, then reached."""
+        """Returns whether the target has reached a recent head that the primary reported before."""
         watch, disk = self._observation(index, move), self._recent_report(primary)
         copy = disk.copies.get(move.shard) if disk is not None else None
         applied = target.copies[move.shard].applied
         if not move.primary and self._is_dead(primary):
-            # Nobody knows the head: the new copy is as good as the one that it replaces.
+            # The head is unknown; the new copy must not be behind the one that it replaces.
             source = self._recent_report(move.copy_source)
             old = source.copies.get(move.shard) if source is not None else None
             return old is not None and applied >= old.applied
@@ -572,10 +574,10 @@
         if watch.claim_at is None or applied <= copy.head:
             watch.claim, watch.claim_at = applied, target.asked_at_us
         if watch.claim > copy.head and disk.asked_at_us < watch.claim_at:
-            return False  # the primary's next word says whether that can be
+            return False  # the primary's next report decides
         claim, watch.claim_at = watch.claim, None
         if claim > copy.head:
-            # Danger: a position beyond the head is a lie; what it has is not known.
+            # A position beyond the head is wrong, so that the copy's content is unknown.
             self.waits[index] = f"{move.target} claims {claim}, beyond the head {copy.head}"
             return False
         applied = claim
@@ -587,7 +589,7 @@
         return watch.head <= applied
 
     def _handle_fenced(self, index: int, move: MoveProgress) -> None:
-        """Nobody writes; the target gets the last of it; then it is the primary."""
+        """Waits until the fenced target has the last write, then makes it the primary."""
         shard, watch = self._placed(move), self._observation(index, move)
         if log.has_moved(move, shard):
             self._enter(index, move, Event.SWITCH)
@@ -604,8 +606,8 @@
             self._enter(index, move, Event.UNFENCE, why="its primary could not be switched in time")
             return
         if shard.primary:
-            # Where there is room for it, the new copy is read already: else nobody could read a shard of one
-            # copy while the next version is joint.
+            # The new copy serves reads already if the copy limit allows. Otherwise a shard with one copy
+            # would be unreadable while the next version is joint.
             copies, reads = shard.copies, shard.reads
             if len(copies) < _MOST_COPIES and move.source in reads:
                 copies, reads = _with(copies, move.target), _with(reads, move.target)
@@ -626,7 +628,7 @@
                 index, Command(move.source, "SWITCH", move.shard, move.fence, epoch=shard.epoch)
             )
         elif old is not None and old.fence == move.fence and source.asked_at_us >= watch.since:
-            # Its own word that it takes no writes, given since: this is the last head there will be.
+            # The old primary reported since the fence that it takes no writes: its head is final.
             watch.final = max(watch.final, old.head)
         if watch.final < 0 or new is None or not new.whole:
             self.waits[index] = "the last writes of the old primary"
@@ -675,7 +677,7 @@
                 self._enter(index, move, Event.ROLL_BACK, why=move.failure_reason)
 
     def _announce_primary(self, index: int, move: MoveProgress, shard: documents.Shard) -> bool:
-        """All copies are told who is primary; whether that one knows."""
+        """Announces the primary to all copies; returns whether the primary knows."""
         for engine in (shard.primary, *shard.copies, move.source):
             disk = self._recent_report(engine)
             copy = disk.copies.get(move.shard) if disk is not None else None
@@ -707,11 +709,11 @@
         copy = target.copies.get(move.shard) if target is not None else None
         old = source.copies.get(move.shard) if source is not None else None
         if copy is None or not copy.whole or not knows:
-            # Danger: the old copy may be the last that is whole. It stays until the new one is seen.
+            # The old copy may be the last complete one. It stays until the new one is seen.
             self.waits[index] = f"{move.target} does not show its copy; the old one is kept"
             if not move.primary and old is not None and old.whole and self._is_dead(move.target):
-                # No write was ever taken by what has moved here, and the old copy went on following. Danger:
-                # a dead primary has taken writes; whether to give them up is an operator's to say.
+                # The moved replica took no writes, and the old copy kept following. A dead primary took
+                # writes, so that an operator has to decide about those.
                 self._want(
                     index,
                     move,
@@ -732,7 +734,7 @@
     def _handle_dropped(self, index: int, move: MoveProgress) -> None:
         shard, source = self._placed(move), self._recent_report(move.source)
         if shard is not None and move.source in shard.copies:
-            self._enter(index, move, Event.DONE)  # placed there again by another: it is that one's now
+            self._enter(index, move, Event.DONE)  # an operator placed the shard there again
         elif source is not None and _holds_nothing(source, move.shard, move.fence):
             self._enter(index, move, Event.DONE)
         elif self._is_dead(move.source):
@@ -751,7 +753,7 @@
         shard, target = self._placed(move), self._recent_report(move.target)
         copy = target.copies.get(move.shard) if target is not None else None
         if shard is not None and move.target in shard.copies:
-            self._enter(index, move, Event.TARGET_FREED)  # placed there by another: not ours to drop
+            self._enter(index, move, Event.TARGET_FREED)  # an operator placed the shard there
         elif target is not None and _holds_nothing(target, move.shard, move.fence):
             self._enter(index, move, Event.TARGET_FREED)
         elif self._is_dead(move.target):
@@ -763,7 +765,7 @@
             self._send_command(index, Command(move.target, "CANCEL", move.shard, move.fence))
 
     def _is_complete_elsewhere(self, name: str, engine: str) -> bool:
-        """Whether a whole copy is seen where it is placed. Danger: else the last one would be dropped."""
+        """Returns whether another placed, complete copy is seen, so that the last one isn't dropped."""
         shard = self._state.latest.placement.items.get(name)
         for other in shard.copies if shard is not None else ():
             disk = self._recent_report(other)
@@ -773,7 +775,7 @@
         return False
 
     def _finish_pending_drops(self) -> None:
-        """What engines that were gone still hold is dropped once they are back."""
+        """Drops the old copies of engines that were dead, once they are back."""
         for (engine, shard), fence in sorted(self._moves.owed.items()):
             disk, placed = self._recent_report(engine), self._state.latest.placement.items.get(shard)
             if disk is None:
@@ -800,7 +802,7 @@
 
 
 def _holds_nothing(disk: DiskReport, shard: str, fence: int) -> bool:
-    """Whether nothing is there, nor can come. Danger: a late COPY; it is refused under this number."""
+    """Returns whether the engine has no copy, and its fence refuses a late COPY."""
     return shard not in disk.copies and disk.numbers.get(shard, 0) >= fence
 
 
--- a/cresstray/placement/moves.py
+++ b/cresstray/placement/moves.py
@@ -1,10 +1,11 @@
-"""What the log knows of a plan under way: each move's state, what is held for it, how far it is.
+r"""The replicated state of a plan: state, reservation and progress of each move.
 
     planned > reserved > copying > catching up > (fenced >) switched > dropped > done
-        \\         \\          \\          \\            \\> unfencing
+        \         \          \          \            \> unfencing
          +---------+----------+-----------+----------------+> back > cancelled
 
-Only moves of a primary are fenced. The table is in docs/placement-moves.md; carrier.py says what comes next.
+Only moves of a primary are fenced. The transition table is in docs/placement-moves.md; move_executor.py
+decides which transition comes next.
 """
 
 from __future__ import annotations
@@ -21,36 +22,36 @@
     from cresstray.fleet_config import documents
     from cresstray.fleet_config.state import ConfigState
 
-SECTION_NAME = "moves"  # of the section in the log
-# Moves in one entry of the log: about 80 bytes each, well below the longest frame.
+SECTION_NAME = "moves"
+# A move takes about 80 bytes, so that an entry is well below the maximum frame size.
 _MOVES_PER_ENTRY = 1000
-# More than a fleet of a thousand engines moves in a plan; a plan is kept whole in each keeper's memory.
+# Each control-plane node keeps the whole plan in memory. Plans for a thousand engines have fewer moves.
 _MAX_MOVES = 50_000
 
 
 class MoveState(Enum):
-    """Where a move is. Each is true once it is committed, and nothing is done before that."""
+    """The state of a move. It holds once it is committed; engines get no command for it before."""
 
-    PLANNED = "planned"  # nothing is held
-    RESERVED = "reserved"  # `held` bytes at the target are its own; the source's are until it is dropped
-    COPYING = "copying"  # the target may hold a part
-    CATCHING_UP = "catching up"  # the target holds all, and follows
-    FENCED = "fenced"  # a version without a primary may be committed, then one with the new primary
-    SWITCHED = "switched"  # the version with the new copy is committed
-    DROPPED = "dropped"  # no lease under the old placement is left: the old copy may be dropped
-    DONE = "done"  # the old copy is gone
-    UNFENCING = "unfencing"  # the old primary is to have its place again
-    ROLLING_BACK = "back"  # what the target holds is to be dropped
-    CANCELLED = "cancelled"  # nothing is held, the old copy stays
+    PLANNED = "planned"  # nothing is reserved
+    RESERVED = "reserved"  # space at the target is reserved; the source keeps its copy
+    COPYING = "copying"  # the target may hold a partial copy
+    CATCHING_UP = "catching up"  # the target has a complete copy and follows the primary
+    FENCED = "fenced"  # the primary stops taking writes, then the new one takes over
+    SWITCHED = "switched"  # the placement with the new copy is committed
+    DROPPED = "dropped"  # no lease under the old placement is left: the source may drop its copy
+    DONE = "done"  # the old copy is dropped
+    UNFENCING = "unfencing"  # the old primary is being restored
+    ROLLING_BACK = "back"  # the target drops its copy
+    CANCELLED = "cancelled"  # nothing is reserved; the old copy stays
 
 
 FINISHED_STATES = frozenset((MoveState.DONE, MoveState.CANCELLED))
-UNRESERVED_STATES = frozenset(
-    (MoveState.PLANNED, MoveState.DONE, MoveState.CANCELLED)
-)  # they hold nothing anywhere
+UNRESERVED_STATES = frozenset((MoveState.PLANNED, MoveState.DONE, MoveState.CANCELLED))
 
 
 class Event(Enum):
+    """A transition of a move, as written in a MoveStep."""
+
     RESERVE = "reserve"
     COPY = "copy"
     CHECKPOINT = "checkpoint"
@@ -66,7 +67,7 @@
     TARGET_FREED = "freed"
 
 
-# State and event > next state; what is not here changes nothing.
+# Next state by state and event; other combinations are refused.
 _NEXT: dict[tuple[MoveState, Event], MoveState] = {
     (MoveState.PLANNED, Event.RESERVE): MoveState.RESERVED,
     (MoveState.PLANNED, Event.ROLL_BACK): MoveState.CANCELLED,
@@ -87,11 +88,11 @@
     (MoveState.UNFENCING, Event.SWITCH): MoveState.SWITCHED,
     (MoveState.UNFENCING, Event.ROLL_BACK): MoveState.ROLLING_BACK,
     (MoveState.SWITCHED, Event.DROP): MoveState.DROPPED,
-    (MoveState.SWITCHED, Event.DONE): MoveState.DONE,  # only where the placement was changed by another
+    (MoveState.SWITCHED, Event.DONE): MoveState.DONE,  # only if an operator changed the placement
     (MoveState.DROPPED, Event.DONE): MoveState.DONE,
     (MoveState.ROLLING_BACK, Event.TARGET_FREED): MoveState.CANCELLED,
 }
-# Engines are given a new number with these, and refuse what comes under an older one.
+# Events that assign a new fence; engines refuse commands with an older one.
 _FENCING = frozenset((Event.COPY, Event.RETRY, Event.ROLL_BACK, Event.DROP))
 
 
@@ -149,17 +150,19 @@
 
 
 class BeginPlan(msgspec.Struct, array_like=True, tag="b"):
+    """One part of a new plan; `moves` has the first fields of each MoveProgress."""
+
     id: str
     who: str
     limits: model.Limits
     headroom: dict[str, int]
     part: int
     parts: int
-    moves: list[tuple[str, str, str, int, bool, bool, int]]  # as the first fields of Moving
+    moves: list[tuple[str, str, str, int, bool, bool, int]]
 
 
 class MoveStep(msgspec.Struct, array_like=True, tag="s"):
-    """Compare and set: it counts only while the move is `was`, under `fence`."""
+    """A compare-and-set transition: ignored unless the move has the expected state and fence."""
 
     plan: str
     move: int
@@ -170,16 +173,18 @@
     held: int = 0
     feed: str = ""
     why: str = ""
-    owed: bool = False  # of DONE and FREED: the engine is gone; what it holds is dropped once it is back
+    owed: bool = False  # for DONE and FREED: the engine is dead and drops its copy once it is back
 
 
 class CancelPlan(msgspec.Struct, array_like=True, tag="c"):
+    """Cancels the active plan."""
+
     id: str
     who: str
 
 
 class DropConfirmed(msgspec.Struct, array_like=True, tag="p"):
-    """An engine that was gone holds nothing any more of what it was to drop, or holds it rightly."""
+    """A returned engine no longer holds a copy that it was to drop, or has been assigned it again."""
 
     engine: str
     shard: str
@@ -195,13 +200,13 @@
 _decode = msgspec.msgpack.Decoder(BeginPlan | MoveStep | CancelPlan | DropConfirmed)
 _encode = msgspec.msgpack.Encoder()
 _NONE: Mapping[str, int] = {}
-APPLIED, ALREADY_APPLIED = b"done", b"before"  # outcomes; else b"refused: ..."
+APPLIED, ALREADY_APPLIED = b"done", b"before"  # other outcomes are b"refused: ..."
 
 
 def begin_entries(
     id: str, who: str, plan: model.Plan, limits: model.Limits, headroom: Mapping[str, int] = _NONE
 ) -> list[bytes]:
-    """The entries that begin a plan, in order; each to be committed before the next is proposed."""
+    """Returns the log entries that start a plan; each is proposed once the previous one is committed."""
     stage_of = {index: stage for stage, moves in enumerate(plan.stages) for index in moves}
     if sorted(stage_of) != list(range(len(plan.moves))):
         raise ValueError("the plan's order does not name each move once")
@@ -221,18 +226,22 @@
 
 
 def encode(entry: MoveStep | CancelPlan | DropConfirmed) -> bytes:
+    """Encodes an entry for the log."""
     return _encode.encode(entry)
 
 
 class MoveSection:
-    """The section; every keeper applies the same entries and has the same state."""
+    """The replicated section; all control-plane nodes apply the same entries."""
 
     def __init__(self) -> None:
         self.plan: ActivePlan | None = None
-        self.serial = 0  # the last number given to engines, over all plans
-        self.owed: dict[tuple[str, str], int] = {}  # engine and shard that it is to drop, once it is back
+        self.serial = 0  # the last fence given to engines, over all plans
+        self.owed: dict[
+            tuple[str, str], int
+        ] = {}  # fence by engine and shard to drop, once the engine is back
 
     def apply(self, state: ConfigState, data: bytes) -> bytes:
+        """Applies a committed entry; returns its outcome."""
         try:
             entry = _decode.decode(data)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
@@ -240,11 +249,12 @@
         return self._TAKES[type(entry)](self, state, entry)
 
     def snapshot(self) -> bytes:
+        """Returns the encoded state."""
         owed = [(engine, shard, fence) for (engine, shard), fence in sorted(self.owed.items())]
         return _encode.encode(_MovesSnapshot(self.plan, self.serial, owed))
 
     def restore(self, data: bytes) -> None:
-        """ValueError where it is no dump."""
+        """Restores a snapshot; raises ValueError if it is invalid."""
         try:
             kept = msgspec.msgpack.decode(data, type=_MovesSnapshot) if data else _MovesSnapshot(None, 0, [])
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
@@ -253,7 +263,7 @@
         self.owed = {(engine, shard): fence for engine, shard, fence in kept.owed}
 
     def status(self) -> dict:
-        """For operators: how far it is, in plain values."""
+        """Returns the progress as plain values for operators."""
         if self.plan is None:
             return {"plan": None}
         plan, states = self.plan, dict.fromkeys((at.value for at in MoveState), 0)
@@ -278,7 +288,7 @@
         }
 
     def reserving_moves(self, engine: str) -> Iterator[MoveProgress]:
-        """Moves that keep room at an engine as their target."""
+        """Yields moves with a reservation at an engine."""
         if self.plan is not None:
             yield from (
                 move
@@ -329,7 +339,7 @@
         if why:
             return f"refused: {why}".encode()
         if move.state is MoveState.SWITCHED and to is MoveState.DONE:
-            # Whoever changed the placement has decided; what it names at neither end is dropped in time.
+            # The operator's placement decides: an end that it doesn't name drops its copy later.
             shard = state.latest.placement.items.get(move.shard)
             for engine in (move.source, move.target):
                 if shard is not None and engine not in shard.copies:
@@ -339,7 +349,7 @@
         return APPLIED
 
     def _rejection_reason(self, state: ConfigState, move: MoveProgress, entry: MoveStep) -> str:
-        """Why an event may not be yet, by the documents; carrier.py has looked before, and may be late."""
+        """Returns why the documents forbid an event, if so; the executor may have seen older ones."""
         shard = state.latest.placement.items.get(move.shard)
         event = entry.event
         if event is Event.RESERVE and (self.plan.halted or self.plan.cancelled):
@@ -350,7 +360,7 @@
             return "no version with the new copy is committed"
         if event is Event.SWITCH and move.primary and move.state is MoveState.CATCHING_UP:
             return "a primary is fenced first"
-        # Danger: a version that is committed behind a move's way back has readers where it is dropped.
+        # If the new placement were committed after the rollback, its readers would use a dropped copy.
         if event in (Event.ROLL_BACK, Event.RETRY) and has_moved(move, shard):
             return "the version with the new copy is committed"
         if (
@@ -378,11 +388,11 @@
             move.reserved_bytes = max(move.reserved_bytes, entry.held)
             move.copy_source = entry.feed or move.copy_source
         elif event is Event.COPY:
-            self.owed.pop((move.target, move.shard), None)  # its copy counts for the new number now
+            self.owed.pop((move.target, move.shard), None)  # the copy belongs to the new fence now
         elif event is Event.CHECKPOINT or event is Event.COPIED:
             move.copied_bytes = max(move.copied_bytes, entry.copied)
         elif event is Event.RETRY:
-            # What the target has by its own word: less than the checkpoint where it lost its disk.
+            # The size reported by the target, below the checkpoint if it lost its disk.
             move.attempts, move.copied_bytes = move.attempts + 1, entry.copied
             move.copy_source = entry.feed or move.copy_source
         elif event in (Event.ROLL_BACK, Event.UNFENCE) or event is Event.DONE and entry.why:
@@ -396,7 +406,7 @@
             move.reserved_bytes = 0
 
     def _halt(self, plan: ActivePlan, why: str) -> None:
-        """What is begun goes on, for its room is held; the order behind it is proven no longer."""
+        """Cancels moves that haven't started, as their order is no longer valid; others have their space."""
         plan.halted = why
         for move in plan.moves:
             if move.state is MoveState.PLANNED:
@@ -413,8 +423,8 @@
             return ALREADY_APPLIED
         plan.cancelled = True
         for move in plan.moves:
-            # Danger: a version proposed for one that catches up may stand behind this entry in the log. The
-            # rest is sent back by the leader, which then proposes nothing more for it.
+            # A placement proposed for a move that catches up may follow this entry in the log. So the leader
+            # rolls back the other moves, and then proposes nothing more for them.
             if move.state in (MoveState.PLANNED, MoveState.RESERVED):
                 move.state, move.reserved_bytes, move.failure_reason = (
                     MoveState.CANCELLED,
@@ -438,7 +448,7 @@
 
 
 def _validation_error(moves: Iterable[MoveProgress], shards: dict[str, documents.Shard]) -> str:
-    """Why a plan can't be carried out from this placement, followed to its end; none: it can."""
+    """Returns why the plan can't be carried out from this placement, or an empty string."""
     copies: dict[str, list[str]] = {}
     primary: dict[str, str] = {}
     begun: dict[str, int] = {}
@@ -463,7 +473,7 @@
 
 
 def has_moved(move: MoveProgress, shard: documents.Shard | None) -> bool:
-    """Whether the move's version, or a later one with the same outcome, is this one."""
+    """Returns whether the shard is placed as after the move."""
     return (
         shard is not None
         and move.target in shard.copies
@@ -473,9 +483,9 @@
 
 
 def in_force(state: ConfigState, shard: str) -> bool:
-    """Whether a shard's last committed placement is what all act on: no lease under an older one is left.
+    """Returns whether no lease under an older placement of the shard is left.
 
-    At turn 2v and 2v + 1 version v is in force: who holds a lease acts at one of these, or has none.
+    Version v is in force at turns 2v and 2v + 1: lease holders act by one of these.
     """
     if state.latest.version("placement") <= state.turn // 2:
         return True
--- a/cresstray/placement/order.py
+++ b/cresstray/placement/order.py
@@ -1,7 +1,7 @@
-"""The order of moves under headroom at every moment: stages, hops over a third engine, dead ends. Pure.
+"""Orders moves in stages that keep headroom at every moment, with hops over a third engine if needed.
 
-A stage ends when all of its old copies are dropped, so space is held at both ends for all of it, and what
-grows meanwhile counts. Every order is played to its end before it is returned.
+A stage ends when all of its old copies are dropped: until then both ends hold the copies, which grow. Every
+order is simulated to its end before it is returned.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 from cresstray.placement.model import DeadEndError, EngineCapacity, Fleet, Move, Shard, active_zones
 
-# States looked at before a search is given up: some seconds, and all there are in what a test tries.
+# The search stops after so many states, some seconds; small fleets have fewer in all.
 _MAX_STATES = 100_000
-# Placements of one shard beyond this many in all are too many to search them whole.
+# With more pairs of shard and engine, an exhaustive search takes too long.
 _MAX_SEARCHED_PAIRS = 400
 
 CopyEngines = tuple[str, ...]
 
 
 class Order(NamedTuple):
-    """`moves` in the order of their stages, hops among them; `seconds`: as estimated, growth held to it."""
+    """Moves in the order of their stages, with hops; `seconds` is an estimate that growth is based on."""
 
     moves: tuple[Move, ...]
     stages: tuple[tuple[int, ...], ...]
@@ -31,7 +31,7 @@
 
 
 class PlacementState:
-    """Where copies are at one moment of a plan, and what engines hold then."""
+    """The location of all copies and the usage of all engines at one moment of a plan."""
 
     def __init__(self, fleet: Fleet, lenient: bool = False) -> None:
         self.fleet, self.lenient = fleet, lenient
@@ -48,7 +48,7 @@
             for copy in shard.copies:
                 self.base_bytes[copy] += shard.size
                 self.growth_per_s[copy] += shard.growth
-        # Over from the start: such an engine takes nothing until it is under, and is no fault of the plan.
+        # Engines that are too full at the start receive nothing until they aren't; the plan isn't at fault.
         self.used_targets: set[str] = set()
         self.outgrown: set[str] = set()
         self.over_full = {
@@ -56,13 +56,15 @@
         }
 
     def held_bytes(self, engine: str, at: int) -> int:
+        """Returns the bytes that an engine holds at the given second."""
         return self.base_bytes[engine] + self.growth_per_s[engine] * at
 
     def free_bytes(self, engine: str, at: int) -> int:
+        """Returns the free bytes above the headroom at the given second; negative if too full."""
         return self.places[engine].usable - self.held_bytes(engine, at)
 
     def missing_bytes(self) -> dict[str, int]:
-        """Engines that stay and are over at this moment, with the bytes missing."""
+        """Returns the bytes that engines lack now, except draining ones."""
         return {
             engine: -self.free_bytes(engine, self.now_s)
             for engine, place in self.places.items()
@@ -70,7 +72,7 @@
         }
 
     def may_move(self, shard: str, source: str, target: str) -> bool:
-        """Whether a shard may move so: to an engine that takes copies, and not out of its second zone."""
+        """Returns whether the target accepts copies and the shard stays in two zones."""
         spots, places = self.engines_of[shard], self.places
         if (
             source not in spots
@@ -84,20 +86,21 @@
         return len({places[spot].zone for spot in spots if spot != source} | {places[target].zone}) > 1
 
     def reader(self, move: Move) -> str | None:
-        """Which engine sends: the source, or another copy's where the source is dead. None: nobody can."""
+        """Returns the engine that sends: the source, or another copy's if the source is dead."""
         if self.places[move.source].bytes_per_s:
             return move.source
         others = [spot for spot in sorted(self.engines_of[move.shard]) if self.places[spot].bytes_per_s]
         return others[0] if others else None
 
     def zone_border(self, reader: str, target: str) -> tuple[str, str] | None:
+        """Returns the two zones that a copy crosses, or None within a zone."""
         one, other = self.places[reader].zone, self.places[target].zone
         return None if one == other else (min(one, other), max(one, other))
 
     def copy_seconds(
         self, move: Move, reader: str, reads: int, writes: int, crosses: int, at: int
     ) -> int | None:
-        """Seconds, with so many moves beside it at both ends and on its border. None: it never catches up."""
+        """Returns the duration with concurrent moves at both ends and between zones; None if endless."""
         limits, shard = self.limits, self.shards[move.shard]
         pace = min(
             int(self.places[reader].bytes_per_s * limits.share) // reads,
@@ -110,7 +113,7 @@
         return max(1, -(-(shard.size + shard.growth * at) // (pace - shard.growth)))
 
     def worst_case_seconds(self, move: Move) -> int | None:
-        """Seconds with as many beside it as the limits allow."""
+        """Returns the duration with as many concurrent moves as the limits allow."""
         reader = self.reader(move)
         if reader is None:
             return None
@@ -118,7 +121,7 @@
         return self.copy_seconds(move, reader, self.limits.moves, self.limits.moves, crosses, self.now_s)
 
     def stage_seconds(self, stage: list[Move]) -> int | None:
-        """How long these last beside each other. None: one of them never ends."""
+        """Returns the duration of concurrent moves; None if one of them never ends."""
         readers = [self.reader(move) for move in stage]
         ends: Counter[str] = Counter(move.target for move in stage)
         ends.update(reader for reader in readers if reader)
@@ -140,9 +143,9 @@
         return longest
 
     def pick_stage(self, wanted: list[Move], until: int, whole: bool = True) -> list[Move]:
-        """As many of these, the first first, as limits and room allow up to that second.
+        """Returns the moves, by order, that limits and space allow until the given second.
 
-        `whole` False: stops at the first that has to wait.
+        Unless `whole`, stops at the first move that has to wait.
         """
         picked: list[Move] = []
         ends: Counter[str] = Counter()
@@ -177,7 +180,7 @@
         return picked
 
     def apply_stage(self, stage: list[Move]) -> str | None:
-        """One stage to its end. What it breaks, if anything; the ground is of no use then."""
+        """Applies a stage; returns the violation, if any, after which the state is unusable."""
         lasts = self.stage_seconds(stage)
         if lasts is None:
             return "a shard grows faster than it is copied"
@@ -212,7 +215,7 @@
 
 
 def pair_moves(fleet: Fleet, shard: Shard, after: CopyEngines | list[str]) -> list[Move]:
-    """The moves that bring a shard's copies to `after`; within a zone where that goes, to spare borders."""
+    """Returns the moves that bring a shard's copies to `after`, within zones if possible."""
     zones = {place.engine: place.zone for place in fleet.places}
     sources = sorted(set(shard.copies) - set(after))
     targets = sorted(set(after) - set(shard.copies))
@@ -228,10 +231,12 @@
 
 
 def order_moves(fleet: Fleet, moves: list[Move] | tuple[Move, ...]) -> Order:
-    """Stages for these moves, with hops where it needs them.
+    """Returns stages for the moves, with hops if needed.
 
-    An engine that outgrows its headroom before anything can leave it is told as late, and takes nothing till
-    then. DeadEndError names the engines and the bytes that they lack.
+    An engine that outgrows its headroom before a copy can leave is listed as late and receives none.
+
+    Raises:
+        DeadEndError: No order was found; names the engines and the bytes that they lack.
     """
     rest = list(moves)
     stages, stuck = _build_stages(PlacementState(fleet), rest)
@@ -271,12 +276,12 @@
 
 
 def stages_in_order(fleet: Fleet, path: list[Move]) -> Order:
-    """Stages for moves that have to begin in this order."""
+    """Returns stages for moves that must start in this order."""
     ground, rest, stages = PlacementState(fleet), list(path), []
     while rest:
         lasts = max((ground.worst_case_seconds(move) or 0 for move in rest[:1]), default=0)
         stage = ground.pick_stage(rest, ground.now_s + lasts, whole=False) or rest[:1]
-        # A longer one beside it may let the first grow over its room: then the first goes alone.
+        # With a longer move in the stage, the first could outgrow its space; it then runs alone.
         kept = (
             [move for move in stage if (ground.worst_case_seconds(move) or 0) <= lasts]
             if stage[1:]
@@ -300,7 +305,7 @@
 def _build_stages(
     ground: PlacementState, moves: list[Move], hops: bool = False
 ) -> tuple[list[list[Move]], list[Move]]:
-    """Stages as full as they may be, and the moves for which there is no stage."""
+    """Returns stages that are as full as possible, and the moves that fit in none."""
     pending, stages = list(moves), []
     hopped: Counter[str] = Counter()
     while pending:
@@ -350,9 +355,9 @@
 def _cheapest_hops(
     ground: PlacementState, pending: list[Move], hopped: Counter[str]
 ) -> tuple[list[Move], list[Move]] | None:
-    """The cheapest way to make room for a move that waits: copies leave its target for a third engine.
+    """Returns the cheapest hops off the target of a waiting move, and the moves that are pending then.
 
-    These moves, and what is pending then: a copy that was to leave goes on from there, another comes back.
+    A copy that was to leave moves on from the third engine; any other copy comes back.
     """
     best: tuple[int, list[Move], list[Move]] | None = None
     leaving = {(move.shard, move.source): move for move in pending}
@@ -398,14 +403,14 @@
     leaving: dict[tuple[str, str], Move],
     hopped: Counter[str],
 ) -> list[Move] | None:
-    """Copies that give an engine so many bytes when they leave for others with room."""
-    # A copy that hops without end would keep the order from ending: twice is enough for any seen.
+    """Returns moves to other engines that free so many bytes on an engine."""
+    # Without a limit, hops could repeat endlessly.
     here = [
         ground.shards[name]
         for name in ground.engines_of
         if name != but and engine in ground.engines_of[name] and hopped[name] < 2
     ]
-    # Those that have to leave anyway first; then the smallest that is enough, else the largest.
+    # Copies that leave anyway come first, then the smallest that is enough, else the largest.
     here.sort(
         key=lambda shard: (
             (shard.name, engine) not in leaving,
@@ -451,9 +456,10 @@
     away: Callable[[int, CopyEngines], int],
     most: int = _MAX_STATES,
 ) -> tuple[list[Move] | None, bool]:
-    """The moves of fewest bytes, one after the other and hops among them, to a placement that is a goal.
+    """Searches the sequence of moves, with hops, that reaches a goal placement with the fewest bytes.
 
-    `away`: copies of a shard (by its number) that have to move yet. None, with True if every way was tried.
+    `away` returns how many copies of a shard (by index) still have to move. The result is the moves or None,
+    and whether the search was exhaustive.
     """
     places = [place for place in fleet.places if not place.is_draining and place.bytes_per_s]
     if len(fleet.shards) * len(places) > _MAX_SEARCHED_PAIRS:
@@ -511,7 +517,7 @@
 
 
 def _number_stages(fleet: Fleet, stages: list[list[Move]], lenient: bool = False) -> Order:
-    """Numbered, hops and primaries marked, and once more played from the beginning."""
+    """Returns the order with hops and primaries marked, after simulating it from the start."""
     ground, told, numbers = PlacementState(fleet, lenient), [], []
     later = [(move.shard, move.source) for stage in stages for move in stage]
     for stage in stages:
@@ -537,7 +543,7 @@
 
 
 def _missing_room(ground: PlacementState, moves: list[Move]) -> dict[str, int]:
-    """Of each target that has no room for the smallest move that waits for it: the bytes missing."""
+    """Returns the bytes that targets lack for the smallest move that waits for them."""
     missing: dict[str, int] = {}
     for move in moves:
         shard = ground.shards[move.shard]
@@ -548,7 +554,7 @@
 
 
 def _dead_end_message(what: str, missing: dict[str, int]) -> str:
-    # More names would not make the line clearer; all are in the error's `missing`.
+    # `missing` has all engines.
     lacks = [f"engine {engine} lacks {count} bytes" for engine, count in list(missing.items())[:8]]
     more = f" and {len(missing) - 8} further engines" if len(missing) > 8 else ""
     return what + (": " + ", ".join(lacks) + more if lacks else ", for limits or zones")
--- a/cresstray/placement/pacing.py
+++ b/cresstray/placement/pacing.py
@@ -1,4 +1,4 @@
-"""How fast each copy may go: a share of the pace of both ends, less while either is under pressure."""
+"""Transfer rates of copies: a share of both engines' throughput, less while either is overloaded."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 if TYPE_CHECKING:
     from cresstray.placement.move_executor import DiskReport
 
-# The signs by which the module holds work back from an engine: cores three quarters busy, two threads a core.
+# An engine is overloaded with three quarters of its cores busy, or two threads per core.
 _BUSY_UTILIZATION, _MAX_THREADS_PER_CORE = 0.75, 2.0
-# Halved at each report under pressure, an eighth of all back at each calm one. Never below a sixteenth, so
-# that a plan ends on a fleet that is always busy.
+# The part is halved at each report of overload, and regains an eighth at each other one. It stays above a
+# sixteenth, so that a plan ends on a fleet that is always busy.
 _BACK_OFF_FACTOR, _RECOVERY_STEP, _MIN_PART = 0.5, 0.125, 1 / 16
-# Without a word for so long an engine is taken to be under pressure, in microseconds.
+# An engine without a report for so long is treated as overloaded.
 _MAX_SILENCE_US = 2_000_000
 
 
 class Transfer(NamedTuple):
-    """A copy under way; `key` is the caller's."""
+    """A copy in progress; the caller chooses `key`."""
 
     key: int
     source: str
@@ -28,18 +28,18 @@
 
 
 class RateController:
-    """Rates in bytes a second. Keeps for each engine how far it has backed off."""
+    """Computes rates in bytes per second, with a backoff for each engine."""
 
     def __init__(self) -> None:
         self._parts: dict[str, float] = {}
         self._reported_at_us: dict[str, int] = {}
 
     def part(self, engine: str) -> float:
-        """How much of its share an engine is given now."""
+        """Returns how much of its share an engine may use now."""
         return self._parts.get(engine, 1.0)
 
     def on_reports(self, told: Mapping[str, DiskReport], now: int) -> None:
-        """Takes each new report once; told is by engine, its `at` when it came."""
+        """Adjusts the backoff by the reports of engines, each report once."""
         for engine in [engine for engine in self._reported_at_us if engine not in told]:
             del self._reported_at_us[engine]
             self._parts.pop(engine, None)
@@ -59,7 +59,7 @@
     def transfer_rates(
         self, flows: Iterable[Transfer], limits: Limits, told: Mapping[str, DiskReport]
     ) -> dict[int, int]:
-        """Of each flow: no engine's and no border's flows have more than its share together."""
+        """Returns the rate of each transfer; no engine and no zone border exceeds its share in total."""
         flows = list(flows)
         ends: dict[str, int] = {}
         borders: dict[tuple[str, str], int] = {}
@@ -83,7 +83,7 @@
 
 
 def is_pressed(disk: DiskReport) -> bool:
-    """Whether an engine's own report tells of pressure; `depth`: what it keeps waiting."""
+    """Returns whether an engine's report shows overload; `depth` is the length of its queue."""
     return (
         disk.util >= _BUSY_UTILIZATION
         or disk.depth > max(1.0, disk.cores)
@@ -93,6 +93,6 @@
 
 
 def zone_pair(one: str, other: str, told: Mapping[str, DiskReport]) -> tuple[str, str]:
-    """The border that lies between two engines, either way the same; one zone twice: none."""
+    """Returns the sorted zones of two engines; the same zone twice means no border."""
     zones = [told[engine].zone if engine in told else "" for engine in (one, other)]
     return min(zones), max(zones)
--- a/cresstray/placement/plan_builder.py
+++ b/cresstray/placement/plan_builder.py
@@ -1,4 +1,4 @@
-"""A placement in the making: what each engine would hold, and repairs and savings by single copies. Pure."""
+"""Draft placements: what each engine would hold, and repairs and improvements by moving single copies."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class PlacementProblem:
-    """A fleet by numbers: engines that stay, what each may hold, and what grows until `horizon` seconds."""
+    """A fleet with engines and shards as indexes; growth is added for `horizon` seconds."""
 
     def __init__(self, fleet: Fleet, tolerance: float, horizon: int = 0) -> None:
         self.fleet, self.tolerance, self.horizon = fleet, tolerance, horizon
@@ -22,24 +22,25 @@
         self.sizes = [shard.size for shard in fleet.shards]
         self.grown_sizes = [shard.size + shard.growth * horizon for shard in fleet.shards]
         self.copy_counts = [len(shard.copies) for shard in fleet.shards]
-        # Copies on engines that stay; the others leave whatever is decided.
+        # Copies on draining engines leave in any case.
         self.engines_of = [
             {number[copy] for copy in shard.copies if copy in number} for shard in fleet.shards
         ]
         self.needs_two_zones = [self.zone_count > 1 and count > 1 for count in self.copy_counts]
-        # A dead engine keeps what it has, and takes nothing.
+        # A dead engine keeps its copies and receives none.
         self.accepts_copies = [place.bytes_per_s > 0 for place in self.places]
 
-    def moves(self, spots: list[set[int]]) -> list[Move]:
-        told: list[Move] = []
-        for shard, old, new in zip(self.fleet.shards, self.engines_of, spots):
+    def moves(self, engines_of: list[set[int]]) -> list[Move]:
+        """Returns the moves from the current placement to the given one."""
+        moves: list[Move] = []
+        for shard, old, new in zip(self.fleet.shards, self.engines_of, engines_of):
             if old != new or len(old) < len(shard.copies):
-                told += pair_moves(self.fleet, shard, sorted(self.places[at].engine for at in new))
-        return told
+                moves += pair_moves(self.fleet, shard, sorted(self.places[at].engine for at in new))
+        return moves
 
 
 class DraftPlacement:
-    """`spots` of each shard; `held` and `grown` bytes of each engine, now and at the horizon."""
+    """A placement under construction: engines of each shard, bytes of each engine now and at the horizon."""
 
     def __init__(self, task: PlacementProblem, spots: list[set[int]]) -> None:
         self.task = task
@@ -57,7 +58,7 @@
         (self.shards_at[at].add if sign > 0 else self.shards_at[at].discard)(number)
 
     def move_copy(self, number: int, source: int | None, target: int | None) -> None:
-        """One copy leaves one engine, or none, for another, or for none."""
+        """Moves a copy between engines; None as an end adds or removes the copy."""
         if source is not None:
             self.engines_of[number].discard(source)
             self._count(number, source, -1)
@@ -67,13 +68,14 @@
 
     @property
     def bytes(self) -> int:
+        """Bytes that the draft sends."""
         task = self.task
         return sum(
             size * len(new - old) for size, old, new in zip(task.sizes, task.engines_of, self.engines_of)
         )
 
     def excess(self, at: int) -> int:
-        """Bytes that have to leave an engine, for balance or for headroom at the horizon."""
+        """Returns the bytes that must leave an engine, for balance or for headroom at the horizon."""
         return max(
             self.held_bytes[at] - self.task.max_bytes[at],
             self.grown_bytes[at] - self.task.places[at].usable,
@@ -81,9 +83,11 @@
         )
 
     def lack(self, at: int) -> int:
+        """Returns the bytes that an engine is below its minimum."""
         return max(0, self.task.min_bytes[at] - self.held_bytes[at])
 
     def is_valid(self) -> bool:
+        """Returns whether the draft satisfies all constraints."""
         task = self.task
         return (
             not any(self.excess(at) or self.lack(at) for at in range(len(task.places)))
@@ -95,7 +99,7 @@
         )
 
     def is_allowed(self, number: int, source: int | None, target: int) -> bool:
-        """Whether a shard's rules allow this copy there; a zone counts once all of its copies are placed."""
+        """Returns whether the target may take the copy; zones are checked once all copies are placed."""
         task, spot = self.task, self.engines_of[number]
         if target in spot or not (task.accepts_copies[target] or target in task.engines_of[number]):
             return False
@@ -105,6 +109,7 @@
         return len(rest) + 1 < task.copy_counts[number] or any(zone != task.zone_of[target] for zone in rest)
 
     def fits(self, number: int, target: int) -> bool:
+        """Returns whether the target has room for a copy of the shard."""
         task = self.task
         return (
             self.held_bytes[target] + task.sizes[number] <= task.max_bytes[target]
@@ -112,7 +117,7 @@
         )
 
     def place_copy(self, number: int, source: int | None) -> bool:
-        """A copy goes where most is lacking, else where most room is; False where nothing fits."""
+        """Places a copy on the engine that lacks most, else has most room; returns False if none fits."""
         task = self.task
         best, rank = None, (0.0, 0.0)
         for at in range(len(task.places)):
@@ -127,7 +132,7 @@
         return True
 
     def complete(self) -> bool:
-        """Copies without an engine are placed, the largest first; then what is over or short is repaired."""
+        """Places the remaining copies, largest first, then repairs engines with too much or too little."""
         task = self.task
         loose = [
             number
@@ -151,7 +156,7 @@
         return False
 
     def _make_room(self, number: int) -> bool:
-        """Room for one copy where another can leave for elsewhere; the smallest that is enough."""
+        """Places a copy by moving another one, the smallest that frees enough."""
         task = self.task
         for at in sorted(
             range(len(task.places)), key=lambda at: (self.held_bytes[at] - task.max_bytes[at], at)
@@ -172,7 +177,7 @@
         return False
 
     def _spread_over_zones(self) -> bool:
-        """Shards with all copies in one zone get one elsewhere."""
+        """Moves a copy of each shard that has all copies in one zone."""
         task = self.task
         for number, spot in enumerate(self.engines_of):
             if task.needs_two_zones[number] and len({task.zone_of[at] for at in spot}) < 2:
@@ -183,7 +188,7 @@
         return True
 
     def _repair(self) -> bool:
-        # Each step helps an engine that is over or short; more steps than copies mean that it goes round.
+        # Each step helps one engine. More steps than this mean that the repair cycles.
         for _ in range(2 * sum(self.task.copy_counts) + 10):
             over = max(range(len(self.held_bytes)), key=lambda at: (self.excess(at), -at), default=None)
             if over is None:
@@ -204,7 +209,7 @@
         ranked = sorted(
             self.shards_at[at],
             key=lambda number: (
-                at in task.engines_of[number],  # what came by this plan leaves for nothing more
+                at in task.engines_of[number],  # a copy that moves in this plan costs nothing more
                 task.sizes[number] < excess,
                 task.sizes[number] if task.sizes[number] >= excess else -task.sizes[number],
                 number,
@@ -213,7 +218,7 @@
         return any(task.sizes[number] and self.place_copy(number, at) for number in ranked)
 
     def _fill(self, at: int) -> bool:
-        """The copy that brings an engine nearest to what it lacks, from one that can spare it."""
+        """Moves in the copy closest in size to what the engine lacks, from an engine that can spare it."""
         task, lack = self.task, self.lack(at)
         best, rank = None, None
         for source in range(len(task.places)):
@@ -238,8 +243,8 @@
         return True
 
     def reduce_moves(self) -> None:
-        """Moves that nothing asks for are undone, and larger ones become smaller, until nothing gives."""
-        # Each round sends fewer bytes; what is still found after some rounds is a few bytes.
+        """Undoes unnecessary moves and replaces large ones by smaller ones until neither saves bytes."""
+        # Each round sends fewer bytes; later rounds save only a few.
         for _ in range(8):
             before = self.bytes
             self._undo()
@@ -277,7 +282,7 @@
                 continue
             size = task.sizes[number]
             self.move_copy(number, new, None)
-            # At least so much has to come to the one, and to leave the other.
+            # Minimum bytes that must come to `new` and leave `old`.
             need = max(
                 self.lack(new),
                 self.held_bytes[old] + size - task.max_bytes[old],
--- a/cresstray/placement/planner.py
+++ b/cresstray/placement/planner.py
@@ -1,7 +1,8 @@
-"""The plan: fewest bytes by scipy's milp (HiGHS), a bound that is proven, and always the best found so far.
+"""Plans the moves that send the fewest bytes, with a proven lower bound, by integer programs (HiGHS).
 
-Runs in a process of its own (worker.py). Small fleets are solved whole; large ones by a relaxation that says
-what leaves, repairs, and a milp over the few copies and engines that matter.
+Runs in a process of its own (worker.py). Small fleets are solved exactly. Large ones are solved by a
+relaxation that selects the copies to move, by repairs, and by an integer program over selected copies and
+engines.
 """
 
 from __future__ import annotations
@@ -29,17 +30,17 @@
 from cresstray.placement.order import CopyEngines, Order, order_moves, search_moves, stages_in_order
 from cresstray.placement.plan_builder import DraftPlacement, PlacementProblem
 
-# Shards times engines up to which the whole problem is one milp: it proves its best within a second or so.
+# Up to so many pairs of shard and engine, one integer program proves the optimum within about a second.
 _MAX_EXACT_PAIRS = 600
-# HiGHS takes a row for kept that is broken by so much of its scale; what it says is checked in whole bytes.
+# HiGHS accepts constraint violations of this relative size, so its solutions are checked in whole bytes.
 _SOLVER_TOLERANCE = 1e-6
-# Beyond the bound: so near, a milp over what leaves finds little; so far, one over where copies go is worth
-# its time. With more shards or columns than these, neither finds anything in a minute.
+# Within _NEAR_GAP of the bound, an integer program over the leaving copies finds little; beyond _FAR_GAP, one
+# over the targets is worth its time. With more shards or columns, neither finds anything in a minute.
 _NEAR_GAP, _FAR_GAP, _MAX_INTEGRAL_SHARDS, _MAX_COLUMNS = 0.005, 0.02, 1_500, 30_000
 
 
 class _ConstraintRows:
-    """A sparse matrix in the making: rows with their least and most."""
+    """Rows of a sparse constraint matrix with their lower and upper bounds."""
 
     def __init__(self) -> None:
         self.rows: list[int] = []
@@ -86,9 +87,12 @@
     found: Callable[[Plan], None] | None = None,
     clock: Callable[[], float] = time.monotonic,
 ) -> Plan:
-    """The plan that sends the fewest bytes, as far as `seconds` go; `found` hears of each better one at once.
+    """Returns the best plan found in `seconds`; `found` is called with each better plan at once.
 
-    ValueError: no fleet. ImpossibleError: no placement keeps the rules. DeadEndError: no order leads there.
+    Raises:
+        ValueError: The fleet is invalid.
+        ImpossibleError: No placement satisfies the constraints.
+        DeadEndError: No order of moves reaches a placement.
     """
     validate_fleet(fleet)
     _check_feasible(fleet)
@@ -108,7 +112,7 @@
 
 
 class _Search:
-    """One tolerance."""
+    """The search for a plan at one tolerance."""
 
     def __init__(
         self,
@@ -137,7 +141,7 @@
         return self.deadline - self.clock()
 
     def run(self) -> Plan | None:
-        """None: there is no placement at this tolerance, or none was found. DeadEndError: no order to any."""
+        """Returns the best plan, or None without a placement; raises DeadEndError if none is reachable."""
         whole = len(self.task.sizes) * len(self.task.places) <= _MAX_EXACT_PAIRS
         if whole:
             self._solve_exactly()
@@ -157,7 +161,7 @@
         if answer.engines_of is not None:
             self._offer(answer.engines_of)
         if self.best is None or self.best.bytes > self.bound:
-            # Hops cost bytes that no milp counts: all ways are tried, if there are few.
+            # Hops cost bytes that the integer program ignores. All orders are tried if there are few.
             band = fill_bounds(self.fleet, self.tolerance)
             path, tried = search_moves(
                 self.fleet, _goal_test(self.fleet, band), _misplaced_copies(self.fleet)
@@ -199,7 +203,7 @@
         return self.best is not None and self.best.bytes <= self.bound * (1 + gap)
 
     def _solve_reduced(self, hint: MilpResult) -> None:
-        """A milp over the copies that move in any plan so far, and the engines that they may go to."""
+        """Solves an integer program over the copies that move in any plan so far and their targets."""
         task = self.task
         drafts = [spots for spots in (hint.engines_of, self.best_engines) if spots is not None]
         moving = {
@@ -221,7 +225,7 @@
             self._offer(answer.engines_of)
 
     def _allow_for_growth(self, whole: bool) -> None:
-        """What grows meanwhile breaks every order: room is left for it, for as long as the moves may take."""
+        """Plans again with room for growth during the moves, as growth made every order fail."""
         if not any(shard.growth for shard in self.fleet.shards):
             return
         share, task = self.fleet.limits.share, self.task
@@ -231,7 +235,7 @@
         for move in moves:
             ends.update({move.source: move.bytes, move.target: move.bytes})
         horizon = int(max(ends.values(), default=0) / max(1.0, slow)) + len(moves) // 100 + 1
-        # As long as the busiest engine takes, and longer where stages wait for each other.
+        # The time of the busiest engine, then longer horizons as stages wait for each other.
         for factor in (1, 2, 4):
             self.task = PlacementProblem(self.fleet, self.tolerance, horizon * factor)
             if whole:
@@ -288,13 +292,11 @@
 
 
 def solve_relaxation(task: PlacementProblem, seconds: float, whole: bool = False) -> MilpResult:
-    """What every placement sends at least: which copies leave, and how much comes to each engine and zone.
+    """Solves a relaxation: which copies leave, and how many bytes each engine and zone receives.
 
-    `whole`: copies leave whole or not at all. Else it is linear, done in seconds for the largest fleets, and
-    its bound is as good in all that was measured.
-
-    Which engine of a zone a copy goes to is left open: whatever any placement does, this may do. In its spots
-    copies that leave are on no engine yet.
+    With `whole`, copies are indivisible. Otherwise the problem is linear, takes seconds for the largest
+    fleets, and its bound is as good. The target engine within a zone is left open, so that every placement
+    satisfies the relaxation. In the result, copies that leave are on no engine yet.
     """
     rows = _ConstraintRows()
     scale = max(1, sum(task.sizes) // max(1, len(task.sizes)))
@@ -317,7 +319,7 @@
         rows.add(own + new, task.copy_counts[number], task.copy_counts[number])
         for zone in range(task.zone_count):
             near = [(column[number, at], 1.0) for at in sorted(spot) if task.zone_of[at] == zone]
-            # An engine that already has the shard takes no other copy of it.
+            # An engine holds at most one copy of a shard.
             upper[new[zone][0]] = min(task.copy_counts[number], in_zone[zone] - len(near))
             if task.needs_two_zones[number]:
                 rows.add([*near, new[zone]], 0, task.copy_counts[number] - 1)
@@ -337,7 +339,7 @@
         cost[comes + number * task.zone_count : comes + (number + 1) * task.zone_count] = size / scale
     integral = numpy.zeros(width)
     integral[:comes] = int(whole)
-    # Nearer than a hundredth it takes minutes, and repairs and savings come much nearer in no time.
+    # A gap below 1% takes minutes, while repairs get much closer at once.
     found = milp(
         cost,
         constraints=rows.matrix(width),
@@ -353,7 +355,7 @@
         for at, (number, where) in enumerate(stay):
             if found.x[at] > 0.5:
                 spots[number].add(where)
-    # A linear problem proves nothing until it is done.
+    # An unfinished linear problem gives no bound.
     bound = found.mip_dual_bound if whole else found.fun if found.status == 0 else None
     return MilpResult(spots, _bytes(bound, scale), False)
 
@@ -361,7 +363,7 @@
 def solve_exact(
     task: PlacementProblem, columns: list[tuple[int, int]] | None, seconds: float, under: int | None = None
 ) -> MilpResult:
-    """The fewest bytes over these pairs of shard and engine, or all; `under`: only what sends fewer."""
+    """Minimizes bytes over the given pairs of shard and engine, or all, to fewer than `under`."""
     if columns is None:
         columns = [
             (number, at)
@@ -413,12 +415,12 @@
             if found.x[at] > 0.5:
                 spots[number].add(where)
         if not DraftPlacement(task, spots).is_valid():
-            spots = None  # broken by a few bytes, inside HiGHS's tolerance
+            spots = None  # violated by a few bytes, within the tolerance of HiGHS
     return MilpResult(spots, _bytes(found.mip_dual_bound, scale), False)
 
 
 def _bytes(bound: float | None, scale: int) -> int:
-    """A bound of HiGHS in whole bytes, on the safe side of its tolerance."""
+    """Converts a bound of HiGHS to whole bytes, less its tolerance."""
     if bound is None or not math.isfinite(bound) or bound <= 0:
         return 0
     return max(0, math.ceil((bound - _SOLVER_TOLERANCE * max(1.0, bound)) * scale))
@@ -448,7 +450,7 @@
 
 
 def _check_feasible(fleet: Fleet) -> None:
-    """ImpossibleError for what can be said without a search."""
+    """Raises ImpossibleError if no search is needed to see that no placement exists."""
     places = [place for place in fleet.places if not place.is_draining]
     most = max((len(shard.copies) for shard in fleet.shards), default=0)
     if most > len(places):
@@ -469,7 +471,7 @@
 
 
 def _missing(fleet: Fleet) -> dict[str, int]:
-    """Bytes that the engines that stay lack as a whole."""
+    """Returns the bytes that all remaining engines lack in total."""
     lack = sum(shard.size * len(shard.copies) for shard in fleet.shards) - sum(
         place.usable for place in fleet.places if not place.is_draining
     )
--- a/cresstray/placement/worker.py
+++ b/cresstray/placement/worker.py
@@ -1,7 +1,7 @@
-"""The solver in a process of its own: python -m cresstray.placement.worker reads a fleet and writes plans.
+"""Runs the solver in a process of its own: `python -m cresstray.placement.worker`.
 
-msgpack on both pipes: a frame is four bytes of length, the highest first, and that many of a body. In: the
-seconds and the fleet. Out: each better plan at once, and at last the final one, or why there is none.
+The pipes carry msgpack messages, each after its length in four bytes (big-endian). The worker reads the time
+limit and the fleet. It writes each better plan at once, and finally the best plan or the reason for none.
 """
 
 from __future__ import annotations
@@ -16,19 +16,21 @@
 
 from cresstray.placement.model import DeadEndError, Fleet, ImpossibleError, PlacementError, Plan
 
-# Beyond the limit: to load scipy, to read the fleet, and to prove the order of what was found last.
+# Time beyond the limit to load scipy, to read the fleet, and to order the moves of the last plan.
 _KILL_MARGIN_S = 10.0
-# 5,000 shards are some 0.5 MB, their plan less. Danger: a length that is no length would take all memory.
+# 5,000 shards take about 0.5 MB, and their plan less. A corrupt length could exhaust the memory.
 _MAX_FRAME_BYTES = 256_000_000
 
 
 class SolverRequest(msgspec.Struct, array_like=True):
+    """The input of the worker."""
+
     seconds: float
     fleet: Fleet
 
 
 class SolverReply(msgspec.Struct, array_like=True):
-    """One answer. `kind`: better, final, impossible, dead end or fault."""
+    """One reply of the worker; `kind` is better, final, impossible, dead end or fault."""
 
     kind: str
     plan: Plan | None = None
@@ -38,16 +40,20 @@
 
 
 class WorkerError(PlacementError):
-    """The process could not be started, died, or had no plan when its time was over."""
+    """The worker process couldn't be started, died, or found no plan in time."""
 
 
 def plan_in_worker(
     fleet: Fleet, seconds: float, margin: float = _KILL_MARGIN_S, heard: Callable[[Plan], None] | None = None
 ) -> Plan:
-    """The best plan within `seconds`; the process is killed `margin` later, and what it had found counts.
+    """Returns the best plan within `seconds`; the process is killed `margin` later, and its last plan counts.
+
+    Blocks, so that an event loop calls it in a thread. `heard` is called with each better plan, in another
+    thread.
 
-    Blocks: an event loop calls it in a thread. ImpossibleError, DeadEndError and ValueError as of solve();
-    WorkerError else. `heard` is called with each better plan, in another thread.
+    Raises:
+        ImpossibleError, DeadEndError, ValueError: As by planner.solve().
+        WorkerError: The worker failed.
     """
     command = [sys.executable, "-m", "cresstray.placement.worker"]
     try:
@@ -59,7 +65,7 @@
     told: list[SolverReply] = []
     errors: list[bytes] = []
     reads = threading.Thread(target=_receive_replies, args=(process, told, heard), daemon=True)
-    # Read beside it, or a long traceback would fill the pipe and hold the process up.
+    # Stderr is read concurrently, as a long traceback would fill the pipe and block the process.
     complains = threading.Thread(target=lambda: errors.append(process.stderr.read()[-2000:]), daemon=True)
     reads.start()
     complains.start()
@@ -70,7 +76,7 @@
             _write_frame(process.stdin, msgspec.msgpack.encode(SolverRequest(seconds, fleet)))
             process.stdin.close()
         except BrokenPipeError:
-            pass  # it has died: its errors say why
+            pass  # the process died; its stderr says why
         reads.join()
         process.wait()
         complains.join()
@@ -112,7 +118,7 @@
 
 
 def _read_frame(source: BinaryIO) -> bytes | None:
-    """None at the end, in a torn frame, and at a length that cannot be."""
+    """Returns the next body, or None at the end, for an incomplete frame or an invalid length."""
     head = source.read(4)
     length = int.from_bytes(head)
     if len(head) < 4 or length > _MAX_FRAME_BYTES:
@@ -127,10 +133,11 @@
 
 
 def main() -> None:
+    """Solves one request from stdin and writes the replies to stdout."""
     from cresstray.placement.planner import solve  # loads scipy, which only this process needs
 
     sink = sys.stdout.buffer
-    sys.stdout = sys.stderr  # what a library prints must not fall between the frames
+    sys.stdout = sys.stderr  # output of libraries must not mix with the frames
 
     def say(told: SolverReply) -> None:
         _write_frame(sink, msgspec.msgpack.encode(told))
