--- a/cresstray/placement/check.py
+++ b/cresstray/placement/check.py
@@ -38,10 +38,10 @@
         self.overfull = {engine for engine, free in self._free_bytes(0, []).items() if free < 0}
         second = 0
         for number, stage in enumerate(plan.stages):
-            lasts = self._replay_stage(number, stage, second)
-            if lasts is None:
+            duration_s = self._replay_stage(number, stage, second)
+            if duration_s is None:
                 return self.breaches_found
-            second += lasts
+            second += duration_s
         if second != plan.seconds:
             self.breaches_found.append(f"takes {second} s and says {plan.seconds}")
         self._check_end(second)
@@ -59,27 +59,27 @@
         return free
 
     def _replay_stage(self, number: int, stage: tuple[int, ...], second: int) -> int | None:
-        told, moves = self.breaches_found, [self.plan.moves[at] for at in stage]
-        before = len(told)
+        found, moves = self.breaches_found, [self.plan.moves[at] for at in stage]
+        before = len(found)
         loads: dict[str, int] = {}
         borders: dict[tuple[str, ...], int] = {}
         reads: list[str] = []
         for move in moves:
             name, engines = move.shard, self.engines_of.get(move.shard)
             if engines is None or move.source not in engines or move.target not in self.places:
-                told.append(f"stage {number}: {move.shard} is not on {move.source}")
+                found.append(f"stage {number}: {move.shard} is not on {move.source}")
                 return None
             if move.target in engines:
-                told.append(f"stage {number}: {move.target} has {name} already")
+                found.append(f"stage {number}: {move.target} has {name} already")
             if self.places[move.target].is_draining:
-                told.append(f"stage {number}: {move.target} is out and takes {name}")
+                found.append(f"stage {number}: {move.target} is out and takes {name}")
             if move.bytes != self.shards[name].size:
-                told.append(f"stage {number}: {name} has not {move.bytes} bytes")
+                found.append(f"stage {number}: {name} has not {move.bytes} bytes")
             if move.primary != (self.primary_of[name] == move.source):
-                told.append(f"stage {number}: {name} and its primary part")
+                found.append(f"stage {number}: {name} and its primary part")
             alive = [one for one in [move.source, *sorted(engines)] if self.places[one].bytes_per_s > 0]
             if not alive:
-                told.append(f"stage {number}: no engine can send {name}")
+                found.append(f"stage {number}: no engine can send {name}")
                 return None
             reads.append(alive[0])
             for engine in (alive[0], move.target):
@@ -88,19 +88,19 @@
             if len(pair) > 1:
                 borders[pair] = borders.get(pair, 0) + 1
         if len({move.shard for move in moves}) < len(moves):
-            told.append(f"stage {number}: a shard moves twice")
+            found.append(f"stage {number}: a shard moves twice")
         limits = self.fleet.limits
-        told += [
+        found += [
             f"stage {number}: {count} moves at once on {engine}"
             for engine, count in loads.items()
             if count > limits.moves
         ]
-        told += [
+        found += [
             f"stage {number}: {count} moves at once between {' and '.join(pair)}"
             for pair, count in borders.items()
             if count > limits.border_moves
         ]
-        lasts = 0
+        duration_s = 0
         for move, reader in zip(moves, reads):
             shard = self.shards[move.shard]
             paces = [
@@ -112,14 +112,14 @@
                 paces.append(limits.border_pace // borders[pair])
             gain = min(paces) - shard.growth
             if gain <= 0:
-                told.append(f"stage {number}: {move.shard} grows faster than it is copied")
+                found.append(f"stage {number}: {move.shard} grows faster than it is copied")
                 return None
             size = shard.size + shard.growth * second
-            lasts = max(lasts, 1, (size + gain - 1) // gain)
+            duration_s = max(duration_s, 1, (size + gain - 1) // gain)
         targets = {move.target for move in moves}
         self.used_targets |= targets
         # Usage peaks when all new copies are complete and no old one is dropped yet.
-        free = self._free_bytes(second + lasts, [(move.shard, move.target) for move in moves])
+        free = self._free_bytes(second + duration_s, [(move.shard, move.target) for move in moves])
         self._check_headroom(f"stage {number}", free, targets)
         for move in moves:
             engines = self.engines_of[move.shard]
@@ -127,13 +127,13 @@
             engines.remove(move.source)
             engines.append(move.target)
             if self.zones > 1 and len(zones) > 1 == len({self.places[engine].zone for engine in engines}):
-                told.append(f"stage {number}: {move.shard} is left in one zone")
+                found.append(f"stage {number}: {move.shard} is left in one zone")
             if self.primary_of[move.shard] == move.source:
                 self.primary_of[move.shard] = move.target
         self.overfull -= {
-            engine for engine, left in self._free_bytes(second + lasts, []).items() if left >= 0
+            engine for engine, left in self._free_bytes(second + duration_s, []).items() if left >= 0
         }
-        return None if len(told) > before + _MAX_BREACHES else lasts
+        return None if len(found) > before + _MAX_BREACHES else duration_s
 
     def _check_headroom(self, when: str, free: dict[str, int], targets: set[str]) -> None:
         for engine, left in free.items():
@@ -145,19 +145,19 @@
                 self.overfull.discard(engine)
 
     def _check_end(self, second: int) -> None:
-        told, free = self.breaches_found, self._free_bytes(second, [])
+        found, free = self.breaches_found, self._free_bytes(second, [])
         held = {place.engine: 0 for place in self.fleet.places}
         for name, engines in self.engines_of.items():
-            told += [
+            found += [
                 f"at the end: {name} is on {engine}, which is out"
                 for engine in engines
                 if self.places[engine].is_draining
             ]
             if self.zones > 1 and len(engines) > 1 == len({self.places[engine].zone for engine in engines}):
-                told.append(f"at the end: {name} is in one zone")
+                found.append(f"at the end: {name} is in one zone")
             for engine in engines:
                 held[engine] += self.shards[name].size
-        told += [
+        found += [
             f"at the end: {engine} lacks {-left} bytes of its headroom"
             for engine, left in free.items()
             if left < 0 and not self.places[engine].is_draining
@@ -172,6 +172,6 @@
         for place in stays:
             room = max(0, place.disk_bytes - place.headroom)
             if abs(held[place.engine] - mean * room) > near * room:
-                told.append(
+                found.append(
                     f"at the end: {place.engine} is further than {self.plan.tolerance:g} from the mean fill"
                 )
--- a/cresstray/placement/fleetmap.py
+++ b/cresstray/placement/fleetmap.py
@@ -61,10 +61,10 @@
     Raises:
         UnknownSizeError: No engine reported the size of a shard.
     """
-    told = {disk.engine: disk for disk in disks}
+    reports = {disk.engine: disk for disk in disks}
     out = frozenset(out)
     sizes: dict[str, int] = {}
-    for disk in told.values():
+    for disk in reports.values():
         for name, size in disk.sizes.items():
             sizes[name] = max(size, sizes.get(name, 0))
     unknown = sorted(name for name in placement if name not in sizes)
@@ -83,8 +83,8 @@
         for name, placed in sorted(placement.items())
     )
     places = []
-    for engine in sorted(told.keys() | {copy for shard in shards for copy in shard.copies}):
-        disk = told.get(engine)
+    for engine in sorted(reports.keys() | {copy for shard in shards for copy in shard.copies}):
+        disk = reports.get(engine)
         if disk is None:
             places.append(EngineCapacity(engine, "", _UNREPORTED_DISK_BYTES, 0, 0, True))
             continue
--- a/cresstray/placement/move_executor.py
+++ b/cresstray/placement/move_executor.py
@@ -139,15 +139,15 @@
         self.waits: dict[int, str] = {}
 
     def next_actions(
-        self, state: ConfigState, moves: MoveSection, told: Mapping[str, DiskReport], now: int
+        self, state: ConfigState, moves: MoveSection, reports: Mapping[str, DiskReport], now: int
     ) -> list[Command | Proposal]:
         """Returns the commands and entries that are due; those without effect are repeated later."""
         if self._began_us is None:
             self._began_us = now
-        self._state, self._moves, self._told, self._now = state, moves, told, now
+        self._state, self._moves, self._reports, self._now_us = state, moves, reports, now
         self._steps: list[Command | Proposal] = []
         self._changes: dict[str, tuple[documents.Shard, str]] = {}
-        self.rate_controller.on_reports(told, now)
+        self.rate_controller.on_reports(reports, now)
         self._finish_pending_drops()
         plan = moves.plan
         if plan is not None and plan.received_parts == plan.parts:
@@ -188,7 +188,7 @@
             for index, move in live
             if move.state is MoveState.COPYING
         ]
-        self._rates = self.rate_controller.transfer_rates(flows, plan.limits, self._told)
+        self._rates = self.rate_controller.transfer_rates(flows, plan.limits, self._reports)
         self._short = self._moves_to_roll_back(live)
         if plan.halted or plan.cancelled:
             return live
@@ -197,7 +197,7 @@
     def _count_move(self, move: MoveProgress) -> None:
         for engine in (move.source, move.target):
             self._busy[engine] = self._busy.get(engine, 0) + 1
-        border = zone_pair(move.source, move.target, self._told)
+        border = zone_pair(move.source, move.target, self._reports)
         self._borders[border] = self._borders.get(border, 0) + 1
         self._promised[move.target] = self._promised.get(move.target, 0) + self._to_come(move)
 
@@ -205,28 +205,28 @@
         """Returns the bytes of the reservation that the target hasn't used yet by its report."""
         if move.state is MoveState.ROLLING_BACK:
             return 0  # no more bytes are sent
-        disk = self._told.get(move.target)
+        disk = self._reports.get(move.target)
         copy = disk.copies.get(move.shard) if disk is not None else None
         return max(0, move.reserved_bytes - (copy.bytes if copy is not None else 0))
 
     def _free_bytes(self, engine: str) -> int:
         """Returns the bytes that can still be reserved at an engine; negative if too many are."""
-        disk = self._told[engine]
+        disk = self._reports[engine]
         return disk.free - self._headroom(engine) - self._promised.get(engine, 0)
 
     def _headroom(self, engine: str) -> int:
-        return max(self._told[engine].headroom, self._moves.plan.headroom.get(engine, 0))
+        return max(self._reports[engine].headroom, self._moves.plan.headroom.get(engine, 0))
 
     def _moves_to_roll_back(self, live: list[tuple[int, MoveProgress]]) -> set[int]:
         """Returns the latest copying moves to roll back because their target fills up."""
         lacking = {
             engine: -self._free_bytes(engine)
             for engine in sorted(self._promised)
-            if engine in self._told and self._free_bytes(engine) < 0
+            if engine in self._reports and self._free_bytes(engine) < 0
         }
         for _, move in live:
             if move.state is MoveState.ROLLING_BACK and move.target in lacking:  # will free space
-                copy = self._told[move.target].copies.get(move.shard)
+                copy = self._reports[move.target].copies.get(move.shard)
                 lacking[move.target] -= copy.bytes if copy is not None else 0
         gone: set[int] = set()
         for index, move in reversed(live):
@@ -239,16 +239,16 @@
         return gone
 
     def _recent_report(self, engine: str) -> DiskReport | None:
-        disk = self._told.get(engine)
+        disk = self._reports.get(engine)
         return (
             disk
-            if disk is not None and self._now - disk.asked_at_us <= self._times.report_validity_us
+            if disk is not None and self._now_us - disk.asked_at_us <= self._times.report_validity_us
             else None
         )
 
     def _silence_us(self, engine: str) -> int:
-        disk = self._told.get(engine)
-        return self._now - max(self._began_us, disk.asked_at_us if disk is not None else 0)
+        disk = self._reports.get(engine)
+        return self._now_us - max(self._began_us, disk.asked_at_us if disk is not None else 0)
 
     def _is_dead(self, engine: str) -> bool:
         return self._silence_us(engine) > self._times.engine_dead_us
@@ -262,7 +262,7 @@
         key = (move.state, move.fence, move.attempts)
         watch = self._watches.get(index)
         if watch is None or watch.key != key:
-            watch = self._watches[index] = _MoveObservation(key, self._now)
+            watch = self._watches[index] = _MoveObservation(key, self._now_us)
         return watch
 
     def _placed(self, move: MoveProgress) -> documents.Shard | None:
@@ -273,9 +273,9 @@
     def _is_due(self, key: tuple, every: int | None = None) -> bool:
         """Returns whether to send now: for the first time, or again without an effect."""
         at = self._sent_at_us.get(key)
-        if at is not None and self._now - at < (every or self._times.resend_interval_us):
+        if at is not None and self._now_us - at < (every or self._times.resend_interval_us):
             return False
-        self._sent_at_us[key] = self._now
+        self._sent_at_us[key] = self._now_us
         return True
 
     def _send_command(self, index: int, command: Command) -> None:
@@ -307,7 +307,7 @@
 
     def _propose_placement(self) -> None:
         """Proposes one placement for all ready moves, as each version costs the fleet a turn."""
-        state, now = self._state, self._now
+        state, now = self._state, self._now_us
         base = state.latest.version("placement")
         # One version at a time: moves that become ready meanwhile go into the next one together.
         if not self._changes or base > state.turn // 2:
@@ -359,10 +359,10 @@
         if feed is None or self._recent_report(move.target) is None:
             silent = move.source if feed is None else move.target
             self.waits[index] = f"{silent} does not answer, or does not hold it"
-            if self._is_dead(silent) or self._now - watch.since > times.engine_dead_us:
+            if self._is_dead(silent) or self._now_us - watch.since > times.engine_dead_us:
                 self._enter(index, move, Event.ROLL_BACK, why=self.waits[index])
             return
-        copy = self._told[feed].copies[move.shard]
+        copy = self._reports[feed].copies[move.shard]
         if not self._within_limits(plan.limits, move):
             return
         size = max(move.bytes, copy.bytes)
@@ -371,14 +371,14 @@
         if held < size:
             self.waits[index] = f"{move.target} lacks {size - room} bytes"
             # Other moves may free space. Without any, the plan's figures are outdated.
-            if not self._busy and self._now - watch.since > times.max_room_wait_us:
+            if not self._busy and self._now_us - watch.since > times.max_room_wait_us:
                 self._enter(index, move, Event.ROLL_BACK, why=self.waits[index])
             return
         self._count_move(msgspec.structs.replace(move, reserved_bytes=held))
         self._enter(index, move, Event.RESERVE, held=held, feed=feed)
 
     def _within_limits(self, limits: Limits, move: MoveProgress) -> bool:
-        border = zone_pair(move.source, move.target, self._told)
+        border = zone_pair(move.source, move.target, self._reports)
         return max(self._busy.get(move.source, 0), self._busy.get(move.target, 0)) < limits.moves and (
             border[0] == border[1] or self._borders.get(border, 0) < limits.border_moves
         )
@@ -413,16 +413,16 @@
                 self._enter(index, move, Event.COPIED, copied=have)
                 return
             if have > watch.bytes:
-                watch.bytes, watch.grew = have, self._now
-            if copy.trouble or self._now - watch.grew > stuck:
+                watch.bytes, watch.grew = have, self._now_us
+            if copy.trouble or self._now_us - watch.grew > stuck:
                 self._retry_copy(index, move, have, copy.trouble or "no further byte")
                 return
             if have - move.copied_bytes >= max(1, move.bytes // _CHECKPOINTS_PER_MOVE):
                 self._enter(index, move, Event.CHECKPOINT, copied=have)
-        elif self._now - watch.since > stuck:
+        elif self._now_us - watch.since > stuck:
             self._retry_copy(index, move, have, "it is not begun")
             return
-        if self._now - watch.since < self._retry_pause_us(move):
+        if self._now_us - watch.since < self._retry_pause_us(move):
             return
         rate = self._rates[index]
         if copy is None or copy.fence != move.fence or abs(rate - watch.rate) > _RATE_CHANGE * watch.rate:
@@ -544,7 +544,7 @@
             return
         if not self._near(index, move, target, primary):
             self.waits.setdefault(index, f"it is at {copy.applied} and catches up")
-            if self._now - self._observation(index, move).since > self._times.max_catch_up_us:
+            if self._now_us - self._observation(index, move).since > self._times.max_catch_up_us:
                 self._enter(index, move, Event.ROLL_BACK, why=f"no end in sight: {self.waits[index]}")
         elif move.primary:
             if move.source == primary:
@@ -581,7 +581,7 @@
             self.waits[index] = f"{move.target} claims {claim}, beyond the head {copy.head}"
             return False
         applied = claim
-        late = self._now - watch.head_at > self._times.max_head_age_us
+        late = self._now_us - watch.head_at > self._times.max_head_age_us
         if late or watch.head <= applied:
             if not late and watch.head >= 0:
                 return True
@@ -602,7 +602,7 @@
         if self._is_barred(move.target):
             self._enter(index, move, Event.UNFENCE, why=f"{move.target} is barred")
             return
-        if self._now - watch.since > self._times.max_fenced_us:
+        if self._now_us - watch.since > self._times.max_fenced_us:
             self._enter(index, move, Event.UNFENCE, why="its primary could not be switched in time")
             return
         if shard.primary:
--- a/cresstray/placement/order.py
+++ b/cresstray/placement/order.py
@@ -277,25 +277,25 @@
 
 def stages_in_order(fleet: Fleet, path: list[Move]) -> Order:
     """Returns stages for moves that must start in this order."""
-    ground, rest, stages = PlacementState(fleet), list(path), []
+    placement, rest, stages = PlacementState(fleet), list(path), []
     while rest:
-        lasts = max((ground.worst_case_seconds(move) or 0 for move in rest[:1]), default=0)
-        stage = ground.pick_stage(rest, ground.now_s + lasts, whole=False) or rest[:1]
+        lasts = max((placement.worst_case_seconds(move) or 0 for move in rest[:1]), default=0)
+        stage = placement.pick_stage(rest, placement.now_s + lasts, whole=False) or rest[:1]
         # With a longer move in the stage, the first could outgrow its space; it then runs alone.
         kept = (
-            [move for move in stage if (ground.worst_case_seconds(move) or 0) <= lasts]
+            [move for move in stage if (placement.worst_case_seconds(move) or 0) <= lasts]
             if stage[1:]
             else stage
         )
         stage = kept if kept == stage[: len(kept)] and kept else stage[:1]
-        broken = ground.apply_stage(stage)
+        broken = placement.apply_stage(stage)
         if broken:
-            missing = _missing_room(ground, stage)
+            missing = _missing_room(placement, stage)
             why = _dead_end_message(f"no order keeps headroom while shards grow: {broken}", missing)
             raise DeadEndError(why, missing, False)
         stages.append(stage)
         rest = rest[len(stage) :]
-    if missing := ground.missing_bytes():
+    if missing := placement.missing_bytes():
         raise DeadEndError(
             _dead_end_message("no order keeps headroom while shards grow", missing), missing, False
         )
@@ -303,39 +303,41 @@
 
 
 def _build_stages(
-    ground: PlacementState, moves: list[Move], hops: bool = False
+    placement: PlacementState, moves: list[Move], hops: bool = False
 ) -> tuple[list[list[Move]], list[Move]]:
     """Returns stages that are as full as possible, and the moves that fit in none."""
     pending, stages = list(moves), []
     hopped: Counter[str] = Counter()
     while pending:
-        stage = _next_stage(ground, pending)
+        stage = _next_stage(placement, pending)
         going = [move for move in pending if move not in stage]
         if not stage:
-            hop = _cheapest_hops(ground, pending, hopped) if hops else None
+            hop = _cheapest_hops(placement, pending, hopped) if hops else None
             if hop is None:
                 return stages, pending
             stage, going = hop
-        if ground.apply_stage(stage):
+        if placement.apply_stage(stage):
             return stages, pending
         pending = going
         stages.append(stage)
-    return stages, list(moves) if ground.missing_bytes() else []
+    return stages, list(moves) if placement.missing_bytes() else []
 
 
-def _next_stage(ground: PlacementState, pending: list[Move]) -> list[Move]:
-    lasts = {id(move): ground.worst_case_seconds(move) for move in pending}
+def _next_stage(placement: PlacementState, pending: list[Move]) -> list[Move]:
+    lasts = {id(move): placement.worst_case_seconds(move) for move in pending}
     able = [move for move in pending if lasts[id(move)] is not None]
     # The longest first: what runs beside each other then takes much the same time. Engines that are over, or
     # will be when the longest ends, go before all others.
     span = max((lasts[id(move)] or 0 for move in able), default=0)
-    hurried = {engine for engine in ground.places if ground.free_bytes(engine, ground.now_s + 2 * span) < 0}
+    hurried = {
+        engine for engine in placement.places if placement.free_bytes(engine, placement.now_s + 2 * span) < 0
+    }
     # What is near its headroom cannot wait for a long stage, if there is something short to be moved off it.
     until = min(
         (
-            ground.free_bytes(engine, ground.now_s) // ground.growth_per_s[engine]
+            placement.free_bytes(engine, placement.now_s) // placement.growth_per_s[engine]
             for engine in hurried
-            if engine not in ground.over_full and ground.growth_per_s[engine]
+            if engine not in placement.over_full and placement.growth_per_s[engine]
         ),
         default=span,
     )
@@ -345,7 +347,7 @@
     able.sort(key=lambda move: (move.source not in hurried, -(lasts[id(move)] or 0), move.shard, move.source))
     while able:
         longest = max(lasts[id(move)] or 0 for move in able)
-        stage = ground.pick_stage(able, ground.now_s + longest)
+        stage = placement.pick_stage(able, placement.now_s + longest)
         if stage:
             return stage
         able = [move for move in able if (lasts[id(move)] or 0) < longest]
@@ -353,7 +355,7 @@
 
 
 def _cheapest_hops(
-    ground: PlacementState, pending: list[Move], hopped: Counter[str]
+    placement: PlacementState, pending: list[Move], hopped: Counter[str]
 ) -> tuple[list[Move], list[Move]] | None:
     """Returns the cheapest hops off the target of a waiting move, and the moves that are pending then.
 
@@ -362,13 +364,15 @@
     best: tuple[int, list[Move], list[Move]] | None = None
     leaving = {(move.shard, move.source): move for move in pending}
     for move in sorted(pending, key=lambda move: (move.bytes, move.shard, move.source)):
-        shard, target = ground.shards[move.shard], move.target
-        lasts = ground.worst_case_seconds(move)
-        if lasts is None or ground.places[target].is_draining:
+        shard, target = placement.shards[move.shard], move.target
+        lasts = placement.worst_case_seconds(move)
+        if lasts is None or placement.places[target].is_draining:
             continue
-        until = ground.now_s + 3 * lasts
-        lack = shard.size + shard.growth * until - ground.free_bytes(target, until)
-        found = _hops_to_free(ground, target, move.shard, lack, until, leaving, hopped) if lack > 0 else None
+        until = placement.now_s + 3 * lasts
+        lack = shard.size + shard.growth * until - placement.free_bytes(target, until)
+        found = (
+            _hops_to_free(placement, target, move.shard, lack, until, leaving, hopped) if lack > 0 else None
+        )
         if found:
             cost = sum(hop.bytes * (1 if (hop.shard, hop.source) in leaving else 2) for hop in found)
             if best is None or cost < best[0]:
@@ -395,7 +399,7 @@
 
 
 def _hops_to_free(
-    ground: PlacementState,
+    placement: PlacementState,
     engine: str,
     but: str,
     lack: int,
@@ -406,9 +410,9 @@
     """Returns moves to other engines that free so many bytes on an engine."""
     # Without a limit, hops could repeat endlessly.
     here = [
-        ground.shards[name]
-        for name in ground.engines_of
-        if name != but and engine in ground.engines_of[name] and hopped[name] < 2
+        placement.shards[name]
+        for name in placement.engines_of
+        if name != but and engine in placement.engines_of[name] and hopped[name] < 2
     ]
     # Copies that leave anyway come first, then the smallest that is enough, else the largest.
     here.sort(
@@ -425,29 +429,29 @@
         size = shard.size + shard.growth * until
         fits = [
             place.engine
-            for place in ground.fleet.places
-            if ground.may_move(shard.name, engine, place.engine)
-            and ground.free_bytes(place.engine, until) - taken[place.engine] >= size
+            for place in placement.fleet.places
+            if placement.may_move(shard.name, engine, place.engine)
+            and placement.free_bytes(place.engine, until) - taken[place.engine] >= size
         ]
         if not fits:
             continue
-        zone = ground.places[engine].zone
+        zone = placement.places[engine].zone
         third = min(
             fits,
             key=lambda name: (
-                ground.places[name].zone != zone,
-                taken[name] - ground.free_bytes(name, until),
+                placement.places[name].zone != zone,
+                taken[name] - placement.free_bytes(name, until),
                 name,
             ),
         )
         taken[third] += size
-        found.append(Move(shard.name, engine, third, shard.size, ground.primary[shard.name] == engine))
+        found.append(Move(shard.name, engine, third, shard.size, placement.primary[shard.name] == engine))
         lack -= shard.size
         if lack <= 0:
             break
-        if len(found) >= ground.limits.moves:
+        if len(found) >= placement.limits.moves:
             return None
-    return found if lack <= 0 and ground.pick_stage(found, ground.now_s) == found else None
+    return found if lack <= 0 and placement.pick_stage(found, placement.now_s) == found else None
 
 
 def search_moves(
@@ -518,10 +522,10 @@
 
 def _number_stages(fleet: Fleet, stages: list[list[Move]], lenient: bool = False) -> Order:
     """Returns the order with hops and primaries marked, after simulating it from the start."""
-    ground, told, numbers = PlacementState(fleet, lenient), [], []
+    placement, numbered, numbers = PlacementState(fleet, lenient), [], []
     later = [(move.shard, move.source) for stage in stages for move in stage]
     for stage in stages:
-        numbers.append(tuple(range(len(told), len(told) + len(stage))))
+        numbers.append(tuple(range(len(numbered), len(numbered) + len(stage))))
         del later[: len(stage)]
         onward = set(later)
         marked = [
@@ -530,24 +534,26 @@
                 move.source,
                 move.target,
                 move.bytes,
-                ground.primary[move.shard] == move.source,
+                placement.primary[move.shard] == move.source,
                 (move.shard, move.target) in onward,
             )
             for move in stage
         ]
-        told += marked
-        broken = ground.apply_stage(marked)
+        numbered += marked
+        broken = placement.apply_stage(marked)
         if broken:
             raise AssertionError(f"an order that was played before breaks: {broken}")
-    return Order(tuple(told), tuple(numbers), ground.now_s, tuple(sorted(ground.outgrown)))
+    return Order(tuple(numbered), tuple(numbers), placement.now_s, tuple(sorted(placement.outgrown)))
 
 
-def _missing_room(ground: PlacementState, moves: list[Move]) -> dict[str, int]:
+def _missing_room(placement: PlacementState, moves: list[Move]) -> dict[str, int]:
     """Returns the bytes that targets lack for the smallest move that waits for them."""
     missing: dict[str, int] = {}
     for move in moves:
-        shard = ground.shards[move.shard]
-        lack = shard.size + shard.growth * ground.now_s - ground.free_bytes(move.target, ground.now_s)
+        shard = placement.shards[move.shard]
+        lack = (
+            shard.size + shard.growth * placement.now_s - placement.free_bytes(move.target, placement.now_s)
+        )
         if lack > 0:
             missing[move.target] = min(lack, missing.get(move.target, lack))
     return dict(sorted(missing.items()))
--- a/cresstray/placement/pacing.py
+++ b/cresstray/placement/pacing.py
@@ -38,17 +38,17 @@
         """Returns how much of its share an engine may use now."""
         return self._parts.get(engine, 1.0)
 
-    def on_reports(self, told: Mapping[str, DiskReport], now: int) -> None:
+    def on_reports(self, reports: Mapping[str, DiskReport], now_us: int) -> None:
         """Adjusts the backoff by the reports of engines, each report once."""
-        for engine in [engine for engine in self._reported_at_us if engine not in told]:
+        for engine in [engine for engine in self._reported_at_us if engine not in reports]:
             del self._reported_at_us[engine]
             self._parts.pop(engine, None)
-        for engine, disk in told.items():
+        for engine, disk in reports.items():
             seen = self._reported_at_us.get(engine, -1)
-            silent = now - max(disk.asked_at_us, seen) > _MAX_SILENCE_US
+            silent = now_us - max(disk.asked_at_us, seen) > _MAX_SILENCE_US
             if disk.asked_at_us <= seen and not silent:
                 continue
-            self._reported_at_us[engine] = now if silent else disk.asked_at_us
+            self._reported_at_us[engine] = now_us if silent else disk.asked_at_us
             part = self.part(engine)
             self._parts[engine] = (
                 max(_MIN_PART, part * _BACK_OFF_FACTOR)
@@ -57,29 +57,29 @@
             )
 
     def transfer_rates(
-        self, flows: Iterable[Transfer], limits: Limits, told: Mapping[str, DiskReport]
+        self, transfers: Iterable[Transfer], limits: Limits, reports: Mapping[str, DiskReport]
     ) -> dict[int, int]:
         """Returns the rate of each transfer; no engine and no zone border exceeds its share in total."""
-        flows = list(flows)
-        ends: dict[str, int] = {}
+        transfers = list(transfers)
+        transfer_counts: dict[str, int] = {}
         borders: dict[tuple[str, str], int] = {}
-        for flow in flows:
-            for engine in (flow.source, flow.target):
-                ends[engine] = ends.get(engine, 0) + 1
-            border = zone_pair(flow.source, flow.target, told)
+        for transfer in transfers:
+            for engine in (transfer.source, transfer.target):
+                transfer_counts[engine] = transfer_counts.get(engine, 0) + 1
+            border = zone_pair(transfer.source, transfer.target, reports)
             borders[border] = borders.get(border, 0) + 1
-        made = {}
-        for flow in flows:
+        rate_of = {}
+        for transfer in transfers:
             rates = [
-                told[engine].pace * limits.share * self.part(engine) / ends[engine]
-                for engine in (flow.source, flow.target)
-                if engine in told
+                reports[engine].pace * limits.share * self.part(engine) / transfer_counts[engine]
+                for engine in (transfer.source, transfer.target)
+                if engine in reports
             ]
-            border = zone_pair(flow.source, flow.target, told)
+            border = zone_pair(transfer.source, transfer.target, reports)
             if limits.border_pace and border[0] != border[1]:
                 rates.append(limits.border_pace / borders[border])
-            made[flow.key] = max(1, int(min(rates))) if rates else 1
-        return made
+            rate_of[transfer.key] = max(1, int(min(rates))) if rates else 1
+        return rate_of
 
 
 def is_pressed(disk: DiskReport) -> bool:
@@ -92,7 +92,7 @@
     )
 
 
-def zone_pair(one: str, other: str, told: Mapping[str, DiskReport]) -> tuple[str, str]:
+def zone_pair(first: str, second: str, reports: Mapping[str, DiskReport]) -> tuple[str, str]:
     """Returns the sorted zones of two engines; the same zone twice means no border."""
-    zones = [told[engine].zone if engine in told else "" for engine in (one, other)]
+    zones = [reports[engine].zone if engine in reports else "" for engine in (first, second)]
     return min(zones), max(zones)
--- a/cresstray/placement/worker.py
+++ b/cresstray/placement/worker.py
@@ -62,9 +62,9 @@
         )
     except OSError as error:
         raise WorkerError(f"the solver's process could not be started: {error.strerror}") from error
-    told: list[SolverReply] = []
+    replies: list[SolverReply] = []
     errors: list[bytes] = []
-    reads = threading.Thread(target=_receive_replies, args=(process, told, heard), daemon=True)
+    reads = threading.Thread(target=_receive_replies, args=(process, replies, heard), daemon=True)
     # Stderr is read concurrently, as a long traceback would fill the pipe and block the process.
     complains = threading.Thread(target=lambda: errors.append(process.stderr.read()[-2000:]), daemon=True)
     reads.start()
@@ -86,23 +86,23 @@
         process.wait()
         process.stdout.close()
         process.stderr.close()
-    return _plan_from_replies(told, process.returncode, b"".join(errors), seconds + margin)
+    return _plan_from_replies(replies, process.returncode, b"".join(errors), seconds + margin)
 
 
 def _receive_replies(
-    process: subprocess.Popen, told: list[SolverReply], heard: Callable[[Plan], None] | None
+    process: subprocess.Popen, replies: list[SolverReply], heard: Callable[[Plan], None] | None
 ) -> None:
     while (body := _read_frame(process.stdout)) is not None:
         try:
-            told.append(msgspec.msgpack.decode(body, type=SolverReply))
+            replies.append(msgspec.msgpack.decode(body, type=SolverReply))
         except msgspec.DecodeError:
             return
-        if heard and told[-1].kind == "better" and told[-1].plan is not None:
-            heard(told[-1].plan)
+        if heard and replies[-1].kind == "better" and replies[-1].plan is not None:
+            heard(replies[-1].plan)
 
 
-def _plan_from_replies(told: list[SolverReply], code: int, errors: bytes, limit: float) -> Plan:
-    last = told[-1] if told else None
+def _plan_from_replies(replies: list[SolverReply], code: int, errors: bytes, limit: float) -> Plan:
+    last = replies[-1] if replies else None
     if last is not None and last.plan is not None:
         return last.plan
     if last is None:
@@ -139,23 +139,23 @@
     sink = sys.stdout.buffer
     sys.stdout = sys.stderr  # output of libraries must not mix with the frames
 
-    def say(told: SolverReply) -> None:
-        _write_frame(sink, msgspec.msgpack.encode(told))
+    def send(reply: SolverReply) -> None:
+        _write_frame(sink, msgspec.msgpack.encode(reply))
 
     body = _read_frame(sys.stdin.buffer)
     try:
-        asked = msgspec.msgpack.decode(body or b"", type=SolverRequest)
-        say(
+        request = msgspec.msgpack.decode(body or b"", type=SolverRequest)
+        send(
             SolverReply(
-                "final", solve(asked.fleet, asked.seconds, lambda plan: say(SolverReply("better", plan)))
+                "final", solve(request.fleet, request.seconds, lambda plan: send(SolverReply("better", plan)))
             )
         )
     except ImpossibleError as error:
-        say(SolverReply("impossible", None, str(error), error.missing))
+        send(SolverReply("impossible", None, str(error), error.missing))
     except DeadEndError as error:
-        say(SolverReply("dead end", None, str(error), error.missing, error.proven))
+        send(SolverReply("dead end", None, str(error), error.missing, error.proven))
     except (ValueError, msgspec.DecodeError) as error:
-        say(SolverReply("fault", None, str(error)))
+        send(SolverReply("fault", None, str(error)))
 
 
 if __name__ == "__main__":
