--- a/tests/test_placement_moves.py
+++ b/tests/test_placement_moves.py
@@ -1,4 +1,4 @@
-"""Moves of shards: their table, and a plan carried out against disks with crashes at each step."""
+"""Shard moves: the transition table, and plans carried out with faults at each step."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 class Fleet:
-    """Disks, a log whose leader may crash, gateways one turn behind, and what must never be."""
+    """Simulated disks, a log whose leader may crash, gateways one turn behind, and the invariants."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
             self.on_applied(self)
 
     def crash(self) -> None:
-        """Another leads: it has the log's snapshot, and what was on its way comes first, or never."""
+        """A new leader restores the snapshot; uncommitted entries are applied first, or lost."""
         if self.chance.random() < 0.5:
             for data in self.log:
                 self.apply(data)
@@ -127,7 +127,7 @@
         self.carrier, self.told = self.make(TIMES), {}
 
     def place(self, name: str, copies: tuple[str, ...]) -> rules.CommandResult:
-        """An operator's own version, once nothing else waits."""
+        """Proposes a placement as an operator."""
         latest = self.state.latest
         shard = documents.Shard(copies, copies[0], latest.placement.items[name].epoch + 1, copies)
         new = msgspec.structs.replace(
@@ -240,14 +240,14 @@
 
 
 class CarriedOut(unittest.TestCase):
-    def test_plain(self) -> None:
+    def test_plan_without_faults_completes(self) -> None:
         fleet = Fleet(1)
         fleet.run()
         fleet.judge(self)
         self.assertEqual([move.state for move in fleet.moves.plan.moves], [MoveState.DONE] * 3)
 
     def faulty(self, fault: object, over: int = 0, seeds: int = 2, done: bool = True) -> None:
-        """The fault strikes behind each entry in turn, in a fleet of its own."""
+        """Injects the fault after each entry in turn, each time in a new fleet."""
         for seed in range(seeds):
             plain = Fleet(seed)
             plain.run()
@@ -300,7 +300,7 @@
         self.faulty(fill, seeds=1, done=False)
 
     def test_last_copy_is_kept(self) -> None:
-        """The source dies for good when the target has all: nothing else may be dropped."""
+        """If the source dies after the copy is complete, the target's copy must be kept."""
         fleet = Fleet(5)
 
         def fault(fleet: Fleet) -> None:
@@ -321,7 +321,7 @@
         self.assertTrue(fleet.shelves["a2"].shards["1"].whole)
 
     def test_late_copy_does_not_come_back(self) -> None:
-        """Its first COPY is on its way for long, while it is cancelled."""
+        """A delayed COPY must not restore a copy after the move was cancelled."""
         fleet = Fleet(4)
 
         def fault(fleet: Fleet) -> None:
@@ -343,7 +343,7 @@
         fleet.judge(self)
         self.assertGreater(fleet.shelves["a2"].counted.refused_old, 0)
 
-    def test_placement_changed_by_another_behind_the_switch(self) -> None:
+    def test_operator_changes_placement_after_the_switch(self) -> None:
         fleet = Fleet(6)
 
         def fault(fleet: Fleet) -> None:
@@ -360,7 +360,7 @@
         fleet.run()
         fleet.judge(self)
 
-    def test_target_is_gone_for_good_behind_the_switch(self) -> None:
+    def test_target_dies_after_the_switch(self) -> None:
         """A copy's place goes back by itself, also under another leader; a primary waits for an operator."""
         for number, crash in ((1, False), (1, True), (0, False)):
             fleet, kept = Fleet(11), MOVES[number]
@@ -431,7 +431,7 @@
         fleet.run()
         fleet.judge(self)
 
-    def test_shard_outgrows_its_room(self) -> None:
+    def test_move_of_shard_that_outgrows_its_reservation_is_rolled_back(self) -> None:
         for growth, ends in ((60_000, MoveState.DONE), (3_000_000, MoveState.CANCELLED)):
             fleet = Fleet(8)
             fleet.shelves["a1"].shards["1"].growth = growth
@@ -444,8 +444,8 @@
             self.assertGreater(fleet.shelves["a1"].shards.get("1", Held(0)).bytes or 3_200_001, 3_200_000)
 
 
-class Typed(unittest.TestCase):
-    def test_what_is_planned_from(self) -> None:
+class OperatorCommands(unittest.TestCase):
+    def test_fleet_is_built_from_documents_and_reports(self) -> None:
         shard = documents.Shard(("a1",), "a1", 1, ("a1",))
         given = documents.Documents(
             engines=documents.EngineRules({"a1": documents.EngineRule(is_barred=True)}),
@@ -477,19 +477,19 @@
         with self.assertRaisesRegex(ValueError, "without a primary: 1"):
             typed._world(fenced, told, (), 0.1, 0, model.Limits())
 
-    def test_progress(self) -> None:
+    def test_progress_line_for_operators(self) -> None:
         fleet = Fleet(3)
         self.assertEqual(typed.progress(fleet.moves.status()), "plan p1: 3 planned; 0% of the bytes")
         fleet.run()
         self.assertEqual(typed.progress(fleet.moves.status()), "plan p1: 3 done; 100% of the bytes")
 
 
-class Paced(unittest.TestCase):
+class TransferRates(unittest.TestCase):
     @staticmethod
     def disk(at: int, zone: str = "a", util: float = 0.1) -> DiskReport:
         return DiskReport("", zone, 100, 100, 0, 1000, at, {}, cores=4, util=util)
 
-    def test_shares_of_ends_and_borders(self) -> None:
+    def test_rates_share_engines_and_zone_borders(self) -> None:
         told = {"a1": self.disk(0), "a2": self.disk(0), "b1": self.disk(0, "b")}
         flows = [pace.Transfer(0, "a1", "a2"), pace.Transfer(1, "a1", "b1")]
         made = pace.RateController().transfer_rates(flows, model.Limits(share=0.5, border_pace=100), told)
@@ -498,7 +498,7 @@
             pace.RateController().transfer_rates(flows[:1], model.Limits(share=0.5), told), {0: 500}
         )
 
-    def test_backs_off_under_pressure_and_comes_back(self) -> None:
+    def test_rate_backs_off_under_load_and_recovers(self) -> None:
         paced, parts = pace.RateController(), []
         for at, util in enumerate([0.1] + [0.9] * 6 + [0.1] * 9):
             paced.on_reports({"a1": self.disk(at * 100_000, util=util)}, at * 100_000)
@@ -545,7 +545,7 @@
     return state, section
 
 
-class Table(unittest.TestCase):
+class TransitionTable(unittest.TestCase):
     """Every state with every entry, also those that change nothing."""
 
     table = tomllib.loads((Path(__file__).parent / "conformance" / "moves.toml").read_text())
@@ -588,13 +588,13 @@
                         self.assertEqual(outcome == moves.APPLIED, to != "-")
                         self.assertEqual(fence > 7, to not in ("-", "cancelled") and event in numbered)
 
-    def test_hindered_by_documents(self) -> None:
+    def test_transitions_are_refused_by_documents(self) -> None:
         for row in self.table["hindered"]:
             with self.subTest(**row):
                 now, outcome, _ = self.entered(row["kind"], row["state"], row["event"], row["documents"])
                 self.assertEqual((now, outcome[:8]), (row["state"], b"refused:"))
 
-    def test_cancel(self) -> None:
+    def test_cancelled_moves_change_state_by_table(self) -> None:
         for at, to in self.table["cancel"].items():
             state, section = placed("primary", "before")
             section.plan.moves[0].state = MoveState(at)
@@ -603,7 +603,7 @@
             self.assertEqual(section.plan.moves[0].state.value, to)
             self.assertEqual(outcome, moves.ALREADY_APPLIED if over else moves.APPLIED)
 
-    def test_plans_refused(self) -> None:
+    def test_invalid_plans_are_refused(self) -> None:
         def told(*given: model.Move, stages: tuple[tuple[int, ...], ...] = ((0,),)) -> bytes:
             section = MoveSection()
             state = founded(section, PLACED)
@@ -619,7 +619,7 @@
         self.assertIn(b"not placed", told(model.Move("9", "a1", "a2", 1)))
         self.assertIn(b"it is on a1, b1", told(model.Move("2", "b1", "a1", 1)))
 
-    def test_long_plans_come_in_parts(self) -> None:
+    def test_long_plan_is_split_into_entries(self) -> None:
         section = MoveSection()
         placed = {str(number): ("a1",) for number in range(2500)}
         state = founded(section, placed)
@@ -674,7 +674,7 @@
     return json.loads(found[0])
 
 
-class OverSockets(unittest.TestCase):
+class TransfersOverSockets(unittest.TestCase):
     """Engines as processes; the target is killed while it copies."""
 
     def setUp(self) -> None:
--- a/tests/test_placement_plan.py
+++ b/tests/test_placement_plan.py
@@ -1,4 +1,4 @@
-"""The plan, its order and its verifier: small cases against brute force, swaps, dead ends, a whole fleet."""
+"""The planner, the order of moves and the plan check: brute force, swaps, dead ends, a large fleet."""
 
 from __future__ import annotations
 
@@ -158,7 +158,7 @@
         self.assertEqual(check(fleet, plan), [])
         self.assertLessEqual(plan.bound, plan.bytes)
 
-    def test_what_outgrows_its_headroom_at_once_is_told_and_takes_nothing(self) -> None:
+    def test_engine_that_outgrows_its_headroom_is_late_and_receives_nothing(self) -> None:
         fleet = Fleet(
             (EngineCapacity("a", "z", 100, 0, 20), EngineCapacity("b", "z", 100, 0, 20)),
             tuple(Shard(f"s{at}", 33, 1, 1.0, ("a",), "a") for at in range(3)),
@@ -184,8 +184,8 @@
     return Fleet(places, shards, Limits(tolerance=1.0, share=1.0))
 
 
-class Order(unittest.TestCase):
-    def test_two_full_engines_swap_over_a_third(self) -> None:
+class MoveOrder(unittest.TestCase):
+    def test_full_engines_swap_copies_over_a_third_engine(self) -> None:
         plan = solve(_swap(10), 20)
         self.assertEqual(check(_swap(10), plan), [])
         # One of four copies has to cross; the cheapest way has no engine but the third with room.
@@ -204,7 +204,7 @@
             self.assertEqual(count, 3 if engine == "c" else 10)
             self.assertIn(f"engine {engine} lacks {count} bytes", str(raised.exception))
 
-    def test_a_plan_pays_for_the_hop_that_it_needs(self) -> None:
+    def test_needed_hop_counts_in_the_bytes_of_the_plan(self) -> None:
         places = (
             EngineCapacity("a", "y", 14, 0, 9),
             EngineCapacity("b", "z", 9, 0, 9),
@@ -220,7 +220,7 @@
         self.assertEqual([move.shard for move in plan.moves if move.hop], ["r"])
         self.assertEqual(check(fleet, plan), [])
 
-    def test_hops_without_a_search(self) -> None:
+    def test_hops_are_found_without_a_search(self) -> None:
         # Too many engines to try all ways: pairs of full engines that have to swap, one spare for all.
         places, shards, moves = [EngineCapacity("spare", "z", 10, 0, 10)], [], []
         for at in range(30):
@@ -234,7 +234,7 @@
         self.assertEqual(sum(move.bytes for move in order.moves), 30 * (10 + 9 + 9))
         self.assertEqual(sum(move.hop for move in order.moves), 30)
 
-    def test_a_shard_that_is_lost_is_named(self) -> None:
+    def test_lost_shard_is_named(self) -> None:
         fleet = Fleet(
             (EngineCapacity("a", "z", 10, 0, 10), EngineCapacity("b", "z", 20, 0, 0, True)),
             (Shard("s", 2, 0, 1.0, ("b",), "b"), Shard("t", 2, 0, 1.0, ("a",), "a")),
@@ -268,7 +268,7 @@
         self.assertEqual(raised.exception.missing, {"all engines": 7})
 
 
-class Verifier(unittest.TestCase):
+class PlanCheck(unittest.TestCase):
     """It has to see what is wrong with a plan that was spoilt."""
 
     def setUp(self) -> None:
@@ -279,7 +279,7 @@
     def _told(self, **spoilt: object) -> str:
         return "\n".join(check(self.fleet, msgspec.structs.replace(self.plan, **spoilt)))
 
-    def test_spoilt_plans_are_told(self) -> None:
+    def test_invalid_plans_are_reported(self) -> None:
         plan = self.plan
         self.assertIn("each move once", self._told(stages=plan.stages[1:]))
         self.assertIn("do not add up", self._told(bytes=plan.bytes + 1))
@@ -305,7 +305,7 @@
         self.assertTrue(any(f"{target} lacks" in line for line in check(fleet, self.plan)))
 
 
-class Whole(unittest.TestCase):
+class LargeFleet(unittest.TestCase):
     def test_a_fleet_within_two_percent_and_the_same_each_time(self) -> None:
         fleet = drawn(40, 400, seed=5)
         told: list[int] = []
@@ -333,13 +333,13 @@
                 Fleet((EngineCapacity("a", "z", 9, 0, 9),), (Shard("s", 1, 0, 1.0, ("b",), "b"),)), 5
             )
 
-    def test_killed_what_was_told_counts(self) -> None:
+    def test_last_plan_of_a_killed_worker_counts(self) -> None:
         plan = solve(_swap(10), 20)
         self.assertEqual(_plan_from_replies([SolverReply("better", plan)], -9, b"", 1.0), plan)
         with self.assertRaisesRegex(WorkerError, "died with 1: MemoryError"):
             _plan_from_replies([], 1, b"Traceback\nMemoryError\n", 1.0)
 
-    def test_worker_says_what_it_was_given(self) -> None:
+    def test_worker_reports_invalid_input(self) -> None:
         done = subprocess.run(
             [sys.executable, "-m", "cresstray.placement.worker"],
             input=b"\0\0\0\1\xc1",
@@ -348,7 +348,7 @@
         )
         self.assertIn(b"fault", done.stdout)
 
-    def test_nobody_loads_scipy_but_the_worker(self) -> None:
+    def test_only_the_worker_loads_scipy(self) -> None:
         code = (
             "import sys;"
             "import cresstray.placement.worker, cresstray.placement.fleetmap, cresstray.placement.check;"
@@ -357,8 +357,8 @@
         self.assertEqual(subprocess.run([sys.executable, "-c", code], timeout=60).returncode, 0)
 
 
-class Map(unittest.TestCase):
-    def test_of_rules_and_disks(self) -> None:
+class FleetFromReports(unittest.TestCase):
+    def test_fleet_is_built_from_placement_and_reports(self) -> None:
         placement = {
             "2": Shard("", 0, 0, 0.0, ("a", "b"), "a"),
             "1": Shard("", 0, 0, 0.0, ("b", "dead"), "b"),
