--- a/cresstray/idempotency/client.py
+++ b/cresstray/idempotency/client.py
@@ -67,7 +67,7 @@
             raise OSError(f"cannot use the TLS files of the store, one of {files}: {error}") from None
 
     @property
-    def near(self) -> StoreTlsContext:
+    def client(self) -> StoreTlsContext:
         """The context for outgoing connections, under the name that sites.tls reads."""
         return self
 
@@ -181,10 +181,10 @@
             if connected_socket is None:
                 return 0
             with SocketStream(connected_socket, self._tasks, scope.cancel) as stream:
-                opened = await self._open_channel(index, connected_socket, stream)
-                if opened is None:
+                opened_channel = await self._open_channel(index, connected_socket, stream)
+                if opened_channel is None:
                     return 0
-                channel, reader, handshake = opened
+                channel, reader, handshake = opened_channel
                 if not self._tracker.on_handshake_finished(index, handshake.is_primary):
                     self._log_error(index, "a second primary" if handshake.is_primary else "a replica")
                     return 0
@@ -228,11 +228,11 @@
         context = self._tls_contexts[index]
         if context is None:
             return stream
-        from cresstray.sites.tls import Sealed
+        from cresstray.sites.tls import TlsStream
 
-        # Sealed needs only `near` and `wrap_bio` of its contexts, which StoreTlsContext has.
-        sealed = Sealed(stream, cast(Any, context), False)
-        await sealed.shake_hands()
+        # TlsStream needs only `client` and `wrap_bio` of its contexts, which StoreTlsContext has.
+        sealed = TlsStream(stream, cast(Any, context), False)
+        await sealed.handshake()
         return sealed
 
     async def _perform_handshake(self, channel: Channel, reader: codec.ReplyReader) -> Handshake:
