--- a/cresstray/placement/fleetmap.py
+++ b/cresstray/placement/fleetmap.py
@@ -1,6 +1,6 @@
-"""Builds the fleet that is planned for, out of the placement in force and what disks have told. Pure.
+"""Builds the fleet for the planner from the active placement and the disk reports.
 
-Also what a plan does to each engine, as lines for an operator.
+Also describes the effect of a plan on each engine for an operator.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 
 import msgspec
 
-from cresstray.placement.model import Fleet, Limits, Place, Plan, Shard
+from cresstray.placement.model import EngineCapacity, Fleet, Limits, Plan, Shard
 
-# Nothing grows on a dead engine, and nothing is put there: its disk is never the one that is full.
-_DEAD = 1 << 60
+# A dead engine has no growth and receives no copies, so that its disk must not count as full.
+_UNREPORTED_DISK_BYTES = 1 << 60
 
 
-class Placed(Protocol):
-    """rules.documents.Shard, as far as it is needed here."""
+class PlacedShard(Protocol):
+    """The used part of fleet_config.documents.Shard."""
 
     copies: tuple[str, ...]
     primary: str
 
 
-class Disk(msgspec.Struct, frozen=True):
-    """What an engine told of itself: bytes that are free, those of each shard there, bytes a second."""
+class DiskCapacity(msgspec.Struct, frozen=True):
+    """An engine's report: free bytes, bytes of each shard, and throughput in bytes per second."""
 
     engine: str
     zone: str
@@ -33,41 +33,44 @@
     sizes: dict[str, int]
 
 
-class Grown(msgspec.Struct, frozen=True):
-    """Of one shard, measured over time: bytes a second, and reads and writes a second."""
+class ShardLoad(msgspec.Struct, frozen=True):
+    """Measured load of a shard: growth in bytes per second, and reads and writes per second."""
 
     growth: int = 0
     heat: float = 0.0
 
 
-class UnknownError(ValueError):
-    """A size or an engine that nobody told: a plan made on a guess could fill a disk."""
+class UnknownSizeError(ValueError):
+    """The size of a shard is unknown; a plan with a guessed size could fill a disk."""
 
 
-def mapped(
-    placement: Mapping[str, Placed],
-    disks: Iterable[Disk],
-    grown: Mapping[str, Grown],
+def build_fleet(
+    placement: Mapping[str, PlacedShard],
+    disks: Iterable[DiskCapacity],
+    grown: Mapping[str, ShardLoad],
     out: Iterable[str],
     share: float,
     least: int,
     limits: Limits,
 ) -> Fleet:
-    """The fleet as of now. Headroom is a share of the disk, at least `least` bytes; `out` is to be emptied.
+    """Returns the current fleet, with a share of each disk as headroom, at least `least` bytes.
 
-    A shard is as large as the largest of its copies. An engine that told nothing (dead) is taken for one with
-    no pace, and is emptied from the other copies. UnknownError: nobody told the size of a shard.
+    Engines in `out` are to be emptied. A shard is as large as its largest copy. An engine without a report is
+    treated as dead: it has no throughput, and is emptied by means of the other copies.
+
+    Raises:
+        UnknownSizeError: No engine reported the size of a shard.
     """
-    told = {disk.engine: disk for disk in disks}
+    reports = {disk.engine: disk for disk in disks}
     out = frozenset(out)
     sizes: dict[str, int] = {}
-    for disk in told.values():
+    for disk in reports.values():
         for name, size in disk.sizes.items():
             sizes[name] = max(size, sizes.get(name, 0))
     unknown = sorted(name for name in placement if name not in sizes)
     if unknown:
-        raise UnknownError(f"no engine told the size of {len(unknown)} shards: {', '.join(unknown[:5])}")
-    none = Grown()
+        raise UnknownSizeError(f"no engine told the size of {len(unknown)} shards: {', '.join(unknown[:5])}")
+    none = ShardLoad()
     shards = tuple(
         Shard(
             name,
@@ -80,26 +83,26 @@
         for name, placed in sorted(placement.items())
     )
     places = []
-    for engine in sorted(told.keys() | {copy for shard in shards for copy in shard.copies}):
-        disk = told.get(engine)
+    for engine in sorted(reports.keys() | {copy for shard in shards for copy in shard.copies}):
+        disk = reports.get(engine)
         if disk is None:
-            places.append(Place(engine, "", _DEAD, 0, 0, True))
+            places.append(EngineCapacity(engine, "", _UNREPORTED_DISK_BYTES, 0, 0, True))
             continue
         placed = sum(
             size
             for name, size in disk.sizes.items()
             if name in placement and engine in placement[name].copies
         )
-        # What else lies there, such as a copy that is half dropped, is not ours: it takes from the disk.
+        # Other data, such as a partly dropped copy, reduces the usable disk.
         space = disk.free + placed
         whole = disk.free + sum(disk.sizes.values())
         headroom = max(int(whole * share), least)
-        places.append(Place(engine, disk.zone, space, headroom, disk.pace, engine in out))
+        places.append(EngineCapacity(engine, disk.zone, space, headroom, disk.pace, engine in out))
     return Fleet(tuple(places), shards, limits)
 
 
-def after(fleet: Fleet, plan: Plan) -> Fleet:
-    """The fleet as it is when the plan has been carried out, sizes as of now."""
+def fleet_after(fleet: Fleet, plan: Plan) -> Fleet:
+    """Returns the fleet after the plan, with current sizes."""
     spots = {shard.name: list(shard.copies) for shard in fleet.shards}
     leads = {shard.name: shard.primary for shard in fleet.shards}
     for stage in plan.stages:
@@ -115,10 +118,10 @@
     return Fleet(fleet.places, shards, fleet.limits)
 
 
-def fits(fleet: Fleet, plan: Plan) -> list[str]:
-    """Lines for an operator: the whole, then each engine that gets fuller or emptier, most bytes first."""
-    then = after(fleet, plan)
-    before, later = _held(fleet), _held(then)
+def describe_plan(fleet: Fleet, plan: Plan) -> list[str]:
+    """Returns lines for an operator: a summary, then each changed engine by decreasing bytes."""
+    then = fleet_after(fleet, plan)
+    before, later = _held_bytes(fleet), _held_bytes(then)
     came: dict[str, int] = dict.fromkeys(before, 0)
     went = dict(came)
     for move in plan.moves:
@@ -126,11 +129,13 @@
         went[move.source] += 1
     hops = [move for move in plan.moves if move.hop]
     lines = [
-        f"{len(plan.moves)} moves in {len(plan.stages)} stages, {_told(plan.bytes)},"
-        f" some {plan.seconds} s; no plan sends less than {_told(plan.bound)} ({plan.gap:.1%} beyond)"
+        f"{len(plan.moves)} moves in {len(plan.stages)} stages, {_format_bytes(plan.bytes)},"
+        f" some {plan.seconds} s; no plan sends less than {_format_bytes(plan.bound)} ({plan.gap:.1%} beyond)"
     ]
     if hops:
-        lines.append(f"{len(hops)} of them are hops to make room, {_told(sum(move.bytes for move in hops))}")
+        lines.append(
+            f"{len(hops)} of them are hops to make room, {_format_bytes(sum(move.bytes for move in hops))}"
+        )
     if plan.tolerance > fleet.limits.tolerance:
         lines.append(
             f"fills are within {plan.tolerance:.0%} of the mean: within {fleet.limits.tolerance:.0%}"
@@ -146,16 +151,16 @@
         changed, key=lambda place: (-abs(later[place.engine] - before[place.engine]), place.engine)
     ):
         old, new = before[place.engine], later[place.engine]
-        word = "is emptied" if place.out else "gets fuller" if new > old else "gets emptier"
+        word = "is emptied" if place.is_draining else "gets fuller" if new > old else "gets emptier"
         lines.append(
-            f"{place.engine} ({place.zone or 'no zone'}) {word}: {_fill(old, place)} >"
-            f" {_fill(new, place)}, {_told(abs(new - old))}, {came[place.engine]} come,"
+            f"{place.engine} ({place.zone or 'no zone'}) {word}: {_format_fill(old, place)} >"
+            f" {_format_fill(new, place)}, {_format_bytes(abs(new - old))}, {came[place.engine]} come,"
             f" {went[place.engine]} go"
         )
     return lines
 
 
-def _held(fleet: Fleet) -> dict[str, int]:
+def _held_bytes(fleet: Fleet) -> dict[str, int]:
     held = {place.engine: 0 for place in fleet.places}
     for shard in fleet.shards:
         for copy in shard.copies:
@@ -163,11 +168,11 @@
     return held
 
 
-def _fill(held: int, place: Place) -> str:
+def _format_fill(held: int, place: EngineCapacity) -> str:
     return f"{held / place.usable:.1%}" if place.usable else "no room"
 
 
-def _told(count: float) -> str:
+def _format_bytes(count: float) -> str:
     for unit in ("B", "kB", "MB", "GB"):
         if abs(count) < 1000:
             return f"{count:.0f} {unit}" if unit == "B" else f"{count:.1f} {unit}"
--- a/cresstray/placement/pacing.py
+++ b/cresstray/placement/pacing.py
@@ -1,4 +1,4 @@
-"""How fast each copy may go: a share of the pace of both ends, less while either is under pressure."""
+"""Transfer rates of copies: a share of both engines' throughput, less while either is overloaded."""
 
 from __future__ import annotations
 
@@ -8,87 +8,91 @@
 from cresstray.placement.model import Limits
 
 if TYPE_CHECKING:
-    from cresstray.placement.move_executor import Disk
+    from cresstray.placement.move_executor import DiskReport
 
-# The signs by which the module holds work back from an engine: cores three quarters busy, two threads a core.
-_BUSY, _CROWD = 0.75, 2.0
-# Halved at each report under pressure, an eighth of all back at each calm one. Never below a sixteenth, so
-# that a plan ends on a fleet that is always busy.
-_BACK_OFF, _RECOVER, _LEAST = 0.5, 0.125, 1 / 16
-# Without a word for so long an engine is taken to be under pressure, in microseconds.
-_QUIET = 2_000_000
+# An engine is overloaded with three quarters of its cores busy, or two threads per core.
+_BUSY_UTILIZATION, _MAX_THREADS_PER_CORE = 0.75, 2.0
+# The part is halved at each report of overload, and regains an eighth at each other one. It stays above a
+# sixteenth, so that a plan ends on a fleet that is always busy.
+_BACK_OFF_FACTOR, _RECOVERY_STEP, _MIN_PART = 0.5, 0.125, 1 / 16
+# An engine without a report for so long is treated as overloaded.
+_MAX_SILENCE_US = 2_000_000
 
 
-class Flow(NamedTuple):
-    """A copy under way; `key` is the caller's."""
+class Transfer(NamedTuple):
+    """A copy in progress; the caller chooses `key`."""
 
     key: int
     source: str
     target: str
 
 
-class Pace:
-    """Rates in bytes a second. Keeps for each engine how far it has backed off."""
+class RateController:
+    """Computes rates in bytes per second, with a backoff for each engine."""
 
     def __init__(self) -> None:
-        self._part: dict[str, float] = {}
-        self._at: dict[str, int] = {}
+        self._parts: dict[str, float] = {}
+        self._reported_at_us: dict[str, int] = {}
 
     def part(self, engine: str) -> float:
-        """How much of its share an engine is given now."""
-        return self._part.get(engine, 1.0)
-
-    def heed(self, told: Mapping[str, Disk], now: int) -> None:
-        """Takes each new report once; told is by engine, its `at` when it came."""
-        for engine in [engine for engine in self._at if engine not in told]:
-            del self._at[engine]
-            self._part.pop(engine, None)
-        for engine, disk in told.items():
-            seen = self._at.get(engine, -1)
-            silent = now - max(disk.at, seen) > _QUIET
-            if disk.at <= seen and not silent:
+        """Returns how much of its share an engine may use now."""
+        return self._parts.get(engine, 1.0)
+
+    def on_reports(self, reports: Mapping[str, DiskReport], now_us: int) -> None:
+        """Adjusts the backoff by the reports of engines, each report once."""
+        for engine in [engine for engine in self._reported_at_us if engine not in reports]:
+            del self._reported_at_us[engine]
+            self._parts.pop(engine, None)
+        for engine, disk in reports.items():
+            seen = self._reported_at_us.get(engine, -1)
+            silent = now_us - max(disk.asked_at_us, seen) > _MAX_SILENCE_US
+            if disk.asked_at_us <= seen and not silent:
                 continue
-            self._at[engine] = now if silent else disk.at
+            self._reported_at_us[engine] = now_us if silent else disk.asked_at_us
             part = self.part(engine)
-            self._part[engine] = (
-                max(_LEAST, part * _BACK_OFF) if silent or pressed(disk) else min(1.0, part + _RECOVER)
+            self._parts[engine] = (
+                max(_MIN_PART, part * _BACK_OFF_FACTOR)
+                if silent or is_pressed(disk)
+                else min(1.0, part + _RECOVERY_STEP)
             )
 
-    def rates(self, flows: Iterable[Flow], limits: Limits, told: Mapping[str, Disk]) -> dict[int, int]:
-        """Of each flow: no engine's and no border's flows have more than its share together."""
-        flows = list(flows)
-        ends: dict[str, int] = {}
+    def transfer_rates(
+        self, transfers: Iterable[Transfer], limits: Limits, reports: Mapping[str, DiskReport]
+    ) -> dict[int, int]:
+        """Returns the rate of each transfer; no engine and no zone border exceeds its share in total."""
+        transfers = list(transfers)
+        transfer_counts: dict[str, int] = {}
         borders: dict[tuple[str, str], int] = {}
-        for flow in flows:
-            for engine in (flow.source, flow.target):
-                ends[engine] = ends.get(engine, 0) + 1
-            border = between(flow.source, flow.target, told)
+        for transfer in transfers:
+            for engine in (transfer.source, transfer.target):
+                transfer_counts[engine] = transfer_counts.get(engine, 0) + 1
+            border = zone_pair(transfer.source, transfer.target, reports)
             borders[border] = borders.get(border, 0) + 1
-        made = {}
-        for flow in flows:
+        rate_of = {}
+        for transfer in transfers:
             rates = [
-                told[engine].pace * limits.share * self.part(engine) / ends[engine]
-                for engine in (flow.source, flow.target)
-                if engine in told
+                reports[engine].pace * limits.share * self.part(engine) / transfer_counts[engine]
+                for engine in (transfer.source, transfer.target)
+                if engine in reports
             ]
-            border = between(flow.source, flow.target, told)
+            border = zone_pair(transfer.source, transfer.target, reports)
             if limits.border_pace and border[0] != border[1]:
                 rates.append(limits.border_pace / borders[border])
-            made[flow.key] = max(1, int(min(rates))) if rates else 1
-        return made
+            rate_of[transfer.key] = max(1, int(min(rates))) if rates else 1
+        return rate_of
 
 
-def pressed(disk: Disk) -> bool:
-    """Whether an engine's own report tells of pressure; `depth`: what it keeps waiting."""
+def is_pressed(disk: DiskReport) -> bool:
+    """Returns whether an engine's report shows overload; `depth` is the length of its queue."""
     return (
-        disk.util >= _BUSY
+        disk.util >= _BUSY_UTILIZATION
         or disk.depth > max(1.0, disk.cores)
         or disk.cores > 0
-        and disk.inflight >= _CROWD * disk.cores
+        and disk.inflight >= _MAX_THREADS_PER_CORE * disk.cores
     )
 
 
-def between(one: str, other: str, told: Mapping[str, Disk]) -> tuple[str, str]:
-    """The border that lies between two engines, either way the same; one zone twice: none."""
-    zones = [told[engine].zone if engine in told else "" for engine in (one, other)]
+def zone_pair(first: str, second: str, reports: Mapping[str, DiskReport]) -> tuple[str, str]:
+    """Returns the sorted zones of two engines; the same zone twice means no border."""
+    zones = [reports[engine].zone if engine in reports else "" for engine in (first, second)]
     return min(zones), max(zones)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -19,8 +19,8 @@
 from cresstray.fleet_config.documents import Documents, Pin, Placement, Replicas, Shard
 from cresstray.observability.counters import Counters
 from cresstray.pipeline.replica_reads import EngineDirectory
-from cresstray.placement.data_transfer import Hands
-from cresstray.placement.move_executor import Copy, Disk
+from cresstray.placement.data_transfer import TransferClient
+from cresstray.placement.move_executor import CopyReport, DiskReport
 from cresstray.policy.types import EndpointState, Engine, Request, RequestClass
 from cresstray.replicas import fallback, position_polling, read, replica_selection
 from cresstray.replicas.hints import HintError, parse_hint
@@ -509,11 +509,13 @@
 
     def test_engines_are_polled_only_while_this_node_leads(self) -> None:
         is_leader, polled = [True], []
-        hands = Hands(dict, lambda entry: None, lambda: is_leader[0], lambda: 0, Counters())
-        hands._lines["a"] = SimpleNamespace(ask=lambda: polled.append("a"))
-        hands.ask(["a", "gone"])
+        transfer_client = TransferClient(
+            dict, lambda entry: None, lambda: is_leader[0], lambda: 0, Counters()
+        )
+        transfer_client._connections["a"] = SimpleNamespace(poll=lambda: polled.append("a"))
+        transfer_client.poll(["a", "gone"])
         is_leader[0] = False
-        hands.ask(["a"])
+        transfer_client.poll(["a"])
         self.assertEqual(polled, ["a"])
 
     def test_replica_that_hangs_does_not_delay_the_other(self) -> None:
@@ -657,17 +659,17 @@
             self.polls.append((self.now_us, name))
             if name not in self.hung:
                 head = self.now_us // (100 * MS)
-                replica = Copy(
+                replica = CopyReport(
                     1,
                     primary=name == "p",
                     epoch=1,
                     applied=head + self.position_offsets.get(name, 0),
                     head=head,
                 )
-                disk = Disk(name, name[0], 1, 1, 0, 1, self.now_us, {"7": replica})
+                disk = DiskReport(name, name[0], 1, 1, 0, 1, self.now_us, {"7": replica})
                 self.after(2 * MS, self.receive_reply, disk)
 
-    def receive_reply(self, disk: Disk) -> None:
+    def receive_reply(self, disk: DiskReport) -> None:
         if self.nodes[0].on_disk_report(disk, self.now_us):
             self.run_round(self.controllers[0])
 
